--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -5,7 +5,7 @@
 from twisted.internet import defer
 
 from ..disk import HEAD, frames
-from ..errors import Damaged, WireError
+from ..errors import CorruptData, WireError
 from ..timers import ms, secs, spawn
 from .chunks import CHUNK, chunk_key
 
@@ -86,7 +86,7 @@
         for _, body, at in frames(await self.read(start, end)):
             if at == end - start:
                 return body
-        raise Damaged(f"{self.path}: no record stands at {start}")
+        raise CorruptData(f"{self.path}: no record stands at {start}")
 
     async def more(self, most: int = BULK * CHUNK) -> list[tuple[int, bytes]]:
         """The next whole records as (position, payload); empty when there is nothing new yet."""
@@ -105,7 +105,7 @@
             out.append((base + at, body))
         del self._bytes[:end]
         if self._bytes and not out and len(self._bytes) > 72 * 1024 * 1024:
-            raise Damaged(f"{self.path}: no record ends after {base}")
+            raise CorruptData(f"{self.path}: no record ends after {base}")
         return out
 
     async def wait(self):
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from ..errors import Refused, WireError
+from ..errors import RemoteError, WireError
 from ..replicated_log.placement_group import PlacementGroup
 from ..state_machines import HasStateMachine
 from ..timers import ms, secs, to_ms
@@ -149,9 +149,9 @@
             try:
                 await self._follow_once(failures)
                 failures = 0
-            except (WireError, Refused) as e:
+            except (WireError, RemoteError) as e:
                 failures += 1
-                leader = e.note if isinstance(e, Refused) and e.fault == "not_leading" else ""
+                leader = e.note if isinstance(e, RemoteError) and e.fault == "not_leading" else ""
                 if leader and leader != self._controller:
                     self._controller, failures = leader, 0
                     continue
--- a/pipitlink/controller/announcing.py
+++ b/pipitlink/controller/announcing.py
@@ -5,7 +5,7 @@
 import attrs
 from twisted.internet import defer
 
-from ..errors import Crowded, WireError
+from ..errors import ServiceUnavailable, WireError
 from ..timers import ms, secs, to_ms
 from ..wire.frame_pb2 import Nothing
 from ..wire.membership_pb2 import EngineList, EngineNews
@@ -78,7 +78,7 @@
         if n.state in FINAL and have.news.state in FINAL:
             await self._confirmed(have)
         elif not self._reaches_most():
-            raise Crowded("most gateways cannot be told of this engine", code="untold")
+            raise ServiceUnavailable("most gateways cannot be told of this engine", code="untold")
 
     def _keep_news(self, n: EngineNews) -> _Announced:
         have = self._announced.get(n.engine)
@@ -189,7 +189,7 @@
                 break
             await self._ctx.timers.await_or_lapse(t.wait(), left)
         if not self._most(t.confirmed):
-            raise Crowded("too few gateways have confirmed that this engine leaves", code="untold")
+            raise ServiceUnavailable("too few gateways have confirmed that this engine leaves", code="untold")
 
     def _tell_renewed(self):
         """As notes: what is lost of a batch is made good by the engines' next renewals, before they count as silent.
--- a/pipitlink/controller/archive.py
+++ b/pipitlink/controller/archive.py
@@ -9,7 +9,7 @@
 from twisted.internet import defer
 
 from ..disk import Disk, swap_in
-from ..errors import Damaged
+from ..errors import CorruptData
 from ..segments import Segments
 from ..syncing import Syncer
 from ..wire.cluster_pb2 import ClusterStateData, Row
@@ -48,7 +48,7 @@
         self.snapshot = self._load_snapshot()
         kept = self.snapshot.cluster_state.voters and any((self._folder / "agreed").glob("seg-*.log"))
         if (self._folder / "founded").exists() and not kept:
-            raise Damaged("this controller took part in the agreement and its files are gone")
+            raise CorruptData("this controller took part in the agreement and its files are gone")
         self._replayed()
 
     def _replayed(self):
@@ -56,7 +56,7 @@
         for _, body in self._segments.recover():
             replay.add(ControllerRecord.FromString(body))
         if replay.mark.index > self.snapshot.index:
-            raise Damaged(f"the snapshot at {replay.mark.index} is missing")
+            raise CorruptData(f"the snapshot at {replay.mark.index} is missing")
         self.ballot = replay.ballot or self.ballot
         self._owes_mark = not replay.marks(self.snapshot)
         self.entries, self._votes, self._entry_bytes = [], [], 0
@@ -187,9 +187,9 @@
                     crc = zlib.crc32(r.SerializeToString(), crc)
                 head = db[b"head"]
         except Exception as e:
-            raise Damaged(f"the snapshot {found[0].name} cannot be read: {e}") from e
+            raise CorruptData(f"the snapshot {found[0].name} cannot be read: {e}") from e
         if zlib.crc32(head[4:], crc) != int.from_bytes(head[:4], "big"):
-            raise Damaged(f"the snapshot {found[0].name} is damaged")
+            raise CorruptData(f"the snapshot {found[0].name} is damaged")
         s = Snapshot.FromString(head[4:])
         s.cluster_state.rows.extend(rows)
         return s
--- a/pipitlink/controller/control.py
+++ b/pipitlink/controller/control.py
@@ -5,7 +5,7 @@
 from klein import Klein
 
 from ..cluster.routes import RouteTable
-from ..errors import BadRequest, GatewayError, NotFound
+from ..errors import ApiError, BadRequest, NotFound
 from ..web import Site, answered, listen, send_fault, send_json
 from ..wire.cluster_pb2 import Command, ZoneEdit
 from ..wire.membership_pb2 import EngineNews
@@ -67,7 +67,7 @@
         c = Command(edit=edit_id(request, _digest(request, base, body)), config=edit)
         out = await self._controller.order(c)
         if out.code == "wrong_base":
-            raise GatewayError(
+            raise ApiError(
                 f"the configuration is at version {out.sequence}", code=out.code, status=412, outcome="not_run"
             )
         if out.code != "done":
@@ -86,7 +86,7 @@
         c = Command(edit=edit_id(request), zone=ZoneEdit(zone=zone, empty=empty))
         out = await self._controller.order(c)
         if out.code != "done":
-            raise GatewayError(f"the edit was refused: {out.code}", code=out.code, status=422, outcome="not_run")
+            raise ApiError(f"the edit was refused: {out.code}", code=out.code, status=422, outcome="not_run")
         return send_json(request, {"sequence": out.sequence, "edit": c.edit})
 
     @answered
--- a/pipitlink/controller/edits.py
+++ b/pipitlink/controller/edits.py
@@ -7,17 +7,17 @@
 from ..cluster import ClusterState
 from ..context import fresh_id
 from ..errors import (
+    ApiError,
     BadRequest,
-    CutOff,
-    GatewayError,
-    NoRoom,
+    ConnectionFailed,
+    DeadlineExceeded,
     NotFound,
-    NotLeading,
-    Overdue,
-    Refused,
-    Unproven,
+    NotLeader,
+    RemoteError,
+    StorageFull,
+    Unconfirmed,
+    VersionConflict,
     WireError,
-    WrongBase,
 )
 from ..timers import ms, secs
 from ..web import answered, send_json
@@ -99,8 +99,8 @@
                 await self.sure_leader()
                 return self.cluster_state
             return ClusterState(await self._ask_leader("controller.read", ReadTableRequest(), ClusterStateData))
-        except (WireError, NotLeading, Unproven) as e:
-            raise GatewayError(
+        except (WireError, NotLeader, Unconfirmed) as e:
+            raise ApiError(
                 f"the newest table cannot be proved now: {e}",
                 code="no_leader",
                 status=503,
@@ -112,14 +112,14 @@
         """Passes a call on to the leader, and waits for it no longer than that one leads and is in touch."""
         leader = self.leader
         if not leader or leader == self._ctx.node or not self.in_touch():
-            raise NotLeading("no leader is known")
+            raise NotLeader("no leader is known")
         work = self.ask_controller(leader, verb, what, kind, FORWARD_LIMIT)
         try:
             return await self._ctx.timers.while_true(
                 lambda: self.leader == leader and self.in_touch(), LOOK_INTERVAL, work
             )
         except defer.CancelledError:
-            raise Unproven("the leader changed or was lost before it answered") from None
+            raise Unconfirmed("the leader changed or was lost before it answered") from None
 
     async def decide(self, c: Command) -> Outcome:
         """The outcome of an edit, here or at the leader; an error says whether it may have been taken."""
@@ -127,17 +127,17 @@
             if self.state == "leader":
                 return await self.edit(c, self._order_limit())
             return (await self._ask_leader("controller.edit", EditRequest(command=c), EditResponse)).outcome
-        except (Overdue, Unproven, CutOff, Refused, NotLeading) as e:
+        except (DeadlineExceeded, Unconfirmed, ConnectionFailed, RemoteError, NotLeader) as e:
             sent = not (
-                isinstance(e, NotLeading)
-                or isinstance(e, CutOff)
+                isinstance(e, NotLeader)
+                or isinstance(e, ConnectionFailed)
                 and not e.sent
-                or isinstance(e, Refused)
+                or isinstance(e, RemoteError)
                 and e.fault in ("not_leading", "no_room")
             )
-            if isinstance(e, Refused) and e.fault == "no_room":
-                raise NoRoom(e.note, sent=False) from e
-            raise GatewayError(
+            if isinstance(e, RemoteError) and e.fault == "no_room":
+                raise StorageFull(e.note, sent=False) from e
+            raise ApiError(
                 f"{e}; send it again with Edit-Id {c.edit} to learn its outcome"
                 if sent
                 else f"no controller leads now: {e}",
@@ -150,11 +150,11 @@
     async def _do_edit(self, request, c: Command):
         out = await self.order(c)
         if out.code == "wrong_base":
-            raise WrongBase(out.sequence)
+            raise VersionConflict(out.sequence)
         if out.code == "no_such_row":
             raise NotFound("there is no such row", code=out.code, field="row")
         if out.code != "done":
-            raise GatewayError(f"the edit was refused: {out.code}", code=out.code, status=422, outcome="not_run")
+            raise ApiError(f"the edit was refused: {out.code}", code=out.code, status=422, outcome="not_run")
         return send_json(request, {"sequence": out.sequence, "edit": c.edit}, 200, {"ETag": f'"{out.sequence}"'})
 
     @answered
--- a/pipitlink/controller/gateways.py
+++ b/pipitlink/controller/gateways.py
@@ -7,7 +7,7 @@
 
 from ..cluster.follower import HOLD_FOLLOW, LEASE_SPAN, MOST_HELD
 from ..cluster.state_transfer import StateTransfer
-from ..errors import NoRoom, NotLeading, Overdue, Unproven
+from ..errors import DeadlineExceeded, NotLeader, StorageFull, Unconfirmed
 from ..timers import Joined, ms, secs, to_ms
 from ..wire.cluster_pb2 import Command, Delta, FollowRequest, FollowResponse, Outcome, StatePiece
 
@@ -62,14 +62,14 @@
 
     async def _follow(self, node, ask: FollowRequest) -> FollowResponse:
         if not self._fresh():
-            raise NotLeading(self.leader if self.leader != self._ctx.node else "", self.leader)
+            raise NotLeader(self.leader if self.leader != self._ctx.node else "", self.leader)
         asked = self._ctx.timers.now()
         self.followers[ask.node] = _Follower(ask.role, ask.sequence, asked + LEASE_SPAN)
         _wake(self._confirmations)
         if ask.sequence >= self.cluster_state.sequence and not ask.at_once:
             await self._hold_question(ask)
         if not self._fresh():
-            raise NotLeading(self.leader if self.leader != self._ctx.node else "", self.leader)
+            raise NotLeader(self.leader if self.leader != self._ctx.node else "", self.leader)
         out = self._follow_response(ask)
         out.held_ms = self._lease_from_now(ask.node, asked)
         return out
@@ -181,10 +181,10 @@
         A proposal runs to its end also where its caller has left: the leader's own disk counts for it.
         """
         if self.state == "leader" and not self.in_touch():
-            raise NotLeading("a majority of the controllers was not heard")
+            raise NotLeader("a majority of the controllers was not heard")
         end = self._ctx.timers.now() + limit
         if self.archive.used() + 3 * c.ByteSize() > self._ctx.settings.budget_mb * 1024 * 1024 * ROOM_SHARE:
-            raise NoRoom("the controller's data folder has no room for this edit", sent=False)
+            raise StorageFull("the controller's data folder has no room for this edit", sent=False)
         out = self.cluster_state.known(c)
         known = out is not None
         if not known:
@@ -196,11 +196,11 @@
         sequence = self.cluster_state.sequence
         while not self._in_effect(sequence):
             if self.state != "leader":
-                raise Unproven("the edit is agreed, but this controller no longer leads to see it in effect")
+                raise Unconfirmed("the edit is agreed, but this controller no longer leads to see it in effect")
             if not self.in_touch():
-                raise Unproven("the edit is agreed, but a majority of the controllers is not heard any more")
+                raise Unconfirmed("the edit is agreed, but a majority of the controllers is not heard any more")
             if self._ctx.timers.now() >= end:
-                raise Overdue("the edit is agreed but not yet shown to be in effect everywhere")
+                raise DeadlineExceeded("the edit is agreed but not yet shown to be in effect everywhere")
             await self._wait(self._confirmations, ms(50), lambda: self._in_effect(sequence))
         return out
 
@@ -210,7 +210,7 @@
             proposed = self._proposals.run(object(), lambda: self._propose(c))
             return await self._ctx.timers.while_true(self.in_touch, LOOK_INTERVAL, proposed)
         except defer.CancelledError:
-            raise Unproven("a majority of the controllers was not heard before the edit was agreed") from None
+            raise Unconfirmed("a majority of the controllers was not heard before the edit was agreed") from None
 
     def _forget_followers(self):
         now = self._ctx.timers.now()
--- a/pipitlink/controller/leading.py
+++ b/pipitlink/controller/leading.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from ..errors import NoRoom, NotLeading, Unproven, WireError
+from ..errors import NotLeader, StorageFull, Unconfirmed, WireError
 from ..timers import ZERO, ms, secs, to_ms
 from ..wire.cluster_pb2 import Command, Outcome
 from ..wire.controller_pb2 import AppendRequest, AppendResponse, ControllerEntry
@@ -58,7 +58,7 @@
         self._elections.wake()
         proposed, self._proposed = self._proposed, {}
         for _, d in proposed.values():
-            d.callback(Unproven("the leader changed before the outcome was known"))
+            d.callback(Unconfirmed("the leader changed before the outcome was known"))
         self._wake_all()
         self.wake_news()
 
@@ -171,7 +171,7 @@
         An error is handed over as a value, since nobody may be left to wait for it.
         """
         if self.state != "leader":
-            raise NotLeading(self.leader, self.leader)
+            raise NotLeader(self.leader, self.leader)
         term = self.term
         index = self.archive.last_index() + 1
         d = defer.Deferred()
@@ -180,14 +180,14 @@
         self._wake_all()
         try:
             await synced
-        except NoRoom as e:
+        except StorageFull as e:
             self.step_down()
-            raise Unproven(f"the leader's disk refused the entry, and others may have it: {e}") from e
+            raise Unconfirmed(f"the leader's disk refused the entry, and others may have it: {e}") from e
         if self.term == term:
             self._synced = max(self._synced, index)
             self._advance()
         outcome = await d
-        if isinstance(outcome, Unproven):
+        if isinstance(outcome, Unconfirmed):
             raise outcome
         return outcome
 
@@ -209,7 +209,7 @@
         got = self._proposed.pop(index, None)
         if got is not None:
             proven = got[0] == term
-            got[1].callback(outcome if proven else Unproven("another leader's entry stands in its place"))
+            got[1].callback(outcome if proven else Unconfirmed("another leader's entry stands in its place"))
 
     async def sure_leader(self):
         """Returns once a majority has answered this leader after the call began, and its term has an agreed entry.
@@ -217,17 +217,17 @@
         Refuses at once where none was heard of late, and waits for one no longer than that.
         """
         if self.state != "leader":
-            raise NotLeading(self.leader, self.leader)
+            raise NotLeader(self.leader, self.leader)
         asked = self._ctx.timers.now()
         term = self.term
         until = asked + CONTACT_SPAN
         while True:
             if self.state != "leader" or self.term != term:
-                raise NotLeading(self.leader, self.leader)
+                raise NotLeader(self.leader, self.leader)
             if self.heard_majority_at() >= asked and self.archive.term_at(self.commit) == term:
                 return
             if not self.in_touch() or self._ctx.timers.now() > until:
-                raise Unproven("a majority of the controllers was not heard")
+                raise Unconfirmed("a majority of the controllers was not heard")
             self._wake_all()
             await self._ctx.timers.pause(ms(10))
 
--- a/pipitlink/controller/log_replay.py
+++ b/pipitlink/controller/log_replay.py
@@ -1,6 +1,6 @@
 """The agreed log as its records on disk make it: entries, ballots and the marks of snapshots, in order."""
 
-from ..errors import Damaged
+from ..errors import CorruptData
 from ..wire.controller_pb2 import Ballot, ControllerEntry, ControllerRecord, Snapshot
 
 __all__ = ["LogReplay"]
@@ -62,5 +62,5 @@
             return []
         numbers = range(snapshot.index + 1, self._last + 1)
         if any(n not in self._entries for n in numbers):
-            raise Damaged(f"the log has a gap after {snapshot.index}")
+            raise CorruptData(f"the log has a gap after {snapshot.index}")
         return [self._entries[n] for n in numbers]
--- a/pipitlink/controller/orders.py
+++ b/pipitlink/controller/orders.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from ..errors import Crowded, GatewayError
+from ..errors import ApiError, ServiceUnavailable
 from ..timers import ms
 from ..wire.cluster_pb2 import Command, Outcome
 
@@ -45,7 +45,9 @@
     def check_timely(self, arrived: timedelta):
         """Refuses an order that was held up so long that its caller may have sent it elsewhere meanwhile."""
         if self._just_woke() or self._ctx.timers.now() - arrived > ORDER_SPAN:
-            raise Crowded("this controller was held up and did not carry the order out; send it again", code="late")
+            raise ServiceUnavailable(
+                "this controller was held up and did not carry the order out; send it again", code="late"
+            )
 
     async def order(self, c: Command) -> Outcome:
         """The outcome of an order that has just arrived.
@@ -62,7 +64,7 @@
             self.check_timely(arrived)
             out = await self.decide(c)
             if out.code == "edit_id_used":
-                raise GatewayError(
+                raise ApiError(
                     f"Edit-Id {c.edit} was used for another edit", code=out.code, status=409, outcome="not_run"
                 )
             if out.code != "late":
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from ..cluster import ClusterState
-from ..errors import GatewayError
+from ..errors import ApiError
 from ..timers import ZERO, Repeat, ms, secs
 from ..wire.cluster_pb2 import Command, PlacementGroupRow, StorageNodeEdit
 from ..wire.cluster_pb2 import Placement as PlacementRow
@@ -167,7 +167,7 @@
         left = len(rest) + len(self._newcomers(cluster_state))
         if left < copies:
             soon = left + self._just_gone(cluster_state) >= copies
-            raise GatewayError(
+            raise ApiError(
                 f"{left} storage nodes would be left and each placement group needs {copies}",
                 code="too_few_copies_now" if soon else "too_few_copies",
                 status=503 if soon else 409,
--- a/pipitlink/controller/retiring.py
+++ b/pipitlink/controller/retiring.py
@@ -1,7 +1,7 @@
 """Retires storage nodes on an operator's request."""
 
 from ..cluster import ClusterState
-from ..errors import GatewayError, NotFound
+from ..errors import ApiError, NotFound
 from ..wire.cluster_pb2 import Command, StorageNodeEdit
 from .orders import HANG_UP_SPAN
 
@@ -24,7 +24,7 @@
         heard = {m.node for m in self._ctx.membership.everyone() if m.role == "storage" and m.name == name}
         found = sorted((named | heard) & set(cluster_state.storage_nodes))
         if not found and heard:
-            raise GatewayError(
+            raise ApiError(
                 f"storage node {name} is not admitted yet",
                 code="not_admitted",
                 status=503,
--- a/pipitlink/controller/rows.py
+++ b/pipitlink/controller/rows.py
@@ -3,7 +3,7 @@
 import math
 import re
 
-from ..errors import BadRows
+from ..errors import InvalidRows
 from ..wire.cluster_pb2 import Row
 
 __all__ = ["row_from", "rows_from", "row_dict", "FIELDS"]
@@ -58,15 +58,15 @@
 
 
 def row_from(name: str, raw) -> Row:
-    """Returns a row read from its JSON object. Raises BadRows with everything that is wrong with it."""
+    """Returns a row read from its JSON object. Raises InvalidRows with everything that is wrong with it."""
     row, faults = _check(name, raw)
     if faults:
-        raise BadRows(faults)
+        raise InvalidRows(faults)
     return row
 
 
 def rows_from(raw: dict) -> list[Row]:
-    """Returns the rows of a whole table, from JSON objects by name. Raises BadRows with what is wrong with them."""
+    """Returns the rows of a whole table, from JSON objects by name. Raises InvalidRows with what is wrong with them."""
     rows, faults = [], []
     targets: dict[tuple[str, str], str] = {}
     for name, one in raw.items():
@@ -78,7 +78,7 @@
                 faults.append(_fault(name, "model", f"row {other!r} has the same model and pool"))
             rows.append(row)
     if faults:
-        raise BadRows(faults[:100])
+        raise InvalidRows(faults[:100])
     return rows
 
 
--- a/pipitlink/errors.py
+++ b/pipitlink/errors.py
@@ -1,44 +1,47 @@
-"""The exceptions of pipitlink, one tree for each layer. `code` is the name that goes over the wire and to callers.
+"""The exceptions of pipitlink, one tree for each layer.
+
+`code` is the name of an error on the wire and in answers to callers; it stays the same when a class is renamed.
 
 - SettingsError: at the start, before anything is opened.
-- WireError: RPC between nodes. CutOff and Overdue leave open what the peer did, unless CutOff says `sent=False`;
-  Refused means that it answered; Unmet is raised at the node that was called.
-- ReplicatedLogError: storage nodes and the clients of their logs. Fenced and NotHeld end a leaseholder's work;
-  NoMajority and NoRoom may pass; after OldPlacementGroup the writer looks up the placement again; Damaged is for bytes
-  that cannot be read back.
-- GatewayError: what callers and operators are told over HTTP, with status, outcome and the time to come back after.
-- ControllerError: the agreement on the cluster state, and edits of it.
-
-An error that a handler raises reaches the calling node as Refused, by its `code`. `web.send_fault` maps errors of the
-lower layers to a GatewayError.
+- WireError: RPC between nodes. ConnectionFailed and DeadlineExceeded leave open what the peer did, unless
+  ConnectionFailed says `sent=False`; RemoteError means that the peer answered with an error; UnknownMethod is raised at
+  the node that was called.
+- ReplicatedLogError: storage nodes and the clients of their logs. StaleEpoch and LeaseNotHeld end a leaseholder's work;
+  NoQuorum and StorageFull may pass; after StalePlacement the writer looks up the placement again; CorruptData is for
+  bytes that cannot be read back.
+- ApiError: what callers and operators get over HTTP, with status, outcome and the time after which to retry.
+- ControllerError: the consensus on the cluster state, and edits of it.
+
+An error that a handler raises reaches the calling node as a RemoteError with its `code`. `web.send_fault` maps errors
+of the lower layers to an ApiError.
 """
 
 __all__ = [
     "PipitlinkError",
     "SettingsError",
     "WireError",
-    "CutOff",
+    "ConnectionFailed",
     "WrongPeer",
-    "Overdue",
-    "Refused",
-    "Unmet",
+    "DeadlineExceeded",
+    "RemoteError",
+    "UnknownMethod",
     "ReplicatedLogError",
-    "Fenced",
-    "NoMajority",
-    "NoRoom",
-    "NotHeld",
-    "OldPlacementGroup",
-    "Damaged",
-    "GatewayError",
+    "StaleEpoch",
+    "NoQuorum",
+    "StorageFull",
+    "LeaseNotHeld",
+    "StalePlacement",
+    "CorruptData",
+    "ApiError",
     "BadRequest",
-    "Crowded",
+    "ServiceUnavailable",
     "NotFound",
-    "BackEndError",
+    "EngineError",
     "ControllerError",
-    "WrongBase",
-    "BadRows",
-    "NotLeading",
-    "Unproven",
+    "VersionConflict",
+    "InvalidRows",
+    "NotLeader",
+    "Unconfirmed",
 ]
 
 
@@ -64,7 +67,7 @@
     code = "wire"
 
 
-class CutOff(WireError):
+class ConnectionFailed(WireError):
     """The peer could not be reached or the connection broke. `sent` is False where the call surely never left."""
 
     code = "cut_off"
@@ -74,7 +77,7 @@
         self.sent = sent
 
 
-class WrongPeer(CutOff):
+class WrongPeer(ConnectionFailed):
     """Another node answers at the place of the one that was meant: the call was not carried out."""
 
     code = "wrong_peer"
@@ -83,13 +86,13 @@
         super().__init__(f"node {meant} was meant, {answering} answers there", sent=False)
 
 
-class Overdue(WireError):
+class DeadlineExceeded(WireError):
     """No result within the time limit; what was asked for may still happen. Raised by Timers, RPC and edits."""
 
     code = "overdue"
 
 
-class Refused(WireError):
+class RemoteError(WireError):
     """The peer took the call and answered with an error: `fault` is its code, `note` its text."""
 
     code = "refused"
@@ -100,7 +103,7 @@
         self.note = note
 
 
-class Unmet(WireError):
+class UnknownMethod(WireError):
     """The RPC endpoint has no handler for the call that a peer makes."""
 
     code = "unmet"
@@ -112,19 +115,19 @@
     code = "replicated_log"
 
 
-class Fenced(ReplicatedLogError):
+class StaleEpoch(ReplicatedLogError):
     """A storage node has promised a higher epoch or committed these bytes, or the log has ended: nothing is written."""
 
     code = "fenced"
 
 
-class NoMajority(ReplicatedLogError):
+class NoQuorum(ReplicatedLogError):
     """Too few storage nodes answered a leaseholder or reader to be sure of a log."""
 
     code = "no_majority"
 
 
-class NoRoom(ReplicatedLogError):
+class StorageFull(ReplicatedLogError):
     """A disk, or the budget of a data folder, takes no more. `sent` is False where surely nothing was written."""
 
     code = "no_room"
@@ -134,13 +137,13 @@
         self.sent = sent
 
 
-class OldPlacementGroup(ReplicatedLogError):
+class StalePlacement(ReplicatedLogError):
     """A storage node knows a newer placement than the writer that asks it."""
 
     code = "old_placement_group"
 
 
-class NotHeld(ReplicatedLogError):
+class LeaseNotHeld(ReplicatedLogError):
     """This process does not, or no longer, hold the log's lease. `leaseholder` is the node that does, if known."""
 
     code = "not_held"
@@ -150,13 +153,13 @@
         self.leaseholder = leaseholder
 
 
-class Damaged(ReplicatedLogError):
+class CorruptData(ReplicatedLogError):
     """Bytes on disk, or of a log, fail their checksum or are missing. Raised by segments, archive and cache reads."""
 
     code = "damaged"
 
 
-class GatewayError(PipitlinkError):
+class ApiError(PipitlinkError):
     """What a caller is told, raised by gateways and by controllers' HTTP handlers.
 
     `outcome` is `not_run`, `failed` or `unknown`; `retry_after` is in seconds, 0 for none; `field` names a wrong field.
@@ -177,7 +180,7 @@
         self.retry_after = retry_after
 
 
-class BadRequest(GatewayError):
+class BadRequest(ApiError):
     """A caller's request is malformed. Raised by HTTP handlers and dialects before anything runs."""
 
     code = "bad_request"
@@ -185,7 +188,7 @@
     outcome = "not_run"
 
 
-class NotFound(GatewayError):
+class NotFound(ApiError):
     """What a caller names does not exist. Raised by HTTP handlers."""
 
     code = "not_found"
@@ -193,7 +196,7 @@
     outcome = "not_run"
 
 
-class Crowded(GatewayError):
+class ServiceUnavailable(ApiError):
     """No room or no proof just now; send again in `retry_after` s. Nothing ran unless `outcome` differs."""
 
     code = "crowded"
@@ -204,7 +207,7 @@
         super().__init__(text, retry_after=retry_after, **words)
 
 
-class BackEndError(GatewayError):
+class EngineError(ApiError):
     """An engine failed or broke off during an exchange. Raised by gateways; it may have run the request."""
 
     code = "back_end"
@@ -218,7 +221,7 @@
     code = "controller"
 
 
-class NotLeading(ControllerError):
+class NotLeader(ControllerError):
     """This controller does not lead. `leader` is the node that does, if known."""
 
     code = "not_leading"
@@ -228,13 +231,13 @@
         self.leader = leader
 
 
-class Unproven(ControllerError):
+class Unconfirmed(ControllerError):
     """A leader cannot show an edit's outcome, or that it still leads: the edit may yet take effect."""
 
     code = "unproven"
 
 
-class WrongBase(ControllerError):
+class VersionConflict(ControllerError):
     """An edit builds on an older table than the newest, whose sequence is `sequence`. Raised by edits."""
 
     code = "wrong_base"
@@ -244,7 +247,7 @@
         self.sequence = sequence
 
 
-class BadRows(ControllerError):
+class InvalidRows(ControllerError):
     """Rows of an edit are wrong; `faults` has row, field and message of each. Raised while they are read."""
 
     code = "bad_rows"
--- a/pipitlink/gateway/dispatch.py
+++ b/pipitlink/gateway/dispatch.py
@@ -5,7 +5,7 @@
 from twisted.internet import defer
 
 from ..disk import frames
-from ..errors import NotHeld, Overdue, PipitlinkError, ReplicatedLogError
+from ..errors import DeadlineExceeded, LeaseNotHeld, PipitlinkError, ReplicatedLogError
 from ..rendezvous import rank
 from ..timers import ZERO, ms, secs, spawn, wall_ms
 from ..wire.lots_pb2 import Ended, EndRequest, EndResponse, Item, LogRecord, Result, Started
@@ -68,7 +68,7 @@
         """Takes the lease, reads what is there, and lists as unknown what another owner had started."""
         try:
             h = await self.keep(result_log(o.id))
-        except (PipitlinkError, Overdue) as e:
+        except (PipitlinkError, DeadlineExceeded) as e:
             o.try_at = self._ctx.timers.now() + TAKE_AGAIN
             self._ctx.journal.trace("lot_not_taken", lot=o.id, text=e)
             return
@@ -230,7 +230,7 @@
 
     def _check_owned(self, o: OpenLot):
         if o.leaseholder is None or not o.leaseholder.held() or o.leaseholder.final:
-            raise NotHeld(f"{o.id}: the lease ended before the item was sent")
+            raise LeaseNotHeld(f"{o.id}: the lease ended before the item was sent")
 
     async def _list(self, o: OpenLot, r: Result):
         if r.item in o.results or o.leaseholder is None or o.leaseholder.final:
--- a/pipitlink/gateway/fetching.py
+++ b/pipitlink/gateway/fetching.py
@@ -4,7 +4,7 @@
 from twisted.web.client import ResponseDone
 from twisted.web.iweb import UNKNOWN_LENGTH
 
-from ..errors import BackEndError, BadRequest, Crowded
+from ..errors import BadRequest, EngineError, ServiceUnavailable
 from ..timers import ms, spawn
 from ..web import answered, send_fault
 from .requests import RequestRecord
@@ -38,7 +38,7 @@
         if reason.check(ResponseDone):
             self.over.callback(None)
         else:
-            self.over.errback(BackEndError("the back end's body was cut short", code="cut_short"))
+            self.over.errback(EngineError("the back end's body was cut short", code="cut_short"))
 
 
 class Fetching:
@@ -91,7 +91,7 @@
         )
         if r.code in (429, 503):
             await self._discard(r)
-            raise Crowded(f"{e.name} refused with {r.code}", code="engine_crowded")
+            raise ServiceUnavailable(f"{e.name} refused with {r.code}", code="engine_crowded")
         request.setResponseCode(r.code)
         for name in _PASSED:
             for value in r.headers.getRawHeaders(name, ()):
@@ -102,4 +102,4 @@
         r.deliverBody(through)
         await through.over
         if r.length is not UNKNOWN_LENGTH and ask.size != r.length:
-            raise BackEndError(f"{ask.size} of {r.length} bytes came", code="cut_short")
+            raise EngineError(f"{ask.size} of {r.length} bytes came", code="cut_short")
--- a/pipitlink/gateway/intake.py
+++ b/pipitlink/gateway/intake.py
@@ -1,6 +1,6 @@
 """Takes lots in and makes them durable."""
 
-from ..errors import BadRequest, Crowded
+from ..errors import BadRequest, ServiceUnavailable
 from ..timers import Joined, ms, secs, wall_ms
 from ..web import answered, send_json
 from ..wire.lots_pb2 import Item, LogRecord, Lot
@@ -57,7 +57,7 @@
     async def take_lot(self, request):
         b = read_json(request, LotBody)
         if not self.current():
-            raise Crowded("this gateway is not current", code="not_current")
+            raise ServiceUnavailable("this gateway is not current", code="not_current")
         if len(b.items) > self._ctx.settings.max_items:
             raise BadRequest(
                 f"items: a lot may have {self._ctx.settings.max_items} items", code="bad_field", field="items"
@@ -92,9 +92,9 @@
         try:
             log = await self._ctx.timers.within(ms(2500), self._own_log())
         except Exception as e:
-            raise Crowded(f"the store cannot take lots now: {e}", code=getattr(e, "code", "store")) from e
+            raise ServiceUnavailable(f"the store cannot take lots now: {e}", code=getattr(e, "code", "store")) from e
         if not log.held():
-            raise Crowded("the lot log's lease is not current", code="store")
+            raise ServiceUnavailable("the lot log's lease is not current", code="store")
         start = await log.append([LogRecord(lot=lot).SerializeToString()])
         lot_id = f"{log.log.removeprefix('lots/')}.{start}"
         self._known(lot_id, lot)
--- a/pipitlink/gateway/keyed.py
+++ b/pipitlink/gateway/keyed.py
@@ -6,7 +6,15 @@
 from twisted.internet import defer
 
 from ..disk import frames
-from ..errors import Crowded, CutOff, GatewayError, NotHeld, PipitlinkError, Refused, WireError
+from ..errors import (
+    ApiError,
+    ConnectionFailed,
+    LeaseNotHeld,
+    PipitlinkError,
+    RemoteError,
+    ServiceUnavailable,
+    WireError,
+)
 from ..timers import secs, wall_ms
 from ..wire.lots_pb2 import KeyedLot, KeyedResponse, LogRecord, Lot
 
@@ -66,15 +74,20 @@
                 r = await self._ctx.rpc.call(
                     (m.host, m.port), "lots.keyed", KeyedLot(lot=lot), KeyedResponse, FORWARD_LIMIT
                 )
-            except (WireError, Refused) as e:
-                unsent = isinstance(e, CutOff) and not e.sent or isinstance(e, Refused) and e.fault == "not_held"
-                raise Crowded(
+            except (WireError, RemoteError) as e:
+                unsent = (
+                    isinstance(e, ConnectionFailed)
+                    and not e.sent
+                    or isinstance(e, RemoteError)
+                    and e.fault == "not_held"
+                )
+                raise ServiceUnavailable(
                     f"the owner of this key could not take it: {e}",
                     code="no_owner",
                     outcome="not_run" if unsent else "unknown",
                 ) from e
         if not r.same:
-            raise GatewayError(
+            raise ApiError(
                 "this key was used for another lot",
                 code="key_in_use",
                 field="idempotency_key",
@@ -100,7 +113,7 @@
                     return KeyedResponse(lot=lot_id, again=True, same=other == digest)
             h = shards[0].leaseholder
             if not all(s.leaseholder.held() for s in shards):
-                raise NotHeld("the lease of this key's log is not current")
+                raise LeaseNotHeld("the lease of this key's log is not current")
             start = await h.append([LogRecord(lot=lot).SerializeToString()])
             lot_id = f"{h.log.removeprefix('lots/')}.{start}"
             self._known(lot_id, lot)
@@ -113,5 +126,5 @@
             try:
                 s = self._shards[log] = _Shard(await self.keep(log))
             except PipitlinkError as e:
-                raise NotHeld(f"{log} could not be taken: {e}") from e
+                raise LeaseNotHeld(f"{log} could not be taken: {e}") from e
         return s
--- a/pipitlink/gateway/limits.py
+++ b/pipitlink/gateway/limits.py
@@ -8,7 +8,7 @@
 import attrs
 
 from ..context import fresh_id
-from ..errors import Crowded, Refused, WireError
+from ..errors import RemoteError, ServiceUnavailable, WireError
 from ..rendezvous import rank
 from ..timers import ZERO, ms, secs
 from ..wire.membership_pb2 import Loads, Permit, PermitRequest, PermitResponse
@@ -167,7 +167,7 @@
         m = self._ctx.membership.find(steward)
         try:
             return await self._ctx.rpc.call((m.host, m.port), "limits.take", ask, PermitResponse, ASK_LIMIT)
-        except (WireError, Refused):
+        except (WireError, RemoteError):
             return PermitResponse(wait_ms=1000)
 
     async def _keep_rate(self, ask):
@@ -176,7 +176,7 @@
             return
         r = await self._ask_steward(PermitRequest(row=row.name))
         if not r.granted:
-            raise Crowded(
+            raise ServiceUnavailable(
                 f"row {row.name} allows {row.rate:g} a second",
                 code="rate_limited",
                 status=429,
@@ -196,7 +196,7 @@
             if r.granted:
                 break
             if self._ctx.timers.now() + WAIT_STEP >= until:
-                raise Crowded(
+                raise ServiceUnavailable(
                     f"row {row.name} allows {row.concurrency} at once",
                     code="concurrency_limited",
                     status=429,
--- a/pipitlink/gateway/live.py
+++ b/pipitlink/gateway/live.py
@@ -5,7 +5,7 @@
 
 from twisted.internet import defer
 
-from ..errors import BadRequest, NotFound, Overdue, Refused, WireError
+from ..errors import BadRequest, DeadlineExceeded, NotFound, RemoteError, WireError
 from ..timers import ms, secs, spawn
 from ..web import answered, send_fault, send_json
 from ..wire.membership_pb2 import EngineNews
@@ -97,7 +97,7 @@
         far = FarRun(run, start)
         try:
             first = await self._ask_run(far, place)
-        except Refused as e:
+        except RemoteError as e:
             if e.fault == "bad_field":
                 raise BadRequest(e.note, code=e.fault, field="from", status=416) from e
             raise NotFound(e.note, code="run_not_held", outcome="unknown") from e
@@ -156,7 +156,7 @@
         except defer.CancelledError:
             wait.stop()
             raise
-        except Overdue:
+        except DeadlineExceeded:
             self._ctx.journal.note("caller_stuck", ask=ask.id, at=at)
             wait.stop()
             request.transport.abortConnection()
--- a/pipitlink/gateway/picking.py
+++ b/pipitlink/gateway/picking.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from ..errors import Crowded, GatewayError, NotFound
+from ..errors import ApiError, NotFound, ServiceUnavailable
 from ..rendezvous import rank
 from ..timers import ms, secs
 
@@ -34,14 +34,14 @@
         await self._await_current()
         now = self._ctx.timers.now()
         if ask.limit <= now:
-            raise GatewayError("the limit has passed", code="limit_passed", status=504, outcome="not_run")
+            raise ApiError("the limit has passed", code="limit_passed", status=504, outcome="not_run")
         if ask.tries:
             return False
         if (
             not ask.lot
             and sum(not a.settled and not a.lot for a in self.asks.values()) > self._ctx.settings.max_running
         ):
-            raise Crowded("too many requests are running here", retry_after=self.come_back.seconds())
+            raise ServiceUnavailable("too many requests are running here", retry_after=self.come_back.seconds())
         await self._keep_rate(ask)
         return False
 
@@ -50,7 +50,7 @@
         until = self._ctx.timers.now() + CURRENT_WAIT
         while not self.current():
             if self._ctx.timers.now() >= until:
-                raise Crowded("this gateway cannot prove its cluster state now", code="not_current")
+                raise ServiceUnavailable("this gateway cannot prove its cluster state now", code="not_current")
             await self._ctx.timers.pause(ms(20))
 
 
@@ -109,16 +109,16 @@
                 break
             known = self.candidates(ask.model, ask.pool)
             if not known and self._may_yet_come(ask):
-                raise Crowded(
+                raise ServiceUnavailable(
                     f"nothing that serves {ask.pool or ask.model!r} is heard now", code="none_heard", retry_after=2
                 )
             if not known:
                 raise NotFound(f"nothing serves {ask.pool or ask.model!r}", field="pool" if ask.pool else "model")
             if all(k.name in ask.avoid for k, _ in known):
-                raise ask.refusal or Crowded("no other back end is left to try")
+                raise ask.refusal or ServiceUnavailable("no other back end is left to try")
             left = until - self._ctx.timers.now()
             if left <= ms(0) or self._waiting >= MAX_WAITING:
-                raise Crowded("no back end has room", retry_after=self.come_back.seconds())
+                raise ServiceUnavailable("no back end has room", retry_after=self.come_back.seconds())
             await self._wait_room(left)
         ask.engine = e
         place = self.engines.take(e, ask.lot)
--- a/pipitlink/gateway/relaying.py
+++ b/pipitlink/gateway/relaying.py
@@ -9,7 +9,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.web.client import Agent, HTTPConnectionPool, ResponseDone
 
-from ..errors import BackEndError, Crowded, GatewayError, ReplicatedLogError
+from ..errors import ApiError, EngineError, ReplicatedLogError, ServiceUnavailable
 from ..timers import secs, spawn
 from ..whole_body import WholeBody
 
@@ -124,7 +124,7 @@
     def _break(self, why: str):
         self._abort()
         if not self.over.called:
-            self.over.errback(BackEndError(why, code="bad_answer"))
+            self.over.errback(EngineError(why, code="bad_answer"))
 
     def connectionLost(self, reason=protocol.connectionDone):
         self._ask.feed = None
@@ -133,7 +133,7 @@
         if self._done and reason.check(ResponseDone):
             self.over.callback(None)
         else:
-            self.over.errback(BackEndError("the engine's token stream was cut short", code="cut_short"))
+            self.over.errback(EngineError("the engine's token stream was cut short", code="cut_short"))
 
 
 class _Silence:
@@ -196,13 +196,13 @@
     def _check_still(self, ask, e):
         """What held when the request was admitted and its back end picked must hold as its first byte leaves."""
         if ask.settled or ask.engine is not e:
-            raise GatewayError("the request was ended", code="ended", outcome="not_run")
+            raise ApiError("the request was ended", code="ended", outcome="not_run")
         if ask.limit <= self._ctx.timers.now():
-            raise GatewayError("the limit has passed", code="limit_passed", status=504, outcome="not_run")
+            raise ApiError("the limit has passed", code="limit_passed", status=504, outcome="not_run")
         if not self._ctx.cluster.ready():
-            raise Crowded("this gateway cannot prove its cluster state now", code="not_current")
+            raise ServiceUnavailable("this gateway cannot prove its cluster state now", code="not_current")
         if self.engines.status(e) != "ready" or all(k is not e for k, _ in self.candidates(ask.model, ask.pool)):
-            raise Crowded(f"{e.name} may not get new work any more", code="engine_moved_on")
+            raise ServiceUnavailable(f"{e.name} may not get new work any more", code="engine_moved_on")
         if ask.still is not None:
             ask.still()
 
@@ -234,28 +234,28 @@
         ask.put("unreached")
         if isinstance(f, ConnectError):
             self.engines.failed(e)
-            return Crowded(f"engine {e.name} could not be reached: {f}", code="unreached")
-        if isinstance(f, Crowded) and f.code == "not_current":
+            return ServiceUnavailable(f"engine {e.name} could not be reached: {f}", code="unreached")
+        if isinstance(f, ServiceUnavailable) and f.code == "not_current":
             ask.avoid.discard(e.name)
-        if isinstance(f, ReplicatedLogError) or isinstance(f, GatewayError) and f.outcome == "not_run":
+        if isinstance(f, ReplicatedLogError) or isinstance(f, ApiError) and f.outcome == "not_run":
             return f
         if self._ctx.timers.now() >= ask.limit:
-            return GatewayError("the limit has passed", code="limit_passed", status=504, outcome="not_run")
-        return Crowded(f"engine {e.name} could not be asked: {f}", code="unreached")
+            return ApiError("the limit has passed", code="limit_passed", status=504, outcome="not_run")
+        return ServiceUnavailable(f"engine {e.name} could not be asked: {f}", code="unreached")
 
     def _sent_badly(self, ask, e, f) -> Exception:
-        if isinstance(f, Crowded):
+        if isinstance(f, ServiceUnavailable):
             ask.put("refuse")
             self.engines.refused(e)
             return f
         ask.put("lose")
-        if isinstance(f, GatewayError):
+        if isinstance(f, ApiError):
             f.outcome = "failed" if f.code == "engine_refused" else ask.outcome
             return f
         late = self._ctx.timers.now() >= ask.limit
         if not late:
             self.engines.failed(e)
-        return BackEndError(
+        return EngineError(
             str(f) or type(f).__name__,
             code="limit_passed" if late else "lost",
             status=504 if late else 502,
@@ -272,7 +272,7 @@
         except Exception:
             work.cancel()
             if watch.fell:
-                raise BackEndError(f"engine {e.name} fell silent", code="silent") from None
+                raise EngineError(f"engine {e.name} fell silent", code="silent") from None
             raise
         finally:
             watch.close()
@@ -289,10 +289,10 @@
         )
         if r.code in (429, 503):
             await self._discard(r)
-            raise Crowded(f"engine {e.name} refused with {r.code}", code="engine_crowded")
+            raise ServiceUnavailable(f"engine {e.name} refused with {r.code}", code="engine_crowded")
         if r.code != 200:
             text = await self._discard(r)
-            raise BackEndError(
+            raise EngineError(
                 f"engine {e.name} answered {r.code}: {text[:200]}", code="engine_refused", outcome="failed"
             )
         pieces = _Pieces(ask, point.abort, watch.heard)
--- a/pipitlink/gateway/requests.py
+++ b/pipitlink/gateway/requests.py
@@ -9,7 +9,7 @@
 from twisted.internet import defer
 
 from ..context import fresh_id
-from ..errors import BackEndError, GatewayError, ReplicatedLogError
+from ..errors import ApiError, EngineError, ReplicatedLogError
 from ..state_machines import HasStateMachine, state_machine_data
 
 __all__ = ["RequestRecord", "RequestTable"]
@@ -38,8 +38,8 @@
     avoid: set = attrs.field(factory=set)
     pieces: list[str] = attrs.field(factory=list)
     size: int = 0
-    fault: GatewayError | None = None
-    refusal: GatewayError | None = None
+    fault: ApiError | None = None
+    refusal: ApiError | None = None
     reached: bool = False
     left_at: timedelta | None = None
     readers: int = 0
@@ -96,8 +96,8 @@
         self.move()
 
     def fail(self, fault: Exception):
-        if not isinstance(fault, GatewayError):
-            fault = BackEndError(str(fault) or type(fault).__name__, outcome=self.outcome)
+        if not isinstance(fault, ApiError):
+            fault = EngineError(str(fault) or type(fault).__name__, outcome=self.outcome)
         if self.reached and fault.outcome == "not_run":
             fault.outcome = "unknown"
         self.fault = fault
@@ -167,9 +167,9 @@
                         break
         except defer.CancelledError:
             ask.put("lose")
-            ask.fail(GatewayError("the request was ended", code="ended", outcome=ask.outcome))
+            ask.fail(ApiError("the request was ended", code="ended", outcome=ask.outcome))
         except Exception as e:
-            if not isinstance(e, (GatewayError, ReplicatedLogError)):
+            if not isinstance(e, (ApiError, ReplicatedLogError)):
                 self._ctx.journal.fault("ask_failed", e, ask=ask.id)
             ask.put("lose")
             ask.fail(e)
--- a/pipitlink/gateway/results.py
+++ b/pipitlink/gateway/results.py
@@ -5,7 +5,7 @@
 import attrs
 from twisted.internet import defer
 
-from ..errors import Crowded, NotFound, Refused, WireError
+from ..errors import NotFound, RemoteError, ServiceUnavailable, WireError
 from ..timers import ms, secs
 from ..web import answered, send_json
 from ..wire.lots_pb2 import EndRequest, EndResponse, LogRecord, Lot
@@ -72,7 +72,7 @@
         try:
             await self._ctx.cache.poller.prove([log])
             if tail.seen.proved is None:
-                raise Crowded("the store cannot be read now", code="no_majority", outcome="unknown")
+                raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
             if tail.seen.durable <= at:
                 raise NotFound("there is no such lot", code="no_such_lot", field="lot")
             tail.position = at
@@ -103,7 +103,7 @@
         if seen.proved is None or now - seen.proved > FRESH:
             await self._ctx.cache.poller.prove([r.tail.path])
         if seen.proved is None or self._ctx.timers.now() - seen.proved > secs(1):
-            raise Crowded("the store cannot be read now", code="no_majority", outcome="unknown")
+            raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
         if seen.final and not seen.durable:
             raise NotFound("the lot's results were removed after their retention", code="results_removed", status=410)
         async with r.turn:
@@ -164,7 +164,7 @@
             if state in ("ended", "closed"):
                 return state
             await self._ctx.timers.pause(ms(300))
-        raise Crowded("the lot's owner could not be asked", code="no_owner", outcome="unknown")
+        raise ServiceUnavailable("the lot's owner could not be asked", code="no_owner", outcome="unknown")
 
     async def _ask_owner(self, lot: str) -> str:
         """Asks the log's leaseholder; where there is none, this gateway takes the lot up itself."""
@@ -181,6 +181,6 @@
         try:
             r = await self._ctx.rpc.call((m.host, m.port), "lots.end", EndRequest(lot=lot), EndResponse, secs(3))
             return r.state
-        except (WireError, Refused) as e:
+        except (WireError, RemoteError) as e:
             self._ctx.journal.trace("owner_unheard", lot=lot, text=e)
             return "lost"
--- a/pipitlink/gateway/runs.py
+++ b/pipitlink/gateway/runs.py
@@ -3,7 +3,7 @@
 from twisted.internet import defer
 
 from ..context import fresh_id
-from ..errors import GatewayError, NotFound, Refused, WireError
+from ..errors import ApiError, NotFound, RemoteError, WireError
 from ..timers import ms, secs
 from ..wire.membership_pb2 import RunRequest, RunResponse
 
@@ -24,7 +24,7 @@
     def __init__(self, run: str, start: int):
         self.id = run
         self.pieces: list = [""] * start
-        self.fault: GatewayError | None = None
+        self.fault: ApiError | None = None
         self.engine_name = ""
         self.settled = False
         self.readers = 1
@@ -37,10 +37,10 @@
     def take(self, r: RunResponse):
         self.pieces += r.pieces
         if r.settled:
-            self.end(GatewayError(r.note, code=r.code, outcome=r.outcome) if r.code else None, r.engine)
+            self.end(ApiError(r.note, code=r.code, outcome=r.outcome) if r.code else None, r.engine)
         self._move()
 
-    def end(self, fault: GatewayError | None, engine: str = ""):
+    def end(self, fault: ApiError | None, engine: str = ""):
         self.fault, self.engine_name, self.settled = fault, engine, True
         self._move()
 
@@ -87,9 +87,7 @@
         held = self.held_run(ask.run)
         start = getattr(ask, "from")
         if start > len(held.pieces):
-            raise GatewayError(
-                f"the run has {len(held.pieces)} pieces", code="bad_field", status=416, outcome="not_run"
-            )
+            raise ApiError(f"the run has {len(held.pieces)} pieces", code="bad_field", status=416, outcome="not_run")
         held.readers += 1
         held.left_at = None
         try:
@@ -113,8 +111,8 @@
         try:
             while not far.settled and far.readers:
                 far.take(await self._ask_run(far, place))
-        except (WireError, Refused) as e:
-            far.end(GatewayError(f"the gateway that holds the run was lost: {e}", code="run_lost", outcome="unknown"))
+        except (WireError, RemoteError) as e:
+            far.end(ApiError(f"the gateway that holds the run was lost: {e}", code="run_lost", outcome="unknown"))
 
     async def _ask_run(self, far: FarRun, place) -> RunResponse:
         ask = RunRequest(run=far.id, **{"from": len(far.pieces)})
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -14,7 +14,7 @@
 from .context import Context, fresh_id
 from .dialect import Dialect
 from .disk import set_aside
-from .errors import Damaged, SettingsError
+from .errors import CorruptData, SettingsError
 from .journal import open_journal
 from .membership import Membership
 from .operator import OperatorFace
@@ -121,7 +121,7 @@
         self.node = self._kind(ctx, disk)
         try:
             self.node.open()
-        except Damaged as e:
+        except CorruptData as e:
             ctx.journal.fault("set_aside", e)
             folder = Path(ctx.settings.data)
             set_aside(folder)
--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -5,7 +5,7 @@
 from twisted.internet import defer
 
 from ..disk import frame
-from ..errors import Fenced, NoMajority, NoRoom, NotHeld, Refused, WireError
+from ..errors import LeaseNotHeld, NoQuorum, RemoteError, StaleEpoch, StorageFull, WireError
 from ..timers import ZERO, ms, secs, spawn, wall_ms
 from ..wire.frame_pb2 import Nothing
 from ..wire.replicated_log_pb2 import (
@@ -106,7 +106,7 @@
         self._ctx.journal.note("lease_lost", log=self.log, epoch=self.epoch, why=why)
         waiters, self._waiters = self._waiters, []
         for _, d in waiters:
-            d.errback(NotHeld(f"{self.log}: {why}"))
+            d.errback(LeaseNotHeld(f"{self.log}: {why}"))
         for do in self._watchers:
             do(self)
 
@@ -138,12 +138,10 @@
                 break
             self._refuse_to_duel(got)
             if not self.placement_group.agree(got):
-                raise NoMajority(
-                    f"{self.log}: {len(got)} of {len(self.placement_group.everyone)} storage nodes answered"
-                )
+                raise NoQuorum(f"{self.log}: {len(got)} of {len(self.placement_group.everyone)} storage nodes answered")
             epoch = max(r.state.epoch for r in got.values()) + 1
         else:
-            raise NotHeld(f"{self.log}: outbid")
+            raise LeaseNotHeld(f"{self.log}: outbid")
         self.epoch = epoch
         for n in granted:
             self.renewed(n, asked, got[n].room)
@@ -156,10 +154,10 @@
         """
         for r in got.values():
             if r.why == "held" and not r.granted:
-                raise NotHeld(f"{self.log} is held", r.state.leaseholder)
+                raise LeaseNotHeld(f"{self.log} is held", r.state.leaseholder)
         know = [n for n, r in got.items() if r.why != "just_started"]
         if not self.placement_group.agree(know) and len(know) < len(got):
-            raise NotHeld(f"{self.log} may be held")
+            raise LeaseNotHeld(f"{self.log} may be held")
 
     async def _settle_tail(self, granted):
         """Makes the newest-epoch tail that a majority shows durable under the own epoch."""
@@ -168,7 +166,7 @@
         if state.length:
             self.data = bytearray(await self._replicated_log.read_from(best, self.log, 0, state.length))
             if len(self.data) != state.length:
-                raise NoMajority(f"{self.log}: {best} could not show its tail")
+                raise NoQuorum(f"{self.log}: {best} could not show its tail")
         self.final, self.closed_ms = state.final, state.closed_ms
         self._best = (state.tail_epoch, state.length)
         self.committed = max(s.committed for s in self._states.values())
@@ -179,12 +177,12 @@
         """Appends whole records; returns where they start, once a majority has synced them."""
         if not self.held():
             self.renewing()
-            raise NotHeld(f"{self.log}: {self.lost or 'the lease is not current'}")
+            raise LeaseNotHeld(f"{self.log}: {self.lost or 'the lease is not current'}")
         if self.final:
-            raise Fenced(f"{self.log} is final")
+            raise StaleEpoch(f"{self.log} is final")
         size = sum(len(r) + 64 for r in records)
         if not reserved and not self.placement_group.agree([n for n, room in self._room.items() if room > size]):
-            raise NoRoom(f"{self.log}: the storage nodes are out of room", sent=False)
+            raise StorageFull(f"{self.log}: the storage nodes are out of room", sent=False)
         self._reserved = reserved
         self._no_room.clear()
         if final:
@@ -234,7 +232,7 @@
                     told = await self._write_to(node, state)
                 if self.placement_group is placement:
                     self._states[node] = told
-            except Refused as e:
+            except RemoteError as e:
                 if e.fault == "fenced":
                     self.lapse(str(e))
                     return
@@ -293,7 +291,7 @@
         if not self.placement_group.agree(rest):
             waiters, self._waiters = self._waiters, []
             for _, d in waiters:
-                d.errback(NoRoom(f"{self.log}: the storage nodes are out of room"))
+                d.errback(StorageFull(f"{self.log}: the storage nodes are out of room"))
             self.lapse("no room")
 
     def _advance(self):
--- a/pipitlink/replicated_log/replicated_log.py
+++ b/pipitlink/replicated_log/replicated_log.py
@@ -2,7 +2,7 @@
 
 from twisted.internet import defer
 
-from ..errors import NoMajority, WireError
+from ..errors import NoQuorum, WireError
 from ..timers import ms, secs, spawn
 from ..wire.replicated_log_pb2 import (
     Held,
@@ -223,7 +223,7 @@
                 await self._ctx.timers.await_or_lapse(waiting[0], until - self._ctx.timers.now())
             if whole() is not None:
                 return whole()
-        raise NoMajority(f"{log}: bytes {position} to {position + length} could not be read")
+        raise NoQuorum(f"{log}: bytes {position} to {position + length} could not be read")
 
     async def read_from(self, node: str, log: str, position: int, length: int) -> bytes:
         """What one storage node shows of a span: less than all of it where it has less or cannot be heard."""
--- a/pipitlink/router/batch_intake.py
+++ b/pipitlink/router/batch_intake.py
@@ -2,7 +2,15 @@
 
 from datetime import timedelta
 
-from ..errors import BadRequest, Crowded, GatewayError, NotHeld, PipitlinkError, ReplicatedLogError, WireError
+from ..errors import (
+    ApiError,
+    BadRequest,
+    LeaseNotHeld,
+    PipitlinkError,
+    ReplicatedLogError,
+    ServiceUnavailable,
+    WireError,
+)
 from ..timers import ZERO, Joined, ms, secs, wall_ms
 from ..wire.lots_pb2 import Batch, LogRecord
 from .batches import HEAD_ALONE, OpenBatch, batch_log, good_id, head_of
@@ -16,7 +24,7 @@
 COME_BACK = 0.2
 
 
-def refusal(e: GatewayError, dialect) -> tuple[int, dict, bytes]:
+def refusal(e: ApiError, dialect) -> tuple[int, dict, bytes]:
     """Returns the HTTP response to a refused batch call: status, headers and body."""
     headers = {"Content-Type": "application/json"}
     if e.retry_after:
@@ -24,8 +32,8 @@
     return e.status, headers, dialect.show_fault(e)
 
 
-def _unknown(text: str, status: int = 504) -> GatewayError:
-    return GatewayError(text, code="unknown_outcome", status=status, outcome="unknown")
+def _unknown(text: str, status: int = 504) -> ApiError:
+    return ApiError(text, code="unknown_outcome", status=status, outcome="unknown")
 
 
 class BatchIntake:
@@ -53,16 +61,16 @@
             batch = Batch(id=lot_id, host=host, path=path, route=route.name, taken_ms=taken, items=items.items)
             left = deadline - MARGIN - self._ctx.timers.now()
             if left <= ZERO:
-                raise Crowded("the deadline has passed", code="deadline_passed", retry_after=COME_BACK)
+                raise ServiceUnavailable("the deadline has passed", code="deadline_passed", retry_after=COME_BACK)
             same = await self._ctx.timers.within(
                 left, self._batches_taking.run(lot_id, lambda: self._take_once(batch, route, deadline - MARGIN))
             )
             if not self._same_batch(same, batch):
-                raise GatewayError(
+                raise ApiError(
                     "this id was used for another batch", code="id_in_use", field="id", status=409, outcome="not_run"
                 )
             return 202, {"Content-Type": "application/json"}, self.dialect.show_taken(lot_id, len(batch.items))
-        except GatewayError as e:
+        except ApiError as e:
             return refusal(e, self.dialect)
         except (PipitlinkError, TimeoutError) as e:
             return refusal(_unknown(f"the batch may yet be taken: {e}"), self.dialect)
@@ -76,9 +84,11 @@
         if o is None or o.leaseholder.lost:
             try:
                 if not self._ctx.cluster.usable():
-                    raise Crowded("this gateway takes no batches now", code="not_current", retry_after=COME_BACK)
+                    raise ServiceUnavailable(
+                        "this gateway takes no batches now", code="not_current", retry_after=COME_BACK
+                    )
                 await self._await_quota(route, batch, min(until, self._ctx.timers.now() + QUOTA_WAIT))
-            except GatewayError as e:
+            except ApiError as e:
                 return await self._batch_taken_already(batch.id, e)
         try:
             return await self._in_batch_turn(batch.id, lambda: self._write_batch(batch, until))
@@ -88,11 +98,11 @@
             if self._closing_batches and o is not None and o.idle():
                 self._ctx.spawned(self._ctx.replicated_log.release([o.leaseholder]), "hand_over")
 
-    async def _batch_taken_already(self, batch_id: str, refused: GatewayError) -> Batch | None:
+    async def _batch_taken_already(self, batch_id: str, refused: ApiError) -> Batch | None:
         """What an earlier try has taken is not refused."""
         try:
             known = await self._known_batch(batch_id)
-        except Crowded:
+        except ServiceUnavailable:
             raise refused from None
         if known is None:
             raise refused
@@ -102,13 +112,13 @@
         """None where nothing is durable of it but a head; False where it is but cannot be read at once."""
         state = (await self._ctx.replicated_log.states([batch_log(batch_id)])).get(batch_log(batch_id))
         if state is None:
-            raise Crowded("the store cannot be read now", code="no_majority", retry_after=COME_BACK)
+            raise ServiceUnavailable("the store cannot be read now", code="no_majority", retry_after=COME_BACK)
         if not state.committed and not state.final:
             return None
         try:
             return await self._ctx.timers.within(COMPARE_SPAN, self._batch_of(batch_id))
         except PipitlinkError as e:
-            return None if isinstance(e, GatewayError) and e.code == HEAD_ALONE else False
+            return None if isinstance(e, ApiError) and e.code == HEAD_ALONE else False
 
     async def _write_batch(self, batch: Batch, until: timedelta) -> Batch | None:
         o = await self._hold_for_intake(batch.id, until)
@@ -134,10 +144,12 @@
                 known = await self._known_batch(batch_id)
                 if known is not None:
                     return known
-            except Crowded as e:
+            except ServiceUnavailable as e:
                 fault = e
-            if not isinstance(fault, NotHeld) or self._ctx.timers.now() + 2 * LOOK_AGAIN >= until:
-                raise Crowded(f"the batch cannot be taken here now: {fault}", code="store", retry_after=COME_BACK)
+            if not isinstance(fault, LeaseNotHeld) or self._ctx.timers.now() + 2 * LOOK_AGAIN >= until:
+                raise ServiceUnavailable(
+                    f"the batch cannot be taken here now: {fault}", code="store", retry_after=COME_BACK
+                )
             await self._ctx.timers.pause(LOOK_AGAIN)
 
     async def _append_batch(self, o: OpenBatch, batch: Batch):
@@ -158,7 +170,7 @@
                 raise _unknown(f"the batch may yet be taken: {e}", 500) from e
             self._lose_batch(o)
             await self._ctx.replicated_log.release([h])
-            raise Crowded(f"the store takes no batches now: {e}", code="store", retry_after=COME_BACK) from e
+            raise ServiceUnavailable(f"the store takes no batches now: {e}", code="store", retry_after=COME_BACK) from e
 
     async def _batch_durable(self, o: OpenBatch):
         try:
--- a/pipitlink/router/batch_read.py
+++ b/pipitlink/router/batch_read.py
@@ -7,7 +7,7 @@
 from twisted.internet import defer
 
 from ..cache.chunks import CHUNK
-from ..errors import Crowded, GatewayError, NotFound, PipitlinkError, Refused, WireError
+from ..errors import ApiError, NotFound, PipitlinkError, RemoteError, ServiceUnavailable, WireError
 from ..timers import ZERO, ms, secs
 from ..wire.lots_pb2 import Batch, Ended, EndRequest, EndResponse, LogRecord
 from .batch_intake import refusal
@@ -125,7 +125,7 @@
             try:
                 with r.in_use():
                     await self._ctx.timers.within(READ_LIMIT, self._read_batch_on(batch_id, r))
-            except GatewayError:
+            except ApiError:
                 if r.listing.head is None:
                     self._drop_batch_reader(batch_id, r)
                 raise
@@ -137,14 +137,16 @@
         if seen.proved is None or now - seen.proved > FRESH:
             await self._ctx.cache.poller.prove([r.tail.path])
         if seen.proved is None or self._ctx.timers.now() - seen.proved > PROVED_SPAN:
-            raise Crowded("the store cannot be read now", code="no_majority", outcome="unknown")
+            raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
         if not seen.durable:
             await self._say_batch_absent(batch_id, seen)
         async with r.turn:
             await self._catch_up_reader(r, seen.durable)
         if r.listing.head is None:
             alone = r.listing.announced is not None and r.tail.between()
-            raise Crowded("the batch cannot be read now", code=HEAD_ALONE if alone else "unread", outcome="unknown")
+            raise ServiceUnavailable(
+                "the batch cannot be read now", code=HEAD_ALONE if alone else "unread", outcome="unknown"
+            )
         if r.over():
             r.close()
 
@@ -156,7 +158,7 @@
             raise NotFound("the batch was removed after its retention", code="batch_removed", status=410)
         state = (await self._ctx.replicated_log.states([batch_log(batch_id)])).get(batch_log(batch_id))
         if state is None or state.tail_epoch:
-            raise Crowded("the store is not sure of this batch now", code="not_sure", outcome="unknown")
+            raise ServiceUnavailable("the store is not sure of this batch now", code="not_sure", outcome="unknown")
         raise NotFound("there is no such batch", code="no_such_batch", field="id")
 
     async def _catch_up_reader(self, r: _Reader, goal: int):
@@ -201,10 +203,10 @@
                 await self._listing_moves(lot_id, left)
             body = self.dialect.show_outputs(listing.head, listing.outputs, start)
             return 200, {"Content-Type": "application/json"}, body
-        except GatewayError as e:
+        except ApiError as e:
             return refusal(e, self.dialect)
         except PipitlinkError as e:
-            return refusal(Crowded(f"the batch cannot be read now: {e}", code="unread"), self.dialect)
+            return refusal(ServiceUnavailable(f"the batch cannot be read now: {e}", code="unread"), self.dialect)
 
     async def _listing_moves(self, batch_id: str, left: timedelta):
         o = self._owned_listing(batch_id)
@@ -232,10 +234,10 @@
             if item is None:
                 raise NotFound("there is no such item", code="no_such_item", field="id")
             return 200, {"Content-Type": "application/octet-stream"}, item.body
-        except GatewayError as e:
+        except ApiError as e:
             return refusal(e, self.dialect)
         except PipitlinkError as e:
-            return refusal(Crowded(f"the batch cannot be read now: {e}", code="unread"), self.dialect)
+            return refusal(ServiceUnavailable(f"the batch cannot be read now: {e}", code="unread"), self.dialect)
 
     async def end_batch(self, lot_id: str):
         try:
@@ -247,9 +249,9 @@
                 if state in ("ended", "closed"):
                     return 200, {"Content-Type": "application/json"}, self.dialect.show_ended(lot_id)
                 if self._ctx.timers.now() >= until:
-                    raise Crowded("the batch's owner could not be asked", code="no_owner", outcome="unknown")
+                    raise ServiceUnavailable("the batch's owner could not be asked", code="no_owner", outcome="unknown")
                 await self._ctx.timers.pause(END_INTERVAL)
-        except GatewayError as e:
+        except ApiError as e:
             return refusal(e, self.dialect)
 
     async def _end_batch_once(self, batch_id: str) -> str:
@@ -273,7 +275,7 @@
                 (m.host, m.port), "batches.end", EndRequest(lot=batch_id), EndResponse, ASK_LIMIT
             )
             return r.state
-        except (WireError, Refused) as e:
+        except (WireError, RemoteError) as e:
             self._ctx.journal.trace("owner_unheard", batch=batch_id, text=e)
             return "unsure"
 
--- a/pipitlink/router/batch_run.py
+++ b/pipitlink/router/batch_run.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from ..errors import Fenced, NotHeld, Overdue, PipitlinkError, ReplicatedLogError
+from ..errors import DeadlineExceeded, LeaseNotHeld, PipitlinkError, ReplicatedLogError, StaleEpoch
 from ..timers import ms, secs, spawn, wall_ms
 from ..wire.lots_pb2 import Ended, LogRecord, Output
 from .batches import OpenBatch
@@ -130,7 +130,7 @@
 
     def _check_batch_item(self, o: OpenBatch, i: int):
         if not o.current() or i in o.done or self.batches.get(o.id) is not o:
-            raise NotHeld(f"{o.id}: item {i} must not be sent any more")
+            raise LeaseNotHeld(f"{o.id}: item {i} must not be sent any more")
 
     async def _try_batch_item(self, o: OpenBatch, i: int, call: ItemCall):
         before = call.last_event
@@ -210,10 +210,10 @@
                     records.append(LogRecord(ended=Ended(why="done")).SerializeToString())
                 try:
                     await o.leaseholder.append(records, final=final, reserved=True)
-                except Overdue:
+                except DeadlineExceeded:
                     await self._await_batch_durable(o)
         except ReplicatedLogError as e:
-            if not isinstance(e, (Fenced, NotHeld)):
+            if not isinstance(e, (StaleEpoch, LeaseNotHeld)):
                 self._ctx.journal.fault("outputs_unlisted", e, batch=o.id)
             if not o.leaseholder.lost and not o.leaseholder.final:
                 o.leaseholder.lapse("outputs could not be listed")
@@ -224,5 +224,5 @@
         while not o.leaseholder.lost:
             try:
                 return await o.leaseholder.all_durable()
-            except Overdue:
+            except DeadlineExceeded:
                 continue
--- a/pipitlink/router/call.py
+++ b/pipitlink/router/call.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from ..errors import GatewayError
+from ..errors import ApiError
 from ..state_machines import HasStateMachine, state_machine_data
 from ..wire.cluster_pb2 import Route
 
@@ -114,5 +114,5 @@
         if self.link is not None:
             self.link.discard()
 
-    def fault(self, text: str, **words) -> GatewayError:
-        return GatewayError(text, outcome=self.outcome, **words)
+    def fault(self, text: str, **words) -> ApiError:
+        return ApiError(text, outcome=self.outcome, **words)
--- a/pipitlink/router/choosing.py
+++ b/pipitlink/router/choosing.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from ..errors import Crowded
+from ..errors import ServiceUnavailable
 from ..rendezvous import rank
 from ..timers import ms, secs
 
@@ -162,7 +162,7 @@
                 return e
             left = until - self._ctx.timers.now()
             if left <= ms(0) or self._waiting >= MAX_WAITING:
-                raise Crowded("no engine has room", code="no_room", retry_after=self._come_back())
+                raise ServiceUnavailable("no engine has room", code="no_room", retry_after=self._come_back())
             d = defer.Deferred()
             self.engines.wait_room(d)
             self._waiting += 1
--- a/pipitlink/router/events.py
+++ b/pipitlink/router/events.py
@@ -1,6 +1,6 @@
 """Parsing of server-sent events."""
 
-from ..errors import BackEndError
+from ..errors import EngineError
 
 __all__ = ["EventStream", "MAX_EVENT"]
 
@@ -26,11 +26,11 @@
             n = event_id(event)
             if n is not None:
                 if n != self.last + 1:
-                    raise BackEndError(f"event {n} came after event {self.last}", code="bad_answer")
+                    raise EngineError(f"event {n} came after event {self.last}", code="bad_answer")
                 self.last = n
             out.append(event)
         if len(self._rest) > MAX_EVENT:
-            raise BackEndError("an event is too long", code="bad_answer")
+            raise EngineError("an event is too long", code="bad_answer")
         return out
 
     @property
--- a/pipitlink/router/front.py
+++ b/pipitlink/router/front.py
@@ -9,7 +9,7 @@
 from twisted.web.http_headers import Headers
 from twisted.web.iweb import UNKNOWN_LENGTH
 
-from ..errors import BadRequest, Crowded, GatewayError, NotFound
+from ..errors import ApiError, BadRequest, NotFound, ServiceUnavailable
 from ..timers import ms, secs
 from .call import HOP_HEADERS, Call, prompt_parts
 from .relay import passed_headers
@@ -231,13 +231,13 @@
             if request.too_long:
                 raise BadRequest("the body is too long", code="body_too_long", status=413)
             await self._serve(request)
-        except GatewayError as f:
+        except ApiError as f:
             self._answer_fault(request, f)
         except Exception as e:
             self._ctx.journal.fault("request_failed", e, path=request.path.decode("utf-8", "replace"))
             request.cut() if request.startedWriting else request.answer(500, {}, b"")
 
-    def _answer_fault(self, request, f: GatewayError):
+    def _answer_fault(self, request, f: ApiError):
         self.refused[f.code] = self.refused.get(f.code, 0) + 1
         if request.startedWriting:
             request.cut()
@@ -263,7 +263,7 @@
 
         meant = words.batch_call(request.method, path, query, header)
         if not self.current():
-            raise Crowded(
+            raise ServiceUnavailable(
                 "this gateway cannot prove its cluster state now", code="not_current", retry_after=self._until_ready()
             )
         if meant is not None:
@@ -275,7 +275,9 @@
         route = table.match(host, path)
         if route is None:
             if not table.version:
-                raise Crowded("no configuration has come yet", code="no_config", retry_after=self._until_ready())
+                raise ServiceUnavailable(
+                    "no configuration has come yet", code="no_config", retry_after=self._until_ready()
+                )
             raise NotFound(f"no route for {host}{path[:80]}", code="no_route")
         limit = began + ms(route.deadline_ms)
         asked = request.header(words.deadline_ms)
--- a/pipitlink/router/items.py
+++ b/pipitlink/router/items.py
@@ -5,7 +5,7 @@
 import attrs
 from twisted.internet import defer
 
-from ..errors import GatewayError, ReplicatedLogError
+from ..errors import ApiError, ReplicatedLogError
 from ..timers import ZERO, ms, secs
 from .call import Call, prompt_parts
 from .events import event_data
@@ -105,7 +105,7 @@
             raise
         except ReplicatedLogError:
             raise
-        except GatewayError as f:
+        except ApiError as f:
             wait = ms(1000 * f.retry_after) if f.retry_after else ms(50)
             return ItemAnswer(not_run=f.outcome == "not_run", wait=wait)
         finally:
--- a/pipitlink/router/links.py
+++ b/pipitlink/router/links.py
@@ -8,7 +8,7 @@
 from twisted.web._newclient import HTTP11ClientProtocol, Request
 from twisted.web.http_headers import Headers
 
-from ..errors import BackEndError, Crowded
+from ..errors import EngineError, ServiceUnavailable
 from ..timers import ms, secs
 from ..whole_body import WholeBody
 
@@ -143,7 +143,7 @@
     async def open(self, address: str, most: int) -> Link:
         """A new connection; `most` bounds those that this node has to the address."""
         if self.count(address) >= most:
-            raise Crowded(f"{address}: {most} connections are open", code="connections")
+            raise ServiceUnavailable(f"{address}: {most} connections are open", code="connections")
         link = Link(self, address)
         self._open[address] = self.count(address) + 1
         self.opened += 1
@@ -154,7 +154,7 @@
             raise
         except Exception as e:
             self.lost(link)
-            raise BackEndError(f"{address} could not be reached: {e}", code="unreached", outcome="not_run") from e
+            raise EngineError(f"{address} could not be reached: {e}", code="unreached", outcome="not_run") from e
         return link
 
     def give_back(self, link: Link):
--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from ..errors import Crowded, GatewayError, PipitlinkError, Refused, WireError
+from ..errors import ApiError, PipitlinkError, RemoteError, ServiceUnavailable, WireError
 from ..rendezvous import rank
 from ..timers import Joined, ms, secs
 from ..wire.membership_pb2 import Loads, QuotaRequest, QuotaResponse, WaitingLot
@@ -213,7 +213,7 @@
         m = self._ctx.membership.find(steward)
         try:
             return await self._ctx.rpc.call((m.host, m.port), "quota.take", ask, QuotaResponse, ASK_LIMIT)
-        except (WireError, Refused):
+        except (WireError, RemoteError):
             return QuotaResponse(unsure=True)
 
     async def _await_quota(self, route, batch, until: timedelta):
@@ -228,7 +228,7 @@
                 self._quota_mine[batch.id] = route.name, tokens
                 return
             if not r.unsure:
-                raise GatewayError(
+                raise ApiError(
                     f"route {route.name} has no room for {tokens} more waiting tokens",
                     code="over_quota",
                     status=429,
@@ -236,7 +236,9 @@
                     retry_after=1,
                 )
             if self._ctx.timers.now() + WAIT_STEP > until:
-                raise Crowded("the tokens that wait cannot be counted now", code="not_counted", retry_after=COME_BACK)
+                raise ServiceUnavailable(
+                    "the tokens that wait cannot be counted now", code="not_counted", retry_after=COME_BACK
+                )
             await self._ctx.timers.pause(WAIT_STEP)
 
     def waiting_tokens(self, route: str) -> tuple[int, int]:
--- a/pipitlink/router/relay.py
+++ b/pipitlink/router/relay.py
@@ -3,7 +3,7 @@
 from twisted.internet import defer, protocol
 from twisted.web._newclient import ResponseDone
 
-from ..errors import BackEndError, Crowded, GatewayError
+from ..errors import ApiError, EngineError, ServiceUnavailable
 from ..timers import ms
 from .call import HOP_HEADERS
 from .events import EventStream
@@ -68,9 +68,9 @@
         if self.over.called or self._failing:
             return
         if not reason.check(ResponseDone):
-            self.over.errback(BackEndError("the engine's answer was cut short", code="cut_short"))
+            self.over.errback(EngineError("the engine's answer was cut short", code="cut_short"))
         elif self._events is not None and not self._events.whole:
-            self.over.errback(BackEndError("the engine's answer ended inside an event", code="cut_short"))
+            self.over.errback(EngineError("the engine's answer ended inside an event", code="cut_short"))
         else:
             if not self._call.headed:
                 self._call.headed = True
@@ -131,7 +131,7 @@
                         "call", id=call.id.decode("latin-1"), route=call.route.name, tries=call.tries
                     )
                     return
-                except GatewayError as f:
+                except ApiError as f:
                     if not self._may_go_on(call, f):
                         raise
                 if call.state == "lost":
@@ -142,7 +142,7 @@
         except defer.CancelledError:
             call.put("lose")
             raise
-        except GatewayError as f:
+        except ApiError as f:
             if call.reached and f.outcome == "not_run":
                 f.outcome = "unknown"
             raise
@@ -171,12 +171,12 @@
             self.engines.status(e) not in ("ready", "suspect")
             or e.news.zone in self._ctx.cluster.cluster_state.empty_zones
         ):
-            raise Crowded(f"{e.name} may not get new work any more", code="engine_moved_on")
+            raise ServiceUnavailable(f"{e.name} may not get new work any more", code="engine_moved_on")
         route = self._ctx.cluster.cluster_state.routes.routes.get(call.route.name)
         if route is not call.route:
             if route is None or all(s.pool != call.pool or not s.share > 0 for s in route.shares):
                 call.pool = ""
-                raise Crowded("the route has moved", code="route_moved")
+                raise ServiceUnavailable("the route has moved", code="route_moved")
         if call.still is not None:
             call.still()
 
@@ -192,7 +192,7 @@
         try:
             try:
                 link = await self._link(call, e)
-            except GatewayError as f:
+            except ApiError as f:
                 if f.code == "unreached":
                     self.engines.unreached(e)
                 raise
@@ -207,7 +207,7 @@
             e.kept.add(call.parts)
             await self._exchange(call, e, link, read)
             self.engines.served(e)
-        except GatewayError as f:
+        except ApiError as f:
             if call.state == "picked":
                 call.put("unreached")
                 f.outcome = call.outcome
@@ -252,8 +252,8 @@
             link.discard()
             self._lost_with(call, e)
             if self._ctx.timers.now() >= call.limit:
-                raise BackEndError(f"{e.name} did not answer in time", code="limit_passed", status=504) from f
-            raise BackEndError(f"{e.name} did not answer: {f}", code="lost") from f
+                raise EngineError(f"{e.name} did not answer in time", code="limit_passed", status=504) from f
+            raise EngineError(f"{e.name} did not answer: {f}", code="lost") from f
         try:
             await self._take_answer(call, e, link, response, read)
         except BaseException:
@@ -271,17 +271,17 @@
         if not self._belongs(call, link, response):
             self.counts["spoilt"] += 1
             link.discard()
-            raise BackEndError(f"{e.name} sent another request's answer", code="spoilt", outcome="unknown")
+            raise EngineError(f"{e.name} sent another request's answer", code="spoilt", outcome="unknown")
         if code == 421 or heads.hasHeader(words.not_executed):
             await self._refused(call, e, link, response)
         if code in PROMISES:
             await self._drain(link, response)
-            raise BackEndError(
+            raise EngineError(
                 f"{e.name} answered {code} without saying that nothing ran", code="engine_failed", outcome="unknown"
             )
         if 200 <= code < 300 and not heads.hasHeader(words.seal):
             link.discard()
-            raise BackEndError(f"{e.name} answered without its seal", code="spoilt", outcome="unknown")
+            raise EngineError(f"{e.name} answered without its seal", code="spoilt", outcome="unknown")
         if (
             code >= 500
             and not call.headed
@@ -290,17 +290,17 @@
             and not call.budget_spent
         ):
             await self._drain(link, response)
-            raise BackEndError(f"{e.name} answered {code}", code="engine_failed", outcome="unknown")
+            raise EngineError(f"{e.name} answered {code}", code="engine_failed", outcome="unknown")
         if call.headed and code != 200:
             await self._drain(link, response)
-            raise BackEndError(f"{e.name} answered {code} to a resumed stream", code="engine_failed", outcome="unknown")
+            raise EngineError(f"{e.name} answered {code} to a resumed stream", code="engine_failed", outcome="unknown")
         if not call.resumable:
             call.forget_body()
         flow = _Flow(call, link, response, read)
         response.deliverBody(flow)
         try:
             await flow.over
-        except GatewayError:
+        except ApiError:
             self._lost_with(call, e)
             raise
         if code == 200 or not call.batch:
@@ -326,7 +326,7 @@
             self.engines.replaced(e)
         else:
             self.engines.failed(e)
-        raise Crowded(f"{e.name} refused with {code}", code="engine_crowded", retry_after=self._come_back())
+        raise ServiceUnavailable(f"{e.name} refused with {code}", code="engine_crowded", retry_after=self._come_back())
 
     async def _drain(self, link, response):
         """Reads the rest of an answer that nobody is shown, so that its connection can be used again."""
--- a/pipitlink/segments.py
+++ b/pipitlink/segments.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from .disk import HEAD, Disk, frame, frames
-from .errors import Damaged
+from .errors import CorruptData
 
 __all__ = ["Segments", "Spot"]
 
@@ -47,7 +47,7 @@
             self._sizes[n] = end
             if end < len(data):
                 if n != numbers[-1]:
-                    raise Damaged(f"{self._path(n).name} is damaged at {end}")
+                    raise CorruptData(f"{self._path(n).name} is damaged at {end}")
                 self._disk.cut(self._fds[n], end)
             if n == numbers[-1]:
                 self._disk.sync(self._fds[n])
@@ -113,7 +113,7 @@
             for n in sorted(touched):
                 self._disk.sync(self._fds[n])
         except OSError as e:
-            raise Damaged(f"sync failed: {e}") from e
+            raise CorruptData(f"sync failed: {e}") from e
         touched.clear()
 
     def waiting(self) -> bool:
@@ -131,7 +131,7 @@
         n, at = spot
         data = os.pread(self._fds[n], length, at + HEAD)
         if len(data) != length:
-            raise Damaged(f"{self._path(n).name} ends early at {at}")
+            raise CorruptData(f"{self._path(n).name} ends early at {at}")
         return data
 
     def numbers(self) -> list[int]:
--- a/pipitlink/storage/copying.py
+++ b/pipitlink/storage/copying.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from ..errors import Fenced, NoMajority, ReplicatedLogError, WireError
+from ..errors import NoQuorum, ReplicatedLogError, StaleEpoch, WireError
 from ..replicated_log.placement_group import PlacementGroup, majority
 from ..timers import ZERO, ms, secs, spawn
 from ..wire.frame_pb2 import Nothing
@@ -167,7 +167,7 @@
         start = mine.length if mine.tail_epoch == state.tail_epoch else min(mine.committed, state.length)
         data = await self._ctx.replicated_log.read_from(storage_node, log, start, state.length - start)
         if len(data) != state.length - start:
-            raise NoMajority(f"{log}: {storage_node} did not show all of it")
+            raise NoQuorum(f"{log}: {storage_node} did not show all of it")
         e = Entry(
             kind=Entry.WRITE,
             log=log,
@@ -180,7 +180,7 @@
         )
         done = self._syncer.put(lambda t: self.log_store.copy(e, mine.tail_epoch, mine.length, t))
         if done is None:
-            raise Fenced(f"{log} moved meanwhile")
+            raise StaleEpoch(f"{log} moved meanwhile")
         await done
         self.log_store.settle(log, state.tail_epoch, state.length, state.final)
         self._ctx.journal.note("copied", log=log, bytes=len(data), source=storage_node)
--- a/pipitlink/storage/log_store.py
+++ b/pipitlink/storage/log_store.py
@@ -6,7 +6,7 @@
 import attrs
 
 from ..disk import Disk
-from ..errors import Fenced, NoRoom
+from ..errors import StaleEpoch, StorageFull
 from ..segments import Segments, Spot
 from ..wire.replicated_log_pb2 import Entry, LogState
 
@@ -119,7 +119,7 @@
     def promise(self, log: str, epoch: int, ticket, granted: bool = True) -> None:
         k = self.logs.setdefault(log, Kept(log))
         if epoch <= k.epoch:
-            raise Fenced(f"{log}: epoch {k.epoch} is promised")
+            raise StaleEpoch(f"{log}: epoch {k.epoch} is promised")
         self._room(64, True)
         k.epoch = epoch
         if granted:
@@ -134,7 +134,7 @@
     def _room(self, size: int, reserved: bool):
         most = self.budget if reserved else self.budget - self.reserve
         if self.used() + size > most:
-            raise NoRoom(f"the data folder holds {self.used()} of {self.budget} bytes")
+            raise StorageFull(f"the data folder holds {self.used()} of {self.budget} bytes")
 
     def write(
         self, e: Entry, expect_tail_epoch: int, expect_length: int, reserved: bool, ticket, copied: bool = False
@@ -142,11 +142,11 @@
         """Queues a write; False if this replica does not stand where the writer expects."""
         k = self.logs.setdefault(e.log, Kept(e.log))
         if e.epoch < k.epoch and not copied:
-            raise Fenced(f"{e.log}: epoch {k.epoch} is promised")
+            raise StaleEpoch(f"{e.log}: epoch {k.epoch} is promised")
         if (k.tail_epoch, k.length) != (expect_tail_epoch, expect_length) or e.position > k.length:
             return False
         if e.position < k.committed:
-            raise Fenced(f"{e.log}: bytes below {k.committed} are committed")
+            raise StaleEpoch(f"{e.log}: bytes below {k.committed} are committed")
         self._room(len(e.data) + 128, reserved)
         k.epoch = max(k.epoch, e.epoch)
         body = _packed(e)
@@ -159,7 +159,7 @@
         """
         k = self.logs.get(e.log)
         if k is not None and k.granted > e.epoch:
-            raise Fenced(f"{e.log}: epoch {k.granted} was granted here")
+            raise StaleEpoch(f"{e.log}: epoch {k.granted} was granted here")
         return self.write(e, expect_tail_epoch, expect_length, True, ticket, copied=True)
 
     def settle(self, log: str, tail_epoch: int, length: int, final: bool):
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -5,7 +5,7 @@
 
 from ..context import fresh_id
 from ..disk import Disk, swap_in
-from ..errors import NoRoom, OldPlacementGroup, SettingsError
+from ..errors import SettingsError, StalePlacement, StorageFull
 from ..replicated_log.placement_group import placement_group_of
 from ..syncing import Syncer
 from ..timers import ms
@@ -113,7 +113,7 @@
         """Keeps a part of a long mend until its last part makes it one entry."""
         have = b"" if ask.position == 0 else self._staged.get(key, b"")
         if len(have) != ask.position or len(self._staged) > MAX_STAGED or len(have) > MAX_LOG:
-            raise NoRoom(f"{ask.log}: this part does not follow on what is staged")
+            raise StorageFull(f"{ask.log}: this part does not follow on what is staged")
         self._staged[key] = have + ask.data
         return WriteResponse(done=True)
 
@@ -153,10 +153,10 @@
         leader, and until then it might agree with a writer that was left behind.
         """
         if not await self._ctx.cluster.wait_followed(START_SPAN):
-            raise OldPlacementGroup("this storage node has not heard the newest placement since it started")
+            raise StalePlacement("this storage node has not heard the newest placement since it started")
         placement_group = self._ctx.cluster.placement_group(placement_group_of(log, self._ctx.cluster.placement_groups))
         if sequence < placement_group.sequence:
-            raise OldPlacementGroup(
+            raise StalePlacement(
                 f"placement group {placement_group.number} is at sequence {placement_group.sequence}, not {sequence}"
             )
 
--- a/pipitlink/syncing.py
+++ b/pipitlink/syncing.py
@@ -2,7 +2,7 @@
 
 from twisted.internet import defer
 
-from .errors import Damaged, NoRoom
+from .errors import CorruptData, StorageFull
 from .timers import spawn
 
 __all__ = ["Syncer"]
@@ -36,7 +36,7 @@
                 for ticket in await self._ctx.on_thread(self._segments.flush):
                     if ticket is not None:
                         ticket.callback(None)
-        except Damaged as e:
+        except CorruptData as e:
             self._ctx.journal.fault("disk_lost", e)
             self._ctx.reactor.stop()
         except Exception as e:
@@ -44,7 +44,7 @@
             lost = self._segments.abandon()
             self._recover()
             for ticket in filter(None, lost):
-                ticket.errback(NoRoom(f"the disk refused: {e}"))
+                ticket.errback(StorageFull(f"the disk refused: {e}"))
         finally:
             self.busy = False
             if self._segments.waiting():
--- a/pipitlink/timers.py
+++ b/pipitlink/timers.py
@@ -6,7 +6,7 @@
 
 from twisted.internet import defer
 
-from .errors import Overdue
+from .errors import DeadlineExceeded
 
 __all__ = ["Timers", "Repeat", "ms", "secs", "to_ms", "wall_ms", "ZERO", "spawn", "Joined"]
 
@@ -115,7 +115,7 @@
 
         def lapse():
             beat[0] = None
-            out.errback(Overdue(f"no response within {span.total_seconds():g} s"))
+            out.errback(DeadlineExceeded(f"no response within {span.total_seconds():g} s"))
             d.cancel()
 
         def settle(result):
--- a/pipitlink/web.py
+++ b/pipitlink/web.py
@@ -6,19 +6,19 @@
 from twisted.web import resource, server
 
 from .errors import (
-    BadRows,
-    CutOff,
-    Fenced,
-    GatewayError,
-    NoMajority,
-    NoRoom,
-    NotHeld,
-    NotLeading,
-    Overdue,
-    Refused,
-    Unproven,
+    ApiError,
+    ConnectionFailed,
+    DeadlineExceeded,
+    InvalidRows,
+    LeaseNotHeld,
+    NoQuorum,
+    NotLeader,
+    RemoteError,
+    StaleEpoch,
+    StorageFull,
+    Unconfirmed,
+    VersionConflict,
     WireError,
-    WrongBase,
 )
 from .timers import spawn
 
@@ -109,35 +109,37 @@
     return json.dumps(body).encode()
 
 
-def _plain(e: Exception) -> GatewayError:
+def _plain(e: Exception) -> ApiError:
     """Turns an error from a layer below into what a caller is told."""
-    if isinstance(e, GatewayError):
+    if isinstance(e, ApiError):
         return e
-    if isinstance(e, WrongBase):
-        return GatewayError(str(e), code=e.code, status=412, outcome="not_run")
-    if isinstance(e, BadRows):
-        return GatewayError(str(e), code=e.code, status=422, outcome="not_run")
-    if isinstance(e, NoRoom):
-        return GatewayError(str(e), code=e.code, status=507, outcome="unknown" if e.sent else "not_run", retry_after=30)
-    if isinstance(e, NotLeading):
-        return GatewayError(str(e), code=e.code, status=503, outcome="not_run", retry_after=1)
-    if isinstance(e, (NoMajority, NotHeld, Overdue, CutOff, Unproven, Fenced, Refused, WireError)):
-        return GatewayError(str(e), code=e.code, status=503, outcome="unknown", retry_after=1)
-    return GatewayError("the module failed on this request", code="internal", status=500, outcome="unknown")
+    if isinstance(e, VersionConflict):
+        return ApiError(str(e), code=e.code, status=412, outcome="not_run")
+    if isinstance(e, InvalidRows):
+        return ApiError(str(e), code=e.code, status=422, outcome="not_run")
+    if isinstance(e, StorageFull):
+        return ApiError(str(e), code=e.code, status=507, outcome="unknown" if e.sent else "not_run", retry_after=30)
+    if isinstance(e, NotLeader):
+        return ApiError(str(e), code=e.code, status=503, outcome="not_run", retry_after=1)
+    if isinstance(
+        e, (NoQuorum, LeaseNotHeld, DeadlineExceeded, ConnectionFailed, Unconfirmed, StaleEpoch, RemoteError, WireError)
+    ):
+        return ApiError(str(e), code=e.code, status=503, outcome="unknown", retry_after=1)
+    return ApiError("the module failed on this request", code="internal", status=500, outcome="unknown")
 
 
 def send_fault(request, e: Exception):
     """Sets up the JSON error response for an exception and returns its body.
 
-    An exception that is no GatewayError is mapped to one first; what is not known becomes a 500 with outcome unknown.
+    An exception that is no ApiError is mapped to one first; what is not known becomes a 500 with outcome unknown.
     """
     f = _plain(e)
     body = {"code": f.code, "message": str(f), "outcome": f.outcome}
     if f.field:
         body["field"] = f.field
-    if isinstance(e, WrongBase):
+    if isinstance(e, VersionConflict):
         body["sequence"] = e.sequence
-    if isinstance(e, BadRows):
+    if isinstance(e, InvalidRows):
         body["faults"] = e.faults
     headers = {"Retry-After": f.retry_after} if f.retry_after else {}
     return send_json(request, {"error": body}, f.status, headers)
@@ -154,7 +156,7 @@
         def fault(f):
             if f.check(defer.CancelledError):
                 return b""
-            if not isinstance(f.value, (GatewayError, WireError)) and not hasattr(f.value, "code"):
+            if not isinstance(f.value, (ApiError, WireError)) and not hasattr(f.value, "code"):
                 self._ctx.journal.fault("request_failed", f.value, path=request.path.decode("utf-8", "replace"))
             if request.startedWriting:
                 request.transport.abortConnection()
--- a/pipitlink/wire/connection.py
+++ b/pipitlink/wire/connection.py
@@ -3,7 +3,7 @@
 from twisted.internet import defer, protocol
 from twisted.protocols.basic import Int32StringReceiver
 
-from ..errors import CutOff, WireError
+from ..errors import ConnectionFailed, WireError
 from ..timers import secs, spawn
 from .frame_pb2 import Frame, Hello
 
@@ -70,9 +70,9 @@
         calls, self._calls = self._calls, {}
         for d in calls.values():
             if not d.called:
-                d.errback(CutOff("the stream ended before the response"))
+                d.errback(ConnectionFailed("the stream ended before the response"))
         if not self.ready.called:
-            self.ready.errback(CutOff("the stream ended before the hello", sent=False))
+            self.ready.errback(ConnectionFailed("the stream ended before the hello", sent=False))
 
     def _wake(self):
         if self._waiter is not None:
@@ -150,7 +150,7 @@
 
     def call(self, verb: str, body: bytes) -> defer.Deferred:
         if self.ended:
-            return defer.fail(CutOff("the stream has ended", sent=False))
+            return defer.fail(ConnectionFailed("the stream has ended", sent=False))
         self._next += 1
         n = self._next
         d = defer.Deferred(lambda _: self._calls.pop(n, None))
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -6,7 +6,15 @@
 from twisted.internet import defer
 from twisted.internet.endpoints import TCP4ClientEndpoint, TCP4ServerEndpoint, TCP6ClientEndpoint, connectProtocol
 
-from ..errors import CutOff, Overdue, PipitlinkError, Refused, Unmet, WireError, WrongPeer
+from ..errors import (
+    ConnectionFailed,
+    DeadlineExceeded,
+    PipitlinkError,
+    RemoteError,
+    UnknownMethod,
+    WireError,
+    WrongPeer,
+)
 from ..timers import Joined, Timers, ms, spawn
 from .connection import WIRE, RpcConnection, RpcConnectionFactory
 from .frame_pb2 import Frame, Hello, Nothing
@@ -57,7 +65,7 @@
 
     async def attend(self, peer: Hello, verb: str, body: bytes):
         if verb not in self._verbs:
-            raise Unmet(f"no such call here: {verb}")
+            raise UnknownMethod(f"no such call here: {verb}")
         kind, do = self._verbs[verb]
         try:
             ask = kind.FromString(body)
@@ -106,7 +114,7 @@
             s.transport and s.transport.abortConnection()
             raise
         except Exception as e:
-            raise CutOff(f"{place[0]}:{place[1]}: {e}", sent=False) from e
+            raise ConnectionFailed(f"{place[0]}:{place[1]}: {e}", sent=False) from e
         self._streams[place] = s
         return s
 
@@ -119,10 +127,10 @@
         """Calls whoever answers at a place, or only the node that is named: WrongPeer, not run, from another one."""
         try:
             return await self._timers.within(limit, self._call(place, verb, ask, kind, node))
-        except Overdue as e:
+        except DeadlineExceeded as e:
             if place in self._streams and self._streams[place].hangs():
                 self._timers.later(_READ_SPAN, self._drop_if_hanging, self._streams[place])
-            raise Overdue(f"{verb} to {place[0]}:{place[1]}: {e}") from e
+            raise DeadlineExceeded(f"{verb} to {place[0]}:{place[1]}: {e}") from e
 
     def now(self) -> timedelta:
         return self._timers.now()
@@ -168,12 +176,12 @@
             try:
                 return await self.attend(self.hello(), verb, ask.SerializeToString())
             except PipitlinkError as e:
-                raise Refused(e.code, str(e)) from e
+                raise RemoteError(e.code, str(e)) from e
         if self.gate is not None:
             await self.gate.outbound(place, verb)
         s = await self._stream(place)
         require_peer(node, s.peer.node)
         f = await s.call(verb, ask.SerializeToString())
         if f.fault:
-            raise Refused(f.fault, f.note)
+            raise RemoteError(f.fault, f.note)
         return kind.FromString(f.body)
--- a/rehearsal/stage.py
+++ b/rehearsal/stage.py
@@ -14,7 +14,7 @@
 from pipitlink.cluster import Cluster
 from pipitlink.context import Context
 from pipitlink.controller import ControllerNode
-from pipitlink.errors import CutOff, Overdue, PipitlinkError, Refused, Unmet, WrongPeer
+from pipitlink.errors import ConnectionFailed, DeadlineExceeded, PipitlinkError, RemoteError, UnknownMethod, WrongPeer
 from pipitlink.journal import Journal
 from pipitlink.membership import Membership
 from pipitlink.replicated_log import ReplicatedLog
@@ -55,7 +55,7 @@
 
     async def attend(self, node, verb, body):
         if verb not in self._verbs:
-            raise Unmet(f"no such call here: {verb}")
+            raise UnknownMethod(f"no such call here: {verb}")
         kind, do = self._verbs[verb]
         r = await do(node, kind.FromString(body))
         return (Nothing() if r is None else r).SerializeToString()
@@ -73,8 +73,8 @@
             return kind.FromString(
                 await self._actor.ctx.timers.within(limit, self._stage.carry(self._actor, place, verb, body, node))
             )
-        except Overdue as e:
-            raise Overdue(f"{verb} to {place}: {e}") from e
+        except DeadlineExceeded as e:
+            raise DeadlineExceeded(f"{verb} to {place}: {e}") from e
 
 
 class Actor:
@@ -290,7 +290,7 @@
 
         def arrive():
             if not goal.alive:
-                settle(CutOff("the peer ended", sent=True))
+                settle(ConnectionFailed("the peer ended", sent=True))
                 return
             goal.clock.callLater(0, attend)
 
@@ -303,12 +303,12 @@
 
             def turned(f):
                 e = f.value
-                back(Refused(e.code, str(e)) if isinstance(e, PipitlinkError) else Refused("fault", repr(e)))
+                back(RemoteError(e.code, str(e)) if isinstance(e, PipitlinkError) else RemoteError("fault", repr(e)))
 
             spawn(goal.ctx.rpc.attend(sender.node, verb, body)).addCallbacks(back, turned)
 
         if goal is None:
-            self.clock.callLater(self._delay(), settle, CutOff("nobody is there", sent=False))
+            self.clock.callLater(self._delay(), settle, ConnectionFailed("nobody is there", sent=False))
         elif (sender.name, goal.name) not in self.cuts:
             if self.watch_calls is not None:
                 self.watch_calls(sender, verb)
--- a/rehearsal/staged.py
+++ b/rehearsal/staged.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from pipitlink.errors import BackEndError, Crowded, GatewayError, PipitlinkError
+from pipitlink.errors import ApiError, EngineError, PipitlinkError, ServiceUnavailable
 from pipitlink.gateway import GatewayNode
 from pipitlink.gateway.requests import RequestRecord
 from pipitlink.timers import ms, secs, spawn, wall_ms
@@ -27,7 +27,7 @@
         engine = self.stage.engines[e.name]
         await self._ctx.timers.pause(secs(self.stage.chance.choice((0.001, 0.001, 0.02, 0.6))))
         if not engine.alive:
-            raise Crowded(f"{e.name} could not be reached", code="unreached")
+            raise ServiceUnavailable(f"{e.name} could not be reached", code="unreached")
         self._check_still(ask, e)
         ask.put("send")
         await engine.serve(self, ask)
@@ -90,7 +90,7 @@
     def crash(self):
         self.alive = False
         for run, d in list(self.running.items()):
-            self._end(run, "cut", d, BackEndError("the engine's token stream was cut short", code="cut_short"))
+            self._end(run, "cut", d, EngineError("the engine's token stream was cut short", code="cut_short"))
 
     def _end(self, run, how, d, fault=None):
         self.running.pop(run, None)
@@ -109,12 +109,12 @@
 
     def _begin(self, run, ask, d, pieces):
         if not self.alive:
-            return self._end(run, "lost", d, BackEndError("no answer came", code="lost"))
+            return self._end(run, "lost", d, EngineError("no answer came", code="lost"))
         if d.called:
             return None
         if len(self.running) >= self.capacity:
             self.note("refused", run=run)
-            d.clock_of.callLater(0, lambda: d.called or d.errback(Crowded("busy", code="engine_crowded")))
+            d.clock_of.callLater(0, lambda: d.called or d.errback(ServiceUnavailable("busy", code="engine_crowded")))
             return None
         self.note("run", run=run, prompt=ask.prompt, model=ask.model)
         self.running[run] = d
@@ -169,13 +169,13 @@
         """(what came, None) or (None, fault); a gateway that is killed or frozen answers nothing."""
         g = gateway or self._gateway()
         if g is None:
-            return None, GatewayError("nobody is there", code="dropped", outcome="unknown")
+            return None, ApiError("nobody is there", code="dropped", outcome="unknown")
         try:
             return await self.timers.within(secs(limit), do(g.part)), None
-        except GatewayError as f:
+        except ApiError as f:
             return None, f
         except (PipitlinkError, defer.CancelledError) as f:
-            return None, GatewayError(str(f), code=getattr(f, "code", "dropped"), outcome="unknown")
+            return None, ApiError(str(f), code=getattr(f, "code", "dropped"), outcome="unknown")
 
     async def hand_in(self):
         chance = self.stage.chance
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 
 from pipitlink.cluster import ClusterState
-from pipitlink.errors import CutOff
+from pipitlink.errors import ConnectionFailed
 from pipitlink.gateway.engines import Engines
 from pipitlink.gateway.limits import ComeBack, Limits
 from pipitlink.gateway.picking import Picking, RetryBudget
@@ -30,7 +30,7 @@
 
     async def call(self, place, verb, ask, kind, limit):
         if place not in self.bus:
-            raise CutOff("nobody is there")
+            raise ConnectionFailed("nobody is there")
         return await self.bus[place].verbs[verb](self.node, ask)
 
 
--- a/tests/rpc_scenes.py
+++ b/tests/rpc_scenes.py
@@ -8,7 +8,7 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from pipitlink.errors import CutOff, Overdue
+from pipitlink.errors import ConnectionFailed, DeadlineExceeded
 from pipitlink.timers import Timers, secs, spawn
 from pipitlink.wire.connection import WIRE, RpcConnection
 from pipitlink.wire.frame_pb2 import Frame, Hello
@@ -144,6 +144,6 @@
             assert len(results) < 2, f"TWICE: {name} has two results"
             for result in results:
                 if isinstance(result, Failure):
-                    result.trap(Overdue, CutOff)
+                    result.trap(DeadlineExceeded, ConnectionFailed)
                 else:
                     assert result.node == name, f"MIXED: {name} got {result.node}"
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from pipitlink.errors import NotHeld
+from pipitlink.errors import LeaseNotHeld
 from pipitlink.router.items import ItemCall
 from pipitlink.timers import spawn
 
@@ -74,11 +74,11 @@
 
     def test_an_item_that_must_not_be_sent_any_more_leaves_its_connection(self):
         def still():
-            raise NotHeld("the lease is gone")
+            raise LeaseNotHeld("the lease is gone")
 
         for n in range(3):
             item = ItemCall(id=f"i{n}", route=RESUMABLE, path="/a/x", headers=[], body=b"b", tokens=1, still=still)
-            spawn(self.rig.node.run_item(item)).addErrback(lambda f: f.trap(NotHeld))
+            spawn(self.rig.node.run_item(item)).addErrback(lambda f: f.trap(LeaseNotHeld))
         self.assertEqual(self.rig.asked(), [])
         links = self.rig.node.links
         self.assertEqual(links.count("10.0.0.1:80"), links.idle("10.0.0.1:80"))
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -12,7 +12,7 @@
 from pipitlink.cache.poller import Seen
 from pipitlink.cache.tail import Tail
 from pipitlink.disk import frame
-from pipitlink.errors import NoRoom
+from pipitlink.errors import StorageFull
 from pipitlink.router.batch_read import BatchRead, _Reader
 from pipitlink.router.batches import batch_log, head_of
 from pipitlink.timers import Timers, ms, spawn
@@ -221,7 +221,7 @@
         name = self.large(c, 3)
         h = self.held(stage, name, [LogRecord(head=head_of(self.batch(c, name)))])
         stage.do(stage.role("gateway")[0].ctx.replicated_log.release([h]))
-        with mock.patch.object(type(h), "append", side_effect=NoRoom("full")) as append:
+        with mock.patch.object(type(h), "append", side_effect=StorageFull("full")) as append:
             said = [stage.do(c.hand_in(name, a)) for a in stage.role("gateway") * 3]
             self.assertTrue(append.called)
             self.assertEqual(set(said), {503})
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -11,7 +11,7 @@
 from pipitlink import segments
 from pipitlink.controller.archive import Archive
 from pipitlink.controller.log_replay import LogReplay
-from pipitlink.errors import Damaged, NoRoom
+from pipitlink.errors import CorruptData, StorageFull
 from pipitlink.segments import Segments
 from pipitlink.wire.cluster_pb2 import ClusterStateData, Command
 from pipitlink.wire.controller_pb2 import ControllerEntry, Snapshot
@@ -120,7 +120,7 @@
             del self.promised[n]
         d = self.archive.put_entry(e)
         d.addCallback(lambda _: self._promise(e))
-        d.addErrback(lambda f: f.trap(NoRoom, _PowerLost))
+        d.addErrback(lambda f: f.trap(StorageFull, _PowerLost))
 
     def _promise(self, e):
         if self.archive.term_at(e.index) == e.term:
@@ -129,14 +129,14 @@
     def vote(self, term):
         d = self.archive.put_ballot(term, "a")
         d.addCallback(lambda _: setattr(self, "ballot", term))
-        d.addErrback(lambda f: f.trap(NoRoom, _PowerLost))
+        d.addErrback(lambda f: f.trap(StorageFull, _PowerLost))
 
     def take(self, s: Snapshot):
         if self.promised.get(s.index, s.term) != s.term:
             self.promised = {n: t for n, t in self.promised.items() if n < s.index}
         self.archive.keep_snapshot(s)
         d = self.archive.use_snapshot(s)
-        d.addErrback(lambda f: f.trap(NoRoom, _PowerLost))
+        d.addErrback(lambda f: f.trap(StorageFull, _PowerLost))
         self.promised = {n: t for n, t in self.promised.items() if self.archive.term_at(n) == t}
 
         def promise(_):
@@ -256,7 +256,7 @@
             for stop_at in range(1, disk.calls + 1):
                 try:
                     self.lose_twice(stop_at, seed)
-                except (AssertionError, Damaged):
+                except (AssertionError, CorruptData):
                     return True
         return False
 
@@ -266,7 +266,7 @@
                 self.assertTrue(self.lost())
 
 
-class Refused(unittest.TestCase):
+class RejectedCalls(unittest.TestCase):
     def test_what_is_queued_while_a_refusal_is_told_goes_to_the_disk(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -276,7 +276,7 @@
         told = []
 
         def again(f):
-            f.trap(NoRoom)
+            f.trap(StorageFull)
             disk.full = False
             member.archive.put_ballot(3, "b").addCallback(lambda _: told.append("ballot"))
 
--- a/tests/test_currency_orders.py
+++ b/tests/test_currency_orders.py
@@ -8,7 +8,7 @@
 from pipitlink.cluster.cluster_state import ClusterState
 from pipitlink.cluster.follower import Cluster
 from pipitlink.controller.gateways import Gateways
-from pipitlink.errors import NotLeading
+from pipitlink.errors import NotLeader
 from pipitlink.journal import Journal
 from pipitlink.timers import Timers, spawn
 from pipitlink.wire.cluster_pb2 import (
@@ -88,7 +88,7 @@
     def answer(self):
         box = []
         for leader in reversed(self.leaders):
-            spawn(leader._follow("g", self.ask)).addCallbacks(box.append, lambda f: f.trap(NotLeading) and None)
+            spawn(leader._follow("g", self.ask)).addCallbacks(box.append, lambda f: f.trap(NotLeader) and None)
             if box:
                 break
         self.response = box[0] if box else None
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from pipitlink.errors import NotHeld
+from pipitlink.errors import LeaseNotHeld
 from pipitlink.gateway.picking import Admitting
 from pipitlink.gateway.relaying import Relaying
 from pipitlink.gateway.requests import RequestTable
@@ -49,7 +49,7 @@
 
     def still(self):
         if not self.held:
-            raise NotHeld("the lease is gone")
+            raise LeaseNotHeld("the lease is gone")
 
     def connect(self) -> _Wire:
         """The connect that began last comes through now."""
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -15,7 +15,7 @@
 
 from pipitlink.command import main
 from pipitlink.controller.rows import rows_from
-from pipitlink.errors import BadRows, Crowded, SettingsError
+from pipitlink.errors import InvalidRows, ServiceUnavailable, SettingsError
 from pipitlink.gateway.dispatch import Dispatch
 from pipitlink.gateway.limits import ComeBack
 from pipitlink.gateway.lots import OpenLot
@@ -160,7 +160,7 @@
     def passed(self, g) -> bool:
         box = []
         spawn(g._keep_rate(g.ask())).addBoth(box.append)
-        return not isinstance(getattr(box[0], "value", None), Crowded)
+        return not isinstance(getattr(box[0], "value", None), ServiceUnavailable)
 
 
 class LimitsOfRows(unittest.TestCase):
@@ -207,7 +207,7 @@
                     a = g.ask()
                     a.limit = g.timers.now() + secs(5)
                     spawn(g._keep_concurrency(a)).addCallbacks(
-                        lambda _, a=a: (out.append(a), began.append(a)), lambda f: f.trap(Crowded) and None
+                        lambda _, a=a: (out.append(a), began.append(a)), lambda f: f.trap(ServiceUnavailable) and None
                     )
             for a in [a for a in out if f.chance.random() < 0.05]:
                 out.remove(a)
@@ -362,7 +362,7 @@
         self.assertEqual({a.name for a in attrs.fields(Settings)} - told, {"plug"})
 
     def test_a_bad_cluster_state_names_each_row_and_field(self):
-        with self.assertRaises(BadRows) as no:
+        with self.assertRaises(InvalidRows) as no:
             rows_from(
                 {
                     "a": {"model": "m", "weight": -1},
--- a/tests/test_hanging_connections.py
+++ b/tests/test_hanging_connections.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 from twisted.test import iosim
 
-from pipitlink.errors import CutOff, Overdue
+from pipitlink.errors import ConnectionFailed, DeadlineExceeded
 from pipitlink.journal import Journal
 from pipitlink.timers import Timers, ms, spawn
 from pipitlink.wire.connection import RpcConnection
@@ -45,7 +45,7 @@
 
     async def _open(self, place):
         if self.cut:
-            raise CutOff("nobody is there", sent=False)
+            raise ConnectionFailed("nobody is there", sent=False)
         self.opened += 1
         here, there = RpcConnection(self.caller), RpcConnection(self.callee)
         pump = iosim.connect(there, iosim.makeFakeServer(there), here, iosim.makeFakeClient(here))
@@ -87,15 +87,15 @@
 
     def test_a_cut_connection_is_dropped_and_a_new_one_opened_after_the_heal(self):
         while_cut, healed, _ = self.hang_and_heal()
-        self.assertEqual({type(e) for e in while_cut[:2]}, {Overdue})
-        self.assertTrue(all(isinstance(e, CutOff) and not e.sent for e in while_cut[4:]), while_cut)
+        self.assertEqual({type(e) for e in while_cut[:2]}, {DeadlineExceeded})
+        self.assertTrue(all(isinstance(e, ConnectionFailed) and not e.sent for e in while_cut[4:]), while_cut)
         self.assertTrue(all(r.alive for r in healed))
         self.assertEqual(self.opened, 2)
 
     def test_without_the_guard_calls_wait_on_the_connection_that_was_cut(self):
         with unittest.mock.patch.object(RpcConnection, "hangs", lambda self: False):
             while_cut, _, _ = self.hang_and_heal()
-        self.assertEqual({type(e) for e in while_cut}, {Overdue})
+        self.assertEqual({type(e) for e in while_cut}, {DeadlineExceeded})
         self.assertEqual(self.opened, 1)
 
     def test_a_connection_that_answers_late_is_kept(self):
@@ -110,14 +110,14 @@
         for _ in range(10):
             late.append(self.call("late"))
             self.advance(0.5)
-        self.assertEqual({type(b[0].value) for b in late}, {Overdue})
+        self.assertEqual({type(b[0].value) for b in late}, {DeadlineExceeded})
         self.assertEqual(self.opened, 1)
 
     def test_a_process_that_was_stopped_reads_what_has_come_before_it_drops_a_connection(self):
         box = self.call("stopped")
         self.clock.advance(30)
         self.pumps[0].flush()
-        self.assertIsInstance(box[0].value, Overdue)
+        self.assertIsInstance(box[0].value, DeadlineExceeded)
         self.advance(1)
         self.assertTrue(self.calls(1)[0].alive)
         self.assertEqual(self.opened, 1)
--- a/tests/test_rpc_notes.py
+++ b/tests/test_rpc_notes.py
@@ -7,7 +7,7 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.test import iosim
 
-from pipitlink.errors import Refused
+from pipitlink.errors import RemoteError
 from pipitlink.journal import Journal
 from pipitlink.timers import Timers, ms, spawn
 from pipitlink.wire.connection import RpcConnection
@@ -84,7 +84,7 @@
             ).addBoth(box.append)  # fmt: skip
         self.pump.flush()
         self.assertEqual(box[0], Nothing())
-        self.assertTrue(box[1].check(Refused))
+        self.assertTrue(box[1].check(RemoteError))
         self.assertEqual([name for _, name in self.told], ["note", "one", "note"])
 
     def test_a_peer_is_called_over_the_connection_that_it_opened(self):
--- a/tests/test_stage_controllers.py
+++ b/tests/test_stage_controllers.py
@@ -5,7 +5,7 @@
 
 from twisted.internet import defer
 
-from pipitlink.errors import Damaged, NoRoom, NotLeading, PipitlinkError, Unproven, WireError
+from pipitlink.errors import CorruptData, NotLeader, PipitlinkError, StorageFull, Unconfirmed, WireError
 from pipitlink.timers import ms
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from pipitlink.wire.controller_pb2 import EditRequest, EditResponse
@@ -58,7 +58,7 @@
                     self.acked.sort(key=lambda a: a[1])
                 else:
                     self.refused.add(text)
-            except (NotLeading, Unproven, WireError, PipitlinkError):
+            except (NotLeader, Unconfirmed, WireError, PipitlinkError):
                 pass
 
     def watch(self):
@@ -162,7 +162,7 @@
         leader = self.stage.leader()
         other = next(a for a in self.stage.role("controller") if a is not leader and a.part.leader == leader.node)
         self.stage.cut([leader.name], [a for a in self.stage.actors if a != leader.name])
-        with self.assertRaises(Unproven):
+        with self.assertRaises(Unconfirmed):
             self.stage.do(
                 other.part._ask_leader(
                     "controller.edit", EditRequest(command=edit_of("r", 0, "passed on")), EditResponse
@@ -235,7 +235,7 @@
 
     def test_a_controller_without_room_refuses_edits_up_front(self):
         part = self.stage.leader().part
-        with unittest.mock.patch.object(part.archive, "used", lambda: 10**12), self.assertRaises(NoRoom) as no:
+        with unittest.mock.patch.object(part.archive, "used", lambda: 10**12), self.assertRaises(StorageFull) as no:
             self.stage.do(part.edit(edit_of("r", 0, "no room")))
         self.assertFalse(no.exception.sent)
         self.assertEqual(self.stage.do(part.edit(edit_of("r", 0, "room"))).code, "done")
@@ -257,7 +257,7 @@
             for a in self.stage.role("controller")
         }
         self.assertEqual(len(cluster_states), 1, cluster_states)
-        self.assertIsInstance(no.exception, Unproven)
+        self.assertIsInstance(no.exception, Unconfirmed)
 
     def test_a_leader_does_not_count_what_its_own_disk_has_not_synced_in_this_term(self):
         """Its mark from an earlier term may lie beyond a log that was cut back since."""
@@ -276,7 +276,7 @@
     def test_an_agreed_edit_whose_leader_yields_is_unproven_and_not_refused(self):
         part = self.stage.leader().part
         self.stage.clock.callLater(1, part.step_down)
-        with unittest.mock.patch.object(part, "_in_effect", lambda sequence: False), self.assertRaises(Unproven):
+        with unittest.mock.patch.object(part, "_in_effect", lambda sequence: False), self.assertRaises(Unconfirmed):
             self.stage.do(part.edit(edit_of("r", 0, "agreed")))
         self.stage.until(lambda: self.stage.leader() is not None, 10, "a controller leads")
         self.stage.run(2)
@@ -289,7 +289,7 @@
             a.kill()
             for path in a.folder.glob(pattern):
                 path.unlink()
-            with self.assertRaises(Damaged):
+            with self.assertRaises(CorruptData):
                 a.start()
             a.alive = False
 
--- a/tests/test_stage_keeping.py
+++ b/tests/test_stage_keeping.py
@@ -5,7 +5,7 @@
 
 from pipitlink import segments
 from pipitlink.disk import frames
-from pipitlink.errors import Damaged, PipitlinkError
+from pipitlink.errors import CorruptData, PipitlinkError
 from rehearsal.stage import Stage
 
 
@@ -82,7 +82,7 @@
         data = bytearray(first.read_bytes())
         data[len(data) // 2] ^= 0xFF
         first.write_bytes(data)
-        with self.assertRaises(Damaged):
+        with self.assertRaises(CorruptData):
             a.start()
 
     def test_a_real_full_disk_is_refused_and_recovers(self):
--- a/tests/test_stage_logs.py
+++ b/tests/test_stage_logs.py
@@ -4,7 +4,7 @@
 import unittest
 
 from pipitlink.disk import frames
-from pipitlink.errors import Fenced, NotHeld, PipitlinkError
+from pipitlink.errors import LeaseNotHeld, PipitlinkError, StaleEpoch
 from pipitlink.timers import ms
 from rehearsal.stage import Stage
 from rehearsal.trouble import Trouble, seeds
@@ -84,7 +84,7 @@
             while True:
                 try:
                     return await last.replicated_log.hold(w.log)
-                except NotHeld:
+                except LeaseNotHeld:
                     await last.timers.pause(ms(500))
 
         data = bytes(stage.do(final(), 30).data)
@@ -116,7 +116,7 @@
     def test_a_leaseholder_that_slept_past_its_lease_is_fenced_and_stops_by_its_own_clock(self):
         h = self.stage.do(self.one.ctx.replicated_log.hold("results/a"))
         self.stage.do(h.append([b"one"]))
-        with self.assertRaises(NotHeld):
+        with self.assertRaises(LeaseNotHeld):
             self.stage.do(self.two.ctx.replicated_log.hold("results/a"))
         self.one.freeze()
         self.stage.run(4)
@@ -125,7 +125,7 @@
         self.stage.do(h2.append([b"two"]))
         self.one.thaw()
         self.assertFalse(h.held())
-        with self.assertRaises((NotHeld, Fenced)):
+        with self.assertRaises((LeaseNotHeld, StaleEpoch)):
             self.stage.do(h.append([b"late"]))
         self.stage.run(3)
         state = self.stage.do(self.two.ctx.replicated_log.states(["results/a"]))["results/a"]
--- a/tests/test_stage_placement.py
+++ b/tests/test_stage_placement.py
@@ -3,7 +3,7 @@
 import unittest
 
 from pipitlink.disk import frames
-from pipitlink.errors import GatewayError, PipitlinkError
+from pipitlink.errors import ApiError, PipitlinkError
 from pipitlink.timers import ms
 from pipitlink.wire.cluster_pb2 import Command, StorageNodeEdit
 from rehearsal.stage import Stage
@@ -102,7 +102,7 @@
             60,
             "it may be switched off",
         )
-        with self.assertRaises(GatewayError) as no:
+        with self.assertRaises(ApiError) as no:
             stage.leader().part.check_retirement(stage.leader().part.cluster_state, stage.role("storage")[0].node)
         self.assertEqual(no.exception.code, "too_few_copies")
         gone.kill()
--- a/tests/test_stage_second_loss.py
+++ b/tests/test_stage_second_loss.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from pipitlink.errors import GatewayError
+from pipitlink.errors import ApiError
 from rehearsal.trouble import seeds
 
 from .loss_parts import KINDS, LossStage
@@ -52,7 +52,7 @@
         return False
     try:
         stage.do(leader.part.retire(actor.node, "retire"), 10)
-    except GatewayError as e:
+    except ApiError as e:
         if e.status != 503:
             raise
         stage.run(1)
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 from twisted.test import iosim
 
-from pipitlink.errors import NoMajority, PipitlinkError, WrongPeer
+from pipitlink.errors import NoQuorum, PipitlinkError, WrongPeer
 from pipitlink.journal import Journal
 from pipitlink.timers import Timers, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, FollowRequest, FollowResponse, Row, TableEdit, WitnessResponse
@@ -138,7 +138,7 @@
         return self.stage.do(second.ctx.replicated_log.hold(LOG, gone=first.node), 10).data
 
     def test_an_emptied_storage_node_grants_no_lease_in_the_name_of_the_lost_one(self):
-        with self.assertRaises(NoMajority):
+        with self.assertRaises(NoQuorum):
             self.read_after_a_loss()
 
     def test_without_the_guard_an_acknowledged_record_is_lost(self):
