--- a/pipitlink/cache/cache.py
+++ b/pipitlink/cache/cache.py
@@ -6,7 +6,7 @@
 from twisted.internet import defer
 
 from ..errors import WireError
-from ..timers import Joined, ms, secs
+from ..timers import SingleFlight, ms, secs
 from ..wire.cache_pb2 import Chunk, ChunkKeys, Chunks, Lengths, LengthsList, Paths
 from ..wire.frame_pb2 import Nothing
 from .poller import Poller
@@ -31,7 +31,7 @@
         self.poller = Poller(ctx, self)
         self.counts: Counter = Counter()
         self._ring = Ring({})
-        self._spans = Joined()
+        self._spans = SingleFlight()
 
     async def read_durable(self, path: str, start: int, length: int) -> bytes:
         """One span of the durable log; readers that want the same one meanwhile share the read."""
--- a/pipitlink/cache/poller.py
+++ b/pipitlink/cache/poller.py
@@ -7,7 +7,7 @@
 import attrs
 from twisted.internet import defer
 
-from ..timers import ZERO, Repeat, ms
+from ..timers import ZERO, RepeatingCall, ms
 
 __all__ = ["Poller", "Seen"]
 
@@ -48,11 +48,11 @@
         self._seen: dict[str, Seen] = {}
         self._waiters: list[defer.Deferred] = []
         self._hot = 0
-        self._timers: list[Repeat] = []
+        self._timers: list[RepeatingCall] = []
 
     def open(self):
         """Polls while anything is watched; the hot poll only while a reader waits for a length that is near."""
-        p, every, report = self._ctx.settings, self._ctx.timers.every, self._ctx.report
+        p, every, report = self._ctx.settings, self._ctx.timers.call_repeatedly, self._ctx.report
         for span, do, what, watched in (
             (p.poll_ms, self._poll, "poll", lambda: self._seen),
             (p.hot_poll_ms, self._poll_hot, "hot_poll", lambda: self._hot),
@@ -148,7 +148,7 @@
         d = defer.Deferred()
         self._waiters.append(d)
         try:
-            await self._ctx.timers.await_or_lapse(d, limit)
+            await self._ctx.timers.wait_at_most(d, limit)
         finally:
             if d in self._waiters:
                 self._waiters.remove(d)
--- a/pipitlink/cache/shadow.py
+++ b/pipitlink/cache/shadow.py
@@ -68,7 +68,7 @@
             if key in await self._cache.put_chunks({key: data}):
                 self._written[n] = max(self._written.get(n, 0), len(data))
                 return
-            await self._ctx.timers.pause(RETRY)
+            await self._ctx.timers.sleep(RETRY)
 
     async def _raise(self):
         """Raises the cached length to where every chunk below it is written."""
--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -119,7 +119,7 @@
     async def _keep_rate(self, size: int):
         now = self._ctx.timers.now()
         if self._free_at > now:
-            await self._ctx.timers.pause(self._free_at - now)
+            await self._ctx.timers.sleep(self._free_at - now)
         self._free_at = max(self._free_at, now) + timedelta(seconds=size / self._rate)
 
     async def read(self, start: int, end: int) -> bytes:
@@ -187,7 +187,7 @@
 
         if not first:
             return have
-        beat = self._ctx.timers.later(ms(self._ctx.settings.hedge_ms), hedge)
+        beat = self._ctx.timers.call_later(ms(self._ctx.settings.hedge_ms), hedge)
         for n, ks in first.items():
             spawn(one(n, ks))
         await done
--- a/pipitlink/changes.py
+++ b/pipitlink/changes.py
@@ -60,7 +60,7 @@
                 {
                     "type": f"pipitlink.{event}",
                     "source": f"/{p.fleet}/{p.zone}/{self._ctx.node}",
-                    "time": self._ctx.timers.wall(),
+                    "time": self._ctx.timers.utc_now(),
                     "datacontenttype": "application/json",
                 },
                 words,
@@ -80,7 +80,7 @@
                 continue
             message = to_structured(self._inbox.popleft(), JSONFormat())
             try:
-                await self._ctx.timers.within(LIMIT, self._post(message))
+                await self._ctx.timers.with_timeout(LIMIT, self._post(message))
                 self.told += 1
             except Exception as e:
                 self.dropped += 1
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -57,7 +57,7 @@
         self._ctx.membership.carry(self._fill, self._take)
         self._ctx.spawned(self._follow(), "follow_cluster")
         if self._ctx.role == "gateway":
-            self._ctx.timers.every(WITNESS_INTERVAL, self._ask_witnesses, self._ctx.report("witness"))
+            self._ctx.timers.call_repeatedly(WITNESS_INTERVAL, self._ask_witnesses, self._ctx.report("witness"))
 
     @property
     def sequence(self) -> int:
@@ -72,7 +72,7 @@
         """Waits a while for `followed` on a node that has just started."""
         end = self._ctx.timers.now() + span
         while not self.followed and self._ctx.timers.now() < end:
-            await self._ctx.timers.pause(START_INTERVAL)
+            await self._ctx.timers.sleep(START_INTERVAL)
         return self.followed
 
     def watch(self, do):
@@ -158,7 +158,7 @@
                 self._controller = ""
                 self._ctx.journal.trace("no_controller", text=e)
                 self._nudged = defer.Deferred()
-                await self._ctx.timers.within(PAUSE, self._nudged).addErrback(lambda f: None)
+                await self._ctx.timers.with_timeout(PAUSE, self._nudged).addErrback(lambda f: None)
 
     async def _follow_once(self, failures: int):
         m, verb = self._whom(failures)
--- a/pipitlink/controller/announcing.py
+++ b/pipitlink/controller/announcing.py
@@ -68,7 +68,7 @@
         self._unreached: set[str] = set()
         self._turn = 0
         self._ctx.membership.watch(self._gateway_changed)
-        self._ctx.timers.every(BATCH_INTERVAL, self._tell_renewed, self._ctx.report("renewed_engines"))
+        self._ctx.timers.call_repeatedly(BATCH_INTERVAL, self._tell_renewed, self._ctx.report("renewed_engines"))
 
     async def announce(self, n: EngineNews):
         """Takes an engine's news; returns once it may be acknowledged. The newest sequence wins, leaving is for
@@ -141,7 +141,7 @@
                 if self._ctx.timers.now() + PUSH_PAUSE > until:
                     self._owed.setdefault(node, set()).update(engines)
                     return
-                await self._ctx.timers.pause(PUSH_PAUSE)
+                await self._ctx.timers.sleep(PUSH_PAUSE)
         finally:
             t.running -= 1
             t.wake()
@@ -187,7 +187,7 @@
             left = end - self._ctx.timers.now()
             if (live & t.gateways) <= t.confirmed or not t.running or left <= ms(0):
                 break
-            await self._ctx.timers.await_or_lapse(t.wait(), left)
+            await self._ctx.timers.wait_at_most(t.wait(), left)
         if not self._most(t.confirmed):
             raise ServiceUnavailable("too few gateways have confirmed that this engine leaves", code="untold")
 
--- a/pipitlink/controller/edits.py
+++ b/pipitlink/controller/edits.py
@@ -77,7 +77,7 @@
     Offers `newest` and `decide`, here or by way of the leader, the HTTP handlers and their `routes`, and the node's
     `readiness`, `beliefs` and `metrics`.
     Needs of the node: `_ctx`, `ask_controller`, `cluster_state`, `commit`, `leader`, `state`; of Gateways: `edit` and
-    `_order_limit`; of Orders: `order`; of Leading and Voting: `sure_leader`, `in_touch`, `term`.
+    `_order_limit`; of Orders: `order`; of Leading and Voting: `confirm_leadership`, `in_touch`, `term`.
     Owns no attributes.
     """
 
@@ -89,14 +89,14 @@
         return EditResponse(outcome=await self.edit(ask.command, self._order_limit()))
 
     async def _read_for(self, node, _) -> ClusterStateData:
-        await self.sure_leader()
+        await self.confirm_leadership()
         return self.cluster_state.data()
 
     async def newest(self) -> ClusterState:
         """The newest agreed cluster state, proved by the leader, or an error; never an older one."""
         try:
             if self.state == "leader":
-                await self.sure_leader()
+                await self.confirm_leadership()
                 return self.cluster_state
             return ClusterState(await self._ask_leader("controller.read", ReadTableRequest(), ClusterStateData))
         except (WireError, NotLeader, Unconfirmed) as e:
@@ -115,7 +115,7 @@
             raise NotLeader("no leader is known")
         work = self.ask_controller(leader, verb, what, kind, FORWARD_LIMIT)
         try:
-            return await self._ctx.timers.while_true(
+            return await self._ctx.timers.run_while(
                 lambda: self.leader == leader and self.in_touch(), LOOK_INTERVAL, work
             )
         except defer.CancelledError:
--- a/pipitlink/controller/gateways.py
+++ b/pipitlink/controller/gateways.py
@@ -8,7 +8,7 @@
 from ..cluster.follower import HOLD_FOLLOW, LEASE_SPAN, MOST_HELD
 from ..cluster.state_transfer import StateTransfer
 from ..errors import DeadlineExceeded, NotLeader, StorageFull, Unconfirmed
-from ..timers import Joined, ms, secs, to_ms
+from ..timers import SingleFlight, ms, secs, to_ms
 from ..wire.cluster_pb2 import Command, Delta, FollowRequest, FollowResponse, Outcome, StatePiece
 
 __all__ = ["Gateways"]
@@ -44,7 +44,8 @@
 
     Offers `edit` for commands whose effect is waited for, `_order_limit`, `wake_news`, `_in_effect`,
     `_forget_followers`, and answers `controller.follow`.
-    Needs of the node: `_ctx`, `archive`, `cluster_state`, `leader`, `state`; of Leading: `_propose`, `sure_leader`,
+    Needs of the node: `_ctx`, `archive`, `cluster_state`, `leader`, `state`; of Leading: `_propose`,
+    `confirm_leadership`,
     `heard_majority_at`, `in_touch`, `_elected_at`.
     Owns `followers`, `_news`, `_confirmations` and `_proposals`.
     """
@@ -54,7 +55,7 @@
         self._transfers: list[StateTransfer] = []
         self._news: dict[defer.Deferred, None] = {}
         self._confirmations: dict[defer.Deferred, None] = {}
-        self._proposals = Joined()
+        self._proposals = SingleFlight()
         self._ctx.rpc.answer("controller.follow", FollowRequest, self._follow)
 
     def _fresh(self) -> bool:
@@ -138,7 +139,7 @@
             d = defer.Deferred()
             waiting[d] = None
             try:
-                await self._ctx.timers.await_or_lapse(d, left)
+                await self._ctx.timers.wait_at_most(d, left)
             finally:
                 waiting.pop(d, None)
         return True
@@ -188,9 +189,9 @@
         out = self.cluster_state.known(c)
         known = out is not None
         if not known:
-            out = await self._ctx.timers.within(limit, self._agreed(c))
+            out = await self._ctx.timers.with_timeout(limit, self._agreed(c))
         if known or out.code != "done":
-            await self.sure_leader()
+            await self.confirm_leadership()
         if out.code != "done":
             return out
         sequence = self.cluster_state.sequence
@@ -208,7 +209,7 @@
         """Waits for the agreement as long as a majority is heard; the entry may be agreed later all the same."""
         try:
             proposed = self._proposals.run(object(), lambda: self._propose(c))
-            return await self._ctx.timers.while_true(self.in_touch, LOOK_INTERVAL, proposed)
+            return await self._ctx.timers.run_while(self.in_touch, LOOK_INTERVAL, proposed)
         except defer.CancelledError:
             raise Unconfirmed("a majority of the controllers was not heard before the edit was agreed") from None
 
--- a/pipitlink/controller/leading.py
+++ b/pipitlink/controller/leading.py
@@ -22,7 +22,7 @@
 class Leading:
     """Mixin: log replication of the agreement: one task for each other controller while this one leads.
 
-    Offers `_propose` for commands, `sure_leader` and `heard_majority_at` as proofs of leadership, `in_touch` for
+    Offers `_propose` for commands, `confirm_leadership` and `heard_majority_at` as proofs of leadership, `in_touch` for
     whether orders can be decided now, `settle` for outcomes of applied entries, `_send_to_all`; answers
     `controller.append` as a follower. The state machine calls `_lead` and `_yielded`.
     Needs of the node: `_ctx`, `archive`, `voters`, `ask_controller`, `adopt`, `apply`, `lead_timers`, `_elections`,
@@ -103,7 +103,7 @@
                 try:
                     r = await self.ask_controller(node, "controller.append", ask, AppendResponse, limit)
                 except WireError:
-                    await self._ctx.timers.pause(HEART_INTERVAL)
+                    await self._ctx.timers.sleep(HEART_INTERVAL)
                     continue
                 if r.term > self.term:
                     await self.meet_term(r.term)
@@ -157,7 +157,7 @@
 
     async def _wait_wake(self, node: str):
         d = self._wakes[node] = defer.Deferred()
-        await self._ctx.timers.await_or_lapse(d, HEART_INTERVAL)
+        await self._ctx.timers.wait_at_most(d, HEART_INTERVAL)
 
     def _wake_all(self):
         wakes, self._wakes = self._wakes, {}
@@ -211,7 +211,7 @@
             proven = got[0] == term
             got[1].callback(outcome if proven else Unconfirmed("another leader's entry stands in its place"))
 
-    async def sure_leader(self):
+    async def confirm_leadership(self):
         """Returns once a majority has answered this leader after the call began, and its term has an agreed entry.
 
         Refuses at once where none was heard of late, and waits for one no longer than that.
@@ -229,7 +229,7 @@
             if not self.in_touch() or self._ctx.timers.now() > until:
                 raise Unconfirmed("a majority of the controllers was not heard")
             self._wake_all()
-            await self._ctx.timers.pause(ms(10))
+            await self._ctx.timers.sleep(ms(10))
 
     async def _append(self, node, ask: AppendRequest) -> AppendResponse:
         if ask.term < self.term:
--- a/pipitlink/controller/load_hub.py
+++ b/pipitlink/controller/load_hub.py
@@ -26,7 +26,7 @@
         self._totals_at = ZERO
         self._fresh_lots: dict[str, Loads] = {}
         self._ctx.rpc.answer("engines.loads", Loads, self._take_loads)
-        self._totals_timer = self._ctx.timers.every(
+        self._totals_timer = self._ctx.timers.call_repeatedly(
             TOTALS_INTERVAL, self._tell_totals, self._ctx.report("totals"), due=self._totals_due
         )
 
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -7,7 +7,7 @@
 from ..disk import Disk
 from ..errors import WireError
 from ..state_machines import HasStateMachine
-from ..timers import ZERO, Repeat, ms
+from ..timers import ZERO, RepeatingCall, ms
 from ..wire.controller_pb2 import Snapshot
 from ..wire.frame_pb2 import Nothing
 from .announcing import Announcing
@@ -69,8 +69,8 @@
         self.commit = 0
         self.leader = ""
         self.founders: tuple[str, ...] = ()
-        self.lead_timers: list[Repeat] = []
-        self._elections: Repeat | None = None
+        self.lead_timers: list[RepeatingCall] = []
+        self._elections: RepeatingCall | None = None
         self._open_state_machine()
 
     def open(self):
@@ -89,14 +89,18 @@
         if self.archive.snapshot.cluster_state.voters:
             self.put("founded")
         b, report = self._ctx.timers, self._ctx.report
-        self._elections = b.every(ELECTION_INTERVAL, self._election_beat, report("election"), due=self._election_due)
-        b.every(ms(300), self._found_beat, report("founding"), due=lambda: ZERO if self.state == "newcomer" else None)
+        self._elections = b.call_repeatedly(
+            ELECTION_INTERVAL, self._election_beat, report("election"), due=self._election_due
+        )
+        b.call_repeatedly(
+            ms(300), self._found_beat, report("founding"), due=lambda: ZERO if self.state == "newcomer" else None
+        )
         for span, do, what in (
             (ms(100), self._lead_beat, "leading"),
             (ms(300), self._voters_beat, "voters"),
         ):
             self.lead_timers.append(
-                b.every(span, do, report(what), due=lambda: ZERO if self.state == "leader" else None)
+                b.call_repeatedly(span, do, report(what), due=lambda: ZERO if self.state == "leader" else None)
             )
 
         self._open_placement_timers()
--- a/pipitlink/controller/orders.py
+++ b/pipitlink/controller/orders.py
@@ -28,7 +28,7 @@
     def _open_orders(self):
         self._awake_at = self._ctx.timers.now()
         self._woke_at: timedelta | None = None
-        self._ctx.timers.every(AWAKE_INTERVAL, self._note_awake, self._ctx.report("awake"))
+        self._ctx.timers.call_repeatedly(AWAKE_INTERVAL, self._note_awake, self._ctx.report("awake"))
 
     def _note_awake(self):
         now = self._ctx.timers.now()
@@ -59,7 +59,7 @@
         arrived = self._ctx.timers.now()
         self.check_timely(arrived)
         c.fence = self.cluster_state.sequence
-        await self._ctx.timers.pause(HANG_UP_SPAN)
+        await self._ctx.timers.sleep(HANG_UP_SPAN)
         while True:
             self.check_timely(arrived)
             out = await self.decide(c)
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -5,7 +5,7 @@
 
 from ..cluster import ClusterState
 from ..errors import ApiError
-from ..timers import ZERO, Repeat, ms, secs
+from ..timers import ZERO, RepeatingCall, ms, secs
 from ..wire.cluster_pb2 import Command, PlacementGroupRow, StorageNodeEdit
 from ..wire.cluster_pb2 import Placement as PlacementRow
 from ..wire.membership_pb2 import Member
@@ -34,11 +34,11 @@
 
     def _open_placement(self):
         self._caught_up_placement_groups: set[tuple[int, int, str]] = set()
-        self._look_at_placement: Repeat | None = None
+        self._look_at_placement: RepeatingCall | None = None
         self._ctx.rpc.answer("controller.caught_up", CaughtUp, self._told_caught_up)
 
     def _open_placement_timers(self):
-        every, report = self._ctx.timers.every, self._ctx.report
+        every, report = self._ctx.timers.call_repeatedly, self._ctx.report
         self._look_at_placement = every(
             LOOK_INTERVAL, self._placement_beat, report("placement"), due=self._placement_due
         )
--- a/pipitlink/controller/retiring.py
+++ b/pipitlink/controller/retiring.py
@@ -41,7 +41,7 @@
         """
         arrived = self._ctx.timers.now()
         self.check_timely(arrived)
-        await self._ctx.timers.pause(HANG_UP_SPAN)
+        await self._ctx.timers.sleep(HANG_UP_SPAN)
         while True:
             cluster_state = await self.newest()
             serving = self._serving_called(cluster_state, name)
--- a/pipitlink/controller/snapshots.py
+++ b/pipitlink/controller/snapshots.py
@@ -90,7 +90,7 @@
         for n, e in enumerate(entries):
             cluster_state.apply(e.index, e.command)
             if n % APPLY_SLICE == APPLY_SLICE - 1:
-                await self._ctx.timers.pause(ms(1))
+                await self._ctx.timers.sleep(ms(1))
         s = Snapshot(index=index, term=term, cluster_state=cluster_state.data())
         await self._ctx.on_thread(self.archive.keep_snapshot, s)
         await self.archive.use_snapshot(s)
--- a/pipitlink/gateway/dispatch.py
+++ b/pipitlink/gateway/dispatch.py
@@ -35,7 +35,9 @@
         self._ctx.rpc.answer("lots.end", EndRequest, self._end_for)
         for span, do, what in ((TAKE_INTERVAL, self._take_lots, "take_lots"), (FEED_INTERVAL, self._feed, "feed")):
             self._lot_timers.append(
-                self._ctx.timers.every(span, do, self._ctx.report(what), due=lambda: ZERO if self.open_lots else None)
+                self._ctx.timers.call_repeatedly(
+                    span, do, self._ctx.report(what), due=lambda: ZERO if self.open_lots else None
+                )
             )
 
     def _owner(self, lot_id: str) -> str:
@@ -110,7 +112,7 @@
         if not self.current() or self._ctx.cluster.zone_empty(self._ctx.settings.zone):
             return
         now = self._ctx.timers.now()
-        wall = wall_ms(self._ctx.timers.wall())
+        wall = wall_ms(self._ctx.timers.utc_now())
         owned = [
             o for o in self.open_lots.values() if o.leaseholder is not None and o.waiting and not o.leaseholder.final
         ]
@@ -181,7 +183,7 @@
             await self._list(o, Result(item=i, outcome=self._proved(o, i, "not_run"), code="limit_passed"))
             return await self._finish_if_done(o)
         now = self._ctx.timers.now()
-        left = timedelta(milliseconds=o.lot.limit_ms) - timedelta(milliseconds=wall_ms(self._ctx.timers.wall()))
+        left = timedelta(milliseconds=o.lot.limit_ms) - timedelta(milliseconds=wall_ms(self._ctx.timers.utc_now()))
         ask = RequestRecord(
             kind="item",
             model=item.model,
@@ -266,7 +268,7 @@
         h, o.leaseholder = o.leaseholder, None
         if h is not None:
             self._close(o.id)
-            await self._ctx.timers.pause(secs(1))
+            await self._ctx.timers.sleep(secs(1))
             await self._ctx.replicated_log.release([h])
 
     async def _end_for(self, node, ask: EndRequest):
--- a/pipitlink/gateway/engines.py
+++ b/pipitlink/gateway/engines.py
@@ -70,7 +70,7 @@
         self._ctx.rpc.answer("engines.tell", EngineList, self._told_engines)
         self._ctx.rpc.answer("engines.loads", Loads, self._told_loads)
         self._ctx.membership.carry(self._fill, self._take)
-        self._ctx.timers.every(LOADS_INTERVAL, self._tell_loads, self._ctx.report("loads"))
+        self._ctx.timers.call_repeatedly(LOADS_INTERVAL, self._tell_loads, self._ctx.report("loads"))
 
     def all(self) -> list[Engine]:
         return sorted(self._engines.values(), key=lambda e: e.name)
@@ -199,7 +199,7 @@
                 if membership.since(m.node) < RAMP_SPAN
             }
         ranked = sorted(gateways, key=lambda g: blake2b(f"{e.name}/{g}".encode(), digest_size=8).digest())
-        turn = (ranked.index(self._ctx.node) + wall_ms(self._ctx.timers.wall()) // TURN_MS) % len(ranked)
+        turn = (ranked.index(self._ctx.node) + wall_ms(self._ctx.timers.utc_now()) // TURN_MS) % len(ranked)
         return lambda n: n // len(ranked) + (turn < n % len(ranked))
 
     def take(self, e: Engine, lot: bool):
@@ -208,7 +208,7 @@
         setattr(e, kind, getattr(e, kind) + 1)
         if self._cold(e) and not self._telling:
             self._telling = True
-            self._ctx.timers.later(SOON, self._tell_loads)
+            self._ctx.timers.call_later(SOON, self._tell_loads)
         return lambda: self._give(e.name, kind)
 
     def _give(self, name: str, kind: str):
--- a/pipitlink/gateway/intake.py
+++ b/pipitlink/gateway/intake.py
@@ -1,7 +1,7 @@
 """Takes lots in and makes them durable."""
 
 from ..errors import BadRequest, ServiceUnavailable
-from ..timers import Joined, ms, secs, wall_ms
+from ..timers import SingleFlight, ms, secs, wall_ms
 from ..web import answered, send_json
 from ..wire.lots_pb2 import Item, LogRecord, Lot
 from .bodies import LotBody, read_json
@@ -33,7 +33,7 @@
         self._lot_log = None
         self._lot_turn = 0
         self._lot_log_at = self._ctx.timers.now()
-        self._opening = Joined()
+        self._opening = SingleFlight()
 
     async def _own_log(self):
         """The gateway's lot log for now; a new one where there is none, or when it has grown long."""
@@ -62,7 +62,7 @@
             raise BadRequest(
                 f"items: a lot may have {self._ctx.settings.max_items} items", code="bad_field", field="items"
             )
-        taken = wall_ms(self._ctx.timers.wall())
+        taken = wall_ms(self._ctx.timers.utc_now())
         lot = Lot(
             customer=b.customer,
             priority=b.priority,
@@ -90,7 +90,7 @@
 
     async def _store_lot(self, lot: Lot) -> str:
         try:
-            log = await self._ctx.timers.within(ms(2500), self._own_log())
+            log = await self._ctx.timers.with_timeout(ms(2500), self._own_log())
         except Exception as e:
             raise ServiceUnavailable(f"the store cannot take lots now: {e}", code=getattr(e, "code", "store")) from e
         if not log.held():
--- a/pipitlink/gateway/keyed.py
+++ b/pipitlink/gateway/keyed.py
@@ -103,7 +103,7 @@
         n = self._shard_of(lot)
         key, digest = f"{lot.customer}\0{lot.key}", _digest(lot)
         async with self._turns[n]:
-            day = wall_ms(self._ctx.timers.wall()) // DAY_MS
+            day = wall_ms(self._ctx.timers.utc_now()) // DAY_MS
             shards = [await self._shard(f"lots/keyed{n}.{d}") for d in (day, day - 1)]
             for s in shards:
                 s.learn()
--- a/pipitlink/gateway/limits.py
+++ b/pipitlink/gateway/limits.py
@@ -202,7 +202,7 @@
                     status=429,
                     retry_after=self.come_back.seconds(),
                 )
-            await self._ctx.timers.pause(WAIT_STEP)
+            await self._ctx.timers.sleep(WAIT_STEP)
         self._held[permit] = row.name
         ask.permit = lambda: self._give_permit(permit)
 
--- a/pipitlink/gateway/live.py
+++ b/pipitlink/gateway/live.py
@@ -127,7 +127,7 @@
                 while at < len(ask.pieces):
                     if wait.full:
                         self.hold_back(ask, True)
-                        await self._ctx.timers.within(STUCK_SPAN, wait.free())
+                        await self._ctx.timers.with_timeout(STUCK_SPAN, wait.free())
                     request.write(_event("piece", at, {"n": at, "text": ask.pieces[at]}))
                     at += 1
                 self.hold_back(ask, False)
@@ -170,7 +170,7 @@
         if ask.settled or ask.readers or ask.id not in self.asks:
             return
         ask.left_at = self._ctx.timers.now()
-        self._ctx.timers.later(self._hold, self._end_if_left, ask, ask.left_at)
+        self._ctx.timers.call_later(self._hold, self._end_if_left, ask, ask.left_at)
 
     def _end_if_left(self, ask, left_at: timedelta):
         if ask.left_at == left_at and not ask.readers and not ask.settled:
--- a/pipitlink/gateway/lots.py
+++ b/pipitlink/gateway/lots.py
@@ -5,7 +5,7 @@
 import attrs
 
 from ..errors import PipitlinkError
-from ..timers import Repeat, secs, wall_ms
+from ..timers import RepeatingCall, secs, wall_ms
 from ..wire.lots_pb2 import Ended, LogRecord, Lot, Result
 
 __all__ = ["OpenLot", "Lots", "result_log"]
@@ -55,12 +55,12 @@
 
     def _open_lots(self):
         self.open_lots: dict[str, OpenLot] = {}
-        self._lot_timers: list[Repeat] = []
+        self._lot_timers: list[RepeatingCall] = []
         self._closed: set[str] = set()
         self._tails: dict[str, object] = {}
         self._lots_of: dict[str, set[str]] = {}
-        self._ctx.timers.every(LIST_INTERVAL, self._list_logs, self._ctx.report("list_logs"))
-        self._ctx.timers.every(CLOSE_INTERVAL, self._close_logs, self._ctx.report("close_logs"))
+        self._ctx.timers.call_repeatedly(LIST_INTERVAL, self._list_logs, self._ctx.report("list_logs"))
+        self._ctx.timers.call_repeatedly(CLOSE_INTERVAL, self._close_logs, self._ctx.report("close_logs"))
 
     def _known(self, lot_id: str, lot: Lot):
         if lot_id not in self._closed and lot_id not in self.open_lots:
@@ -103,7 +103,7 @@
         for log, tail in list(self._tails.items()):
             writer, _, turn = log.removeprefix("lots/").partition(".")
             if writer.startswith("keyed"):
-                idle = int(turn) < wall_ms(self._ctx.timers.wall()) // DAY_MS - 1
+                idle = int(turn) < wall_ms(self._ctx.timers.utc_now()) // DAY_MS - 1
             elif writer == self._ctx.node:
                 idle = int(turn) < self._lot_turn
             else:
@@ -134,5 +134,5 @@
                         self._known(lot_id, record.lot)
             except PipitlinkError as e:
                 self._ctx.journal.fault("log_unread", e, log=log)
-                await self._ctx.timers.pause(secs(1))
+                await self._ctx.timers.sleep(secs(1))
             await tail.wait()
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -140,7 +140,7 @@
             await self._port.stopListening()
         until = self._ctx.timers.now() + DRAIN
         while any(not a.settled for a in self.asks.values()) and self._ctx.timers.now() < until:
-            await self._ctx.timers.pause(ms(50))
+            await self._ctx.timers.sleep(ms(50))
         for o in self.open_lots.values():
             self._lose(o)
         await self._ctx.replicated_log.release(list(self._ctx.replicated_log.leaseholders.values()))
--- a/pipitlink/gateway/picking.py
+++ b/pipitlink/gateway/picking.py
@@ -51,7 +51,7 @@
         while not self.current():
             if self._ctx.timers.now() >= until:
                 raise ServiceUnavailable("this gateway cannot prove its cluster state now", code="not_current")
-            await self._ctx.timers.pause(ms(20))
+            await self._ctx.timers.sleep(ms(20))
 
 
 class Picking:
@@ -137,7 +137,7 @@
         self.engines.wait_room(d)
         self._waiting += 1
         try:
-            await self._ctx.timers.await_or_lapse(d, min(left, ms(100)))
+            await self._ctx.timers.wait_at_most(d, min(left, ms(100)))
         finally:
             self._waiting -= 1
 
--- a/pipitlink/gateway/relaying.py
+++ b/pipitlink/gateway/relaying.py
@@ -150,7 +150,7 @@
 
     def open(self, work):
         self._work = work
-        self._beat = self._ctx.timers.later(LOOK_INTERVAL, self._look)
+        self._beat = self._ctx.timers.call_later(LOOK_INTERVAL, self._look)
 
     def heard(self):
         self._heard_at = self._ctx.timers.now()
@@ -163,7 +163,7 @@
             self.fell = True
             self._work.cancel()
         else:
-            self._beat = self._ctx.timers.later(LOOK_INTERVAL, self._look)
+            self._beat = self._ctx.timers.call_later(LOOK_INTERVAL, self._look)
 
     def close(self):
         if self._beat is not None and self._beat.active():
@@ -214,7 +214,7 @@
         self._retry_budget.earn()
         try:
             left = ask.limit - self._ctx.timers.now()
-            await self._ctx.timers.within(left, do(ask, e))
+            await self._ctx.timers.with_timeout(left, do(ask, e))
             ask.put("finish")
             ask.move()
             return False
@@ -301,7 +301,7 @@
 
     async def _discard(self, r) -> str:
         try:
-            return (await self._ctx.timers.within(secs(1), treq.content(r)))[:4096].decode("utf-8", "replace")
+            return (await self._ctx.timers.with_timeout(secs(1), treq.content(r)))[:4096].decode("utf-8", "replace")
         except Exception:
             return ""
 
--- a/pipitlink/gateway/requests.py
+++ b/pipitlink/gateway/requests.py
@@ -198,4 +198,4 @@
         if ask.kind != "live":
             self.asks.pop(ask.id, None)
         else:
-            self._ctx.timers.later(self._hold, self.asks.pop, ask.id, None)
+            self._ctx.timers.call_later(self._hold, self.asks.pop, ask.id, None)
--- a/pipitlink/gateway/results.py
+++ b/pipitlink/gateway/results.py
@@ -52,7 +52,7 @@
     def _open_results(self):
         self._readers: dict[str, _Reader] = {}
         self._lot_cache: dict[str, Lot] = {}
-        self._ctx.timers.every(secs(5), self._drop_readers, self._ctx.report("readers"))
+        self._ctx.timers.call_repeatedly(secs(5), self._drop_readers, self._ctx.report("readers"))
 
     def _drop_readers(self):
         now = self._ctx.timers.now()
@@ -134,14 +134,14 @@
     @answered
     async def show_lot(self, request, lot: str):
         found = await self._find_lot(lot)
-        r = await self._ctx.timers.within(READ_LIMIT, self._read_results(lot))
+        r = await self._ctx.timers.with_timeout(READ_LIMIT, self._read_results(lot))
         return send_json(request, self._shown(lot, found, r))
 
     @answered
     async def show_results(self, request, lot: str):
         start = whole_number(request, "from")
         found = await self._find_lot(lot)
-        r = await self._ctx.timers.within(READ_LIMIT, self._read_results(lot))
+        r = await self._ctx.timers.with_timeout(READ_LIMIT, self._read_results(lot))
         return send_json(request, self.shown_results(lot, found, r, start))
 
     def shown_results(self, lot: str, found: Lot, r: _Reader, start: int) -> dict:
@@ -163,7 +163,7 @@
             state = await self._ask_owner(lot)
             if state in ("ended", "closed"):
                 return state
-            await self._ctx.timers.pause(ms(300))
+            await self._ctx.timers.sleep(ms(300))
         raise ServiceUnavailable("the lot's owner could not be asked", code="no_owner", outcome="unknown")
 
     async def _ask_owner(self, lot: str) -> str:
--- a/pipitlink/gateway/runs.py
+++ b/pipitlink/gateway/runs.py
@@ -92,7 +92,7 @@
         held.left_at = None
         try:
             if not held.settled and len(held.pieces) <= start:
-                await self._ctx.timers.await_or_lapse(held.moved(), HOLD)
+                await self._ctx.timers.wait_at_most(held.moved(), HOLD)
         finally:
             held.readers -= 1
             self._leave(held)
--- a/pipitlink/membership/memory.py
+++ b/pipitlink/membership/memory.py
@@ -41,7 +41,7 @@
         self._unkept = True
         if not self._keeping:
             self._keeping = True
-            self._ctx.timers.later(ZERO, self._begin_write)
+            self._ctx.timers.call_later(ZERO, self._begin_write)
 
     def _begin_write(self):
         """On the next turn of the event loop, so that all that changes in this one is a single write."""
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -136,7 +136,7 @@
         self._ending = True
         self.ctx.journal.note("ending")
         try:
-            await self.ctx.timers.within(ms(self.ctx.settings.drain_ms) + ENDING, self._close())
+            await self.ctx.timers.with_timeout(ms(self.ctx.settings.drain_ms) + ENDING, self._close())
         except Exception as e:
             self.ctx.journal.fault("ended_roughly", e)
         reactor.stop()
@@ -188,7 +188,7 @@
         gc.set_threshold(20_000, 20, 20)
         if reread is not None:
             signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(process.reread))
-            process.ctx.timers.every(REREAD_INTERVAL, process.reread, process.ctx.report("reread"))
+            process.ctx.timers.call_repeatedly(REREAD_INTERVAL, process.reread, process.ctx.report("reread"))
         for s in (signal.SIGTERM, signal.SIGINT):
             signal.signal(s, lambda *_: reactor.callFromThread(lambda: spawn(process.end())))
         spawn(process.open()).addErrback(process.fail)
--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -186,7 +186,7 @@
         self._reserved = reserved
         self._no_room.clear()
         if final:
-            self.final, self.closed_ms = True, wall_ms(self._ctx.timers.wall())
+            self.final, self.closed_ms = True, wall_ms(self._ctx.timers.utc_now())
         start = len(self.data)
         self.data += b"".join(frame(r) for r in records)
         await self._reach(len(self.data))
@@ -203,7 +203,7 @@
         self._waiters.append((end, d))
         for n in self.placement_group.everyone:
             self._send_to(n)
-        await self._ctx.timers.within(WRITE_LIMIT * 2, d)
+        await self._ctx.timers.with_timeout(WRITE_LIMIT * 2, d)
 
     def _send_to(self, node: str):
         if node not in self._sending and not self.lost:
@@ -242,11 +242,11 @@
                 if e.fault == "old_placement_group":
                     self.look_again()
                 self._states.pop(node, None)
-                await self._ctx.timers.pause(RETRY_INTERVAL)
+                await self._ctx.timers.sleep(RETRY_INTERVAL)
             except WireError as e:
                 self._states.pop(node, None)
                 self._ctx.journal.trace("replica_behind", log=self.log, storage_node=node, text=e)
-                await self._ctx.timers.pause(RETRY_INTERVAL if self._waiters else IDLE_INTERVAL)
+                await self._ctx.timers.sleep(RETRY_INTERVAL if self._waiters else IDLE_INTERVAL)
             self._advance()
 
     async def _ask_state(self, node: str) -> LogState:
--- a/pipitlink/replicated_log/replicated_log.py
+++ b/pipitlink/replicated_log/replicated_log.py
@@ -36,7 +36,7 @@
         self.leaseholders: dict[str, Leaseholder] = {}
 
     def open(self):
-        self._ctx.timers.every(RENEW_INTERVAL, self._renew, self._ctx.report("renew"))
+        self._ctx.timers.call_repeatedly(RENEW_INTERVAL, self._renew, self._ctx.report("renew"))
 
     def placement_group(self, log: str) -> PlacementGroup:
         return self._ctx.cluster.placement_group(placement_group_of(log, self._ctx.cluster.placement_groups))
@@ -158,7 +158,7 @@
             if not left:
                 finish()
             elif all(self.placement_group(log).agree(states) for log, states in heard.items()):
-                self._ctx.timers.later(GRACE, finish)
+                self._ctx.timers.call_later(GRACE, finish)
 
         for d, n in by_storage_node.items():
             self._ctx.spawned(one(d, n), "states")
@@ -220,7 +220,7 @@
             until = self._ctx.timers.now() + (HEDGE if n < len(nodes) else READ_LIMIT)
             while whole() is None and len(got) < n and self._ctx.timers.now() < until:
                 waiting[:] = [defer.Deferred(lambda _: None)]
-                await self._ctx.timers.await_or_lapse(waiting[0], until - self._ctx.timers.now())
+                await self._ctx.timers.wait_at_most(waiting[0], until - self._ctx.timers.now())
             if whole() is not None:
                 return whole()
         raise NoQuorum(f"{log}: bytes {position} to {position + length} could not be read")
--- a/pipitlink/router/batch_intake.py
+++ b/pipitlink/router/batch_intake.py
@@ -11,7 +11,7 @@
     ServiceUnavailable,
     WireError,
 )
-from ..timers import ZERO, Joined, ms, secs, wall_ms
+from ..timers import ZERO, SingleFlight, ms, secs, wall_ms
 from ..wire.lots_pb2 import Batch, LogRecord
 from .batches import HEAD_ALONE, OpenBatch, batch_log, good_id, head_of
 
@@ -49,7 +49,7 @@
     """
 
     def _open_batch_intake(self):
-        self._batches_taking = Joined()
+        self._batches_taking = SingleFlight()
 
     async def take_batch(self, route, host: str, path: str, lot_id: str, raw: bytes, deadline: timedelta):
         """`deadline` is a point on the timers' time."""
@@ -57,12 +57,12 @@
             if not good_id(lot_id):
                 raise BadRequest("the batch needs an id of 1 to 64 letters, digits, - and _", code="bad_id", field="id")
             items = self.dialect.read_lot(raw)
-            taken = wall_ms(self._ctx.timers.wall())
+            taken = wall_ms(self._ctx.timers.utc_now())
             batch = Batch(id=lot_id, host=host, path=path, route=route.name, taken_ms=taken, items=items.items)
             left = deadline - MARGIN - self._ctx.timers.now()
             if left <= ZERO:
                 raise ServiceUnavailable("the deadline has passed", code="deadline_passed", retry_after=COME_BACK)
-            same = await self._ctx.timers.within(
+            same = await self._ctx.timers.with_timeout(
                 left, self._batches_taking.run(lot_id, lambda: self._take_once(batch, route, deadline - MARGIN))
             )
             if not self._same_batch(same, batch):
@@ -116,7 +116,7 @@
         if not state.committed and not state.final:
             return None
         try:
-            return await self._ctx.timers.within(COMPARE_SPAN, self._batch_of(batch_id))
+            return await self._ctx.timers.with_timeout(COMPARE_SPAN, self._batch_of(batch_id))
         except PipitlinkError as e:
             return None if isinstance(e, ApiError) and e.code == HEAD_ALONE else False
 
@@ -150,7 +150,7 @@
                 raise ServiceUnavailable(
                     f"the batch cannot be taken here now: {fault}", code="store", retry_after=COME_BACK
                 )
-            await self._ctx.timers.pause(LOOK_AGAIN)
+            await self._ctx.timers.sleep(LOOK_AGAIN)
 
     async def _append_batch(self, o: OpenBatch, batch: Batch):
         h = o.leaseholder
--- a/pipitlink/router/batch_read.py
+++ b/pipitlink/router/batch_read.py
@@ -70,7 +70,7 @@
     def _open_batch_reads(self):
         self._batch_readers: dict[str, _Reader] = {}
         self._ctx.rpc.answer("batches.end", EndRequest, self._end_batch_for)
-        self._ctx.timers.every(secs(5), self._drop_batch_readers, self._ctx.report("batch_readers"))
+        self._ctx.timers.call_repeatedly(secs(5), self._drop_batch_readers, self._ctx.report("batch_readers"))
 
     def _drop_batch_readers(self):
         now = self._ctx.timers.now()
@@ -100,7 +100,7 @@
         r = await self._read_on(batch_id)
         if r.listing.batch is None:
             try:
-                await self._ctx.timers.within(READ_LIMIT, self._read_bodies(r))
+                await self._ctx.timers.with_timeout(READ_LIMIT, self._read_bodies(r))
             except PipitlinkError:
                 if r.over():
                     self._drop_batch_reader(batch_id, r)
@@ -124,7 +124,7 @@
         if not r.over():
             try:
                 with r.in_use():
-                    await self._ctx.timers.within(READ_LIMIT, self._read_batch_on(batch_id, r))
+                    await self._ctx.timers.with_timeout(READ_LIMIT, self._read_batch_on(batch_id, r))
             except ApiError:
                 if r.listing.head is None:
                     self._drop_batch_reader(batch_id, r)
@@ -214,7 +214,7 @@
             d = defer.Deferred()
             o.waiters.append(d)
             try:
-                await self._ctx.timers.await_or_lapse(d, min(left, secs(1)))
+                await self._ctx.timers.wait_at_most(d, min(left, secs(1)))
             finally:
                 if d in o.waiters:
                     o.waiters.remove(d)
@@ -250,7 +250,7 @@
                     return 200, {"Content-Type": "application/json"}, self.dialect.show_ended(lot_id)
                 if self._ctx.timers.now() >= until:
                     raise ServiceUnavailable("the batch's owner could not be asked", code="no_owner", outcome="unknown")
-                await self._ctx.timers.pause(END_INTERVAL)
+                await self._ctx.timers.sleep(END_INTERVAL)
         except ApiError as e:
             return refusal(e, self.dialect)
 
--- a/pipitlink/router/batch_run.py
+++ b/pipitlink/router/batch_run.py
@@ -53,16 +53,16 @@
             d = self._feed_wake = defer.Deferred()
             if waits:
                 self.engines.wait_room(d)
-                await self._ctx.timers.await_or_lapse(d, FEED_INTERVAL)
+                await self._ctx.timers.wait_at_most(d, FEED_INTERVAL)
             else:
-                await self._ctx.timers.await_or_lapse(d, secs(1) if self.batches else secs(60))
+                await self._ctx.timers.wait_at_most(d, secs(1) if self.batches else secs(60))
 
     def _feed_once(self) -> bool:
         """Starts items while there is room: what is due first goes first, by turns among batches due alike."""
         if self._closing_batches or not self._ctx.cluster.usable():
             return bool(self.batches)
         now = self._ctx.timers.now()
-        wall = wall_ms(self._ctx.timers.wall())
+        wall = wall_ms(self._ctx.timers.utc_now())
         routes = self._batch_routes()
         room: dict[str, int] = {}
         ready, waits = [], False
@@ -192,16 +192,16 @@
     def _may_linger(self, o: OpenBatch) -> bool:
         """Outputs wait a little for others to share their write, unless nothing more comes soon or time is short."""
         route = self._batch_routes().get(o.batch.route)
-        left = o.batch.taken_ms + route.due_ms - wall_ms(self._ctx.timers.wall()) if route is not None else 0
+        left = o.batch.taken_ms + route.due_ms - wall_ms(self._ctx.timers.utc_now()) if route is not None else 0
         return bool(o.running) and left > LINGER_DUE_MS and not self._closing_batches
 
     async def _flush_queue(self, o: OpenBatch):
         try:
             if self._may_linger(o):
-                await self._ctx.timers.pause(LINGER)
+                await self._ctx.timers.sleep(LINGER)
             while not o.leaseholder.lost and not o.leaseholder.final and (o.queue or len(o.done) == len(o.batch.items)):
                 if not o.leaseholder.held():
-                    await self._ctx.timers.pause(HELD_INTERVAL)
+                    await self._ctx.timers.sleep(HELD_INTERVAL)
                     continue
                 group, o.queue = o.queue, []
                 records = [LogRecord(output=x).SerializeToString() for x in group]
--- a/pipitlink/router/batches.py
+++ b/pipitlink/router/batches.py
@@ -9,7 +9,7 @@
 from ..disk import frames
 from ..errors import PipitlinkError
 from ..rendezvous import rank
-from ..timers import ZERO, Repeat, ms, secs
+from ..timers import ZERO, RepeatingCall, ms, secs
 from ..wire.lots_pb2 import Batch, BatchHead, BatchItem, LogRecord, Output
 
 __all__ = ["Batches", "HEAD_ALONE", "Listing", "OpenBatch", "batch_log", "good_id", "head_of"]
@@ -158,7 +158,7 @@
     Owns `batches`, `_closing_batches`, `_batch_turns`, `_adopting_batches`, `_orphan_batches` and `_taking_up_batches`.
     """
 
-    _list_timer: Repeat | None = None
+    _list_timer: RepeatingCall | None = None
 
     def _open_batches(self):
         self.batches: dict[str, OpenBatch] = {}
@@ -171,7 +171,7 @@
         self._open_batch_intake()
         self._open_batch_run()
         self._open_batch_reads()
-        self._list_timer = self._ctx.timers.every(
+        self._list_timer = self._ctx.timers.call_repeatedly(
             LIST_INTERVAL, self._list_batches, self._ctx.report("list_batches"), due=self._list_due
         )
 
@@ -182,7 +182,7 @@
         while self.batches and self._ctx.timers.now() < until:
             idle = [o.leaseholder for o in self.batches.values() if o.idle()]
             self._ctx.spawned(self._ctx.replicated_log.release(idle), "hand_over")
-            await self._ctx.timers.pause(ms(25))
+            await self._ctx.timers.sleep(ms(25))
         await self._ctx.replicated_log.release([o.leaseholder for o in list(self.batches.values())])
 
     def batch_metrics(self) -> dict:
@@ -260,7 +260,7 @@
         """The third replica gets a short while to follow before the lease is given back."""
         self._told_done(o.id, o.batch.route)
         self._ctx.journal.note("batch_closed", batch=o.id, why=o.listing.ended, listed=len(o.listing.outputs))
-        await self._ctx.timers.pause(RELEASE_AFTER)
+        await self._ctx.timers.sleep(RELEASE_AFTER)
         await self._ctx.replicated_log.release([o.leaseholder])
 
     def _list_soon(self):
--- a/pipitlink/router/choosing.py
+++ b/pipitlink/router/choosing.py
@@ -167,7 +167,7 @@
             self.engines.wait_room(d)
             self._waiting += 1
             try:
-                await self._ctx.timers.await_or_lapse(d, min(left, ms(15)))
+                await self._ctx.timers.wait_at_most(d, min(left, ms(15)))
             finally:
                 self._waiting -= 1
 
--- a/pipitlink/router/front.py
+++ b/pipitlink/router/front.py
@@ -328,11 +328,11 @@
     async def end_front(self, accept_for, until):
         """Says no at readiness, goes on serving for a while, then lets what is under way end."""
         self.ending = True
-        await self._ctx.timers.pause(accept_for)
+        await self._ctx.timers.sleep(accept_for)
         for port in self._ports:
             await defer.maybeDeferred(port.stopListening)
         for channel in list(self.channels):
             if channel.idle():
                 channel.loseConnection()
         while any(not c.idle() for c in self.channels) and self._ctx.timers.now() < until:
-            await self._ctx.timers.pause(ms(50))
+            await self._ctx.timers.sleep(ms(50))
--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -6,7 +6,7 @@
 
 from ..errors import ApiError, PipitlinkError, RemoteError, ServiceUnavailable, WireError
 from ..rendezvous import rank
-from ..timers import Joined, ms, secs
+from ..timers import SingleFlight, ms, secs
 from ..wire.membership_pb2 import Loads, QuotaRequest, QuotaResponse, WaitingLot
 
 __all__ = ["Quota"]
@@ -62,7 +62,7 @@
         self._quota_last: tuple = (frozenset(), {})
         self._quota_moved_at = self._quota_looked_at = self._ctx.timers.now()
         self._lots_listed_at: timedelta | None = None
-        self._listing_lots = Joined()
+        self._listing_lots = SingleFlight()
         self._ctx.rpc.answer("quota.take", QuotaRequest, self._quota_for)
         self.engines.carry(self._fill_lots, self._take_lots_told)
 
@@ -170,7 +170,7 @@
             listing = await self._listing_of(batch_id)
         except PipitlinkError as e:
             self._ctx.journal.trace("batch_not_counted", batch=batch_id, text=e)
-            await self._ctx.timers.pause(ms(200))
+            await self._ctx.timers.sleep(ms(200))
             return
         finally:
             self._quota_counting.discard(batch_id)
@@ -239,7 +239,7 @@
                 raise ServiceUnavailable(
                     "the tokens that wait cannot be counted now", code="not_counted", retry_after=COME_BACK
                 )
-            await self._ctx.timers.pause(WAIT_STEP)
+            await self._ctx.timers.sleep(WAIT_STEP)
 
     def waiting_tokens(self, route: str) -> tuple[int, int]:
         """Tokens of items on a route that are not finished: of this gateway's batches, and of all that is told of."""
--- a/pipitlink/router/relay.py
+++ b/pipitlink/router/relay.py
@@ -90,7 +90,7 @@
         self.calls: set = set()
         self.counts = {"tries": 0, "resumed": 0, "spoilt": 0, "refused": 0}
         self.engines.watch_gone(lambda e: self.links.drop(e.address))
-        self._ctx.timers.every(WATCH_INTERVAL, self._watch_calls, self._ctx.report("watch_calls"))
+        self._ctx.timers.call_repeatedly(WATCH_INTERVAL, self._watch_calls, self._ctx.report("watch_calls"))
 
     def _watch_calls(self):
         """Ends exchanges past their deadline, and those with engines that are gone or mute, where the call can go on
@@ -138,7 +138,7 @@
                     call.reached = True
                     call.put("again")
                 if call.tries > 2:
-                    await self._ctx.timers.pause(RETRY_PAUSE * call.tries)
+                    await self._ctx.timers.sleep(RETRY_PAUSE * call.tries)
         except defer.CancelledError:
             call.put("lose")
             raise
@@ -337,7 +337,7 @@
                 done.called or done.callback(None)
 
         response.deliverBody(_Drop())
-        await self._ctx.timers.await_or_lapse(done, ms(100))
+        await self._ctx.timers.wait_at_most(done, ms(100))
         if not link.spoilt and link.state not in ("QUIESCENT", "CONNECTION_LOST"):
             link.discard()
 
--- a/pipitlink/storage/copying.py
+++ b/pipitlink/storage/copying.py
@@ -48,7 +48,7 @@
         self._mend_at = ZERO
         self._told: dict[int, tuple[int, timedelta]] = {}
         self._ctx.cluster.watch(self._placement_groups_moved)
-        every, report = self._ctx.timers.every, self._ctx.report
+        every, report = self._ctx.timers.call_repeatedly, self._ctx.report
         self._joins = every(JOIN_INTERVAL, self._join_placement_groups, report("join"), due=self._join_due)
         every(LOOK_INTERVAL, self._look_whether_away, report("away"))
         every(MEND_INTERVAL, self._mend_all, report("mend"))
@@ -184,7 +184,7 @@
         await done
         self.log_store.settle(log, state.tail_epoch, state.length, state.final)
         self._ctx.journal.note("copied", log=log, bytes=len(data), source=storage_node)
-        await self._ctx.timers.pause(secs(len(data) * COPIES_AT_ONCE / (COPY_KB_S * 1024)))
+        await self._ctx.timers.sleep(secs(len(data) * COPIES_AT_ONCE / (COPY_KB_S * 1024)))
 
     async def _tell_caught_up(self, placement_group: PlacementGroup):
         told = CaughtUp(
--- a/pipitlink/storage/keeping.py
+++ b/pipitlink/storage/keeping.py
@@ -21,10 +21,10 @@
     """
 
     def _open_keeping(self):
-        self._ctx.timers.every(ELECTION_INTERVAL, self._keep, self._ctx.report("keeping"))
+        self._ctx.timers.call_repeatedly(ELECTION_INTERVAL, self._keep, self._ctx.report("keeping"))
 
     async def _keep(self):
-        now = wall_ms(self._ctx.timers.wall())
+        now = wall_ms(self._ctx.timers.utc_now())
         span = self._ctx.settings.retention_s * 1000
         for k in list(self.log_store.logs.values()):
             if not (k.final and k.closed_ms):
--- a/pipitlink/timers.py
+++ b/pipitlink/timers.py
@@ -8,7 +8,7 @@
 
 from .errors import DeadlineExceeded
 
-__all__ = ["Timers", "Repeat", "ms", "secs", "to_ms", "wall_ms", "ZERO", "spawn", "Joined"]
+__all__ = ["Timers", "RepeatingCall", "ms", "secs", "to_ms", "wall_ms", "ZERO", "spawn", "SingleFlight"]
 
 ZERO = timedelta(0)
 
@@ -38,7 +38,7 @@
     return int(at.timestamp() * 1000)
 
 
-class Joined:
+class SingleFlight:
     """Work that several may wait for while it is done once; a waiter that gives up ends only its own wait."""
 
     def __init__(self):
@@ -71,32 +71,32 @@
         self._reactor = reactor
         self._seconds = seconds
         self.ended = False
-        self._repeats: list[Repeat] = []
+        self._repeats: list[RepeatingCall] = []
 
     def now(self) -> timedelta:
         return timedelta(seconds=self._seconds())
 
-    def wall(self) -> datetime:
+    def utc_now(self) -> datetime:
         return datetime.now(UTC)
 
-    def later(self, span: timedelta, do, *words):
+    def call_later(self, span: timedelta, do, *words):
         return self._reactor.callLater(max(0.0, span.total_seconds()), do, *words)
 
-    def pause(self, span: timedelta) -> defer.Deferred:
+    def sleep(self, span: timedelta) -> defer.Deferred:
         d = defer.Deferred(lambda _: call.active() and call.cancel())
-        call = self.later(span, d.callback, None)
+        call = self.call_later(span, d.callback, None)
         return d
 
-    async def await_or_lapse(self, d: defer.Deferred, span: timedelta):
+    async def wait_at_most(self, d: defer.Deferred, span: timedelta):
         """Waits until the Deferred fires, or fires it when the span has passed."""
-        beat = self.later(span, lambda: d.called or d.callback(None))
+        beat = self.call_later(span, lambda: d.called or d.callback(None))
         try:
             await d
         finally:
             if beat.active():
                 beat.cancel()
 
-    async def while_true(self, holds, interval: timedelta, work):
+    async def run_while(self, holds, interval: timedelta, work):
         """Waits for work as long as a condition holds; then cancels it and raises CancelledError."""
         d = work if isinstance(work, defer.Deferred) else spawn(work)
 
@@ -104,12 +104,12 @@
             if not d.called:
                 if not holds():
                     d.cancel()
-                self.later(interval, look)
+                self.call_later(interval, look)
 
         look()
         return await d
 
-    def within(self, span: timedelta, work) -> defer.Deferred:
+    def with_timeout(self, span: timedelta, work) -> defer.Deferred:
         d = work if isinstance(work, defer.Deferred) else spawn(work)
         out = defer.Deferred(lambda _: d.cancel())
 
@@ -124,13 +124,13 @@
             if not out.called:
                 out.callback(result)
 
-        beat = [self.later(span, lapse)]
+        beat = [self.call_later(span, lapse)]
         d.addBoth(settle)
         return out
 
-    def every(self, span: timedelta, do, report, due=None) -> "Repeat":
+    def call_repeatedly(self, span: timedelta, do, report, due=None) -> "RepeatingCall":
         """Runs `do` now, then `span` after each end; `due` may tell how long nothing is due, None for until woken."""
-        r = Repeat(self, span, do, report, due)
+        r = RepeatingCall(self, span, do, report, due)
         self._repeats.append(r)
         r.begin()
         return r
@@ -142,7 +142,7 @@
             r.cancel()
 
 
-class Repeat:
+class RepeatingCall:
     """Work repeated at an interval. Runs on which nothing is due are left out; the others keep their phase."""
 
     def __init__(self, timers: Timers, span: timedelta, do, report, due=None):
@@ -187,7 +187,7 @@
 
     def _hang(self, at: timedelta, now: timedelta):
         self._at = at
-        self._call = self._timers.later(at - now, self.begin)
+        self._call = self._timers.call_later(at - now, self.begin)
 
     def wake(self):
         """Something is due: it runs at the end of the interval."""
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -15,7 +15,7 @@
     WireError,
     WrongPeer,
 )
-from ..timers import Joined, Timers, ms, spawn
+from ..timers import SingleFlight, Timers, ms, spawn
 from .connection import WIRE, RpcConnection, RpcConnectionFactory
 from .frame_pb2 import Frame, Hello, Nothing
 
@@ -44,7 +44,7 @@
         self.incarnation = 1
         self._verbs: dict = {}
         self._streams: dict[Place, RpcConnection] = {}
-        self._opening = Joined()
+        self._opening = SingleFlight()
         self._met: set[RpcConnection] = set()
         self._port = None
         self.gate = None
@@ -109,7 +109,7 @@
             kind = TCP6ClientEndpoint if ":" in place[0] else TCP4ClientEndpoint
             point = kind(self._reactor, place[0], place[1], _CONNECT.total_seconds())
             await connectProtocol(point, s)
-            await self._timers.within(_CONNECT, s.ready)
+            await self._timers.with_timeout(_CONNECT, s.ready)
         except (WireError, defer.CancelledError):
             s.transport and s.transport.abortConnection()
             raise
@@ -126,10 +126,10 @@
     async def call(self, place: Place, verb: str, ask, kind, limit: timedelta, node: str = ""):
         """Calls whoever answers at a place, or only the node that is named: WrongPeer, not run, from another one."""
         try:
-            return await self._timers.within(limit, self._call(place, verb, ask, kind, node))
+            return await self._timers.with_timeout(limit, self._call(place, verb, ask, kind, node))
         except DeadlineExceeded as e:
             if place in self._streams and self._streams[place].hangs():
-                self._timers.later(_READ_SPAN, self._drop_if_hanging, self._streams[place])
+                self._timers.call_later(_READ_SPAN, self._drop_if_hanging, self._streams[place])
             raise DeadlineExceeded(f"{verb} to {place[0]}:{place[1]}: {e}") from e
 
     def now(self) -> timedelta:
@@ -162,7 +162,7 @@
         try:
             if self.gate is not None:
                 await self.gate.outbound(place, verb)
-            (await self._timers.within(_CONNECT, self._stream(place))).post(frame)
+            (await self._timers.with_timeout(_CONNECT, self._stream(place))).post(frame)
         except WireError as e:
             self.journal.trace("note_not_sent", place=f"{place[0]}:{place[1]}", verb=verb, text=e)
 
--- a/rehearsal/hollow.py
+++ b/rehearsal/hollow.py
@@ -258,7 +258,7 @@
     async def do_listen(self, spec: dict):
         kind = _Whole if spec["kind"] == "whole" else _Hollow
         self.nodes = [kind(self, spec["role"], n, spec) for n in spec["numbers"]]
-        Timers(_Slowed(self)).every(secs(TICK), self._tick, self.sink.log)
+        Timers(_Slowed(self)).call_repeatedly(secs(TICK), self._tick, self.sink.log)
         return {"members": [(await n.listen()).SerializeToString().hex() for n in self.nodes]}
 
     async def do_pace(self, pace: float):
--- a/rehearsal/hollow_work.py
+++ b/rehearsal/hollow_work.py
@@ -41,7 +41,7 @@
         gateways = [n for n in self._host.nodes if n.role == "gateway"]
         for i, name in enumerate(engines):
             n = gateways[i % len(gateways)]
-            n.ctx.timers.later(RENEW * n.ctx.chance.random(), self._announce, n, name, 0)
+            n.ctx.timers.call_later(RENEW * n.ctx.chance.random(), self._announce, n, name, 0)
         for n in gateways:
             for log in tails:
                 n.ctx.cache.tail(log)
@@ -68,14 +68,14 @@
                 state="ready",
             )
         )
-        n.ctx.timers.later(RENEW, self._announce, n, name, times + 1)
+        n.ctx.timers.call_later(RENEW, self._announce, n, name, times + 1)
 
     async def _write(self, n, log: str, rate: float):
         """Holds a log, shadowed into the caches, and lists results in it; what could not be had is asked for again."""
         try:
             h = None
             while h is None:
-                await n.ctx.timers.pause(HOLD_SPREAD * n.ctx.chance.random())
+                await n.ctx.timers.sleep(HOLD_SPREAD * n.ctx.chance.random())
                 try:
                     h = await n.part.keep(log)
                     self._held += 1
@@ -85,7 +85,7 @@
             while rate and not h.lost:
                 spawn(h.append([_result(k)])).addErrback(self._fail)
                 k += 1
-                await n.ctx.timers.pause(secs(1 / rate))
+                await n.ctx.timers.sleep(secs(1 / rate))
         except PipitlinkError as e:
             self._fail(e)
 
@@ -106,7 +106,7 @@
         """Where this controller leads: first the rows, then edits of one row each, at a steady rate."""
         timers, done, due = n.ctx.timers, 0, None
         while True:
-            await timers.pause(secs(0.05))
+            await timers.sleep(secs(0.05))
             if n.part.state != "leader" or not n.part.cluster_state.placement_groups:
                 continue
             if done < rows:
--- a/rehearsal/plug.py
+++ b/rehearsal/plug.py
@@ -48,7 +48,7 @@
         if [mine, theirs] in told.get("cuts", ()):
             return defer.Deferred()
         delay = told.get("delays", {}).get(theirs) or told.get("delays", {}).get(mine)
-        return self._ctx.timers.pause(secs(delay)) if delay else None
+        return self._ctx.timers.sleep(secs(delay)) if delay else None
 
     @hookimpl
     def disk(self):
--- a/rehearsal/stage.py
+++ b/rehearsal/stage.py
@@ -71,7 +71,9 @@
         body = ask.SerializeToString()
         try:
             return kind.FromString(
-                await self._actor.ctx.timers.within(limit, self._stage.carry(self._actor, place, verb, body, node))
+                await self._actor.ctx.timers.with_timeout(
+                    limit, self._stage.carry(self._actor, place, verb, body, node)
+                )
             )
         except DeadlineExceeded as e:
             raise DeadlineExceeded(f"{verb} to {place}: {e}") from e
--- a/rehearsal/staged.py
+++ b/rehearsal/staged.py
@@ -25,7 +25,7 @@
 
     async def _relay(self, ask, e):
         engine = self.stage.engines[e.name]
-        await self._ctx.timers.pause(secs(self.stage.chance.choice((0.001, 0.001, 0.02, 0.6))))
+        await self._ctx.timers.sleep(secs(self.stage.chance.choice((0.001, 0.001, 0.02, 0.6))))
         if not engine.alive:
             raise ServiceUnavailable(f"{e.name} could not be reached", code="unreached")
         self._check_still(ask, e)
@@ -171,7 +171,7 @@
         if g is None:
             return None, ApiError("nobody is there", code="dropped", outcome="unknown")
         try:
-            return await self.timers.within(secs(limit), do(g.part)), None
+            return await self.timers.with_timeout(secs(limit), do(g.part)), None
         except ApiError as f:
             return None, f
         except (PipitlinkError, defer.CancelledError) as f:
@@ -180,13 +180,13 @@
     async def hand_in(self):
         chance = self.stage.chance
         while not self.over:
-            await self.timers.pause(ms(300 + chance.randrange(1200)))
+            await self.timers.sleep(ms(300 + chance.randrange(1200)))
             await self.one_lot(2 + chance.randrange(8), chance.random() < 0.3)
 
     async def one_lot(self, items, repeatable=False):
         self._n += 1
         name = f"lot{self._n}"
-        now = wall_ms(self.timers.wall())
+        now = wall_ms(self.timers.utc_now())
         prompts = [f"{name}/{i}" for i in range(items)]
         lot = Lot(
             customer=name,
@@ -213,7 +213,7 @@
 
     async def read(self):
         while not self.over:
-            await self.timers.pause(ms(100 + self.stage.chance.randrange(300)))
+            await self.timers.sleep(ms(100 + self.stage.chance.randrange(300)))
             if self.lots:
                 await self.one_read(self.stage.chance.choice(list(self.lots)))
 
@@ -241,7 +241,7 @@
 
     async def end_some(self):
         while not self.over:
-            await self.timers.pause(ms(2000 + self.stage.chance.randrange(4000)))
+            await self.timers.sleep(ms(2000 + self.stage.chance.randrange(4000)))
             if self.lots:
                 lot = self.stage.chance.choice(list(self.lots))
                 got, fault = await self._ask(lambda part: part.end_anywhere(lot), 9.0)
@@ -249,7 +249,7 @@
 
     async def live(self):
         while not self.over:
-            await self.timers.pause(ms(150 + self.stage.chance.randrange(400)))
+            await self.timers.sleep(ms(150 + self.stage.chance.randrange(400)))
             self._n += 1
             spawn(self._one_live(f"live{self._n}", self.stage.chance.random() < 0.4))
 
@@ -290,18 +290,18 @@
     async def engines(self):
         chance = self.stage.chance
         while not self.over:
-            await self.timers.pause(ms(1500 + chance.randrange(3000)))
+            await self.timers.sleep(ms(1500 + chance.randrange(3000)))
             e = chance.choice(list(self.stage.engines.values()))
             what = chance.choice(("crash", "leave", "silent"))
             if what == "silent":
                 e.silent = True
-                await self.timers.pause(secs(5))
+                await self.timers.sleep(secs(5))
                 e.silent = False
                 e.note("heard")
                 continue
             if what == "leave":
                 e.leave()
-                await self.timers.pause(secs(3))
+                await self.timers.sleep(secs(3))
             e.crash()
-            await self.timers.pause(secs(1))
+            await self.timers.sleep(secs(1))
             e.open()
--- a/tests/batch_parts.py
+++ b/tests/batch_parts.py
@@ -68,7 +68,7 @@
         self.busy += 1
         stage = self.stage
         try:
-            await self._ctx.timers.pause(ms(stage.chance.choice((1, 5, 40, 300))))
+            await self._ctx.timers.sleep(ms(stage.chance.choice((1, 5, 40, 300))))
             call.still()
             stage.runs.append(
                 {
@@ -83,10 +83,10 @@
             )
             for word, status in (("/422", 422), ("/500", 500), ("/503", 503)):
                 if call.path.endswith(word):
-                    await self._ctx.timers.pause(ms(20))
+                    await self._ctx.timers.sleep(ms(20))
                     return ItemAnswer(status=status, not_run=status == 503)
             for n in range(call.last_event + 1, EVENTS + 1):
-                await self._ctx.timers.pause(stage.step)
+                await self._ctx.timers.sleep(stage.step)
                 if stage.chance.random() < stage.breaks:
                     return ItemAnswer(status=200)
                 call.texts.append(f"{call.id} event {n}".encode())
@@ -148,7 +148,7 @@
             return 0, {}, b""
         life = g.lives
         try:
-            return await self.timers.within(secs(limit), do(g.part))
+            return await self.timers.with_timeout(secs(limit), do(g.part))
         except (PipitlinkError, defer.CancelledError):
             return 0, {}, b""
         except RuntimeError:
@@ -215,7 +215,7 @@
         """Each batch again at other gateways, until it is taken or surely refused."""
         chance = self.stage.chance
         while not self.over:
-            await self.timers.pause(ms(300 + chance.randrange(900)))
+            await self.timers.sleep(ms(300 + chance.randrange(900)))
             name, said = self.lot(2 + chance.randrange(8)), []
             for _ in range(4):
                 said.append(await self.hand_in(name))
@@ -226,7 +226,7 @@
 
     async def read_some(self):
         while not self.over:
-            await self.timers.pause(ms(100 + self.stage.chance.randrange(300)))
+            await self.timers.sleep(ms(100 + self.stage.chance.randrange(300)))
             if self.taken:
                 name = self.stage.chance.choice(list(self.taken))
                 start = self.stage.chance.choice((0, len(self.seen.get(name, ()))))
@@ -234,6 +234,6 @@
 
     async def end_some(self):
         while not self.over:
-            await self.timers.pause(ms(2500 + self.stage.chance.randrange(4000)))
+            await self.timers.sleep(ms(2500 + self.stage.chance.randrange(4000)))
             if self.taken:
                 await self.end(self.stage.chance.choice(list(self.taken)))
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -219,7 +219,7 @@
     for a in (new, old):
         asked = s.stage.clock.seconds()
         try:
-            s.stage.do(a.part.sure_leader(), 10)
+            s.stage.do(a.part.confirm_leadership(), 10)
         except PipitlinkError:
             continue
         s.c.note(
@@ -377,7 +377,7 @@
         operators_race,
         {},
         Leading,
-        "sure_leader",
+        "confirm_leadership",
         _nothing,
         "was acknowledged",
     ),
--- a/tests/loss_parts.py
+++ b/tests/loss_parts.py
@@ -82,15 +82,15 @@
                     n += 1
                     body = f"{name}/{n}".encode()
                     mine[await h.append([body])] = body
-                    await ctx.timers.pause(ms(30))
+                    await ctx.timers.sleep(ms(30))
             except PipitlinkError:
-                await ctx.timers.pause(ms(100))
+                await ctx.timers.sleep(ms(100))
         await ctx.replicated_log.release([h for h in ctx.replicated_log.leaseholders.values() if h.log == name])
 
     async def _operate(self):
         timers, n = self.timers(), 0
         while not self.over:
-            await timers.pause(ms(150))
+            await timers.sleep(ms(150))
             leader = self.leader()
             if leader is None:
                 continue
@@ -100,7 +100,7 @@
                 table=TableEdit(base=leader.part.cluster_state.table, puts=[Row(name=f"r{n % 20}", model=f"m{n}")]),
             )
             try:
-                out = await timers.within(secs(3), leader.part.edit(edit))
+                out = await timers.with_timeout(secs(3), leader.part.edit(edit))
                 if out.code == "done":
                     self.edits[edit.edit] = out.sequence
             except PipitlinkError:
--- a/tests/order_parts.py
+++ b/tests/order_parts.py
@@ -69,7 +69,7 @@
         self.over = False
         self._number = 0
         self._views: dict = {}
-        self.timers.every(ms(200), self._watch, self._fault)
+        self.timers.call_repeatedly(ms(200), self._watch, self._fault)
         self.faults: list[str] = []
 
     def _fault(self, error):
@@ -90,7 +90,7 @@
             stage.clock.callLater(span, self._arrive, controller, sent, words)
         until = stage.clock.seconds() + PATIENCE
         while stage.clock.seconds() < until:
-            await self.timers.pause(ms(10))
+            await self.timers.sleep(ms(10))
             if sent.failed or sent.life is not None and (not controller.alive or controller.ctx is not sent.life):
                 return None
             if sent.answer and not lost_answer:
@@ -119,14 +119,14 @@
     async def send(self, *words) -> _Told:
         """An order sent until it has a clear answer."""
         told, pause = _Told(), 50
-        await self.timers.pause(ms(5))
+        await self.timers.sleep(ms(5))
         for _ in range(self.tries):
             told.copies.append(self.stage.clock.seconds())
             got = await self.call(self.stage.chance.choice(self.stage.role("controller")), *words)
             if got is not None:
                 told.answer, told.ended = _meaning(got[0]), self.stage.clock.seconds()
                 return told
-            await self.timers.pause(ms(pause))
+            await self.timers.sleep(ms(pause))
             pause = min(400, 2 * pause)
         return told
 
@@ -165,7 +165,7 @@
     async def operate(self):
         chance = self.stage.chance
         while not self.over:
-            await self.timers.pause(ms(50 + chance.randrange(500)))
+            await self.timers.sleep(ms(50 + chance.randrange(500)))
             got = await self.read()
             if got is not None:
                 await self._one(*got)
@@ -196,7 +196,7 @@
     async def _early(self, name: str, base: int):
         """A change on a version that may not be in force yet; sent again once where that was refused."""
         if await self.change(name, base, base + 2) is Answer.OTHER_VERSION:
-            await self.timers.pause(ms(300))
+            await self.timers.sleep(ms(300))
             await self.change(name, base, base + 2)
 
     def _name(self) -> str:
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -42,7 +42,7 @@
             name = c.lot(4)
             some = [[], []]
             for a, box in zip(stage.role("gateway"), some):
-                stage.timers().within(ms(5000), c.hand_in(name, a)).addBoth(box.append)
+                stage.timers().with_timeout(ms(5000), c.hand_in(name, a)).addBoth(box.append)
             stage.until(lambda: all(some), 10, "both answered")
             self.assertEqual(some, [[202], [202]])
             stage.until(lambda: c.whole(name), 20, "all is listed")
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -167,7 +167,7 @@
             async def read_on(a):
                 while not stop:
                     said.append((await c.read(name, 0, 200, a))[0])
-                    await stage.timers().pause(ms(3))
+                    await stage.timers().sleep(ms(3))
 
             for a in stage.role("gateway")[1:]:
                 spawn(read_on(a))
--- a/tests/test_batches_quota.py
+++ b/tests/test_batches_quota.py
@@ -145,7 +145,7 @@
                     before = len(c.taken)
                     await c.hand_in(name)
                     if len(c.taken) == before:
-                        await c.timers.pause(ms(30))
+                        await c.timers.sleep(ms(30))
                     elif self.waiting(stage, c) > CAP:
                         over.append((stage.clock.seconds(), name, self.waiting(stage, c)))
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -148,8 +148,8 @@
             stage.run(3)
             leader = stage.leader()
             waits, asked, timers = [], [], leader.ctx.timers
-            hold = timers.await_or_lapse
-            timers.await_or_lapse = lambda d, span: waits.append(span) or hold(d, span)
+            hold = timers.wait_at_most
+            timers.wait_at_most = lambda d, span: waits.append(span) or hold(d, span)
             stage.watch_calls = lambda sender, verb: verb == "controller.follow" and asked.append(verb)
             stage.run(SPAN)
             heartbeats = 2 * SPAN * 10
--- a/tests/test_config_trouble.py
+++ b/tests/test_config_trouble.py
@@ -35,12 +35,12 @@
         for _ in range(100):
             if box:
                 return box[0] if box[0][0] < 500 else None
-            await self.timers.pause(ms(10))
+            await self.timers.sleep(ms(10))
         return None
 
     async def operate(self, who: int):
         while not self.over:
-            await self.timers.pause(ms(100 + self.stage.chance.randrange(500)))
+            await self.timers.sleep(ms(100 + self.stage.chance.randrange(500)))
             floor = self.newest()
             got = await self.call("GET", "/v1/config")
             if got is None:
@@ -57,7 +57,7 @@
                 told = await self.call("PUT", "/v1/config", config, {"If-Match": str(base)})
                 if told is not None:
                     break
-                await self.timers.pause(ms(100))
+                await self.timers.sleep(ms(100))
             if told is None:
                 continue
             if told[0] == 200:
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -269,7 +269,7 @@
         return True
 
     def lot(self, name, customer, items, due_s, priority=0):
-        wall = wall_ms(self.timers.wall())
+        wall = wall_ms(self.timers.utc_now())
         o = OpenLot(
             name,
             Lot(customer=customer, priority=priority, limit_ms=wall + due_s * 1000, items=[Item(model="m")] * items),
--- a/tests/test_hanging_connections.py
+++ b/tests/test_hanging_connections.py
@@ -103,7 +103,7 @@
         late = []
 
         async def probe(node, ask):
-            await self.timers.pause(ms(450))
+            await self.timers.sleep(ms(450))
             return ProbeResponse(alive=True)
 
         self.callee.answer("probe", ProbeFor, probe)
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -64,7 +64,7 @@
     async def operate(self, who: int):
         chance = self.stage.chance
         while not self.over:
-            await self.timers.pause(ms(100 + chance.randrange(400)))
+            await self.timers.sleep(ms(100 + chance.randrange(400)))
             controllers = self.stage.role("controller", alive=True)
             if controllers:
                 await self._edit(chance.choice(controllers).part, who)
@@ -84,7 +84,7 @@
         n = 0
         while not self.over:
             actor = self.stage.actors[name]
-            await self.timers.pause(ms(100 + self.stage.chance.randrange(500)))
+            await self.timers.sleep(ms(100 + self.stage.chance.randrange(500)))
             if actor.alive:
                 n = await self._hold(actor.ctx, log, n)
 
@@ -95,7 +95,7 @@
             for _ in range(ctx.chance.randrange(1, 10)):
                 n += 1
                 await h.append([f"{ctx.node}/{n}".encode() + b"." * ctx.chance.randrange(60)])
-                await ctx.timers.pause(ms(ctx.chance.randrange(60)))
+                await ctx.timers.sleep(ms(ctx.chance.randrange(60)))
             if ctx.chance.random() < 0.5:
                 await ctx.replicated_log.release([h])
         except PipitlinkError:
@@ -161,4 +161,4 @@
         try:
             return await ctx.replicated_log.hold(log, "")
         except PipitlinkError:
-            await ctx.timers.pause(ms(300))
+            await ctx.timers.sleep(ms(300))
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -120,8 +120,8 @@
 
     def test_a_repeat_ends_in_its_pause_and_in_its_work(self):
         hung = defer.Deferred()
-        self.timers.every(ms(10), self.ran_now, self.faults.append)
-        self.timers.every(ms(10), lambda: hung, self.faults.append)
+        self.timers.call_repeatedly(ms(10), self.ran_now, self.faults.append)
+        self.timers.call_repeatedly(ms(10), lambda: hung, self.faults.append)
         self.advance(25)
         self.timers.end()
         self.advance(100)
@@ -137,14 +137,14 @@
             if len(self.ran) == 2:
                 raise defer.CancelledError()
 
-        self.timers.every(ms(10), work, self.faults.append)
+        self.timers.call_repeatedly(ms(10), work, self.faults.append)
         self.advance(35)
         self.assertEqual(self.ran, [0, 10, 20, 30])
         self.assertEqual([type(e) for e in self.faults], [ValueError, defer.CancelledError])
 
     def test_timers_without_work_are_left_out_and_the_phase_is_kept(self):
         due = [None]
-        r = self.timers.every(ms(10), self.ran_now, self.faults.append, due=lambda: due[0])
+        r = self.timers.call_repeatedly(ms(10), self.ran_now, self.faults.append, due=lambda: due[0])
         self.advance(33)
         self.assertEqual((self.ran, self.clock.getDelayedCalls()), ([0], []))
         r.wake()
--- a/tests/test_stage_controllers.py
+++ b/tests/test_stage_controllers.py
@@ -38,14 +38,14 @@
     async def operate(self, who: int):
         chance, timers = self.stage.chance, self.timers
         while not self.over:
-            await timers.pause(ms(100 + chance.randrange(500)))
+            await timers.sleep(ms(100 + chance.randrange(500)))
             controller = chance.choice(self.stage.role("controller"))
             if not controller.alive or controller.frozen:
                 continue
             part = controller.part
             try:
                 floor = self.newest()
-                await part.sure_leader()
+                await part.confirm_leadership()
                 table = part.cluster_state.table
                 self.reads += 1
                 if table < floor:
@@ -150,7 +150,7 @@
         with self.assertRaises(PipitlinkError):
             self.stage.do(leader.part.edit(edit_of("r", 0, "lone")), 10)
         with self.assertRaises(PipitlinkError):
-            self.stage.do(leader.part.sure_leader(), 10)
+            self.stage.do(leader.part.confirm_leadership(), 10)
         self.stage.until(lambda: self.stage.leader() is not None, 10, "the others lead")
         self.assertIsNot(self.stage.leader(), leader)
         self.stage.do(self.stage.leader().part.edit(edit_of("r", 0, "theirs")), 10)
@@ -209,7 +209,7 @@
     def test_half_of_the_witnesses_are_not_enough_while_their_set_changes(self):
         leader, timers = self.stage.leader().part, self.stage.timers()
         leader.cluster_state.settled -= 1
-        leader._settle_witnesses = lambda: timers.pause(ms(0))
+        leader._settle_witnesses = lambda: timers.sleep(ms(0))
         for a in self.stage.role("storage")[:2]:
             a.kill()
         with self.assertRaises(PipitlinkError):
@@ -248,7 +248,7 @@
         leader.disk.full = False
         for n in range(3):
             part = self.stage.until(self.stage.leader, 10, "a controller leads").part
-            self.stage.do(part.sure_leader())
+            self.stage.do(part.confirm_leadership())
             out = self.stage.do(part.edit(edit_of("s", part.cluster_state.table, f"next{n}")))
             self.assertEqual(out.code, "done")
         self.stage.run(3)
--- a/tests/test_stage_keeping.py
+++ b/tests/test_stage_keeping.py
@@ -21,7 +21,7 @@
         self.stage.start()
         self.stage.ready()
         self.gateway, self.other = (a.ctx for a in self.stage.role("gateway"))
-        self.wall = self.gateway.timers.wall()
+        self.wall = self.gateway.timers.utc_now()
         self.began = self.stage.clock.seconds()
         for a in self.stage.actors.values():
             a.ctx.timers.wall = self._wall
--- a/tests/test_stage_logs.py
+++ b/tests/test_stage_logs.py
@@ -37,12 +37,12 @@
                     body = f"{ctx.node}/{n}".encode() + b"." * ctx.chance.randrange(3000)
                     at = await h.append([body])
                     self.acked[at] = body
-                    await ctx.timers.pause(ms(ctx.chance.randrange(60)))
+                    await ctx.timers.sleep(ms(ctx.chance.randrange(60)))
                 if ctx.chance.random() < 0.5:
                     await ctx.replicated_log.release([h])
             except PipitlinkError:
                 pass
-            await ctx.timers.pause(ms(200 + ctx.chance.randrange(800)))
+            await ctx.timers.sleep(ms(200 + ctx.chance.randrange(800)))
 
     async def read(self, actor):
         while not self.over and actor.alive:
@@ -53,7 +53,7 @@
                     self.check(await ctx.replicated_log.read(self.log, 0, state.committed))
             except PipitlinkError:
                 pass
-            await ctx.timers.pause(ms(150))
+            await ctx.timers.sleep(ms(150))
 
     def check(self, data: bytes):
         a, b = sorted((data, self.shown), key=len)
@@ -85,7 +85,7 @@
                 try:
                     return await last.replicated_log.hold(w.log)
                 except LeaseNotHeld:
-                    await last.timers.pause(ms(500))
+                    await last.timers.sleep(ms(500))
 
         data = bytes(stage.do(final(), 30).data)
         w.check(data)
--- a/tests/test_stage_long_logs.py
+++ b/tests/test_stage_long_logs.py
@@ -109,18 +109,18 @@
 
     async def write(self, who: int):
         while not self.over:
-            await self.timers.pause(ms(40 + self.stage.chance.randrange(80)))
+            await self.timers.sleep(ms(40 + self.stage.chance.randrange(80)))
             leaders = [a for a in self.stage.role("controller", alive=True) if a.part.state == "leader"]
             if leaders:
                 try:
                     work = self._write_at(self.stage.chance.choice(leaders).part, who)
-                    await self.timers.within(secs(WRITE_S), work)
+                    await self.timers.with_timeout(secs(WRITE_S), work)
                 except PipitlinkError:
                     pass
 
     async def _write_at(self, part, who: int):
         floor = self.floor
-        await part.sure_leader()
+        await part.confirm_leadership()
         if part.cluster_state.table < floor:
             self.judge.fault(f"read {part.cluster_state.table} after {floor} was acknowledged")
         self.n += 1
--- a/tests/test_stage_loss_steps.py
+++ b/tests/test_stage_loss_steps.py
@@ -123,9 +123,9 @@
         timers = stage.timers()
         for _ in range(20):
             try:
-                return await timers.within(secs(2), stage.leader().part.retire(node, "retire"))
+                return await timers.with_timeout(secs(2), stage.leader().part.retire(node, "retire"))
             except (PipitlinkError, AttributeError):
-                await timers.pause(ms(200))
+                await timers.sleep(ms(200))
 
     def test_a_retirement(self):
         def begin(stage):
--- a/tests/test_stage_placement.py
+++ b/tests/test_stage_placement.py
@@ -26,9 +26,9 @@
                     n += 1
                     body = f"{self.log}/{n}".encode()
                     self.acked[await h.append([body])] = body
-                    await ctx.timers.pause(ms(40))
+                    await ctx.timers.sleep(ms(40))
             except PipitlinkError:
-                await ctx.timers.pause(ms(300))
+                await ctx.timers.sleep(ms(300))
         for h in list(ctx.replicated_log.leaseholders.values()):
             if h.log == self.log:
                 await ctx.replicated_log.release([h])
--- a/tests/test_stage_slow_link.py
+++ b/tests/test_stage_slow_link.py
@@ -80,7 +80,7 @@
 
             async def on():
                 while not over:
-                    await timers.pause(ms(100))
+                    await timers.sleep(ms(100))
                     leader = stage.leader()
                     if leader is not None:
                         try:
