--- a/pipitlink/cache/shadow.py
+++ b/pipitlink/cache/shadow.py
@@ -32,7 +32,7 @@
             spawn(self._copy(start, self._seen)).addErrback(self._failed)
 
     def _failed(self, f):
-        self._ctx.journal.fault("shadow_failed", f.value, path=self._path)
+        self._ctx.logger.failure("shadow_failed", f.value, path=self._path)
 
     async def _copy(self, start: int, end: int):
         first, last = start // CHUNK, (end - 1) // CHUNK
--- a/pipitlink/changes.py
+++ b/pipitlink/changes.py
@@ -28,7 +28,7 @@
 
 
 class Changes:
-    """Tells each change that the journal notes as a CloudEvent, where a setting names a listener.
+    """Tells each change that the logger notes as a CloudEvent, where a setting names a listener.
 
     It is off the path: the inbox is bounded, one task empties it, and what cannot be told in time is dropped and
     counted.
@@ -42,7 +42,7 @@
 
     def open(self):
         if self._ctx.settings.changes_to:
-            self._ctx.journal.watch(self._noted)
+            self._ctx.logger.add_observer(self._noted)
             self._ctx.spawned(self._tell(), "tell_changes")
 
     def _noted(self, event: str, pairs: dict):
@@ -84,7 +84,7 @@
                 self.told += 1
             except Exception as e:
                 self.dropped += 1
-                self._ctx.journal.trace("change_untold", text=e)
+                self._ctx.logger.debug("change_untold", text=e)
 
     async def _post(self, message):
         import treq
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -106,7 +106,7 @@
         return bool(span and proofs and self.sequence) and self._ctx.timers.now() - max(proofs) < secs(span)
 
     def _say(self):
-        self._ctx.journal.note("currency", state=self.state, sequence=self.sequence)
+        self._ctx.logger.info("currency", state=self.state, sequence=self.sequence)
 
     def placement_group(self, n: int) -> PlacementGroup:
         return self.cluster_state.placement_group(n)
@@ -137,7 +137,7 @@
             if delta.sequence == self.sequence + 1:
                 self.cluster_state.apply(delta.sequence, delta.command)
         if self.sequence != before:
-            self._ctx.journal.note("cluster", sequence=self.sequence, table=self.cluster_state.table)
+            self._ctx.logger.info("cluster", sequence=self.sequence, table=self.cluster_state.table)
             for do in self._watchers:
                 do()
         return self.sequence >= r.sequence
@@ -156,7 +156,7 @@
                     self._controller, failures = leader, 0
                     continue
                 self._controller = ""
-                self._ctx.journal.trace("no_controller", text=e)
+                self._ctx.logger.debug("no_controller", text=e)
                 self._nudged = defer.Deferred()
                 await self._ctx.timers.with_timeout(PAUSE, self._nudged).addErrback(lambda f: None)
 
--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -7,8 +7,8 @@
 from twisted.internet.threads import deferToThread
 
 from .dialect import Dialect
-from .journal import Journal
 from .settings import Settings
+from .structured_log import StructuredLogger
 from .timers import Timers, spawn
 from .wire.rpc import RpcEndpoint
 
@@ -29,7 +29,7 @@
     settings: Settings
     reactor: object
     timers: Timers
-    journal: Journal
+    logger: StructuredLogger
     rpc: RpcEndpoint
     chance: Random
     membership: object = None
@@ -42,8 +42,8 @@
     dialect: Dialect = attrs.field(factory=Dialect)
 
     def report(self, what: str):
-        return lambda e: self.journal.fault(what, e)
+        return lambda e: self.logger.failure(what, e)
 
     def spawned(self, work, what: str):
-        """Starts work that nobody waits for; its errors go to the journal."""
-        return spawn(work).addErrback(lambda f: self.journal.fault(what, f.value))
+        """Starts work that nobody waits for; its errors go to the logger."""
+        return spawn(work).addErrback(lambda f: self.logger.failure(what, f.value))
--- a/pipitlink/controller/announcing.py
+++ b/pipitlink/controller/announcing.py
@@ -94,7 +94,7 @@
             n.state = "leaving"
         if (n.state, n.address) != (before.state, before.address) or n.cold_ms and not before.cold_ms:
             if n.state != before.state:
-                self._ctx.journal.note("engine", engine=n.engine, state=n.state, address=n.address)
+                self._ctx.logger.info("engine", engine=n.engine, state=n.state, address=n.address)
             self._tell_change(have, elsewhere)
         else:
             self._renewed.add(n.engine)
@@ -155,7 +155,7 @@
                 (m.host, m.port), "engines.tell", self._list(engines), Nothing, PUSH_LIMIT, node=node
             )
         except WireError as e:
-            self._ctx.journal.trace("engines_untold", gateway=node, text=e)
+            self._ctx.logger.debug("engines_untold", gateway=node, text=e)
             self._unreached.add(node)
             return False
         self._unreached.discard(node)
--- a/pipitlink/controller/leading.py
+++ b/pipitlink/controller/leading.py
@@ -47,13 +47,13 @@
         self.leader = self._ctx.node
         self._elected_at = self._ctx.timers.now()
         self._match, self._acked_at, self._synced = {}, {}, 0
-        self._ctx.journal.note("leading", term=self.term, voters=",".join(self.voters()))
+        self._ctx.logger.info("leading", term=self.term, voters=",".join(self.voters()))
         self._ctx.spawned(self._propose(Command(nothing=True)), "first_entry")
         for b in self.lead_timers:
             b.wake()
 
     def _yielded(self):
-        self._ctx.journal.note("yielded", term=self.term)
+        self._ctx.logger.info("yielded", term=self.term)
         self.leader = ""
         self._elections.wake()
         proposed, self._proposed = self._proposed, {}
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -106,7 +106,7 @@
         self._open_placement_timers()
 
     def _say(self):
-        self._ctx.journal.note("controller_founded", term=self.term, last=self.archive.last_index())
+        self._ctx.logger.info("controller_founded", term=self.term, last=self.archive.last_index())
 
     def routes(self, add):
         super().routes(add)
--- a/pipitlink/controller/orders.py
+++ b/pipitlink/controller/orders.py
@@ -34,7 +34,7 @@
         now = self._ctx.timers.now()
         if now - self._awake_at > ASLEEP_SPAN:
             self._woke_at = now
-            self._ctx.journal.note("woke", slept=(now - self._awake_at).total_seconds())
+            self._ctx.logger.info("woke", slept=(now - self._awake_at).total_seconds())
         self._awake_at = now
 
     def _just_woke(self) -> bool:
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -81,7 +81,7 @@
         if rows:
             await self._propose(Command(placement=PlacementRow(placement_groups=rows)))
             for r in rows:
-                self._ctx.journal.note(
+                self._ctx.logger.info(
                     "placement_group",
                     placement_group=r.number,
                     sequence=r.sequence,
@@ -109,7 +109,7 @@
             await self._proved(
                 Command(storage_node=StorageNodeEdit(storage_node=m.node, status="serving", name=m.name))
             )
-            self._ctx.journal.note("storage_node_admitted", storage_node=m.node, zone=m.zone)
+            self._ctx.logger.info("storage_node_admitted", storage_node=m.node, zone=m.zone)
             return True
         return False
 
@@ -131,7 +131,7 @@
             if status == "retiring" or (status != "retired" and self._lost(storage_node)):
                 goal = "retired" if status == "retiring" else "removed"
                 await self._proved(Command(storage_node=StorageNodeEdit(storage_node=storage_node, status=goal)))
-                self._ctx.journal.note("storage_node_let_go", storage_node=storage_node, status=goal)
+                self._ctx.logger.info("storage_node_let_go", storage_node=storage_node, status=goal)
                 return True
         return False
 
@@ -154,7 +154,7 @@
                 held[picked[-1]] += 1
             rows.append(PlacementGroupRow(number=n, sequence=1, storage_nodes=picked))
         await self._propose(Command(placement=PlacementRow(placement_groups=rows)))
-        self._ctx.journal.note("shelved", placement_groups=len(rows), storage_nodes=len(storage_nodes))
+        self._ctx.logger.info("shelved", placement_groups=len(rows), storage_nodes=len(storage_nodes))
 
     def check_retirement(self, cluster_state: ClusterState, storage_node: str):
         """Refuses where too few machines would be left; one that is away for a while, or not admitted yet, counts."""
--- a/pipitlink/controller/snapshots.py
+++ b/pipitlink/controller/snapshots.py
@@ -94,7 +94,7 @@
         s = Snapshot(index=index, term=term, cluster_state=cluster_state.data())
         await self._ctx.on_thread(self.archive.keep_snapshot, s)
         await self.archive.use_snapshot(s)
-        self._ctx.journal.note("trimmed", index=index)
+        self._ctx.logger.info("trimmed", index=index)
 
     def lacks(self, s: Snapshot | SnapshotPiece) -> bool:
         """Whether a snapshot tells of more than the own log holds, or the log is on another branch there."""
--- a/pipitlink/controller/voters.py
+++ b/pipitlink/controller/voters.py
@@ -50,7 +50,7 @@
             change = self._next_voters(self.voters())
             if change is None:
                 return
-            self._ctx.journal.note("voters", was=",".join(self.voters()), next=",".join(change))
+            self._ctx.logger.info("voters", was=",".join(self.voters()), next=",".join(change))
             await self._propose(Command(controllers=Controllers(voters=change)))
 
     def _next_voters(self, voters: tuple[str, ...]) -> tuple[str, ...] | None:
--- a/pipitlink/controller/voting.py
+++ b/pipitlink/controller/voting.py
@@ -57,7 +57,7 @@
             return
         s = Snapshot(index=0, term=0, cluster_state=ClusterStateData(voters=voters))
         await self.adopt(s)
-        self._ctx.journal.note("founded", voters=",".join(voters))
+        self._ctx.logger.info("founded", voters=",".join(voters))
 
 
 class Voting:
@@ -87,7 +87,7 @@
         now = self._ctx.timers.now()
         if self.state == "leader":
             if now - max(self.heard_majority_at(), self._elected_at) > LONGEST:
-                self._ctx.journal.note("majority_unheard", term=self.term)
+                self._ctx.logger.info("majority_unheard", term=self.term)
                 self.step_down()
             return
         if self.state != "follower" or self._ctx.node not in self.voters():
@@ -112,7 +112,7 @@
         return ZERO
 
     def _stood_badly(self, f):
-        self._ctx.journal.fault("election_failed", f.value)
+        self._ctx.logger.failure("election_failed", f.value)
         self.put("yield")
 
     def _just_started(self) -> bool:
--- a/pipitlink/gateway/dispatch.py
+++ b/pipitlink/gateway/dispatch.py
@@ -64,7 +64,7 @@
             if self._owner(o.id) == self._ctx.node:
                 o.taking = True
                 taking += 1
-                spawn(self._own(o)).addErrback(lambda f: self._ctx.journal.fault("own_failed", f.value))
+                spawn(self._own(o)).addErrback(lambda f: self._ctx.logger.failure("own_failed", f.value))
 
     async def _own(self, o: OpenLot):
         """Takes the lease, reads what is there, and lists as unknown what another owner had started."""
@@ -72,7 +72,7 @@
             h = await self.keep(result_log(o.id))
         except (PipitlinkError, DeadlineExceeded) as e:
             o.try_at = self._ctx.timers.now() + TAKE_AGAIN
-            self._ctx.journal.trace("lot_not_taken", lot=o.id, text=e)
+            self._ctx.logger.debug("lot_not_taken", lot=o.id, text=e)
             return
         finally:
             o.taking = False
@@ -86,7 +86,7 @@
             return
         o.leaseholder = h
         doubtful = [i for i in o.started if i not in o.results and not o.lot.items[i].repeatable]
-        self._ctx.journal.note(
+        self._ctx.logger.info(
             "lot_owned", lot=o.id, epoch=h.epoch, items=len(o.lot.items), done=len(o.results), doubtful=len(doubtful)
         )
         o.waiting = [i for i in range(len(o.lot.items)) if i not in o.results and i not in doubtful]
@@ -167,7 +167,7 @@
     def _ran(self, r, o: OpenLot, i: int):
         o.running.pop(i, None)
         if isinstance(getattr(r, "value", None), Exception) and not r.check(defer.CancelledError, ReplicatedLogError):
-            self._ctx.journal.fault("item_failed", r.value, lot=o.id, item=i)
+            self._ctx.logger.failure("item_failed", r.value, lot=o.id, item=i)
         if (
             o.leaseholder is not None
             and not o.leaseholder.lost
@@ -252,7 +252,7 @@
         await self._end_log(h, "done")
         if o.leaseholder is not h:
             return
-        self._ctx.journal.note("lot_done", lot=o.id)
+        self._ctx.logger.info("lot_done", lot=o.id)
         await self._let_go(o)
 
     async def _end_log(self, h, why: str):
@@ -290,6 +290,6 @@
             if h.final:
                 for work in list(o.running.values()):
                     work.cancel()
-        self._ctx.journal.note("lot_ended", lot=lot_id)
+        self._ctx.logger.info("lot_ended", lot=lot_id)
         spawn(self._let_go(o)).addErrback(lambda f: None)
         return "ended"
--- a/pipitlink/gateway/engines.py
+++ b/pipitlink/gateway/engines.py
@@ -120,7 +120,7 @@
             if e is not None:
                 back.live, back.lots, back.others = e.live, e.lots, e.others
             self._engines[n.engine] = back
-            self._ctx.journal.note(
+            self._ctx.logger.info(
                 "engine", engine=n.engine, state=n.state, incarnation=n.incarnation, address=n.address
             )
             self.roomier()
@@ -132,7 +132,7 @@
         e.renewed = max(e.renewed, renewed)
         if n.state == "leaving" and e.news.state != "leaving":
             e.news.state = "leaving"
-            self._ctx.journal.note("engine", engine=n.engine, state="leaving", incarnation=n.incarnation)
+            self._ctx.logger.info("engine", engine=n.engine, state="leaving", incarnation=n.incarnation)
 
     def _look(self) -> timedelta:
         """Notes where this gateway slept: what engines said meanwhile is not known until they are heard again."""
--- a/pipitlink/gateway/live.py
+++ b/pipitlink/gateway/live.py
@@ -157,7 +157,7 @@
             wait.stop()
             raise
         except DeadlineExceeded:
-            self._ctx.journal.note("caller_stuck", ask=ask.id, at=at)
+            self._ctx.logger.info("caller_stuck", ask=ask.id, at=at)
             wait.stop()
             request.transport.abortConnection()
             return await defer.Deferred(lambda _: None)
--- a/pipitlink/gateway/lots.py
+++ b/pipitlink/gateway/lots.py
@@ -116,10 +116,10 @@
                 if not h.final:
                     await h.append([LogRecord(ended=Ended(why="done")).SerializeToString()], final=True, reserved=True)
                 await self._ctx.replicated_log.release([h])
-                self._ctx.journal.note("lot_log_ended", log=log, lots=len(self._lots_of.get(log, ())))
+                self._ctx.logger.info("lot_log_ended", log=log, lots=len(self._lots_of.get(log, ())))
                 self._leave_log(log)
             except PipitlinkError as e:
-                self._ctx.journal.trace("lot_log_kept", log=log, text=e)
+                self._ctx.logger.debug("lot_log_kept", log=log, text=e)
 
     async def _follow(self, log: str):
         """One task for each lot log, reading it in order."""
@@ -133,6 +133,6 @@
                         self._lots_of.setdefault(log, set()).add(lot_id)
                         self._known(lot_id, record.lot)
             except PipitlinkError as e:
-                self._ctx.journal.fault("log_unread", e, log=log)
+                self._ctx.logger.failure("log_unread", e, log=log)
                 await self._ctx.timers.sleep(secs(1))
             await tail.wait()
--- a/pipitlink/gateway/requests.py
+++ b/pipitlink/gateway/requests.py
@@ -170,14 +170,14 @@
             ask.fail(ApiError("the request was ended", code="ended", outcome=ask.outcome))
         except Exception as e:
             if not isinstance(e, (ApiError, ReplicatedLogError)):
-                self._ctx.journal.fault("ask_failed", e, ask=ask.id)
+                self._ctx.logger.failure("ask_failed", e, ask=ask.id)
             ask.put("lose")
             ask.fail(e)
         finally:
             ask.give()
             if ask.kind != "live" or not ask.readers:
                 self._retire(ask)
-        self._ctx.journal.trace(
+        self._ctx.logger.debug(
             "ask",
             ask=ask.id,
             model=ask.model,
--- a/pipitlink/gateway/results.py
+++ b/pipitlink/gateway/results.py
@@ -182,5 +182,5 @@
             r = await self._ctx.rpc.call((m.host, m.port), "lots.end", EndRequest(lot=lot), EndResponse, secs(3))
             return r.state
         except (WireError, RemoteError) as e:
-            self._ctx.journal.trace("owner_unheard", lot=lot, text=e)
+            self._ctx.logger.debug("owner_unheard", lot=lot, text=e)
             return "lost"
--- a/pipitlink/membership/entry.py
+++ b/pipitlink/membership/entry.py
@@ -13,10 +13,10 @@
 
     state_machine = "status"
 
-    def __init__(self, member: Member, now: timedelta, journal):
+    def __init__(self, member: Member, now: timedelta, logger):
         self.member = member
         self.met = self.since = self.changed = now
-        self._journal = journal
+        self._logger = logger
         self._open_state_machine()
         if member.status == "suspect":
             self.put("missed")
@@ -44,6 +44,6 @@
         self._say("gone")
 
     def _say(self, status):
-        self._journal.note(
+        self._logger.info(
             "status", peer=self.member.node, role=self.member.role, status=status, incarnation=self.member.incarnation
         )
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -163,7 +163,7 @@
         if m.node == self.me.node:
             if self.me.status == "alive" and m.status != "alive" and m.incarnation >= self.me.incarnation:
                 self._change_me(incarnation=m.incarnation + 1)
-                self._ctx.journal.note("refuted", incarnation=self.me.incarnation)
+                self._ctx.logger.info("refuted", incarnation=self.me.incarnation)
                 self.tell()
             return
         e = self._entries.get(m.node)
@@ -172,8 +172,8 @@
                 return
             kept = Member()
             kept.CopyFrom(m)
-            e = self._entries[m.node] = Entry(kept, now, self._ctx.journal)
-            self._ctx.journal.note("met", peer=m.node, role=m.role, zone=m.zone, place=f"{m.host}:{m.port}")
+            e = self._entries[m.node] = Entry(kept, now, self._ctx.logger)
+            self._ctx.logger.info("met", peer=m.node, role=m.role, zone=m.zone, place=f"{m.host}:{m.port}")
             self._changed(e)
             return
         if m.incarnation < e.member.incarnation:
@@ -256,7 +256,7 @@
         if self._beats == 0:
             e = self._next()
             if e is not None:
-                spawn(self._check(e)).addErrback(lambda f: self._ctx.journal.fault("probe", f.value))
+                spawn(self._check(e)).addErrback(lambda f: self._ctx.logger.failure("probe", f.value))
 
     def _next(self) -> Entry | None:
         while True:
--- a/pipitlink/membership/memory.py
+++ b/pipitlink/membership/memory.py
@@ -30,7 +30,7 @@
         try:
             places = [(str(h), int(p)) for h, p in json.loads(self._file.read_text())]
         except (ValueError, TypeError, OSError) as e:
-            self._ctx.journal.fault("peers_forgotten", e)
+            self._ctx.logger.failure("peers_forgotten", e)
             return
         for place in places[:64]:
             spawn(self._probe(place))
@@ -60,6 +60,6 @@
                     await self._ctx.on_thread(swap_in, self._file, json.dumps(places).encode())
                     self._kept = places
         except OSError as e:
-            self._ctx.journal.fault("peers_not_kept", e)
+            self._ctx.logger.failure("peers_not_kept", e)
         finally:
             self._keeping = False
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -15,11 +15,11 @@
 from .dialect import Dialect
 from .disk import set_aside
 from .errors import CorruptData, SettingsError
-from .journal import open_journal
 from .membership import Membership
 from .operator import OperatorFace
 from .replicated_log import ReplicatedLog
 from .settings import Settings
+from .structured_log import open_logger
 from .timers import Timers, ms, secs, spawn
 from .wire.membership_pb2 import Member
 from .wire.rpc import RpcEndpoint
@@ -58,10 +58,10 @@
     def __init__(self, role: str, settings: Settings, dialect: Dialect | None = None, reread=None, early=None):
         self._kind = _node_kind(role, settings.interface)
         node = _node_id(role, settings)
-        journal = open_journal(settings.log_level, role=role, node=node)
+        logger = open_logger(settings.log_level, role=role, node=node)
         timers = Timers(reactor)
-        rpc = RpcEndpoint(reactor, timers, journal, settings.fleet, node)
-        self.ctx = Context(role, node, settings, reactor, timers, journal, rpc, Random(), dialect=dialect or Dialect())
+        rpc = RpcEndpoint(reactor, timers, logger, settings.fleet, node)
+        self.ctx = Context(role, node, settings, reactor, timers, logger, rpc, Random(), dialect=dialect or Dialect())
         if settings.plug:
             from .plugs import Gate
 
@@ -103,7 +103,7 @@
         ctx.membership.open(me)
         if ctx.role != "controller":
             ctx.cluster.open()
-        ctx.journal.note("started", zone=p.zone, place=f"{p.host}:{port}", http=me.http_port)
+        ctx.logger.info("started", zone=p.zone, place=f"{p.host}:{port}", http=me.http_port)
 
     def _open_gateway(self):
         from .cache import Cache
@@ -122,11 +122,11 @@
         try:
             self.node.open()
         except CorruptData as e:
-            ctx.journal.fault("set_aside", e)
+            ctx.logger.failure("set_aside", e)
             folder = Path(ctx.settings.data)
             set_aside(folder)
             ctx.node = ctx.rpc.node = _node_id(ctx.role, ctx.settings)
-            ctx.journal = ctx.rpc.journal = ctx.journal.bind(node=ctx.node)
+            ctx.logger = ctx.rpc.logger = ctx.logger.bind(node=ctx.node)
             self.node = self._kind(ctx, disk)
             self.node.open()
 
@@ -134,11 +134,11 @@
         if self._ending:
             return
         self._ending = True
-        self.ctx.journal.note("ending")
+        self.ctx.logger.info("ending")
         try:
             await self.ctx.timers.with_timeout(ms(self.ctx.settings.drain_ms) + ENDING, self._close())
         except Exception as e:
-            self.ctx.journal.fault("ended_roughly", e)
+            self.ctx.logger.failure("ended_roughly", e)
         reactor.stop()
 
     async def _close(self):
@@ -155,11 +155,11 @@
         try:
             settings = self._reread()
         except SettingsError as e:
-            self.ctx.journal.fault("settings_unread", e)
+            self.ctx.logger.failure("settings_unread", e)
             return
         if settings.seeds != self.ctx.settings.seeds:
             self.ctx.settings = attrs.evolve(self.ctx.settings, seeds=settings.seeds)
-            self.ctx.journal.note("settings", seeds=",".join(settings.seeds))
+            self.ctx.logger.info("settings", seeds=",".join(settings.seeds))
 
     def fail(self, f):
         self.exit = 1
@@ -168,7 +168,7 @@
                 print(line, file=sys.stderr)
             self.exit = 2
         else:
-            self.ctx.journal.fault("not_started", f.value)
+            self.ctx.logger.failure("not_started", f.value)
         reactor.callWhenRunning(reactor.stop)
 
 
--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -103,7 +103,7 @@
             return
         self.lost = why
         self._replicated_log.drop(self)
-        self._ctx.journal.note("lease_lost", log=self.log, epoch=self.epoch, why=why)
+        self._ctx.logger.info("lease_lost", log=self.log, epoch=self.epoch, why=why)
         waiters, self._waiters = self._waiters, []
         for _, d in waiters:
             d.errback(LeaseNotHeld(f"{self.log}: {why}"))
@@ -213,7 +213,7 @@
     def _sent(self, node, r):
         self._sending.discard(node)
         if isinstance(r, Exception) or hasattr(r, "value"):
-            self._ctx.journal.fault("send_failed", getattr(r, "value", r), log=self.log, storage_node=node)
+            self._ctx.logger.failure("send_failed", getattr(r, "value", r), log=self.log, storage_node=node)
 
     def _settled(self, state: LogState) -> bool:
         return state.tail_epoch == self.epoch and state.length == len(self.data) and state.final == self.final
@@ -245,7 +245,7 @@
                 await self._ctx.timers.sleep(RETRY_INTERVAL)
             except WireError as e:
                 self._states.pop(node, None)
-                self._ctx.journal.trace("replica_behind", log=self.log, storage_node=node, text=e)
+                self._ctx.logger.debug("replica_behind", log=self.log, storage_node=node, text=e)
                 await self._ctx.timers.sleep(RETRY_INTERVAL if self._waiters else IDLE_INTERVAL)
             self._advance()
 
--- a/pipitlink/replicated_log/replicated_log.py
+++ b/pipitlink/replicated_log/replicated_log.py
@@ -62,14 +62,14 @@
             try:
                 got[node] = await self.ask(node, verb, what, kind, limit)
             except WireError as e:
-                self._ctx.journal.trace("storage_node_unheard", storage_node=node, verb=verb, text=e)
+                self._ctx.logger.debug("storage_node_unheard", storage_node=node, verb=verb, text=e)
             finally:
                 left -= 1
                 if not done.called and (left == 0 or (enough is not None and enough(got))):
                     done.callback(None)
 
         for n in nodes:
-            spawn(one(n)).addErrback(lambda f: self._ctx.journal.fault("ask_each", f.value))
+            spawn(one(n)).addErrback(lambda f: self._ctx.logger.failure("ask_each", f.value))
         if nodes:
             await done
         return dict(got)
--- a/pipitlink/router/batch_read.py
+++ b/pipitlink/router/batch_read.py
@@ -276,7 +276,7 @@
             )
             return r.state
         except (WireError, RemoteError) as e:
-            self._ctx.journal.trace("owner_unheard", batch=batch_id, text=e)
+            self._ctx.logger.debug("owner_unheard", batch=batch_id, text=e)
             return "unsure"
 
     async def _end_batch_for(self, node, ask: EndRequest) -> EndResponse:
@@ -286,7 +286,7 @@
         try:
             return await self._in_batch_turn(batch_id, lambda: self._end_batch_held(batch_id))
         except PipitlinkError as e:
-            self._ctx.journal.trace("batch_not_ended", batch=batch_id, text=e)
+            self._ctx.logger.debug("batch_not_ended", batch=batch_id, text=e)
             return "unsure"
 
     async def _end_batch_held(self, batch_id: str) -> str:
@@ -310,5 +310,5 @@
             if o.leaseholder.final:
                 for run in list(o.running.values()):
                     run.cancel()
-        self._ctx.journal.note("batch_ended", batch=batch_id)
+        self._ctx.logger.info("batch_ended", batch=batch_id)
         return "ended"
--- a/pipitlink/router/batch_run.py
+++ b/pipitlink/router/batch_run.py
@@ -48,7 +48,7 @@
             try:
                 waits = self._feed_once()
             except Exception as e:
-                self._ctx.journal.fault("feed_batches", e)
+                self._ctx.logger.failure("feed_batches", e)
                 waits = True
             d = self._feed_wake = defer.Deferred()
             if waits:
@@ -137,7 +137,7 @@
         try:
             answer = await self.run_item(call)
         except PipitlinkError as e:
-            self._ctx.journal.trace("item_fault", batch=o.id, item=call.id, text=e)
+            self._ctx.logger.debug("item_fault", batch=o.id, item=call.id, text=e)
             answer = ItemAnswer()
         if i in o.done or not o.current():
             return
@@ -160,7 +160,7 @@
         if o.running.get(i) is work:
             del o.running[i]
         if hasattr(r, "value") and not r.check(defer.CancelledError):
-            self._ctx.journal.fault("item_failed", r.value, batch=o.id, item=i)
+            self._ctx.logger.failure("item_failed", r.value, batch=o.id, item=i)
             o.again_at[i] = self._ctx.timers.now() + LONGEST_PAUSE
         if i not in o.done and i not in o.waiting and i not in o.running and self.batches.get(o.id) is o:
             o.waiting.append(i)
@@ -214,7 +214,7 @@
                     await self._await_batch_durable(o)
         except ReplicatedLogError as e:
             if not isinstance(e, (StaleEpoch, LeaseNotHeld)):
-                self._ctx.journal.fault("outputs_unlisted", e, batch=o.id)
+                self._ctx.logger.failure("outputs_unlisted", e, batch=o.id)
             if not o.leaseholder.lost and not o.leaseholder.final:
                 o.leaseholder.lapse("outputs could not be listed")
         finally:
--- a/pipitlink/router/batches.py
+++ b/pipitlink/router/batches.py
@@ -218,7 +218,7 @@
         if o.batch is not None:
             o.prepare()
             self._adopt_batch(o)
-            self._ctx.journal.note(
+            self._ctx.logger.info(
                 "batch_adopted",
                 batch=batch_id,
                 epoch=h.epoch,
@@ -259,7 +259,7 @@
     async def _close_batch(self, o: OpenBatch):
         """The third replica gets a short while to follow before the lease is given back."""
         self._told_done(o.id, o.batch.route)
-        self._ctx.journal.note("batch_closed", batch=o.id, why=o.listing.ended, listed=len(o.listing.outputs))
+        self._ctx.logger.info("batch_closed", batch=o.id, why=o.listing.ended, listed=len(o.listing.outputs))
         await self._ctx.timers.sleep(RELEASE_AFTER)
         await self._ctx.replicated_log.release([o.leaseholder])
 
@@ -323,7 +323,7 @@
         try:
             o = await self._hold_batch(batch_id, state.leaseholder if state is not None else None)
         except PipitlinkError as e:
-            self._ctx.journal.trace("batch_not_taken_up", batch=batch_id, text=e)
+            self._ctx.logger.debug("batch_not_taken_up", batch=batch_id, text=e)
             return
         if o.batch is None:
             await self._ctx.replicated_log.release([o.leaseholder])
--- a/pipitlink/router/front.py
+++ b/pipitlink/router/front.py
@@ -234,7 +234,7 @@
         except ApiError as f:
             self._answer_fault(request, f)
         except Exception as e:
-            self._ctx.journal.fault("request_failed", e, path=request.path.decode("utf-8", "replace"))
+            self._ctx.logger.failure("request_failed", e, path=request.path.decode("utf-8", "replace"))
             request.cut() if request.startedWriting else request.answer(500, {}, b"")
 
     def _answer_fault(self, request, f: ApiError):
--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -169,7 +169,7 @@
         try:
             listing = await self._listing_of(batch_id)
         except PipitlinkError as e:
-            self._ctx.journal.trace("batch_not_counted", batch=batch_id, text=e)
+            self._ctx.logger.debug("batch_not_counted", batch=batch_id, text=e)
             await self._ctx.timers.sleep(ms(200))
             return
         finally:
--- a/pipitlink/router/relay.py
+++ b/pipitlink/router/relay.py
@@ -127,7 +127,7 @@
                 try:
                     await self._try(call, e)
                     call.put("finish")
-                    self._ctx.journal.trace(
+                    self._ctx.logger.debug(
                         "call", id=call.id.decode("latin-1"), route=call.route.name, tries=call.tries
                     )
                     return
--- a/pipitlink/storage/copying.py
+++ b/pipitlink/storage/copying.py
@@ -157,7 +157,7 @@
                         lambda t, log=log, epoch=epoch: self.log_store.promise(log, epoch, t, granted=False)
                     )
             except (ReplicatedLogError, WireError) as e:
-                self._ctx.journal.trace("copy_put_off", log=log, text=e)
+                self._ctx.logger.debug("copy_put_off", log=log, text=e)
                 whole = False
         return whole
 
@@ -183,7 +183,7 @@
             raise StaleEpoch(f"{log} moved meanwhile")
         await done
         self.log_store.settle(log, state.tail_epoch, state.length, state.final)
-        self._ctx.journal.note("copied", log=log, bytes=len(data), source=storage_node)
+        self._ctx.logger.info("copied", log=log, bytes=len(data), source=storage_node)
         await self._ctx.timers.sleep(secs(len(data) * COPIES_AT_ONCE / (COPY_KB_S * 1024)))
 
     async def _tell_caught_up(self, placement_group: PlacementGroup):
--- a/pipitlink/storage/keeping.py
+++ b/pipitlink/storage/keeping.py
@@ -33,7 +33,7 @@
                 await self._syncer.put(lambda t, k=k: self.log_store.forget(k.log, t))
             elif k.length and now - k.closed_ms > span:
                 await self._syncer.put(lambda t, k=k: self.log_store.wither(k.log, t))
-                self._ctx.journal.note("log_withered", log=k.log)
+                self._ctx.logger.info("log_withered", log=k.log)
         await self._give_back()
 
     def _emptiest(self) -> int | None:
@@ -70,4 +70,4 @@
                 lambda t: self.log_store.segments.put(Entry(kind=Entry.NOTHING).SerializeToString(), t)
             )
             self.log_store.segments.drop(n)
-            self._ctx.journal.note("room_given_back", file=n, used=self.log_store.used())
+            self._ctx.logger.info("room_given_back", file=n, used=self.log_store.used())
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -70,7 +70,7 @@
 
     def open(self):
         self.log_store.recover()
-        self._ctx.journal.note("recovered", logs=len(self.log_store.logs), used=self.log_store.used())
+        self._ctx.logger.info("recovered", logs=len(self.log_store.logs), used=self.log_store.used())
         self._open_grants()
         self._open_copying()
         self._open_keeping()
--- a/pipitlink/syncing.py
+++ b/pipitlink/syncing.py
@@ -37,10 +37,10 @@
                     if ticket is not None:
                         ticket.callback(None)
         except CorruptData as e:
-            self._ctx.journal.fault("disk_lost", e)
+            self._ctx.logger.failure("disk_lost", e)
             self._ctx.reactor.stop()
         except Exception as e:
-            self._ctx.journal.fault("disk_failed", e)
+            self._ctx.logger.failure("disk_failed", e)
             lost = self._segments.abandon()
             self._recover()
             for ticket in filter(None, lost):
--- a/pipitlink/web.py
+++ b/pipitlink/web.py
@@ -157,7 +157,7 @@
             if f.check(defer.CancelledError):
                 return b""
             if not isinstance(f.value, (ApiError, WireError)) and not hasattr(f.value, "code"):
-                self._ctx.journal.fault("request_failed", f.value, path=request.path.decode("utf-8", "replace"))
+                self._ctx.logger.failure("request_failed", f.value, path=request.path.decode("utf-8", "replace"))
             if request.startedWriting:
                 request.transport.abortConnection()
                 return b""
--- a/pipitlink/wire/connection.py
+++ b/pipitlink/wire/connection.py
@@ -60,7 +60,7 @@
         self._wake()
 
     def lengthLimitExceeded(self, length):
-        self._rpc.journal.warn("frame_too_long", length=length, peer=self.peer.node)
+        self._rpc.logger.warning("frame_too_long", length=length, peer=self.peer.node)
         self.transport.abortConnection()
 
     def connectionLost(self, reason=protocol.connectionDone):
@@ -111,7 +111,7 @@
                 else:
                     spawn(self._attend(f))
         except Exception as e:
-            self._rpc.journal.fault("stream_refused", e, peer=self.peer.node)
+            self._rpc.logger.failure("stream_refused", e, peer=self.peer.node)
             if not self.ready.called:
                 self.ready.errback(WireError(str(e)))
             self.transport.abortConnection()
@@ -125,7 +125,7 @@
             out.fault = getattr(e, "code", "fault")
             out.note = str(e)
             if out.fault == "fault":
-                self._rpc.journal.fault("call_failed", e, verb=f.verb)
+                self._rpc.logger.failure("call_failed", e, verb=f.verb)
         finally:
             self._attended -= 1
         self._send(out)
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -35,10 +35,10 @@
 class RpcEndpoint:
     """Where calls from peers are answered and calls to them are made."""
 
-    def __init__(self, reactor, timers: Timers, journal, fleet: str, node: str):
+    def __init__(self, reactor, timers: Timers, logger, fleet: str, node: str):
         self._reactor = reactor
         self._timers = timers
-        self.journal = journal
+        self.logger = logger
         self._fleet = fleet
         self.node = node
         self.incarnation = 1
@@ -141,7 +141,7 @@
         Looked at once more after what has come was read: a process that was stopped finds its own calls late first.
         """
         if s in self._streams.values() and s.hangs():
-            self.journal.note("connection_dropped", peer=s.peer.node)
+            self.logger.info("connection_dropped", peer=s.peer.node)
             self.gone(s)
             s.transport.abortConnection()
 
@@ -164,11 +164,11 @@
                 await self.gate.outbound(place, verb)
             (await self._timers.with_timeout(_CONNECT, self._stream(place))).post(frame)
         except WireError as e:
-            self.journal.trace("note_not_sent", place=f"{place[0]}:{place[1]}", verb=verb, text=e)
+            self.logger.debug("note_not_sent", place=f"{place[0]}:{place[1]}", verb=verb, text=e)
 
     def spawned(self, work, verb: str) -> defer.Deferred:
-        """Starts work that nobody waits for; its errors go to the journal."""
-        return spawn(work).addErrback(lambda f: self.journal.fault("note_failed", f.value, verb=verb))
+        """Starts work that nobody waits for; its errors go to the logger."""
+        return spawn(work).addErrback(lambda f: self.logger.failure("note_failed", f.value, verb=verb))
 
     async def _call(self, place: Place, verb: str, ask, kind, node: str = ""):
         if place == self.place:
--- a/rehearsal/hollow.py
+++ b/rehearsal/hollow.py
@@ -17,12 +17,12 @@
 from pipitlink.controller import ControllerNode
 from pipitlink.disk import Disk
 from pipitlink.gateway import GatewayNode
-from pipitlink.journal import Journal
 from pipitlink.membership import Membership
 from pipitlink.process import Process
 from pipitlink.replicated_log import ReplicatedLog
 from pipitlink.settings import Settings
 from pipitlink.storage import StorageNode
+from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, secs, spawn
 from pipitlink.wire.membership_pb2 import Gossip, Member
 from pipitlink.wire.rpc import RpcEndpoint
@@ -159,11 +159,11 @@
             budget_mb=256,
         )
         Path(settings.data).mkdir(parents=True, exist_ok=True)
-        journal = Journal(host.sink, node=node)
+        logger = StructuredLogger(host.sink, node=node)
         slowed = _Slowed(host)
         timers = Timers(slowed, seconds=host.now)
-        self.rpc = CountedRpcEndpoint(slowed, timers, journal, settings.fleet, node)
-        self.ctx = Context(role, node, settings, slowed, timers, journal, self.rpc, Random())
+        self.rpc = CountedRpcEndpoint(slowed, timers, logger, settings.fleet, node)
+        self.ctx = Context(role, node, settings, slowed, timers, logger, self.rpc, Random())
         self._port = spec["ports"][n] if spec["ports"] else 0
         self.part = None
 
@@ -202,7 +202,7 @@
         settings = Settings(zone=f"zone-{n % spec['zones']}", seeds=spec["seeds"])
         with (
             mock.patch("pipitlink.process.RpcEndpoint", CountedRpcEndpoint),
-            mock.patch("pipitlink.process.open_journal", lambda level, **always: Journal(host.sink, **always)),
+            mock.patch("pipitlink.process.open_logger", lambda level, **always: StructuredLogger(host.sink, **always)),
         ):
             self._process = Process(role, settings)
         self.ctx, self.rpc = self._process.ctx, self._process.ctx.rpc
--- a/rehearsal/inner.py
+++ b/rehearsal/inner.py
@@ -11,8 +11,8 @@
 from pipitlink.cache.ring import Ring
 from pipitlink.cluster import ClusterState
 from pipitlink.context import Context
-from pipitlink.journal import Journal
 from pipitlink.settings import Settings
+from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from pipitlink.wire.membership_pb2 import EngineNews, Gossip, Member
@@ -39,8 +39,8 @@
     """A hollow gateway that knows so many peers and their engines, on a clock that stands still."""
     clock = Clock()
     timers = Timers(clock, seconds=clock.seconds)
-    rpc = RpcEndpoint(None, timers, Journal(_Quiet()), "pipit", "g0")
-    ctx = Context("gateway", "g0", Settings(), clock, timers, Journal(_Quiet()), rpc, Random(1))
+    rpc = RpcEndpoint(None, timers, StructuredLogger(_Quiet()), "pipit", "g0")
+    ctx = Context("gateway", "g0", Settings(), clock, timers, StructuredLogger(_Quiet()), rpc, Random(1))
     everyone = [
         Member(
             node=f"g{i}",
--- a/rehearsal/stage.py
+++ b/rehearsal/stage.py
@@ -15,11 +15,11 @@
 from pipitlink.context import Context
 from pipitlink.controller import ControllerNode
 from pipitlink.errors import ConnectionFailed, DeadlineExceeded, PipitlinkError, RemoteError, UnknownMethod, WrongPeer
-from pipitlink.journal import Journal
 from pipitlink.membership import Membership
 from pipitlink.replicated_log import ReplicatedLog
 from pipitlink.settings import Settings
 from pipitlink.storage import StorageNode
+from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, spawn
 from pipitlink.wire.frame_pb2 import Nothing
 from pipitlink.wire.membership_pb2 import Member
@@ -118,7 +118,7 @@
             settings,
             self.clock,
             timers,
-            Journal(stage.sink, node=self.node),
+            StructuredLogger(stage.sink, node=self.node),
             None,
             Random(stage.chance.random()),
         )
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -11,7 +11,7 @@
 from pipitlink.gateway.limits import ComeBack, Limits
 from pipitlink.gateway.picking import Picking, RetryBudget
 from pipitlink.gateway.requests import RequestRecord
-from pipitlink.journal import Journal
+from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, secs, spawn
 from pipitlink.wire.membership_pb2 import EngineNews, Loads, Member
 
@@ -74,7 +74,7 @@
         self._ctx = self
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
         self.timers.wall = lambda: datetime.fromtimestamp(self.clock.seconds(), UTC)
-        self.journal = Journal(self)
+        self.logger = StructuredLogger(self)
         self.node, self.chance = f"g{n}", Random(1)
         self.rpc = _Rpc(self.node, {} if bus is None else bus)
         self.membership, self.cluster = _Membership(self.node, gateways), _Cluster()
--- a/tests/router_parts.py
+++ b/tests/router_parts.py
@@ -12,7 +12,6 @@
 
 from pipitlink.cluster.routes import RouteTable
 from pipitlink.dialect import Dialect
-from pipitlink.journal import Journal
 from pipitlink.router.choosing import Choosing
 from pipitlink.router.engines import Engines
 from pipitlink.router.front import Front, _Factory
@@ -20,6 +19,7 @@
 from pipitlink.router.links import Links
 from pipitlink.router.relay import Relay
 from pipitlink.settings import Settings
+from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms
 from pipitlink.wire.cluster_pb2 import Bounds, Config, Pool, PoolShare, Route
 from pipitlink.wire.membership_pb2 import EngineNews, Member
@@ -137,7 +137,7 @@
             chance=Random(seed),
             reactor=self.clock,
             settings=Settings(zone="zone-a"),
-            journal=Journal(SimpleNamespace(log=lambda level, shape, line: self.lines.append(line))),
+            logger=StructuredLogger(SimpleNamespace(log=lambda level, shape, line: self.lines.append(line))),
             report=lambda what: lambda e: self.lines.append(f"{what} {e!r}"),
             engines=None,
         )
--- a/tests/rpc_scenes.py
+++ b/tests/rpc_scenes.py
@@ -31,13 +31,13 @@
             self.connection.connectionLost(Failure(ConnectionDone()))
 
 
-class _Journal:
+class _SilentLogger:
     """Takes what a connection tells, and keeps none of it."""
 
-    def note(self, what, **words):
+    def info(self, event, **fields):
         pass
 
-    fault = trace = note
+    failure = debug = info
 
 
 def _framed(message) -> bytes:
@@ -49,7 +49,7 @@
     """Opens its connections in memory."""
 
     def __init__(self, clock, timers):
-        super().__init__(clock, timers, _Journal(), "fleet", "me")
+        super().__init__(clock, timers, _SilentLogger(), "fleet", "me")
         self.opened: list[RpcConnection] = []
 
     async def _open(self, place):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -8,8 +8,8 @@
 
 from pipitlink.context import Context
 from pipitlink.disk import Disk
-from pipitlink.journal import Journal
 from pipitlink.settings import Settings
+from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from pipitlink.wire.frame_pb2 import Hello, Nothing
@@ -39,7 +39,7 @@
             Settings(zone=self.zone, seeds=stage.seeds, placement_groups=stage.placement_groups),
             self.clock,
             stage.timers(self.clock),
-            Journal(stage.sink, node=self.node),
+            StructuredLogger(stage.sink, node=self.node),
             None,
             Random(stage.chance.random()),
         )
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -58,14 +58,14 @@
         super().sync_folder(folder)
 
 
-class _Journal:
+class _RecordingLogger:
     def __init__(self):
         self.faults = []
 
-    def fault(self, what, e, **words):
-        self.faults.append((what, e))
+    def failure(self, event, error, **fields):
+        self.faults.append((event, error))
 
-    def note(self, *words, **named):
+    def info(self, event, **fields):
         pass
 
 
@@ -73,7 +73,7 @@
     """Calls that belong on a thread are held until `step` runs them, so that much is queued behind them."""
 
     def __init__(self):
-        self.journal = _Journal()
+        self.logger = _RecordingLogger()
         self._held = []
         self.reactor = mock.Mock()
 
@@ -216,7 +216,7 @@
         return member, disk, folder
 
     def check(self, member, again):
-        self.assertEqual(member.ctx.journal.faults, [])
+        self.assertEqual(member.ctx.logger.faults, [])
         self.assertGreaterEqual(again.ballot.term, member.ballot)
         for index, term in member.promised.items():
             if index >= again.snapshot.index:
--- a/tests/test_currency_orders.py
+++ b/tests/test_currency_orders.py
@@ -9,7 +9,7 @@
 from pipitlink.cluster.follower import Cluster
 from pipitlink.controller.gateways import Gateways
 from pipitlink.errors import NotLeader
-from pipitlink.journal import Journal
+from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, spawn
 from pipitlink.wire.cluster_pb2 import (
     ClusterStateData,
@@ -31,7 +31,7 @@
     def __init__(self):
         self.now = 1000.0
         self.timers = Timers(None, seconds=lambda: self.now)
-        self.journal = Journal(self)
+        self.logger = StructuredLogger(self)
         self.settings = type("Settings", (), {"placement_groups": 1})
         self.node = "controller"
 
--- a/tests/test_hanging_connections.py
+++ b/tests/test_hanging_connections.py
@@ -7,7 +7,7 @@
 from twisted.test import iosim
 
 from pipitlink.errors import ConnectionFailed, DeadlineExceeded
-from pipitlink.journal import Journal
+from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms, spawn
 from pipitlink.wire.connection import RpcConnection
 from pipitlink.wire.membership_pb2 import ProbeFor, ProbeResponse
@@ -37,7 +37,7 @@
         self.cut = False
 
     def _endpoint(self, node):
-        return RpcEndpoint(None, self.timers, Journal(_Quiet()), "pipit", node)
+        return RpcEndpoint(None, self.timers, StructuredLogger(_Quiet()), "pipit", node)
 
     async def _probe(self, node, ask):
         self.asked.append(ask.target)
--- a/tests/test_lot_end_told_once.py
+++ b/tests/test_lot_end_told_once.py
@@ -31,9 +31,9 @@
 class _Node(Dispatch):
     def __init__(self):
         self.told: list[str] = []
-        pause = SimpleNamespace(pause=lambda span: defer.Deferred())
+        timers = SimpleNamespace(sleep=lambda span: defer.Deferred())
         self._ctx = SimpleNamespace(
-            timers=pause, journal=SimpleNamespace(note=lambda what, **_: self.told.append(what))
+            timers=timers, logger=SimpleNamespace(info=lambda what, **_: self.told.append(what))
         )
 
     def _close(self, lot_id):
--- a/tests/test_rpc_notes.py
+++ b/tests/test_rpc_notes.py
@@ -8,7 +8,7 @@
 from twisted.test import iosim
 
 from pipitlink.errors import RemoteError
-from pipitlink.journal import Journal
+from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms, spawn
 from pipitlink.wire.connection import RpcConnection
 from pipitlink.wire.frame_pb2 import Frame, Nothing
@@ -44,7 +44,7 @@
     def endpoint(self, node):
         clock = Clock()
         out = RpcEndpoint(
-            MemoryReactorClock(), Timers(clock, seconds=clock.seconds), Journal(self.lines), "fleet", node
+            MemoryReactorClock(), Timers(clock, seconds=clock.seconds), StructuredLogger(self.lines), "fleet", node
         )
         out.place = ("h", 1 if node == "a" else 2)
         return out
--- a/tests/test_snapshot_orders.py
+++ b/tests/test_snapshot_orders.py
@@ -154,7 +154,7 @@
             d.errback(e)
 
     def faults(self) -> list[str]:
-        """What the journal says of snapshots and trims that failed."""
+        """What the logger says of snapshots and trims that failed."""
         return [line for line in self.stage.sink.lines if "event=snapshot " in line or "event=trim " in line]
 
     def check(self):
--- a/tests/test_stage_cache.py
+++ b/tests/test_stage_cache.py
@@ -8,7 +8,7 @@
 from pipitlink.cache.chunks import CHUNK, chunk_key
 from pipitlink.cache.shadow import Shadow
 from pipitlink.cache.stores import DataStore, LengthStore
-from pipitlink.journal import Journal
+from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms, secs, spawn
 from pipitlink.wire.cache_pb2 import Lengths
 from rehearsal.stage import Stage
@@ -57,7 +57,7 @@
         self.clock = Clock()
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
         self.node = "me"
-        self.journal = Journal(self)
+        self.logger = StructuredLogger(self)
 
     def log(self, *words):
         pass
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -7,7 +7,7 @@
 from twisted.test import iosim
 
 from pipitlink.errors import NoQuorum, PipitlinkError, WrongPeer
-from pipitlink.journal import Journal
+from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, FollowRequest, FollowResponse, Row, TableEdit, WitnessResponse
 from pipitlink.wire.connection import RpcConnection
@@ -39,7 +39,7 @@
         self.caller._streams[PLACE] = here
 
     def _endpoint(self, node):
-        return RpcEndpoint(None, self.timers, Journal(_Quiet()), "pipit", node)
+        return RpcEndpoint(None, self.timers, StructuredLogger(_Quiet()), "pipit", node)
 
     async def _probe(self, node, ask):
         self.asked.append(ask.target)
