--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -6,7 +6,7 @@
 
 from ..errors import RemoteError, WireError
 from ..replicated_log.placement_group import PlacementGroup
-from ..state_machines import HasStateMachine
+from ..state_machines import StateMachineMixin
 from ..timers import ms, secs, to_ms
 from ..wire.cluster_pb2 import FollowRequest, FollowResponse, WitnessResponse
 from ..wire.frame_pb2 import Nothing
@@ -29,7 +29,7 @@
 START_INTERVAL = ms(20)
 
 
-class Cluster(HasStateMachine):
+class Cluster(StateMachineMixin):
     """The cluster state as a node outside the controllers follows it: higher sequences only, and a proof that it is
     the newest.
     """
@@ -47,7 +47,7 @@
         self._watchers: list = []
         self._receipt = StateReceipt()
         self._nudged: defer.Deferred | None = None
-        self._open_state_machine()
+        self._init_state_machine()
 
     def open(self):
         d = self._ctx.rpc
@@ -90,7 +90,7 @@
         else:
             state, what = "lapsed", "lapse"
         if self.state != state:
-            self.put(what)
+            self.trigger(what)
         return self.state in ("led", "witnessed")
 
     def led(self) -> bool:
--- a/pipitlink/controller/leading.py
+++ b/pipitlink/controller/leading.py
@@ -26,7 +26,7 @@
     whether orders can be decided now, `settle` for outcomes of applied entries, `_send_to_all`; answers
     `controller.append` as a follower. The state machine calls `_lead` and `_yielded`.
     Needs of the node: `_ctx`, `archive`, `voters`, `ask_controller`, `adopt`, `apply`, `lead_timers`, `_elections`,
-    `state` and `put`; of Voting: `term`, `meet_term`, `step_down`.
+    `state` and `trigger`; of Voting: `term`, `meet_term`, `step_down`.
     Owns `_match`, `_acked_at`, `_senders`, `_wakes`, `_proposed`, `_synced`, `_elected_at` and `_contact_at`, and alone
     appends entries. Shares `commit` with the node, which moves it past adopted snapshots, and `leader`, `_heard_at`,
     `_led_at` with Voting.
@@ -236,7 +236,7 @@
             return AppendResponse(term=self.term)
         await self.meet_term(ask.term)
         if self.state == "candidate":
-            self.put("yield")
+            self.trigger("yield")
         if self.term != ask.term or self.state == "leader":
             return AppendResponse(term=self.term)
         now = self._ctx.timers.now()
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -6,7 +6,7 @@
 from ..dialect.control import ControlWords
 from ..disk import Disk
 from ..errors import WireError
-from ..state_machines import HasStateMachine
+from ..state_machines import StateMachineMixin
 from ..timers import ZERO, RepeatingCall, ms
 from ..wire.controller_pb2 import Snapshot
 from ..wire.frame_pb2 import Nothing
@@ -42,7 +42,7 @@
     Placement,
     Voters,
     Snapshots,
-    HasStateMachine,
+    StateMachineMixin,
 ):
     """A controller: takes part in the agreement on the cluster state, and serves it.
 
@@ -71,7 +71,7 @@
         self.founders: tuple[str, ...] = ()
         self.lead_timers: list[RepeatingCall] = []
         self._elections: RepeatingCall | None = None
-        self._open_state_machine()
+        self._init_state_machine()
 
     def open(self):
         self.archive.recover()
@@ -87,7 +87,7 @@
         self._open_load_hub()
         self._ctx.rpc.answer("controller.empty", Nothing, self._empty)
         if self.archive.snapshot.cluster_state.voters:
-            self.put("founded")
+            self.trigger("founded")
         b, report = self._ctx.timers, self._ctx.report
         self._elections = b.call_repeatedly(
             ELECTION_INTERVAL, self._election_beat, report("election"), due=self._election_due
--- a/pipitlink/controller/snapshots.py
+++ b/pipitlink/controller/snapshots.py
@@ -115,7 +115,7 @@
             self._take_cluster_state(s)
         await synced
         if self.state == "newcomer":
-            self.put("founded")
+            self.trigger("founded")
 
     def take_piece(self, ask: AppendRequest) -> int:
         """Keeps a piece; once all are here they are adopted, while appends go on. Returns how far they go."""
--- a/pipitlink/controller/voting.py
+++ b/pipitlink/controller/voting.py
@@ -65,7 +65,7 @@
 
     Offers `term`, `is_majority`, `meet_term`, `step_down`, and for the node's timers `_election_beat` and
     `_election_due`.
-    Needs of the node: `_ctx`, `archive`, `ask_controller`, `voters`, `state` and `put`; of Leading:
+    Needs of the node: `_ctx`, `archive`, `ask_controller`, `voters`, `state` and `trigger`; of Leading:
     `heard_majority_at`, `_elected_at`.
     Owns `_started_at`, `_fresh_spent`, `_fresh_at` and `_patience`, and alone writes ballots. Shares `leader`,
     `_heard_at` and `_led_at` with Leading, which sets them when a leader is heard.
@@ -94,10 +94,10 @@
             return
         if self._just_started() and now >= self._fresh_turn(now):
             self._fresh_at = now + FRESH_STEP * len(self.voters())
-            self.put("stand")
+            self.trigger("stand")
             return spawn(self._stand(fresh=True)).addErrback(self._stood_badly)
         if now - self._heard_at > self._patience:
-            self.put("stand")
+            self.trigger("stand")
             self._patience = self._new_patience()
             self._heard_at = now
             return spawn(self._stand()).addErrback(self._stood_badly)
@@ -113,7 +113,7 @@
 
     def _stood_badly(self, f):
         self._ctx.logger.failure("election_failed", f.value)
-        self.put("yield")
+        self.trigger("yield")
 
     def _just_started(self) -> bool:
         """Started a short while ago, and since then neither heard a leader nor voted."""
@@ -131,7 +131,7 @@
 
     async def _stand(self, fresh: bool = False):
         if not await self._poll(self.term + 1, pre=True, fresh=fresh):
-            self.put("yield")
+            self.trigger("yield")
             return
         self._fresh_spent = True
         term = self.term + 1
@@ -140,9 +140,9 @@
             return
         self.leader = ""
         if await self._poll(term, pre=False, fresh=fresh) and self.term == term and self.state == "candidate":
-            self.put("won")
+            self.trigger("won")
         elif self.state == "candidate":
-            self.put("yield")
+            self.trigger("yield")
 
     async def _poll(self, term: int, pre: bool, fresh: bool = False) -> bool:
         """Whether a majority would vote, or votes, for this controller.
@@ -234,7 +234,7 @@
         return self.archive.ballot.term
 
     def step_down(self):
-        self.put("yield")
+        self.trigger("yield")
 
     def is_majority(self, nodes) -> bool:
         voters = self.voters()
--- a/pipitlink/gateway/picking.py
+++ b/pipitlink/gateway/picking.py
@@ -124,7 +124,7 @@
         place = self.engines.take(e, ask.lot)
         ask.give_back = lambda: (place(), self.come_back.freed())
         ask.tries += 1
-        ask.put("pick")
+        ask.trigger("pick")
         return False
 
     def _may_yet_come(self, ask) -> bool:
@@ -151,7 +151,7 @@
             return True
         if ask.state == "lost" and ask.repeatable:
             ask.reached = True
-            ask.put("again")
+            ask.trigger("again")
             return True
         return False
 
--- a/pipitlink/gateway/relaying.py
+++ b/pipitlink/gateway/relaying.py
@@ -188,7 +188,7 @@
 
         def check():
             self._check_still(ask, e)
-            ask.put("send")
+            ask.trigger("send")
 
         point = _Point(self._ctx.reactor, check)
         return treq.client.HTTPClient(Agent.usingEndpointFactory(self._ctx.reactor, point, self._pool)), point
@@ -215,7 +215,7 @@
         try:
             left = ask.limit - self._ctx.timers.now()
             await self._ctx.timers.with_timeout(left, do(ask, e))
-            ask.put("finish")
+            ask.trigger("finish")
             ask.move()
             return False
         except defer.CancelledError:
@@ -231,7 +231,7 @@
 
     def _unsent(self, ask, e, f) -> Exception:
         """No byte left this gateway."""
-        ask.put("unreached")
+        ask.trigger("unreached")
         if isinstance(f, ConnectError):
             self.engines.failed(e)
             return ServiceUnavailable(f"engine {e.name} could not be reached: {f}", code="unreached")
@@ -245,10 +245,10 @@
 
     def _sent_badly(self, ask, e, f) -> Exception:
         if isinstance(f, ServiceUnavailable):
-            ask.put("refuse")
+            ask.trigger("refuse")
             self.engines.refused(e)
             return f
-        ask.put("lose")
+        ask.trigger("lose")
         if isinstance(f, ApiError):
             f.outcome = "failed" if f.code == "engine_refused" else ask.outcome
             return f
--- a/pipitlink/gateway/requests.py
+++ b/pipitlink/gateway/requests.py
@@ -10,7 +10,7 @@
 
 from ..context import fresh_id
 from ..errors import ApiError, EngineError, ReplicatedLogError
-from ..state_machines import HasStateMachine, state_machine_data
+from ..state_machines import StateMachineMixin, state_machine_data
 
 __all__ = ["RequestRecord", "RequestTable"]
 
@@ -18,7 +18,7 @@
 
 
 @attrs.define(eq=False, slots=False)
-class RequestRecord(HasStateMachine):
+class RequestRecord(StateMachineMixin):
     """The record of one request in this process."""
 
     state_machine = "request"
@@ -53,7 +53,7 @@
     _moved: list = attrs.field(factory=list)
 
     def __attrs_post_init__(self):
-        self._open_state_machine()
+        self._init_state_machine()
 
     def give(self):
         """Gives the back end's place back, and the row's, once."""
@@ -88,7 +88,7 @@
         return self.fault is not None or self.state == "done"
 
     def show(self, text: str):
-        self.put("piece")
+        self.trigger("piece")
         if not self.pieces and self.on_first is not None:
             self.on_first()
         self.pieces.append(text)
@@ -166,12 +166,12 @@
                     if again:
                         break
         except defer.CancelledError:
-            ask.put("lose")
+            ask.trigger("lose")
             ask.fail(ApiError("the request was ended", code="ended", outcome=ask.outcome))
         except Exception as e:
             if not isinstance(e, (ApiError, ReplicatedLogError)):
                 self._ctx.logger.failure("ask_failed", e, ask=ask.id)
-            ask.put("lose")
+            ask.trigger("lose")
             ask.fail(e)
         finally:
             ask.give()
--- a/pipitlink/membership/entry.py
+++ b/pipitlink/membership/entry.py
@@ -2,13 +2,13 @@
 
 from datetime import timedelta
 
-from ..state_machines import HasStateMachine
+from ..state_machines import StateMachineMixin
 from ..wire.membership_pb2 import Member
 
 __all__ = ["Entry"]
 
 
-class Entry(HasStateMachine):
+class Entry(StateMachineMixin):
     """One other member: alive, suspect or gone, and since when on the timers' clock."""
 
     state_machine = "status"
@@ -17,11 +17,11 @@
         self.member = member
         self.met = self.since = self.changed = now
         self._logger = logger
-        self._open_state_machine()
+        self._init_state_machine()
         if member.status == "suspect":
-            self.put("missed")
+            self.trigger("missed")
         elif member.status == "gone":
-            self.put("lapsed")
+            self.trigger("lapsed")
 
     @property
     def place(self):
@@ -29,7 +29,7 @@
 
     def turn(self, input_: str, now: timedelta):
         before = self.state
-        self.put(input_)
+        self.trigger(input_)
         self.member.status = self.state
         if self.state != before:
             self.since = now
--- a/pipitlink/router/call.py
+++ b/pipitlink/router/call.py
@@ -6,7 +6,7 @@
 import attrs
 
 from ..errors import ApiError
-from ..state_machines import HasStateMachine, state_machine_data
+from ..state_machines import StateMachineMixin, state_machine_data
 from ..wire.cluster_pb2 import Route
 
 __all__ = ["Call", "HOP_HEADERS", "prompt_parts"]
@@ -42,7 +42,7 @@
 
 
 @attrs.define(eq=False, slots=False)
-class Call(HasStateMachine):
+class Call(StateMachineMixin):
     """The record of one request by route on its way to an engine. Head and body are opaque; what is known stands
     here.
     """
@@ -77,7 +77,7 @@
     ended: str = ""
 
     def __attrs_post_init__(self):
-        self._open_state_machine()
+        self._init_state_machine()
 
     def _unpick(self):
         if self.engine is not None:
--- a/pipitlink/router/relay.py
+++ b/pipitlink/router/relay.py
@@ -56,7 +56,7 @@
             call.headed = True
             call.sink.head(self._response)
         if call.state != "shown":
-            call.put("piece")
+            call.trigger("piece")
         call.sink.data(data)
 
     def _fail(self, e):
@@ -123,10 +123,10 @@
                 call.engine = e
                 call.tries += 1
                 self.counts["tries"] += 1
-                call.put("pick")
+                call.trigger("pick")
                 try:
                     await self._try(call, e)
-                    call.put("finish")
+                    call.trigger("finish")
                     self._ctx.logger.debug(
                         "call", id=call.id.decode("latin-1"), route=call.route.name, tries=call.tries
                     )
@@ -136,11 +136,11 @@
                         raise
                 if call.state == "lost":
                     call.reached = True
-                    call.put("again")
+                    call.trigger("again")
                 if call.tries > 2:
                     await self._ctx.timers.sleep(RETRY_PAUSE * call.tries)
         except defer.CancelledError:
-            call.put("lose")
+            call.trigger("lose")
             raise
         except ApiError as f:
             if call.reached and f.outcome == "not_run":
@@ -202,17 +202,17 @@
                 self._release(link)
                 raise
             call.link = link
-            call.put("send")
+            call.trigger("send")
             call.sent_at = self._ctx.timers.now()
             e.kept.add(call.parts)
             await self._exchange(call, e, link, read)
             self.engines.served(e)
         except ApiError as f:
             if call.state == "picked":
-                call.put("unreached")
+                call.trigger("unreached")
                 f.outcome = call.outcome
             elif call.state in ("sent", "shown"):
-                call.put("lose")
+                call.trigger("lose")
             raise
         finally:
             call.sent_at = None
@@ -319,7 +319,7 @@
         """The engine says that nothing ran."""
         self.counts["refused"] += 1
         call.runs[e.name] -= 1
-        call.put("refuse")
+        call.trigger("refuse")
         code = response.code
         await self._drain(link, response)
         if code == 421:
--- a/pipitlink/state_machines/__init__.py
+++ b/pipitlink/state_machines/__init__.py
@@ -1,80 +1,107 @@
-"""State machines described in data files: states, inputs and moves."""
+"""State machines described in data files: states, events and transitions.
+
+A data file `NAME.toml` of this package holds `start`, the list `states`, a `[[transition]]` for each allowed change
+with `from` (a state or a list of them), `event`, `to` and optionally `action`, and under `[ignore]` the events that
+change nothing in a state. Any other event in a state is a programming error and raises automat's NoTransition.
+"""
 
 import tomllib
 import types
+from collections.abc import Callable
 from functools import cache
 from importlib import resources
-from typing import Protocol
+from typing import Any, Protocol
 
 from automat import TypeMachineBuilder
 
-__all__ = ["HasStateMachine", "state_machine_data"]
+__all__ = ["StateMachineMixin", "state_machine_data"]
 
 
 @cache
-def state_machine_data(name: str) -> dict:
+def state_machine_data(name: str) -> dict[str, Any]:
     """Returns the parsed data file of a state machine, `NAME.toml` in this package."""
     return tomllib.loads(resources.files(__name__).joinpath(f"{name}.toml").read_text())
 
 
 class _Core:
-    def __init__(self, owner, state):
+    """What automat's machine works on: the object that owns the machine, and the name of its state."""
+
+    def __init__(self, owner: object, state: str) -> None:
         self.owner = owner
         self.state = state
 
 
-def _input(name):
-    def put(self) -> None: ...
+def _event_method(name: str) -> Callable[[Any], None]:
+    def event(self: Any) -> None: ...
+
+    event.__name__ = event.__qualname__ = name
+    return event
+
+
+def _transition_function(start: str, event: str, target: str, action: str) -> Callable[[Any, _Core], None]:
+    """Returns the function that automat runs on an event: it sets the new state, then calls the owner's action."""
+
+    def transition(events: Any, core: _Core) -> None:
+        core.state = target
+        if action:
+            getattr(core.owner, "_" + action)()
+
+    transition.__name__ = f"{start}_{event}"
+    return transition
 
-    put.__name__ = put.__qualname__ = name
-    return put
 
+def _event_names(data: dict[str, Any]) -> list[str]:
+    names = {transition["event"] for transition in data["transition"]}
+    for ignored in data.get("ignore", {}).values():
+        names.update(ignored)
+    return sorted(names)
 
-def _move(start, name, goal, do):
-    def behave(inputs, core: _Core) -> None:
-        core.state = goal
-        if do:
-            getattr(core.owner, "_" + do)()
 
-    behave.__name__ = f"{start}_{name}"
-    return behave
+def _start_states(transition: dict[str, Any]) -> list[str]:
+    start: str | list[str] = transition["from"]
+    return [start] if isinstance(start, str) else start
 
 
 @cache
-def _machine(name: str):
+def _machine(name: str) -> tuple[str, Callable[[_Core], Any]]:
+    """Returns the start state of a machine, and the factory of its event methods."""
     data = state_machine_data(name)
-    names = sorted({m["on"] for m in data["move"]} | {i for v in data.get("ignore", {}).values() for i in v})
-    inputs = types.new_class("Inputs", (Protocol,), {}, lambda ns: ns.update({n: _input(n) for n in names}))
-    builder = TypeMachineBuilder(inputs, _Core)
-    states = {s: builder.state(s) for s in data["states"]}
-    for m in data["move"]:
-        for start in [m["from"]] if isinstance(m["from"], str) else m["from"]:
-            step = states[start].upon(getattr(inputs, m["on"])).to(states[m["to"]])
-            step(_move(start, m["on"], m["to"], m.get("do", "")))
+    methods = {event: _event_method(event) for event in _event_names(data)}
+    events = types.new_class("Events", (Protocol,), {}, lambda namespace: namespace.update(methods))
+    builder = TypeMachineBuilder(events, _Core)
+    states = {state: builder.state(state) for state in data["states"]}
+    for transition in data["transition"]:
+        event, target = transition["event"], transition["to"]
+        for start in _start_states(transition):
+            decorate = states[start].upon(getattr(events, event)).to(states[target])
+            decorate(_transition_function(start, event, target, transition.get("action", "")))
     for start, ignored in data.get("ignore", {}).items():
-        for n in ignored:
-            states[start].upon(getattr(inputs, n)).loop()(_move(start, n, start, ""))
+        for event in ignored:
+            states[start].upon(getattr(events, event)).loop()(_transition_function(start, event, start, ""))
     return data["start"], builder.build()
 
 
-class HasStateMachine:
-    """Mixin: a state machine from a data file, with `put` for its inputs and `state` for where it is.
+class StateMachineMixin:
+    """Adds a state machine from a data file: `trigger` for its events, and `state` for where it is.
 
-    Needs of the class: the data file's name in `state_machine`, a method `_NAME` for each `do = "NAME"` of the file's
-    moves, and a call of `_open_state_machine` before first use.
-    Owns `_core` and `_inputs`.
+    A class names the data file in `state_machine`, has a method `_ACTION` for each `action = "ACTION"` of the file's
+    transitions, and calls `_init_state_machine` in its constructor.
     """
 
     state_machine = ""
+    _core: _Core
+    _events: Any
 
-    def _open_state_machine(self):
+    def _init_state_machine(self) -> None:
         start, machine = _machine(self.state_machine)
         self._core = _Core(self, start)
-        self._inputs = machine(self._core)
+        self._events = machine(self._core)
 
     @property
     def state(self) -> str:
+        """The name of the present state."""
         return self._core.state
 
-    def put(self, name: str):
-        getattr(self._inputs, name)()
+    def trigger(self, event: str) -> None:
+        """Takes the transition of an event. Raises automat's NoTransition where the data file allows none."""
+        getattr(self._events, event)()
--- a/rehearsal/staged.py
+++ b/rehearsal/staged.py
@@ -29,7 +29,7 @@
         if not engine.alive:
             raise ServiceUnavailable(f"{e.name} could not be reached", code="unreached")
         self._check_still(ask, e)
-        ask.put("send")
+        ask.trigger("send")
         await engine.serve(self, ask)
 
 
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -322,7 +322,7 @@
         {},
         Picking,
         "_may_go_again",
-        lambda self, ask: ask.state == "lost" and (ask.put("again") or True),
+        lambda self, ask: ask.state == "lost" and (ask.trigger("again") or True),
         "not the engine's own",
     ),
     "what was sent is unknown until the end": (
--- a/tests/test_lot_end_told_once.py
+++ b/tests/test_lot_end_told_once.py
@@ -33,7 +33,7 @@
         self.told: list[str] = []
         timers = SimpleNamespace(sleep=lambda span: defer.Deferred())
         self._ctx = SimpleNamespace(
-            timers=timers, logger=SimpleNamespace(info=lambda what, **_: self.told.append(what))
+            timers=timers, logger=SimpleNamespace(info=lambda event, **_: self.told.append(event))
         )
 
     def _close(self, lot_id):
--- a/tests/test_snapshot_orders.py
+++ b/tests/test_snapshot_orders.py
@@ -115,7 +115,7 @@
         part = self.part
         s = Snapshot(index=0, term=0, cluster_state=self.history.first().data())
         part.archive.ballot.CopyFrom(type(part.archive.ballot)())
-        part.put("yield")
+        part.trigger("yield")
         part.archive.entries.clear()
         part.archive._entry_bytes = 0
         part.commit = 0
