--- a/pipitlink/cache/cache.py
+++ b/pipitlink/cache/cache.py
@@ -8,7 +8,7 @@
 from ..errors import WireError
 from ..timers import SingleFlight, ms, secs
 from ..wire.cache_pb2 import Chunk, ChunkKeys, Chunks, Lengths, LengthsList, Paths
-from ..wire.frame_pb2 import Nothing
+from ..wire.frame_pb2 import Empty
 from .poller import Poller
 from .ring import Ring
 from .shadow import Shadow
@@ -44,10 +44,10 @@
 
     def open(self):
         d = self._ctx.rpc
-        d.answer("cache.put", Chunks, self.chunks.put_all)
-        d.answer("cache.get", ChunkKeys, self.chunks.get_all)
-        d.answer("cache.lengths_put", LengthsList, self.lengths.put_all)
-        d.answer("cache.lengths", Paths, self.lengths.get_all)
+        d.register_handler("cache.put", Chunks, self.chunks.put_all)
+        d.register_handler("cache.get", ChunkKeys, self.chunks.get_all)
+        d.register_handler("cache.lengths_put", LengthsList, self.lengths.put_all)
+        d.register_handler("cache.lengths", Paths, self.lengths.get_all)
         self.poller.open()
 
     def ring(self) -> Ring:
@@ -62,13 +62,13 @@
     def tail(self, path: str, limit: timedelta | None = None) -> Tail:
         return Tail(self._ctx, self, path, limit)
 
-    async def _ask(self, node: str, verb: str, what, kind):
+    async def _ask(self, node: str, method: str, what, kind):
         m = self._ctx.membership.find(node)
         if m is None:
             raise WireError(f"gateway {node} is not on the membership")
-        return await self._ctx.rpc.call((m.host, m.port), verb, what, kind, CACHE_LIMIT)
+        return await self._ctx.rpc.call((m.host, m.port), method, what, kind, CACHE_LIMIT)
 
-    async def _each(self, asks: dict[str, object], verb: str, kind, enough) -> dict[str, object]:
+    async def _each(self, asks: dict[str, object], method: str, kind, enough) -> dict[str, object]:
         """Asks all at once and goes on as soon as the responses that are in are enough; the rest may still come."""
         got: dict[str, object] = {}
         done = defer.Deferred()
@@ -77,7 +77,7 @@
         async def one(node, what):
             nonlocal left
             try:
-                got[node] = await self._ask(node, verb, what, kind)
+                got[node] = await self._ask(node, method, what, kind)
             except WireError:
                 self.counts["unheard"] += 1
             left -= 1
@@ -85,7 +85,7 @@
                 done.callback(None)
 
         for n, w in asks.items():
-            self._ctx.spawned(one(n, w), verb)
+            self._ctx.run_in_background(one(n, w), method)
         if asks:
             await done
         return dict(got)
@@ -102,7 +102,7 @@
         """Writes chunks to their replicas; returns the keys that a majority of theirs took."""
         by_node = self._spread(chunks, lambda k: k)
         asks = {n: Chunks(chunks=[Chunk(key=k, data=chunks[k]) for k in ks]) for n, ks in by_node.items()}
-        got = await self._each(asks, "cache.put", Nothing, self._all_by_majority(chunks, lambda k: k))
+        got = await self._each(asks, "cache.put", Empty, self._all_by_majority(chunks, lambda k: k))
         return self._by_majority(chunks, lambda k: k, got)
 
     def _all_by_majority(self, keys, wrap):
@@ -120,7 +120,7 @@
     async def put_lengths(self, lengths: dict[str, Lengths]):
         by_node = self._spread(lengths, str.encode)
         asks = {n: LengthsList(lengths=[lengths[p] for p in ps]) for n, ps in by_node.items()}
-        await self._each(asks, "cache.lengths_put", Nothing, self._all_by_majority(lengths, str.encode))
+        await self._each(asks, "cache.lengths_put", Empty, self._all_by_majority(lengths, str.encode))
 
     async def get_lengths(self, paths: list[str]) -> dict[str, Lengths]:
         """Consistent bulk read: only lengths that at least a majority of the replicas were asked for."""
--- a/pipitlink/changes.py
+++ b/pipitlink/changes.py
@@ -43,7 +43,7 @@
     def open(self):
         if self._ctx.settings.changes_to:
             self._ctx.logger.add_observer(self._noted)
-            self._ctx.spawned(self._tell(), "tell_changes")
+            self._ctx.run_in_background(self._tell(), "tell_changes")
 
     def _noted(self, event: str, pairs: dict):
         from cloudevents.core.v1.event import CloudEvent
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -9,7 +9,7 @@
 from ..state_machines import StateMachineMixin
 from ..timers import ms, secs, to_ms
 from ..wire.cluster_pb2 import FollowRequest, FollowResponse, WitnessResponse
-from ..wire.frame_pb2 import Nothing
+from ..wire.frame_pb2 import Empty
 from ..wire.membership_pb2 import Member
 from .cluster_state import ClusterState
 from .state_transfer import StateReceipt
@@ -51,11 +51,11 @@
 
     def open(self):
         d = self._ctx.rpc
-        d.answer("cluster.pass_on", FollowRequest, self._pass_on)
-        d.answer("cluster.witness", Nothing, self._witness)
-        d.answer("cluster.cluster_state", Nothing, self._whole)
+        d.register_handler("cluster.pass_on", FollowRequest, self._pass_on)
+        d.register_handler("cluster.witness", Empty, self._witness)
+        d.register_handler("cluster.cluster_state", Empty, self._whole)
         self._ctx.membership.carry(self._fill, self._take)
-        self._ctx.spawned(self._follow(), "follow_cluster")
+        self._ctx.run_in_background(self._follow(), "follow_cluster")
         if self._ctx.role == "gateway":
             self._ctx.timers.call_repeatedly(WITNESS_INTERVAL, self._ask_witnesses, self._ctx.report("witness"))
 
@@ -151,7 +151,7 @@
                 failures = 0
             except (WireError, RemoteError) as e:
                 failures += 1
-                leader = e.note if isinstance(e, RemoteError) and e.fault == "not_leading" else ""
+                leader = e.message if isinstance(e, RemoteError) and e.remote_code == "not_leading" else ""
                 if leader and leader != self._controller:
                     self._controller, failures = leader, 0
                     continue
@@ -161,7 +161,7 @@
                 await self._ctx.timers.with_timeout(PAUSE, self._nudged).addErrback(lambda f: None)
 
     async def _follow_once(self, failures: int):
-        m, verb = self._whom(failures)
+        m, method = self._whom(failures)
         asked = self._ctx.timers.now()
         ask = FollowRequest(
             node=self._ctx.node,
@@ -172,8 +172,8 @@
             hold_ms=to_ms(self._hold()),
         )
         limit = FOLLOW_LIMIT + ms(ask.hold_ms)
-        r = await self._ctx.rpc.call((m.host, m.port), verb, ask, FollowResponse, limit, node=m.node)
-        if r.controller and verb == "controller.follow":
+        r = await self._ctx.rpc.call((m.host, m.port), method, ask, FollowResponse, limit, node=m.node)
+        if r.controller and method == "controller.follow":
             self._controller = r.controller
         if not self._absorb(r):
             return
@@ -221,11 +221,11 @@
         now = self._ctx.timers.now()
         if not witnesses or (self._leased_at is not None and now - self._leased_at < self._hold() + WITNESS_AFTER):
             return
-        got = await self._ctx.replicated_log.ask_each(witnesses, "cluster.witness", Nothing(), WitnessResponse, ms(500))
+        got = await self._ctx.replicated_log.ask_each(witnesses, "cluster.witness", Empty(), WitnessResponse, ms(500))
         sure = {n: r.sequence for n, r in got.items() if r.current}
         newest = max(sure, key=sure.get, default="")
         if newest and sure[newest] > self.sequence:
-            self._absorb(await self._ctx.replicated_log.ask(newest, "cluster.cluster_state", Nothing(), FollowResponse))
+            self._absorb(await self._ctx.replicated_log.ask(newest, "cluster.cluster_state", Empty(), FollowResponse))
         if (
             2 * len(sure) > len(witnesses)
             and self.sequence >= max(sure.values())
--- a/pipitlink/cluster/state_transfer.py
+++ b/pipitlink/cluster/state_transfer.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from ..wire.cluster_pb2 import ClusterStateData, StatePiece
+from ..wire.cluster_pb2 import ClusterStateData, StateChunk
 from .cluster_state import ClusterState
 
 __all__ = ["StateTransfer", "StateReceipt"]
@@ -25,16 +25,16 @@
         """Compresses a state as it is now."""
         return cls(state.sequence, term, zlib.compress(state.data().SerializeToString(), 1))
 
-    def is_of(self, have: StatePiece) -> bool:
+    def is_of(self, have: StateChunk) -> bool:
         """Whether a follower has a part of this state."""
         mine = (have.sequence, have.term, have.total) == (self.sequence, self.term, len(self.data))
         return mine and 0 < have.offset < len(self.data)
 
-    def piece_after(self, have: StatePiece) -> StatePiece:
+    def piece_after(self, have: StateChunk) -> StateChunk:
         """What follows the bytes that a follower has; the first piece where those are of another state."""
         offset = have.offset if self.is_of(have) else 0
         data = self.data[offset : offset + PIECE_BYTES]
-        return StatePiece(sequence=self.sequence, term=self.term, offset=offset, total=len(self.data), data=data)
+        return StateChunk(sequence=self.sequence, term=self.term, offset=offset, total=len(self.data), data=data)
 
 
 class StateReceipt:
@@ -42,19 +42,19 @@
 
     def __init__(self):
         self._data = bytearray()
-        self._of = StatePiece()
+        self._of = StateChunk()
 
-    def have(self) -> StatePiece:
+    def have(self) -> StateChunk:
         """Which state, and how many bytes of it, as the next request says it."""
         of = self._of
-        return StatePiece(sequence=of.sequence, term=of.term, total=of.total, offset=len(self._data))
+        return StateChunk(sequence=of.sequence, term=of.term, total=of.total, offset=len(self._data))
 
-    def add(self, piece: StatePiece) -> ClusterState | None:
+    def add(self, piece: StateChunk) -> ClusterState | None:
         """Takes a piece; returns the state once it is whole."""
         of = self._of
         if (of.sequence, of.term, of.total) != (piece.sequence, piece.term, piece.total):
             self._data.clear()
-        self._of = StatePiece(sequence=piece.sequence, term=piece.term, total=piece.total)
+        self._of = StateChunk(sequence=piece.sequence, term=piece.term, total=piece.total)
         if piece.offset != len(self._data):
             return None
         self._data += piece.data
--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -38,12 +38,12 @@
     cache: object = None
     engines: object = None
     changes: object = None
-    on_thread: object = deferToThread
+    run_in_thread: object = deferToThread
     dialect: Dialect = attrs.field(factory=Dialect)
 
     def report(self, what: str):
         return lambda e: self.logger.failure(what, e)
 
-    def spawned(self, work, what: str):
+    def run_in_background(self, work, what: str):
         """Starts work that nobody waits for; its errors go to the logger."""
         return spawn(work).addErrback(lambda f: self.logger.failure(what, f.value))
--- a/pipitlink/controller/announcing.py
+++ b/pipitlink/controller/announcing.py
@@ -7,8 +7,8 @@
 
 from ..errors import ServiceUnavailable, WireError
 from ..timers import ms, secs, to_ms
-from ..wire.frame_pb2 import Nothing
-from ..wire.membership_pb2 import EngineList, EngineNews
+from ..wire.frame_pb2 import Empty
+from ..wire.membership_pb2 import EngineList, EngineUpdate
 
 __all__ = ["Announcing"]
 
@@ -45,7 +45,7 @@
 
 @attrs.define(eq=False)
 class _Announced:
-    news: EngineNews
+    news: EngineUpdate
     heard_at: timedelta
     telling: _Telling | None = None
 
@@ -70,7 +70,7 @@
         self._ctx.membership.watch(self._gateway_changed)
         self._ctx.timers.call_repeatedly(BATCH_INTERVAL, self._tell_renewed, self._ctx.report("renewed_engines"))
 
-    async def announce(self, n: EngineNews):
+    async def announce(self, n: EngineUpdate):
         """Takes an engine's news; returns once it may be acknowledged. The newest sequence wins, leaving is for
         good.
         """
@@ -80,14 +80,14 @@
         elif not self._reaches_most():
             raise ServiceUnavailable("most gateways cannot be told of this engine", code="untold")
 
-    def _keep_news(self, n: EngineNews) -> _Announced:
+    def _keep_news(self, n: EngineUpdate) -> _Announced:
         have = self._announced.get(n.engine)
         late = have is not None and n.state != "gone" and n.sequence <= have.news.sequence
         if have is not None and have.news.state == "gone" or late:
             return have
         elsewhere = have is None and n.sequence > 1 and n.state == "ready" and not n.cold_ms
         if have is None:
-            have = self._announced[n.engine] = _Announced(EngineNews(), self._ctx.timers.now())
+            have = self._announced[n.engine] = _Announced(EngineUpdate(), self._ctx.timers.now())
         before, have.news = have.news, n
         have.heard_at = self._ctx.timers.now()
         if before.state == "leaving" and n.state != "gone":
@@ -129,7 +129,7 @@
     def _tell(self, have: _Announced):
         have.telling = t = _Telling(m.node for m in self._gateways())
         for node in t.gateways:
-            self._ctx.spawned(self._tell_gateway(node, [have.news.engine], t), "tell_engines")
+            self._ctx.run_in_background(self._tell_gateway(node, [have.news.engine], t), "tell_engines")
 
     async def _tell_gateway(self, node: str, engines, t: _Telling):
         until = self._ctx.timers.now() + PUSH_SPAN
@@ -152,7 +152,7 @@
             return False
         try:
             await self._ctx.rpc.call(
-                (m.host, m.port), "engines.tell", self._list(engines), Nothing, PUSH_LIMIT, node=node
+                (m.host, m.port), "engines.tell", self._list(engines), Empty, PUSH_LIMIT, node=node
             )
         except WireError as e:
             self._ctx.logger.debug("engines_untold", gateway=node, text=e)
@@ -204,10 +204,10 @@
             owed |= {m.node: owed.get(m.node, set()) for m in self._to_call(gateways)}
         places = [(m.host, m.port) for m in gateways if m.node not in owed]
         if renewed and places:
-            self._ctx.rpc.post(places, "engines.tell", self._list(sorted(renewed)))
+            self._ctx.rpc.notify(places, "engines.tell", self._list(sorted(renewed)))
         for m in gateways:
             if m.node in owed:
-                self._ctx.spawned(self._tell_owed(m.node, renewed | owed[m.node]), "tell_engines")
+                self._ctx.run_in_background(self._tell_owed(m.node, renewed | owed[m.node]), "tell_engines")
 
     def _to_call(self, gateways: list) -> list:
         """Those that are told renewals by a call, since only an answer shows that they are reached.
@@ -234,4 +234,4 @@
         """A gateway that is met, or is back, is told all that is known here."""
         if m.role == "gateway" and self._announced and self._ctx.membership.status(m.node) == "alive":
             t = _Telling([m.node])
-            self._ctx.spawned(self._tell_gateway(m.node, sorted(self._announced), t), "tell_engines")
+            self._ctx.run_in_background(self._tell_gateway(m.node, sorted(self._announced), t), "tell_engines")
--- a/pipitlink/controller/control.py
+++ b/pipitlink/controller/control.py
@@ -8,7 +8,7 @@
 from ..errors import ApiError, BadRequest, NotFound
 from ..web import Site, answered, listen, send_fault, send_json
 from ..wire.cluster_pb2 import Command, ZoneEdit
-from ..wire.membership_pb2 import EngineNews
+from ..wire.membership_pb2 import EngineUpdate
 from .edits import edit_base, edit_id
 
 __all__ = ["Control", "ControlFace"]
@@ -91,12 +91,12 @@
 
     @answered
     async def put_engine(self, request, engine: str):
-        await self._controller.announce(self._words.engine_news(engine, request.content.read()))
+        await self._controller.announce(self._words.engine_update(engine, request.content.read()))
         return _send(request, self._words.engine_answer())
 
     @answered
     async def drop_engine(self, request, engine: str):
-        await self._controller.announce(EngineNews(engine=engine, incarnation=1, state="gone"))
+        await self._controller.announce(EngineUpdate(engine=engine, incarnation=1, state="gone"))
         return _send(request, self._words.engine_answer())
 
     @answered
--- a/pipitlink/controller/edits.py
+++ b/pipitlink/controller/edits.py
@@ -76,14 +76,14 @@
 
     Offers `newest` and `decide`, here or by way of the leader, the HTTP handlers and their `routes`, and the node's
     `readiness`, `beliefs` and `metrics`.
-    Needs of the node: `_ctx`, `ask_controller`, `cluster_state`, `commit`, `leader`, `state`; of Gateways: `edit` and
+    Needs of the node: `_ctx`, `call_controller`, `cluster_state`, `commit`, `leader`, `state`; of Gateways: `edit` and
     `_order_limit`; of Orders: `order`; of Leading and Voting: `confirm_leadership`, `in_touch`, `term`.
     Owns no attributes.
     """
 
     def _open_edits(self):
-        self._ctx.rpc.answer("controller.edit", EditRequest, self._edit_for)
-        self._ctx.rpc.answer("controller.read", ReadTableRequest, self._read_for)
+        self._ctx.rpc.register_handler("controller.edit", EditRequest, self._edit_for)
+        self._ctx.rpc.register_handler("controller.read", ReadTableRequest, self._read_for)
 
     async def _edit_for(self, node, ask: EditRequest) -> EditResponse:
         return EditResponse(outcome=await self.edit(ask.command, self._order_limit()))
@@ -108,12 +108,12 @@
                 retry_after=1,
             ) from e
 
-    async def _ask_leader(self, verb, what, kind):
+    async def _ask_leader(self, method, what, kind):
         """Passes a call on to the leader, and waits for it no longer than that one leads and is in touch."""
         leader = self.leader
         if not leader or leader == self._ctx.node or not self.in_touch():
             raise NotLeader("no leader is known")
-        work = self.ask_controller(leader, verb, what, kind, FORWARD_LIMIT)
+        work = self.call_controller(leader, method, what, kind, FORWARD_LIMIT)
         try:
             return await self._ctx.timers.run_while(
                 lambda: self.leader == leader and self.in_touch(), LOOK_INTERVAL, work
@@ -133,10 +133,10 @@
                 or isinstance(e, ConnectionFailed)
                 and not e.sent
                 or isinstance(e, RemoteError)
-                and e.fault in ("not_leading", "no_room")
+                and e.remote_code in ("not_leading", "no_room")
             )
-            if isinstance(e, RemoteError) and e.fault == "no_room":
-                raise StorageFull(e.note, sent=False) from e
+            if isinstance(e, RemoteError) and e.remote_code == "no_room":
+                raise StorageFull(e.message, sent=False) from e
             raise ApiError(
                 f"{e}; send it again with Edit-Id {c.edit} to learn its outcome"
                 if sent
--- a/pipitlink/controller/gateways.py
+++ b/pipitlink/controller/gateways.py
@@ -9,7 +9,7 @@
 from ..cluster.state_transfer import StateTransfer
 from ..errors import DeadlineExceeded, NotLeader, StorageFull, Unconfirmed
 from ..timers import SingleFlight, ms, secs, to_ms
-from ..wire.cluster_pb2 import Command, Delta, FollowRequest, FollowResponse, Outcome, StatePiece
+from ..wire.cluster_pb2 import Command, Delta, FollowRequest, FollowResponse, Outcome, StateChunk
 
 __all__ = ["Gateways"]
 
@@ -56,7 +56,7 @@
         self._news: dict[defer.Deferred, None] = {}
         self._confirmations: dict[defer.Deferred, None] = {}
         self._proposals = SingleFlight()
-        self._ctx.rpc.answer("controller.follow", FollowRequest, self._follow)
+        self._ctx.rpc.register_handler("controller.follow", FollowRequest, self._follow)
 
     def _fresh(self) -> bool:
         return self.state == "leader" and self._ctx.timers.now() - self.heard_majority_at() < FRESH_SPAN
@@ -97,7 +97,7 @@
             return []
         return [Delta(sequence=e.index, command=e.command) for e in agreed]
 
-    def _state_piece(self, have: StatePiece) -> StatePiece:
+    def _state_piece(self, have: StateChunk) -> StateChunk:
         """The next piece of the state that the asker has a part of, or else of one that is not far behind."""
         kept = [t for t in self._transfers if t.term == self.term and t.sequence >= self.archive.snapshot.index]
         going_on = next((t for t in kept if t.is_of(have)), None)
--- a/pipitlink/controller/leading.py
+++ b/pipitlink/controller/leading.py
@@ -25,7 +25,7 @@
     Offers `_propose` for commands, `confirm_leadership` and `heard_majority_at` as proofs of leadership, `in_touch` for
     whether orders can be decided now, `settle` for outcomes of applied entries, `_send_to_all`; answers
     `controller.append` as a follower. The state machine calls `_lead` and `_yielded`.
-    Needs of the node: `_ctx`, `archive`, `voters`, `ask_controller`, `adopt`, `apply`, `lead_timers`, `_elections`,
+    Needs of the node: `_ctx`, `archive`, `voters`, `call_controller`, `adopt`, `apply`, `lead_timers`, `_elections`,
     `state` and `trigger`; of Voting: `term`, `meet_term`, `step_down`.
     Owns `_match`, `_acked_at`, `_senders`, `_wakes`, `_proposed`, `_synced`, `_elected_at` and `_contact_at`, and alone
     appends entries. Shares `commit` with the node, which moves it past adopted snapshots, and `leader`, `_heard_at`,
@@ -41,14 +41,14 @@
         self._synced = 0
         self._elected_at = timedelta(0)
         self._contact_at = self._ctx.timers.now()
-        self._ctx.rpc.answer("controller.append", AppendRequest, self._append)
+        self._ctx.rpc.register_handler("controller.append", AppendRequest, self._append)
 
     def _lead(self):
         self.leader = self._ctx.node
         self._elected_at = self._ctx.timers.now()
         self._match, self._acked_at, self._synced = {}, {}, 0
         self._ctx.logger.info("leading", term=self.term, voters=",".join(self.voters()))
-        self._ctx.spawned(self._propose(Command(nothing=True)), "first_entry")
+        self._ctx.run_in_background(self._propose(Command(nothing=True)), "first_entry")
         for b in self.lead_timers:
             b.wake()
 
@@ -83,7 +83,7 @@
             key = self._sender_key(m.node)
             if key not in self._senders:
                 self._senders.add(key)
-                self._ctx.spawned(self._send(m.node, self.term), "send_entries")
+                self._ctx.run_in_background(self._send(m.node, self.term), "send_entries")
 
     def _sender_key(self, node: str) -> tuple[str, int]:
         """A call of an earlier term that hangs must not hold up this term's sender."""
@@ -101,7 +101,7 @@
                 ask = self._append_request(node, after, outgoing)
                 limit = APPEND_LIMIT + secs(ask.ByteSize() / SLOWEST_BYTES_PER_S)
                 try:
-                    r = await self.ask_controller(node, "controller.append", ask, AppendResponse, limit)
+                    r = await self.call_controller(node, "controller.append", ask, AppendResponse, limit)
                 except WireError:
                     await self._ctx.timers.sleep(HEART_INTERVAL)
                     continue
--- a/pipitlink/controller/load_hub.py
+++ b/pipitlink/controller/load_hub.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from ..timers import ZERO, ms, secs
-from ..wire.frame_pb2 import Nothing
+from ..wire.frame_pb2 import Empty
 from ..wire.membership_pb2 import Load, Loads, LoadTotals
 
 __all__ = ["LoadHub"]
@@ -25,7 +25,7 @@
         self._told_totals: dict[str, tuple[int, int]] = {}
         self._totals_at = ZERO
         self._fresh_lots: dict[str, Loads] = {}
-        self._ctx.rpc.answer("engines.loads", Loads, self._take_loads)
+        self._ctx.rpc.register_handler("engines.loads", Loads, self._take_loads)
         self._totals_timer = self._ctx.timers.call_repeatedly(
             TOTALS_INTERVAL, self._tell_totals, self._ctx.report("totals"), due=self._totals_due
         )
@@ -39,7 +39,7 @@
         if what.lots or before is not None and before[0].lots:
             self._fresh_lots[what.gateway] = Loads(gateway=what.gateway, lots=what.lots)
         self._totals_timer.wake()
-        return Nothing()
+        return Empty()
 
     def _totals(self) -> dict[str, tuple[int, int]]:
         now = self._ctx.timers.now()
@@ -66,4 +66,4 @@
             lots=lots.values(),
         )
         gateways = self._ctx.membership.members("gateway", me=False)
-        self._ctx.rpc.post([(m.host, m.port) for m in gateways], "engines.totals", what)
+        self._ctx.rpc.notify([(m.host, m.port) for m in gateways], "engines.totals", what)
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -9,7 +9,7 @@
 from ..state_machines import StateMachineMixin
 from ..timers import ZERO, RepeatingCall, ms
 from ..wire.controller_pb2 import Snapshot
-from ..wire.frame_pb2 import Nothing
+from ..wire.frame_pb2 import Empty
 from .announcing import Announcing
 from .archive import Archive
 from .control import Control
@@ -85,7 +85,7 @@
         self._open_placement()
         self._open_announcing()
         self._open_load_hub()
-        self._ctx.rpc.answer("controller.empty", Nothing, self._empty)
+        self._ctx.rpc.register_handler("controller.empty", Empty, self._empty)
         if self.archive.snapshot.cluster_state.voters:
             self.trigger("founded")
         b, report = self._ctx.timers, self._ctx.report
@@ -121,11 +121,11 @@
     def voters(self) -> tuple[str, ...]:
         return self.archive.voters()
 
-    async def ask_controller(self, node: str, verb: str, what, kind, limit):
+    async def call_controller(self, node: str, method: str, what, kind, limit):
         m = self._ctx.membership.find(node)
         if m is None:
             raise WireError(f"controller {node} is not on the membership")
-        return await self._ctx.rpc.call((m.host, m.port), verb, what, kind, limit, node=node)
+        return await self._ctx.rpc.call((m.host, m.port), method, what, kind, limit, node=node)
 
     def apply(self):
         while self.cluster_state.sequence < self.commit:
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -35,7 +35,7 @@
     def _open_placement(self):
         self._caught_up_placement_groups: set[tuple[int, int, str]] = set()
         self._look_at_placement: RepeatingCall | None = None
-        self._ctx.rpc.answer("controller.caught_up", CaughtUp, self._told_caught_up)
+        self._ctx.rpc.register_handler("controller.caught_up", CaughtUp, self._told_caught_up)
 
     def _open_placement_timers(self):
         every, report = self._ctx.timers.call_repeatedly, self._ctx.report
--- a/pipitlink/controller/snapshots.py
+++ b/pipitlink/controller/snapshots.py
@@ -8,7 +8,7 @@
 
 from ..cluster import ClusterState
 from ..timers import ms
-from ..wire.controller_pb2 import AppendRequest, Snapshot, SnapshotPiece
+from ..wire.controller_pb2 import AppendRequest, Snapshot, SnapshotChunk
 
 __all__ = ["Snapshots", "OutgoingSnapshot"]
 
@@ -29,8 +29,8 @@
     def of(cls, snapshot: Snapshot) -> "OutgoingSnapshot":
         return cls(snapshot.index, snapshot.term, zlib.compress(snapshot.SerializeToString(), 1))
 
-    def piece(self) -> SnapshotPiece:
-        return SnapshotPiece(
+    def piece(self) -> SnapshotChunk:
+        return SnapshotChunk(
             index=self.index,
             term=self.term,
             offset=self.offset,
@@ -48,7 +48,7 @@
     data: bytearray = attrs.field(factory=bytearray)
     installing: bool = False
 
-    def add(self, piece: SnapshotPiece):
+    def add(self, piece: SnapshotChunk):
         if piece.offset == len(self.data):
             self.data += piece.data
 
@@ -70,7 +70,7 @@
     def trim_when_long(self):
         if self.archive.long() and not self._trimming:
             self._trimming = True
-            self._ctx.spawned(self._trim(), "trim")
+            self._ctx.run_in_background(self._trim(), "trim")
 
     async def _trim(self):
         """Keeps a snapshot of what is agreed, less the newest entries, and drops the log below it."""
@@ -92,11 +92,11 @@
             if n % APPLY_SLICE == APPLY_SLICE - 1:
                 await self._ctx.timers.sleep(ms(1))
         s = Snapshot(index=index, term=term, cluster_state=cluster_state.data())
-        await self._ctx.on_thread(self.archive.keep_snapshot, s)
+        await self._ctx.run_in_thread(self.archive.keep_snapshot, s)
         await self.archive.use_snapshot(s)
         self._ctx.logger.info("trimmed", index=index)
 
-    def lacks(self, s: Snapshot | SnapshotPiece) -> bool:
+    def lacks(self, s: Snapshot | SnapshotChunk) -> bool:
         """Whether a snapshot tells of more than the own log holds, or the log is on another branch there."""
         if self.state == "newcomer":
             return True
@@ -109,7 +109,7 @@
     async def _adopt_locked(self, s: Snapshot):
         if not self.lacks(s):
             return
-        await self._ctx.on_thread(self.archive.keep_snapshot, s)
+        await self._ctx.run_in_thread(self.archive.keep_snapshot, s)
         synced = self.archive.use_snapshot(s)
         if s.index >= self.cluster_state.sequence:
             self._take_cluster_state(s)
@@ -127,7 +127,7 @@
         incoming.add(piece)
         if incoming.whole() and not incoming.installing:
             incoming.installing = True
-            self._ctx.spawned(self._install(incoming), "snapshot")
+            self._ctx.run_in_background(self._install(incoming), "snapshot")
         return len(incoming.data)
 
     async def _install(self, incoming: _IncomingSnapshot):
--- a/pipitlink/controller/voting.py
+++ b/pipitlink/controller/voting.py
@@ -8,7 +8,7 @@
 from ..timers import ZERO, ms, spawn
 from ..wire.cluster_pb2 import ClusterStateData
 from ..wire.controller_pb2 import FoundResponse, Snapshot, VoteRequest, VoteResponse
-from ..wire.frame_pb2 import Nothing
+from ..wire.frame_pb2 import Empty
 
 __all__ = ["Voting", "Founding", "STICKY_SPAN"]
 
@@ -35,7 +35,7 @@
             host, _, port = founder.rpartition(":")
             try:
                 got.append(
-                    await self._ctx.rpc.call((host, int(port)), "controller.empty", Nothing(), FoundResponse, ASK_LIMIT)
+                    await self._ctx.rpc.call((host, int(port)), "controller.empty", Empty(), FoundResponse, ASK_LIMIT)
                 )
             except WireError:
                 got.append(None)
@@ -44,7 +44,7 @@
                 await self._found(tuple(r.voters))
                 return
         first_host, _, first_port = self._ctx.settings.founders[0].rpartition(":")
-        first = (first_host, int(first_port)) == self._ctx.rpc.place
+        first = (first_host, int(first_port)) == self._ctx.rpc.address
         if first and all(r is not None and not r.founded for r in got):
             await self._found(tuple(sorted(r.node for r in got)))
 
@@ -65,7 +65,7 @@
 
     Offers `term`, `is_majority`, `meet_term`, `step_down`, and for the node's timers `_election_beat` and
     `_election_due`.
-    Needs of the node: `_ctx`, `archive`, `ask_controller`, `voters`, `state` and `trigger`; of Leading:
+    Needs of the node: `_ctx`, `archive`, `call_controller`, `voters`, `state` and `trigger`; of Leading:
     `heard_majority_at`, `_elected_at`.
     Owns `_started_at`, `_fresh_spent`, `_fresh_at` and `_patience`, and alone writes ballots. Shares `leader`,
     `_heard_at` and `_led_at` with Leading, which sets them when a leader is heard.
@@ -78,7 +78,7 @@
         self._fresh_spent = False
         self._fresh_at: timedelta | None = None
         self._patience = self._new_patience()
-        self._ctx.rpc.answer("controller.vote", VoteRequest, self._vote_by_name)
+        self._ctx.rpc.register_handler("controller.vote", VoteRequest, self._vote_by_name)
 
     def _new_patience(self) -> timedelta:
         return STICKY_SPAN + (LONGEST - STICKY_SPAN) * self._ctx.chance.random()
@@ -171,7 +171,7 @@
         async def one(node):
             nonlocal left
             try:
-                r = await self.ask_controller(node, "controller.vote", ask, VoteResponse, ASK_LIMIT)
+                r = await self.call_controller(node, "controller.vote", ask, VoteResponse, ASK_LIMIT)
                 if r.fresh:
                     started.add(node)
                 if r.granted and r.node == node:
@@ -188,7 +188,7 @@
 
         for n in voters:
             if n != self._ctx.node:
-                self._ctx.spawned(one(n), "poll")
+                self._ctx.run_in_background(one(n), "poll")
         if left:
             await done
         if fresh and pre and not started.issuperset(voters):
--- a/pipitlink/dialect/control.py
+++ b/pipitlink/dialect/control.py
@@ -4,7 +4,7 @@
 
 from ..errors import BadRequest
 from ..wire.cluster_pb2 import Bounds, Config, ConfigEdit, Pool, PoolShare, Route
-from ..wire.membership_pb2 import EngineNews
+from ..wire.membership_pb2 import EngineUpdate
 from .reading import Field, count_of, items_of, names_of, read_fields, read_json, source_of, text_of
 
 __all__ = ["ControlWords"]
@@ -128,9 +128,9 @@
         ]
         return b'{"version":%d,%b}' % (c.version, b",".join(b'"%b":%b' % (w.encode(), s) for w, s in parts))
 
-    def engine_news(self, engine: str, body: bytes) -> EngineNews:
+    def engine_update(self, engine: str, body: bytes) -> EngineUpdate:
         raw = read_json(body)
-        n = read_fields(raw, self.engine_fields, EngineNews(engine=engine, incarnation=1), "engine")
+        n = read_fields(raw, self.engine_fields, EngineUpdate(engine=engine, incarnation=1), "engine")
         state = raw.get("state")
         if not isinstance(state, str) or state not in self.engine_states:
             raise BadRequest(f"state must be one of {', '.join(self.engine_states)}", code="bad_field", field="state")
--- a/pipitlink/errors.py
+++ b/pipitlink/errors.py
@@ -93,14 +93,14 @@
 
 
 class RemoteError(WireError):
-    """The peer took the call and answered with an error: `fault` is its code, `note` its text."""
+    """The peer took the call and answered with an error: `remote_code` is its code, `message` its text."""
 
     code = "refused"
 
-    def __init__(self, fault: str, note: str):
-        super().__init__(f"{fault}: {note}")
-        self.fault = fault
-        self.note = note
+    def __init__(self, remote_code: str, message: str):
+        super().__init__(f"{remote_code}: {message}")
+        self.remote_code = remote_code
+        self.message = message
 
 
 class UnknownMethod(WireError):
--- a/pipitlink/gateway/dispatch.py
+++ b/pipitlink/gateway/dispatch.py
@@ -32,7 +32,7 @@
     """
 
     def _open_dispatch(self):
-        self._ctx.rpc.answer("lots.end", EndRequest, self._end_for)
+        self._ctx.rpc.register_handler("lots.end", EndRequest, self._end_for)
         for span, do, what in ((TAKE_INTERVAL, self._take_lots, "take_lots"), (FEED_INTERVAL, self._feed, "feed")):
             self._lot_timers.append(
                 self._ctx.timers.call_repeatedly(
@@ -58,7 +58,7 @@
             elif o.leaseholder is not None and (
                 o.leaseholder.final or len(o.results) == len(o.lot.items) and not o.running
             ):
-                self._ctx.spawned(self._finish_if_done(o), "finish")
+                self._ctx.run_in_background(self._finish_if_done(o), "finish")
             if o.leaseholder or o.taking or o.try_at > now or taking >= MAX_TAKING:
                 continue
             if self._owner(o.id) == self._ctx.node:
@@ -81,7 +81,7 @@
         for _, body, _ in frames(bytes(h.data)):
             o.learn(LogRecord.FromString(body))
         if h.final:
-            self._ctx.spawned(self._ctx.replicated_log.release([h]), "release")
+            self._ctx.run_in_background(self._ctx.replicated_log.release([h]), "release")
             self._close(o.id)
             return
         o.leaseholder = h
@@ -91,14 +91,16 @@
         )
         o.waiting = [i for i in range(len(o.lot.items)) if i not in o.results and i not in doubtful]
         for i in doubtful:
-            self._ctx.spawned(self._list(o, Result(item=i, outcome="unknown", code="owner_lost")), "list_doubtful")
+            self._ctx.run_in_background(
+                self._list(o, Result(item=i, outcome="unknown", code="owner_lost")), "list_doubtful"
+            )
         await self._finish_if_done(o)
 
     def _hand_over(self):
         """In an emptied zone a gateway gives up its lots once nothing of theirs runs; others take them up."""
         for o in self.open_lots.values():
             if o.leaseholder is not None and not o.running and not o.leaseholder.lost:
-                self._ctx.spawned(self._ctx.replicated_log.release([o.leaseholder]), "hand_over")
+                self._ctx.run_in_background(self._ctx.replicated_log.release([o.leaseholder]), "hand_over")
                 self._lose(o)
 
     def _lose(self, o: OpenLot):
--- a/pipitlink/gateway/engines.py
+++ b/pipitlink/gateway/engines.py
@@ -6,8 +6,8 @@
 import attrs
 
 from ..timers import ZERO, ms, secs, spawn, to_ms, wall_ms
-from ..wire.frame_pb2 import Nothing
-from ..wire.membership_pb2 import EngineList, EngineNews, Gossip, Load, Loads
+from ..wire.frame_pb2 import Empty
+from ..wire.membership_pb2 import EngineList, EngineUpdate, Gossip, Load, Loads
 
 __all__ = ["Engines", "Engine"]
 
@@ -31,7 +31,7 @@
     `live` and `lots` count this gateway's requests on it; `others` holds what each other gateway last told, and when.
     """
 
-    news: EngineNews
+    news: EngineUpdate
     renewed: timedelta
     ready_since: timedelta
     live: int = 0
@@ -67,15 +67,15 @@
         self._carriers.append((fill, take))
 
     def open(self):
-        self._ctx.rpc.answer("engines.tell", EngineList, self._told_engines)
-        self._ctx.rpc.answer("engines.loads", Loads, self._told_loads)
+        self._ctx.rpc.register_handler("engines.tell", EngineList, self._told_engines)
+        self._ctx.rpc.register_handler("engines.loads", Loads, self._told_loads)
         self._ctx.membership.carry(self._fill, self._take)
         self._ctx.timers.call_repeatedly(LOADS_INTERVAL, self._tell_loads, self._ctx.report("loads"))
 
     def all(self) -> list[Engine]:
         return sorted(self._engines.values(), key=lambda e: e.name)
 
-    def announce(self, news: EngineNews):
+    def announce(self, news: EngineUpdate):
         news.age_ms = 0
         self._merge(news)
         self._push(EngineList(engines=[self._engines[news.engine].news]))
@@ -83,7 +83,7 @@
     def _push(self, what: EngineList):
         for m in self._ctx.membership.members("gateway", me=False):
             place = (m.host, m.port)
-            spawn(self._ctx.rpc.call(place, "engines.tell", what, Nothing, ms(500))).addErrback(lambda f: None)
+            spawn(self._ctx.rpc.call(place, "engines.tell", what, Empty, ms(500))).addErrback(lambda f: None)
 
     async def _told_engines(self, node, what: EngineList):
         if not self._just_woke():
@@ -107,14 +107,14 @@
         now = self._look()
         return self._woke_at > ZERO and now - self._woke_at < HELD_SPAN
 
-    def _merge(self, n: EngineNews):
+    def _merge(self, n: EngineUpdate):
         now = self._ctx.timers.now()
         renewed = now - ms(n.age_ms)
         if now - renewed > FORGET_SPAN or not n.engine:
             return
         e = self._engines.get(n.engine)
         if e is None or n.incarnation > e.news.incarnation:
-            kept = EngineNews()
+            kept = EngineUpdate()
             kept.CopyFrom(n)
             back = Engine(kept, renewed, now)
             if e is not None:
@@ -251,7 +251,7 @@
     def _tell(self, what: Loads):
         for m in self._ctx.membership.members("gateway", me=False):
             place = (m.host, m.port)
-            spawn(self._ctx.rpc.call(place, "engines.loads", what, Nothing, ms(400))).addErrback(lambda f: None)
+            spawn(self._ctx.rpc.call(place, "engines.loads", what, Empty, ms(400))).addErrback(lambda f: None)
 
     async def _told_loads(self, node, what: Loads):
         for _, take in self._carriers:
--- a/pipitlink/gateway/keyed.py
+++ b/pipitlink/gateway/keyed.py
@@ -58,7 +58,7 @@
     def _open_keyed(self):
         self._shards: dict[str, _Shard] = {}
         self._turns = [defer.DeferredLock() for _ in range(SHARDS)]
-        self._ctx.rpc.answer("lots.keyed", KeyedLot, self._keyed_for)
+        self._ctx.rpc.register_handler("lots.keyed", KeyedLot, self._keyed_for)
 
     async def _keyed_for(self, node, ask: KeyedLot) -> KeyedResponse:
         return await self._keyed_here(ask.lot)
@@ -79,7 +79,7 @@
                     isinstance(e, ConnectionFailed)
                     and not e.sent
                     or isinstance(e, RemoteError)
-                    and e.fault == "not_held"
+                    and e.remote_code == "not_held"
                 )
                 raise ServiceUnavailable(
                     f"the owner of this key could not take it: {e}",
--- a/pipitlink/gateway/limits.py
+++ b/pipitlink/gateway/limits.py
@@ -98,7 +98,7 @@
         self._held: dict[str, str] = {}
         self._gateways_then: frozenset = frozenset()
         self._moved_at = self._looked_at = self._ctx.timers.now()
-        self._ctx.rpc.answer("limits.take", PermitRequest, self._permit_for)
+        self._ctx.rpc.register_handler("limits.take", PermitRequest, self._permit_for)
         self.engines.carry(self._fill_permits, self._told_permits)
 
     def _row_of(self, ask):
@@ -208,7 +208,7 @@
 
     def _give_permit(self, permit: str):
         row = self._held.pop(permit)
-        self._ctx.spawned(self._ask_steward(PermitRequest(row=row, id=permit, give=True)), "give_permit")
+        self._ctx.run_in_background(self._ask_steward(PermitRequest(row=row, id=permit, give=True)), "give_permit")
 
     def _fill_permits(self, what: Loads):
         self._look()
--- a/pipitlink/gateway/live.py
+++ b/pipitlink/gateway/live.py
@@ -8,7 +8,7 @@
 from ..errors import BadRequest, DeadlineExceeded, NotFound, RemoteError, WireError
 from ..timers import ms, secs, spawn
 from ..web import answered, send_fault, send_json
-from ..wire.membership_pb2 import EngineNews
+from ..wire.membership_pb2 import EngineUpdate
 from .bodies import EngineBody, GenerateBody, read_json
 from .requests import RequestRecord
 from .runs import FarRun
@@ -98,14 +98,14 @@
         try:
             first = await self._ask_run(far, place)
         except RemoteError as e:
-            if e.fault == "bad_field":
-                raise BadRequest(e.note, code=e.fault, field="from", status=416) from e
-            raise NotFound(e.note, code="run_not_held", outcome="unknown") from e
+            if e.remote_code == "bad_field":
+                raise BadRequest(e.message, code=e.remote_code, field="from", status=416) from e
+            raise NotFound(e.message, code="run_not_held", outcome="unknown") from e
         except WireError as e:
             raise NotFound(
                 f"the gateway that holds the run is not heard: {e}", code="run_not_held", outcome="unknown"
             ) from e
-        self._ctx.spawned(self._follow_run(far, place, first), "follow_run")
+        self._ctx.run_in_background(self._follow_run(far, place, first), "follow_run")
         return await self._show(request, far, start)
 
     async def _show(self, request, ask, at: int):
@@ -180,7 +180,7 @@
     async def announce(self, request):
         b = read_json(request, EngineBody)
         self.engines.announce(
-            EngineNews(
+            EngineUpdate(
                 engine=b.engine,
                 incarnation=b.incarnation,
                 address=b.address,
--- a/pipitlink/gateway/lots.py
+++ b/pipitlink/gateway/lots.py
@@ -81,7 +81,7 @@
             if tail is None and not state.final:
                 self._tails[log] = self._ctx.cache.tail(log)
                 self._lots_of[log] = set()
-                self._ctx.spawned(self._follow(log), "follow")
+                self._ctx.run_in_background(self._follow(log), "follow")
             elif tail is not None and state.final and tail.position >= state.committed:
                 self._leave_log(log)
 
--- a/pipitlink/gateway/runs.py
+++ b/pipitlink/gateway/runs.py
@@ -62,7 +62,7 @@
     """
 
     def _open_runs(self):
-        self._ctx.rpc.answer("runs.read", RunRequest, self._read_run)
+        self._ctx.rpc.register_handler("runs.read", RunRequest, self._read_run)
 
     def new_run(self) -> str:
         return f"{self._ctx.node}-{fresh_id()}"
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -7,7 +7,7 @@
 
 from ..errors import WireError
 from ..timers import ms, secs, spawn
-from ..wire.frame_pb2 import Nothing
+from ..wire.frame_pb2 import Empty
 from ..wire.membership_pb2 import Gossip, Member, ProbeFor, ProbeResponse
 from .entry import Entry
 from .memory import Memory
@@ -50,9 +50,9 @@
         self.me = me
         self._change_me(status="alive")
         d = self._ctx.rpc
-        d.answer("membership.probe", Gossip, self._probed)
-        d.answer("membership.probe_for", ProbeFor, self._probe_for)
-        d.answer("membership.tell", Gossip, self._told)
+        d.register_handler("membership.probe", Gossip, self._probed)
+        d.register_handler("membership.probe_for", ProbeFor, self._probe_for)
+        d.register_handler("membership.tell", Gossip, self._told)
         self._recall()
         self._ctx.timers.call_repeatedly(PROBE_INTERVAL, self._beat, self._ctx.report("membership_beat"))
         self._ctx.timers.call_repeatedly(secs(1), self._greet_seeds, self._ctx.report("membership_seeds"))
@@ -206,7 +206,7 @@
 
     async def _told(self, node, g: Gossip):
         self._absorb(g)
-        return Nothing()
+        return Empty()
 
     async def _probe_for(self, node, ask: ProbeFor):
         e = self._entries.get(ask.target)
@@ -232,10 +232,10 @@
         await defer.DeferredList(self.tell())
 
     async def _tell_one(self, place, g):
-        await self._ctx.rpc.call(place, "membership.tell", g, Nothing, PROBE_LIMIT)
+        await self._ctx.rpc.call(place, "membership.tell", g, Empty, PROBE_LIMIT)
 
     async def _greet_seeds(self):
-        known = {e.place for e in self._entries.values() if e.state == "alive"} | {self._ctx.rpc.place}
+        known = {e.place for e in self._entries.values() if e.state == "alive"} | {self._ctx.rpc.address}
         if len(known) > 3 and self._ctx.chance.random() > 0.1:
             return
         for seed in self._ctx.settings.seeds:
--- a/pipitlink/membership/memory.py
+++ b/pipitlink/membership/memory.py
@@ -45,7 +45,7 @@
 
     def _begin_write(self):
         """On the next turn of the event loop, so that all that changes in this one is a single write."""
-        self._ctx.spawned(self._write(), "keep_peers")
+        self._ctx.run_in_background(self._write(), "keep_peers")
 
     async def _write(self):
         """Writes the places of the live peers beside the event loop, one write at a time and only where they changed.
@@ -57,7 +57,7 @@
                 self._unkept = False
                 places = sorted({e.place for e in self._entries.values() if e.state == "alive"})
                 if places != self._kept:
-                    await self._ctx.on_thread(swap_in, self._file, json.dumps(places).encode())
+                    await self._ctx.run_in_thread(swap_in, self._file, json.dumps(places).encode())
                     self._kept = places
         except OSError as e:
             self._ctx.logger.failure("peers_not_kept", e)
--- a/pipitlink/plugs.py
+++ b/pipitlink/plugs.py
@@ -12,7 +12,7 @@
 
 class _Spec:
     @hookspec(firstresult=True)
-    def outbound(self, place, verb):
+    def outbound(self, place, method):
         """Before a call leaves: None lets it go, a Deferred holds it up."""
 
     @hookspec(firstresult=True)
@@ -29,8 +29,8 @@
         module, _, words = plug.partition(":")
         self._hooks.register(importlib.import_module(module).make_plug(words, ctx))
 
-    async def outbound(self, place, verb):
-        held = self._hooks.hook.outbound(place=place, verb=verb)
+    async def outbound(self, place, method):
+        held = self._hooks.hook.outbound(place=place, method=method)
         if held is not None:
             await held
 
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -82,7 +82,7 @@
         ctx.replicated_log = ReplicatedLog(ctx)
         self._open_kept()
         _, port = await ctx.rpc.listen(p.bind, p.port)
-        ctx.rpc.place = (p.host, port)
+        ctx.rpc.address = (p.host, port)
         me = Member(node=ctx.node, incarnation=1, role=ctx.role, zone=p.zone, host=p.host, port=port, name=p.name)
         if ctx.role == "gateway":
             self._open_gateway()
--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -7,7 +7,7 @@
 from ..disk import frame
 from ..errors import LeaseNotHeld, NoQuorum, RemoteError, StaleEpoch, StorageFull, WireError
 from ..timers import ZERO, ms, secs, spawn, wall_ms
-from ..wire.frame_pb2 import Nothing
+from ..wire.frame_pb2 import Empty
 from ..wire.replicated_log_pb2 import (
     LeaseRequest,
     LeaseResponse,
@@ -233,13 +233,13 @@
                 if self.placement_group is placement:
                     self._states[node] = told
             except RemoteError as e:
-                if e.fault == "fenced":
+                if e.remote_code == "fenced":
                     self.lapse(str(e))
                     return
-                if e.fault == "no_room":
+                if e.remote_code == "no_room":
                     self._full(node)
                     return
-                if e.fault == "old_placement_group":
+                if e.remote_code == "old_placement_group":
                     self.look_again()
                 self._states.pop(node, None)
                 await self._ctx.timers.sleep(RETRY_INTERVAL)
@@ -312,4 +312,4 @@
 
     async def _mark(self):
         ask = MarkRequest(log=self.log, epoch=self.epoch, committed=self.committed)
-        await self._replicated_log.ask_each(self.placement_group.everyone, "replicated_log.mark", ask, Nothing)
+        await self._replicated_log.ask_each(self.placement_group.everyone, "replicated_log.mark", ask, Empty)
--- a/pipitlink/replicated_log/replicated_log.py
+++ b/pipitlink/replicated_log/replicated_log.py
@@ -5,7 +5,7 @@
 from ..errors import NoQuorum, WireError
 from ..timers import ms, secs, spawn
 from ..wire.replicated_log_pb2 import (
-    Held,
+    HeldLease,
     ListRequest,
     LogState,
     ReadRequest,
@@ -45,13 +45,13 @@
         m = self._ctx.membership.find(node)
         return (m.host, m.port) if m is not None else None
 
-    async def ask(self, node: str, verb: str, what, kind, limit=ASK_LIMIT):
+    async def ask(self, node: str, method: str, what, kind, limit=ASK_LIMIT):
         place = self.place(node)
         if place is None:
             raise WireError(f"storage node {node} is not on the membership")
-        return await self._ctx.rpc.call(place, verb, what, kind, limit, node=node)
+        return await self._ctx.rpc.call(place, method, what, kind, limit, node=node)
 
-    async def ask_each(self, nodes, verb: str, what, kind, limit=ASK_LIMIT, enough=None) -> dict:
+    async def ask_each(self, nodes, method: str, what, kind, limit=ASK_LIMIT, enough=None) -> dict:
         """Asks all at once; returns the responses that came, early once `enough` of them are in."""
         got: dict[str, object] = {}
         done = defer.Deferred()
@@ -60,9 +60,9 @@
         async def one(node):
             nonlocal left
             try:
-                got[node] = await self.ask(node, verb, what, kind, limit)
+                got[node] = await self.ask(node, method, what, kind, limit)
             except WireError as e:
-                self._ctx.logger.debug("storage_node_unheard", storage_node=node, verb=verb, text=e)
+                self._ctx.logger.debug("storage_node_unheard", storage_node=node, method=method, text=e)
             finally:
                 left -= 1
                 if not done.called and (left == 0 or (enough is not None and enough(got))):
@@ -86,7 +86,7 @@
             await h.take(gone)
         except BaseException:
             h.lost = "not taken"
-            self._ctx.spawned(self._give_back(h), "give_back")
+            self._ctx.run_in_background(self._give_back(h), "give_back")
             raise
         self.leaseholders[log] = h
         return h
@@ -96,8 +96,8 @@
         lapses.
         """
         for storage_node, epoch in h.granted.items():
-            ask = RenewRequest(leaseholder=self._ctx.node, held=[Held(log=h.log, epoch=epoch)], release=True)
-            self._ctx.spawned(
+            ask = RenewRequest(leaseholder=self._ctx.node, held=[HeldLease(log=h.log, epoch=epoch)], release=True)
+            self._ctx.run_in_background(
                 self.ask_each([storage_node], "replicated_log.renew", ask, RenewResponse, ms(400)), "give_back"
             )
 
@@ -116,7 +116,7 @@
 
     async def _renew_at(self, storage_node: str, leaseholders: list[Leaseholder]):
         asked = self._ctx.timers.now()
-        ask = RenewRequest(leaseholder=self._ctx.node, held=[Held(log=h.log, epoch=h.epoch) for h in leaseholders])
+        ask = RenewRequest(leaseholder=self._ctx.node, held=[HeldLease(log=h.log, epoch=h.epoch) for h in leaseholders])
         r = await self.ask(storage_node, "replicated_log.renew", ask, RenewResponse)
         kept = set(r.kept)
         for h in leaseholders:
@@ -124,11 +124,11 @@
                 h.renewed(storage_node, asked, r.room)
 
     async def release(self, leaseholders: list[Leaseholder]):
-        by_storage_node: dict[str, list[Held]] = {}
+        by_storage_node: dict[str, list[HeldLease]] = {}
         for h in leaseholders:
             h.lapse("released")
             for d in h.placement_group.everyone:
-                by_storage_node.setdefault(d, []).append(Held(log=h.log, epoch=h.epoch))
+                by_storage_node.setdefault(d, []).append(HeldLease(log=h.log, epoch=h.epoch))
         for storage_node, held in by_storage_node.items():
             ask = RenewRequest(leaseholder=self._ctx.node, held=held, release=True)
             await self.ask_each([storage_node], "replicated_log.renew", ask, RenewResponse, ms(400))
@@ -161,7 +161,7 @@
                 self._ctx.timers.call_later(GRACE, finish)
 
         for d, n in by_storage_node.items():
-            self._ctx.spawned(one(d, n), "states")
+            self._ctx.run_in_background(one(d, n), "states")
         if by_storage_node:
             await done
         out = {}
@@ -216,7 +216,7 @@
             return next((data for data in got if len(data) >= length), None)
 
         for n, node in enumerate(nodes, 1):
-            self._ctx.spawned(one(node), "read")
+            self._ctx.run_in_background(one(node), "read")
             until = self._ctx.timers.now() + (HEDGE if n < len(nodes) else READ_LIMIT)
             while whole() is None and len(got) < n and self._ctx.timers.now() < until:
                 waiting[:] = [defer.Deferred(lambda _: None)]
--- a/pipitlink/router/batch_intake.py
+++ b/pipitlink/router/batch_intake.py
@@ -96,7 +96,7 @@
             self._drop_grant(batch.id)
             o = self.batches.get(batch.id)
             if self._closing_batches and o is not None and o.idle():
-                self._ctx.spawned(self._ctx.replicated_log.release([o.leaseholder]), "hand_over")
+                self._ctx.run_in_background(self._ctx.replicated_log.release([o.leaseholder]), "hand_over")
 
     async def _batch_taken_already(self, batch_id: str, refused: ApiError) -> Batch | None:
         """What an earlier try has taken is not refused."""
--- a/pipitlink/router/batch_run.py
+++ b/pipitlink/router/batch_run.py
@@ -36,7 +36,7 @@
     def _open_batch_run(self):
         self._feed_wake: defer.Deferred | None = None
         self._batch_turn = 0
-        self._ctx.spawned(self._feed_batches(), "feed_batches")
+        self._ctx.run_in_background(self._feed_batches(), "feed_batches")
 
     def _wake_feed(self):
         d, self._feed_wake = self._feed_wake, None
@@ -187,7 +187,7 @@
     def _flush_outputs(self, o: OpenBatch):
         if not o.flushing:
             o.flushing = True
-            self._ctx.spawned(self._flush_queue(o), "flush_batch")
+            self._ctx.run_in_background(self._flush_queue(o), "flush_batch")
 
     def _may_linger(self, o: OpenBatch) -> bool:
         """Outputs wait a little for others to share their write, unless nothing more comes soon or time is short."""
--- a/pipitlink/router/batches.py
+++ b/pipitlink/router/batches.py
@@ -181,7 +181,7 @@
         until = self._ctx.timers.now() + DRAIN
         while self.batches and self._ctx.timers.now() < until:
             idle = [o.leaseholder for o in self.batches.values() if o.idle()]
-            self._ctx.spawned(self._ctx.replicated_log.release(idle), "hand_over")
+            self._ctx.run_in_background(self._ctx.replicated_log.release(idle), "hand_over")
             await self._ctx.timers.sleep(ms(25))
         await self._ctx.replicated_log.release([o.leaseholder for o in list(self.batches.values())])
 
@@ -245,7 +245,7 @@
             self._lose_batch(o)
         elif o.leaseholder.final and o.listing.ended and not o.closing:
             o.closing = True
-            self._ctx.spawned(self._close_batch(o), "close_batch")
+            self._ctx.run_in_background(self._close_batch(o), "close_batch")
         elif not before:
             self._wake_feed()
 
@@ -299,7 +299,7 @@
             place = sorted(gateways, key=lambda g: rank(b, g), reverse=True).index(me)
             if now - self._orphan_batches[b] >= place * NEXT_OWNER:
                 self._orphan_batches[b] = now
-                self._ctx.spawned(self._take_up_batch(b), "take_up")
+                self._ctx.run_in_background(self._take_up_batch(b), "take_up")
 
     async def _take_up_batch(self, batch_id: str):
         self._taking_up_batches.add(batch_id)
--- a/pipitlink/router/engines.py
+++ b/pipitlink/router/engines.py
@@ -7,7 +7,7 @@
 
 from ..rendezvous import rank
 from ..timers import ZERO, ms, secs
-from ..wire.membership_pb2 import EngineList, EngineNews, Load, Loads, LoadTotals
+from ..wire.membership_pb2 import EngineList, EngineUpdate, Load, Loads, LoadTotals
 
 __all__ = ["Engines", "Engine"]
 
@@ -63,7 +63,7 @@
 class Engine:
     """One life of an engine as this gateway knows it."""
 
-    news: EngineNews
+    news: EngineUpdate
     heard: timedelta
     cold_until: timedelta
     kept: _KeptParts
@@ -111,9 +111,9 @@
         self._emptied: frozenset = frozenset()
 
     def open(self):
-        self._ctx.rpc.answer("engines.tell", EngineList, self._told_engines)
-        self._ctx.rpc.answer("engines.loads", Loads, self._told_loads)
-        self._ctx.rpc.answer("engines.totals", LoadTotals, self._told_totals)
+        self._ctx.rpc.register_handler("engines.tell", EngineList, self._told_engines)
+        self._ctx.rpc.register_handler("engines.loads", Loads, self._told_loads)
+        self._ctx.rpc.register_handler("engines.totals", LoadTotals, self._told_totals)
         self._ctx.cluster.watch(self._zones_moved)
         self._ctx.membership.watch(self._gateway_changed)
         self._ctx.timers.call_repeatedly(LOADS_INTERVAL, self._tell_loads, self._ctx.report("loads"))
@@ -135,7 +135,7 @@
         for n in what.engines:
             self.merge(n)
 
-    def merge(self, n: EngineNews):
+    def merge(self, n: EngineUpdate):
         now = self._look()
         heard = now - ms(n.age_ms)
         e = self._engines.get(n.engine)
@@ -144,7 +144,7 @@
                 self._ended[n.engine] = now
             if n.engine in self._ended or now - heard > SILENT_SPAN or not n.engine:
                 return
-            kept = EngineNews()
+            kept = EngineUpdate()
             kept.CopyFrom(n)
             pool = self._ctx.cluster.cluster_state.routes.pools.get(n.pool)
             room = int(0.8 * pool.cache_tokens) if pool is not None else 0
@@ -314,7 +314,7 @@
         if mine == self._told and not any(news) and now - self._told_at < LOADS_AT_LEAST:
             return
         self._told, self._told_at = mine, now
-        self._ctx.rpc.post(self._whom_to_tell(), "engines.loads", what)
+        self._ctx.rpc.notify(self._whom_to_tell(), "engines.loads", what)
 
     def told_span(self) -> timedelta:
         """Within which all gateways have heard what one of them tells."""
--- a/pipitlink/router/front.py
+++ b/pipitlink/router/front.py
@@ -69,7 +69,7 @@
         self.path, _, self.query = path.partition(b"?")
         front = self.channel.front
         self.notifyFinish().addErrback(self._left)
-        front.ctx.spawned(front.serve(self), "serve")
+        front.ctx.run_in_background(front.serve(self), "serve")
 
     def _left(self, _):
         if self.call is not None:
--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -63,7 +63,7 @@
         self._quota_moved_at = self._quota_looked_at = self._ctx.timers.now()
         self._lots_listed_at: timedelta | None = None
         self._listing_lots = SingleFlight()
-        self._ctx.rpc.answer("quota.take", QuotaRequest, self._quota_for)
+        self._ctx.rpc.register_handler("quota.take", QuotaRequest, self._quota_for)
         self.engines.carry(self._fill_lots, self._take_lots_told)
 
     def _quota_own(self) -> list[WaitingLot]:
@@ -155,13 +155,13 @@
         ):
             return False
         if self._lots_listed_at is None or self._lots_listed_at < self._quota_moved_at + self.engines.told_span() / 2:
-            self._ctx.spawned(self._listing_lots.run("list", self._list_batches), "list_batches")
+            self._ctx.run_in_background(self._listing_lots.run("list", self._list_batches), "list_batches")
             return False
         unread = [b for b, at in self._quota_unknown.items() if now - at < UNREAD_SPAN]
         for b in unread:
             if b not in self._quota_counting:
                 self._quota_counting.add(b)
-                self._ctx.spawned(self._count_lot(b), "count_lot")
+                self._ctx.run_in_background(self._count_lot(b), "count_lot")
         return not unread
 
     async def _count_lot(self, batch_id: str):
@@ -251,4 +251,4 @@
         """A grant is told as this gateway's own until its batch is, and given back where it came to nothing."""
         granted = self._quota_mine.pop(batch_id, None)
         if granted is not None and batch_id not in self.batches:
-            self._ctx.spawned(self._ask_quota(QuotaRequest(route=granted[0], lot=batch_id)), "give_quota")
+            self._ctx.run_in_background(self._ask_quota(QuotaRequest(route=granted[0], lot=batch_id)), "give_quota")
--- a/pipitlink/storage/copying.py
+++ b/pipitlink/storage/copying.py
@@ -7,7 +7,7 @@
 from ..errors import NoQuorum, ReplicatedLogError, StaleEpoch, WireError
 from ..replicated_log.placement_group import PlacementGroup, majority
 from ..timers import ZERO, ms, secs, spawn
-from ..wire.frame_pb2 import Nothing
+from ..wire.frame_pb2 import Empty
 from ..wire.replicated_log_pb2 import CaughtUp, Entry, ListRequest, LogState, States
 from .grants import LEASE_SPAN
 
@@ -192,4 +192,4 @@
         )
         self._told[placement_group.number] = placement_group.sequence, self._ctx.timers.now()
         controllers = [m.node for m in self._ctx.membership.members("controller", me=False)]
-        await self._ctx.replicated_log.ask_each(controllers, "controller.caught_up", told, Nothing, ms(500))
+        await self._ctx.replicated_log.ask_each(controllers, "controller.caught_up", told, Empty, ms(500))
--- a/pipitlink/storage/grants.py
+++ b/pipitlink/storage/grants.py
@@ -33,8 +33,8 @@
         self._quiet_until = self._ctx.timers.now() + LEASE_SPAN
         self._quiet_groups: dict[int, timedelta] = {}
         d = self._ctx.rpc
-        d.answer("replicated_log.lease", LeaseRequest, self._lease)
-        d.answer("replicated_log.renew", RenewRequest, self._renew)
+        d.register_handler("replicated_log.lease", LeaseRequest, self._lease)
+        d.register_handler("replicated_log.renew", RenewRequest, self._renew)
 
     def _live_grant(self, log: str) -> _Grant | None:
         g = self._grants.get(log)
--- a/pipitlink/storage/keeping.py
+++ b/pipitlink/storage/keeping.py
@@ -57,7 +57,7 @@
             return
         for k in [k for k in self.log_store.logs.values() if k.stands_in(n)]:
             before = (k.epoch, k.tail_epoch, k.length, k.final)
-            data = await self._ctx.on_thread(self._gather, self.log_store.spans(k.log, 0, k.length))
+            data = await self._ctx.run_in_thread(self._gather, self.log_store.spans(k.log, 0, k.length))
             if (
                 before != (k.epoch, k.tail_epoch, k.length, k.final)
                 or len(data) != k.length
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -75,11 +75,11 @@
         self._open_copying()
         self._open_keeping()
         d = self._ctx.rpc
-        d.answer("replicated_log.write", WriteRequest, self._write)
-        d.answer("replicated_log.mark", MarkRequest, self._mark)
-        d.answer("replicated_log.read", ReadRequest, self._read)
-        d.answer("replicated_log.states", StatesRequest, self._states)
-        d.answer("replicated_log.list", ListRequest, self._list)
+        d.register_handler("replicated_log.write", WriteRequest, self._write)
+        d.register_handler("replicated_log.mark", MarkRequest, self._mark)
+        d.register_handler("replicated_log.read", ReadRequest, self._read)
+        d.register_handler("replicated_log.states", StatesRequest, self._states)
+        d.register_handler("replicated_log.list", ListRequest, self._list)
 
     async def _write(self, node, ask: WriteRequest):
         await self._check_placement_group(ask.log, ask.placement_group_sequence)
@@ -124,7 +124,7 @@
 
     async def _read(self, node, ask: ReadRequest):
         spans = self.log_store.spans(ask.log, ask.position, min(ask.length, MAX_READ))
-        return ReadResponse(data=await self._ctx.on_thread(self._gather, spans))
+        return ReadResponse(data=await self._ctx.run_in_thread(self._gather, spans))
 
     def _gather(self, spans) -> bytes:
         return b"".join(self.log_store.segments.read_bytes(spot, n) for spot, n in spans)
--- a/pipitlink/syncing.py
+++ b/pipitlink/syncing.py
@@ -33,7 +33,7 @@
     async def _flush(self):
         try:
             while self._segments.waiting():
-                for ticket in await self._ctx.on_thread(self._segments.flush):
+                for ticket in await self._ctx.run_in_thread(self._segments.flush):
                     if ticket is not None:
                         ticket.callback(None)
         except CorruptData as e:
--- a/pipitlink/wire/connection.py
+++ b/pipitlink/wire/connection.py
@@ -107,7 +107,9 @@
                 elif not f.call:
                     self._take_note(f)
                 elif self._attended >= MAX_ATTENDED:
-                    self._send(Frame(call=f.call, response=True, fault="crowded", note="too many calls at once"))
+                    self._send(
+                        Frame(call=f.call, response=True, error_code="crowded", error_message="too many calls at once")
+                    )
                 else:
                     spawn(self._attend(f))
         except Exception as e:
@@ -120,21 +122,21 @@
         self._attended += 1
         out = Frame(call=f.call, response=True)
         try:
-            out.body = (await self._rpc.attend(self.peer, f.verb, f.body)).SerializeToString()
+            out.body = (await self._rpc.dispatch(self.peer, f.method, f.body)).SerializeToString()
         except Exception as e:
-            out.fault = getattr(e, "code", "fault")
-            out.note = str(e)
-            if out.fault == "fault":
-                self._rpc.logger.failure("call_failed", e, verb=f.verb)
+            out.error_code = getattr(e, "code", "fault")
+            out.error_message = str(e)
+            if out.error_code == "fault":
+                self._rpc.logger.failure("call_failed", e, method=f.method)
         finally:
             self._attended -= 1
         self._send(out)
 
     def _take_note(self, f: Frame):
         """A frame without a call's number: it is attended like a call, and nobody waits for a response."""
-        self._rpc.spawned(self._rpc.note(self.peer, f.verb, f.body), f.verb)
+        self._rpc.run_in_background(self._rpc.note(self.peer, f.method, f.body), f.method)
 
-    def post(self, frame: bytes):
+    def notify(self, frame: bytes):
         """Writes a note's frame, which was made once for all that it goes to."""
         if not self.ended:
             self.sendString(frame)
@@ -148,7 +150,7 @@
         if d is not None and not d.called:
             d.callback(f)
 
-    def call(self, verb: str, body: bytes) -> defer.Deferred:
+    def call(self, method: str, body: bytes) -> defer.Deferred:
         if self.ended:
             return defer.fail(ConnectionFailed("the stream has ended", sent=False))
         self._next += 1
@@ -158,7 +160,7 @@
         if self._silent_since is None:
             self._silent_since = self._rpc.now()
         self._silent_bytes += len(body)
-        self._send(Frame(call=n, verb=verb, body=body))
+        self._send(Frame(call=n, method=method, body=body))
         return d
 
 
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -17,11 +17,11 @@
 )
 from ..timers import SingleFlight, Timers, ms, spawn
 from .connection import WIRE, RpcConnection, RpcConnectionFactory
-from .frame_pb2 import Frame, Hello, Nothing
+from .frame_pb2 import Empty, Frame, Hello
 
-__all__ = ["RpcEndpoint", "Place", "require_peer"]
+__all__ = ["RpcEndpoint", "Address", "require_peer"]
 
-Place = tuple[str, int]
+Address = tuple[str, int]
 _CONNECT = ms(600)
 _READ_SPAN = ms(50)
 
@@ -42,16 +42,16 @@
         self._fleet = fleet
         self.node = node
         self.incarnation = 1
-        self._verbs: dict = {}
-        self._streams: dict[Place, RpcConnection] = {}
+        self._handlers: dict = {}
+        self._streams: dict[Address, RpcConnection] = {}
         self._opening = SingleFlight()
         self._met: set[RpcConnection] = set()
         self._port = None
         self.gate = None
-        self.place: Place = ("", 0)
+        self.address: Address = ("", 0)
 
     def hello(self) -> Hello:
-        host, port = self.place
+        host, port = self.address
         return Hello(fleet=self._fleet, wire=WIRE, node=self.node, incarnation=self.incarnation, host=host, port=port)
 
     def check(self, hello: Hello):
@@ -60,22 +60,22 @@
         if hello.wire != WIRE:
             raise WireError(f"peer speaks wire sequence {hello.wire}, this is {WIRE}")
 
-    def answer(self, verb: str, kind, do):
-        self._verbs[verb] = (kind, do)
+    def register_handler(self, method: str, kind, do):
+        self._handlers[method] = (kind, do)
 
-    async def attend(self, peer: Hello, verb: str, body: bytes):
-        if verb not in self._verbs:
-            raise UnknownMethod(f"no such call here: {verb}")
-        kind, do = self._verbs[verb]
+    async def dispatch(self, peer: Hello, method: str, body: bytes):
+        if method not in self._handlers:
+            raise UnknownMethod(f"no such call here: {method}")
+        kind, do = self._handlers[method]
         try:
             ask = kind.FromString(body)
         except DecodeError as e:
-            raise WireError(f"{verb}: {e}") from e
+            raise WireError(f"{method}: {e}") from e
         r = await do(peer.node, ask)
-        return Nothing() if r is None else r
+        return Empty() if r is None else r
 
-    async def note(self, peer: Hello, verb: str, body: bytes):
-        await self.attend(peer, verb, body)
+    async def note(self, peer: Hello, method: str, body: bytes):
+        await self.dispatch(peer, method, body)
 
     def met(self, s: RpcConnection):
         self._met.add(s)
@@ -93,7 +93,7 @@
             if held is s:
                 del self._streams[place]
 
-    async def listen(self, host: str, port: int) -> Place:
+    async def listen(self, host: str, port: int) -> Address:
         self._port = await TCP4ServerEndpoint(self._reactor, port, interface=host).listen(RpcConnectionFactory(self))
         return host, self._port.getHost().port
 
@@ -103,7 +103,7 @@
         for s in [*self._met, *self._streams.values()]:
             s.transport.loseConnection()
 
-    async def _open(self, place: Place) -> RpcConnection:
+    async def _open(self, place: Address) -> RpcConnection:
         s = RpcConnection(self)
         try:
             kind = TCP6ClientEndpoint if ":" in place[0] else TCP4ClientEndpoint
@@ -118,19 +118,19 @@
         self._streams[place] = s
         return s
 
-    def _stream(self, place: Place) -> defer.Deferred:
+    def _stream(self, place: Address) -> defer.Deferred:
         if place in self._streams:
             return defer.succeed(self._streams[place])
         return self._opening.run(place, lambda: self._open(place))
 
-    async def call(self, place: Place, verb: str, ask, kind, limit: timedelta, node: str = ""):
+    async def call(self, place: Address, method: str, ask, kind, limit: timedelta, node: str = ""):
         """Calls whoever answers at a place, or only the node that is named: WrongPeer, not run, from another one."""
         try:
-            return await self._timers.with_timeout(limit, self._call(place, verb, ask, kind, node))
+            return await self._timers.with_timeout(limit, self._call(place, method, ask, kind, node))
         except DeadlineExceeded as e:
             if place in self._streams and self._streams[place].hangs():
                 self._timers.call_later(_READ_SPAN, self._drop_if_hanging, self._streams[place])
-            raise DeadlineExceeded(f"{verb} to {place[0]}:{place[1]}: {e}") from e
+            raise DeadlineExceeded(f"{method} to {place[0]}:{place[1]}: {e}") from e
 
     def now(self) -> timedelta:
         return self._timers.now()
@@ -145,43 +145,43 @@
             self.gone(s)
             s.transport.abortConnection()
 
-    def post(self, places: list[Place], verb: str, what):
+    def notify(self, places: list[Address], method: str, what):
         """Sends a note to each place: nobody responds to it, and one that is lost is made good by the next.
 
         For news that is told again and again. Its frame is made once, and no timer and no response is needed.
         """
-        frame = Frame(verb=verb, body=what.SerializeToString()).SerializeToString()
+        frame = Frame(method=method, body=what.SerializeToString()).SerializeToString()
         for place in places:
             stream = self._streams.get(place)
             if stream is not None and self.gate is None:
-                stream.post(frame)
+                stream.notify(frame)
             else:
-                self.spawned(self._post(place, verb, frame), verb)
+                self.run_in_background(self._post(place, method, frame), method)
 
-    async def _post(self, place: Place, verb: str, frame: bytes):
+    async def _post(self, place: Address, method: str, frame: bytes):
         try:
             if self.gate is not None:
-                await self.gate.outbound(place, verb)
-            (await self._timers.with_timeout(_CONNECT, self._stream(place))).post(frame)
+                await self.gate.outbound(place, method)
+            (await self._timers.with_timeout(_CONNECT, self._stream(place))).notify(frame)
         except WireError as e:
-            self.logger.debug("note_not_sent", place=f"{place[0]}:{place[1]}", verb=verb, text=e)
+            self.logger.debug("note_not_sent", place=f"{place[0]}:{place[1]}", method=method, text=e)
 
-    def spawned(self, work, verb: str) -> defer.Deferred:
+    def run_in_background(self, work, method: str) -> defer.Deferred:
         """Starts work that nobody waits for; its errors go to the logger."""
-        return spawn(work).addErrback(lambda f: self.logger.failure("note_failed", f.value, verb=verb))
+        return spawn(work).addErrback(lambda f: self.logger.failure("note_failed", f.value, method=method))
 
-    async def _call(self, place: Place, verb: str, ask, kind, node: str = ""):
-        if place == self.place:
+    async def _call(self, place: Address, method: str, ask, kind, node: str = ""):
+        if place == self.address:
             require_peer(node, self.node)
             try:
-                return await self.attend(self.hello(), verb, ask.SerializeToString())
+                return await self.dispatch(self.hello(), method, ask.SerializeToString())
             except PipitlinkError as e:
                 raise RemoteError(e.code, str(e)) from e
         if self.gate is not None:
-            await self.gate.outbound(place, verb)
+            await self.gate.outbound(place, method)
         s = await self._stream(place)
         require_peer(node, s.peer.node)
-        f = await s.call(verb, ask.SerializeToString())
-        if f.fault:
-            raise RemoteError(f.fault, f.note)
+        f = await s.call(method, ask.SerializeToString())
+        if f.error_code:
+            raise RemoteError(f.error_code, f.error_message)
         return kind.FromString(f.body)
--- a/rehearsal/hollow.py
+++ b/rehearsal/hollow.py
@@ -51,41 +51,41 @@
 
 
 class CountedRpcEndpoint(RpcEndpoint):
-    """Counts calls and responses by verb, with the bytes of their frames."""
+    """Counts calls and responses by method, with the bytes of their frames."""
 
     def __init__(self, *words):
         super().__init__(*words)
         self.counts: Counter = Counter()
 
-    def _note(self, way: str, verb: str, size: int):
-        self.counts[f"{way} {verb}"] += 1
-        self.counts[f"{way}_bytes {verb}"] += size
+    def _note(self, way: str, method: str, size: int):
+        self.counts[f"{way} {method}"] += 1
+        self.counts[f"{way}_bytes {method}"] += size
 
-    async def attend(self, peer, verb, body):
+    async def dispatch(self, peer, method, body):
         away = peer.node != self.node
         if away:
-            self._note("in", verb, len(body) + len(verb) + CALL_FRAME)
-        r = await super().attend(peer, verb, body)
+            self._note("in", method, len(body) + len(method) + CALL_FRAME)
+        r = await super().dispatch(peer, method, body)
         if away:
-            self._note("out", f"{verb}:response", r.ByteSize() + RESPONSE_FRAME)
+            self._note("out", f"{method}:response", r.ByteSize() + RESPONSE_FRAME)
         return r
 
-    async def note(self, peer, verb, body):
-        self._note("in", verb, len(body) + len(verb) + CALL_FRAME)
-        await RpcEndpoint.attend(self, peer, verb, body)
+    async def note(self, peer, method, body):
+        self._note("in", method, len(body) + len(method) + CALL_FRAME)
+        await RpcEndpoint.dispatch(self, peer, method, body)
 
-    def post(self, places, verb, what):
+    def notify(self, places, method, what):
         for _ in places:
-            self._note("out", verb, what.ByteSize() + len(verb) + CALL_FRAME)
-        super().post(places, verb, what)
+            self._note("out", method, what.ByteSize() + len(method) + CALL_FRAME)
+        super().notify(places, method, what)
 
-    async def _call(self, place, verb, ask, kind, node=""):
-        away = place != self.place
+    async def _call(self, place, method, ask, kind, node=""):
+        away = place != self.address
         if away:
-            self._note("out", verb, ask.ByteSize() + len(verb) + CALL_FRAME)
-        r = await super()._call(place, verb, ask, kind, node)
+            self._note("out", method, ask.ByteSize() + len(method) + CALL_FRAME)
+        r = await super()._call(place, method, ask, kind, node)
         if away:
-            self._note("in", f"{verb}:response", r.ByteSize() + RESPONSE_FRAME)
+            self._note("in", f"{method}:response", r.ByteSize() + RESPONSE_FRAME)
         return r
 
 
@@ -169,14 +169,14 @@
 
     async def listen(self) -> Member:
         ctx = self.ctx
-        ctx.rpc.place = await self.rpc.listen("127.0.0.1", self._port)
+        ctx.rpc.address = await self.rpc.listen("127.0.0.1", self._port)
         self.me = Member(
             node=ctx.node,
             incarnation=1,
             role=self.role,
             zone=ctx.settings.zone,
             host="127.0.0.1",
-            port=ctx.rpc.place[1],
+            port=ctx.rpc.address[1],
             http_port=1,
             operator_port=1,
             status="alive",
@@ -278,7 +278,7 @@
         for n in self.nodes:
             for at in range(0, len(everyone), TOLD_AT_ONCE):
                 told = Gossip(sender=everyone[0].node, members=everyone[at : at + TOLD_AT_ONCE])
-                await n.rpc.attend(n.rpc.hello(), "membership.tell", told.SerializeToString())
+                await n.rpc.dispatch(n.rpc.hello(), "membership.tell", told.SerializeToString())
 
     async def do_look(self):
         return {
--- a/rehearsal/hollow_work.py
+++ b/rehearsal/hollow_work.py
@@ -4,7 +4,7 @@
 from pipitlink.timers import secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from pipitlink.wire.lots_pb2 import LogRecord, Result
-from pipitlink.wire.membership_pb2 import EngineNews
+from pipitlink.wire.membership_pb2 import EngineUpdate
 
 __all__ = ["Work"]
 
@@ -57,7 +57,7 @@
     def _announce(self, n, name: str, times: int):
         """An engine renews its announcement each second, at any gateway."""
         n.part.engines.announce(
-            EngineNews(
+            EngineUpdate(
                 engine=name,
                 incarnation=1,
                 address="127.0.0.1:65535",
--- a/rehearsal/inner.py
+++ b/rehearsal/inner.py
@@ -15,7 +15,7 @@
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from pipitlink.wire.membership_pb2 import EngineNews, Gossip, Member
+from pipitlink.wire.membership_pb2 import EngineUpdate, Gossip, Member
 from pipitlink.wire.rpc import RpcEndpoint
 
 from .disks import LosingDisk
@@ -57,10 +57,10 @@
     part = open_parts(ctx, "hollow", everyone[0], LosingDisk(Random(1)))
     for at in range(0, gateways, TOLD_AT_ONCE):
         told = Gossip(sender="g1", members=everyone[at : at + TOLD_AT_ONCE])
-        spawn(rpc.attend(rpc.hello(), "membership.tell", told.SerializeToString()))
+        spawn(rpc.dispatch(rpc.hello(), "membership.tell", told.SerializeToString()))
     for i in range(int(gateways * ENGINES_A_GATEWAY)):
         part.engines._merge(
-            EngineNews(
+            EngineUpdate(
                 engine=f"engine{i}",
                 incarnation=1,
                 address="127.0.0.1:1",
--- a/rehearsal/plug.py
+++ b/rehearsal/plug.py
@@ -36,13 +36,13 @@
         return self._told
 
     def _mine(self) -> str:
-        return "{}:{}".format(*self._ctx.rpc.place)
+        return "{}:{}".format(*self._ctx.rpc.address)
 
     def is_full(self) -> bool:
         return self._mine() in self._now().get("full", ())
 
     @hookimpl
-    def outbound(self, place, verb):
+    def outbound(self, place, method):
         told = self._now()
         mine, theirs = self._mine(), "{}:{}".format(*place)
         if [mine, theirs] in told.get("cuts", ()):
--- a/rehearsal/stage.py
+++ b/rehearsal/stage.py
@@ -21,7 +21,7 @@
 from pipitlink.storage import StorageNode
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, spawn
-from pipitlink.wire.frame_pb2 import Nothing
+from pipitlink.wire.frame_pb2 import Empty
 from pipitlink.wire.membership_pb2 import Member
 from pipitlink.wire.rpc import require_peer
 
@@ -45,38 +45,38 @@
     def __init__(self, stage, actor):
         self._stage = stage
         self._actor = actor
-        self.place = actor.place
+        self.address = actor.place
         self.node = actor.node
         self.incarnation = 1
-        self._verbs: dict = {}
+        self._handlers: dict = {}
 
-    def answer(self, verb, kind, do):
-        self._verbs[verb] = (kind, do)
+    def register_handler(self, method, kind, do):
+        self._handlers[method] = (kind, do)
 
-    async def attend(self, node, verb, body):
-        if verb not in self._verbs:
-            raise UnknownMethod(f"no such call here: {verb}")
-        kind, do = self._verbs[verb]
+    async def dispatch(self, node, method, body):
+        if method not in self._handlers:
+            raise UnknownMethod(f"no such call here: {method}")
+        kind, do = self._handlers[method]
         r = await do(node, kind.FromString(body))
-        return (Nothing() if r is None else r).SerializeToString()
+        return (Empty() if r is None else r).SerializeToString()
 
-    def post(self, places, verb, what):
+    def notify(self, places, method, what):
         body = what.SerializeToString()
         for place in places:
-            self._stage.carry(self._actor, place, verb, body).addErrback(lambda f: None)
+            self._stage.carry(self._actor, place, method, body).addErrback(lambda f: None)
 
-    async def call(self, place, verb, ask, kind, limit, node=""):
+    async def call(self, place, method, ask, kind, limit, node=""):
         if self is not self._actor.ctx.rpc or not self._actor.alive:
             await defer.Deferred()  # what is left of an ended life says nothing more
         body = ask.SerializeToString()
         try:
             return kind.FromString(
                 await self._actor.ctx.timers.with_timeout(
-                    limit, self._stage.carry(self._actor, place, verb, body, node)
+                    limit, self._stage.carry(self._actor, place, method, body, node)
                 )
             )
         except DeadlineExceeded as e:
-            raise DeadlineExceeded(f"{verb} to {place}: {e}") from e
+            raise DeadlineExceeded(f"{method} to {place}: {e}") from e
 
 
 class Actor:
@@ -124,7 +124,7 @@
         )
         ctx = self.ctx
         ctx.rpc = _Rpc(stage, self)
-        ctx.on_thread = partial(self._on_thread, self.clock)
+        ctx.run_in_thread = partial(self._on_thread, self.clock)
         ctx.membership = Membership(ctx)
         if self.role != "gateway":
             ctx.membership.remember_in(self.folder)
@@ -276,7 +276,7 @@
         self._link_free_at[link] = max(now, self._link_free_at.get(link, now)) + len(body) / self.bytes_per_s
         return self._link_free_at[link] - now + self._delay()
 
-    def carry(self, sender: Actor, place, verb, body, node="") -> defer.Deferred:
+    def carry(self, sender: Actor, place, method, body, node="") -> defer.Deferred:
         """Carries one call; one that names a node is refused by any other that answers at its place."""
         goal = next((a for a in self.actors.values() if a.place == place and a.alive), None)
         d = defer.Deferred()
@@ -307,13 +307,13 @@
                 e = f.value
                 back(RemoteError(e.code, str(e)) if isinstance(e, PipitlinkError) else RemoteError("fault", repr(e)))
 
-            spawn(goal.ctx.rpc.attend(sender.node, verb, body)).addCallbacks(back, turned)
+            spawn(goal.ctx.rpc.dispatch(sender.node, method, body)).addCallbacks(back, turned)
 
         if goal is None:
             self.clock.callLater(self._delay(), settle, ConnectionFailed("nobody is there", sent=False))
         elif (sender.name, goal.name) not in self.cuts:
             if self.watch_calls is not None:
-                self.watch_calls(sender, verb)
+                self.watch_calls(sender, method)
             self.clock.callLater(self._transfer(sender, goal, body), arrive)
         return d
 
@@ -345,7 +345,7 @@
         """Timers on the stage's time, for a node's life or for whoever stands outside the nodes."""
         out = Timers(clock or self.clock, seconds=self.clock.seconds)
         self._timers.append(out)
-        out.wall = lambda: datetime.fromtimestamp(1_700_000_000 + self.clock.seconds(), UTC)
+        out.utc_now = lambda: datetime.fromtimestamp(1_700_000_000 + self.clock.seconds(), UTC)
         return out
 
     def leader(self):
--- a/rehearsal/staged.py
+++ b/rehearsal/staged.py
@@ -9,7 +9,7 @@
 from pipitlink.gateway.requests import RequestRecord
 from pipitlink.timers import ms, secs, spawn, wall_ms
 from pipitlink.wire.lots_pb2 import Item, Lot
-from pipitlink.wire.membership_pb2 import EngineNews
+from pipitlink.wire.membership_pb2 import EngineUpdate
 
 from .backend import answer_pieces
 
@@ -56,7 +56,7 @@
             return
         gateways = self.stage.role("gateway", alive=True)
         if gateways and not self.silent:
-            news = EngineNews(
+            news = EngineUpdate(
                 engine=self.name,
                 incarnation=self.incarnation,
                 address="10.0.0.9:1",
@@ -74,7 +74,7 @@
         gateways = self.stage.role("gateway", alive=True)
         if gateways:
             self.stage.chance.choice(gateways).part.engines.announce(
-                EngineNews(
+                EngineUpdate(
                     engine=self.name,
                     incarnation=self.incarnation,
                     address="10.0.0.9:1",
--- a/tests/cut_off_scene.py
+++ b/tests/cut_off_scene.py
@@ -53,7 +53,7 @@
         async def told(node, engines):
             pass
 
-        gateway.ctx.rpc.answer("engines.tell", EngineList, told)
+        gateway.ctx.rpc.register_handler("engines.tell", EngineList, told)
 
     def now(self) -> float:
         return self.stage.clock.seconds()
--- a/tests/order_parts.py
+++ b/tests/order_parts.py
@@ -22,22 +22,22 @@
 class HoldingStage(Stage):
     """Edits that controllers pass on wait in a cut connection and arrive once it is healed."""
 
-    def carry(self, sender, place, verb, body, node=""):
+    def carry(self, sender, place, method, body, node=""):
         goal = next((a for a in self.actors.values() if a.place == place), None)
-        if verb == "controller.edit" and goal is not None and (sender.name, goal.name) in self.cuts:
-            self._hold(sender, goal, verb, body, sender.ctx, goal.ctx, self.clock.seconds() + HOLD_LIMIT)
-        return super().carry(sender, place, verb, body, node)
+        if method == "controller.edit" and goal is not None and (sender.name, goal.name) in self.cuts:
+            self._hold(sender, goal, method, body, sender.ctx, goal.ctx, self.clock.seconds() + HOLD_LIMIT)
+        return super().carry(sender, place, method, body, node)
 
-    def _hold(self, sender, goal, verb, body, sending, receiving, end):
+    def _hold(self, sender, goal, method, body, sending, receiving, end):
         if goal.ctx is not receiving or not goal.alive or sender.ctx is not sending or self.clock.seconds() > end:
             return
         if (sender.name, goal.name) in self.cuts:
-            self.clock.callLater(0.05, self._hold, sender, goal, verb, body, sending, receiving, end)
+            self.clock.callLater(0.05, self._hold, sender, goal, method, body, sending, receiving, end)
             return
-        self.clock.callLater(0.002, self._let_go, sender, goal, verb, body)
+        self.clock.callLater(0.002, self._let_go, sender, goal, method, body)
 
-    def _let_go(self, sender, goal, verb, body):
-        super().carry(sender, goal.place, verb, body).addErrback(lambda f: None)
+    def _let_go(self, sender, goal, method, body):
+        super().carry(sender, goal.place, method, body).addErrback(lambda f: None)
 
 
 @attrs.define
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -13,7 +13,7 @@
 from pipitlink.gateway.requests import RequestRecord
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, secs, spawn
-from pipitlink.wire.membership_pb2 import EngineNews, Loads, Member
+from pipitlink.wire.membership_pb2 import EngineUpdate, Loads, Member
 
 __all__ = ["Gateway"]
 
@@ -22,16 +22,16 @@
     """Calls between gateways of one test, carried at once."""
 
     def __init__(self, node, bus):
-        self.node, self.verbs, self.bus, self.place = node, {}, bus, ("h", int(node[1:]))
-        bus[self.place] = self
+        self.node, self.handlers, self.bus, self.address = node, {}, bus, ("h", int(node[1:]))
+        bus[self.address] = self
 
-    def answer(self, verb, kind, do):
-        self.verbs[verb] = do
+    def register_handler(self, method, kind, do):
+        self.handlers[method] = do
 
-    async def call(self, place, verb, ask, kind, limit):
+    async def call(self, place, method, ask, kind, limit):
         if place not in self.bus:
             raise ConnectionFailed("nobody is there")
-        return await self.bus[place].verbs[verb](self.node, ask)
+        return await self.bus[place].handlers[method](self.node, ask)
 
 
 class _Membership:
@@ -73,20 +73,20 @@
         self.clock = clock or Clock()
         self._ctx = self
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
-        self.timers.wall = lambda: datetime.fromtimestamp(self.clock.seconds(), UTC)
+        self.timers.utc_now = lambda: datetime.fromtimestamp(self.clock.seconds(), UTC)
         self.logger = StructuredLogger(self)
         self.node, self.chance = f"g{n}", Random(1)
         self.rpc = _Rpc(self.node, {} if bus is None else bus)
         self.membership, self.cluster = _Membership(self.node, gateways), _Cluster()
         self.settings = type("Settings", (), {"lot_reserve": 0.25})
         self.engines = Engines(self)
-        self.rpc.answer("engines.loads", Loads, self.engines._told_loads)
+        self.rpc.register_handler("engines.loads", Loads, self.engines._told_loads)
         self._retry_budget = RetryBudget()
         self.come_back = ComeBack(self.timers)
         self.asks = {}
         self._open_limits()
 
-    def spawned(self, work, what):
+    def run_in_background(self, work, what):
         return spawn(work)
 
     def log(self, *words):
@@ -94,7 +94,7 @@
 
     def news(self, name, state="ready", incarnation=1, capacity=10, zone="z", age_ms=0):
         self.engines._merge(
-            EngineNews(
+            EngineUpdate(
                 engine=name,
                 incarnation=incarnation,
                 address="127.0.0.1:1",
--- a/tests/router_parts.py
+++ b/tests/router_parts.py
@@ -22,7 +22,7 @@
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms
 from pipitlink.wire.cluster_pb2 import Bounds, Config, Pool, PoolShare, Route
-from pipitlink.wire.membership_pb2 import EngineNews, Member
+from pipitlink.wire.membership_pb2 import EngineUpdate, Member
 
 __all__ = ["Rig", "route", "head", "chunk", "END"]
 
@@ -112,7 +112,7 @@
         self.clock.advance(1000)
         self.lines = []
         timers = Timers(self.clock, seconds=self.clock.seconds)
-        timers.wall = lambda: datetime.fromtimestamp(1_700_000_000 + self.clock.seconds(), UTC)
+        timers.utc_now = lambda: datetime.fromtimestamp(1_700_000_000 + self.clock.seconds(), UTC)
         pools = pools or [Pool(name="models", max_connections=100, places=4, cache_tokens=100_000)]
         self.cluster_state = SimpleNamespace(
             empty_zones=set(),
@@ -126,7 +126,9 @@
             status=lambda node: "gone" if node in self.gone else "alive",
             members=lambda role=None, status=(), me=True: [Member(node=f"g{i}") for i in range(gateways) if i or me],
         )
-        rpc = SimpleNamespace(answer=lambda *w: None, call=lambda *w: defer.Deferred(), post=lambda *w: None)
+        rpc = SimpleNamespace(
+            register_handler=lambda *w: None, call=lambda *w: defer.Deferred(), notify=lambda *w: None
+        )
         self.ctx = SimpleNamespace(
             node="g0",
             timers=timers,
@@ -142,10 +144,10 @@
             engines=None,
         )
 
-        def spawned(work, what):
+        def run_in_background(work, what):
             return defer.ensureDeferred(work).addErrback(lambda f: self.lines.append(f"{what} {f.value!r}"))
 
-        self.ctx.spawned = spawned
+        self.ctx.run_in_background = run_in_background
         self.ctx.dialect.batch_call = lambda method, path, query, headers: None
         self.connections: dict[str, list] = {}
         self.refusing: set[str] = set()
@@ -160,7 +162,7 @@
     def engine(self, name, zone="zone-a", state="ready", pool="models", capacity=4, cold_ms=0, address=None):
         self.sequence += 1
         self.node.engines.merge(
-            EngineNews(
+            EngineUpdate(
                 engine=name,
                 incarnation=1,
                 address=address or f"10.0.0.{name[1:]}:80",
--- a/tests/test_announcing.py
+++ b/tests/test_announcing.py
@@ -16,7 +16,7 @@
         self.actor = actor
         self.told: list[tuple[float, object]] = []
         self.lists = 0
-        actor.ctx.rpc.answer("engines.tell", EngineList, self._tell)
+        actor.ctx.rpc.register_handler("engines.tell", EngineList, self._tell)
 
     async def _tell(self, node, what):
         self.lists += 1
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -141,8 +141,8 @@
         placement_group = gateway.ctx.replicated_log.placement_group(f"batch/{name}")
         storage_nodes = [a for a in stage.role("storage") if a.node in placement_group.everyone]
 
-        def trip(sender, verb):
-            if verb == "replicated_log.write" and sender is gateway:
+        def trip(sender, method):
+            if method == "replicated_log.write" and sender is gateway:
                 stage.cut([gateway.name], [a.name for a in storage_nodes])
 
         stage.watch_calls = trip
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -63,9 +63,9 @@
         got = []
         call = gateway.ctx.rpc.call
 
-        async def counted(place, verb, ask, kind, limit, node=""):
-            r = await call(place, verb, ask, kind, limit, node=node)
-            if verb in ("cache.get", "replicated_log.read"):
+        async def counted(place, method, ask, kind, limit, node=""):
+            r = await call(place, method, ask, kind, limit, node=node)
+            if method in ("cache.get", "replicated_log.read"):
                 got.append(len(r.SerializeToString()))
             return r
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,7 +12,7 @@
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from pipitlink.wire.frame_pb2 import Hello, Nothing
+from pipitlink.wire.frame_pb2 import Empty, Hello
 from pipitlink.wire.membership_pb2 import Gossip, Member
 from pipitlink.wire.rpc import RpcEndpoint
 from rehearsal.capacity import SERIES
@@ -63,14 +63,14 @@
 
 
 def counted(stage, engines: int, work=None) -> Counter:
-    """Calls a second by role and verb, per node of the role, over a span that starts when the fleet is settled."""
+    """Calls a second by role and method, per node of the role, over a span that starts when the fleet is settled."""
     stage.start()
     stage.ready()
     if work:
         stage.do(work.begin(engines=[f"engine{i}" for i in range(engines)]))
     stage.run(6)
     counts: Counter = Counter()
-    stage.watch_calls = lambda sender, verb: counts.update([(sender.role, verb)])
+    stage.watch_calls = lambda sender, method: counts.update([(sender.role, method)])
     stage.run(SPAN)
     nodes = Counter(a.role for a in stage.actors.values())
     return Counter({k: n / SPAN / nodes[k[0]] for k, n in counts.items()})
@@ -121,9 +121,9 @@
                     "replicated_log.list": 3.1,
                     "engines.loads": 5.1 * (gateways - 1),
                 }
-                for verb, most in bounds.items():
-                    self.assertLessEqual(c["gateway", verb], most, verb)
-                rest = sum(v for (role, verb), v in c.items() if role == "gateway" and verb not in bounds)
+                for method, most in bounds.items():
+                    self.assertLessEqual(c["gateway", method], most, method)
+                rest = sum(v for (role, method), v in c.items() if role == "gateway" and method not in bounds)
                 self.assertLessEqual(rest, 0.5, {k: v for k, v in c.items() if k[0] == "gateway"})
                 for role, most in (("storage", 11), ("controller", 12)):
                     self.assertLessEqual(sum(v for (r, _), v in c.items() if r == role), most, role)
@@ -133,9 +133,9 @@
         few, more = self.count(gateways, 4), self.count(gateways, 24)
         for c, engines in ((few, 4), (more, 24)):
             self.assertLessEqual(c["gateway", "engines.tell"], 1.05 * engines * (gateways - 1) / gateways)
-        for verb in ("membership.probe", "controller.follow", "engines.loads", "replicated_log.list"):
+        for method in ("membership.probe", "controller.follow", "engines.loads", "replicated_log.list"):
             self.assertAlmostEqual(
-                few["gateway", verb], more["gateway", verb], delta=0.1 * few["gateway", verb], msg=verb
+                few["gateway", method], more["gateway", method], delta=0.1 * few["gateway", method], msg=method
             )
 
     def test_a_held_follow_call_is_not_woken_by_the_others(self):
@@ -150,7 +150,7 @@
             waits, asked, timers = [], [], leader.ctx.timers
             hold = timers.wait_at_most
             timers.wait_at_most = lambda d, span: waits.append(span) or hold(d, span)
-            stage.watch_calls = lambda sender, verb: verb == "controller.follow" and asked.append(verb)
+            stage.watch_calls = lambda sender, method: method == "controller.follow" and asked.append(method)
             stage.run(SPAN)
             heartbeats = 2 * SPAN * 10
             self.assertLessEqual(len(waits), 1.05 * len(asked) + heartbeats, gateways)
@@ -175,12 +175,12 @@
         rpc = CountedRpcEndpoint(None, None, None, "pipit", "me")
 
         async def told(node, g):
-            return Nothing()
+            return Empty()
 
-        rpc.answer("membership.tell", Gossip, told)
+        rpc.register_handler("membership.tell", Gossip, told)
         body = Gossip(sender="other").SerializeToString()
         for node in ("other", "me"):
-            spawn(rpc.attend(Hello(node=node), "membership.tell", body))
+            spawn(rpc.dispatch(Hello(node=node), "membership.tell", body))
         self.assertEqual((rpc.counts["in membership.tell"], rpc.counts["out membership.tell:response"]), (1, 1))
         self.assertGreater(rpc.counts["in_bytes membership.tell"], len(body))
         self.assertIsInstance(rpc, RpcEndpoint)
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -77,7 +77,7 @@
         self._held = []
         self.reactor = mock.Mock()
 
-    def on_thread(self, do, *words):
+    def run_in_thread(self, do, *words):
         d = defer.Deferred()
         self._held.append((d, do, words))
         return d
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -150,10 +150,10 @@
             each()
 
     def up(self):
-        return [g for g in self.gateways if g.rpc.place in self.bus]
+        return [g for g in self.gateways if g.rpc.address in self.bus]
 
     def lose(self, g):
-        del self.bus[g.rpc.place]
+        del self.bus[g.rpc.address]
         for o in self.gateways:
             o.membership.away = (*o.membership.away, g.node)
 
--- a/tests/test_hanging_connections.py
+++ b/tests/test_hanging_connections.py
@@ -30,7 +30,7 @@
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
         self.caller, self.callee = self._endpoint("caller"), self._endpoint("callee")
         self.asked: list[str] = []
-        self.callee.answer("probe", ProbeFor, self._probe)
+        self.callee.register_handler("probe", ProbeFor, self._probe)
         self.pumps: list = []
         self.opened = 0
         self.caller._open = self._open
@@ -106,7 +106,7 @@
             await self.timers.sleep(ms(450))
             return ProbeResponse(alive=True)
 
-        self.callee.answer("probe", ProbeFor, probe)
+        self.callee.register_handler("probe", ProbeFor, probe)
         for _ in range(10):
             late.append(self.call("late"))
             self.advance(0.5)
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -3,7 +3,7 @@
 import unittest
 from collections import Counter
 
-from pipitlink.wire.membership_pb2 import EngineNews
+from pipitlink.wire.membership_pb2 import EngineUpdate
 
 from .batch_parts import staged
 
@@ -25,7 +25,7 @@
         """The engines announce themselves again, so that none is held for silent."""
         s.sequence += 1
         for i in range(ENGINES):
-            news = EngineNews(
+            news = EngineUpdate(
                 engine=f"e{i}", pool="p", address=f"10.9.0.{i}:80", zone="zone-a", state="ready", capacity=8,
                 sequence=s.sequence,
             )  # fmt: skip
@@ -75,7 +75,7 @@
     def messages(self, s):
         """Calls and notes about loads that a node of each role sends in a second while all loads move."""
         counts: Counter = Counter()
-        s.watch_calls = lambda sender, verb: counts.update([(sender.role, verb)])
+        s.watch_calls = lambda sender, method: counts.update([(sender.role, method)])
         for _ in range(SPAN * 10):
             give = self.put_on(s, 1 + s.chance.randrange(3))
             s.run(0.1)
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -157,7 +157,7 @@
             "call_seq": 4,
             "model_list": [{"name": "m", "version": 1, "adapter_list": []}],
         }
-        n = self.words.engine_news("i-7f3a91c2", json.dumps(raw).encode())
+        n = self.words.engine_update("i-7f3a91c2", json.dumps(raw).encode())
         self.assertEqual(
             (
                 n.engine,
@@ -176,7 +176,7 @@
         )
         for bad in ({**raw, "state": "leaving"}, {**raw, "model_list": ["m"]}, {**raw, "call_seq": None}):
             with self.assertRaises(BadRequest):
-                self.words.engine_news("i", json.dumps(bad).encode())
+                self.words.engine_update("i", json.dumps(bad).encode())
 
     def test_the_folder_leaves_the_standard_librarys_module_in_its_place(self):
         self.assertEqual(
--- a/tests/test_rpc_notes.py
+++ b/tests/test_rpc_notes.py
@@ -11,7 +11,7 @@
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms, spawn
 from pipitlink.wire.connection import RpcConnection
-from pipitlink.wire.frame_pb2 import Frame, Nothing
+from pipitlink.wire.frame_pb2 import Empty, Frame
 from pipitlink.wire.membership_pb2 import Loads
 from pipitlink.wire.rpc import RpcEndpoint
 
@@ -39,27 +39,27 @@
         self.pump.flush()
         self.ends[0]._streams["h", 2] = self.connections[0]
         self.told = []
-        self.ends[1].answer("engines.loads", Loads, self.take)
+        self.ends[1].register_handler("engines.loads", Loads, self.take)
 
     def endpoint(self, node):
         clock = Clock()
         out = RpcEndpoint(
             MemoryReactorClock(), Timers(clock, seconds=clock.seconds), StructuredLogger(self.lines), "fleet", node
         )
-        out.place = ("h", 1 if node == "a" else 2)
+        out.address = ("h", 1 if node == "a" else 2)
         return out
 
     async def take(self, node, what):
         if what.gateway == "bad":
             raise ValueError("it is bad")
         self.told.append((node, what.gateway))
-        return Nothing()
+        return Empty()
 
     def test_notes_arrive_in_order_and_nothing_is_sent_back(self):
         sent_back = []
         self.connections[1].sendString = sent_back.append
         for name in ("one", "two", "three"):
-            self.ends[0].post([("h", 2)], "engines.loads", Loads(gateway=name))
+            self.ends[0].notify([("h", 2)], "engines.loads", Loads(gateway=name))
         self.pump.flush()
         self.assertEqual(self.told, [("a", "one"), ("a", "two"), ("a", "three")])
         self.assertEqual(sent_back, [])
@@ -67,9 +67,9 @@
         self.assertEqual(self.connections[1]._attended, 0)
 
     def test_a_note_that_fails_is_noted_and_the_connection_goes_on(self):
-        self.ends[0].post([("h", 2)], "engines.loads", Loads(gateway="bad"))
-        self.ends[0].post([("h", 2)], "no.such.verb", Loads())
-        self.ends[0].post([("h", 2)], "engines.loads", Loads(gateway="good"))
+        self.ends[0].notify([("h", 2)], "engines.loads", Loads(gateway="bad"))
+        self.ends[0].notify([("h", 2)], "no.such.method", Loads())
+        self.ends[0].notify([("h", 2)], "engines.loads", Loads(gateway="good"))
         self.pump.flush()
         self.assertEqual(self.told, [("a", "good")])
         self.assertEqual(sum("note_failed" in line for line in self.lines.lines), 2)
@@ -78,24 +78,24 @@
     def test_calls_go_on_between_notes(self):
         box = []
         for name in ("one", "bad"):
-            self.ends[0].post([("h", 2)], "engines.loads", Loads(gateway="note"))
+            self.ends[0].notify([("h", 2)], "engines.loads", Loads(gateway="note"))
             spawn(
-                self.ends[0].call(("h", 2), "engines.loads", Loads(gateway=name), Nothing, ms(100))
+                self.ends[0].call(("h", 2), "engines.loads", Loads(gateway=name), Empty, ms(100))
             ).addBoth(box.append)  # fmt: skip
         self.pump.flush()
-        self.assertEqual(box[0], Nothing())
+        self.assertEqual(box[0], Empty())
         self.assertTrue(box[1].check(RemoteError))
         self.assertEqual([name for _, name in self.told], ["note", "one", "note"])
 
     def test_a_peer_is_called_over_the_connection_that_it_opened(self):
         box = []
-        self.ends[0].answer("engines.loads", Loads, self.take)
+        self.ends[0].register_handler("engines.loads", Loads, self.take)
         for end, place in ((1, ("h", 1)), (0, ("h", 2))):
             spawn(
-                self.ends[end].call(place, "engines.loads", Loads(gateway="one"), Nothing, ms(100))
+                self.ends[end].call(place, "engines.loads", Loads(gateway="one"), Empty, ms(100))
             ).addBoth(box.append)  # fmt: skip
         self.pump.flush()
-        self.assertEqual(box, [Nothing(), Nothing()])
+        self.assertEqual(box, [Empty(), Empty()])
         self.assertEqual(self.told, [("b", "one"), ("a", "one")])
         for e in self.ends:
             self.assertEqual(e._reactor.tcpClients, [])
@@ -114,14 +114,14 @@
         self.assertIs(self.ends[1]._streams[place], s)
 
     def test_a_note_where_no_connection_is_open_opens_one(self):
-        self.ends[0].post([("h", 9)], "engines.loads", Loads(gateway="one"))
+        self.ends[0].notify([("h", 9)], "engines.loads", Loads(gateway="one"))
         (opened,) = self.ends[0]._reactor.tcpClients
         self.assertEqual(opened[:2], ("h", 9))
 
     def test_a_note_after_the_end_of_its_connection_is_dropped(self):
         self.connections[0].transport.loseConnection()
         self.pump.flush()
-        self.connections[0].post(Frame(verb="engines.loads").SerializeToString())
+        self.connections[0].notify(Frame(method="engines.loads").SerializeToString())
         self.pump.flush()
         self.assertEqual(self.told, [])
         self.assertNotIn(("h", 2), self.ends[0]._streams)
--- a/tests/test_snapshot_orders.py
+++ b/tests/test_snapshot_orders.py
@@ -11,7 +11,7 @@
 from pipitlink.controller.snapshots import Snapshots
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from pipitlink.wire.controller_pb2 import AppendRequest, ControllerEntry, Snapshot, SnapshotPiece
+from pipitlink.wire.controller_pb2 import AppendRequest, ControllerEntry, Snapshot, SnapshotChunk
 from rehearsal.interleave import Choices
 from rehearsal.stage import Stage
 
@@ -77,7 +77,7 @@
 
     def whole(self) -> AppendRequest:
         data = zlib.compress(self.snapshot.SerializeToString())
-        piece = SnapshotPiece(index=SNAPSHOT_AT, term=TERM, total=len(data), data=data)
+        piece = SnapshotChunk(index=SNAPSHOT_AT, term=TERM, total=len(data), data=data)
         ask = self.append(SNAPSHOT_AT, SNAPSHOT_AT)
         ask.piece.CopyFrom(piece)
         return ask
@@ -105,7 +105,7 @@
         if other_branch:
             self.stage.do(self.part._append(LEADER, self.history.other_branch(NEWEST)))
         self._jobs: list = []
-        self.actor.ctx.on_thread = self._hold
+        self.actor.ctx.run_in_thread = self._hold
         self.results: list = []
         self.sequence = 0
         self.refusals = 0
@@ -185,14 +185,14 @@
 
 async def _state_after_the_disk(self, s):
     if self.lacks(s):
-        await self._ctx.on_thread(self.archive.keep_snapshot, s)
+        await self._ctx.run_in_thread(self.archive.keep_snapshot, s)
         await self.archive.use_snapshot(s)
         self._take_cluster_state(s)
 
 
 async def _state_always_taken(self, s):
     if self.lacks(s):
-        await self._ctx.on_thread(self.archive.keep_snapshot, s)
+        await self._ctx.run_in_thread(self.archive.keep_snapshot, s)
         synced = self.archive.use_snapshot(s)
         self._take_cluster_state(s)
         await synced
--- a/tests/test_stage_controllers.py
+++ b/tests/test_stage_controllers.py
@@ -268,7 +268,7 @@
         self.stage.run(2)
         others = [a for a in self.stage.role("controller") if a is not leader and a.node in leader.part.voters()]
         others[0].kill()
-        leader.ctx.on_thread = lambda do, *words: defer.Deferred()
+        leader.ctx.run_in_thread = lambda do, *words: defer.Deferred()
         with self.assertRaises(PipitlinkError):
             self.stage.do(leader.part.edit(edit_of("r", 0, "not on two disks")), 12)
         self.assertEqual([a.name for a in self.stage.role("controller") if "r" in a.part.cluster_state.rows], [])
--- a/tests/test_stage_cut_off.py
+++ b/tests/test_stage_cut_off.py
@@ -51,7 +51,7 @@
         s = Scene(self)
         actor = s.controller("leader")
         for shift in (-86_400, 86_400):
-            actor.ctx.timers.wall = lambda shift=shift: datetime.fromtimestamp(1_700_000_000 + shift + s.now(), UTC)
+            actor.ctx.timers.utc_now = lambda shift=shift: datetime.fromtimestamp(1_700_000_000 + shift + s.now(), UTC)
             s.play(actor, "both")
             s.back(actor)
         self.assertEqual(s.slow(), [])
--- a/tests/test_stage_follow.py
+++ b/tests/test_stage_follow.py
@@ -7,7 +7,7 @@
 from pipitlink.cluster.follower import HOLD_FOLLOW, MOST_HELD, OWN_SPAN
 from pipitlink.cluster.state_transfer import StateTransfer
 from pipitlink.timers import spawn
-from pipitlink.wire.cluster_pb2 import ClusterStateData, Delta, FollowResponse, StatePiece
+from pipitlink.wire.cluster_pb2 import ClusterStateData, Delta, FollowResponse, StateChunk
 from rehearsal.stage import Stage
 
 from . import test_stage_controllers as under_trouble
@@ -25,7 +25,7 @@
         self.addCleanup(stage.end)
         stage.start()
         founded = ClusterState(ClusterStateData(voters=["a", "b", "c"]))
-        piece = StateTransfer.of(founded, 1).piece_after(StatePiece())
+        piece = StateTransfer.of(founded, 1).piece_after(StateChunk())
         first = Delta(sequence=1, command=edit_of("r", 0, "m"))
         follower = Cluster(stage.role("gateway")[0].ctx)
         self.assertTrue(follower._absorb(FollowResponse(sequence=1, piece=piece, deltas=[first])))
@@ -44,8 +44,8 @@
     def asked(self, stage, seconds) -> float:
         """Questions of one gateway in a second."""
         asks = []
-        stage.watch_calls = lambda sender, verb: (
-            sender.role == "gateway" and verb == "controller.follow" and asks.append(sender.name)
+        stage.watch_calls = lambda sender, method: (
+            sender.role == "gateway" and method == "controller.follow" and asks.append(sender.name)
         )
         stage.run(seconds)
         stage.watch_calls = None
--- a/tests/test_stage_idle.py
+++ b/tests/test_stage_idle.py
@@ -14,7 +14,7 @@
 
 
 class _Counted:
-    """A fleet's messages and their bytes within a span at rest, responses included, by node and by verb."""
+    """A fleet's messages and their bytes within a span at rest, responses included, by node and by method."""
 
     def __init__(self, controllers, storage_nodes, gateways):
         self.stage = s = Stage(1, controllers=controllers, storage_nodes=storage_nodes, gateways=gateways)
@@ -30,19 +30,19 @@
         s.run(SPAN)
         self._at_rest = False
 
-    def _count(self, sender, place, verb, body, node=""):
-        d = self._carry(sender, place, verb, body, node)
+    def _count(self, sender, place, method, body, node=""):
+        d = self._carry(sender, place, method, body, node)
         if self._at_rest:
             goal = next(a for a in self.stage.actors.values() if a.place == place)
-            self.asks[verb] += 1
-            self._add(sender, verb, body)
-            d.addCallback(lambda response: self._add(goal, verb, response) or response)
+            self.asks[method] += 1
+            self._add(sender, method, body)
+            d.addCallback(lambda response: self._add(goal, method, response) or response)
         return d
 
-    def _add(self, actor, verb, body):
+    def _add(self, actor, method, body):
         self.messages[actor.name] += 1
         self.bytes[actor.name] += len(body)
-        self.verb_bytes[verb] += len(body)
+        self.verb_bytes[method] += len(body)
 
     def per_gateway(self, counter) -> float:
         names = [a.name for a in self.stage.role("gateway")]
--- a/tests/test_stage_large.py
+++ b/tests/test_stage_large.py
@@ -16,7 +16,7 @@
     def count(self, stage) -> dict:
         """Calls and notes that a node of each role sends in a second."""
         counts: Counter = Counter()
-        stage.watch_calls = lambda sender, verb: counts.update([(sender.role, verb)])
+        stage.watch_calls = lambda sender, method: counts.update([(sender.role, method)])
         stage.run(SPAN)
         stage.watch_calls = None
         return {k: n / SPAN / len(stage.role(k[0])) for k, n in counts.items()}
--- a/tests/test_stage_lots.py
+++ b/tests/test_stage_lots.py
@@ -172,15 +172,15 @@
             steps = list(OWNED)
             stage.chance.shuffle(steps)
             trouble.during(work, 0)
-            for verb in steps[:5]:
+            for method in steps[:5]:
                 skip = [stage.chance.randrange(12)]
 
                 def trip(sender, said):
-                    if said == verb and sender.alive and not sender.frozen:
+                    if said == method and sender.alive and not sender.frozen:
                         skip[0] -= 1
                         if skip[0] < 0:
                             stage.watch_calls = None
-                            trouble.told.append(f"{stage.clock.seconds():.3f} {sender.name} freezes in {verb}")
+                            trouble.told.append(f"{stage.clock.seconds():.3f} {sender.name} freezes in {method}")
                             stage.clock.callLater(0.0007, sender.freeze)
                             stage.clock.callLater(5, sender.thaw)
 
--- a/tests/test_stage_placement.py
+++ b/tests/test_stage_placement.py
@@ -42,7 +42,7 @@
         stage.ready()
         logs = [_Log(stage, f"results/{n}") for n in range(4)]
         for n, log in enumerate(logs):
-            stage.role("gateway")[n % 3].ctx.spawned(log.write(stage.role("gateway")[n % 3]), "write")
+            stage.role("gateway")[n % 3].ctx.run_in_background(log.write(stage.role("gateway")[n % 3]), "write")
         return stage, logs
 
     def check(self, stage, logs):
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -11,7 +11,7 @@
 from pipitlink.timers import Timers, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, FollowRequest, FollowResponse, Row, TableEdit, WitnessResponse
 from pipitlink.wire.connection import RpcConnection
-from pipitlink.wire.frame_pb2 import Nothing
+from pipitlink.wire.frame_pb2 import Empty
 from pipitlink.wire.membership_pb2 import ProbeFor, ProbeResponse
 from pipitlink.wire.replicated_log_pb2 import States, StatesRequest
 from pipitlink.wire.rpc import RpcEndpoint
@@ -33,7 +33,7 @@
         self.timers = Timers(Clock(), seconds=lambda: 0.0)
         self.caller, self.callee = self._endpoint("caller"), self._endpoint("callee")
         self.asked: list[str] = []
-        self.callee.answer("probe", ProbeFor, self._probe)
+        self.callee.register_handler("probe", ProbeFor, self._probe)
         here, there = RpcConnection(self.caller), RpcConnection(self.callee)
         self.pump = iosim.connect(there, iosim.makeFakeServer(there), here, iosim.makeFakeClient(here))
         self.caller._streams[PLACE] = here
@@ -64,7 +64,7 @@
         self.assertEqual(self.asked, [])
 
     def test_a_node_at_its_own_place_does_not_answer_for_its_predecessor(self):
-        self.callee.place = PLACE
+        self.callee.address = PLACE
         self.assertTrue(self.call(self.callee, PLACE, "a", node="callee").alive)
         self.assertIsInstance(self.call(self.callee, PLACE, "b", node="its predecessor").value, WrongPeer)
         self.assertEqual(self.asked, ["a"])
@@ -150,22 +150,22 @@
         lost = storage_node.node
         self.empty(storage_node)
         replicated_log = gateway.ctx.replicated_log
-        for verb, ask, kind in (
-            ("cluster.witness", Nothing(), WitnessResponse),
+        for method, ask, kind in (
+            ("cluster.witness", Empty(), WitnessResponse),
             ("replicated_log.states", StatesRequest(logs=[LOG]), States),
         ):
             self.assertIsNotNone(gateway.ctx.membership.find(lost))
             with self.assertRaises(WrongPeer):
-                self.stage.do(replicated_log.ask(lost, verb, ask, kind), 3)
+                self.stage.do(replicated_log.ask(lost, method, ask, kind), 3)
 
     def test_followers_name_the_controller_that_they_follow(self):
         named = []
         plain = self.stage.carry
 
-        def carry(sender, place, verb, body, node=""):
-            if verb in ("controller.follow", "cluster.pass_on"):
+        def carry(sender, place, method, body, node=""):
+            if method in ("controller.follow", "cluster.pass_on"):
                 named.append(node)
-            return plain(sender, place, verb, body, node)
+            return plain(sender, place, method, body, node)
 
         with unittest.mock.patch.object(self.stage, "carry", carry):
             self.stage.run(1)
