--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -158,7 +158,7 @@
             replicas = list(ring.replicas(k))
             if not replicas:
                 continue
-            self._ctx.chance.shuffle(replicas)
+            self._ctx.rng.shuffle(replicas)
             first.setdefault(replicas[0], []).append(k)
             second.setdefault(replicas[-1], []).append(k)
         have: dict[bytes, bytes] = {}
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -194,10 +194,10 @@
             return known[0], "controller.follow"
         peers = self._ctx.membership.members("gateway", status=("alive",), me=False)
         if controllers and (failures % 3 or not peers):
-            return self._ctx.chance.choice(controllers), "controller.follow"
+            return self._ctx.rng.choice(controllers), "controller.follow"
         if not peers:
             raise WireError("neither a controller nor a peer is known")
-        return self._ctx.chance.choice(peers), "cluster.pass_on"
+        return self._ctx.rng.choice(peers), "cluster.pass_on"
 
     async def _pass_on(self, node, ask: FollowRequest) -> FollowResponse:
         """A peer that hears no controller follows through this node."""
--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -31,7 +31,7 @@
     timers: Timers
     logger: StructuredLogger
     rpc: RpcEndpoint
-    chance: Random
+    rng: Random
     membership: object = None
     cluster: object = None
     replicated_log: object = None
--- a/pipitlink/controller/voting.py
+++ b/pipitlink/controller/voting.py
@@ -81,7 +81,7 @@
         self._ctx.rpc.register_handler("controller.vote", VoteRequest, self._vote_by_name)
 
     def _new_patience(self) -> timedelta:
-        return STICKY_SPAN + (LONGEST - STICKY_SPAN) * self._ctx.chance.random()
+        return STICKY_SPAN + (LONGEST - STICKY_SPAN) * self._ctx.rng.random()
 
     def _election_beat(self):
         now = self._ctx.timers.now()
--- a/pipitlink/gateway/picking.py
+++ b/pipitlink/gateway/picking.py
@@ -92,7 +92,7 @@
             return None
         loads = {e.name: self.engines.running(e) / max(1, self.engines.capacity(e)) for e, _ in ready}
         if not ask.prefix:
-            return min(free, key=lambda p: (loads[p[0].name] / p[1], self._ctx.chance.random()))[0]
+            return min(free, key=lambda p: (loads[p[0].name] / p[1], self._ctx.rng.random()))[0]
         bound = 1.25 * sum(loads.values()) / len(loads)
         free.sort(key=lambda p: -_score(ask.prefix, p[0].name, p[1]))
         for e, _ in free:
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -142,7 +142,7 @@
         told = list(self._entries.values()) if whole else self._recent()
         if len(told) > MAX_TOLD:
             fresh = sorted(told, key=lambda e: -e.changed)[: MAX_TOLD // 2]
-            told = fresh + self._ctx.chance.sample(told, MAX_TOLD // 2)
+            told = fresh + self._ctx.rng.sample(told, MAX_TOLD // 2)
         if whole or self._ctx.timers.now() - self._me_changed_at < RECENT_SPAN:
             g.members.append(self.me)
         g.members.extend(e.member for e in told)
@@ -236,7 +236,7 @@
 
     async def _greet_seeds(self):
         known = {e.place for e in self._entries.values() if e.state == "alive"} | {self._ctx.rpc.address}
-        if len(known) > 3 and self._ctx.chance.random() > 0.1:
+        if len(known) > 3 and self._ctx.rng.random() > 0.1:
             return
         for seed in self._ctx.settings.seeds:
             host, _, port = seed.rpartition(":")
@@ -261,10 +261,8 @@
     def _next(self) -> Entry | None:
         while True:
             if not self._round:
-                self._round = [
-                    n for n, e in self._entries.items() if e.state != "gone" or self._ctx.chance.random() < 0.2
-                ]
-                self._ctx.chance.shuffle(self._round)
+                self._round = [n for n, e in self._entries.items() if e.state != "gone" or self._ctx.rng.random() < 0.2]
+                self._ctx.rng.shuffle(self._round)
                 if not self._round:
                     return None
             e = self._entries.get(self._round.pop())
@@ -281,7 +279,7 @@
             self._changed(e)
             return
         helpers = [m for m in self.members(me=False, status=("alive",)) if m.node != e.member.node]
-        for m in self._ctx.chance.sample(helpers, min(3, len(helpers))):
+        for m in self._ctx.rng.sample(helpers, min(3, len(helpers))):
             try:
                 r = await self._ctx.rpc.call(
                     (m.host, m.port),
--- a/pipitlink/replicated_log/replicated_log.py
+++ b/pipitlink/replicated_log/replicated_log.py
@@ -202,7 +202,7 @@
         well.
         """
         nodes = list(self.placement_group(log).everyone)
-        self._ctx.chance.shuffle(nodes)
+        self._ctx.rng.shuffle(nodes)
         nodes.sort(key=lambda n: self._ctx.membership.status(n) != "alive")
         got: list[bytes] = []
         waiting: list[defer.Deferred] = []
--- a/pipitlink/router/choosing.py
+++ b/pipitlink/router/choosing.py
@@ -45,11 +45,11 @@
         self._long_at: dict[str, timedelta] = {}
 
     def _share_pool(self, call) -> str:
-        """One pool of the route's shares, by chance, kept for the call."""
+        """One pool of the route's shares, by rng, kept for the call."""
         shares = [s for s in call.route.shares if s.share > 0]
         if len(shares) == 1:
             return shares[0].pool
-        at = self._ctx.chance.random() * sum(s.share for s in shares)
+        at = self._ctx.rng.random() * sum(s.share for s in shares)
         for s in shares:
             at -= s.share
             if at < 0:
@@ -99,7 +99,7 @@
             missing = call.parts[-1][1] if call.parts else 0
             if e.name != home:
                 missing += e.kept.missing(shared) if shared else 0
-            cost = (missing + e.reading) / READ_PER_MS + RUN_COST_MS * load + self._ctx.chance.random()
+            cost = (missing + e.reading) / READ_PER_MS + RUN_COST_MS * load + self._ctx.rng.random()
             if load >= e.places:
                 cost += FULL_COST_MS * (1 + load - e.places)
             elif not call.batch and load + batch >= e.places:
@@ -173,7 +173,7 @@
 
     def _come_back(self) -> float:
         """Seconds until a new try is worth while; spread, so that a crowd does not come back as one."""
-        return round(0.05 + 0.15 * self._ctx.chance.random(), 3)
+        return round(0.05 + 0.15 * self._ctx.rng.random(), 3)
 
     def batch_room(self, route) -> int:
         """How many items of batches on this route may be started now from here.
--- a/pipitlink/router/front.py
+++ b/pipitlink/router/front.py
@@ -223,7 +223,7 @@
         second.
         """
         left = (START_SPAN - (self._ctx.timers.now() - self._opened_at)).total_seconds()
-        return round(max(0.2, left) + 0.2 * self._ctx.chance.random(), 3)
+        return round(max(0.2, left) + 0.2 * self._ctx.rng.random(), 3)
 
     async def serve(self, request: Inbound):
         """One request, from its last byte read to the last byte of its answer."""
--- a/rehearsal/breaks.py
+++ b/rehearsal/breaks.py
@@ -10,10 +10,10 @@
 
 
 class Breaks:
-    """Mixin: each `plan_` draws a fault from its own chance; the soak runs it once the fleet can bear it."""
+    """Mixin: each `plan_` draws a fault from its own random numbers; the soak runs it once the fleet can bear it."""
 
     def _down(self, what, names, span, power=None, wiped=False, settle=3.0):
-        """Kills nodes together, by losing power where `power` is a chance, and starts them again."""
+        """Kills nodes together, by losing power where `power` is a rng, and starts them again."""
 
         def do():
             gateways = {n for n in names if n.startswith("gateway")}
@@ -45,8 +45,8 @@
         if any(n.startswith(("storage", "controller")) for n in names):
             time.sleep(REPAIRED)
 
-    def _any(self, chance, role):
-        return chance.choice(self.fleet.nodes(role))
+    def _any(self, rng, role):
+        return rng.choice(self.fleet.nodes(role))
 
     def plan_kill_gateway(self, c):
         return self._down("kill", [self._any(c, "gateway")], 2 * c.random())
--- a/rehearsal/callers.py
+++ b/rehearsal/callers.py
@@ -41,9 +41,9 @@
 
 
 class Callers(Operating):
-    def __init__(self, fleet, chance):
+    def __init__(self, fleet, rng):
         self.fleet = fleet
-        self.chance = chance
+        self.rng = rng
         self.over = threading.Event()
         self._lock = threading.Lock()
         self.events: list[dict] = []
@@ -88,7 +88,7 @@
         """A gateway that the platform would send a caller to: it moves clients off gateways that it took down."""
         up = [g for g in self.fleet.nodes("gateway") if g not in self.down and g != but]
         with self._lock:
-            return self.chance.choice(up or self.fleet.nodes("gateway"))
+            return self.rng.choice(up or self.fleet.nodes("gateway"))
 
     def _connect(self, gateway, limit):
         return http.client.HTTPConnection("127.0.0.1", self.fleet.programs[gateway].ports[1], timeout=limit)
--- a/rehearsal/disks.py
+++ b/rehearsal/disks.py
@@ -17,8 +17,8 @@
     With `names` each file that was made, renamed or removed without a sync of its folder is kept or lost by itself.
     """
 
-    def __init__(self, chance: Random, names: bool = False):
-        self._chance = chance
+    def __init__(self, rng: Random, names: bool = False):
+        self._chance = rng
         self._synced: dict[int, int] = {}
         self._seen: set[Path] = set()
         self._durable: dict[Path, Path] = {}
--- a/rehearsal/fleet.py
+++ b/rehearsal/fleet.py
@@ -184,7 +184,7 @@
         self.programs[name].kill()
         self._ports.pop(name, None)
 
-    def power(self, name: str, chance):
+    def power(self, name: str, rng):
         """Cuts a node's power: what it had not synced is gone, but for a torn part of it."""
         self.programs[name].kill()
         told = self.folder / f"{name}.synced"
@@ -196,7 +196,7 @@
         for path, size in synced.items():
             have = Path(path).stat().st_size if Path(path).exists() else 0
             if have > size:
-                kept = size + chance.randrange(have - size + 1)
+                kept = size + rng.randrange(have - size + 1)
                 os.truncate(path, kept)
                 lost += have - kept
         return lost
--- a/rehearsal/hollow_work.py
+++ b/rehearsal/hollow_work.py
@@ -41,7 +41,7 @@
         gateways = [n for n in self._host.nodes if n.role == "gateway"]
         for i, name in enumerate(engines):
             n = gateways[i % len(gateways)]
-            n.ctx.timers.call_later(RENEW * n.ctx.chance.random(), self._announce, n, name, 0)
+            n.ctx.timers.call_later(RENEW * n.ctx.rng.random(), self._announce, n, name, 0)
         for n in gateways:
             for log in tails:
                 n.ctx.cache.tail(log)
@@ -75,7 +75,7 @@
         try:
             h = None
             while h is None:
-                await n.ctx.timers.sleep(HOLD_SPREAD * n.ctx.chance.random())
+                await n.ctx.timers.sleep(HOLD_SPREAD * n.ctx.rng.random())
                 try:
                     h = await n.part.keep(log)
                     self._held += 1
--- a/rehearsal/interleave.py
+++ b/rehearsal/interleave.py
@@ -77,10 +77,10 @@
     raise AssertionError(f"more than {most} orders")
 
 
-def walk_events(make_scene, chance, most_events: int, walks: int):
+def walk_events(make_scene, rng, most_events: int, walks: int):
     """Runs a scene through orders of its events that are drawn at random."""
     for _ in range(walks):
-        _play_events(make_scene(), chance.randrange, most_events)
+        _play_events(make_scene(), rng.randrange, most_events)
 
 
 class StepLock:
--- a/rehearsal/soak.py
+++ b/rehearsal/soak.py
@@ -88,7 +88,7 @@
             )
 
     def _trouble(self, end):
-        """The n-th fault draws from its own chance, so that a seed makes the same schedule again."""
+        """The n-th fault draws from its own rng, so that a seed makes the same schedule again."""
         n, running = 0, []
         while time.monotonic() < end:
             n += 1
@@ -138,7 +138,7 @@
         )
 
     def _load(self):
-        p, chance = self.profile, self.calls.chance
+        p, rng = self.profile, self.calls.rng
         c = self.calls
         c.start(Caller(c, "walk", 1 / p["live"], lambda c, n: c.generate(n, prefix=f"tour{hash(n) % 5}")))
         c.start(Caller(c, "again", 2 / p["live"], lambda c, n: c.generate(n, repeatable=True)))
@@ -148,11 +148,9 @@
         c.start(Caller(c, "stuck", 6, lambda c, n: c.stuck(n, 4)))
         c.start(Caller(c, "night", 20, lambda c, n: self.lot(n, 60, 3_600_000)))
         c.start(Caller(c, "brief", 1.2, lambda c, n: self.lot(n, 5, 20_000, priority=5)))
-        c.start(Caller(c, "reader", 0.5, lambda c, n: self._lots and c.read_lot(chance.choice(self._lots[-12:]))))
+        c.start(Caller(c, "reader", 0.5, lambda c, n: self._lots and c.read_lot(rng.choice(self._lots[-12:]))))
         c.start(Caller(c, "operator", 1.2, self._edit))
-        c.start(
-            Caller(c, "gate", 6, lambda c, n: c.gate("gated", int(n[5:]) % 2 == 0, self._any(chance, "controller")))
-        )
+        c.start(Caller(c, "gate", 6, lambda c, n: c.gate("gated", int(n[5:]) % 2 == 0, self._any(rng, "controller"))))
         c.start(Caller(c, "gated", 0.3, lambda c, n: c.generate(n, model="gated")))
         c.start(Caller(c, "metered", 0.15, lambda c, n: c.generate(n, model="metered")))
         c.start(Caller(c, "narrow", 0.15, lambda c, n: c.generate(n, model="narrow")))
@@ -171,10 +169,10 @@
         self._lots.append(lot)
 
     def _edit(self, c, name):
-        controller = c.chance.choice(self.fleet.nodes("controller"))
+        controller = c.rng.choice(self.fleet.nodes("controller"))
         c.settle_unknown(controller)
-        row = None if int(name[9:]) % 9 == 0 else {"model": f"m-{name}", "weight": 1 + c.chance.randrange(5)}
-        c.edit(f"row-{c.chance.randrange(4)}", row, name, controller)
+        row = None if int(name[9:]) % 9 == 0 else {"model": f"m-{name}", "weight": 1 + c.rng.randrange(5)}
+        c.edit(f"row-{c.rng.randrange(4)}", row, name, controller)
 
     def leader(self):
         for n in self.fleet.nodes("controller"):
--- a/rehearsal/stage.py
+++ b/rehearsal/stage.py
@@ -86,7 +86,7 @@
         self.stage, self.role, self.name, self.zone = stage, role, name, zone
         self.place = ("10.0.0.1", port)
         self.folder = stage.folder / name
-        self.disk = LosingDisk(stage.chance)
+        self.disk = LosingDisk(stage.rng)
         self.lives = 0
         self.alive = False
         self.frozen = False
@@ -120,7 +120,7 @@
             timers,
             StructuredLogger(stage.sink, node=self.node),
             None,
-            Random(stage.chance.random()),
+            Random(stage.rng.random()),
         )
         ctx = self.ctx
         ctx.rpc = _Rpc(stage, self)
@@ -161,7 +161,7 @@
     def _on_thread(self, clock, do, *words):
         """On the clock of the life that asks: what is left of an ended life must not reach the next one's disk."""
         d = defer.Deferred()
-        span = self.slow + 0.001 + 0.004 * self.stage.chance.random()
+        span = self.slow + 0.001 + 0.004 * self.stage.rng.random()
 
         def work():
             try:
@@ -185,7 +185,7 @@
 
     def wipe(self):
         shutil.rmtree(self.folder, ignore_errors=True)
-        self.disk = LosingDisk(self.stage.chance)
+        self.disk = LosingDisk(self.stage.rng)
 
     def freeze(self):
         self.frozen = True
@@ -201,7 +201,7 @@
         self, seed: int, controllers=4, storage_nodes=4, gateways=3, placement_groups=4, settings=None, named=False
     ):
         self.seed = seed
-        self.chance = Random(seed)
+        self.rng = Random(seed)
         self.clock = StagedTime()
         self.folder = Path(tempfile.mkdtemp(prefix="stage-"))
         self.sink = _Sink()
@@ -215,7 +215,7 @@
         self.bytes_per_s: float | None = None
         self._link_free_at: dict[tuple[str, str], float] = {}
         self._tokens = mock.patch(
-            "pipitlink.context.secrets.token_hex", lambda n: f"{self.chance.getrandbits(8 * n):0{2 * n}x}"
+            "pipitlink.context.secrets.token_hex", lambda n: f"{self.rng.getrandbits(8 * n):0{2 * n}x}"
         )
         self._tokens.start()
         self._fresh = 0
@@ -266,7 +266,7 @@
         self.cuts.clear()
 
     def _delay(self) -> float:
-        return 0.0005 + 0.003 * self.chance.random()
+        return 0.0005 + 0.003 * self.rng.random()
 
     def _transfer(self, sender: Actor, goal: Actor, body) -> float:
         """How long a message is on its way: each pair of nodes has a link of its own, where there is a rate."""
--- a/rehearsal/staged.py
+++ b/rehearsal/staged.py
@@ -25,7 +25,7 @@
 
     async def _relay(self, ask, e):
         engine = self.stage.engines[e.name]
-        await self._ctx.timers.sleep(secs(self.stage.chance.choice((0.001, 0.001, 0.02, 0.6))))
+        await self._ctx.timers.sleep(secs(self.stage.rng.choice((0.001, 0.001, 0.02, 0.6))))
         if not engine.alive:
             raise ServiceUnavailable(f"{e.name} could not be reached", code="unreached")
         self._check_still(ask, e)
@@ -66,14 +66,14 @@
                 zone=self.zone,
                 state=self.state,
             )
-            self.stage.chance.choice(gateways).part.engines.announce(news)
+            self.stage.rng.choice(gateways).part.engines.announce(news)
         self.stage.clock.callLater(1.0, self._announce, incarnation)
 
     def leave(self):
         self.state = "leaving"
         gateways = self.stage.role("gateway", alive=True)
         if gateways:
-            self.stage.chance.choice(gateways).part.engines.announce(
+            self.stage.rng.choice(gateways).part.engines.announce(
                 EngineUpdate(
                     engine=self.name,
                     incarnation=self.incarnation,
@@ -163,7 +163,7 @@
 
     def _gateway(self):
         up = self.stage.role("gateway", alive=True)
-        return self.stage.chance.choice(up) if up else None
+        return self.stage.rng.choice(up) if up else None
 
     async def _ask(self, do, limit=6.0, gateway=None):
         """(what came, None) or (None, fault); a gateway that is killed or frozen answers nothing."""
@@ -178,10 +178,10 @@
             return None, ApiError(str(f), code=getattr(f, "code", "dropped"), outcome="unknown")
 
     async def hand_in(self):
-        chance = self.stage.chance
+        rng = self.stage.rng
         while not self.over:
-            await self.timers.sleep(ms(300 + chance.randrange(1200)))
-            await self.one_lot(2 + chance.randrange(8), chance.random() < 0.3)
+            await self.timers.sleep(ms(300 + rng.randrange(1200)))
+            await self.one_lot(2 + rng.randrange(8), rng.random() < 0.3)
 
     async def one_lot(self, items, repeatable=False):
         self._n += 1
@@ -213,9 +213,9 @@
 
     async def read(self):
         while not self.over:
-            await self.timers.sleep(ms(100 + self.stage.chance.randrange(300)))
+            await self.timers.sleep(ms(100 + self.stage.rng.randrange(300)))
             if self.lots:
-                await self.one_read(self.stage.chance.choice(list(self.lots)))
+                await self.one_read(self.stage.rng.choice(list(self.lots)))
 
     async def one_read(self, lot, gateway=None):
         asked = self.stage.clock.seconds()
@@ -241,17 +241,17 @@
 
     async def end_some(self):
         while not self.over:
-            await self.timers.sleep(ms(2000 + self.stage.chance.randrange(4000)))
+            await self.timers.sleep(ms(2000 + self.stage.rng.randrange(4000)))
             if self.lots:
-                lot = self.stage.chance.choice(list(self.lots))
+                lot = self.stage.rng.choice(list(self.lots))
                 got, fault = await self._ask(lambda part: part.end_anywhere(lot), 9.0)
                 self.note("lot_ended", lot=lot, status=200 if got else 503, said={"state": got})
 
     async def live(self):
         while not self.over:
-            await self.timers.sleep(ms(150 + self.stage.chance.randrange(400)))
+            await self.timers.sleep(ms(150 + self.stage.rng.randrange(400)))
             self._n += 1
-            spawn(self._one_live(f"live{self._n}", self.stage.chance.random() < 0.4))
+            spawn(self._one_live(f"live{self._n}", self.stage.rng.random() < 0.4))
 
     async def _one_live(self, prompt, repeatable):
         asked, box = self.stage.clock.seconds(), []
@@ -288,11 +288,11 @@
         )
 
     async def engines(self):
-        chance = self.stage.chance
+        rng = self.stage.rng
         while not self.over:
-            await self.timers.sleep(ms(1500 + chance.randrange(3000)))
-            e = chance.choice(list(self.stage.engines.values()))
-            what = chance.choice(("crash", "leave", "silent"))
+            await self.timers.sleep(ms(1500 + rng.randrange(3000)))
+            e = rng.choice(list(self.stage.engines.values()))
+            what = rng.choice(("crash", "leave", "silent"))
             if what == "silent":
                 e.silent = True
                 await self.timers.sleep(secs(5))
--- a/rehearsal/trouble.py
+++ b/rehearsal/trouble.py
@@ -28,11 +28,11 @@
         self.told: list[str] = []
 
     def one(self):
-        stage, chance = self._stage, self._stage.chance
-        role = chance.choice(self._roles)
-        actor = chance.choice(stage.role(role))
-        kind = chance.choice(self._kinds)
-        span = chance.choice((0.3, 1.0, 2.5, 5.0))
+        stage, rng = self._stage, self._stage.rng
+        role = rng.choice(self._roles)
+        actor = rng.choice(stage.role(role))
+        kind = rng.choice(self._kinds)
+        span = rng.choice((0.3, 1.0, 2.5, 5.0))
         self.told.append(f"{stage.clock.seconds():.3f} {kind} {actor.name} {span}")
         if not actor.alive or actor.frozen:
             return
@@ -49,7 +49,7 @@
             actor.freeze()
             stage.clock.callLater(span, self._thaw, actor)
         else:
-            others = [a.name for a in stage.actors.values() if a is not actor and chance.random() < 0.7]
+            others = [a.name for a in stage.actors.values() if a is not actor and rng.random() < 0.7]
             pairs = {(actor.name, o) for o in others}
             if kind == "cut":
                 pairs |= {(b, a) for a, b in pairs}
@@ -86,7 +86,7 @@
         for w in work:
             spawn(w).addErrback(lambda f: self.told.append(f"work ended: {f.value!r}"))
         for _ in range(faults):
-            self._stage.run(between * (0.3 + self._stage.chance.random()))
+            self._stage.run(between * (0.3 + self._stage.rng.random()))
             self.one()
         self._stage.run(1)
         self.heal()
--- a/tests/batch_parts.py
+++ b/tests/batch_parts.py
@@ -68,7 +68,7 @@
         self.busy += 1
         stage = self.stage
         try:
-            await self._ctx.timers.sleep(ms(stage.chance.choice((1, 5, 40, 300))))
+            await self._ctx.timers.sleep(ms(stage.rng.choice((1, 5, 40, 300))))
             call.still()
             stage.runs.append(
                 {
@@ -87,7 +87,7 @@
                     return ItemAnswer(status=status, not_run=status == 503)
             for n in range(call.last_event + 1, EVENTS + 1):
                 await self._ctx.timers.sleep(stage.step)
-                if stage.chance.random() < stage.breaks:
+                if stage.rng.random() < stage.breaks:
                     return ItemAnswer(status=200)
                 call.texts.append(f"{call.id} event {n}".encode())
                 call.last_event = n
@@ -139,7 +139,7 @@
 
     def gateway(self):
         up = self.stage.role("gateway", alive=True)
-        return self.stage.chance.choice(up) if up else None
+        return self.stage.rng.choice(up) if up else None
 
     async def ask(self, do, gateway=None, limit=6.0):
         """(status, headers, body), with status 0 where no answer came."""
@@ -213,10 +213,10 @@
 
     async def hand_in_all(self):
         """Each batch again at other gateways, until it is taken or surely refused."""
-        chance = self.stage.chance
+        rng = self.stage.rng
         while not self.over:
-            await self.timers.sleep(ms(300 + chance.randrange(900)))
-            name, said = self.lot(2 + chance.randrange(8)), []
+            await self.timers.sleep(ms(300 + rng.randrange(900)))
+            name, said = self.lot(2 + rng.randrange(8)), []
             for _ in range(4):
                 said.append(await self.hand_in(name))
                 if said[-1] == 202:
@@ -226,14 +226,14 @@
 
     async def read_some(self):
         while not self.over:
-            await self.timers.sleep(ms(100 + self.stage.chance.randrange(300)))
+            await self.timers.sleep(ms(100 + self.stage.rng.randrange(300)))
             if self.taken:
-                name = self.stage.chance.choice(list(self.taken))
-                start = self.stage.chance.choice((0, len(self.seen.get(name, ()))))
-                await self.read(name, start, self.stage.chance.choice((0, 1000)))
+                name = self.stage.rng.choice(list(self.taken))
+                start = self.stage.rng.choice((0, len(self.seen.get(name, ()))))
+                await self.read(name, start, self.stage.rng.choice((0, 1000)))
 
     async def end_some(self):
         while not self.over:
-            await self.timers.sleep(ms(2500 + self.stage.chance.randrange(4000)))
+            await self.timers.sleep(ms(2500 + self.stage.rng.randrange(4000)))
             if self.taken:
-                await self.end(self.stage.chance.choice(list(self.taken)))
+                await self.end(self.stage.rng.choice(list(self.taken)))
--- a/tests/model/explorer.py
+++ b/tests/model/explorer.py
@@ -67,7 +67,7 @@
 
 def walk(model: Model, seed: int, walks: int, depth: int, rare: tuple[str, ...] = ()) -> Found:
     """Random walks. Steps are first drawn by kind, so that a kind with many variants doesn't crowd out the others."""
-    chance = Random(seed)
+    rng = Random(seed)
     seen: set[int] = set()
     for _ in range(walks):
         state, trace = model.start(), []
@@ -78,8 +78,8 @@
             if not kinds:
                 break
             names = sorted(kinds)
-            kind = chance.choices(names, [RARE_SHARE if k in rare else 1 for k in names])[0]
-            name, state = chance.choice(kinds[kind])
+            kind = rng.choices(names, [RARE_SHARE if k in rare else 1 for k in names])[0]
+            name, state = rng.choice(kinds[kind])
             trace.append(name)
             seen.add(hash(state))
             wrong = model.wrong(state)
--- a/tests/order_parts.py
+++ b/tests/order_parts.py
@@ -80,13 +80,13 @@
 
     async def call(self, controller, *words):
         """One copy of a call: (status, body), or None where no clear answer came in time."""
-        stage, chance = self.stage, self.stage.chance
+        stage, rng = self.stage, self.stage.rng
         sent = _Sent()
-        lost_answer = chance.random() < self.unanswered
-        span = 0.001 + 0.003 * chance.random()
-        if chance.random() < self.held:
-            span = chance.choice((0.2, 0.6, 1.5, 3.0, 6.0))
-        if chance.random() >= self.lost:
+        lost_answer = rng.random() < self.unanswered
+        span = 0.001 + 0.003 * rng.random()
+        if rng.random() < self.held:
+            span = rng.choice((0.2, 0.6, 1.5, 3.0, 6.0))
+        if rng.random() >= self.lost:
             stage.clock.callLater(span, self._arrive, controller, sent, words)
         until = stage.clock.seconds() + PATIENCE
         while stage.clock.seconds() < until:
@@ -110,7 +110,7 @@
     def _read(self, controller, sent, words):
         sent.answer = self.caller.begin(controller, *words)
         if sent.left:
-            self.stage.clock.callLater(0.008 * self.stage.chance.random(), self._hang_up, controller, sent)
+            self.stage.clock.callLater(0.008 * self.stage.rng.random(), self._hang_up, controller, sent)
 
     def _hang_up(self, controller, sent):
         if controller.alive and controller.ctx is sent.life:
@@ -122,7 +122,7 @@
         await self.timers.sleep(ms(5))
         for _ in range(self.tries):
             told.copies.append(self.stage.clock.seconds())
-            got = await self.call(self.stage.chance.choice(self.stage.role("controller")), *words)
+            got = await self.call(self.stage.rng.choice(self.stage.role("controller")), *words)
             if got is not None:
                 told.answer, told.ended = _meaning(got[0]), self.stage.clock.seconds()
                 return told
@@ -153,7 +153,7 @@
     async def read(self, controller=None):
         """The version and content that were read back, or None."""
         began = self.stage.clock.seconds()
-        controller = controller or self.stage.chance.choice(self.stage.role("controller"))
+        controller = controller or self.stage.rng.choice(self.stage.role("controller"))
         told = await self.call(controller, "GET", CONFIG)
         if told is None:
             return None
@@ -163,34 +163,34 @@
         return version, content
 
     async def operate(self):
-        chance = self.stage.chance
+        rng = self.stage.rng
         while not self.over:
-            await self.timers.sleep(ms(50 + chance.randrange(500)))
+            await self.timers.sleep(ms(50 + rng.randrange(500)))
             got = await self.read()
             if got is not None:
                 await self._one(*got)
 
     async def _one(self, base: int, content: str):
-        chance = self.stage.chance
-        name, version = self._name(), base + 1 + chance.randrange(2)
-        roll = chance.random()
+        rng = self.stage.rng
+        name, version = self._name(), base + 1 + rng.randrange(2)
+        roll = rng.random()
         if roll < 0.3:
-            zone, empty = chance.choice(ZONES), chance.random() < 0.5
+            zone, empty = rng.choice(ZONES), rng.random() < 0.5
             await self.change_zone(zone, empty)
-            if chance.random() < 0.7:
+            if rng.random() < 0.7:
                 await self.change_zone(zone, not empty)
         elif roll < 0.37:
             await self.change(name, base, version, valid=False)
         elif roll < 0.47:
-            await self._early(name, base + 1 + chance.randrange(2))
+            await self._early(name, base + 1 + rng.randrange(2))
         elif roll < 0.6:
             second = spawn(self._early(self._name(), version))
             await self.change(name, base, version)
             await second
         else:
-            replaced = content if content and chance.random() < 0.3 else None
+            replaced = content if content and rng.random() < 0.3 else None
             answer = await self.change(name, base, version, replaced=replaced)
-            if answer is Answer.TAKEN and chance.random() < 0.3:
+            if answer is Answer.TAKEN and rng.random() < 0.3:
                 await self.change(name, base, version, replaced=replaced)
 
     async def _early(self, name: str, base: int):
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -75,7 +75,7 @@
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
         self.timers.utc_now = lambda: datetime.fromtimestamp(self.clock.seconds(), UTC)
         self.logger = StructuredLogger(self)
-        self.node, self.chance = f"g{n}", Random(1)
+        self.node, self.rng = f"g{n}", Random(1)
         self.rpc = _Rpc(self.node, {} if bus is None else bus)
         self.membership, self.cluster = _Membership(self.node, gateways), _Cluster()
         self.settings = type("Settings", (), {"lot_reserve": 0.25})
--- a/tests/router_parts.py
+++ b/tests/router_parts.py
@@ -136,7 +136,7 @@
             membership=membership,
             rpc=rpc,
             dialect=Dialect(),
-            chance=Random(seed),
+            rng=Random(seed),
             reactor=self.clock,
             settings=Settings(zone="zone-a"),
             logger=StructuredLogger(SimpleNamespace(log=lambda level, shape, line: self.lines.append(line))),
--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -86,10 +86,10 @@
     def test_long_orders_at_random(self):
         for kind in ROUTES:
             with self.subTest(kind):
-                chance = Random(kind)
-                walk_events(_live(kind), chance, 12, 300)
-                walk_events(_live(kind, engines=1, callers=2), chance, 14, 300)
-                walk_events(_live(kind, engines=2, callers=2, slow_connects=True, moments=True), chance, 16, 300)
+                rng = Random(kind)
+                walk_events(_live(kind), rng, 12, 300)
+                walk_events(_live(kind, engines=1, callers=2), rng, 14, 300)
+                walk_events(_live(kind, engines=2, callers=2, slow_connects=True, moments=True), rng, 16, 300)
 
     def test_each_guard_is_needed(self):
         for name, guard in GUARDS.items():
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -48,7 +48,7 @@
         name = c.lot(items, name=name)
         for i in c.items[name]:
             i["id"] += "x" * pad
-            i["body"] = base64.b64encode(c.stage.chance.randbytes(size)).decode()
+            i["body"] = base64.b64encode(c.stage.rng.randbytes(size)).decode()
         return name
 
     def batch(self, c, name):
@@ -288,7 +288,7 @@
         clock = Clock()
         ctx = SimpleNamespace(
             timers=Timers(clock, seconds=clock.seconds),
-            chance=Random(1),
+            rng=Random(1),
             settings=SimpleNamespace(reader_kb_s=10**9, postpone_ms=0, poll_ms=1, durable_poll_ms=1),
         )
         tail = Tail(ctx, SimpleNamespace(poller=log), "log", None)
--- a/tests/test_batches_quota.py
+++ b/tests/test_batches_quota.py
@@ -141,7 +141,7 @@
 
             async def callers():
                 while not c.over:
-                    name = c.lot(1 + stage.chance.randrange(8))
+                    name = c.lot(1 + stage.rng.randrange(8))
                     before = len(c.taken)
                     await c.hand_in(name)
                     if len(c.taken) == before:
@@ -153,7 +153,7 @@
                 spawn(callers())
             for _ in range(4):
                 stage.run(4)
-                a = stage.chance.choice(stage.role("gateway", alive=True))
+                a = stage.rng.choice(stage.role("gateway", alive=True))
                 a.kill()
                 stage.run(3)
                 a.start()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -41,7 +41,7 @@
             stage.timers(self.clock),
             StructuredLogger(stage.sink, node=self.node),
             None,
-            Random(stage.chance.random()),
+            Random(stage.rng.random()),
         )
         ctx.rpc = _Rpc(stage, self)
         self.part = open_parts(
--- a/tests/test_config_trouble.py
+++ b/tests/test_config_trouble.py
@@ -28,7 +28,7 @@
 
     async def call(self, *words):
         """One call to some controller, as (status, body); None where it is silent for a second."""
-        controller = self.stage.chance.choice(self.stage.role("controller"))
+        controller = self.stage.rng.choice(self.stage.role("controller"))
         if not controller.alive or controller.frozen:
             return None
         box = self.caller.begin(controller, *words)
@@ -40,7 +40,7 @@
 
     async def operate(self, who: int):
         while not self.over:
-            await self.timers.sleep(ms(100 + self.stage.chance.randrange(500)))
+            await self.timers.sleep(ms(100 + self.stage.rng.randrange(500)))
             floor = self.newest()
             got = await self.call("GET", "/v1/config")
             if got is None:
@@ -50,7 +50,7 @@
                 self.faults.append(f"read {base} after {floor} was acknowledged")
             if base and got[1] != self.sent[base]:
                 self.faults.append(f"version {base} is not what was sent")
-            self.version += 1 + self.stage.chance.randrange(3)
+            self.version += 1 + self.stage.rng.randrange(3)
             version = self.version
             config = self.sent[version] = config_of(version, route_of(f"r{who}", note=version))
             for _ in range(8):
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -29,8 +29,8 @@
 class _StoppingDisk(LosingDisk):
     """Loses power before the given disk call, counted from the first."""
 
-    def __init__(self, chance, stop_at=None):
-        super().__init__(chance, names=True)
+    def __init__(self, rng, stop_at=None):
+        super().__init__(rng, names=True)
         self.calls = 0
         self.stop_at = stop_at
 
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -134,7 +134,7 @@
     """Several gateways on one clock, each with engines that have room, and a row with limits."""
 
     def __init__(self, n, **row):
-        self.clock, self.bus, self.chance = Clock(), {}, Random(3)
+        self.clock, self.bus, self.rng = Clock(), {}, Random(3)
         self.gateways = [Gateway(n, i, self.clock, self.bus) for i in range(n)]
         for g in self.gateways:
             g.cluster.cluster_state.rows["r"] = Row(name="r", model="m", weight=1, **row)
@@ -203,13 +203,13 @@
 
         def each():
             for g in f.up():
-                if f.chance.random() < 0.1:
+                if f.rng.random() < 0.1:
                     a = g.ask()
                     a.limit = g.timers.now() + secs(5)
                     spawn(g._keep_concurrency(a)).addCallbacks(
                         lambda _, a=a: (out.append(a), began.append(a)), lambda f: f.trap(ServiceUnavailable) and None
                     )
-            for a in [a for a in out if f.chance.random() < 0.05]:
+            for a in [a for a in out if f.rng.random() < 0.05]:
                 out.remove(a)
                 a.give()
             most.append(len(out))
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -122,16 +122,16 @@
 
 def made(seed: int, orders: int = 12) -> list:
     """A true account with overlapping orders: each takes effect at a moment of its own between its two ends."""
-    chance = Random(seed)
+    rng = Random(seed)
     now, chain, records = 0.0, [(0, "")], []
     moments = []
     for n in range(orders):
-        now += chance.random()
+        now += rng.random()
         version, content = chain[-1]
         moments.append((now, version, content))
-        goes = (version + 1 + chance.randrange(3), f"c{n}")
-        sent, ended = now - chance.random(), now + chance.random()
-        kind = chance.randrange(4)
+        goes = (version + 1 + rng.randrange(3), f"c{n}")
+        sent, ended = now - rng.random(), now + rng.random()
+        kind = rng.randrange(4)
         if kind == 0:
             records.append(order(f"l{n}", version + 7, version + 9, sent, ended, OTHER))
         else:
@@ -140,9 +140,9 @@
             )
             chain.append(goes)
             moments.append((now, *goes))
-        records.append(seen(*chain[-1], now - chance.random(), now + chance.random()))
+        records.append(seen(*chain[-1], now - rng.random(), now + rng.random()))
         records.append(zone(n % 2 == 0, sent, ended))
-        records.append(zone_seen(n % 2 == 0, now - chance.random(), now + chance.random()))
+        records.append(zone_seen(n % 2 == 0, now - rng.random(), now + rng.random()))
     return records
 
 
@@ -158,11 +158,11 @@
                 self.assertNotEqual(check_history(records), [])
 
     def test_the_order_in_which_records_are_given_does_not_matter(self):
-        chance = Random(3)
+        rng = Random(3)
         for accounts, good in ((ACCEPTED, True), (REFUSED_ACCOUNTS, False)):
             for name, records in accounts.items():
                 with self.subTest(name):
-                    self.assertEqual(check_history(chance.sample(records, len(records))) == [], good)
+                    self.assertEqual(check_history(rng.sample(records, len(records))) == [], good)
 
     def test_what_stands_in_the_way_is_named(self):
         late = zone_seen(True, 6, 7)
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -77,7 +77,7 @@
         counts: Counter = Counter()
         s.watch_calls = lambda sender, method: counts.update([(sender.role, method)])
         for _ in range(SPAN * 10):
-            give = self.put_on(s, 1 + s.chance.randrange(3))
+            give = self.put_on(s, 1 + s.rng.randrange(3))
             s.run(0.1)
             for back in give:
                 back()
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -25,7 +25,7 @@
         self._emptied: set[str] = set()
 
     def one(self):
-        if self._stage.chance.random() < 0.4 and self._whole():
+        if self._stage.rng.random() < 0.4 and self._whole():
             self._empty_one()
         else:
             super().one()
@@ -41,15 +41,15 @@
         return settled and len(state.voters) == 3 and not held & self._emptied
 
     def _empty_one(self):
-        stage, chance = self._stage, self._stage.chance
+        stage, rng = self._stage, self._stage.rng
         state = stage.leader().part.cluster_state
         held = {n for g in state.placement_groups.values() for n in g.storage_nodes} | set(state.voters)
-        actor = chance.choice([a for a in stage.actors.values() if a.node in held and a.alive and not a.frozen])
+        actor = rng.choice([a for a in stage.actors.values() if a.node in held and a.alive and not a.frozen])
         self.told.append(f"{stage.clock.seconds():.3f} emptied {actor.name}")
         self._emptied.add(actor.node)
         actor.kill(power=True)
         actor.wipe()
-        stage.clock.callLater(chance.choice((0.02, 0.1, 0.5, 1.5)), self._start, actor)
+        stage.clock.callLater(rng.choice((0.02, 0.1, 0.5, 1.5)), self._start, actor)
 
 
 class _Work:
@@ -62,12 +62,12 @@
         self._n = 0
 
     async def operate(self, who: int):
-        chance = self.stage.chance
+        rng = self.stage.rng
         while not self.over:
-            await self.timers.sleep(ms(100 + chance.randrange(400)))
+            await self.timers.sleep(ms(100 + rng.randrange(400)))
             controllers = self.stage.role("controller", alive=True)
             if controllers:
-                await self._edit(chance.choice(controllers).part, who)
+                await self._edit(rng.choice(controllers).part, who)
 
     async def _edit(self, part, who: int):
         self._n += 1
@@ -84,19 +84,19 @@
         n = 0
         while not self.over:
             actor = self.stage.actors[name]
-            await self.timers.sleep(ms(100 + self.stage.chance.randrange(500)))
+            await self.timers.sleep(ms(100 + self.stage.rng.randrange(500)))
             if actor.alive:
                 n = await self._hold(actor.ctx, log, n)
 
     async def _hold(self, ctx, log: str, n: int) -> int:
-        gone = self.stage.chance.choice((None, None, ""))
+        gone = self.stage.rng.choice((None, None, ""))
         try:
             h = await ctx.replicated_log.hold(log, gone)
-            for _ in range(ctx.chance.randrange(1, 10)):
+            for _ in range(ctx.rng.randrange(1, 10)):
                 n += 1
-                await h.append([f"{ctx.node}/{n}".encode() + b"." * ctx.chance.randrange(60)])
-                await ctx.timers.sleep(ms(ctx.chance.randrange(60)))
-            if ctx.chance.random() < 0.5:
+                await h.append([f"{ctx.node}/{n}".encode() + b"." * ctx.rng.randrange(60)])
+                await ctx.timers.sleep(ms(ctx.rng.randrange(60)))
+            if ctx.rng.random() < 0.5:
                 await ctx.replicated_log.release([h])
         except PipitlinkError:
             pass
--- a/tests/test_stage_config.py
+++ b/tests/test_stage_config.py
@@ -44,7 +44,7 @@
     def test_of_two_edits_on_the_same_base_one_wins(self):
         self.caller.put(self.other, config_of(1), 0)
         for n in range(1, 6):
-            first, second = self.stage.chance.sample(self.controllers, 2)
+            first, second = self.stage.rng.sample(self.controllers, 2)
             boxes = [
                 self.caller.begin(controller, "PUT", "/v1/config", config_of(10 * n + i), {"If-Match": str(base)})
                 for base in [max(self.versions("gateway"))]
--- a/tests/test_stage_controllers.py
+++ b/tests/test_stage_controllers.py
@@ -36,10 +36,10 @@
         return self.acked[-1][1] if self.acked else 0
 
     async def operate(self, who: int):
-        chance, timers = self.stage.chance, self.timers
+        rng, timers = self.stage.rng, self.timers
         while not self.over:
-            await timers.sleep(ms(100 + chance.randrange(500)))
-            controller = chance.choice(self.stage.role("controller"))
+            await timers.sleep(ms(100 + rng.randrange(500)))
+            controller = rng.choice(self.stage.role("controller"))
             if not controller.alive or controller.frozen:
                 continue
             part = controller.part
--- a/tests/test_stage_logs.py
+++ b/tests/test_stage_logs.py
@@ -32,17 +32,17 @@
             try:
                 h = await ctx.replicated_log.hold(self.log)
                 self.holds += 1
-                for _ in range(ctx.chance.randrange(1, 12)):
+                for _ in range(ctx.rng.randrange(1, 12)):
                     n += 1
-                    body = f"{ctx.node}/{n}".encode() + b"." * ctx.chance.randrange(3000)
+                    body = f"{ctx.node}/{n}".encode() + b"." * ctx.rng.randrange(3000)
                     at = await h.append([body])
                     self.acked[at] = body
-                    await ctx.timers.sleep(ms(ctx.chance.randrange(60)))
-                if ctx.chance.random() < 0.5:
+                    await ctx.timers.sleep(ms(ctx.rng.randrange(60)))
+                if ctx.rng.random() < 0.5:
                     await ctx.replicated_log.release([h])
             except PipitlinkError:
                 pass
-            await ctx.timers.sleep(ms(200 + ctx.chance.randrange(800)))
+            await ctx.timers.sleep(ms(200 + ctx.rng.randrange(800)))
 
     async def read(self, actor):
         while not self.over and actor.alive:
--- a/tests/test_stage_long_logs.py
+++ b/tests/test_stage_long_logs.py
@@ -109,11 +109,11 @@
 
     async def write(self, who: int):
         while not self.over:
-            await self.timers.sleep(ms(40 + self.stage.chance.randrange(80)))
+            await self.timers.sleep(ms(40 + self.stage.rng.randrange(80)))
             leaders = [a for a in self.stage.role("controller", alive=True) if a.part.state == "leader"]
             if leaders:
                 try:
-                    work = self._write_at(self.stage.chance.choice(leaders).part, who)
+                    work = self._write_at(self.stage.rng.choice(leaders).part, who)
                     await self.timers.with_timeout(secs(WRITE_S), work)
                 except PipitlinkError:
                     pass
@@ -212,8 +212,8 @@
         self.run_for(stage, judge, 2.5)
         told = []
         for _ in range(troubles):
-            kind, actor = stage.chance.choice(KINDS), stage.chance.choice(stage.role("controller"))
-            away = stage.chance.choice((0.05, 0.4, 1.5, 5.0))
+            kind, actor = stage.rng.choice(KINDS), stage.rng.choice(stage.role("controller"))
+            away = stage.rng.choice((0.05, 0.4, 1.5, 5.0))
             told.append(f"{stage.clock.seconds():.2f} {kind} {actor.name} {away}")
             back = self.trouble(stage, judge, kind, actor, away)
             self.run_for(stage, judge, CATCH_UP_S)
--- a/tests/test_stage_lots.py
+++ b/tests/test_stage_lots.py
@@ -170,10 +170,10 @@
 
         def bring(stage, trouble, work):
             steps = list(OWNED)
-            stage.chance.shuffle(steps)
+            stage.rng.shuffle(steps)
             trouble.during(work, 0)
             for method in steps[:5]:
-                skip = [stage.chance.randrange(12)]
+                skip = [stage.rng.randrange(12)]
 
                 def trip(sender, said):
                     if said == method and sender.alive and not sender.frozen:
--- a/tests/test_stage_placement.py
+++ b/tests/test_stage_placement.py
@@ -67,7 +67,7 @@
         for seed in seeds(3):
             with self.subTest(seed=seed):
                 stage, logs = self.stage(seed, storage_nodes=5)
-                for lost in stage.chance.sample(stage.role("storage"), 2):
+                for lost in stage.rng.sample(stage.role("storage"), 2):
                     stage.run(2)
                     node = lost.node
                     lost.kill(power=True)
--- a/tests/test_stage_second_loss.py
+++ b/tests/test_stage_second_loss.py
@@ -120,10 +120,10 @@
         for seed, shape in enumerate(GROWN, 3):
             with self.subTest(shape=shape):
                 stage = _staged(self, seed, **shape)
-                _wipe(stage, stage.chance.sample(stage.role("storage"), 2))
+                _wipe(stage, stage.rng.sample(stage.role("storage"), 2))
                 _goes_on(self, stage)
                 stage.wait_whole(2 * WHOLE_AGAIN)
-                _wipe(stage, stage.chance.sample(stage.role("storage"), 2))
+                _wipe(stage, stage.rng.sample(stage.role("storage"), 2))
                 _goes_on(self, stage)
                 self.assertEqual(stage.wrong(), [])
 
