--- a/pipitlink/storage/grants.py
+++ b/pipitlink/storage/grants.py
@@ -59,7 +59,8 @@
         """Grants a lease that nobody else has. Epochs alone keep a log whole; waiting for a lease only spares duels,
         so one
         whose leaseholder is gone may be asked for by its name, and one that nobody is known to hold without a wait
-        (usurp)."""
+        (usurp).
+        """
         await self._check_placement_group(ask.log, ask.placement_group_sequence)
         now = self._ctx.timers.now()
         g = self._live_grant(ask.log)
--- a/pipitlink/structured_log.py
+++ b/pipitlink/structured_log.py
@@ -15,8 +15,8 @@
 class LogSink(Protocol):
     """Takes finished lines; loguru's logger is one."""
 
-    def log(self, level: str, shape: str, line: str) -> None:
-        """Writes one line at a level (`DEBUG`, `INFO` or `WARNING`); `shape` is loguru's format string for it."""
+    def log(self, level: str, message: str, /, *args: Any, **kwargs: Any) -> None:
+        """Writes one line at a level (`DEBUG`, `INFO` or `WARNING`), made from a format string and its arguments."""
 
 
 def _quoted(value: object) -> str:
