--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -175,9 +175,9 @@
 def run(role: str, settings: Settings, dialect: Dialect | None = None, reread=None, early=None) -> int:
     """Runs one node until it is told to end.
 
-    `reread`, if given, reads its settings again: on SIGHUP and now and then. `early` is the callers' socket, if it
-    listens
-    already.
+    `reread`, if given, reads its settings again: on SIGHUP and now and then. A caller that has SIGHUP blocked while the
+    program loads gets it unblocked here, so that a pending one is handled. `early` is the callers' socket, if it
+    listens already.
     """
     process = Process(role, settings, dialect, reread, early)
 
@@ -188,6 +188,7 @@
         gc.set_threshold(20_000, 20, 20)
         if reread is not None:
             signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(process.reread))
+            signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
             process.ctx.timers.every(REREAD_INTERVAL, process.reread, process.ctx.report("reread"))
         for s in (signal.SIGTERM, signal.SIGINT):
             signal.signal(s, lambda *_: reactor.callFromThread(lambda: spawn(process.end())))
--- a/tests/test_platform_serve.py
+++ b/tests/test_platform_serve.py
@@ -2,6 +2,7 @@
 says.
 """
 
+import ast
 import os
 import signal
 import socket
@@ -46,6 +47,17 @@
 status_poll_s = 120
 """
 
+PENDING_HANGUP = """
+import os, signal
+signal.pthread_sigmask(signal.SIG_BLOCK, {{signal.SIGHUP}})
+os.kill(os.getpid(), signal.SIGHUP)
+from datetime import timedelta
+from pipitlink import process
+from pipitlink.settings import Settings
+process.REREAD_INTERVAL = timedelta(hours=1)
+process.run("gateway", Settings(), reread=lambda: Settings(seeds=["127.0.0.1:{port}"]))
+"""
+
 
 def _load(name):
     folder = str(ROOT / "platform")
@@ -66,6 +78,13 @@
         return s.connect_ex(("127.0.0.1", port)) == 0
 
 
+def _blocks_hangup(pid: int) -> bool:
+    """Whether a process holds SIGHUP back, by the kernel's own account of its signal mask."""
+    lines = Path(f"/proc/{pid}/status").read_text().splitlines()
+    mask = next((line.split()[1] for line in lines if line.startswith("SigBlk:")), "0")
+    return bool(int(mask, 16) >> (signal.SIGHUP - 1) & 1)
+
+
 class Settings(unittest.TestCase):
     def setUp(self):
         self.serve = _load("serve")
@@ -217,6 +236,54 @@
                 p.wait()
                 p.stderr.close()
 
+    def test_a_hangup_from_the_programs_first_line_on_does_not_end_it(self):
+        """Sent as soon as the program is seen to hold it back.
+
+        Nothing of ours can hold it back while the interpreter starts, so the test sends nothing before that.
+        """
+        run = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]["gateway"]["run"].split()
+        inner, last, public, ready = free_ports(4)
+        with tempfile.NamedTemporaryFile("w", suffix=".toml") as f:
+            f.write(EDGE.format(inner=inner, last=last, public=public, ready=ready))
+            f.flush()
+            p = subprocess.Popen(
+                [sys.executable, *run[1:]],
+                cwd=ROOT,
+                stderr=subprocess.PIPE,
+                text=True,
+                env={**os.environ, "PIPITLINK_NODE_FILE": f.name},
+            )
+            try:
+                wait_for(lambda: _blocks_hangup(p.pid), 20, "the program holds SIGHUP back")
+                p.send_signal(signal.SIGHUP)
+                line = next((line for line in p.stderr if "event=started" in line), "")
+                self.assertIn(f"http={public}", line)
+                wait_for(lambda: not _blocks_hangup(p.pid), 20, "the program handles SIGHUP")
+                self.assertIsNone(p.poll())
+            finally:
+                p.kill()
+                p.wait()
+                p.stderr.close()
+
+    def test_a_hangup_before_the_process_runs_reads_the_settings_again_once_it_runs(self):
+        (port,) = free_ports(1)
+        p = subprocess.Popen(
+            [sys.executable, "-c", PENDING_HANGUP.format(port=port)], cwd=ROOT, stderr=subprocess.PIPE, text=True
+        )
+        try:
+            line = next((line for line in p.stderr if "event=settings" in line), "")
+            self.assertIn(f"seeds=127.0.0.1:{port}", line)
+        finally:
+            p.kill()
+            p.wait()
+            p.stderr.close()
+
+    def test_the_program_loads_nothing_but_signal_before_it_holds_a_hangup_back(self):
+        body = ast.parse((ROOT / "platform" / "serve.py").read_text()).body
+        imports = [n for n, node in enumerate(body) if isinstance(node, (ast.Import, ast.ImportFrom))]
+        blocks = next(n for n, node in enumerate(body) if "pthread_sigmask" in ast.unparse(node))
+        self.assertEqual([ast.unparse(body[n]) for n in imports if n < blocks], ["import signal"])
+
 
 if __name__ == "__main__":
     unittest.main()
