--- /dev/null
+++ b/tests/stored_data.py
@@ -0,0 +1,161 @@
+"""Writes the data folders of a small staged fleet, and what they hold, for tests of later releases.
+
+Usage: python -m tests.stored_data FOLDER
+"""
+
+import json
+import shutil
+import sys
+from pathlib import Path
+from unittest import mock
+
+from pipitlink import segments
+from pipitlink.controller import archive
+from pipitlink.disk import frame
+from pipitlink.storage import keeping, node_id
+from pipitlink.wire.cluster_pb2 import Bounds, Command, ConfigEdit, Pool, PoolShare, Route, Row, TableEdit, ZoneEdit
+from rehearsal.stage import Stage
+
+from .stored_parts import FLEET, read_controller, read_peers, read_storage_node
+
+__all__ = ["write"]
+
+SEED = 20
+RETENTION_S = 20
+SMALL_SEGMENT_BYTES = 2000
+SMALL_TRIM_ENTRIES = 20
+SMALL_KEPT_ENTRIES = 5
+SMALL_TOMBSTONE_MS = 20_000
+FORGOTTEN, WITHERED, FINAL, LIVE = "results/forgotten", "results/trimmed", "results/final", "results/live"
+PROMISED = "results/promised"
+
+
+class _Writer:
+    """Operators' edits and gateways' logs on a staged fleet."""
+
+    def __init__(self, stage: Stage):
+        self._stage = stage
+        self._edits = 0
+        self.log_bytes: dict[str, bytes] = {}
+
+    def edit(self, **command):
+        self._edits += 1
+        work = self._stage.leader().part.edit(Command(edit=f"edit{self._edits}", **command))
+        outcome = self._stage.do(work)
+        assert outcome.code == "done", outcome
+
+    def put_row(self, name: str, model: str, weight: float):
+        base = self._stage.leader().part.cluster_state.table
+        self.edit(table=TableEdit(base=base, puts=[Row(name=name, model=model, pool="models", weight=weight)]))
+
+    def drop_row(self, name: str):
+        self.edit(table=TableEdit(base=self._stage.leader().part.cluster_state.table, drops=[name]))
+
+    def put_routes(self, base: int, version: int):
+        route = Route(
+            name="forms",
+            host="h.example",
+            prefix=f"/forms/{version}/",
+            kind="idempotent",
+            deadline_ms=2000,
+            max_tries=2,
+        )
+        route.shares.extend([PoolShare(pool="models", share=0.75), PoolShare(pool="cards", share=0.25)])
+        pools = [Pool(name="models", health_path="/health", max_connections=8), Pool(name="cards", health_path="/up")]
+        bounds = Bounds(max_header_bytes=8192, idle_timeout_ms=3000)
+        self.edit(config=ConfigEdit(base=base, version=version, whole=True, routes=[route], pools=pools, bounds=bounds))
+
+    def append(self, log: str, records: list[bytes], final: bool = False, gateway: int = 0):
+        replicated_log = self._stage.role("gateway")[gateway].ctx.replicated_log
+        leaseholder = replicated_log.leaseholders.get(log) or self._stage.do(replicated_log.hold(log))
+        self._stage.do(leaseholder.append(records, final=final))
+        self.log_bytes[log] = self.log_bytes.get(log, b"") + b"".join(frame(r) for r in records)
+
+    def hold(self, log: str, gateway: int = 0):
+        self._stage.do(self._stage.role("gateway")[gateway].ctx.replicated_log.hold(log))
+
+    def release_all(self, gateway: int = 0):
+        replicated_log = self._stage.role("gateway")[gateway].ctx.replicated_log
+        self._stage.do(replicated_log.release(list(replicated_log.leaseholders.values())))
+
+
+def _records(log: str, count: int) -> list[bytes]:
+    return [f"{log} record {n} ".encode() * 6 for n in range(count)]
+
+
+def _stage() -> Stage:
+    settings = {"retention_s": RETENTION_S}
+    stage = Stage(SEED, controllers=3, storage_nodes=3, gateways=2, placement_groups=2, settings=settings)
+    for actor in (*stage.role("controller"), *stage.role("storage")):
+        (actor.folder / "id").parent.mkdir()
+        (actor.folder / "id").write_text(node_id(actor.folder, FLEET))
+    stage.start()
+    stage.ready()
+    return stage
+
+
+def _play(stage: Stage, writer: _Writer):
+    """A log that is forgotten, one that is trimmed, a final one and a live one, between edits under two leaders."""
+    writer.append(FORGOTTEN, _records(FORGOTTEN, 3), final=True)
+    for n in range(30):
+        writer.put_row(f"row{n % 6}", f"model{n}", 1 + n / 4)
+    writer.put_routes(base=0, version=3)
+    stage.run(RETENTION_S)
+    writer.append(WITHERED, _records(WITHERED, 12), final=True)
+    stage.run(RETENTION_S + 10)
+    _change_leader(stage)
+    writer.put_routes(base=3, version=7)
+    writer.edit(zone=ZoneEdit(zone="zone-c", empty=True))
+    writer.drop_row("row5")
+    writer.put_row("late", "model-late", 0.5)
+    writer.append(FINAL, _records(FINAL, 9), final=True)
+    writer.append(LIVE, _records(LIVE, 4))
+    writer.release_all()
+    writer.append(LIVE, _records("second writer", 5), gateway=1)
+    writer.hold(PROMISED)
+    stage.run(2)
+
+
+def _change_leader(stage: Stage):
+    old = stage.leader()
+    old.kill(power=True)
+    stage.until(lambda: stage.leader() not in (None, old), 15, "another leads")
+    old.start()
+    stage.ready()
+    stage.run(2)
+
+
+def _contents(folder: Path, log_bytes: dict[str, bytes]) -> dict:
+    def each(role):
+        return sorted(p for p in folder.iterdir() if p.name.startswith(role))
+
+    return {
+        "controllers": {p.name: read_controller(p) for p in each("controller")},
+        "storage_nodes": {p.name: read_storage_node(p) for p in each("storage")},
+        "peers": {p.name: read_peers(p) for p in (*each("controller"), *each("storage"))},
+        "log_bytes": {log: data.hex() for log, data in log_bytes.items()},
+    }
+
+
+def write(folder: Path):
+    """Writes the folders of all nodes that keep any, and `contents.json`, what they hold."""
+    with (
+        mock.patch.object(segments, "SEGMENT", SMALL_SEGMENT_BYTES),
+        mock.patch.object(archive, "TRIM_EVERY", SMALL_TRIM_ENTRIES),
+        mock.patch.object(archive, "KEEP_ENTRIES", SMALL_KEPT_ENTRIES),
+        mock.patch.object(keeping, "STONE_MS", SMALL_TOMBSTONE_MS),
+    ):
+        stage = _stage()
+        try:
+            writer = _Writer(stage)
+            _play(stage, writer)
+            for actor in (*stage.role("controller"), *stage.role("storage")):
+                actor.kill()
+                shutil.copytree(actor.folder, folder / actor.name)
+        finally:
+            stage.end()
+    (folder / "contents.json").write_text(json.dumps(_contents(folder, writer.log_bytes), indent=1) + "\n")
+
+
+if __name__ == "__main__":
+    write(Path(sys.argv[1]))
--- /dev/null
+++ b/tests/stored_parts.py
@@ -0,0 +1,96 @@
+"""Reads the data folders of a controller and of a storage node by the node classes, as plain values.
+
+Messages are compared by digests of their wire format, which depends on field numbers and not on field names.
+"""
+
+import hashlib
+import json
+from pathlib import Path
+from random import Random
+from unittest import mock
+
+from pipitlink.cluster import ClusterState
+from pipitlink.controller.archive import Archive
+from pipitlink.disk import Disk
+from pipitlink.storage import node_id
+from pipitlink.storage.log_store import LogStore
+
+__all__ = ["FLEET", "read_controller", "read_peers", "read_state", "read_storage_node"]
+
+FLEET = "pipit"
+BUDGET_BYTES = 64 * 1024 * 1024
+RESERVE_BYTES = 1024 * 1024
+
+
+def _digest(data: bytes) -> str:
+    return hashlib.sha256(data).hexdigest()
+
+
+def _message_digest(message) -> str:
+    return _digest(message.SerializeToString(deterministic=True))
+
+
+def read_state(state: ClusterState) -> dict:
+    """The cluster state's tables, by name."""
+    return {
+        "sequence": state.sequence,
+        "table": state.table,
+        "rows": {r.name: [r.model, r.pool, r.weight] for r in state.rows.values()},
+        "config_version": state.routes.version,
+        "routes": {r.name: [r.host, r.prefix, [s.pool for s in r.shares]] for r in state.routes.routes.values()},
+        "pools": {p.name: p.health_path for p in state.routes.pools.values()},
+        "empty_zones": sorted(state.empty_zones),
+        "storage_nodes": dict(state.storage_nodes),
+        "placement_groups": {
+            str(n): [g.sequence, sorted(g.storage_nodes)] for n, g in sorted(state.placement_groups.items())
+        },
+        "voters": list(state.voters),
+        "outcomes": len(state.outcomes),
+    }
+
+
+def read_controller(folder: Path) -> dict:
+    """A controller's ballot, snapshot, log and the state that they make; its log is agreed to the end."""
+    archive = Archive(mock.Mock(chance=Random(1)), folder, Disk())
+    archive.recover()
+    state = ClusterState(archive.snapshot.cluster_state)
+    for entry in archive.entries:
+        state.apply(entry.index, entry.command)
+    read = {
+        "node": node_id(folder, FLEET),
+        "term": archive.ballot.term,
+        "vote": archive.ballot.vote,
+        "snapshot": [archive.snapshot.index, archive.snapshot.term, _message_digest(archive.snapshot)],
+        "entries": [[e.index, e.term, _message_digest(e)] for e in archive.entries],
+        "voters": list(archive.voters()),
+        "state": read_state(state),
+    }
+    archive.close()
+    return read
+
+
+def read_storage_node(folder: Path) -> dict:
+    """A storage node's logs: epochs, lengths, final marks and a digest of the bytes of each."""
+    store = LogStore(folder / "logs", Disk(), BUDGET_BYTES, RESERVE_BYTES)
+    store.recover()
+    logs = {}
+    for name in sorted(store.logs):
+        state = store.state(name)
+        data = b"".join(store.segments.read_bytes(spot, size) for spot, size in store.spans(name, 0, state.length))
+        logs[name] = {
+            "epoch": state.epoch,
+            "tail_epoch": state.tail_epoch,
+            "length": state.length,
+            "committed": state.committed,
+            "final": state.final,
+            "closed_ms": state.closed_ms,
+            "bytes": _digest(data),
+        }
+    files = len(store.segments.numbers())
+    store.close()
+    return {"node": node_id(folder, FLEET), "files": files, "logs": logs}
+
+
+def read_peers(folder: Path) -> list[list]:
+    """The places of the peers that a node met last."""
+    return json.loads((folder / "colleagues.json").read_text())
--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,184 @@
+"""Data folders that an earlier release wrote: opened, compared with what was written, started from and written on."""
+
+import json
+import shutil
+import tempfile
+import unittest
+from pathlib import Path
+
+from pipitlink.disk import frame
+from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
+from rehearsal.stage import Stage
+
+from . import stored_data
+from .stored_parts import read_controller, read_peers, read_state, read_storage_node
+
+STORED = Path(__file__).resolve().parent / "data" / "stored"
+CONTENTS = json.loads((STORED / "contents.json").read_text())
+LIVE, FINAL, TRIMMED, PROMISED = "results/live", "results/final", "results/trimmed", "results/promised"
+LEASE_LAPSED_S = 5
+"""A storage node that has just started grants no log with an epoch before a lease of the life before has lapsed."""
+
+SEED = 31
+
+
+def _copy_of_stored(case: unittest.TestCase) -> Path:
+    folder = tempfile.TemporaryDirectory()
+    case.addCleanup(folder.cleanup)
+    return Path(shutil.copytree(STORED, Path(folder.name) / "stored"))
+
+
+class Opened(unittest.TestCase):
+    def setUp(self):
+        self.folder = _copy_of_stored(self)
+
+    def test_a_controller_reads_ballot_snapshot_entries_voters_and_state(self):
+        for name, written in CONTENTS["controllers"].items():
+            with self.subTest(name):
+                self.assertTrue(written["entries"])
+                self.assertEqual(read_controller(self.folder / name), written)
+
+    def test_a_storage_node_reads_epochs_lengths_final_marks_and_bytes(self):
+        for name, written in CONTENTS["storage_nodes"].items():
+            with self.subTest(name):
+                self.assertEqual(read_storage_node(self.folder / name), written)
+                self.assertEqual(set(written["logs"]), {LIVE, FINAL, TRIMMED, PROMISED})
+
+    def test_reading_a_second_time_gives_the_same(self):
+        """Opening recovers the files, and that changes nothing in them."""
+        for _ in range(2):
+            self.assertEqual(read_controller(self.folder / "controller0"), CONTENTS["controllers"]["controller0"])
+            self.assertEqual(read_storage_node(self.folder / "storage0"), CONTENTS["storage_nodes"]["storage0"])
+
+    def test_the_known_peers_are_there(self):
+        for name, written in CONTENTS["peers"].items():
+            self.assertEqual(read_peers(self.folder / name), written, name)
+
+
+class Started(unittest.TestCase):
+    """A staged fleet on copies of the folders: the nodes know each other by `colleagues.json` alone, with no seeds."""
+
+    def setUp(self):
+        folder = _copy_of_stored(self)
+        self.stage = Stage(SEED, controllers=3, storage_nodes=3, gateways=2, placement_groups=2)
+        self.addCleanup(self.stage.end)
+        self.kept = (*self.stage.role("controller"), *self.stage.role("storage"))
+        for actor in self.kept:
+            shutil.copytree(folder / actor.name, actor.folder)
+        seeds, self.stage.seeds, self.stage.founders = self.stage.seeds, (), ()
+        for actor in self.kept:
+            actor.start()
+        self.stage.until(self.stage.leader, 5, "a leader among those that know each other from before")
+        self.stage.seeds = seeds
+        for actor in self.stage.role("gateway"):
+            actor.start()
+        self.stage.ready()
+        self.stage.run(LEASE_LAPSED_S)
+
+    def replicated_log(self, gateway=0):
+        return self.stage.role("gateway")[gateway].ctx.replicated_log
+
+    def read(self, log: str) -> tuple[bytes, bool]:
+        state = self.stage.do(self.replicated_log().states([log]))[log]
+        return self.stage.do(self.replicated_log().read(log, 0, state.committed)), state.final
+
+    def restart(self):
+        for actor in self.kept:
+            actor.kill(power=True)
+        self.stage.run(1)
+        for actor in self.kept:
+            actor.start()
+        self.stage.ready()
+        self.stage.run(LEASE_LAPSED_S)
+
+    def put_row(self, name: str):
+        leader = self.stage.leader().part
+        edit = TableEdit(base=leader.cluster_state.table, puts=[Row(name=name, model="new-model", pool="models")])
+        outcome = self.stage.do(leader.edit(Command(edit=f"edit-{name}", table=edit)))
+        self.assertEqual(outcome.code, "done")
+        self.stage.run(1)  # until the followers have it as well
+
+    def states(self):
+        nodes = (*self.stage.role("controller"), *self.stage.role("gateway"))
+        return [
+            read_state(a.part.cluster_state if a.role == "controller" else a.ctx.cluster.cluster_state) for a in nodes
+        ]
+
+    def assert_tables(self, new_rows=()):
+        written = CONTENTS["controllers"]["controller0"]["state"]
+        rows = {**written["rows"], **{name: ["new-model", "models", 0.0] for name in new_rows}}
+        for state in self.states():
+            self.assertEqual(state["rows"], rows)
+            for part in ("routes", "config_version", "pools", "empty_zones", "voters", "storage_nodes"):
+                self.assertEqual(state[part], written[part], part)
+
+    def test_it_elects_in_a_higher_term_and_shows_the_tables_that_were_written(self):
+        self.assert_tables()
+        leader = self.stage.leader()
+        self.assertGreater(leader.part.term, max(c["term"] for c in CONTENTS["controllers"].values()))
+        self.assertEqual(
+            {a.node for a in self.kept},
+            {n["node"] for part in ("controllers", "storage_nodes") for n in CONTENTS[part].values()},
+        )
+
+    def test_it_shows_the_logs_that_were_written(self):
+        for log, final in ((LIVE, False), (FINAL, True)):
+            leaseholder = self.stage.do(self.replicated_log().hold(log))
+            data = bytes.fromhex(CONTENTS["log_bytes"][log])
+            self.assertEqual((bytes(leaseholder.data), leaseholder.final), (data, final), log)
+            self.assertEqual(self.read(log), (data, final), log)
+        state = self.stage.do(self.replicated_log().states([TRIMMED]))[TRIMMED]
+        self.assertEqual((state.length, state.final), (0, True))
+
+    def test_it_takes_edits_and_appends_and_has_them_after_a_restart(self):
+        self.put_row("new1")
+        epochs = {}
+        for log in (LIVE, PROMISED):
+            leaseholder = self.stage.do(self.replicated_log().hold(log))
+            self.stage.do(leaseholder.append([b"of a later release"]))
+            epochs[log] = leaseholder.epoch
+        for log, epoch in epochs.items():
+            stored = max(n["logs"][log]["epoch"] for n in CONTENTS["storage_nodes"].values())
+            self.assertGreater(epoch, stored, f"{log}: an epoch that was granted before is not granted again")
+        self.restart()
+        self.put_row("new2")
+        self.assert_tables(("new1", "new2"))
+        before = bytes.fromhex(CONTENTS["log_bytes"][LIVE])
+        self.assertEqual(self.read(LIVE), (before + frame(b"of a later release"), False))
+        self.assertEqual(self.read(PROMISED), (frame(b"of a later release"), False))
+
+    def test_a_controller_that_lost_its_disk_takes_a_snapshot_and_opens_it_again(self):
+        lost = next(a for a in self.stage.role("controller") if a is not self.stage.leader())
+        lost.kill()
+        lost.wipe()
+        self.stage.run(1)
+        self.stage.seeds = tuple(f"{a.place[0]}:{a.place[1]}" for a in self.stage.role("controller") if a is not lost)
+        lost.start()
+        rows = CONTENTS["controllers"]["controller0"]["state"]["rows"]
+        self.stage.until(lambda: read_state(lost.part.cluster_state)["rows"] == rows, 20, "it has the state")
+        lost.kill(power=True)
+        self.assertEqual(read_controller(lost.folder)["state"]["rows"], rows)
+        lost.start()
+        self.put_row("new1")
+        self.stage.until(lambda: "new1" in read_state(lost.part.cluster_state)["rows"], 10, "it follows")
+
+
+class Written(unittest.TestCase):
+    def test_the_code_at_hand_writes_such_folders_and_reads_the_same_tables_and_logs(self):
+        """What it writes may differ in its files; the same edits and appends give the same tables and log bytes."""
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        stored_data.write(Path(folder.name))
+        contents = json.loads((Path(folder.name) / "contents.json").read_text())
+        self.assertEqual(contents["log_bytes"], CONTENTS["log_bytes"])
+        for name, written in CONTENTS["controllers"].items():
+            for part in ("rows", "routes", "pools", "empty_zones", "config_version"):
+                self.assertEqual(contents["controllers"][name]["state"][part], written["state"][part])
+        for name, written in CONTENTS["storage_nodes"].items():
+            read = contents["storage_nodes"][name]["logs"]
+            for log, kept in written["logs"].items():
+                self.assertEqual((read[log]["bytes"], read[log]["final"]), (kept["bytes"], kept["final"]), log)
+
+
+if __name__ == "__main__":
+    unittest.main()
