--- /dev/null
+++ b/tests/behaviour_scenes.py
@@ -0,0 +1,487 @@
+"""The scenes of the behaviour record: each plays one seed and returns what was seen and the traffic between nodes."""
+
+import json
+from contextlib import contextmanager
+from enum import Enum
+from hashlib import sha256
+from random import Random
+from unittest import mock
+
+import attrs
+from twisted.internet import defer
+from twisted.python.failure import Failure
+
+from rehearsal.history import ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen
+from rehearsal.stage import Stage
+from rehearsal.staged import Customers, StagedEngine, StagedGateway
+from rehearsal.trouble import Trouble
+
+from . import batch_parts
+from .control_calls import Caller
+from .order_parts import HoldingStage, Operators
+from .router_parts import END, Rig, chunk, event, head, route
+from .test_stage_controllers import _Operators as TableOperators
+from .test_stage_logs import _Writers as LogWriters
+
+__all__ = ["SCENARIOS"]
+
+ALL_ROLES = ("controller", "controller", "storage", "gateway", "gateway")
+BODY_SHOWN = 160
+SLOW_LINK = 2_000_000.0
+HISTORY_WORDS = {
+    ConfigOrder: "config-order",
+    ConfigSeen: "config-seen",
+    ZoneOrder: "zone-order",
+    ZoneSeen: "zone-seen",
+}
+CUSTOMER_FIELDS = {
+    "lot": ("name", "lot", "status", "retry", "fault", "asked"),
+    "results": ("lot", "status", "state", "results", "fault", "asked"),
+    "lot_ended": ("lot", "status", "said"),
+    "told": ("prompt", "pieces", "end", "fault", "asked"),
+}
+ENGINE_FIELDS = ("engine", "event", "run", "prompt", "model", "state")
+
+
+def _plain(value):
+    """A value in one spelling: sorted keys, times in whole ms, long bytes and texts by their digest."""
+    if isinstance(value, float):
+        return f"{value:.3f}"
+    if isinstance(value, Enum):
+        return value.value
+    if isinstance(value, bytes):
+        return _plain(value.decode("latin-1"))
+    if isinstance(value, str):
+        return value if len(value) <= BODY_SHOWN else f"{value[:BODY_SHOWN]}... {len(value)} {_short_digest(value)}"
+    if isinstance(value, dict):
+        return {str(k): _plain(v) for k, v in sorted(value.items())}
+    if isinstance(value, list | tuple):
+        return [_plain(v) for v in value]
+    return value
+
+
+def _short_digest(data) -> str:
+    return sha256(data.encode() if isinstance(data, str) else data).hexdigest()[:16]
+
+
+class _Notes:
+    """Lines with the virtual time at which they were noted."""
+
+    def __init__(self, seconds):
+        self._seconds = seconds
+        self.lines: list[str] = []
+
+    def note(self, *words, at: float | None = None):
+        at = self._seconds() if at is None else at
+        self.lines.append(f"{at:.3f} {json.dumps(_plain(words))}")
+
+
+@contextmanager
+def _played(stage):
+    """The notes of a scene and of its network; the fleet is ready, and ended in the end."""
+    seen, network = _Notes(stage.clock.seconds), _Notes(stage.clock.seconds)
+    with mock.patch.object(Stage, "carry", _tapped_carry(network)):
+        try:
+            stage.start()
+            stage.ready()
+            yield seen, network
+        finally:
+            stage.end()
+
+
+def _tapped_carry(network):
+    """The stage's one way for messages, with a note for each request and for what came back to its sender."""
+    plain_carry = Stage.carry
+
+    def carry(stage, sender, place, method, body, node=""):
+        goal = next((a.name for a in stage.actors.values() if a.place == place), str(place))
+        network.note("request", sender.name, goal, method, node, len(body), _short_digest(body))
+        return plain_carry(stage, sender, place, method, body, node).addBoth(back, sender.name, goal, method)
+
+    def back(result, sender, goal, method):
+        if not isinstance(result, Failure):
+            network.note("response", sender, goal, method, len(result), _short_digest(result))
+        elif isinstance(result.value, defer.CancelledError):
+            network.note("cancelled", sender, goal, method)
+        else:
+            network.note("error", sender, goal, method, _code(result.value), getattr(result.value, "fault", ""))
+        return result
+
+    return carry
+
+
+def _code(error) -> str:
+    return str(getattr(error, "code", ""))
+
+
+def _spawn(seen, work):
+    defer.ensureDeferred(work).addErrback(lambda f: seen.note("work ended", _code(f.value)))
+
+
+def controllers(seed):
+    """Edits of the table of models and their outcomes while controllers fail."""
+    stage = Stage(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
+    with _played(stage) as (seen, network):
+        operators, caller = TableOperators(stage), Caller(stage)
+        operators.timers = stage.timers()
+        trouble = Trouble(stage, roles=("controller",) if seed % 2 else ALL_ROLES)
+        trouble.during([operators.operate(0), operators.operate(1)], faults=8)
+        stage.run(4)
+        operators.over = True
+        stage.run(4)
+        stage.ready()
+        for at, sequence, text in operators.acked:
+            seen.note("acknowledged", sequence, text, at=at)
+        seen.note("refused", sorted(operators.refused), operators.reads, operators.faults)
+        _note_control_paths(stage, caller, seen)
+    return seen.lines, network.lines
+
+
+def _note_control_paths(stage, caller, seen):
+    """What each controller answers to every path that is only read and names nothing."""
+    for controller in stage.role("controller"):
+        for method, path, _ in caller.words.control_paths:
+            if method == "GET" and "<" not in path:
+                seen.note(controller.name, path, *_answer(caller.ask(controller, method, path)))
+
+
+def _answer(answer) -> tuple:
+    """The status and the body; of an error's body its code alone."""
+    status, body = answer
+    if isinstance(body, dict) and "error" in body:
+        error = body["error"]
+        body = error.get("code") if isinstance(error, dict) else error
+    return status, body
+
+
+class _RecordedAppends(dict):
+    """Notes each acknowledged append, by its offset."""
+
+    def __init__(self, seen):
+        super().__init__()
+        self._seen = seen
+
+    def __setitem__(self, offset, body):
+        self._seen.note("appended", offset, body)
+        super().__setitem__(offset, body)
+
+
+class _RecordedWriters(LogWriters):
+    def __init__(self, stage, seen):
+        super().__init__(stage)
+        self._seen = seen
+        self.acked = _RecordedAppends(seen)
+
+    def check(self, data):
+        self._seen.note("read", len(data), _short_digest(bytes(data)))
+        super().check(data)
+
+
+def logs(seed):
+    """Gateways that race for one replicated log while storage nodes and gateways fail."""
+    stage = Stage(seed, controllers=3, storage_nodes=3 + seed % 2, gateways=3, placement_groups=2)
+    stage.bytes_per_s = SLOW_LINK if seed % 3 == 0 else None
+    with _played(stage) as (seen, network):
+        writers = _RecordedWriters(stage, seen)
+        gateways = stage.role("gateway")
+        trouble = Trouble(stage, roles=("storage", "storage", "gateway"))
+        trouble.during([work for a in gateways for work in (writers.write(a), writers.read(a))], faults=8)
+        for a in gateways:
+            _spawn(seen, writers.write(a))
+            _spawn(seen, writers.read(a))
+        stage.run(8)
+        writers.over = True
+        stage.run(3)
+        seen.note("in the end", writers.holds, writers.faults, len(writers.shown))
+    return seen.lines, network.lines
+
+
+def _note_customers(customers, stage, seen):
+    lines = [(e["at"], 0, e) for e in customers.events] + [(n["at"], 1, n) for n in stage.notes]
+    for at, source, e in sorted(lines, key=lambda line: line[:2]):
+        if source:
+            seen.note(*(e.get(field) for field in ENGINE_FIELDS), at=at)
+        else:
+            seen.note(e["event"], *(e[field] for field in CUSTOMER_FIELDS[e["event"]]), at=at)
+
+
+def lots(seed):
+    """Customers' lots, live requests, and engines that come and go, while everything fails."""
+    stage = Stage(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
+    stage.with_engines(StagedGateway, StagedEngine, 3)
+    with _played(stage) as (seen, network):
+        c = Customers(stage)
+        trouble = Trouble(stage, roles=("gateway", "gateway", "storage", "controller"))
+        trouble.during([c.hand_in(), c.read(), c.read(), c.end_some(), c.live(), c.engines()], faults=8)
+        c.over = True
+        stage.run(9)
+        _read_all_lots(stage, c)
+        _note_customers(c, stage, seen)
+    return seen.lines, network.lines
+
+
+def _read_all_lots(stage, customers):
+    for lot in list(customers.lots):
+        for gateway in stage.role("gateway"):
+            stage.do(customers.one_read(lot, gateway), 10)
+
+
+class _RecordedCallers(batch_parts.Callers):
+    """Notes each answer, and which gateway gave it."""
+
+    def __init__(self, stage, seen):
+        super().__init__(stage)
+        self._seen = seen
+
+    async def ask(self, do, gateway=None, limit=6.0):
+        gateway = gateway or self.gateway()
+        asked = self.stage.clock.seconds()
+        status, headers, body = await super().ask(do, gateway, limit)
+        name = gateway.name if gateway else ""
+        self._seen.note("answer", name, asked, status, dict(headers), _error_code(status, body))
+        return status, headers, body
+
+
+def _error_code(status, body):
+    """The body, or of an error's body its code alone."""
+    if status < 400:
+        return body
+    try:
+        return _answer((status, json.loads(body)))[1]
+    except ValueError:
+        return body
+
+
+def batches(seed):
+    """Batches of the routes interface that are handed in, read and ended at any gateway, while everything fails."""
+    stage = Stage(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
+    stage.routes = {"bulk": batch_parts.route()}
+    stage.runs, stage.finished, stage.breaks = [], [], 0.05
+    stage.step = batch_parts.ms(40)
+    stage.with_engines(batch_parts.BatchGateway, None, 0)
+    with _played(stage) as (seen, network):
+        stage.run(2)
+        c = _RecordedCallers(stage, seen)
+        trouble = Trouble(stage)
+        trouble.during([c.hand_in_all(), c.hand_in_all(), c.read_some(), c.read_some(), c.end_some()], 8)
+        c.over = True
+        stage.run(9)
+        for name in list(c.taken):
+            for a in stage.role("gateway"):
+                stage.do(c.read(name, gateway=a))
+                stage.do(c.body(name, 0, a))
+        _note_runs(stage, seen)
+        seen.note("wrong", c.wrong, sorted(c.refused))
+    return seen.lines, network.lines
+
+
+def _note_runs(stage, seen):
+    for run in stage.runs:
+        words = ("item", "after", "gateway", "path", "headers", "body")
+        seen.note("run", *(run[word] for word in words), at=run["at"])
+    for end in stage.finished:
+        seen.note("finished", end["item"], at=end["at"])
+
+
+class _RecordedOperators(Operators):
+    """Notes each copy of a call and its answer, and which controller gave it."""
+
+    def __init__(self, stage, seen, **words):
+        super().__init__(stage, **words)
+        self._seen = seen
+
+    async def call(self, controller, *words):
+        asked = self.stage.clock.seconds()
+        got = await super().call(controller, *words)
+        self._seen.note("answer", controller.name, asked, words, _answer(got) if got else None)
+        return got
+
+
+def _note_history(operators, seen):
+    for r in operators.records:
+        seen.note(HISTORY_WORDS[type(r)], attrs.astuple(r), at=r.sent)
+    seen.note("faults", operators.faults)
+
+
+def orders(seed):
+    """Operators' orders that are lost, held up, sent again and raced, while controllers or everything fails."""
+    stage = HoldingStage(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
+    with _played(stage) as (seen, network):
+        operators = _RecordedOperators(stage, seen)
+        trouble = Trouble(stage, roles=("controller",) if seed % 2 else ALL_ROLES)
+        trouble.during([operators.operate() for _ in range(3)], faults=8)
+        if seed % 3 == 0:
+            _lose_power(stage)
+        stage.run(4)
+        operators.over = True
+        stage.run(8)
+        stage.ready()
+        _note_control_paths(stage, operators.caller, seen)
+        _note_history(operators, seen)
+    return seen.lines, network.lines
+
+
+def _lose_power(stage):
+    controllers = stage.role("controller")
+    for a in controllers:
+        a.kill(power=True)
+    stage.run(0.5)
+    for a in controllers:
+        a.start()
+
+
+def everything(seed):
+    """Lots, live requests, orders and edits at once, while nodes of every role, links, disks and engines fail."""
+    stage = HoldingStage(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=4, named=bool(seed % 2))
+    stage.with_engines(StagedGateway, StagedEngine, 2)
+    with _played(stage) as (seen, network):
+        operators, c = _RecordedOperators(stage, seen), Customers(stage)
+        work = [operators.operate(), operators.operate(), c.hand_in(), c.read(), c.end_some(), c.live(), c.engines()]
+        Trouble(stage, roles=ALL_ROLES).during(work, faults=8, between=1.0)
+        stage.run(3)
+        operators.over = c.over = True
+        stage.run(9)
+        _read_all_lots(stage, c)
+        _note_control_paths(stage, operators.caller, seen)
+        _note_history(operators, seen)
+        _note_customers(c, stage, seen)
+    return seen.lines, network.lines
+
+
+ROUTES = [
+    route("s", "/a/", resumable=True, sticky=True),
+    route("o", "/once/", kind="mutating"),
+    route("n", "/n/", resumable=False, max_tries=1),
+    route("f", "/f/", kind="idempotent", max_tries=3),
+]
+ID_HEADER = b"x-request-id: "
+CALL_HEADERS = ("X-Other: 1", "X-Deadline-Ms: 900", "X-Tenant: t", "Last-Event-ID: 1")
+PATHS = ("/a/x", "/a/y", "/once/x", "/once/y", "/n/x", "/n/y", "/f/1?q=%2F", "/f/2", "/nowhere")
+STATUSES = (*["200 OK"] * 7, "429 Too Many Requests", "500 Internal Server Error", "503 Unavailable")
+
+
+def _call_id(data: bytes) -> str:
+    lines = data.lower().split(b"\r\n")
+    return next((line[len(ID_HEADER) :].decode() for line in lines if line.startswith(ID_HEADER)), "")
+
+
+class _RouterScene:
+    """Callers and engines of one gateway that act at random: answers, breaks, refusals, hangups."""
+
+    STEPS = 500
+    ENGINES = ("e1", "e2", "e3", "e4")
+
+    def __init__(self, seed):
+        self.chance = Random(seed)
+        self.rig = Rig(ROUTES, seed=seed, gateways=2)
+        self.seen = _Notes(self.rig.clock.seconds)
+        self.callers: list = []
+        self.open: list = []
+        self.states = dict.fromkeys(self.ENGINES, "ready")
+        self._announce()
+
+    def play(self) -> list[str]:
+        actions = (self._ask, self._respond, self._pass, self._change_engine, self._hang_up)
+        for _ in range(self.STEPS):
+            self.chance.choices(actions, (4, 12, 4, 0.4, 0.4))[0]()
+            self._note_all()
+        for _ in range(20):
+            self._pass_time(500)
+        return self.seen.lines
+
+    def _announce(self):
+        for n, (name, state) in enumerate(self.states.items()):
+            self.rig.engine(name, zone="zone-" + "ab"[n % 2], capacity=3, state=state)
+
+    def _ask(self):
+        path = self.chance.choice(PATHS)
+        headers = [h for h in CALL_HEADERS if self.chance.random() < 0.3]
+        call_id = f"c{len(self.callers)}"
+        body = b"b" * self.chance.randrange(200)
+        self.seen.note("asks", call_id, path, headers, len(body))
+        self.callers.append(self.rig.ask(path, call_id, body, headers))
+
+    def _pass(self):
+        self._pass_time(self.chance.choice((5, 20, 20, 100, 400, 1500)))
+
+    def _pass_time(self, span_ms: int):
+        """Time passes in short steps; engines tell of themselves at the end of each."""
+        for start in range(0, span_ms, 100):
+            self.rig.pass_time(min(100, span_ms - start))
+            self._announce()
+            self._note_all()
+
+    def _change_engine(self):
+        name = self.chance.choice(self.ENGINES)
+        address = f"10.0.0.{name[1:]}:80"
+        self.states[name] = self.chance.choice(("ready", "ready", "leaving"))
+        self.rig.refusing.clear()
+        if self.chance.random() < 0.4:
+            self.rig.refusing.add(address)
+        self.seen.note("engine", name, self.states[name], address in self.rig.refusing)
+        self._announce()
+
+    def _hang_up(self):
+        if self.callers:
+            n = self.chance.randrange(len(self.callers))
+            self.seen.note("hangs up", n)
+            self.callers[n].transport.close()
+
+    def _respond(self):
+        if not self.open:
+            return
+        answer = self.chance.choice(self.open)
+        name, link, call_id, sent = answer
+        if link.transport.gone:
+            self.open.remove(answer)
+            return
+        roll = self.chance.random()
+        if roll < 0.1:
+            self.open.remove(answer)
+            self.seen.note("engine breaks", name, call_id)
+            link.transport.close()
+        elif not sent:
+            self._respond_head(answer)
+        elif sent < 4:
+            answer[3] += 1
+            link.dataReceived(chunk(event(sent, f"text {sent}")))
+        else:
+            self.open.remove(answer)
+            link.dataReceived(END)
+
+    def _respond_head(self, answer):
+        name, link, call_id, _ = answer
+        status = self.chance.choice(STATUSES)
+        answer[3] = 1
+        if status == STATUSES[0]:
+            link.dataReceived(head(call_id))
+            return
+        self.open.remove(answer)
+        link.dataReceived(head(call_id, status, seal=self.chance.random() < 0.7, length=4) + b"body")
+
+    def _note_all(self):
+        for name, link, data in self.rig.asked():
+            self.seen.note("engine is sent", name, data)
+            call_id = _call_id(data)
+            self.open.append([name, link, call_id, 0])
+        for n, channel in enumerate(self.callers):
+            data = self.rig.seen(channel)
+            if data:
+                channel.transport.clear()
+                self.seen.note("caller sees", n, data, channel.transport.gone)
+
+
+def router(seed):
+    """Live requests by routes through one gateway, whose callers and engines act at random; without other nodes."""
+    return _RouterScene(seed).play(), []
+
+
+SCENARIOS = {
+    "controllers": controllers,
+    "logs": logs,
+    "lots": lots,
+    "batches": batches,
+    "orders": orders,
+    "everything": everything,
+    "router": router,
+}
