--- a/rehearsal/disks.py
+++ b/rehearsal/disks.py
@@ -29,10 +29,20 @@
         if self.full:
             raise OSError(28, "No space left on device")
         if os.fstat(fd).st_size == 0:
+            self._forget_removed_files()
             self._synced[os.fstat(fd).st_ino] = 0
         super().append(fd, data)
         self._see(fd)
 
+    def _forget_removed_files(self):
+        """The file system may give the number of a removed file to one that is not written through this disk."""
+        known = list(self._synced)
+        folders = [folder for folder in tuple(self._seen) if folder.exists()]
+        present = {entry.inode() for folder in folders for entry in os.scandir(folder)}
+        for number in known:
+            if number not in present:
+                self._synced.pop(number, None)
+
     def _see(self, fd):
         self._seen.add(Path(os.readlink(f"/proc/self/fd/{fd}")).parent)
 
@@ -46,6 +56,7 @@
         self._synced[number] = min(self._synced.get(number, 0), length)
 
     def sync_folder(self, folder):
+        self._forget_removed_files()
         if self._shadows is not None:
             self.mark_durable(folder)
 
