--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -9,8 +9,8 @@
 A scene is played without garbage collection, which would close abandoned coroutines at moments that depend on how many
 objects the code allocates; and the gateway's set of calls under way, which is walked in the order of memory addresses,
 is replaced by one that keeps its order. No bytes are left out but the texts of errors. Records do not depend on
-PYTHONHASHSEED in the seeds that were tried. All else is recorded, so a record also changes where equal behaviour draws random numbers
-in another order.
+PYTHONHASHSEED in the seeds that were tried. All else is recorded, so a record also changes where equal behaviour
+draws random numbers in another order.
 
 Usage:
   behaviour_record SCENARIO SEED [--diff=FILE]
