--- a/tests/behaviour_scenes.py
+++ b/tests/behaviour_scenes.py
@@ -104,7 +104,7 @@
         elif isinstance(result.value, defer.CancelledError):
             network.note("cancelled", sender, goal, method)
         else:
-            network.note("error", sender, goal, method, _code(result.value), getattr(result.value, "fault", ""))
+            network.note("error", sender, goal, method, _code(result.value), getattr(result.value, "remote_code", ""))
         return result
 
     return carry
@@ -382,7 +382,7 @@
     ENGINES = ("e1", "e2", "e3", "e4")
 
     def __init__(self, seed):
-        self.chance = Random(seed)
+        self.rng = Random(seed)
         self.rig = Rig(ROUTES, seed=seed, gateways=2)
         self.seen = _Notes(self.rig.clock.seconds)
         self.callers: list = []
@@ -393,7 +393,7 @@
     def play(self) -> list[str]:
         actions = (self._ask, self._respond, self._pass, self._change_engine, self._hang_up)
         for _ in range(self.STEPS):
-            self.chance.choices(actions, (4, 12, 4, 0.4, 0.4))[0]()
+            self.rng.choices(actions, (4, 12, 4, 0.4, 0.4))[0]()
             self._note_all()
         for _ in range(20):
             self._pass_time(500)
@@ -404,15 +404,15 @@
             self.rig.engine(name, zone="zone-" + "ab"[n % 2], capacity=3, state=state)
 
     def _ask(self):
-        path = self.chance.choice(PATHS)
-        headers = [h for h in CALL_HEADERS if self.chance.random() < 0.3]
+        path = self.rng.choice(PATHS)
+        headers = [h for h in CALL_HEADERS if self.rng.random() < 0.3]
         call_id = f"c{len(self.callers)}"
-        body = b"b" * self.chance.randrange(200)
+        body = b"b" * self.rng.randrange(200)
         self.seen.note("asks", call_id, path, headers, len(body))
         self.callers.append(self.rig.ask(path, call_id, body, headers))
 
     def _pass(self):
-        self._pass_time(self.chance.choice((5, 20, 20, 100, 400, 1500)))
+        self._pass_time(self.rng.choice((5, 20, 20, 100, 400, 1500)))
 
     def _pass_time(self, span_ms: int):
         """Time passes in short steps; engines tell of themselves at the end of each."""
@@ -422,30 +422,30 @@
             self._note_all()
 
     def _change_engine(self):
-        name = self.chance.choice(self.ENGINES)
+        name = self.rng.choice(self.ENGINES)
         address = f"10.0.0.{name[1:]}:80"
-        self.states[name] = self.chance.choice(("ready", "ready", "leaving"))
+        self.states[name] = self.rng.choice(("ready", "ready", "leaving"))
         self.rig.refusing.clear()
-        if self.chance.random() < 0.4:
+        if self.rng.random() < 0.4:
             self.rig.refusing.add(address)
         self.seen.note("engine", name, self.states[name], address in self.rig.refusing)
         self._announce()
 
     def _hang_up(self):
         if self.callers:
-            n = self.chance.randrange(len(self.callers))
+            n = self.rng.randrange(len(self.callers))
             self.seen.note("hangs up", n)
             self.callers[n].transport.close()
 
     def _respond(self):
         if not self.open:
             return
-        answer = self.chance.choice(self.open)
+        answer = self.rng.choice(self.open)
         name, link, call_id, sent = answer
         if link.transport.gone:
             self.open.remove(answer)
             return
-        roll = self.chance.random()
+        roll = self.rng.random()
         if roll < 0.1:
             self.open.remove(answer)
             self.seen.note("engine breaks", name, call_id)
@@ -461,13 +461,13 @@
 
     def _respond_head(self, answer):
         name, link, call_id, _ = answer
-        status = self.chance.choice(STATUSES)
+        status = self.rng.choice(STATUSES)
         answer[3] = 1
         if status == STATUSES[0]:
             link.dataReceived(head(call_id))
             return
         self.open.remove(answer)
-        link.dataReceived(head(call_id, status, seal=self.chance.random() < 0.7, length=4) + b"body")
+        link.dataReceived(head(call_id, status, seal=self.rng.random() < 0.7, length=4) + b"body")
 
     def _note_all(self):
         for name, link, data in self.rig.asked():
--- a/tests/stored_parts.py
+++ b/tests/stored_parts.py
@@ -51,7 +51,7 @@
 
 def read_controller(folder: Path) -> dict:
     """A controller's ballot, snapshot, log and the state that they make; its log is agreed to the end."""
-    archive = Archive(mock.Mock(chance=Random(1)), folder, Disk())
+    archive = Archive(mock.Mock(rng=Random(1)), folder, Disk())
     archive.recover()
     state = ClusterState(archive.snapshot.cluster_state)
     for entry in archive.entries:
