--- a/pipitlink/disk.py
+++ b/pipitlink/disk.py
@@ -3,6 +3,7 @@
 import os
 import shutil
 import zlib
+from collections.abc import Iterator
 from pathlib import Path
 
 __all__ = ["Disk", "swap_in", "set_aside", "frame", "frames", "HEAD"]
@@ -13,17 +14,17 @@
 class Disk:
     """The file calls that must last, in one place so that tests can put a failing layer under them."""
 
-    def append(self, fd: int, data: bytes):
+    def append(self, fd: int, data: bytes) -> None:
         while data:
             data = data[os.write(fd, data) :]
 
-    def sync(self, fd: int):
+    def sync(self, fd: int) -> None:
         os.fdatasync(fd)
 
-    def cut(self, fd: int, length: int):
+    def cut(self, fd: int, length: int) -> None:
         os.ftruncate(fd, length)
 
-    def sync_folder(self, folder: Path):
+    def sync_folder(self, folder: Path) -> None:
         fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
@@ -31,7 +32,7 @@
             os.close(fd)
 
 
-def swap_in(path: Path, data: bytes, disk: Disk | None = None):
+def swap_in(path: Path, data: bytes, disk: Disk | None = None) -> None:
     """Replaces a file atomically: writes `data` beside it, syncs, renames it over `path` and syncs the folder.
 
     Blocks until it is durable. Raises OSError; either the old file or the new one then stands whole.
@@ -48,7 +49,7 @@
     disk.sync_folder(path.parent)
 
 
-def set_aside(folder: Path):
+def set_aside(folder: Path) -> None:
     """Moves all that a data folder holds into its `damaged` folder, in place of what was there before."""
     aside = folder / "damaged"
     shutil.rmtree(aside, ignore_errors=True)
@@ -64,7 +65,7 @@
     return size + zlib.crc32(data, zlib.crc32(size)).to_bytes(4, "big") + data
 
 
-def frames(data: bytes, start: int = 0):
+def frames(data: bytes, start: int = 0) -> Iterator[tuple[int, bytes, int]]:
     """Yields (position, payload, end) for each whole good frame, and stops at the first that is not."""
     at = start
     while at + HEAD <= len(data):
--- a/pipitlink/errors.py
+++ b/pipitlink/errors.py
@@ -16,6 +16,8 @@
 of the lower layers to an ApiError.
 """
 
+from typing import Any
+
 __all__ = [
     "PipitlinkError",
     "SettingsError",
@@ -56,7 +58,7 @@
 
     code = "bad_settings"
 
-    def __init__(self, lines: list[str]):
+    def __init__(self, lines: list[str]) -> None:
         super().__init__("; ".join(lines))
         self.lines = lines
 
@@ -72,7 +74,7 @@
 
     code = "cut_off"
 
-    def __init__(self, text: str, sent: bool = True):
+    def __init__(self, text: str, sent: bool = True) -> None:
         super().__init__(text)
         self.sent = sent
 
@@ -82,7 +84,7 @@
 
     code = "wrong_peer"
 
-    def __init__(self, meant: str, answering: str):
+    def __init__(self, meant: str, answering: str) -> None:
         super().__init__(f"node {meant} was meant, {answering} answers there", sent=False)
 
 
@@ -97,7 +99,7 @@
 
     code = "refused"
 
-    def __init__(self, remote_code: str, message: str):
+    def __init__(self, remote_code: str, message: str) -> None:
         super().__init__(f"{remote_code}: {message}")
         self.remote_code = remote_code
         self.message = message
@@ -132,7 +134,7 @@
 
     code = "no_room"
 
-    def __init__(self, text: str, sent: bool = True):
+    def __init__(self, text: str, sent: bool = True) -> None:
         super().__init__(text)
         self.sent = sent
 
@@ -148,7 +150,7 @@
 
     code = "not_held"
 
-    def __init__(self, text: str, leaseholder: str = ""):
+    def __init__(self, text: str, leaseholder: str = "") -> None:
         super().__init__(text)
         self.leaseholder = leaseholder
 
@@ -171,7 +173,7 @@
 
     def __init__(
         self, text: str, *, code: str = "", field: str = "", status: int = 0, outcome: str = "", retry_after: int = 0
-    ):
+    ) -> None:
         super().__init__(text)
         self.code = code or type(self).code
         self.field = field
@@ -203,7 +205,7 @@
     status = 503
     outcome = "not_run"
 
-    def __init__(self, text: str, *, retry_after: int = 1, **words):
+    def __init__(self, text: str, *, retry_after: int = 1, **words: Any) -> None:
         super().__init__(text, retry_after=retry_after, **words)
 
 
@@ -226,7 +228,7 @@
 
     code = "not_leading"
 
-    def __init__(self, text: str, leader: str = ""):
+    def __init__(self, text: str, leader: str = "") -> None:
         super().__init__(text)
         self.leader = leader
 
@@ -242,7 +244,7 @@
 
     code = "wrong_base"
 
-    def __init__(self, sequence: int):
+    def __init__(self, sequence: int) -> None:
         super().__init__(f"the table is at sequence {sequence}")
         self.sequence = sequence
 
@@ -252,6 +254,6 @@
 
     code = "bad_rows"
 
-    def __init__(self, faults: list[dict]):
+    def __init__(self, faults: list[dict[str, str]]) -> None:
         super().__init__("; ".join(f"{f['row']}.{f['field']}: {f['message']}" for f in faults))
         self.faults = faults
--- a/pipitlink/segments.py
+++ b/pipitlink/segments.py
@@ -3,7 +3,11 @@
 import os
 import threading
 from collections.abc import Iterator
+from contextlib import AbstractContextManager
 from pathlib import Path
+from typing import Any
+
+from twisted.internet.defer import Deferred
 
 from .disk import HEAD, Disk, frame, frames
 from .errors import CorruptData
@@ -12,18 +16,21 @@
 
 SEGMENT = 16 * 1024 * 1024
 Spot = tuple[int, int]
+Ticket = Deferred[None] | None
 
 
 class Segments:
     """Plain append files of checksummed frames. Writers queue entries; `flush`, on a thread, syncs a group."""
 
-    def __init__(self, folder: Path, disk: Disk, lock=None):
+    def __init__(self, folder: Path, disk: Disk, lock: AbstractContextManager[Any] | None = None) -> None:
         self._folder = folder
         self._disk = disk
-        self._lock = lock or threading.Lock()
-        self._flushing = lock.twin() if hasattr(lock, "twin") else threading.Lock()
-        self._pending: list[tuple[bytes, object]] = []
-        self._taken: list[tuple[bytes, object]] = []
+        self._lock: AbstractContextManager[Any] = lock or threading.Lock()
+        self._flushing: AbstractContextManager[Any] = (
+            lock.twin() if lock is not None and hasattr(lock, "twin") else threading.Lock()
+        )
+        self._pending: list[tuple[bytes, tuple[Spot, Ticket]]] = []
+        self._taken: list[tuple[bytes, tuple[Spot, Ticket]]] = []
         self._fds: dict[int, int] = {}
         self._sizes: dict[int, int] = {}
         self._next: Spot = (1, 0)
@@ -60,19 +67,19 @@
             self._pending = []
             self._next = (last, self._sizes[last])
 
-    def _sync_names(self):
+    def _sync_names(self) -> None:
         """The folder's own name must last as well, or all files in it go with it."""
         self._disk.sync_folder(self._folder)
         self._disk.sync_folder(self._folder.parent)
 
-    def _open(self, n: int):
+    def _open(self, n: int) -> None:
         self._fds[n] = os.open(self._path(n), os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
 
     def used(self) -> int:
         with self._lock:
             return sum(self._sizes.values()) + sum(len(d) for d, _ in self._pending)
 
-    def put(self, body: bytes, ticket) -> Spot:
+    def put(self, body: bytes, ticket: Ticket) -> Spot:
         """Queues an entry and says where it will stand."""
         data = frame(body)
         with self._lock:
@@ -83,13 +90,13 @@
             self._pending.append((data, ((n, at), ticket)))
             return n, at
 
-    def flush(self) -> list:
+    def flush(self) -> list[Ticket]:
         """Writes and syncs what is queued; returns the tickets that are now durable."""
         with self._flushing:
             with self._lock:
                 batch = self._taken = self._pending
                 self._pending = []
-            touched = set()
+            touched: set[int] = set()
             for data, ((n, at), _) in batch:
                 if n not in self._fds:
                     self._finish(touched)
@@ -104,11 +111,11 @@
             self._taken = []
             return [ticket for _, (_, ticket) in batch]
 
-    def _finish(self, touched: set[int]):
+    def _finish(self, touched: set[int]) -> None:
         """Goes before a new file is made: only the newest one may have a torn end after a loss of power."""
         self._sync(touched)
 
-    def _sync(self, touched: set[int]):
+    def _sync(self, touched: set[int]) -> None:
         try:
             for n in sorted(touched):
                 self._disk.sync(self._fds[n])
@@ -120,7 +127,7 @@
         with self._lock:
             return bool(self._pending)
 
-    def abandon(self) -> list:
+    def abandon(self) -> list[Ticket]:
         """Forgets what is queued after a failed flush."""
         with self._lock:
             batch = self._taken + self._pending
@@ -138,7 +145,7 @@
         with self._lock:
             return sorted(self._sizes)
 
-    def roll(self):
+    def roll(self) -> None:
         """What is queued from now on goes to a new file."""
         with self._lock:
             if self._next[1]:
@@ -152,7 +159,7 @@
         with self._lock:
             return self._next[0]
 
-    def drop(self, n: int):
+    def drop(self, n: int) -> None:
         fd = self._fds.pop(n)
         with self._lock:
             self._sizes.pop(n, None)
@@ -160,7 +167,7 @@
         self._path(n).unlink()
         self._disk.sync_folder(self._folder)
 
-    def close(self):
+    def close(self) -> None:
         for fd in self._fds.values():
             os.close(fd)
         self._fds = {}
--- a/pipitlink/wire/connection.py
+++ b/pipitlink/wire/connection.py
@@ -1,5 +1,8 @@
 """One TCP connection between two nodes: framing, calls and responses."""
 
+from datetime import timedelta
+from typing import TYPE_CHECKING, cast
+
 from twisted.internet import defer, protocol
 from twisted.protocols.basic import Int32StringReceiver
 
@@ -7,6 +10,13 @@
 from ..timers import secs, spawn
 from .frame_pb2 import Frame, Hello
 
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IAddress
+    from twisted.python.failure import Failure
+
+    from ..reactor_types import TcpTransport
+    from .rpc import RpcEndpoint
+
 __all__ = ["RpcConnection", "RpcConnectionFactory", "MAX_FRAME", "WIRE"]
 
 MAX_FRAME = 96 * 1024 * 1024
@@ -22,28 +32,33 @@
 
     MAX_LENGTH = MAX_FRAME
 
-    def __init__(self, rpc):
+    def __init__(self, rpc: "RpcEndpoint") -> None:
         self._rpc = rpc
         self._inbox: list[bytes] = []
-        self._waiter: defer.Deferred | None = None
-        self._calls: dict[int, defer.Deferred] = {}
+        self._waiter: defer.Deferred[None] | None = None
+        self._calls: dict[int, defer.Deferred[Frame]] = {}
         self._next = 0
         self._attended = 0
         self._held = False
-        self._silent_since = None
+        self._silent_since: timedelta | None = None
         self._silent_bytes = 0
         self.peer = Hello()
         self.ended = False
-        self.ready: defer.Deferred = defer.Deferred(lambda d: None)
+        self.ready: defer.Deferred[RpcConnection] = defer.Deferred(lambda _: None)
 
-    def connectionMade(self):
-        self.transport.setTcpNoDelay(True)
-        self.sendString(self._rpc.hello().SerializeToString())
+    @property
+    def tcp(self) -> "TcpTransport":
+        """The transport of the connection; set by twisted once it is made."""
+        return cast("TcpTransport", self.transport)
+
+    def connectionMade(self) -> None:
+        self.tcp.setTcpNoDelay(True)
+        self._write(self._rpc.hello().SerializeToString())
         self._task = spawn(self._serve())
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:
         self._silent_since, self._silent_bytes = None, 0
-        super().dataReceived(data)
+        super().dataReceived(data)  # type: ignore[no-untyped-call] # twisted has no types here
 
     def hangs(self) -> bool:
         """Whether nothing has come since a call was sent, for longer than its bytes may take on a slow link."""
@@ -52,18 +67,18 @@
         span = SILENT_SPAN + secs(self._silent_bytes / SLOWEST_BYTES_S)
         return self._rpc.now() - self._silent_since > span
 
-    def stringReceived(self, data):
+    def stringReceived(self, data: bytes) -> None:
         self._inbox.append(data)
         if len(self._inbox) + self._attended >= MAX_INBOX and not self._held:
             self._held = True
-            self.transport.pauseProducing()
+            self.tcp.pauseProducing()
         self._wake()
 
-    def lengthLimitExceeded(self, length):
+    def lengthLimitExceeded(self, length: int) -> None:
         self._rpc.logger.warning("frame_too_long", length=length, peer=self.peer.node)
-        self.transport.abortConnection()
+        self.tcp.abortConnection()
 
-    def connectionLost(self, reason=protocol.connectionDone):
+    def connectionLost(self, reason: "Failure" = protocol.connectionDone) -> None:
         self.ended = True
         self._rpc.gone(self)
         self._wake()
@@ -74,7 +89,7 @@
         if not self.ready.called:
             self.ready.errback(ConnectionFailed("the stream ended before the hello", sent=False))
 
-    def _wake(self):
+    def _wake(self) -> None:
         if self._waiter is not None:
             d, self._waiter = self._waiter, None
             d.callback(None)
@@ -88,10 +103,10 @@
         data = self._inbox.pop(0)
         if self._held and len(self._inbox) + self._attended < MAX_INBOX // 2 and not self.ended:
             self._held = False
-            self.transport.resumeProducing()
+            self.tcp.resumeProducing()
         return data
 
-    async def _serve(self):
+    async def _serve(self) -> None:
         try:
             first = await self._take()
             if first is None:
@@ -116,9 +131,9 @@
             self._rpc.logger.failure("stream_refused", e, peer=self.peer.node)
             if not self.ready.called:
                 self.ready.errback(WireError(str(e)))
-            self.transport.abortConnection()
+            self.tcp.abortConnection()
 
-    async def _attend(self, f: Frame):
+    async def _attend(self, f: Frame) -> None:
         self._attended += 1
         out = Frame(call=f.call, response=True)
         try:
@@ -132,30 +147,36 @@
             self._attended -= 1
         self._send(out)
 
-    def _take_note(self, f: Frame):
+    def _take_note(self, f: Frame) -> None:
         """A frame without a call's number: it is attended like a call, and nobody waits for a response."""
         self._rpc.run_in_background(self._rpc.note(self.peer, f.method, f.body), f.method)
 
-    def notify(self, frame: bytes):
+    def notify(self, frame: bytes) -> None:
         """Writes a note's frame, which was made once for all that it goes to."""
         if not self.ended:
-            self.sendString(frame)
+            self._write(frame)
+
+    def _write(self, data: bytes) -> None:
+        self.sendString(data)  # type: ignore[no-untyped-call] # twisted has no types here
 
-    def _send(self, f: Frame):
+    def _send(self, f: Frame) -> None:
         if not self.ended:
-            self.sendString(f.SerializeToString())
+            self._write(f.SerializeToString())
 
-    def _settle(self, f: Frame):
+    def _settle(self, f: Frame) -> None:
         d = self._calls.pop(f.call, None)
         if d is not None and not d.called:
             d.callback(f)
 
-    def call(self, method: str, body: bytes) -> defer.Deferred:
+    def _drop(self, n: int) -> None:
+        self._calls.pop(n, None)
+
+    def call(self, method: str, body: bytes) -> defer.Deferred[Frame]:
         if self.ended:
             return defer.fail(ConnectionFailed("the stream has ended", sent=False))
         self._next += 1
         n = self._next
-        d = defer.Deferred(lambda _: self._calls.pop(n, None))
+        d: defer.Deferred[Frame] = defer.Deferred(lambda _: self._drop(n))
         self._calls[n] = d
         if self._silent_since is None:
             self._silent_since = self._rpc.now()
@@ -169,10 +190,10 @@
 
     noisy = False
 
-    def __init__(self, rpc):
+    def __init__(self, rpc: "RpcEndpoint") -> None:
         self._rpc = rpc
 
-    def buildProtocol(self, addr):
+    def buildProtocol(self, addr: "IAddress | None") -> RpcConnection:
         s = RpcConnection(self._rpc)
         s.ready.addErrback(lambda f: None)
         self._rpc.met(s)
