--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -19,32 +19,37 @@
     from .cache import Cache
     from .changes import Changes
     from .cluster import Cluster
-    from .gateway.engines import Engines as GatewayEngines
     from .membership import Membership
     from .reactor_types import Reactor
     from .replicated_log import ReplicatedLog
-    from .router.engines import Engines as RouterEngines
 
-__all__ = ["Context", "RunInThread", "fresh_id"]
+__all__ = ["Context", "RunInThread", "random_id"]
+
+RANDOM_ID_BYTES = 8
 
 ResultT = TypeVar("ResultT")
 
 
-def fresh_id() -> str:
+def random_id() -> str:
     """Returns a random id of 16 hexadecimal digits."""
-    return secrets.token_hex(8)
+    return secrets.token_hex(RANDOM_ID_BYTES)
 
 
 class RunInThread(Protocol):
-    """Runs a function on a thread, and fires with its result."""
+    """Runs a function on a thread."""
 
     def __call__(self, function: Callable[..., ResultT], /, *args: Any) -> Deferred[ResultT]:
-        """Starts the function and returns the Deferred of its result."""
+        """Starts the function, and returns the Deferred of its result."""
 
 
 @attrs.define(eq=False)
 class Context:
-    """All that a process's parts share, handed to each of them."""
+    """All that the parts of a process share, passed to the constructor of each of them.
+
+    `Process` makes it from settings, timers, logger and RPC endpoint. It sets the parts declared with `init=False` in
+    its start-up, before it opens anything that reads them; reading one before that is a programming error and raises
+    AttributeError.
+    """
 
     role: str
     node: str
@@ -57,15 +62,17 @@
     membership: "Membership" = attrs.field(init=False)
     cluster: "Cluster" = attrs.field(init=False)
     replicated_log: "ReplicatedLog" = attrs.field(init=False)
+    # Set in gateways only.
     cache: "Cache" = attrs.field(init=False)
-    engines: "GatewayEngines | RouterEngines" = attrs.field(init=False)
     changes: "Changes" = attrs.field(init=False)
+    # Tests inject one that runs on virtual time.
     run_in_thread: RunInThread = deferToThread
     dialect: Dialect = attrs.field(factory=Dialect)
 
-    def report(self, what: str) -> ErrorReporter:
-        return lambda e: self.logger.failure(what, e)
+    def error_reporter(self, event: str) -> ErrorReporter:
+        """Returns a function that logs an error as a failure named `event`."""
+        return lambda error: self.logger.failure(event, error)
 
-    def run_in_background(self, work: Coroutine[Any, Any, object], what: str) -> Deferred[Any]:
-        """Starts work that nobody waits for; its errors go to the logger."""
-        return spawn(work).addErrback(lambda f: self.logger.failure(what, f.value))
+    def run_in_background(self, work: Coroutine[Any, Any, object], event: str) -> Deferred[Any]:
+        """Starts work that nobody waits for; an error is logged as a failure named `event`."""
+        return spawn(work).addErrback(lambda failure: self.logger.failure(event, failure.value))
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -88,7 +88,7 @@
         self._ctx.rpc.register_handler("controller.empty", Empty, self._empty)
         if self.archive.snapshot.cluster_state.voters:
             self.trigger("founded")
-        b, report = self._ctx.timers, self._ctx.report
+        b, report = self._ctx.timers, self._ctx.error_reporter
         self._elections = b.call_repeatedly(
             ELECTION_INTERVAL, self._election_beat, report("election"), due=self._election_due
         )
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -38,7 +38,7 @@
         self._ctx.rpc.register_handler("controller.caught_up", CaughtUp, self._told_caught_up)
 
     def _open_placement_timers(self):
-        every, report = self._ctx.timers.call_repeatedly, self._ctx.report
+        every, report = self._ctx.timers.call_repeatedly, self._ctx.error_reporter
         self._look_at_placement = every(
             LOOK_INTERVAL, self._placement_beat, report("placement"), due=self._placement_due
         )
--- a/pipitlink/disk.py
+++ b/pipitlink/disk.py
@@ -1,4 +1,4 @@
-"""Durable file calls and the checksummed frames that logs are made of."""
+"""Durable file operations, and the checksummed frames that logs are made of."""
 
 import os
 import shutil
@@ -6,25 +6,33 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-__all__ = ["Disk", "swap_in", "set_aside", "frame", "frames", "HEAD"]
+__all__ = ["FRAME_HEADER_BYTES", "Disk", "decode_frames", "encode_frame", "quarantine_data", "replace_file"]
 
-HEAD = 8
+FRAME_HEADER_BYTES = 8
+QUARANTINE_FOLDER = "damaged"
 
 
 class Disk:
-    """The file calls that must last, in one place so that tests can put a failing layer under them."""
+    """The file operations that durability rests on, in one place so that tests can inject faults.
+
+    All of them block, and raise OSError.
+    """
 
     def append(self, fd: int, data: bytes) -> None:
+        """Writes all of `data` at the end of a file opened for appending; it is not durable yet."""
         while data:
             data = data[os.write(fd, data) :]
 
     def sync(self, fd: int) -> None:
+        """Makes the contents of a file durable."""
         os.fdatasync(fd)
 
-    def cut(self, fd: int, length: int) -> None:
+    def truncate(self, fd: int, length: int) -> None:
+        """Shortens a file to `length` bytes."""
         os.ftruncate(fd, length)
 
     def sync_folder(self, folder: Path) -> None:
+        """Makes the names in a folder durable."""
         fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
@@ -32,49 +40,50 @@
             os.close(fd)
 
 
-def swap_in(path: Path, data: bytes, disk: Disk | None = None) -> None:
+def replace_file(path: Path, data: bytes, disk: Disk | None = None) -> None:
     """Replaces a file atomically: writes `data` beside it, syncs, renames it over `path` and syncs the folder.
 
-    Blocks until it is durable. Raises OSError; either the old file or the new one then stands whole.
+    Blocks until it is durable. Raises OSError; the old file or the new one is then in place, complete.
     """
     disk = disk or Disk()
-    new = path.with_name(path.name + ".new")
-    fd = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    new_path = path.with_name(path.name + ".new")
+    fd = os.open(new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
         disk.append(fd, data)
         disk.sync(fd)
     finally:
         os.close(fd)
-    os.replace(new, path)
+    os.replace(new_path, path)
     disk.sync_folder(path.parent)
 
 
-def set_aside(folder: Path) -> None:
-    """Moves all that a data folder holds into its `damaged` folder, in place of what was there before."""
-    aside = folder / "damaged"
-    shutil.rmtree(aside, ignore_errors=True)
-    aside.mkdir()
-    for p in list(folder.iterdir()):
-        if p != aside:
-            os.replace(p, aside / p.name)
+def quarantine_data(folder: Path) -> None:
+    """Moves everything in a data folder into its `damaged` folder, and deletes what that folder held before."""
+    quarantine = folder / QUARANTINE_FOLDER
+    shutil.rmtree(quarantine, ignore_errors=True)
+    quarantine.mkdir()
+    for path in list(folder.iterdir()):
+        if path != quarantine:
+            os.replace(path, quarantine / path.name)
 
 
-def frame(data: bytes) -> bytes:
-    """Returns one frame: the size and a CRC-32 over size and data, 4 bytes each and big-endian, then the data."""
-    size = len(data).to_bytes(4, "big")
-    return size + zlib.crc32(data, zlib.crc32(size)).to_bytes(4, "big") + data
+def encode_frame(payload: bytes) -> bytes:
+    """Returns a frame: size of the payload, CRC-32 over size and payload, payload; 4-byte numbers are big-endian."""
+    size = len(payload).to_bytes(4, "big")
+    return size + zlib.crc32(payload, zlib.crc32(size)).to_bytes(4, "big") + payload
 
 
-def frames(data: bytes, start: int = 0) -> Iterator[tuple[int, bytes, int]]:
-    """Yields (position, payload, end) for each whole good frame, and stops at the first that is not."""
-    at = start
-    while at + HEAD <= len(data):
-        size = int.from_bytes(data[at : at + 4], "big")
-        end = at + HEAD + size
+def decode_frames(data: bytes, start: int = 0) -> Iterator[tuple[int, bytes, int]]:
+    """Yields (offset, payload, end) of each complete frame from `start`, up to the first that is torn or damaged."""
+    offset = start
+    while offset + FRAME_HEADER_BYTES <= len(data):
+        size = int.from_bytes(data[offset : offset + 4], "big")
+        end = offset + FRAME_HEADER_BYTES + size
         if end > len(data):
             return
-        body = data[at + HEAD : end]
-        if zlib.crc32(body, zlib.crc32(data[at : at + 4])) != int.from_bytes(data[at + 4 : at + 8], "big"):
+        payload = data[offset + FRAME_HEADER_BYTES : end]
+        checksum = int.from_bytes(data[offset + 4 : offset + 8], "big")
+        if zlib.crc32(payload, zlib.crc32(data[offset : offset + 4])) != checksum:
             return
-        yield at, bytes(body), end
-        at = end
+        yield offset, bytes(payload), end
+        offset = end
--- a/pipitlink/errors.py
+++ b/pipitlink/errors.py
@@ -16,9 +16,11 @@
 of the lower layers to an ApiError.
 """
 
+from enum import StrEnum
 from typing import Any
 
 __all__ = [
+    "ExecutionOutcome",
     "PipitlinkError",
     "SettingsError",
     "WireError",
@@ -47,8 +49,16 @@
 ]
 
 
+class ExecutionOutcome(StrEnum):
+    """What is known of a request that failed, as callers read it."""
+
+    NOT_RUN = "not_run"
+    FAILED = "failed"
+    UNKNOWN = "unknown"
+
+
 class PipitlinkError(Exception):
-    """The root of all exceptions here; never raised itself."""
+    """The base class of all exceptions here; never raised itself."""
 
     code = "fault"
 
@@ -70,7 +80,7 @@
 
 
 class ConnectionFailed(WireError):
-    """The peer could not be reached or the connection broke. `sent` is False where the call surely never left."""
+    """The peer could not be reached or the connection broke. `sent` is False where the call certainly never left."""
 
     code = "cut_off"
 
@@ -80,22 +90,22 @@
 
 
 class WrongPeer(ConnectionFailed):
-    """Another node answers at the place of the one that was meant: the call was not carried out."""
+    """Another node answers at the address of the one that the call names: the call was not run."""
 
     code = "wrong_peer"
 
-    def __init__(self, meant: str, answering: str) -> None:
-        super().__init__(f"node {meant} was meant, {answering} answers there", sent=False)
+    def __init__(self, expected: str, actual: str) -> None:
+        super().__init__(f"node {expected} was meant, {actual} answers there", sent=False)
 
 
 class DeadlineExceeded(WireError):
-    """No result within the time limit; what was asked for may still happen. Raised by Timers, RPC and edits."""
+    """No result within the time limit; the work may still take effect. Raised by Timers, RPC and edits."""
 
     code = "overdue"
 
 
 class RemoteError(WireError):
-    """The peer took the call and answered with an error: `remote_code` is its code, `message` its text."""
+    """The peer answered a call with an error: `remote_code` is its code, `message` its text."""
 
     code = "refused"
 
@@ -112,25 +122,25 @@
 
 
 class ReplicatedLogError(PipitlinkError):
-    """The root of the errors of storage nodes and their logs; never raised itself."""
+    """The base class of the errors of storage nodes and their logs; never raised itself."""
 
     code = "replicated_log"
 
 
 class StaleEpoch(ReplicatedLogError):
-    """A storage node has promised a higher epoch or committed these bytes, or the log has ended: nothing is written."""
+    """The log has a newer epoch, holds other committed bytes here, or has ended: nothing is written."""
 
     code = "fenced"
 
 
 class NoQuorum(ReplicatedLogError):
-    """Too few storage nodes answered a leaseholder or reader to be sure of a log."""
+    """Too few storage nodes answered a leaseholder or reader of a log."""
 
     code = "no_majority"
 
 
 class StorageFull(ReplicatedLogError):
-    """A disk, or the budget of a data folder, takes no more. `sent` is False where surely nothing was written."""
+    """A disk or the budget of a data folder is full. `sent` is False where certainly nothing was written."""
 
     code = "no_room"
 
@@ -140,7 +150,7 @@
 
 
 class StalePlacement(ReplicatedLogError):
-    """A storage node knows a newer placement than the writer that asks it."""
+    """A storage node knows a newer placement than the writer that calls it."""
 
     code = "old_placement_group"
 
@@ -162,14 +172,15 @@
 
 
 class ApiError(PipitlinkError):
-    """What a caller is told, raised by gateways and by controllers' HTTP handlers.
+    """An error response to a caller, raised by gateways and by HTTP handlers of controllers.
 
-    `outcome` is `not_run`, `failed` or `unknown`; `retry_after` is in seconds, 0 for none; `field` names a wrong field.
+    `outcome` is a value of ExecutionOutcome; `retry_after` is in seconds, 0 for none; `field` names the invalid field.
+    Arguments that are left out have the value of the class.
     """
 
     code = "gateway"
     status = 500
-    outcome = "failed"
+    outcome: str = ExecutionOutcome.FAILED
 
     def __init__(
         self, text: str, *, code: str = "", field: str = "", status: int = 0, outcome: str = "", retry_after: int = 0
@@ -187,38 +198,38 @@
 
     code = "bad_request"
     status = 400
-    outcome = "not_run"
+    outcome = ExecutionOutcome.NOT_RUN
 
 
 class NotFound(ApiError):
-    """What a caller names does not exist. Raised by HTTP handlers."""
+    """The resource that a caller names does not exist. Raised by HTTP handlers."""
 
     code = "not_found"
     status = 404
-    outcome = "not_run"
+    outcome = ExecutionOutcome.NOT_RUN
 
 
 class ServiceUnavailable(ApiError):
-    """No room or no proof just now; send again in `retry_after` s. Nothing ran unless `outcome` differs."""
+    """The request cannot be served now; the caller may retry after `retry_after` s. It was not run by default."""
 
     code = "crowded"
     status = 503
-    outcome = "not_run"
+    outcome = ExecutionOutcome.NOT_RUN
 
-    def __init__(self, text: str, *, retry_after: int = 1, **words: Any) -> None:
-        super().__init__(text, retry_after=retry_after, **words)
+    def __init__(self, text: str, *, retry_after: int = 1, **fields: Any) -> None:
+        super().__init__(text, retry_after=retry_after, **fields)
 
 
 class EngineError(ApiError):
-    """An engine failed or broke off during an exchange. Raised by gateways; it may have run the request."""
+    """An engine failed during an exchange, and may have run the request. Raised by gateways."""
 
     code = "back_end"
     status = 502
-    outcome = "unknown"
+    outcome = ExecutionOutcome.UNKNOWN
 
 
 class ControllerError(PipitlinkError):
-    """The root of the errors of the agreement; never raised itself."""
+    """The base class of the errors of the consensus and of edits; never raised itself."""
 
     code = "controller"
 
@@ -234,13 +245,13 @@
 
 
 class Unconfirmed(ControllerError):
-    """A leader cannot show an edit's outcome, or that it still leads: the edit may yet take effect."""
+    """The leader cannot confirm the outcome of an edit, or its leadership; the edit may still take effect."""
 
     code = "unproven"
 
 
 class VersionConflict(ControllerError):
-    """An edit builds on an older table than the newest, whose sequence is `sequence`. Raised by edits."""
+    """An edit is based on a version of the table older than the current one, which is `sequence`. Raised by edits."""
 
     code = "wrong_base"
 
@@ -250,10 +261,10 @@
 
 
 class InvalidRows(ControllerError):
-    """Rows of an edit are wrong; `faults` has row, field and message of each. Raised while they are read."""
+    """Rows of an edit are invalid; `faults` has row, field and message of each. Raised while they are parsed."""
 
     code = "bad_rows"
 
     def __init__(self, faults: list[dict[str, str]]) -> None:
-        super().__init__("; ".join(f"{f['row']}.{f['field']}: {f['message']}" for f in faults))
+        super().__init__("; ".join(f"{fault['row']}.{fault['field']}: {fault['message']}" for fault in faults))
         self.faults = faults
--- /dev/null
+++ b/pipitlink/group_commit.py
@@ -0,0 +1,71 @@
+"""Group commit: writes that are queued while the disk is busy are synced together."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from twisted.internet import defer
+
+from .errors import CorruptData, StorageFull
+from .segments import Segments
+from .timers import spawn
+
+if TYPE_CHECKING:
+    from .context import Context
+
+__all__ = ["GroupCommit"]
+
+
+class GroupCommit:
+    """Flushes segment files on a thread, as long as entries are queued in them.
+
+    After a failed write the queued entries are dropped, their writers get StorageFull, and `recover` is called, which
+    is to restore the state in memory from the files. A failed sync stops the process, since nobody can tell what is on
+    disk then.
+    """
+
+    def __init__(self, ctx: "Context", segments: Segments, recover: Callable[[], object]) -> None:
+        self._ctx = ctx
+        self._segments = segments
+        self._recover = recover
+        self.in_progress = False
+
+    def submit(self, enqueue: Callable[[defer.Deferred[None]], object]) -> defer.Deferred[None] | None:
+        """Has `enqueue` append entries with a ticket, and returns the ticket, which fires once they are durable.
+
+        Returns None where `enqueue` returns False, which says that it appended nothing. Fails with StorageFull where
+        the disk refuses the write.
+        """
+        ticket: defer.Deferred[None] = defer.Deferred()
+        if enqueue(ticket) is False:
+            return None
+        if not self.in_progress:
+            self._start()
+        return ticket
+
+    def _start(self) -> None:
+        self.in_progress = True
+        spawn(self._flush_pending())
+
+    async def _flush_pending(self) -> None:
+        try:
+            while self._segments.has_pending():
+                for ticket in await self._ctx.run_in_thread(self._segments.flush):
+                    if ticket is not None:
+                        ticket.callback(None)
+        except CorruptData as error:
+            self._ctx.logger.failure("disk_sync_failed", error)
+            self._ctx.reactor.stop()
+        except Exception as error:
+            self._ctx.logger.failure("disk_write_failed", error)
+            self._fail_pending(error)
+        finally:
+            self.in_progress = False
+            if self._segments.has_pending():
+                self._start()
+
+    def _fail_pending(self, error: Exception) -> None:
+        tickets = self._segments.discard_pending()
+        self._recover()
+        for ticket in tickets:
+            if ticket is not None:
+                ticket.errback(StorageFull(f"the disk refused: {error}"))
--- a/pipitlink/rendezvous.py
+++ b/pipitlink/rendezvous.py
@@ -5,8 +5,11 @@
 
 __all__ = ["rank"]
 
+CACHED_RANKS = 16384
+RANK_BYTES = 8
 
-@lru_cache(maxsize=16384)
+
+@lru_cache(maxsize=CACHED_RANKS)
 def rank(key: str, name: str) -> bytes:
-    """The rendezvous rank of a name for a key: whoever knows the same names picks the same one."""
-    return blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
+    """Returns the weight of a name for a key; all that know the same names order them in the same way."""
+    return blake2b(f"{key}\0{name}".encode(), digest_size=RANK_BYTES).digest()
--- /dev/null
+++ b/pipitlink/repeating_call.py
@@ -0,0 +1,107 @@
+"""Work that is repeated at an interval."""
+
+from collections.abc import Callable, Coroutine
+from datetime import timedelta
+from inspect import isawaitable
+from typing import TYPE_CHECKING, Any, cast
+
+from twisted.internet.defer import Deferred, ensureDeferred
+
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
+
+    from .reactor_types import DelayedCall
+    from .timers import Timers
+
+__all__ = ["ErrorReporter", "RepeatingCall"]
+
+ErrorReporter = Callable[[BaseException | None], object]
+
+
+class RepeatingCall:
+    """Calls a function at an interval, counted from the end of each run; the function may return an awaitable.
+
+    Errors go to `report_error`, and the repetition goes on. `due_in`, if given, tells after each run how long nothing
+    is due, or None for until `wake` is called: runs in that time are skipped, and the others keep their phase.
+    """
+
+    def __init__(
+        self,
+        timers: "Timers",
+        interval: timedelta,
+        function: Callable[[], object],
+        report_error: ErrorReporter,
+        due_in: Callable[[], timedelta | None] | None = None,
+    ) -> None:
+        self._timers = timers
+        self._interval = interval
+        self._function = function
+        self._report_error = report_error
+        self._due_in = due_in
+        self._cancelled = False
+        self._delayed_call: DelayedCall | None = None
+        self._delayed_until = timedelta(0)
+        self._next_slot: timedelta | None = None
+        self._running: Deferred[Any] | None = None
+
+    def run(self) -> None:
+        """Calls the function now, and schedules the next run at its end."""
+        self._delayed_call = None
+        self._next_slot = None
+        if self._timers.stopped or self._cancelled:
+            return
+        try:
+            result = self._function()
+        except Exception as error:
+            self._report_error(error)
+            result = None
+        if result is not None and isawaitable(result):
+            self._running = ensureDeferred(cast("Coroutine[Any, Any, object]", result))
+            self._running.addErrback(self._on_error).addBoth(self._on_end)
+        else:
+            self._schedule_next()
+
+    def wake(self) -> None:
+        """Says that work is due: the function runs at the end of the present interval."""
+        if self._cancelled or self._next_slot is None:
+            return
+        now = self._timers.now()
+        intervals_passed = max(0, -((self._next_slot - now) // self._interval))
+        wake_at = self._next_slot + self._interval * intervals_passed
+        if self._delayed_call is not None:
+            if self._delayed_until <= wake_at:
+                return
+            self._delayed_call.cancel()
+        self._schedule(wake_at, now)
+
+    def cancel(self) -> None:
+        """Ends the repetition, and cancels the run under way."""
+        self._cancelled = True
+        if self._delayed_call is not None and self._delayed_call.active():
+            self._delayed_call.cancel()
+        if self._running is not None:
+            self._running.cancel()
+
+    def _on_error(self, failure: "Failure") -> None:
+        if not self._cancelled:
+            self._report_error(failure.value)
+
+    def _on_end(self, _: object) -> None:
+        self._running = None
+        if not self._cancelled:
+            self._schedule_next()
+
+    def _schedule_next(self) -> None:
+        now = self._timers.now()
+        self._next_slot = now + self._interval
+        if self._due_in is None:
+            self._schedule(self._next_slot, now)
+            return
+        due_in = self._due_in()
+        if due_in is not None:
+            intervals = max(1, -(-due_in // self._interval))
+            self._schedule(now + self._interval * intervals, now)
+
+    def _schedule(self, at: timedelta, now: timedelta) -> None:
+        self._delayed_until = at
+        self._delayed_call = self._timers.call_later(at - now, self.run)
--- a/pipitlink/segments.py
+++ b/pipitlink/segments.py
@@ -1,173 +1,222 @@
-"""The append-only segment files under a node's logs: group writes, syncs, recovery."""
+"""The append-only segment files of a node's logs: group writes, syncs and recovery."""
 
 import os
 import threading
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from contextlib import AbstractContextManager
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from twisted.internet.defer import Deferred
 
-from .disk import HEAD, Disk, frame, frames
+from .disk import FRAME_HEADER_BYTES, Disk, decode_frames, encode_frame
 from .errors import CorruptData
 
-__all__ = ["Segments", "Spot"]
+__all__ = ["Position", "Segments", "Ticket"]
 
-SEGMENT = 16 * 1024 * 1024
-Spot = tuple[int, int]
+MAX_SEGMENT_BYTES = 16 * 1024 * 1024
+FIRST_SEGMENT = 1
+NAME_PREFIX = "seg-"
+
+# What a writer is told by once its entry is durable; None for entries that nobody waits for.
 Ticket = Deferred[None] | None
 
 
+class Position(NamedTuple):
+    """Where the frame of an entry begins."""
+
+    segment: int
+    offset: int
+
+
+class _PendingWrite(NamedTuple):
+    frame: bytes
+    position: Position
+    ticket: Ticket
+
+
 class Segments:
-    """Plain append files of checksummed frames. Writers queue entries; `flush`, on a thread, syncs a group."""
+    """A sequence of append-only files of checksummed frames.
 
-    def __init__(self, folder: Path, disk: Disk, lock: AbstractContextManager[Any] | None = None) -> None:
+    Writers queue entries with `append`; `flush`, on a thread, writes and syncs all that are queued. The other methods
+    are called on the reactor's thread.
+    """
+
+    def __init__(
+        self, folder: Path, disk: Disk, make_lock: Callable[[], AbstractContextManager[Any]] = threading.Lock
+    ) -> None:
         self._folder = folder
         self._disk = disk
-        self._lock: AbstractContextManager[Any] = lock or threading.Lock()
-        self._flushing: AbstractContextManager[Any] = (
-            lock.twin() if lock is not None and hasattr(lock, "twin") else threading.Lock()
-        )
-        self._pending: list[tuple[bytes, tuple[Spot, Ticket]]] = []
-        self._taken: list[tuple[bytes, tuple[Spot, Ticket]]] = []
+        self._lock = make_lock()
+        self._flush_lock = make_lock()
+        self._pending: list[_PendingWrite] = []
+        self._in_flight: list[_PendingWrite] = []
         self._fds: dict[int, int] = {}
         self._sizes: dict[int, int] = {}
-        self._next: Spot = (1, 0)
+        self._next = Position(FIRST_SEGMENT, 0)
         folder.mkdir(parents=True, exist_ok=True)
 
-    def _path(self, n: int) -> Path:
-        return self._folder / f"seg-{n:08d}.log"
-
-    def recover(self) -> Iterator[tuple[Spot, bytes]]:
-        """Yields every good entry; a torn end of the newest file is cut off, damage elsewhere is told."""
-        for fd in self._fds.values():
-            os.close(fd)
-        self._fds, self._sizes = {}, {}
-        numbers = sorted(int(p.stem[4:]) for p in self._folder.glob("seg-*.log"))
-        for n in numbers:
-            data = self._path(n).read_bytes()
-            end = 0
-            for at, body, end in frames(data):
-                yield (n, at), body
-            self._open(n)
-            self._sizes[n] = end
-            if end < len(data):
-                if n != numbers[-1]:
-                    raise CorruptData(f"{self._path(n).name} is damaged at {end}")
-                self._disk.cut(self._fds[n], end)
-            if n == numbers[-1]:
-                self._disk.sync(self._fds[n])
-        last = numbers[-1] if numbers else 1
+    def recover(self) -> Iterator[tuple[Position, bytes]]:
+        """Opens the files, and yields position and payload of each entry; drops what is queued.
+
+        Cuts off a torn end of the newest file. Raises CorruptData where another file is damaged.
+        """
+        self.close()
+        self._sizes = {}
+        numbers = sorted(self._number_of(path) for path in self._folder.glob(f"{NAME_PREFIX}*.log"))
+        newest = numbers[-1] if numbers else FIRST_SEGMENT
+        for number in numbers:
+            yield from self._recover_segment(number, is_newest=number == newest)
         if not numbers:
-            self._open(last)
-            self._sizes[last] = 0
-            self._sync_names()
+            self._open(newest)
+            self._sizes[newest] = 0
+            self._sync_folder_names()
         with self._lock:
             self._pending = []
-            self._next = (last, self._sizes[last])
-
-    def _sync_names(self) -> None:
-        """The folder's own name must last as well, or all files in it go with it."""
+            self._next = Position(newest, self._sizes[newest])
+
+    def _recover_segment(self, number: int, is_newest: bool) -> Iterator[tuple[Position, bytes]]:
+        data = self._path(number).read_bytes()
+        end = 0
+        for offset, payload, end in decode_frames(data):
+            yield Position(number, offset), payload
+        self._open(number)
+        self._sizes[number] = end
+        if end < len(data):
+            if not is_newest:
+                raise CorruptData(f"{self._path(number).name} is damaged at {end}")
+            self._disk.truncate(self._fds[number], end)
+        if is_newest:
+            self._disk.sync(self._fds[number])
+
+    def _path(self, number: int) -> Path:
+        return self._folder / f"{NAME_PREFIX}{number:08d}.log"
+
+    def _number_of(self, path: Path) -> int:
+        return int(path.stem[len(NAME_PREFIX) :])
+
+    def _sync_folder_names(self) -> None:
+        """The name of the folder must be durable as well, or all files in it are lost with it."""
         self._disk.sync_folder(self._folder)
         self._disk.sync_folder(self._folder.parent)
 
-    def _open(self, n: int) -> None:
-        self._fds[n] = os.open(self._path(n), os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
+    def _open(self, number: int) -> None:
+        self._fds[number] = os.open(self._path(number), os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
 
-    def used(self) -> int:
+    def used_bytes(self) -> int:
+        """Returns the size of all files, with what is queued."""
         with self._lock:
-            return sum(self._sizes.values()) + sum(len(d) for d, _ in self._pending)
+            return sum(self._sizes.values()) + sum(len(write.frame) for write in self._pending)
 
-    def put(self, body: bytes, ticket: Ticket) -> Spot:
-        """Queues an entry and says where it will stand."""
-        data = frame(body)
+    def append(self, payload: bytes, ticket: Ticket) -> Position:
+        """Queues an entry, and returns the position that it will have. `flush` returns the ticket."""
+        frame = encode_frame(payload)
         with self._lock:
-            n, at = self._next
-            if at and at + len(data) > SEGMENT:
-                n, at = n + 1, 0
-            self._next = (n, at + len(data))
-            self._pending.append((data, ((n, at), ticket)))
-            return n, at
+            position = self._next
+            if position.offset and position.offset + len(frame) > MAX_SEGMENT_BYTES:
+                position = Position(position.segment + 1, 0)
+            self._next = Position(position.segment, position.offset + len(frame))
+            self._pending.append(_PendingWrite(frame, position, ticket))
+            return position
 
     def flush(self) -> list[Ticket]:
-        """Writes and syncs what is queued; returns the tickets that are now durable."""
-        with self._flushing:
-            with self._lock:
-                batch = self._taken = self._pending
-                self._pending = []
-            touched: set[int] = set()
-            for data, ((n, at), _) in batch:
-                if n not in self._fds:
-                    self._finish(touched)
-                    self._open(n)
-                    self._sizes[n] = 0
-                    self._disk.sync_folder(self._folder)
-                self._disk.append(self._fds[n], data)
-                touched.add(n)
-                with self._lock:
-                    self._sizes[n] = at + len(data)
-            self._sync(touched)
-            self._taken = []
-            return [ticket for _, (_, ticket) in batch]
-
-    def _finish(self, touched: set[int]) -> None:
-        """Goes before a new file is made: only the newest one may have a torn end after a loss of power."""
-        self._sync(touched)
-
-    def _sync(self, touched: set[int]) -> None:
-        try:
-            for n in sorted(touched):
-                self._disk.sync(self._fds[n])
-        except OSError as e:
-            raise CorruptData(f"sync failed: {e}") from e
-        touched.clear()
+        """Writes and syncs what is queued; returns the tickets of the entries that are now durable.
+
+        Raises CorruptData where a sync fails, since what the files hold is then unknown, and OSError where a write
+        fails; `discard_pending` returns the tickets in either case.
+        """
+        with self._flush_lock:
+            writes = self._take_pending()
+            unsynced: set[int] = set()
+            for write in writes:
+                self._write(write, unsynced)
+            self._sync(unsynced)
+            self._in_flight = []
+            return [write.ticket for write in writes]
+
+    def _take_pending(self) -> list[_PendingWrite]:
+        with self._lock:
+            self._in_flight = self._pending
+            self._pending = []
+            return self._in_flight
+
+    def _write(self, write: _PendingWrite, unsynced: set[int]) -> None:
+        number, offset = write.position
+        if number not in self._fds:
+            self._sync_before_roll(unsynced)
+            self._open(number)
+            self._sizes[number] = 0
+            self._disk.sync_folder(self._folder)
+        self._disk.append(self._fds[number], write.frame)
+        unsynced.add(number)
+        with self._lock:
+            self._sizes[number] = offset + len(write.frame)
+
+    def _sync_before_roll(self, unsynced: set[int]) -> None:
+        """Runs before a new file is made: only the newest one may have a torn end after a loss of power."""
+        self._sync(unsynced)
 
-    def waiting(self) -> bool:
+    def _sync(self, unsynced: set[int]) -> None:
+        try:
+            for number in sorted(unsynced):
+                self._disk.sync(self._fds[number])
+        except OSError as error:
+            raise CorruptData(f"sync failed: {error}") from error
+        unsynced.clear()
+
+    def has_pending(self) -> bool:
+        """Returns whether entries are queued that no flush has taken."""
         with self._lock:
             return bool(self._pending)
 
-    def abandon(self) -> list[Ticket]:
-        """Forgets what is queued after a failed flush."""
+    def discard_pending(self) -> list[Ticket]:
+        """Drops what is queued or was being written, after a failed flush; returns its tickets."""
         with self._lock:
-            batch = self._taken + self._pending
-            self._taken, self._pending = [], []
-        return [ticket for _, (_, ticket) in batch]
+            writes = self._in_flight + self._pending
+            self._in_flight = []
+            self._pending = []
+        return [write.ticket for write in writes]
 
-    def read_bytes(self, spot: Spot, length: int) -> bytes:
-        n, at = spot
-        data = os.pread(self._fds[n], length, at + HEAD)
+    def read_bytes(self, position: Position, length: int) -> bytes:
+        """Returns `length` bytes of the payload of the entry at a position. Raises CorruptData if there are fewer."""
+        number, offset = position
+        data = os.pread(self._fds[number], length, offset + FRAME_HEADER_BYTES)
         if len(data) != length:
-            raise CorruptData(f"{self._path(n).name} ends early at {at}")
+            raise CorruptData(f"{self._path(number).name} ends early at {offset}")
         return data
 
-    def numbers(self) -> list[int]:
+    def roll(self) -> None:
+        """Has what is queued from now on go to a new file."""
         with self._lock:
-            return sorted(self._sizes)
+            if self._next.offset:
+                self._next = Position(self._next.segment + 1, 0)
 
-    def roll(self) -> None:
-        """What is queued from now on goes to a new file."""
+    def segment_numbers(self) -> list[int]:
+        """Returns the numbers of all files, in order."""
         with self._lock:
-            if self._next[1]:
-                self._next = (self._next[0] + 1, 0)
+            return sorted(self._sizes)
 
-    def size(self, n: int) -> int:
+    def segment_size(self, number: int) -> int:
+        """Returns how many bytes of a file are written, 0 for one that does not exist."""
         with self._lock:
-            return self._sizes.get(n, 0)
+            return self._sizes.get(number, 0)
 
-    def newest(self) -> int:
+    def newest_segment(self) -> int:
+        """Returns the number of the file that the next entry goes to."""
         with self._lock:
-            return self._next[0]
+            return self._next.segment
 
-    def drop(self, n: int) -> None:
-        fd = self._fds.pop(n)
+    def remove_segment(self, number: int) -> None:
+        """Deletes a file, and makes that durable."""
+        fd = self._fds.pop(number)
         with self._lock:
-            self._sizes.pop(n, None)
+            self._sizes.pop(number, None)
         os.close(fd)
-        self._path(n).unlink()
+        self._path(number).unlink()
         self._disk.sync_folder(self._folder)
 
     def close(self) -> None:
+        """Closes the files."""
         for fd in self._fds.values():
             os.close(fd)
         self._fds = {}
--- /dev/null
+++ b/pipitlink/single_flight.py
@@ -0,0 +1,43 @@
+"""Work that is done once for all that ask for it at the same time."""
+
+from collections.abc import Callable, Coroutine, Hashable
+from typing import TYPE_CHECKING, Any, Generic, TypeVar
+
+from twisted.internet.defer import Deferred, ensureDeferred
+
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
+
+__all__ = ["SingleFlight"]
+
+KeyT = TypeVar("KeyT", bound=Hashable)
+ResultT = TypeVar("ResultT")
+
+
+class SingleFlight(Generic[KeyT, ResultT]):
+    """Runs work at most once at a time for each key, and shares its result among all that wait for it."""
+
+    def __init__(self) -> None:
+        self._waiters: dict[KeyT, list[Deferred[ResultT]]] = {}
+
+    def run(self, key: KeyT, start: Callable[[], Coroutine[Any, Any, ResultT]]) -> Deferred[ResultT]:
+        """Returns the result of the work under way for `key`, or of a new run of `start` where there is none.
+
+        A waiter that is cancelled ends only its own wait. An error of the work is raised to each waiter.
+        """
+        is_first = key not in self._waiters
+        waiters = self._waiters.setdefault(key, [])
+
+        def stop_waiting(waiter: Deferred[Any]) -> None:
+            if waiter in waiters:
+                waiters.remove(waiter)
+
+        waiter: Deferred[ResultT] = Deferred(stop_waiting)
+        waiters.append(waiter)
+        if is_first:
+            ensureDeferred(start()).addBoth(self._share, key)
+        return waiter
+
+    def _share(self, result: "ResultT | Failure", key: KeyT) -> None:
+        for waiter in self._waiters.pop(key):
+            waiter.callback(result)
--- a/pipitlink/timers.py
+++ b/pipitlink/timers.py
@@ -1,47 +1,52 @@
 """Monotonic time, delayed and repeated work, and time limits on Deferreds."""
 
 import time
-from collections.abc import Callable, Coroutine, Hashable
+from collections.abc import Callable, Coroutine
 from datetime import UTC, datetime, timedelta
-from inspect import isawaitable
-from typing import TYPE_CHECKING, Any, Generic, TypeVar, cast
+from typing import TYPE_CHECKING, Any, TypeVar
 
 from twisted.internet import defer
 
 from .errors import DeadlineExceeded
+from .repeating_call import ErrorReporter, RepeatingCall
+from .single_flight import SingleFlight
 
 if TYPE_CHECKING:
     from twisted.python.failure import Failure
 
     from .reactor_types import Clock, DelayedCall
 
-__all__ = ["Timers", "RepeatingCall", "ms", "secs", "to_ms", "wall_ms", "ZERO", "spawn", "SingleFlight"]
+__all__ = [
+    "ErrorReporter",
+    "RepeatingCall",
+    "SingleFlight",
+    "Timers",
+    "ZERO",
+    "ms",
+    "secs",
+    "spawn",
+    "to_ms",
+    "wall_ms",
+]
 
 ResultT = TypeVar("ResultT")
-KeyT = TypeVar("KeyT", bound=Hashable)
-ErrorReporter = Callable[[BaseException | None], object]
 
 ZERO = timedelta(0)
 
 
 def ms(n: float) -> timedelta:
-    """Returns a span of `n` milliseconds."""
+    """Returns a duration of `n` milliseconds."""
     return timedelta(milliseconds=n)
 
 
 def secs(n: float) -> timedelta:
-    """Returns a span of `n` seconds."""
+    """Returns a duration of `n` seconds."""
     return timedelta(seconds=n)
 
 
-def to_ms(span: timedelta) -> int:
-    """Returns the whole milliseconds in a span, rounded towards zero."""
-    return int(span / timedelta(milliseconds=1))
-
-
-def spawn(work: Coroutine[Any, Any, ResultT]) -> defer.Deferred[ResultT]:
-    """Starts a coroutine, without waiting for it, and returns the Deferred of its result."""
-    return defer.ensureDeferred(work)
+def to_ms(duration: timedelta) -> int:
+    """Returns the whole milliseconds in a duration, rounded towards zero."""
+    return int(duration / timedelta(milliseconds=1))
 
 
 def wall_ms(at: datetime) -> int:
@@ -49,29 +54,15 @@
     return int(at.timestamp() * 1000)
 
 
-class SingleFlight(Generic[KeyT, ResultT]):
-    """Work that several may wait for while it is done once; a waiter that gives up ends only its own wait."""
-
-    def __init__(self) -> None:
-        self._waiting: dict[KeyT, list[defer.Deferred[ResultT]]] = {}
-
-    def run(self, key: KeyT, make: Callable[[], Coroutine[Any, Any, ResultT]]) -> defer.Deferred[ResultT]:
-        fresh = key not in self._waiting
-        waiting = self._waiting.setdefault(key, [])
-
-        def give_up(d: defer.Deferred[Any]) -> None:
-            if d in waiting:
-                waiting.remove(d)
+def spawn(coroutine: Coroutine[Any, Any, ResultT]) -> defer.Deferred[ResultT]:
+    """Starts a coroutine, without waiting for it, and returns the Deferred of its result."""
+    return defer.ensureDeferred(coroutine)
 
-        out: defer.Deferred[ResultT] = defer.Deferred(give_up)
-        waiting.append(out)
-        if fresh:
-            spawn(make()).addBoth(self._share, key)
-        return out
 
-    def _share(self, result: "ResultT | Failure", key: KeyT) -> None:
-        for d in self._waiting.pop(key):
-            d.callback(result)
+def _spawn_unless_deferred(
+    work: defer.Deferred[ResultT] | Coroutine[Any, Any, ResultT],
+) -> defer.Deferred[ResultT]:
+    return work if isinstance(work, defer.Deferred) else spawn(work)
 
 
 def _boot_time() -> float:
@@ -79,176 +70,116 @@
 
 
 class Timers:
-    """Monotonic time that also counts while the machine sleeps, and the timers hung on it."""
+    """Monotonic time that also counts while the machine sleeps, and the timers of one process.
+
+    `seconds` gives the time in seconds from any fixed point; tests inject a clock as both arguments.
+    """
 
     def __init__(self, reactor: "Clock", seconds: Callable[[], float] = _boot_time) -> None:
         self._reactor = reactor
         self._seconds = seconds
-        self.ended = False
-        self._repeats: list[RepeatingCall] = []
+        self.stopped = False
+        self._repeating_calls: list[RepeatingCall] = []
 
     def now(self) -> timedelta:
+        """Returns the monotonic time, from a point that stays the same while the machine is up."""
         return timedelta(seconds=self._seconds())
 
     def utc_now(self) -> datetime:
+        """Returns the wall-clock time in UTC."""
         return datetime.now(UTC)
 
-    def call_later(self, span: timedelta, do: Callable[..., object], *words: object) -> "DelayedCall":
-        return self._reactor.callLater(max(0.0, span.total_seconds()), do, *words)
+    def call_later(self, delay: timedelta, function: Callable[..., object], *args: object) -> "DelayedCall":
+        """Calls a function after a delay; one below zero counts as zero."""
+        return self._reactor.callLater(max(0.0, delay.total_seconds()), function, *args)
 
-    def sleep(self, span: timedelta) -> defer.Deferred[None]:
-        def drop(_: defer.Deferred[Any]) -> None:
-            if call.active():
-                call.cancel()
+    def sleep(self, duration: timedelta) -> defer.Deferred[None]:
+        """Returns a Deferred that fires after a duration, and whose cancelling drops the timer."""
 
-        d: defer.Deferred[None] = defer.Deferred(drop)
-        call = self.call_later(span, d.callback, None)
-        return d
+        def drop_timer(_: defer.Deferred[Any]) -> None:
+            if timer.active():
+                timer.cancel()
 
-    async def wait_at_most(self, d: defer.Deferred[None], span: timedelta) -> None:
-        """Waits until the Deferred fires, or fires it when the span has passed."""
+        done: defer.Deferred[None] = defer.Deferred(drop_timer)
+        timer = self.call_later(duration, done.callback, None)
+        return done
 
-        def pass_span() -> None:
-            if not d.called:
-                d.callback(None)
+    async def wait_at_most(self, event: defer.Deferred[None], timeout: timedelta) -> None:
+        """Waits until a Deferred fires, and fires it with None once the timeout has passed."""
 
-        beat = self.call_later(span, pass_span)
+        def fire() -> None:
+            if not event.called:
+                event.callback(None)
+
+        timer = self.call_later(timeout, fire)
         try:
-            await d
+            await event
         finally:
-            if beat.active():
-                beat.cancel()
+            if timer.active():
+                timer.cancel()
 
     async def run_while(
         self,
-        holds: Callable[[], bool],
+        condition: Callable[[], bool],
         interval: timedelta,
         work: defer.Deferred[ResultT] | Coroutine[Any, Any, ResultT],
     ) -> ResultT:
-        """Waits for work as long as a condition holds; then cancels it and raises CancelledError."""
-        d = work if isinstance(work, defer.Deferred) else spawn(work)
+        """Returns the result of work that runs as long as a condition holds, which is checked at an interval.
+
+        Cancels the work and raises CancelledError once the condition does not hold.
+        """
+        pending = _spawn_unless_deferred(work)
 
-        def look() -> None:
-            if not d.called:
-                if not holds():
-                    d.cancel()
-                self.call_later(interval, look)
+        def check() -> None:
+            if pending.called:
+                return
+            if not condition():
+                pending.cancel()
+            self.call_later(interval, check)
 
-        look()
-        return await d
+        check()
+        return await pending
 
     def with_timeout(
-        self, span: timedelta, work: defer.Deferred[ResultT] | Coroutine[Any, Any, ResultT]
+        self, timeout: timedelta, work: defer.Deferred[ResultT] | Coroutine[Any, Any, ResultT]
     ) -> defer.Deferred[ResultT]:
-        d = work if isinstance(work, defer.Deferred) else spawn(work)
-        out: defer.Deferred[ResultT] = defer.Deferred(lambda _: d.cancel())
+        """Returns the result of work, or cancels it and fails with DeadlineExceeded once the timeout has passed."""
+        pending = _spawn_unless_deferred(work)
+        limited: defer.Deferred[ResultT] = defer.Deferred(lambda _: pending.cancel())
 
-        def lapse() -> None:
-            beat[0] = None
-            out.errback(DeadlineExceeded(f"no response within {span.total_seconds():g} s"))
-            d.cancel()
+        def on_timeout() -> None:
+            limited.errback(DeadlineExceeded(f"no response within {timeout.total_seconds():g} s"))
+            pending.cancel()
 
-        def settle(result: "ResultT | Failure") -> None:
-            if beat[0] is not None and beat[0].active():
-                beat[0].cancel()
-            if not out.called:
-                out.callback(result)
+        def on_result(result: "ResultT | Failure") -> None:
+            if timer.active():
+                timer.cancel()
+            if not limited.called:
+                limited.callback(result)
 
-        beat: list[DelayedCall | None] = [self.call_later(span, lapse)]
-        d.addBoth(settle)
-        return out
+        timer = self.call_later(timeout, on_timeout)
+        pending.addBoth(on_result)
+        return limited
 
     def call_repeatedly(
         self,
-        span: timedelta,
-        do: Callable[[], object],
-        report: ErrorReporter,
-        due: Callable[[], timedelta | None] | None = None,
-    ) -> "RepeatingCall":
-        """Runs `do` now, then `span` after each end; `due` may tell how long nothing is due, None for until woken."""
-        r = RepeatingCall(self, span, do, report, due)
-        self._repeats.append(r)
-        r.begin()
-        return r
-
-    def end(self) -> None:
-        self.ended = True
-        repeats, self._repeats = self._repeats, []
-        for r in repeats:
-            r.cancel()
-
-
-class RepeatingCall:
-    """Work repeated at an interval. Runs on which nothing is due are left out; the others keep their phase."""
-
-    def __init__(
-        self,
-        timers: Timers,
-        span: timedelta,
-        do: Callable[[], object],
-        report: ErrorReporter,
+        interval: timedelta,
+        function: Callable[[], object],
+        report_error: ErrorReporter,
         due: Callable[[], timedelta | None] | None = None,
-    ) -> None:
-        self._timers, self._span, self._do, self._report, self._due = timers, span, do, report, due
-        self._ended = False
-        self._call: DelayedCall | None = None
-        self._work: defer.Deferred[Any] | None = None
-        self._next_at: timedelta | None = None
-        self._at = ZERO
-
-    def begin(self) -> None:
-        self._call = self._next_at = None
-        if self._timers.ended or self._ended:
-            return
-        try:
-            r = self._do()
-        except Exception as e:
-            self._report(e)
-            r = None
-        if r is not None and isawaitable(r):
-            self._work = spawn(cast("Coroutine[Any, Any, object]", r))
-            self._work.addErrback(self._failed).addBoth(self._settled)
-        else:
-            self._rest()
-
-    def _failed(self, f: "Failure") -> None:
-        if not self._ended:
-            self._report(f.value)
-
-    def _settled(self, _: object) -> None:
-        self._work = None
-        if not self._ended:
-            self._rest()
-
-    def _rest(self) -> None:
-        now = self._timers.now()
-        self._next_at = now + self._span
-        if self._due is None:
-            self._hang(self._next_at, now)
-            return
-        due = self._due()
-        if due is not None:
-            self._hang(now + self._span * max(1, -(-due // self._span)), now)
-
-    def _hang(self, at: timedelta, now: timedelta) -> None:
-        self._at = at
-        self._call = self._timers.call_later(at - now, self.begin)
-
-    def wake(self) -> None:
-        """Something is due: it runs at the end of the interval."""
-        if self._ended or self._next_at is None:
-            return
-        now = self._timers.now()
-        at = self._next_at + self._span * max(0, -((self._next_at - now) // self._span))
-        if self._call is not None:
-            if self._at <= at:
-                return
-            self._call.cancel()
-        self._hang(at, now)
-
-    def cancel(self) -> None:
-        self._ended = True
-        if self._call is not None and self._call.active():
-            self._call.cancel()
-        if self._work is not None:
-            self._work.cancel()
+    ) -> RepeatingCall:
+        """Calls a function now, and again an interval after the end of each run, until the timers are stopped.
+
+        `due`, if given, returns how long no run is needed, or None for until the RepeatingCall is woken.
+        """
+        repeating_call = RepeatingCall(self, interval, function, report_error, due)
+        self._repeating_calls.append(repeating_call)
+        repeating_call.run()
+        return repeating_call
+
+    def stop(self) -> None:
+        """Cancels all repeating calls; none starts again."""
+        self.stopped = True
+        repeating_calls, self._repeating_calls = self._repeating_calls, []
+        for repeating_call in repeating_calls:
+            repeating_call.cancel()
--- a/pipitlink/wire/connection.py
+++ b/pipitlink/wire/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection between two nodes: framing, calls and responses."""
+"""One TCP connection between two nodes: handshake, frames, calls and their responses."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING, cast
@@ -6,7 +6,7 @@
 from twisted.internet import defer, protocol
 from twisted.protocols.basic import Int32StringReceiver
 
-from ..errors import ConnectionFailed, WireError
+from ..errors import ConnectionFailed, PipitlinkError, WireError
 from ..timers import secs, spawn
 from .frame_pb2 import Frame, Hello
 
@@ -17,173 +17,203 @@
     from ..reactor_types import TcpTransport
     from .rpc import RpcEndpoint
 
-__all__ = ["RpcConnection", "RpcConnectionFactory", "MAX_FRAME", "WIRE"]
+__all__ = ["MAX_FRAME_BYTES", "PROTOCOL_VERSION", "RpcConnection", "RpcConnectionFactory"]
 
-MAX_FRAME = 96 * 1024 * 1024
-MAX_INBOX = 512
-MAX_ATTENDED = 256
-WIRE = 1
-SILENT_SPAN = secs(1)
-SLOWEST_BYTES_S = 512 * 1024
+PROTOCOL_VERSION = 1
+MAX_FRAME_BYTES = 96 * 1024 * 1024
+# Frames that are queued or whose calls are running, before reading from the peer is paused.
+MAX_INBOUND_FRAMES = 512
+# Calls of one peer that run at the same time; further ones are rejected.
+MAX_CONCURRENT_CALLS = 256
+OVERLOADED_CODE = "crowded"
+STALL_TIMEOUT = secs(1)
+MIN_LINK_BYTES_PER_S = 512 * 1024
 
 
 class RpcConnection(Int32StringReceiver):
-    """A connection to one peer, with one task that reads it from hello to end."""
+    """A connection to one peer, with one task that reads it from the handshake to the end.
 
-    MAX_LENGTH = MAX_FRAME
+    The first frame of each side is its Hello; `ready` fires with the connection once the peer's is accepted, and fails
+    with WireError where it is rejected or the connection is lost before.
+    """
+
+    MAX_LENGTH = MAX_FRAME_BYTES
 
     def __init__(self, rpc: "RpcEndpoint") -> None:
         self._rpc = rpc
-        self._inbox: list[bytes] = []
-        self._waiter: defer.Deferred[None] | None = None
-        self._calls: dict[int, defer.Deferred[Frame]] = {}
-        self._next = 0
-        self._attended = 0
-        self._held = False
-        self._silent_since: timedelta | None = None
-        self._silent_bytes = 0
         self.peer = Hello()
-        self.ended = False
+        self.closed = False
         self.ready: defer.Deferred[RpcConnection] = defer.Deferred(lambda _: None)
+        self._inbound_frames: list[bytes] = []
+        self._reader_wakeup: defer.Deferred[None] | None = None
+        self._reading_paused = False
+        self._running_calls = 0
+        self._pending_calls: dict[int, defer.Deferred[Frame]] = {}
+        self._last_call_id = 0
+        # Since when calls have been sent without anything coming from the peer, and how many bytes they had.
+        self._unanswered_since: timedelta | None = None
+        self._bytes_unanswered = 0
 
     @property
     def tcp(self) -> "TcpTransport":
         """The transport of the connection; set by twisted once it is made."""
         return cast("TcpTransport", self.transport)
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - twisted's interface
+        """Sends this side's Hello and starts to read."""
         self.tcp.setTcpNoDelay(True)
         self._write(self._rpc.hello().SerializeToString())
-        self._task = spawn(self._serve())
+        self._reader = spawn(self._read_frames())
 
-    def dataReceived(self, data: bytes) -> None:
-        self._silent_since, self._silent_bytes = None, 0
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
+        """Takes bytes from the peer, which shows that it is there."""
+        self._unanswered_since = None
+        self._bytes_unanswered = 0
         super().dataReceived(data)  # type: ignore[no-untyped-call] # twisted has no types here
 
-    def hangs(self) -> bool:
-        """Whether nothing has come since a call was sent, for longer than its bytes may take on a slow link."""
-        if self._silent_since is None or self.ended:
-            return False
-        span = SILENT_SPAN + secs(self._silent_bytes / SLOWEST_BYTES_S)
-        return self._rpc.now() - self._silent_since > span
-
-    def stringReceived(self, data: bytes) -> None:
-        self._inbox.append(data)
-        if len(self._inbox) + self._attended >= MAX_INBOX and not self._held:
-            self._held = True
+    def stringReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
+        """Queues a frame, and pauses reading while too many are queued or running."""
+        self._inbound_frames.append(data)
+        if self._inbound_load() >= MAX_INBOUND_FRAMES and not self._reading_paused:
+            self._reading_paused = True
             self.tcp.pauseProducing()
-        self._wake()
+        self._wake_reader()
 
-    def lengthLimitExceeded(self, length: int) -> None:
+    def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802 - twisted's interface
+        """Closes the connection to a peer that announces a frame over the limit."""
         self._rpc.logger.warning("frame_too_long", length=length, peer=self.peer.node)
         self.tcp.abortConnection()
 
-    def connectionLost(self, reason: "Failure" = protocol.connectionDone) -> None:
-        self.ended = True
-        self._rpc.gone(self)
-        self._wake()
-        calls, self._calls = self._calls, {}
-        for d in calls.values():
-            if not d.called:
-                d.errback(ConnectionFailed("the stream ended before the response"))
+    def connectionLost(self, reason: "Failure" = protocol.connectionDone) -> None:  # noqa: N802 - twisted's interface
+        """Fails all calls that wait for a response."""
+        self.closed = True
+        self._rpc.connection_closed(self)
+        self._wake_reader()
+        pending_calls, self._pending_calls = self._pending_calls, {}
+        for pending_call in pending_calls.values():
+            if not pending_call.called:
+                pending_call.errback(ConnectionFailed("the stream ended before the response"))
         if not self.ready.called:
             self.ready.errback(ConnectionFailed("the stream ended before the hello", sent=False))
 
-    def _wake(self) -> None:
-        if self._waiter is not None:
-            d, self._waiter = self._waiter, None
-            d.callback(None)
+    def is_stalled(self) -> bool:
+        """Returns whether nothing has come since a call was sent, for longer than its bytes take on a slow link."""
+        if self._unanswered_since is None or self.closed:
+            return False
+        timeout = STALL_TIMEOUT + secs(self._bytes_unanswered / MIN_LINK_BYTES_PER_S)
+        return self._rpc.now() - self._unanswered_since > timeout
 
-    async def _take(self) -> bytes | None:
-        while not self._inbox:
-            if self.ended:
-                return None
-            self._waiter = defer.Deferred()
-            await self._waiter
-        data = self._inbox.pop(0)
-        if self._held and len(self._inbox) + self._attended < MAX_INBOX // 2 and not self.ended:
-            self._held = False
-            self.tcp.resumeProducing()
-        return data
+    def call(self, method: str, body: bytes) -> defer.Deferred[Frame]:
+        """Sends a call, and returns its response frame. Fails with ConnectionFailed where the connection is lost."""
+        if self.closed:
+            return defer.fail(ConnectionFailed("the stream has ended", sent=False))
+        self._last_call_id += 1
+        call_id = self._last_call_id
+        pending_call: defer.Deferred[Frame] = defer.Deferred(lambda _: self._forget_call(call_id))
+        self._pending_calls[call_id] = pending_call
+        if self._unanswered_since is None:
+            self._unanswered_since = self._rpc.now()
+        self._bytes_unanswered += len(body)
+        self._send(Frame(call_id=call_id, method=method, body=body))
+        return pending_call
+
+    def notify(self, frame: bytes) -> None:
+        """Writes the serialized frame of a notification; it is dropped where the connection is closed."""
+        if not self.closed:
+            self._write(frame)
 
-    async def _serve(self) -> None:
+    async def _read_frames(self) -> None:
         try:
-            first = await self._take()
-            if first is None:
+            hello = await self._next_frame()
+            if hello is None:
                 return
-            self.peer.ParseFromString(first)
-            self._rpc.check(self.peer)
-            self._rpc.greeted(self)
-            self.ready.callback(self)
-            while (data := await self._take()) is not None:
-                f = Frame.FromString(data)
-                if f.response:
-                    self._settle(f)
-                elif not f.call:
-                    self._take_note(f)
-                elif self._attended >= MAX_ATTENDED:
-                    self._send(
-                        Frame(call=f.call, response=True, error_code="crowded", error_message="too many calls at once")
-                    )
-                else:
-                    spawn(self._attend(f))
-        except Exception as e:
-            self._rpc.logger.failure("stream_refused", e, peer=self.peer.node)
+            self._accept_hello(hello)
+            while (data := await self._next_frame()) is not None:
+                self._handle_frame(Frame.FromString(data))
+        except Exception as error:
+            self._rpc.logger.failure("connection_rejected", error, peer=self.peer.node)
             if not self.ready.called:
-                self.ready.errback(WireError(str(e)))
+                self.ready.errback(WireError(str(error)))
             self.tcp.abortConnection()
 
-    async def _attend(self, f: Frame) -> None:
-        self._attended += 1
-        out = Frame(call=f.call, response=True)
+    async def _next_frame(self) -> bytes | None:
+        """Returns the next queued frame, or None once the connection is closed and all are read."""
+        while not self._inbound_frames:
+            if self.closed:
+                return None
+            self._reader_wakeup = defer.Deferred()
+            await self._reader_wakeup
+        data = self._inbound_frames.pop(0)
+        if self._reading_paused and self._inbound_load() < MAX_INBOUND_FRAMES // 2 and not self.closed:
+            self._reading_paused = False
+            self.tcp.resumeProducing()
+        return data
+
+    def _inbound_load(self) -> int:
+        return len(self._inbound_frames) + self._running_calls
+
+    def _wake_reader(self) -> None:
+        if self._reader_wakeup is not None:
+            wakeup, self._reader_wakeup = self._reader_wakeup, None
+            wakeup.callback(None)
+
+    def _accept_hello(self, data: bytes) -> None:
+        self.peer.ParseFromString(data)
+        self._rpc.check_hello(self.peer)
+        self._rpc.handshake_done(self)
+        self.ready.callback(self)
+
+    def _handle_frame(self, frame: Frame) -> None:
+        if frame.response:
+            self._resolve_call(frame)
+        elif not frame.call_id:
+            self._handle_notification(frame)
+        elif self._running_calls >= MAX_CONCURRENT_CALLS:
+            self._reject_call(frame)
+        else:
+            spawn(self._handle_call(frame))
+
+    def _resolve_call(self, frame: Frame) -> None:
+        pending_call = self._pending_calls.pop(frame.call_id, None)
+        if pending_call is not None and not pending_call.called:
+            pending_call.callback(frame)
+
+    def _handle_notification(self, frame: Frame) -> None:
+        """Runs the handler of a frame without a call id, to which nothing is sent back."""
+        handling = self._rpc.handle_notification(self.peer, frame.method, frame.body)
+        self._rpc.run_in_background(handling, frame.method)
+
+    def _reject_call(self, frame: Frame) -> None:
+        response = Frame(
+            call_id=frame.call_id, response=True, error_code=OVERLOADED_CODE, error_message="too many calls at once"
+        )
+        self._send(response)
+
+    async def _handle_call(self, frame: Frame) -> None:
+        self._running_calls += 1
+        response = Frame(call_id=frame.call_id, response=True)
         try:
-            out.body = (await self._rpc.dispatch(self.peer, f.method, f.body)).SerializeToString()
-        except Exception as e:
-            out.error_code = getattr(e, "code", "fault")
-            out.error_message = str(e)
-            if out.error_code == "fault":
-                self._rpc.logger.failure("call_failed", e, method=f.method)
+            result = await self._rpc.dispatch(self.peer, frame.method, frame.body)
+            response.body = result.SerializeToString()
+        except Exception as error:
+            response.error_code = getattr(error, "code", PipitlinkError.code)
+            response.error_message = str(error)
+            if response.error_code == PipitlinkError.code:
+                self._rpc.logger.failure("call_failed", error, method=frame.method)
         finally:
-            self._attended -= 1
-        self._send(out)
+            self._running_calls -= 1
+        self._send(response)
 
-    def _take_note(self, f: Frame) -> None:
-        """A frame without a call's number: it is attended like a call, and nobody waits for a response."""
-        self._rpc.run_in_background(self._rpc.note(self.peer, f.method, f.body), f.method)
+    def _forget_call(self, call_id: int) -> None:
+        self._pending_calls.pop(call_id, None)
 
-    def notify(self, frame: bytes) -> None:
-        """Writes a note's frame, which was made once for all that it goes to."""
-        if not self.ended:
-            self._write(frame)
+    def _send(self, frame: Frame) -> None:
+        if not self.closed:
+            self._write(frame.SerializeToString())
 
     def _write(self, data: bytes) -> None:
         self.sendString(data)  # type: ignore[no-untyped-call] # twisted has no types here
 
-    def _send(self, f: Frame) -> None:
-        if not self.ended:
-            self._write(f.SerializeToString())
-
-    def _settle(self, f: Frame) -> None:
-        d = self._calls.pop(f.call, None)
-        if d is not None and not d.called:
-            d.callback(f)
-
-    def _drop(self, n: int) -> None:
-        self._calls.pop(n, None)
-
-    def call(self, method: str, body: bytes) -> defer.Deferred[Frame]:
-        if self.ended:
-            return defer.fail(ConnectionFailed("the stream has ended", sent=False))
-        self._next += 1
-        n = self._next
-        d: defer.Deferred[Frame] = defer.Deferred(lambda _: self._drop(n))
-        self._calls[n] = d
-        if self._silent_since is None:
-            self._silent_since = self._rpc.now()
-        self._silent_bytes += len(body)
-        self._send(Frame(call=n, method=method, body=body))
-        return d
-
 
 class RpcConnectionFactory(protocol.Factory):
     """Makes an RpcConnection for each peer that connects, and registers it with the endpoint."""
@@ -193,8 +223,9 @@
     def __init__(self, rpc: "RpcEndpoint") -> None:
         self._rpc = rpc
 
-    def buildProtocol(self, addr: "IAddress | None") -> RpcConnection:
-        s = RpcConnection(self._rpc)
-        s.ready.addErrback(lambda f: None)
-        self._rpc.met(s)
-        return s
+    def buildProtocol(self, addr: "IAddress | None") -> RpcConnection:  # noqa: N802, ARG002 - twisted's interface
+        """Returns the connection of a peer that has connected."""
+        connection = RpcConnection(self._rpc)
+        connection.ready.addErrback(lambda _: None)
+        self._rpc.connection_opened(connection)
+        return connection
--- a/pipitlink/wire/generate.py
+++ b/pipitlink/wire/generate.py
@@ -16,7 +16,8 @@
     folder = Path(__file__).resolve().parent
     root = folder.parent.parent
     sources = sorted(str(path.relative_to(root)) for path in folder.glob("*.proto"))
-    return protoc.main(["protoc", f"-I{root}", f"--python_out={root}", f"--pyi_out={root}", *sources])
+    exit_code: int = protoc.main(["protoc", f"-I{root}", f"--python_out={root}", f"--pyi_out={root}", *sources])
+    return exit_code
 
 
 if __name__ == "__main__":
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -1,9 +1,10 @@
-"""The RPC endpoint of a node: registers handlers and makes calls."""
+"""The RPC endpoint of a node: handlers for calls of peers, and calls and notifications to them."""
 
 from collections.abc import Awaitable, Callable, Coroutine, Iterable
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any, Protocol, TypeVar, cast
 
+import attrs
 from google.protobuf.message import DecodeError, Message
 from twisted.internet import defer
 from twisted.internet.endpoints import TCP4ClientEndpoint, TCP4ServerEndpoint, TCP6ClientEndpoint, connectProtocol
@@ -18,7 +19,7 @@
     WrongPeer,
 )
 from ..timers import SingleFlight, Timers, ms, spawn
-from .connection import WIRE, RpcConnection, RpcConnectionFactory
+from .connection import PROTOCOL_VERSION, RpcConnection, RpcConnectionFactory
 from .frame_pb2 import Empty, Frame, Hello
 
 if TYPE_CHECKING:
@@ -26,34 +27,51 @@
     from ..reactor_types import ListeningPort, Reactor
     from ..structured_log import StructuredLogger
 
-__all__ = ["RpcEndpoint", "Address", "require_peer"]
+__all__ = ["Address", "FaultInjection", "RpcEndpoint", "require_peer"]
 
 RequestT = TypeVar("RequestT", bound=Message)
 ResponseT = TypeVar("ResponseT", bound=Message)
 
+# Host and port of an RPC endpoint.
 Address = tuple[str, int]
-_CONNECT = ms(600)
-_READ_SPAN = ms(50)
 
+CONNECT_TIMEOUT = ms(600)
+# How long a stalled connection is left to read what the kernel has buffered.
+READ_BEFORE_DROP = ms(50)
 
-def require_peer(meant: str, answering: str) -> None:
-    """Refuses a call that names a node where another one answers; calls without a name are for whoever is there."""
-    if meant and meant != answering:
-        raise WrongPeer(meant, answering)
+
+def require_peer(expected: str, actual: str) -> None:
+    """Raises WrongPeer where a call names a node and another one answers; an empty name stands for any node."""
+    if expected and expected != actual:
+        raise WrongPeer(expected, actual)
+
+
+def _text(address: Address) -> str:
+    return f"{address[0]}:{address[1]}"
 
 
 class FaultInjection(Protocol):
-    """Faults that a test puts under the transport and the disks of a node."""
+    """Faults that a test injects into the transport and the disks of a node."""
 
-    async def outbound(self, place: Address, method: str) -> None:
-        """Is awaited before a call leaves."""
+    async def outbound(self, address: Address, method: str) -> None:
+        """Is awaited before a call or notification leaves, and may delay it."""
 
     def disk(self) -> "Disk | None":
-        """Returns the file calls to use in place of the plain ones, or None."""
+        """Returns the file operations to use in place of the plain ones, or None."""
+
+
+@attrs.frozen
+class _Handler:
+    request_type: type[Message]
+    # Called with the peer's node id and the request; None stands for an empty response.
+    function: Callable[[str, Any], Awaitable[Message | None]]
 
 
 class RpcEndpoint:
-    """Where calls from peers are answered and calls to them are made."""
+    """Handles calls and notifications of peers, and sends calls and notifications to them.
+
+    It keeps one connection to each address, which serves both directions where the peer listens as well.
+    """
 
     def __init__(self, reactor: "Reactor", timers: Timers, logger: "StructuredLogger", fleet: str, node: str) -> None:
         self._reactor = reactor
@@ -62,153 +80,206 @@
         self._fleet = fleet
         self.node = node
         self.incarnation = 1
-        self._handlers: dict[str, tuple[type[Message], Callable[[str, Any], Awaitable[Message | None]]]] = {}
-        self._streams: dict[Address, RpcConnection] = {}
-        self._opening: SingleFlight[Address, RpcConnection] = SingleFlight()
-        self._met: set[RpcConnection] = set()
-        self._port: ListeningPort | None = None
-        self.gate: FaultInjection | None = None
+        # Where peers reach this node; set once it listens.
         self.address: Address = ("", 0)
+        self.fault_injector: FaultInjection | None = None
+        self._handlers: dict[str, _Handler] = {}
+        self._connections: dict[Address, RpcConnection] = {}
+        self._accepted: set[RpcConnection] = set()
+        self._connecting: SingleFlight[Address, RpcConnection] = SingleFlight()
+        self._listening_port: ListeningPort | None = None
 
-    def hello(self) -> Hello:
-        host, port = self.address
-        return Hello(fleet=self._fleet, wire=WIRE, node=self.node, incarnation=self.incarnation, host=host, port=port)
+    async def listen(self, host: str, port: int) -> Address:
+        """Accepts connections of peers; returns the address, with the port that was bound where `port` is 0."""
+        endpoint = TCP4ServerEndpoint(self._reactor, port, interface=host)
+        self._listening_port = listening_port = cast("ListeningPort", await endpoint.listen(RpcConnectionFactory(self)))
+        return host, listening_port.getHost().port
+
+    async def close(self) -> None:
+        """Accepts no more connections, and closes those that are open."""
+        if self._listening_port is not None:
+            await self._listening_port.stopListening()
+        for connection in [*self._accepted, *self._connections.values()]:
+            connection.tcp.loseConnection()
 
-    def check(self, hello: Hello) -> None:
-        if hello.fleet != self._fleet:
-            raise WireError(f"peer of fleet {hello.fleet!r}, this is {self._fleet!r}")
-        if hello.wire != WIRE:
-            raise WireError(f"peer speaks wire sequence {hello.wire}, this is {WIRE}")
+    def now(self) -> timedelta:
+        """Returns the monotonic time of the node's timers."""
+        return self._timers.now()
 
     def register_handler(
-        self, method: str, kind: type[RequestT], do: Callable[[str, RequestT], Awaitable[Message | None]]
+        self,
+        method: str,
+        request_type: type[RequestT],
+        handler: Callable[[str, RequestT], Awaitable[Message | None]],
     ) -> None:
-        self._handlers[method] = (kind, do)
+        """Has a method's calls and notifications handled by a function of the peer's node id and the request."""
+        self._handlers[method] = _Handler(request_type, handler)
 
     async def dispatch(self, peer: Hello, method: str, body: bytes) -> Message:
-        if method not in self._handlers:
+        """Returns the response of a method's handler.
+
+        Raises UnknownMethod, WireError where the request cannot be parsed, and what the handler raises.
+        """
+        handler = self._handlers.get(method)
+        if handler is None:
             raise UnknownMethod(f"no such call here: {method}")
-        kind, do = self._handlers[method]
         try:
-            ask = kind.FromString(body)
-        except DecodeError as e:
-            raise WireError(f"{method}: {e}") from e
-        r = await do(peer.node, ask)
-        return Empty() if r is None else r
-
-    async def note(self, peer: Hello, method: str, body: bytes) -> None:
+            request = handler.request_type.FromString(body)
+        except DecodeError as error:
+            raise WireError(f"{method}: {error}") from error
+        response = await handler.function(peer.node, request)
+        return Empty() if response is None else response
+
+    async def handle_notification(self, peer: Hello, method: str, body: bytes) -> None:
+        """Runs a method's handler for a notification, whose sender gets no response. Raises what `dispatch` raises."""
         await self.dispatch(peer, method, body)
 
-    def met(self, s: RpcConnection) -> None:
-        self._met.add(s)
-
-    def greeted(self, s: RpcConnection) -> None:
-        """A connection that a peer opened also serves for calls to it, so that a pair of peers needs only one."""
-        place = s.peer.host, s.peer.port
-        have = self._streams.get(place)
-        if s in self._met and s.peer.port and (have is None or have.peer.node != s.peer.node):
-            self._streams[place] = s
-
-    def gone(self, s: RpcConnection) -> None:
-        self._met.discard(s)
-        for place, held in list(self._streams.items()):
-            if held is s:
-                del self._streams[place]
-
-    async def listen(self, host: str, port: int) -> Address:
-        self._port = await TCP4ServerEndpoint(self._reactor, port, interface=host).listen(RpcConnectionFactory(self))
-        return host, self._port.getHost().port
+    async def call(
+        self,
+        address: Address,
+        method: str,
+        request: Message,
+        response_type: type[ResponseT],
+        timeout: timedelta,
+        node: str = "",
+    ) -> ResponseT:
+        """Calls a method at an address; returns the response.
 
-    async def end(self) -> None:
-        if self._port is not None:
-            await self._port.stopListening()
-        for s in [*self._met, *self._streams.values()]:
-            s.tcp.loseConnection()
+        Where `node` is given, only that node may handle the call, and any other one there raises WrongPeer without
+        running it. Raises ConnectionFailed, DeadlineExceeded, and RemoteError with the error of the handler.
+        """
+        call = self._call(address, method, request, response_type, node)
+        try:
+            return await self._timers.with_timeout(timeout, call)
+        except DeadlineExceeded as error:
+            connection = self._connections.get(address)
+            if connection is not None and connection.is_stalled():
+                self._timers.call_later(READ_BEFORE_DROP, self._drop_if_stalled, connection)
+            raise DeadlineExceeded(f"{method} to {_text(address)}: {error}") from error
 
-    async def _open(self, place: Address) -> RpcConnection:
-        s = RpcConnection(self)
+    async def _call(
+        self, address: Address, method: str, request: Message, response_type: type[ResponseT], node: str = ""
+    ) -> ResponseT:
+        if address == self.address:
+            return await self._call_locally(method, request, response_type, node)
+        if self.fault_injector is not None:
+            await self.fault_injector.outbound(address, method)
+        connection = await self._connection_to(address)
+        require_peer(node, connection.peer.node)
+        frame = await connection.call(method, request.SerializeToString())
+        if frame.error_code:
+            raise RemoteError(frame.error_code, frame.error_message)
+        return response_type.FromString(frame.body)
+
+    async def _call_locally(
+        self, method: str, request: Message, response_type: type[ResponseT], node: str
+    ) -> ResponseT:
+        require_peer(node, self.node)
         try:
-            kind = TCP6ClientEndpoint if ":" in place[0] else TCP4ClientEndpoint
-            point = kind(self._reactor, place[0], place[1], _CONNECT.total_seconds())
-            await connectProtocol(point, s)
-            await self._timers.with_timeout(_CONNECT, s.ready)
-        except (WireError, defer.CancelledError):
-            if s.transport is not None:
-                s.tcp.abortConnection()
-            raise
-        except Exception as e:
-            raise ConnectionFailed(f"{place[0]}:{place[1]}: {e}", sent=False) from e
-        self._streams[place] = s
-        return s
+            response = await self.dispatch(self.hello(), method, request.SerializeToString())
+        except PipitlinkError as error:
+            raise RemoteError(error.code, str(error)) from error
+        return cast(ResponseT, response)
 
-    def _stream(self, place: Address) -> defer.Deferred[RpcConnection]:
-        if place in self._streams:
-            return defer.succeed(self._streams[place])
-        return self._opening.run(place, lambda: self._open(place))
+    def notify(self, addresses: Iterable[Address], method: str, message: Message) -> None:
+        """Sends a notification to each address; there is no response, and one that is lost is not sent again.
 
-    async def call(
-        self, place: Address, method: str, ask: Message, kind: type[ResponseT], limit: timedelta, node: str = ""
-    ) -> ResponseT:
-        """Calls whoever answers at a place, or only the node that is named: WrongPeer, not run, from another one."""
+        For updates that are sent periodically. The frame is serialized once, and no timer is needed.
+        """
+        frame = Frame(method=method, body=message.SerializeToString()).SerializeToString()
+        for address in addresses:
+            connection = self._connections.get(address)
+            if connection is not None and self.fault_injector is None:
+                connection.notify(frame)
+            else:
+                self.run_in_background(self._connect_and_notify(address, method, frame), method)
+
+    async def _connect_and_notify(self, address: Address, method: str, frame: bytes) -> None:
         try:
-            return await self._timers.with_timeout(limit, self._call(place, method, ask, kind, node))
-        except DeadlineExceeded as e:
-            if place in self._streams and self._streams[place].hangs():
-                self._timers.call_later(_READ_SPAN, self._drop_if_hanging, self._streams[place])
-            raise DeadlineExceeded(f"{method} to {place[0]}:{place[1]}: {e}") from e
+            if self.fault_injector is not None:
+                await self.fault_injector.outbound(address, method)
+            connection = await self._timers.with_timeout(CONNECT_TIMEOUT, self._connection_to(address))
+            connection.notify(frame)
+        except WireError as error:
+            self.logger.debug("notification_not_sent", address=_text(address), method=method, text=error)
 
-    def now(self) -> timedelta:
-        return self._timers.now()
+    def run_in_background(self, work: Coroutine[Any, Any, object], method: str) -> defer.Deferred[Any]:
+        """Starts work on a notification that nobody waits for; an error is logged."""
+        return spawn(work).addErrback(
+            lambda failure: self.logger.failure("notification_failed", failure.value, method=method)
+        )
 
-    def _drop_if_hanging(self, s: RpcConnection) -> None:
-        """Ends a connection on which nothing comes any more, so that the next call opens another.
+    def hello(self) -> Hello:
+        """Returns the handshake message of this node."""
+        host, port = self.address
+        return Hello(
+            fleet=self._fleet,
+            protocol_version=PROTOCOL_VERSION,
+            node=self.node,
+            incarnation=self.incarnation,
+            host=host,
+            port=port,
+        )
+
+    def check_hello(self, hello: Hello) -> None:
+        """Raises WireError where a peer belongs to another fleet or speaks another version of the protocol."""
+        if hello.fleet != self._fleet:
+            raise WireError(f"peer of fleet {hello.fleet!r}, this is {self._fleet!r}")
+        if hello.protocol_version != PROTOCOL_VERSION:
+            raise WireError(f"peer speaks wire sequence {hello.protocol_version}, this is {PROTOCOL_VERSION}")
 
-        Looked at once more after what has come was read: a process that was stopped finds its own calls late first.
-        """
-        if s in self._streams.values() and s.hangs():
-            self.logger.info("connection_dropped", peer=s.peer.node)
-            self.gone(s)
-            s.tcp.abortConnection()
+    def connection_opened(self, connection: RpcConnection) -> None:
+        """Called for each connection that a peer has opened."""
+        self._accepted.add(connection)
 
-    def notify(self, places: Iterable[Address], method: str, what: Message) -> None:
-        """Sends a note to each place: nobody responds to it, and one that is lost is made good by the next.
+    def handshake_done(self, connection: RpcConnection) -> None:
+        """Called once the peer's Hello is accepted; has calls to the peer use a connection that the peer opened.
 
-        For news that is told again and again. Its frame is made once, and no timer and no response is needed.
+        So a pair of peers needs only one. A connection of another node at the same address replaces the earlier one.
         """
-        frame = Frame(method=method, body=what.SerializeToString()).SerializeToString()
-        for place in places:
-            stream = self._streams.get(place)
-            if stream is not None and self.gate is None:
-                stream.notify(frame)
-            else:
-                self.run_in_background(self._post(place, method, frame), method)
-
-    async def _post(self, place: Address, method: str, frame: bytes) -> None:
+        peer = connection.peer
+        address = peer.host, peer.port
+        current = self._connections.get(address)
+        opened_by_listening_peer = connection in self._accepted and peer.port
+        if opened_by_listening_peer and (current is None or current.peer.node != peer.node):
+            self._connections[address] = connection
+
+    def connection_closed(self, connection: RpcConnection) -> None:
+        """Called when a connection is lost or dropped: no call uses it any more."""
+        self._accepted.discard(connection)
+        for address, current in list(self._connections.items()):
+            if current is connection:
+                del self._connections[address]
+
+    def _connection_to(self, address: Address) -> defer.Deferred[RpcConnection]:
+        if address in self._connections:
+            return defer.succeed(self._connections[address])
+        return self._connecting.run(address, lambda: self._connect(address))
+
+    async def _connect(self, address: Address) -> RpcConnection:
+        host, port = address
+        endpoint_type = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
+        connection = RpcConnection(self)
         try:
-            if self.gate is not None:
-                await self.gate.outbound(place, method)
-            (await self._timers.with_timeout(_CONNECT, self._stream(place))).notify(frame)
-        except WireError as e:
-            self.logger.debug("note_not_sent", place=f"{place[0]}:{place[1]}", method=method, text=e)
+            endpoint = endpoint_type(self._reactor, host, port, CONNECT_TIMEOUT.total_seconds())
+            await connectProtocol(endpoint, connection)
+            await self._timers.with_timeout(CONNECT_TIMEOUT, connection.ready)
+        except (WireError, defer.CancelledError):
+            if connection.transport is not None:
+                connection.tcp.abortConnection()
+            raise
+        except Exception as error:
+            raise ConnectionFailed(f"{_text(address)}: {error}", sent=False) from error
+        self._connections[address] = connection
+        return connection
 
-    def run_in_background(self, work: Coroutine[Any, Any, object], method: str) -> defer.Deferred[Any]:
-        """Starts work that nobody waits for; its errors go to the logger."""
-        return spawn(work).addErrback(lambda f: self.logger.failure("note_failed", f.value, method=method))
+    def _drop_if_stalled(self, connection: RpcConnection) -> None:
+        """Closes a connection on which nothing comes any more, so that the next call opens another.
 
-    async def _call(
-        self, place: Address, method: str, ask: Message, kind: type[ResponseT], node: str = ""
-    ) -> ResponseT:
-        if place == self.address:
-            require_peer(node, self.node)
-            try:
-                return cast(ResponseT, await self.dispatch(self.hello(), method, ask.SerializeToString()))
-            except PipitlinkError as e:
-                raise RemoteError(e.code, str(e)) from e
-        if self.gate is not None:
-            await self.gate.outbound(place, method)
-        s = await self._stream(place)
-        require_peer(node, s.peer.node)
-        f = await s.call(method, ask.SerializeToString())
-        if f.error_code:
-            raise RemoteError(f.error_code, f.error_message)
-        return kind.FromString(f.body)
+        Runs a moment after the timeout of a call: a process that was suspended sees timeouts before the responses that
+        the kernel holds for it.
+        """
+        if connection in self._connections.values() and connection.is_stalled():
+            self.logger.info("connection_dropped", peer=connection.peer.node)
+            self.connection_closed(connection)
+            connection.tcp.abortConnection()
--- a/rehearsal/disks.py
+++ b/rehearsal/disks.py
@@ -40,8 +40,8 @@
         self._see(fd)
         self._synced[os.fstat(fd).st_ino] = os.fstat(fd).st_size
 
-    def cut(self, fd, length):
-        super().cut(fd, length)
+    def truncate(self, fd, length):
+        super().truncate(fd, length)
         number = os.fstat(fd).st_ino
         self._synced[number] = min(self._synced.get(number, 0), length)
 
@@ -117,8 +117,8 @@
         super().sync(fd)
         self._tell(fd, size)
 
-    def cut(self, fd, length):
-        super().cut(fd, length)
+    def truncate(self, fd, length):
+        super().truncate(fd, length)
         self._tell(fd, length)
 
     def _tell(self, fd, size):
--- a/rehearsal/interleave.py
+++ b/rehearsal/interleave.py
@@ -90,9 +90,6 @@
         self._run = run
         self.owner = None
 
-    def twin(self) -> "StepLock":
-        return StepLock(self._run)
-
     def __enter__(self):
         self._run.point(lambda: self.owner is None)
         self.owner = threading.get_ident()
--- a/tests/rpc_scenes.py
+++ b/tests/rpc_scenes.py
@@ -10,7 +10,7 @@
 
 from pipitlink.errors import ConnectionFailed, DeadlineExceeded
 from pipitlink.timers import Timers, secs, spawn
-from pipitlink.wire.connection import WIRE, RpcConnection
+from pipitlink.wire.connection import PROTOCOL_VERSION, RpcConnection
 from pipitlink.wire.frame_pb2 import Frame, Hello
 from pipitlink.wire.rpc import RpcEndpoint
 
@@ -27,7 +27,7 @@
         pass
 
     def abortConnection(self):
-        if not self.connection.ended:
+        if not self.connection.closed:
             self.connection.connectionLost(Failure(ConnectionDone()))
 
 
@@ -52,14 +52,14 @@
         super().__init__(clock, timers, _SilentLogger(), "fleet", "me")
         self.opened: list[RpcConnection] = []
 
-    async def _open(self, place):
+    async def _connect(self, address):
         connection = RpcConnection(self)
         transport = _Transport()
         transport.connection = connection
         connection.makeConnection(transport)
-        connection.dataReceived(_framed(Hello(fleet="fleet", wire=WIRE, node="peer")))
+        connection.dataReceived(_framed(Hello(fleet="fleet", protocol_version=PROTOCOL_VERSION, node="peer")))
         await connection.ready
-        self._streams[place] = connection
+        self._connections[address] = connection
         self.opened.append(connection)
         return connection
 
@@ -89,12 +89,12 @@
         if len(self.results) < CALLS:
             out.append(("call", self._call))
         for r in self.received:
-            if r.answers < 2 and not r.connection.ended:
+            if r.answers < 2 and not r.connection.closed:
                 out.append((f"answer {r.name}", lambda r=r: self._answer(r)))
         if self._seconds < 2:
             out.append(("a second passes", self._pass_second))
         for connection in self.endpoint.opened:
-            if not connection.ended and self._cuts < 2:
+            if not connection.closed and self._cuts < 2:
                 out.append(("cut", lambda c=connection: self._cut(c)))
         return out
 
@@ -113,14 +113,14 @@
                 if at:
                     frame = Frame.FromString(data[at + 4 : at + 4 + size])
                     name = Hello.FromString(frame.body).node
-                    self.received.append(Received(connection, frame.call, name))
+                    self.received.append(Received(connection, frame.call_id, name))
                 at += 4 + size
             self._read[connection] = at
 
     def _answer(self, r: Received):
         r.answers += 1
         body = Hello(node=r.name).SerializeToString()
-        r.connection.dataReceived(_framed(Frame(call=r.number, response=True, body=body)))
+        r.connection.dataReceived(_framed(Frame(call_id=r.number, response=True, body=body)))
 
     def _pass_second(self):
         self._seconds += 1
@@ -133,7 +133,7 @@
     def finish(self):
         self.clock.advance(1.01)
         assert all(self.results.values()), f"a call has no result: {self.results}"
-        assert not any(c._calls for c in self.endpoint.opened), "a call that has ended is still held"
+        assert not any(c._pending_calls for c in self.endpoint.opened), "a call that has ended is still held"
 
     def check(self):
         self._take_in()
--- a/tests/test_hanging_connections.py
+++ b/tests/test_hanging_connections.py
@@ -33,7 +33,7 @@
         self.callee.register_handler("probe", ProbeFor, self._probe)
         self.pumps: list = []
         self.opened = 0
-        self.caller._open = self._open
+        self.caller._connect = self._connect
         self.cut = False
 
     def _endpoint(self, node):
@@ -43,7 +43,7 @@
         self.asked.append(ask.target)
         return ProbeResponse(alive=True)
 
-    async def _open(self, place):
+    async def _connect(self, address):
         if self.cut:
             raise ConnectionFailed("nobody is there", sent=False)
         self.opened += 1
@@ -51,7 +51,7 @@
         pump = iosim.connect(there, iosim.makeFakeServer(there), here, iosim.makeFakeClient(here))
         self.pumps.append(pump)
         pump.flush()
-        self.caller._streams[place] = here
+        self.caller._connections[address] = here
         return here
 
     def advance(self, seconds):
@@ -93,7 +93,7 @@
         self.assertEqual(self.opened, 2)
 
     def test_without_the_guard_calls_wait_on_the_connection_that_was_cut(self):
-        with unittest.mock.patch.object(RpcConnection, "hangs", lambda self: False):
+        with unittest.mock.patch.object(RpcConnection, "is_stalled", lambda self: False):
             while_cut, _, _ = self.hang_and_heal()
         self.assertEqual({type(e) for e in while_cut}, {DeadlineExceeded})
         self.assertEqual(self.opened, 1)
@@ -126,6 +126,6 @@
         self.calls(1)
         self.cut = True
         self.calls(4, body="x" * 1024 * 1024)
-        self.assertIn(PLACE, self.caller._streams)
+        self.assertIn(PLACE, self.caller._connections)
         self.calls(30)
-        self.assertNotIn(PLACE, self.caller._streams)
+        self.assertNotIn(PLACE, self.caller._connections)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -3,9 +3,10 @@
 import os
 import tempfile
 import unittest
+from functools import partial
 from pathlib import Path
 
-from pipitlink.disk import Disk, frames
+from pipitlink.disk import Disk, decode_frames
 from pipitlink.segments import Segments
 from rehearsal.interleave import Interleave, StepLock
 
@@ -37,16 +38,16 @@
         def make(run):
             count[0] += 1
             disk = _StepDisk(run)
-            s = segments_kind(Path(folder.name) / str(count[0]), disk, StepLock(run))
+            s = segments_kind(Path(folder.name) / str(count[0]), disk, partial(StepLock, run))
             list(s.recover())
-            spots, told = {}, []
+            positions, told = {}, []
 
             def put(name):
-                spots[name] = s.put(name.encode(), name)
+                positions[name] = s.append(name.encode(), name)
 
             def flush():
                 for name in s.flush():
-                    end = spots[name][1] + len(name) + 8 if name in spots else None
+                    end = positions[name].offset + len(name) + 8 if name in positions else None
                     told.append(name)
                     assert end is None or end <= disk.synced, f"{name} was told before it was synced"
 
@@ -54,8 +55,8 @@
                 told.extend(s.flush())
                 assert sorted(told) == ["one", "two"], f"told {told}"
                 data = (Path(folder.name) / str(count[0]) / "seg-00000001.log").read_bytes()
-                found = {body.decode(): (1, at) for at, body, _ in frames(data)}
-                assert found == spots, f"{found} is not {spots}"
+                found = {body.decode(): (1, at) for at, body, _ in decode_frames(data)}
+                assert found == positions, f"{found} is not {positions}"
                 s.close()
 
             return [lambda: (put("one"), put("two")), flush], check
@@ -70,7 +71,7 @@
             def flush(self):
                 tickets = super().flush()
                 with self._lock:
-                    late = [ticket for _, (_, ticket) in self._pending]
+                    late = [write.ticket for write in self._pending]
                 return tickets + late
 
         with self.assertRaises(AssertionError):
--- a/tests/test_rpc_notes.py
+++ b/tests/test_rpc_notes.py
@@ -29,7 +29,7 @@
         self.lines = _Lines()
         self.ends = [self.endpoint(n) for n in ("a", "b")]
         self.connections = [RpcConnection(e) for e in self.ends]
-        self.ends[1].met(self.connections[1])
+        self.ends[1].connection_opened(self.connections[1])
         self.pump = iosim.connect(
             self.connections[0],
             iosim.FakeTransport(self.connections[0], False, peerAddress=IPv4Address("TCP", "h", 2)),
@@ -37,7 +37,7 @@
             iosim.FakeTransport(self.connections[1], True, peerAddress=IPv4Address("TCP", "h", 1)),
         )
         self.pump.flush()
-        self.ends[0]._streams["h", 2] = self.connections[0]
+        self.ends[0]._connections["h", 2] = self.connections[0]
         self.told = []
         self.ends[1].register_handler("engines.loads", Loads, self.take)
 
@@ -63,8 +63,8 @@
         self.pump.flush()
         self.assertEqual(self.told, [("a", "one"), ("a", "two"), ("a", "three")])
         self.assertEqual(sent_back, [])
-        self.assertEqual(self.connections[0]._calls, {})
-        self.assertEqual(self.connections[1]._attended, 0)
+        self.assertEqual(self.connections[0]._pending_calls, {})
+        self.assertEqual(self.connections[1]._running_calls, 0)
 
     def test_a_note_that_fails_is_noted_and_the_connection_goes_on(self):
         self.ends[0].notify([("h", 2)], "engines.loads", Loads(gateway="bad"))
@@ -72,8 +72,8 @@
         self.ends[0].notify([("h", 2)], "engines.loads", Loads(gateway="good"))
         self.pump.flush()
         self.assertEqual(self.told, [("a", "good")])
-        self.assertEqual(sum("note_failed" in line for line in self.lines.lines), 2)
-        self.assertFalse(self.connections[0].ended)
+        self.assertEqual(sum("notification_failed" in line for line in self.lines.lines), 2)
+        self.assertFalse(self.connections[0].closed)
 
     def test_calls_go_on_between_notes(self):
         box = []
@@ -106,12 +106,12 @@
         other.node = "c"
         for peer, expected in ((again, False), (other, True)):
             s, t = RpcConnection(self.ends[1]), RpcConnection(peer)
-            self.ends[1].met(s)
+            self.ends[1].connection_opened(s)
             iosim.connect(t, iosim.FakeTransport(t, False), s, iosim.FakeTransport(s, True)).flush()
-            self.assertEqual(self.ends[1]._streams[place] is s, expected)
+            self.assertEqual(self.ends[1]._connections[place] is s, expected)
         first.transport.loseConnection()
         self.pump.flush()
-        self.assertIs(self.ends[1]._streams[place], s)
+        self.assertIs(self.ends[1]._connections[place], s)
 
     def test_a_note_where_no_connection_is_open_opens_one(self):
         self.ends[0].notify([("h", 9)], "engines.loads", Loads(gateway="one"))
@@ -124,7 +124,7 @@
         self.connections[0].notify(Frame(method="engines.loads").SerializeToString())
         self.pump.flush()
         self.assertEqual(self.told, [])
-        self.assertNotIn(("h", 2), self.ends[0]._streams)
+        self.assertNotIn(("h", 2), self.ends[0]._connections)
 
 
 if __name__ == "__main__":
--- a/tests/test_rpc_orders.py
+++ b/tests/test_rpc_orders.py
@@ -33,17 +33,18 @@
         self.assertEqual(called_again.result.node, "second")
 
     def test_numbers_are_needed(self):
-        def settle_any(connection, frame):
-            if connection._calls:
-                connection._calls.pop(min(connection._calls)).callback(frame)
+        def resolve_any(connection, frame):
+            pending_calls = connection._pending_calls
+            if pending_calls:
+                pending_calls.pop(min(pending_calls)).callback(frame)
 
-        with unittest.mock.patch.object(RpcConnection, "_settle", settle_any):
+        with unittest.mock.patch.object(RpcConnection, "_resolve_call", resolve_any):
             with self.assertRaisesRegex(AssertionError, "MIXED"):
                 explore_events(RpcScene, 5)
 
     def test_numbers_are_never_used_again(self):
         always = property(lambda _: 0, lambda *_: None)
-        with unittest.mock.patch.object(RpcConnection, "_next", always, create=True):
+        with unittest.mock.patch.object(RpcConnection, "_last_call_id", always, create=True):
             with self.assertRaises(AssertionError):
                 explore_events(RpcScene, 5)
 
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -123,7 +123,7 @@
         self.timers.call_repeatedly(ms(10), self.ran_now, self.faults.append)
         self.timers.call_repeatedly(ms(10), lambda: hung, self.faults.append)
         self.advance(25)
-        self.timers.end()
+        self.timers.stop()
         self.advance(100)
         self.assertEqual((self.ran, self.faults), ([0, 10, 20], []))
         self.assertTrue(hung.called)
