--- a/pipitlink/reactor_types.py
+++ b/pipitlink/reactor_types.py
@@ -27,19 +27,17 @@
 class ListeningPort(Protocol):
     """A TCP port that accepts connections."""
 
-    def getHost(self) -> IPv4Address | IPv6Address:  # noqa: N802 - twisted's interface
+    def getHost(self) -> IPv4Address | IPv6Address:
         """Returns the address that it is bound to."""
 
-    def stopListening(self) -> Deferred[None]:  # noqa: N802 - twisted's interface
+    def stopListening(self) -> Deferred[None]:
         """Accepts no more connections; fires once the port is closed."""
 
 
 class Clock(Protocol):
     """The part of a reactor that makes calls later."""
 
-    def callLater(  # noqa: N802 - twisted's interface
-        self, delay: float, callable: Callable[..., Any], *args: object, **kw: object
-    ) -> DelayedCall:
+    def callLater(self, delay: float, callable: Callable[..., Any], *args: object, **kw: object) -> DelayedCall:
         """Calls a function after `delay` seconds."""
 
 
@@ -49,11 +47,11 @@
     def stop(self) -> None:
         """Ends the process in order."""
 
-    def adoptStreamPort(  # noqa: N802 - twisted's interface
+    def adoptStreamPort(
         self,
         fileDescriptor: int,
         addressFamily: socket.AddressFamily,
-        factory: Factory,  # noqa: N803
+        factory: Factory,
     ) -> ListeningPort:
         """Accepts connections on a socket that listens already."""
 
@@ -64,17 +62,17 @@
     def write(self, data: bytes) -> None:
         """Sends bytes, without waiting."""
 
-    def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802 - twisted's interface
+    def setTcpNoDelay(self, enabled: bool) -> None:
         """Has small segments sent at once."""
 
-    def pauseProducing(self) -> None:  # noqa: N802 - twisted's interface
+    def pauseProducing(self) -> None:
         """Reads no more from the peer for now."""
 
-    def resumeProducing(self) -> None:  # noqa: N802 - twisted's interface
+    def resumeProducing(self) -> None:
         """Reads from the peer again."""
 
-    def loseConnection(self) -> None:  # noqa: N802 - twisted's interface
+    def loseConnection(self) -> None:
         """Closes the connection after what was written has left."""
 
-    def abortConnection(self) -> None:  # noqa: N802 - twisted's interface
+    def abortConnection(self) -> None:
         """Closes the connection at once."""
--- a/pipitlink/segments.py
+++ b/pipitlink/segments.py
@@ -78,8 +78,9 @@
     def _recover_segment(self, number: int, is_newest: bool) -> Iterator[tuple[Position, bytes]]:
         data = self._path(number).read_bytes()
         end = 0
-        for offset, payload, end in decode_frames(data):
+        for offset, payload, frame_end in decode_frames(data):
             yield Position(number, offset), payload
+            end = frame_end
         self._open(number)
         self._sizes[number] = end
         if end < len(data):
--- a/pipitlink/wire/connection.py
+++ b/pipitlink/wire/connection.py
@@ -84,7 +84,10 @@
         self._rpc.logger.warning("frame_too_long", length=length, peer=self.peer.node)
         self.tcp.abortConnection()
 
-    def connectionLost(self, reason: "Failure" = protocol.connectionDone) -> None:  # noqa: N802 - twisted's interface
+    def connectionLost(  # noqa: N802 - twisted's interface
+        self,
+        reason: "Failure" = protocol.connectionDone,  # noqa: ARG002 - twisted's interface
+    ) -> None:
         """Fails all calls that wait for a response."""
         self.closed = True
         self._rpc.connection_closed(self)
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -161,7 +161,7 @@
         self, address: Address, method: str, request: Message, response_type: type[ResponseT], node: str = ""
     ) -> ResponseT:
         if address == self.address:
-            return await self._call_locally(method, request, response_type, node)
+            return cast(ResponseT, await self._call_locally(method, request, node))
         if self.fault_injector is not None:
             await self.fault_injector.outbound(address, method)
         connection = await self._connection_to(address)
@@ -171,15 +171,12 @@
             raise RemoteError(frame.error_code, frame.error_message)
         return response_type.FromString(frame.body)
 
-    async def _call_locally(
-        self, method: str, request: Message, response_type: type[ResponseT], node: str
-    ) -> ResponseT:
+    async def _call_locally(self, method: str, request: Message, node: str) -> Message:
         require_peer(node, self.node)
         try:
-            response = await self.dispatch(self.hello(), method, request.SerializeToString())
+            return await self.dispatch(self.hello(), method, request.SerializeToString())
         except PipitlinkError as error:
             raise RemoteError(error.code, str(error)) from error
-        return cast(ResponseT, response)
 
     def notify(self, addresses: Iterable[Address], method: str, message: Message) -> None:
         """Sends a notification to each address; there is no response, and one that is lost is not sent again.
--- a/rehearsal/hollow.py
+++ b/rehearsal/hollow.py
@@ -57,36 +57,36 @@
         super().__init__(*words)
         self.counts: Counter = Counter()
 
-    def _note(self, way: str, method: str, size: int):
-        self.counts[f"{way} {method}"] += 1
-        self.counts[f"{way}_bytes {method}"] += size
+    def _count(self, direction: str, method: str, size: int):
+        self.counts[f"{direction} {method}"] += 1
+        self.counts[f"{direction}_bytes {method}"] += size
 
     async def dispatch(self, peer, method, body):
-        away = peer.node != self.node
-        if away:
-            self._note("in", method, len(body) + len(method) + CALL_FRAME)
-        r = await super().dispatch(peer, method, body)
-        if away:
-            self._note("out", f"{method}:response", r.ByteSize() + RESPONSE_FRAME)
-        return r
+        is_remote = peer.node != self.node
+        if is_remote:
+            self._count("in", method, len(body) + len(method) + CALL_FRAME)
+        response = await super().dispatch(peer, method, body)
+        if is_remote:
+            self._count("out", f"{method}:response", response.ByteSize() + RESPONSE_FRAME)
+        return response
 
     async def handle_notification(self, peer, method, body):
-        self._note("in", method, len(body) + len(method) + CALL_FRAME)
+        self._count("in", method, len(body) + len(method) + CALL_FRAME)
         await RpcEndpoint.dispatch(self, peer, method, body)
 
-    def notify(self, places, method, what):
-        for _ in places:
-            self._note("out", method, what.ByteSize() + len(method) + CALL_FRAME)
-        super().notify(places, method, what)
-
-    async def _call(self, place, method, ask, kind, node=""):
-        away = place != self.address
-        if away:
-            self._note("out", method, ask.ByteSize() + len(method) + CALL_FRAME)
-        r = await super()._call(place, method, ask, kind, node)
-        if away:
-            self._note("in", f"{method}:response", r.ByteSize() + RESPONSE_FRAME)
-        return r
+    def notify(self, addresses, method, message):
+        for _ in addresses:
+            self._count("out", method, message.ByteSize() + len(method) + CALL_FRAME)
+        super().notify(addresses, method, message)
+
+    async def _call(self, address, method, request, response_type, node=""):
+        is_remote = address != self.address
+        if is_remote:
+            self._count("out", method, request.ByteSize() + len(method) + CALL_FRAME)
+        response = await super()._call(address, method, request, response_type, node)
+        if is_remote:
+            self._count("in", f"{method}:response", response.ByteSize() + RESPONSE_FRAME)
+        return response
 
 
 class _CountedDisk(Disk):
--- a/rehearsal/stage.py
+++ b/rehearsal/stage.py
@@ -50,33 +50,30 @@
         self.incarnation = 1
         self._handlers: dict = {}
 
-    def register_handler(self, method, kind, do):
-        self._handlers[method] = (kind, do)
+    def register_handler(self, method, request_type, handler):
+        self._handlers[method] = (request_type, handler)
 
     async def dispatch(self, node, method, body):
         if method not in self._handlers:
             raise UnknownMethod(f"no such call here: {method}")
-        kind, do = self._handlers[method]
-        r = await do(node, kind.FromString(body))
-        return (Empty() if r is None else r).SerializeToString()
+        request_type, handler = self._handlers[method]
+        response = await handler(node, request_type.FromString(body))
+        return (Empty() if response is None else response).SerializeToString()
 
-    def notify(self, places, method, what):
-        body = what.SerializeToString()
-        for place in places:
-            self._stage.carry(self._actor, place, method, body).addErrback(lambda f: None)
+    def notify(self, addresses, method, message):
+        body = message.SerializeToString()
+        for address in addresses:
+            self._stage.carry(self._actor, address, method, body).addErrback(lambda _: None)
 
-    async def call(self, place, method, ask, kind, limit, node=""):
+    async def call(self, address, method, request, response_type, timeout, node=""):
         if self is not self._actor.ctx.rpc or not self._actor.alive:
             await defer.Deferred()  # what is left of an ended life says nothing more
-        body = ask.SerializeToString()
+        body = request.SerializeToString()
         try:
-            return kind.FromString(
-                await self._actor.ctx.timers.with_timeout(
-                    limit, self._stage.carry(self._actor, place, method, body, node)
-                )
-            )
-        except DeadlineExceeded as e:
-            raise DeadlineExceeded(f"{method} to {place}: {e}") from e
+            carried = self._stage.carry(self._actor, address, method, body, node)
+            return response_type.FromString(await self._actor.ctx.timers.with_timeout(timeout, carried))
+        except DeadlineExceeded as error:
+            raise DeadlineExceeded(f"{method} to {address}: {error}") from error
 
 
 class Actor:
