--- a/pipitlink/cache/poller.py
+++ b/pipitlink/cache/poller.py
@@ -58,7 +58,7 @@
             (p.hot_poll_ms, self._poll_hot, "hot_poll", lambda: self._hot),
             (p.durable_poll_ms, self._poll_durable, "durable_poll", lambda: self._seen),
         ):
-            self._timers.append(every(ms(span), do, report(what), due=lambda w=watched: ZERO if w() else None))
+            self._timers.append(every(ms(span), do, report(what), idle_time=lambda w=watched: ZERO if w() else None))
 
     def _wake(self):
         for b in self._timers:
--- a/pipitlink/gateway/dispatch.py
+++ b/pipitlink/gateway/dispatch.py
@@ -36,7 +36,7 @@
         for span, do, what in ((TAKE_INTERVAL, self._take_lots, "take_lots"), (FEED_INTERVAL, self._feed, "feed")):
             self._lot_timers.append(
                 self._ctx.timers.call_repeatedly(
-                    span, do, self._ctx.error_reporter(what), due=lambda: ZERO if self.open_lots else None
+                    span, do, self._ctx.error_reporter(what), idle_time=lambda: ZERO if self.open_lots else None
                 )
             )
 
--- a/pipitlink/repeating_call.py
+++ b/pipitlink/repeating_call.py
@@ -21,8 +21,8 @@
 class RepeatingCall:
     """Calls a function at an interval, counted from the end of each run; the function may return an awaitable.
 
-    Errors go to `report_error`, and the repetition goes on. `due_in`, if given, tells after each run how long nothing
-    is due, or None for until `wake` is called: runs in that time are skipped, and the others keep their phase.
+    Errors go to `report_error`, and the repetition goes on. `idle_time`, if given, returns after each run how long none
+    is needed, or None for until `wake` is called: runs in that time are skipped, and the others keep their phase.
     """
 
     def __init__(
@@ -31,13 +31,13 @@
         interval: timedelta,
         function: Callable[[], object],
         report_error: ErrorReporter,
-        due_in: Callable[[], timedelta | None] | None = None,
+        idle_time: Callable[[], timedelta | None] | None = None,
     ) -> None:
         self._timers = timers
         self._interval = interval
         self._function = function
         self._report_error = report_error
-        self._due_in = due_in
+        self._idle_time = idle_time
         self._cancelled = False
         self._delayed_call: DelayedCall | None = None
         self._delayed_until = timedelta(0)
@@ -62,7 +62,7 @@
             self._schedule_next()
 
     def wake(self) -> None:
-        """Says that work is due: the function runs at the end of the present interval."""
+        """Has the function run at the end of the present interval, whatever `idle_time` returned."""
         if self._cancelled or self._next_slot is None:
             return
         now = self._timers.now()
@@ -94,12 +94,12 @@
     def _schedule_next(self) -> None:
         now = self._timers.now()
         self._next_slot = now + self._interval
-        if self._due_in is None:
+        if self._idle_time is None:
             self._schedule(self._next_slot, now)
             return
-        due_in = self._due_in()
-        if due_in is not None:
-            intervals = max(1, -(-due_in // self._interval))
+        idle_time = self._idle_time()
+        if idle_time is not None:
+            intervals = max(1, -(-idle_time // self._interval))
             self._schedule(now + self._interval * intervals, now)
 
     def _schedule(self, at: timedelta, now: timedelta) -> None:
--- a/pipitlink/router/batches.py
+++ b/pipitlink/router/batches.py
@@ -172,7 +172,7 @@
         self._open_batch_run()
         self._open_batch_reads()
         self._list_timer = self._ctx.timers.call_repeatedly(
-            LIST_INTERVAL, self._list_batches, self._ctx.error_reporter("list_batches"), due=self._list_due
+            LIST_INTERVAL, self._list_batches, self._ctx.error_reporter("list_batches"), idle_time=self._list_due
         )
 
     async def _end_batches(self):
--- a/pipitlink/single_flight.py
+++ b/pipitlink/single_flight.py
@@ -27,17 +27,16 @@
         """
         is_first = key not in self._waiters
         waiters = self._waiters.setdefault(key, [])
-
-        def stop_waiting(waiter: Deferred[Any]) -> None:
-            if waiter in waiters:
-                waiters.remove(waiter)
-
-        waiter: Deferred[ResultT] = Deferred(stop_waiting)
+        waiter: Deferred[ResultT] = Deferred(lambda cancelled: self._remove(cancelled, waiters))
         waiters.append(waiter)
         if is_first:
-            ensureDeferred(start()).addBoth(self._share, key)
+            ensureDeferred(start()).addBoth(self._resolve_all, key)
         return waiter
 
-    def _share(self, result: "ResultT | Failure", key: KeyT) -> None:
+    def _remove(self, waiter: Deferred[Any], waiters: list[Deferred[ResultT]]) -> None:
+        if waiter in waiters:
+            waiters.remove(waiter)
+
+    def _resolve_all(self, result: "ResultT | Failure", key: KeyT) -> None:
         for waiter in self._waiters.pop(key):
             waiter.callback(result)
--- a/pipitlink/storage/copying.py
+++ b/pipitlink/storage/copying.py
@@ -49,7 +49,7 @@
         self._told: dict[int, tuple[int, timedelta]] = {}
         self._ctx.cluster.watch(self._placement_groups_moved)
         every, report = self._ctx.timers.call_repeatedly, self._ctx.error_reporter
-        self._joins = every(JOIN_INTERVAL, self._join_placement_groups, report("join"), due=self._join_due)
+        self._joins = every(JOIN_INTERVAL, self._join_placement_groups, report("join"), idle_time=self._join_due)
         every(LOOK_INTERVAL, self._look_whether_away, report("away"))
         every(MEND_INTERVAL, self._mend_all, report("mend"))
 
--- a/pipitlink/structured_log.py
+++ b/pipitlink/structured_log.py
@@ -21,7 +21,7 @@
 
 def _quoted(value: object) -> str:
     text = str(value)
-    if text == "" or any(c in text for c in ' "=\n\t'):
+    if text == "" or any(character in text for character in ' "=\n\t'):
         return '"' + text.replace("\\", "\\\\").replace('"', "'").replace("\n", " ").replace("\t", " ") + '"'
     return text
 
@@ -64,11 +64,11 @@
         self._write("WARNING", event, {**fields, "error": type(error).__name__, "text": error})
 
     def _write(self, level: str, event: str, fields: dict[str, Any]) -> None:
-        line = {"event": event, **self._context, **fields}
-        self._sink.log(level, "{}", " ".join(f"{key}={_quoted(value)}" for key, value in line.items()))
+        pairs = {"event": event, **self._context, **fields}
+        self._sink.log(level, "{}", " ".join(f"{key}={_quoted(value)}" for key, value in pairs.items()))
 
 
-def _line_format(record: Any) -> str:
+def _format_record(record: Any) -> str:
     at = datetime.now(UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
     return f"at={at} level={record['level'].name.lower()} " + "{message}\n"
 
@@ -79,5 +79,5 @@
     `level` is the lowest level that is written. Sinks that were opened before are removed.
     """
     logger.remove()
-    logger.add(stream or sys.stderr, level=level.upper(), format=_line_format, backtrace=False)
+    logger.add(stream or sys.stderr, level=level.upper(), format=_format_record, backtrace=False)
     return StructuredLogger(logger, **context)
--- a/pipitlink/timers.py
+++ b/pipitlink/timers.py
@@ -65,6 +65,27 @@
     return work if isinstance(work, defer.Deferred) else spawn(work)
 
 
+def _cancel_if_active(timer: "DelayedCall") -> None:
+    if timer.active():
+        timer.cancel()
+
+
+def _fire_unless_called(event: defer.Deferred[None]) -> None:
+    if not event.called:
+        event.callback(None)
+
+
+def _expire(limited: defer.Deferred[Any], pending: defer.Deferred[Any], timeout: timedelta) -> None:
+    limited.errback(DeadlineExceeded(f"no response within {timeout.total_seconds():g} s"))
+    pending.cancel()
+
+
+def _forward_result(result: "ResultT | Failure", limited: defer.Deferred[ResultT], timer: "DelayedCall") -> None:
+    _cancel_if_active(timer)
+    if not limited.called:
+        limited.callback(result)
+
+
 def _boot_time() -> float:
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -95,28 +116,17 @@
 
     def sleep(self, duration: timedelta) -> defer.Deferred[None]:
         """Returns a Deferred that fires after a duration, and whose cancelling drops the timer."""
-
-        def drop_timer(_: defer.Deferred[Any]) -> None:
-            if timer.active():
-                timer.cancel()
-
-        done: defer.Deferred[None] = defer.Deferred(drop_timer)
+        done: defer.Deferred[None] = defer.Deferred(lambda _: _cancel_if_active(timer))
         timer = self.call_later(duration, done.callback, None)
         return done
 
     async def wait_at_most(self, event: defer.Deferred[None], timeout: timedelta) -> None:
         """Waits until a Deferred fires, and fires it with None once the timeout has passed."""
-
-        def fire() -> None:
-            if not event.called:
-                event.callback(None)
-
-        timer = self.call_later(timeout, fire)
+        timer = self.call_later(timeout, _fire_unless_called, event)
         try:
             await event
         finally:
-            if timer.active():
-                timer.cancel()
+            _cancel_if_active(timer)
 
     async def run_while(
         self,
@@ -129,36 +139,25 @@
         Cancels the work and raises CancelledError once the condition does not hold.
         """
         pending = _spawn_unless_deferred(work)
-
-        def check() -> None:
-            if pending.called:
-                return
-            if not condition():
-                pending.cancel()
-            self.call_later(interval, check)
-
-        check()
+        self._cancel_unless(condition, interval, pending)
         return await pending
 
+    def _cancel_unless(self, condition: Callable[[], bool], interval: timedelta, pending: defer.Deferred[Any]) -> None:
+        """Checks a condition at an interval while work is pending, and cancels the work where it does not hold."""
+        if pending.called:
+            return
+        if not condition():
+            pending.cancel()
+        self.call_later(interval, self._cancel_unless, condition, interval, pending)
+
     def with_timeout(
         self, timeout: timedelta, work: defer.Deferred[ResultT] | Coroutine[Any, Any, ResultT]
     ) -> defer.Deferred[ResultT]:
         """Returns the result of work, or cancels it and fails with DeadlineExceeded once the timeout has passed."""
         pending = _spawn_unless_deferred(work)
         limited: defer.Deferred[ResultT] = defer.Deferred(lambda _: pending.cancel())
-
-        def on_timeout() -> None:
-            limited.errback(DeadlineExceeded(f"no response within {timeout.total_seconds():g} s"))
-            pending.cancel()
-
-        def on_result(result: "ResultT | Failure") -> None:
-            if timer.active():
-                timer.cancel()
-            if not limited.called:
-                limited.callback(result)
-
-        timer = self.call_later(timeout, on_timeout)
-        pending.addBoth(on_result)
+        timer = self.call_later(timeout, _expire, limited, pending, timeout)
+        pending.addBoth(_forward_result, limited, timer)
         return limited
 
     def call_repeatedly(
@@ -166,13 +165,13 @@
         interval: timedelta,
         function: Callable[[], object],
         report_error: ErrorReporter,
-        due: Callable[[], timedelta | None] | None = None,
+        idle_time: Callable[[], timedelta | None] | None = None,
     ) -> RepeatingCall:
         """Calls a function now, and again an interval after the end of each run, until the timers are stopped.
 
-        `due`, if given, returns how long no run is needed, or None for until the RepeatingCall is woken.
+        `idle_time`, if given, returns how long no run is needed, or None for until the RepeatingCall is woken.
         """
-        repeating_call = RepeatingCall(self, interval, function, report_error, due)
+        repeating_call = RepeatingCall(self, interval, function, report_error, idle_time)
         self._repeating_calls.append(repeating_call)
         repeating_call.run()
         return repeating_call
