--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -1,49 +1,78 @@
 """What the parts of one process share: settings, timers, RPC endpoint, membership and cluster state."""
 
 import secrets
+from collections.abc import Callable, Coroutine
 from random import Random
+from typing import TYPE_CHECKING, Any, Protocol, TypeVar
 
 import attrs
+from twisted.internet.defer import Deferred
 from twisted.internet.threads import deferToThread
 
 from .dialect import Dialect
 from .settings import Settings
 from .structured_log import StructuredLogger
-from .timers import Timers, spawn
+from .timers import ErrorReporter, Timers, spawn
 from .wire.rpc import RpcEndpoint
 
-__all__ = ["Context", "fresh_id"]
+if TYPE_CHECKING:
+    from .cache import Cache
+    from .changes import Changes
+    from .cluster import Cluster
+    from .membership import Membership
+    from .reactor_types import Reactor
+    from .replicated_log import ReplicatedLog
 
+__all__ = ["Context", "RunInThread", "random_id"]
 
-def fresh_id() -> str:
+RANDOM_ID_BYTES = 8
+
+ResultT = TypeVar("ResultT")
+
+
+def random_id() -> str:
     """Returns a random id of 16 hexadecimal digits."""
-    return secrets.token_hex(8)
+    return secrets.token_hex(RANDOM_ID_BYTES)
+
+
+class RunInThread(Protocol):
+    """Runs a function on a thread."""
+
+    def __call__(self, function: Callable[..., ResultT], /, *args: Any) -> Deferred[ResultT]:
+        """Starts the function, and returns the Deferred of its result."""
 
 
 @attrs.define(eq=False)
 class Context:
-    """All that a process's parts share, handed to each of them."""
+    """All that the parts of a process share, passed to the constructor of each of them.
+
+    `Process` makes it from settings, timers, logger and RPC endpoint. It sets the parts declared with `init=False` in
+    its start-up, before it opens anything that reads them; reading one before that is a programming error and raises
+    AttributeError.
+    """
 
     role: str
     node: str
     settings: Settings
-    reactor: object
+    reactor: "Reactor"
     timers: Timers
     logger: StructuredLogger
     rpc: RpcEndpoint
     rng: Random
-    membership: object = None
-    cluster: object = None
-    replicated_log: object = None
-    cache: object = None
-    engines: object = None
-    changes: object = None
-    run_in_thread: object = deferToThread
+    membership: "Membership" = attrs.field(init=False)
+    cluster: "Cluster" = attrs.field(init=False)
+    replicated_log: "ReplicatedLog" = attrs.field(init=False)
+    # Set in gateways only.
+    cache: "Cache" = attrs.field(init=False)
+    changes: "Changes" = attrs.field(init=False)
+    # Tests inject one that runs on virtual time.
+    run_in_thread: RunInThread = deferToThread
     dialect: Dialect = attrs.field(factory=Dialect)
 
-    def report(self, what: str):
-        return lambda e: self.logger.failure(what, e)
+    def error_reporter(self, event: str) -> ErrorReporter:
+        """Returns a function that logs an error as a failure named `event`."""
+        return lambda error: self.logger.failure(event, error)
 
-    def run_in_background(self, work, what: str):
-        """Starts work that nobody waits for; its errors go to the logger."""
-        return spawn(work).addErrback(lambda f: self.logger.failure(what, f.value))
+    def run_in_background(self, work: Coroutine[Any, Any, object], event: str) -> Deferred[Any]:
+        """Starts work that nobody waits for; an error is logged as a failure named `event`."""
+        return spawn(work).addErrback(lambda failure: self.logger.failure(event, failure.value))
--- a/pipitlink/errors.py
+++ b/pipitlink/errors.py
@@ -16,7 +16,11 @@
 of the lower layers to an ApiError.
 """
 
+from enum import StrEnum
+from typing import Any
+
 __all__ = [
+    "ExecutionOutcome",
     "PipitlinkError",
     "SettingsError",
     "WireError",
@@ -45,8 +49,16 @@
 ]
 
 
+class ExecutionOutcome(StrEnum):
+    """What is known of a request that failed, as callers read it."""
+
+    NOT_RUN = "not_run"
+    FAILED = "failed"
+    UNKNOWN = "unknown"
+
+
 class PipitlinkError(Exception):
-    """The root of all exceptions here; never raised itself."""
+    """The base class of all exceptions here; never raised itself."""
 
     code = "fault"
 
@@ -56,7 +68,7 @@
 
     code = "bad_settings"
 
-    def __init__(self, lines: list[str]):
+    def __init__(self, lines: list[str]) -> None:
         super().__init__("; ".join(lines))
         self.lines = lines
 
@@ -68,36 +80,36 @@
 
 
 class ConnectionFailed(WireError):
-    """The peer could not be reached or the connection broke. `sent` is False where the call surely never left."""
+    """The peer could not be reached or the connection broke. `sent` is False where the call certainly never left."""
 
     code = "cut_off"
 
-    def __init__(self, text: str, sent: bool = True):
+    def __init__(self, text: str, sent: bool = True) -> None:
         super().__init__(text)
         self.sent = sent
 
 
 class WrongPeer(ConnectionFailed):
-    """Another node answers at the place of the one that was meant: the call was not carried out."""
+    """Another node answers at the address of the one that the call names: the call was not run."""
 
     code = "wrong_peer"
 
-    def __init__(self, meant: str, answering: str):
-        super().__init__(f"node {meant} was meant, {answering} answers there", sent=False)
+    def __init__(self, expected: str, actual: str) -> None:
+        super().__init__(f"node {expected} was meant, {actual} answers there", sent=False)
 
 
 class DeadlineExceeded(WireError):
-    """No result within the time limit; what was asked for may still happen. Raised by Timers, RPC and edits."""
+    """No result within the time limit; the work may still take effect. Raised by Timers, RPC and edits."""
 
     code = "overdue"
 
 
 class RemoteError(WireError):
-    """The peer took the call and answered with an error: `remote_code` is its code, `message` its text."""
+    """The peer answered a call with an error: `remote_code` is its code, `message` its text."""
 
     code = "refused"
 
-    def __init__(self, remote_code: str, message: str):
+    def __init__(self, remote_code: str, message: str) -> None:
         super().__init__(f"{remote_code}: {message}")
         self.remote_code = remote_code
         self.message = message
@@ -110,35 +122,35 @@
 
 
 class ReplicatedLogError(PipitlinkError):
-    """The root of the errors of storage nodes and their logs; never raised itself."""
+    """The base class of the errors of storage nodes and their logs; never raised itself."""
 
     code = "replicated_log"
 
 
 class StaleEpoch(ReplicatedLogError):
-    """A storage node has promised a higher epoch or committed these bytes, or the log has ended: nothing is written."""
+    """The log has a newer epoch, holds other committed bytes here, or has ended: nothing is written."""
 
     code = "fenced"
 
 
 class NoQuorum(ReplicatedLogError):
-    """Too few storage nodes answered a leaseholder or reader to be sure of a log."""
+    """Too few storage nodes answered a leaseholder or reader of a log."""
 
     code = "no_majority"
 
 
 class StorageFull(ReplicatedLogError):
-    """A disk, or the budget of a data folder, takes no more. `sent` is False where surely nothing was written."""
+    """A disk or the budget of a data folder is full. `sent` is False where certainly nothing was written."""
 
     code = "no_room"
 
-    def __init__(self, text: str, sent: bool = True):
+    def __init__(self, text: str, sent: bool = True) -> None:
         super().__init__(text)
         self.sent = sent
 
 
 class StalePlacement(ReplicatedLogError):
-    """A storage node knows a newer placement than the writer that asks it."""
+    """A storage node knows a newer placement than the writer that calls it."""
 
     code = "old_placement_group"
 
@@ -148,7 +160,7 @@
 
     code = "not_held"
 
-    def __init__(self, text: str, leaseholder: str = ""):
+    def __init__(self, text: str, leaseholder: str = "") -> None:
         super().__init__(text)
         self.leaseholder = leaseholder
 
@@ -160,18 +172,19 @@
 
 
 class ApiError(PipitlinkError):
-    """What a caller is told, raised by gateways and by controllers' HTTP handlers.
+    """An error response to a caller, raised by gateways and by HTTP handlers of controllers.
 
-    `outcome` is `not_run`, `failed` or `unknown`; `retry_after` is in seconds, 0 for none; `field` names a wrong field.
+    `outcome` is a value of ExecutionOutcome; `retry_after` is in seconds, 0 for none; `field` names the invalid field.
+    Arguments that are left out have the value of the class.
     """
 
     code = "gateway"
     status = 500
-    outcome = "failed"
+    outcome: str = ExecutionOutcome.FAILED
 
     def __init__(
         self, text: str, *, code: str = "", field: str = "", status: int = 0, outcome: str = "", retry_after: int = 0
-    ):
+    ) -> None:
         super().__init__(text)
         self.code = code or type(self).code
         self.field = field
@@ -185,38 +198,38 @@
 
     code = "bad_request"
     status = 400
-    outcome = "not_run"
+    outcome = ExecutionOutcome.NOT_RUN
 
 
 class NotFound(ApiError):
-    """What a caller names does not exist. Raised by HTTP handlers."""
+    """The resource that a caller names does not exist. Raised by HTTP handlers."""
 
     code = "not_found"
     status = 404
-    outcome = "not_run"
+    outcome = ExecutionOutcome.NOT_RUN
 
 
 class ServiceUnavailable(ApiError):
-    """No room or no proof just now; send again in `retry_after` s. Nothing ran unless `outcome` differs."""
+    """The request cannot be served now; the caller may retry after `retry_after` s. It was not run by default."""
 
     code = "crowded"
     status = 503
-    outcome = "not_run"
+    outcome = ExecutionOutcome.NOT_RUN
 
-    def __init__(self, text: str, *, retry_after: int = 1, **words):
-        super().__init__(text, retry_after=retry_after, **words)
+    def __init__(self, text: str, *, retry_after: int = 1, **fields: Any) -> None:
+        super().__init__(text, retry_after=retry_after, **fields)
 
 
 class EngineError(ApiError):
-    """An engine failed or broke off during an exchange. Raised by gateways; it may have run the request."""
+    """An engine failed during an exchange, and may have run the request. Raised by gateways."""
 
     code = "back_end"
     status = 502
-    outcome = "unknown"
+    outcome = ExecutionOutcome.UNKNOWN
 
 
 class ControllerError(PipitlinkError):
-    """The root of the errors of the agreement; never raised itself."""
+    """The base class of the errors of the consensus and of edits; never raised itself."""
 
     code = "controller"
 
@@ -226,32 +239,32 @@
 
     code = "not_leading"
 
-    def __init__(self, text: str, leader: str = ""):
+    def __init__(self, text: str, leader: str = "") -> None:
         super().__init__(text)
         self.leader = leader
 
 
 class Unconfirmed(ControllerError):
-    """A leader cannot show an edit's outcome, or that it still leads: the edit may yet take effect."""
+    """The leader cannot confirm the outcome of an edit, or its leadership; the edit may still take effect."""
 
     code = "unproven"
 
 
 class VersionConflict(ControllerError):
-    """An edit builds on an older table than the newest, whose sequence is `sequence`. Raised by edits."""
+    """An edit is based on a version of the table older than the current one, which is `sequence`. Raised by edits."""
 
     code = "wrong_base"
 
-    def __init__(self, sequence: int):
+    def __init__(self, sequence: int) -> None:
         super().__init__(f"the table is at sequence {sequence}")
         self.sequence = sequence
 
 
 class InvalidRows(ControllerError):
-    """Rows of an edit are wrong; `faults` has row, field and message of each. Raised while they are read."""
+    """Rows of an edit are invalid; `faults` has row, field and message of each. Raised while they are parsed."""
 
     code = "bad_rows"
 
-    def __init__(self, faults: list[dict]):
-        super().__init__("; ".join(f"{f['row']}.{f['field']}: {f['message']}" for f in faults))
+    def __init__(self, faults: list[dict[str, str]]) -> None:
+        super().__init__("; ".join(f"{fault['row']}.{fault['field']}: {fault['message']}" for fault in faults))
         self.faults = faults
--- a/pipitlink/timers.py
+++ b/pipitlink/timers.py
@@ -1,36 +1,52 @@
 """Monotonic time, delayed and repeated work, and time limits on Deferreds."""
 
 import time
+from collections.abc import Callable, Coroutine
 from datetime import UTC, datetime, timedelta
-from inspect import isawaitable
+from typing import TYPE_CHECKING, Any, TypeVar
 
 from twisted.internet import defer
 
 from .errors import DeadlineExceeded
+from .repeating_call import ErrorReporter, RepeatingCall
+from .single_flight import SingleFlight
 
-__all__ = ["Timers", "RepeatingCall", "ms", "secs", "to_ms", "wall_ms", "ZERO", "spawn", "SingleFlight"]
+if TYPE_CHECKING:
+    from twisted.python.failure import Failure
+
+    from .reactor_types import Clock, DelayedCall
+
+__all__ = [
+    "ErrorReporter",
+    "RepeatingCall",
+    "SingleFlight",
+    "Timers",
+    "ZERO",
+    "ms",
+    "secs",
+    "spawn",
+    "to_ms",
+    "wall_ms",
+]
+
+ResultT = TypeVar("ResultT")
 
 ZERO = timedelta(0)
 
 
 def ms(n: float) -> timedelta:
-    """Returns a span of `n` milliseconds."""
+    """Returns a duration of `n` milliseconds."""
     return timedelta(milliseconds=n)
 
 
 def secs(n: float) -> timedelta:
-    """Returns a span of `n` seconds."""
+    """Returns a duration of `n` seconds."""
     return timedelta(seconds=n)
 
 
-def to_ms(span: timedelta) -> int:
-    """Returns the whole milliseconds in a span, rounded towards zero."""
-    return int(span / timedelta(milliseconds=1))
-
-
-def spawn(work) -> defer.Deferred:
-    """Starts a coroutine, without waiting for it, and returns the Deferred of its result."""
-    return defer.ensureDeferred(work)
+def to_ms(duration: timedelta) -> int:
+    """Returns the whole milliseconds in a duration, rounded towards zero."""
+    return int(duration / timedelta(milliseconds=1))
 
 
 def wall_ms(at: datetime) -> int:
@@ -38,26 +54,36 @@
     return int(at.timestamp() * 1000)
 
 
-class SingleFlight:
-    """Work that several may wait for while it is done once; a waiter that gives up ends only its own wait."""
+def spawn(coroutine: Coroutine[Any, Any, ResultT]) -> defer.Deferred[ResultT]:
+    """Starts a coroutine, without waiting for it, and returns the Deferred of its result."""
+    return defer.ensureDeferred(coroutine)
+
+
+def _spawn_unless_deferred(
+    work: defer.Deferred[ResultT] | Coroutine[Any, Any, ResultT],
+) -> defer.Deferred[ResultT]:
+    return work if isinstance(work, defer.Deferred) else spawn(work)
+
 
-    def __init__(self):
-        self._waiting: dict = {}
+def _cancel_if_active(timer: "DelayedCall") -> None:
+    if timer.active():
+        timer.cancel()
 
-    def run(self, key, make) -> defer.Deferred:
-        waiting = self._waiting.get(key)
-        fresh = waiting is None
-        if fresh:
-            waiting = self._waiting[key] = []
-        out = defer.Deferred(lambda d: waiting.remove(d) if d in waiting else None)
-        waiting.append(out)
-        if fresh:
-            spawn(make()).addBoth(self._share, key)
-        return out
 
-    def _share(self, result, key):
-        for d in self._waiting.pop(key):
-            d.callback(result)
+def _fire_unless_called(event: defer.Deferred[None]) -> None:
+    if not event.called:
+        event.callback(None)
+
+
+def _expire(limited: defer.Deferred[Any], pending: defer.Deferred[Any], timeout: timedelta) -> None:
+    limited.errback(DeadlineExceeded(f"no response within {timeout.total_seconds():g} s"))
+    pending.cancel()
+
+
+def _forward_result(result: "ResultT | Failure", limited: defer.Deferred[ResultT], timer: "DelayedCall") -> None:
+    _cancel_if_active(timer)
+    if not limited.called:
+        limited.callback(result)
 
 
 def _boot_time() -> float:
@@ -65,145 +91,94 @@
 
 
 class Timers:
-    """Monotonic time that also counts while the machine sleeps, and the timers hung on it."""
+    """Monotonic time that also counts while the machine sleeps, and the timers of one process.
+
+    `seconds` gives the time in seconds from any fixed point; tests inject a clock as both arguments.
+    """
 
-    def __init__(self, reactor, seconds=_boot_time):
+    def __init__(self, reactor: "Clock", seconds: Callable[[], float] = _boot_time) -> None:
         self._reactor = reactor
         self._seconds = seconds
-        self.ended = False
-        self._repeats: list[RepeatingCall] = []
+        self.stopped = False
+        self._repeating_calls: list[RepeatingCall] = []
 
     def now(self) -> timedelta:
+        """Returns the monotonic time, from a point that stays the same while the machine is up."""
         return timedelta(seconds=self._seconds())
 
     def utc_now(self) -> datetime:
+        """Returns the wall-clock time in UTC."""
         return datetime.now(UTC)
 
-    def call_later(self, span: timedelta, do, *words):
-        return self._reactor.callLater(max(0.0, span.total_seconds()), do, *words)
+    def call_later(self, delay: timedelta, function: Callable[..., object], *args: object) -> "DelayedCall":
+        """Calls a function after a delay; one below zero counts as zero."""
+        return self._reactor.callLater(max(0.0, delay.total_seconds()), function, *args)
 
-    def sleep(self, span: timedelta) -> defer.Deferred:
-        d = defer.Deferred(lambda _: call.active() and call.cancel())
-        call = self.call_later(span, d.callback, None)
-        return d
+    def sleep(self, duration: timedelta) -> defer.Deferred[None]:
+        """Returns a Deferred that fires after a duration, and whose cancelling drops the timer."""
+        done: defer.Deferred[None] = defer.Deferred(lambda _: _cancel_if_active(timer))
+        timer = self.call_later(duration, done.callback, None)
+        return done
 
-    async def wait_at_most(self, d: defer.Deferred, span: timedelta):
-        """Waits until the Deferred fires, or fires it when the span has passed."""
-        beat = self.call_later(span, lambda: d.called or d.callback(None))
+    async def wait_at_most(self, event: defer.Deferred[None], timeout: timedelta) -> None:
+        """Waits until a Deferred fires, and fires it with None once the timeout has passed."""
+        timer = self.call_later(timeout, _fire_unless_called, event)
         try:
-            await d
+            await event
         finally:
-            if beat.active():
-                beat.cancel()
-
-    async def run_while(self, holds, interval: timedelta, work):
-        """Waits for work as long as a condition holds; then cancels it and raises CancelledError."""
-        d = work if isinstance(work, defer.Deferred) else spawn(work)
-
-        def look():
-            if not d.called:
-                if not holds():
-                    d.cancel()
-                self.call_later(interval, look)
-
-        look()
-        return await d
-
-    def with_timeout(self, span: timedelta, work) -> defer.Deferred:
-        d = work if isinstance(work, defer.Deferred) else spawn(work)
-        out = defer.Deferred(lambda _: d.cancel())
-
-        def lapse():
-            beat[0] = None
-            out.errback(DeadlineExceeded(f"no response within {span.total_seconds():g} s"))
-            d.cancel()
-
-        def settle(result):
-            if beat[0] is not None and beat[0].active():
-                beat[0].cancel()
-            if not out.called:
-                out.callback(result)
-
-        beat = [self.call_later(span, lapse)]
-        d.addBoth(settle)
-        return out
-
-    def call_repeatedly(self, span: timedelta, do, report, due=None) -> "RepeatingCall":
-        """Runs `do` now, then `span` after each end; `due` may tell how long nothing is due, None for until woken."""
-        r = RepeatingCall(self, span, do, report, due)
-        self._repeats.append(r)
-        r.begin()
-        return r
-
-    def end(self):
-        self.ended = True
-        repeats, self._repeats = self._repeats, []
-        for r in repeats:
-            r.cancel()
-
-
-class RepeatingCall:
-    """Work repeated at an interval. Runs on which nothing is due are left out; the others keep their phase."""
-
-    def __init__(self, timers: Timers, span: timedelta, do, report, due=None):
-        self._timers, self._span, self._do, self._report, self._due = timers, span, do, report, due
-        self._ended = False
-        self._call = self._work = self._next_at = None
-        self._at = ZERO
-
-    def begin(self):
-        self._call = self._next_at = None
-        if self._timers.ended or self._ended:
-            return
-        try:
-            r = self._do()
-        except Exception as e:
-            self._report(e)
-            r = None
-        if r is not None and isawaitable(r):
-            self._work = spawn(r)
-            self._work.addErrback(self._failed).addBoth(self._settled)
-        else:
-            self._rest()
-
-    def _failed(self, f):
-        if not self._ended:
-            self._report(f.value)
-
-    def _settled(self, _):
-        self._work = None
-        if not self._ended:
-            self._rest()
-
-    def _rest(self):
-        now = self._timers.now()
-        self._next_at = now + self._span
-        if self._due is None:
-            self._hang(self._next_at, now)
-            return
-        due = self._due()
-        if due is not None:
-            self._hang(now + self._span * max(1, -(-due // self._span)), now)
-
-    def _hang(self, at: timedelta, now: timedelta):
-        self._at = at
-        self._call = self._timers.call_later(at - now, self.begin)
-
-    def wake(self):
-        """Something is due: it runs at the end of the interval."""
-        if self._ended or self._next_at is None:
+            _cancel_if_active(timer)
+
+    async def run_while(
+        self,
+        condition: Callable[[], bool],
+        interval: timedelta,
+        work: defer.Deferred[ResultT] | Coroutine[Any, Any, ResultT],
+    ) -> ResultT:
+        """Returns the result of work that runs as long as a condition holds, which is checked at an interval.
+
+        Cancels the work and raises CancelledError once the condition does not hold.
+        """
+        pending = _spawn_unless_deferred(work)
+        self._cancel_unless(condition, interval, pending)
+        return await pending
+
+    def _cancel_unless(self, condition: Callable[[], bool], interval: timedelta, pending: defer.Deferred[Any]) -> None:
+        """Checks a condition at an interval while work is pending, and cancels the work where it does not hold."""
+        if pending.called:
             return
-        now = self._timers.now()
-        at = self._next_at + self._span * max(0, -((self._next_at - now) // self._span))
-        if self._call is not None:
-            if self._at <= at:
-                return
-            self._call.cancel()
-        self._hang(at, now)
-
-    def cancel(self):
-        self._ended = True
-        if self._call is not None and self._call.active():
-            self._call.cancel()
-        if self._work is not None:
-            self._work.cancel()
+        if not condition():
+            pending.cancel()
+        self.call_later(interval, self._cancel_unless, condition, interval, pending)
+
+    def with_timeout(
+        self, timeout: timedelta, work: defer.Deferred[ResultT] | Coroutine[Any, Any, ResultT]
+    ) -> defer.Deferred[ResultT]:
+        """Returns the result of work, or cancels it and fails with DeadlineExceeded once the timeout has passed."""
+        pending = _spawn_unless_deferred(work)
+        limited: defer.Deferred[ResultT] = defer.Deferred(lambda _: pending.cancel())
+        timer = self.call_later(timeout, _expire, limited, pending, timeout)
+        pending.addBoth(_forward_result, limited, timer)
+        return limited
+
+    def call_repeatedly(
+        self,
+        interval: timedelta,
+        function: Callable[[], object],
+        report_error: ErrorReporter,
+        idle_time: Callable[[], timedelta | None] | None = None,
+    ) -> RepeatingCall:
+        """Calls a function now, and again an interval after the end of each run, until the timers are stopped.
+
+        `idle_time`, if given, returns how long no run is needed, or None for until the RepeatingCall is woken.
+        """
+        repeating_call = RepeatingCall(self, interval, function, report_error, idle_time)
+        self._repeating_calls.append(repeating_call)
+        repeating_call.run()
+        return repeating_call
+
+    def stop(self) -> None:
+        """Cancels all repeating calls; none starts again."""
+        self.stopped = True
+        repeating_calls, self._repeating_calls = self._repeating_calls, []
+        for repeating_call in repeating_calls:
+            repeating_call.cancel()
--- a/rehearsal/hollow.py
+++ b/rehearsal/hollow.py
@@ -13,7 +13,7 @@
 
 from pipitlink.cache import Cache
 from pipitlink.cluster import Cluster
-from pipitlink.context import Context, fresh_id
+from pipitlink.context import Context, random_id
 from pipitlink.controller import ControllerNode
 from pipitlink.disk import Disk
 from pipitlink.gateway import GatewayNode
@@ -57,36 +57,36 @@
         super().__init__(*words)
         self.counts: Counter = Counter()
 
-    def _note(self, way: str, method: str, size: int):
-        self.counts[f"{way} {method}"] += 1
-        self.counts[f"{way}_bytes {method}"] += size
+    def _count(self, direction: str, method: str, size: int):
+        self.counts[f"{direction} {method}"] += 1
+        self.counts[f"{direction}_bytes {method}"] += size
 
     async def dispatch(self, peer, method, body):
-        away = peer.node != self.node
-        if away:
-            self._note("in", method, len(body) + len(method) + CALL_FRAME)
-        r = await super().dispatch(peer, method, body)
-        if away:
-            self._note("out", f"{method}:response", r.ByteSize() + RESPONSE_FRAME)
-        return r
-
-    async def note(self, peer, method, body):
-        self._note("in", method, len(body) + len(method) + CALL_FRAME)
+        is_remote = peer.node != self.node
+        if is_remote:
+            self._count("in", method, len(body) + len(method) + CALL_FRAME)
+        response = await super().dispatch(peer, method, body)
+        if is_remote:
+            self._count("out", f"{method}:response", response.ByteSize() + RESPONSE_FRAME)
+        return response
+
+    async def handle_notification(self, peer, method, body):
+        self._count("in", method, len(body) + len(method) + CALL_FRAME)
         await RpcEndpoint.dispatch(self, peer, method, body)
 
-    def notify(self, places, method, what):
-        for _ in places:
-            self._note("out", method, what.ByteSize() + len(method) + CALL_FRAME)
-        super().notify(places, method, what)
+    def notify(self, addresses, method, message):
+        for _ in addresses:
+            self._count("out", method, message.ByteSize() + len(method) + CALL_FRAME)
+        super().notify(addresses, method, message)
 
-    async def _call(self, place, method, ask, kind, node=""):
-        away = place != self.address
-        if away:
-            self._note("out", method, ask.ByteSize() + len(method) + CALL_FRAME)
-        r = await super()._call(place, method, ask, kind, node)
-        if away:
-            self._note("in", f"{method}:response", r.ByteSize() + RESPONSE_FRAME)
-        return r
+    async def _call(self, address, method, request, response_type, node=""):
+        is_remote = address != self.address
+        if is_remote:
+            self._count("out", method, request.ByteSize() + len(method) + CALL_FRAME)
+        response = await super()._call(address, method, request, response_type, node)
+        if is_remote:
+            self._count("in", f"{method}:response", response.ByteSize() + RESPONSE_FRAME)
+        return response
 
 
 class _CountedDisk(Disk):
@@ -150,7 +150,7 @@
 
     def __init__(self, host, role: str, n: int, spec: dict):
         self.role, self.kind = role, spec["kind"]
-        node = fresh_id()
+        node = random_id()
         settings = Settings(
             zone=f"zone-{n % spec['zones']}",
             data=str(Path(spec["folder"]) / f"{role}{n}"),
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -11,7 +11,7 @@
 
 from pipitlink import segments
 from pipitlink.controller import archive
-from pipitlink.disk import frame
+from pipitlink.disk import encode_frame
 from pipitlink.storage import keeping, node_id
 from pipitlink.wire.cluster_pb2 import Bounds, Command, ConfigEdit, Pool, PoolShare, Route, Row, TableEdit, ZoneEdit
 from rehearsal.stage import Stage
@@ -69,7 +69,7 @@
         replicated_log = self._stage.role("gateway")[gateway].ctx.replicated_log
         leaseholder = replicated_log.leaseholders.get(log) or self._stage.do(replicated_log.hold(log))
         self._stage.do(leaseholder.append(records, final=final))
-        self.log_bytes[log] = self.log_bytes.get(log, b"") + b"".join(frame(r) for r in records)
+        self.log_bytes[log] = self.log_bytes.get(log, b"") + b"".join(encode_frame(r) for r in records)
 
     def hold(self, log: str, gateway: int = 0):
         self._stage.do(self._stage.role("gateway")[gateway].ctx.replicated_log.hold(log))
@@ -140,7 +140,7 @@
 def write(folder: Path):
     """Writes the folders of all nodes that keep any, and `contents.json`, what they hold."""
     with (
-        mock.patch.object(segments, "SEGMENT", SMALL_SEGMENT_BYTES),
+        mock.patch.object(segments, "MAX_SEGMENT_BYTES", SMALL_SEGMENT_BYTES),
         mock.patch.object(archive, "TRIM_EVERY", SMALL_TRIM_ENTRIES),
         mock.patch.object(archive, "KEEP_ENTRIES", SMALL_KEPT_ENTRIES),
         mock.patch.object(keeping, "STONE_MS", SMALL_TOMBSTONE_MS),
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from pipitlink.disk import frame
+from pipitlink.disk import encode_frame
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from rehearsal.stage import Stage
 
@@ -144,8 +144,8 @@
         self.put_row("new2")
         self.assert_tables(("new1", "new2"))
         before = bytes.fromhex(CONTENTS["log_bytes"][LIVE])
-        self.assertEqual(self.read(LIVE), (before + frame(b"of a later release"), False))
-        self.assertEqual(self.read(PROMISED), (frame(b"of a later release"), False))
+        self.assertEqual(self.read(LIVE), (before + encode_frame(b"of a later release"), False))
+        self.assertEqual(self.read(PROMISED), (encode_frame(b"of a later release"), False))
 
     def test_a_controller_that_lost_its_disk_takes_a_snapshot_and_opens_it_again(self):
         lost = next(a for a in self.stage.role("controller") if a is not self.stage.leader())
