--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from .cache import Cache
-    from .changes import Changes
+    from .changes import ChangePublisher
     from .cluster import Cluster
     from .membership import Membership
     from .reactor_types import Reactor
@@ -64,7 +64,7 @@
     replicated_log: "ReplicatedLog" = attrs.field(init=False)
     # Set in gateways only.
     cache: "Cache" = attrs.field(init=False)
-    changes: "Changes" = attrs.field(init=False)
+    changes: "ChangePublisher" = attrs.field(init=False)
     # Tests inject one that runs on virtual time.
     run_in_thread: RunInThread = deferToThread
     dialect: Dialect = attrs.field(factory=Dialect)
--- a/pipitlink/dialect/batches.py
+++ b/pipitlink/dialect/batches.py
@@ -9,7 +9,7 @@
 from ..errors import BadRequest
 from ..wire.lots_pb2 import Batch, BatchItem, Header
 
-__all__ = ["BatchWords"]
+__all__ = ["BatchFormat"]
 
 MAX_ITEMS = 200
 MAX_ANSWER = 1_000_000
@@ -25,10 +25,10 @@
     return BadRequest(f"{field}: {text}", code="bad_field", field=field)
 
 
-class BatchWords:
+class BatchFormat:
     """Paths and JSON shapes of batches.
 
-    Mixin of Dialect: needs and owns nothing. A platform overrides the class attributes, and `batch_call` for its paths.
+    Mixin of Dialect: needs and owns nothing. A platform overrides the class attributes, and `parse_batch_request` for its paths.
     """
 
     poll_wait = b"x-poll-wait-ms"
@@ -40,7 +40,7 @@
     output_text = "text"
     output_states = {"done": "done", "abandoned": "abandoned"}
 
-    def batch_call(self, method: bytes, path: str, query: dict[str, str], headers):
+    def parse_batch_request(self, method: bytes, path: str, query: dict[str, str], headers):
         """Which call on a batch this is and what it asks for; None where it is none."""
         parts = path.split("/")
         if parts[:3] != ["", "v1", "batches"] or len(parts) < 4 or not parts[3]:
@@ -65,7 +65,7 @@
             raise _wrong(field, "must be a whole number, 0 or above")
         return int(text)
 
-    def read_lot(self, raw: bytes) -> Batch:
+    def parse_batch(self, raw: bytes) -> Batch:
         """The items of a batch that is handed in; an error where anything in it is not as it must be."""
         try:
             doc = json.loads(raw)
@@ -110,13 +110,13 @@
             headers=[Header(name=k, value=v) for k, v in headers.items()],
         )
 
-    def show_taken(self, lot_id: str, items: int) -> bytes:
+    def format_accepted(self, lot_id: str, items: int) -> bytes:
         return json.dumps({"id": lot_id, self.batch_total: items}).encode()
 
-    def show_ended(self, lot_id: str) -> bytes:
+    def format_cancelled(self, lot_id: str) -> bytes:
         return json.dumps({"id": lot_id, "state": "ended"}).encode()
 
-    def show_outputs(self, batch: Batch, outputs, start: int) -> bytes:
+    def format_outputs(self, batch: Batch, outputs, start: int) -> bytes:
         """Outputs from a position on: at least one if there is one, and no more than an answer may hold."""
         shown, size = [], 200
         for x in outputs[start:]:
@@ -140,7 +140,7 @@
             b",".join(shown),
         )
 
-    def show_fault(self, e) -> bytes:
+    def format_error(self, e) -> bytes:
         return json.dumps(
             {"error": {"code": e.code, "message": str(e), "field": e.field, "outcome": e.outcome}}
         ).encode()
--- a/pipitlink/operator.py
+++ b/pipitlink/operator.py
@@ -1,12 +1,12 @@
 """The HTTP interface of each node for operators: state, health and metrics."""
 
 from .errors import NotFound
-from .web import Late, Site, listen, send_fault, send_json
+from .web import Late, Site, listen, send_error, send_json
 
-__all__ = ["OperatorFace"]
+__all__ = ["OperatorServer"]
 
 
-class OperatorFace:
+class OperatorServer:
     """What a node tells operators: its beliefs, whether it lives and is ready, and its metrics."""
 
     def __init__(self, ctx, node):
@@ -29,7 +29,7 @@
         add("/v1/ready", methods=["GET"])(self._ready)
         add("/metrics", methods=["GET"])(self._metrics)
         if hasattr(self._node, "routes"):
-            self._node.routes(add)
+            self._node.add_routes(add)
         add("/", defaults={"path": ""})(self._nowhere)
         add("/<path:path>")(self._nowhere)
         return app.resource()
@@ -39,7 +39,7 @@
             await self._port.stopListening()
 
     def _nowhere(self, request, path):
-        return send_fault(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
+        return send_error(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
 
     def _show_beliefs(self, request):
         return send_json(request, self.beliefs())
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -9,14 +9,14 @@
 import attrs
 from twisted.internet import reactor
 
-from .changes import Changes
+from .changes import ChangePublisher
 from .cluster import Cluster
 from .context import Context, random_id
 from .dialect import Dialect
 from .disk import quarantine_data
 from .errors import CorruptData, SettingsError
 from .membership import Membership
-from .operator import OperatorFace
+from .operator import OperatorServer
 from .replicated_log import ReplicatedLog
 from .settings import Settings
 from .structured_log import open_logger
@@ -27,7 +27,7 @@
 __all__ = ["run"]
 
 ENDING = secs(2)
-REREAD_INTERVAL = secs(2)
+RELOAD_INTERVAL = secs(2)
 
 
 def _node_id(role: str, settings: Settings) -> str:
@@ -91,7 +91,7 @@
             me.http_port = await self.node.listen(p.bind, p.http_port)
             ctx.replicated_log.open()
             ctx.cache.open()
-        self._face = OperatorFace(ctx, self.node)
+        self._face = OperatorServer(ctx, self.node)
         me.operator_port = await self._face.listen(p.bind, p.operator_port)
         if ctx.role == "controller" and p.control_port:
             from .controller import ControlFace
@@ -189,7 +189,7 @@
         if reread is not None:
             signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(process.reread))
             signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-            process.ctx.timers.call_repeatedly(REREAD_INTERVAL, process.reread, process.ctx.error_reporter("reread"))
+            process.ctx.timers.call_repeatedly(RELOAD_INTERVAL, process.reread, process.ctx.error_reporter("reread"))
         for s in (signal.SIGTERM, signal.SIGINT):
             signal.signal(s, lambda *_: reactor.callFromThread(lambda: spawn(process.end())))
         spawn(process.open()).addErrback(process.fail)
--- a/pipitlink/router/links.py
+++ b/pipitlink/router/links.py
@@ -10,7 +10,7 @@
 
 from ..errors import EngineError, ServiceUnavailable
 from ..timers import ms, secs
-from ..whole_body import WholeBody
+from ..body_producer import BytesBodyProducer
 
 __all__ = ["Link", "Links"]
 
@@ -94,7 +94,7 @@
         out = Headers()
         for name, value in headers:
             out.addRawHeader(name, value)
-        return self.request(Request(method, target, out, WholeBody(body) if body else None, persistent=True))
+        return self.request(Request(method, target, out, BytesBodyProducer(body) if body else None, persistent=True))
 
 
 class Links:
--- a/pipitlink/whole_body.py
+++ b/pipitlink/whole_body.py
@@ -4,11 +4,11 @@
 from twisted.web.iweb import IBodyProducer
 from zope.interface import implementer
 
-__all__ = ["WholeBody"]
+__all__ = ["BytesBodyProducer"]
 
 
 @implementer(IBodyProducer)
-class WholeBody:
+class BytesBodyProducer:
     """A body that is written whole, in the same step as its head, and not kept after that."""
 
     def __init__(self, data: bytes):
--- a/tests/test_batches_words.py
+++ b/tests/test_batches_words.py
@@ -18,12 +18,12 @@
     spec = spec_from_file_location("platform_batches", PLATFORM)
     module = module_from_spec(spec)
     spec.loader.exec_module(module)
-    return module.PlatformBatches()
+    return module.PlatformBatchFormat()
 
 
 class _Words:
     def call(self, method, path, headers=None, **query):
-        return self.words.batch_call(method, path, query, (headers or {}).get)
+        return self.words.parse_batch_request(method, path, query, (headers or {}).get)
 
     def item(self, **changes):
         out = {"id": "a1", "path": "/p/1", "headers": {"M": "m"}, "body": "q83vEjRWeJA=", self.tokens: 940}
@@ -31,7 +31,7 @@
         return {k: v for k, v in out.items() if v is not ...}
 
     def read(self, *items):
-        return self.words.read_lot(json.dumps({self.items: list(items)}).encode())
+        return self.words.parse_batch(json.dumps({self.items: list(items)}).encode())
 
     def test_a_lot_is_read_as_it_was_sent(self):
         lot = self.read(self.item(), self.item(id="a2", body=""))
@@ -52,7 +52,7 @@
             json.dumps({self.items: []}).encode(),
         ):
             with self.assertRaises(BadRequest, msg=raw[:40]):
-                self.words.read_lot(raw)
+                self.words.parse_batch(raw)
         for changes in (
             {"id": ...},
             {"id": ""},
@@ -95,7 +95,7 @@
         ]
         shown, start = [], 0
         while start < len(outputs):
-            raw = self.words.show_outputs(lot, outputs, start)
+            raw = self.words.format_outputs(lot, outputs, start)
             doc = json.loads(raw)
             self.assertEqual(doc[self.total], 6)
             self.assertGreater(doc[self.next], start)
@@ -104,7 +104,7 @@
             start = doc[self.next]
         self.assertEqual(shown, [["i0"], ["i1"], ["i2", "i3"], ["i4"]])
         self.assertEqual(
-            json.loads(self.words.show_outputs(lot, outputs, 9)), {self.total: 6, self.next: 9, "outputs": []}
+            json.loads(self.words.format_outputs(lot, outputs, 9)), {self.total: 6, self.next: 9, "outputs": []}
         )
 
 
@@ -132,7 +132,7 @@
     def test_an_output(self):
         lot = self.read(self.item(), self.item(id="a2"))
         doc = json.loads(
-            self.words.show_outputs(
+            self.words.format_outputs(
                 lot, [Output(item=1, state="done", text="é\nb".encode()), Output(item=0, state="abandoned")], 0
             )
         )
@@ -182,7 +182,7 @@
     def test_an_output(self):
         lot = self.read(self.item(), self.item(id="a2"))
         doc = json.loads(
-            self.words.show_outputs(
+            self.words.format_outputs(
                 lot, [Output(item=1, state="done", text=b"a\nb"), Output(item=0, state="abandoned")], 0
             )
         )
