--- a/pipitlink/body_producer.py
+++ b/pipitlink/body_producer.py
@@ -1,13 +1,21 @@
 """The body of a request to an engine, written in one piece."""
 
+from typing import Protocol
+
 from twisted.internet import defer
-from twisted.internet.interfaces import IConsumer
 from twisted.web.iweb import IBodyProducer
-from zope.interface import implementer
+from zope.interface import implementer  # type: ignore[import-untyped] # it comes without types
 
 __all__ = ["BytesBodyProducer"]
 
 
+class BytesConsumer(Protocol):
+    """Takes a request's body; twisted's IConsumer."""
+
+    def write(self, data: bytes, /) -> None:
+        """Sends bytes, without waiting."""
+
+
 @implementer(IBodyProducer)
 class BytesBodyProducer:
     """A body that is written at once, in the same step as the request's headers, and not kept after that."""
@@ -16,7 +24,7 @@
         self._data = data
         self.length = len(data)
 
-    def startProducing(self, consumer: IConsumer) -> defer.Deferred[None]:  # noqa: N802 - twisted's interface
+    def startProducing(self, consumer: BytesConsumer) -> defer.Deferred[None]:  # noqa: N802 - twisted's interface
         """Writes the body to the consumer and returns a Deferred that has fired."""
         data, self._data = self._data, b""
         consumer.write(data)
--- a/pipitlink/changes.py
+++ b/pipitlink/changes.py
@@ -102,11 +102,13 @@
     async def _post(self, message: HTTPMessage) -> None:
         import treq
 
+        headers: dict[bytes | str, bytes | str] = dict(message.headers.items())
+        reactor: Any = self._ctx.reactor
         response = await treq.post(
             f"http://{self._ctx.settings.changes_to}",
             data=message.body,
-            headers=message.headers,
-            reactor=self._ctx.reactor,
+            headers=headers,
+            reactor=reactor,
             persistent=False,
             allow_redirects=False,
         )
--- a/pipitlink/operator.py
+++ b/pipitlink/operator.py
@@ -9,12 +9,12 @@
 from .web import LazyResource, Site, listen, send_error, send_json
 
 if TYPE_CHECKING:
-    from twisted.internet.interfaces import IListeningPort
-    from twisted.web.resource import IResource
+    from twisted.web.resource import Resource
     from twisted.web.server import Request
 
     from .context import Context
     from .node_interfaces import Node
+    from .reactor_types import ListeningPort
 
 __all__ = ["OperatorServer"]
 
@@ -28,7 +28,7 @@
     def __init__(self, ctx: Context, node: Node) -> None:
         self._ctx = ctx
         self._node = node
-        self._listening_port: IListeningPort | None = None
+        self._listening_port: ListeningPort | None = None
 
     async def listen(self, host: str, port: int) -> int:
         """Binds the operators' address and returns the port's number. Raises CannotListenError."""
@@ -41,7 +41,7 @@
         if self._listening_port is not None:
             await self._listening_port.stopListening()
 
-    def _build_resource(self) -> IResource:
+    def _build_resource(self) -> Resource:
         from klein import Klein
 
         app = Klein()
--- a/pipitlink/settings.py
+++ b/pipitlink/settings.py
@@ -2,10 +2,10 @@
 
 import re
 import tomllib
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from ipaddress import ip_address
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeAlias
 
 import attrs
 
@@ -23,7 +23,7 @@
 WILDCARD_ADDRESSES = ("0.0.0.0", "::")
 _NAME = re.compile(r"^[a-z0-9][a-z0-9_.-]{0,62}$")
 
-_Attribute = attrs.Attribute  # type: ignore[type-arg] # not generic at run time
+_Attribute: TypeAlias = "attrs.Attribute[Any]"
 
 
 def _check_port(_settings: object, attribute: _Attribute, value: int) -> None:
@@ -102,6 +102,10 @@
     return value or ""
 
 
+def _text_tuple(values: Iterable[str]) -> tuple[str, ...]:
+    return tuple(values)
+
+
 @attrs.frozen(kw_only=True)
 class Settings:
     """All settings of one node, checked. Durations end in their unit: `_ms`, `_s`; sizes in `_kb` or `_mb`.
@@ -128,9 +132,9 @@
     accept_ms: int = attrs.field(default=0, validator=_check_not_negative)
     drain_ms: int = attrs.field(default=6000, validator=_check_positive)
     control_port: int = attrs.field(default=0, validator=_check_port)
-    seeds: tuple[str, ...] = attrs.field(factory=tuple, converter=tuple, validator=_check_addresses)
+    seeds: tuple[str, ...] = attrs.field(factory=tuple, converter=_text_tuple, validator=_check_addresses)
     # The first voters of a new cluster.
-    founders: tuple[str, ...] = attrs.field(factory=tuple, converter=tuple, validator=_check_addresses)
+    founders: tuple[str, ...] = attrs.field(factory=tuple, converter=_text_tuple, validator=_check_addresses)
 
     # Storage.
     data: str = ""
@@ -177,7 +181,7 @@
         return 2 * self.machine_losses + 1
 
 
-_FIELDS: dict[str, "attrs.Attribute[Any]"] = {field.name: field for field in attrs.fields(Settings)}
+_FIELDS: dict[str, _Attribute] = {field.name: field for field in attrs.fields(Settings)}
 
 
 def _check_role(role: str, settings: Settings) -> list[str]:
--- a/pipitlink/state_machines/__init__.py
+++ b/pipitlink/state_machines/__init__.py
@@ -41,7 +41,7 @@
 def _transition_function(start: str, event: str, target: str, action: str) -> Callable[[Any, _Core], None]:
     """Returns the function that automat runs on an event: it sets the new state, then calls the owner's action."""
 
-    def transition(events: Any, core: _Core) -> None:
+    def transition(_events: Any, core: _Core) -> None:
         core.state = target
         if action:
             getattr(core.owner, "_" + action)()
--- a/pipitlink/tools/__init__.py
+++ b/pipitlink/tools/__init__.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from . import cluster, comparison, configuration, weight_table
-from .client import OperatorClient, Unreachable
+from .client import OperatorClient, UnreachableError
 from .output import EXIT_FAILED
 
 __all__ = ["run_tool"]
@@ -38,6 +38,6 @@
     command = next(command for word, command in _COMMANDS.items() if arguments[word])
     try:
         return command(client, arguments)
-    except Unreachable as error:
+    except UnreachableError as error:
         print(error, file=sys.stderr)
         return EXIT_FAILED
--- a/pipitlink/tools/client.py
+++ b/pipitlink/tools/client.py
@@ -8,13 +8,13 @@
 
 import attrs
 
-__all__ = ["OperatorClient", "Response", "Unreachable", "edit_headers", "send_request"]
+__all__ = ["OperatorClient", "Response", "UnreachableError", "edit_headers", "send_request"]
 
 TIMEOUT_S = 10
 SERVICE_UNAVAILABLE = 503
 
 
-class Unreachable(Exception):
+class UnreachableError(Exception):
     """No response came, or one that is no JSON."""
 
 
@@ -29,7 +29,7 @@
 def send_request(
     address: str, method: str, path: str, body: object = None, headers: Mapping[str, str] | None = None
 ) -> Response:
-    """Sends one request to HOST:PORT and returns its response, whatever its status. Raises Unreachable."""
+    """Sends one request to HOST:PORT and returns its response, whatever its status. Raises UnreachableError."""
     data = json.dumps(body).encode() if body is not None else None
     all_headers = {"Content-Type": "application/json", **(headers or {})}
     request = urllib.request.Request(f"http://{address}{path}", data, all_headers, method=method)
@@ -39,7 +39,7 @@
     except urllib.error.HTTPError as error:
         return Response(error.code, _error_body(error))
     except (OSError, ValueError) as error:
-        raise Unreachable(f"{address}: {error}") from error
+        raise UnreachableError(f"{address}: {error}") from error
 
 
 def _error_body(error: urllib.error.HTTPError) -> Any:
@@ -58,12 +58,12 @@
     def request(
         self, method: str, path: str, body: object = None, headers: Mapping[str, str] | None = None
     ) -> Response:
-        """Returns the first response that is no 503, or the last address's. Raises Unreachable where none came."""
-        unreachable = Unreachable("no address: give --at HOST:PORT or set PIPITLINK_AT")
+        """Returns the first response that is no 503, or the last address's. Raises UnreachableError where none came."""
+        unreachable = UnreachableError("no address: give --at HOST:PORT or set PIPITLINK_AT")
         for address in self._addresses:
             try:
                 response = send_request(address, method, path, body, headers)
-            except Unreachable as error:
+            except UnreachableError as error:
                 unreachable = error
                 continue
             if response.status != SERVICE_UNAVAILABLE or address == self._addresses[-1]:
--- a/pipitlink/tools/cluster.py
+++ b/pipitlink/tools/cluster.py
@@ -10,7 +10,7 @@
 
 
 def run_zone(client: OperatorClient, arguments: Mapping[str, Any]) -> int:
-    """Runs `zone show`, `zone empty` or `zone fill` and returns the exit code. Raises Unreachable."""
+    """Runs `zone show`, `zone empty` or `zone fill` and returns the exit code. Raises UnreachableError."""
     if arguments["show"]:
         return print_response(client.request("GET", "/v1/zones"))
     edit = {"empty": bool(arguments["empty"])}
@@ -18,18 +18,18 @@
 
 
 def run_storage(client: OperatorClient, arguments: Mapping[str, Any]) -> int:
-    """Runs `storage show` or `storage retire` and returns the exit code. Raises Unreachable."""
+    """Runs `storage show` or `storage retire` and returns the exit code. Raises UnreachableError."""
     if arguments["show"]:
         return print_response(client.request("GET", "/v1/storage_nodes"))
     return print_response(client.request("POST", f"/v1/storage_nodes/{arguments['STORAGE_NODE']}/retire", {}))
 
 
 def run_batch_job(client: OperatorClient, arguments: Mapping[str, Any]) -> int:
-    """Runs `lot show` or `lot end` and returns the exit code. Raises Unreachable."""
+    """Runs `lot show` or `lot end` and returns the exit code. Raises UnreachableError."""
     method = "GET" if arguments["show"] else "DELETE"
     return print_response(client.request(method, f"/v1/lots/{arguments['LOT']}"))
 
 
 def run_status(client: OperatorClient, _arguments: Mapping[str, Any]) -> int:
-    """Runs `status` and returns the exit code. Raises Unreachable."""
+    """Runs `status` and returns the exit code. Raises UnreachableError."""
     return print_response(client.request("GET", "/v1/status"))
--- a/pipitlink/tools/comparison.py
+++ b/pipitlink/tools/comparison.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from .client import Unreachable, send_request
+from .client import UnreachableError, send_request
 from .output import EXIT_FAILED, EXIT_OK
 
 __all__ = ["compare", "differences"]
@@ -63,7 +63,7 @@
     try:
         first = send_request(first_address, "GET", BELIEFS_PATH)
         second = send_request(second_address, "GET", BELIEFS_PATH)
-    except Unreachable as error:
+    except UnreachableError as error:
         print(error, file=sys.stderr)
         return EXIT_FAILED
     for address, response in ((first_address, first), (second_address, second)):
--- a/pipitlink/tools/configuration.py
+++ b/pipitlink/tools/configuration.py
@@ -12,7 +12,7 @@
 
 
 def run(client: OperatorClient, arguments: Mapping[str, Any]) -> int:
-    """Runs `config show` or `config put` and returns the exit code. Raises Unreachable."""
+    """Runs `config show` or `config put` and returns the exit code. Raises UnreachableError."""
     if arguments["show"]:
         return print_response(client.request("GET", CONFIG_PATH))
     base = arguments["--base"]
--- a/pipitlink/tools/weight_table.py
+++ b/pipitlink/tools/weight_table.py
@@ -15,7 +15,7 @@
 
 
 def run(client: OperatorClient, arguments: Mapping[str, Any]) -> int:
-    """Runs one of the `table` commands and returns the exit code. Raises Unreachable."""
+    """Runs one of the `table` commands and returns the exit code. Raises UnreachableError."""
     if arguments["show"]:
         return print_response(client.request("GET", TABLE_PATH))
     base = arguments["--base"]
--- a/pipitlink/web.py
+++ b/pipitlink/web.py
@@ -8,7 +8,7 @@
 
 import attrs
 from twisted.internet import defer
-from twisted.web import resource, server
+from twisted.web import http, resource, server
 
 from .errors import (
     ApiError,
@@ -29,10 +29,10 @@
 from .timers import spawn
 
 if TYPE_CHECKING:
-    from twisted.internet.interfaces import IListeningPort
     from twisted.python.failure import Failure
 
     from .context import Context
+    from .reactor_types import ListeningPort
 
 __all__ = ["LazyResource", "Site", "http_handler", "listen", "send_error", "send_json"]
 
@@ -54,11 +54,14 @@
 class _BoundedRequest(server.Request):
     """A request whose connection is closed with status 413 once its body is longer than the site allows."""
 
+    channel: Any
+    """An HTTPChannel, whose `site` is a Site of this module."""
+
     def gotLength(self, length: int | None) -> None:  # noqa: N802 - twisted's interface
         if length is not None and length > self.channel.site.max_body:
             self._reject_body()
             return
-        super().gotLength(length)
+        server.Request.gotLength(self, length)
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
         if self.content is None:
@@ -66,11 +69,11 @@
         if self.content.tell() + len(data) > self.channel.site.max_body:
             self._reject_body()
             return
-        super().handleContentChunk(data)
+        server.Request.handleContentChunk(self, data)
 
     def process(self) -> None:
         if self.content is not None:
-            super().process()
+            server.Request.process(self)
 
     def _reject_body(self) -> None:
         error = {
@@ -90,13 +93,13 @@
 class Site(server.Site):
     """An HTTP server whose request bodies and idle connections are bounded; `max_body` is in bytes."""
 
-    def __init__(self, root: resource.IResource, max_body: int) -> None:
-        super().__init__(root, requestFactory=_BoundedRequest, timeout=IDLE_TIMEOUT_S)
+    def __init__(self, root: resource.Resource, max_body: int) -> None:
+        server.Site.__init__(self, root, requestFactory=_BoundedRequest, timeout=IDLE_TIMEOUT_S)
         self.max_body = max_body
         self.displayTracebacks = False
         self.noisy = False
 
-    def log(self, request: server.Request) -> None:
+    def log(self, request: http.Request) -> None:
         """Writes no access log."""
 
 
@@ -105,10 +108,10 @@
 
     isLeaf = True  # noqa: N815 - twisted's interface
 
-    def __init__(self, build: Callable[[], resource.IResource]) -> None:
-        super().__init__()
+    def __init__(self, build: Callable[[], resource.Resource]) -> None:
+        resource.Resource.__init__(self)
         self._build = build
-        self._resource: resource.IResource | None = None
+        self._resource: resource.Resource | None = None
 
     def render(self, request: server.Request) -> Any:
         """Passes the request on to the resource, and returns what that one's `render` returns."""
@@ -117,12 +120,12 @@
         return self._resource.render(request)
 
 
-async def listen(reactor: Any, site: Site, host: str, port: int) -> tuple[IListeningPort, int]:
+async def listen(reactor: Any, site: Site, host: str, port: int) -> tuple[ListeningPort, int]:
     """Binds an HTTP site and returns the listening port object and the port's number. Raises CannotListenError."""
     from twisted.internet.endpoints import TCP4ServerEndpoint
 
     endpoint = TCP4ServerEndpoint(reactor, port, backlog=LISTEN_BACKLOG, interface=host)
-    listening_port = await endpoint.listen(site)
+    listening_port: ListeningPort = await endpoint.listen(site)
     return listening_port, listening_port.getHost().port
 
 
@@ -207,10 +210,12 @@
     if failure.check(defer.CancelledError):
         return b""
     error = failure.value
+    assert error is not None  # a failure always has one
     if not hasattr(error, "code"):
         owner._ctx.logger.failure("request_failed", error, path=request.path.decode("utf-8", "replace"))
     if request.startedWriting:
-        request.transport.abortConnection()
+        transport: Any = request.transport
+        transport.abortConnection()
         return b""
     return send_error(request, error)
 
@@ -224,7 +229,7 @@
     """
 
     def handler(
-        owner: _Owner, request: server.Request, *args: _Params.args, **kwargs: _Params.kwargs
+        owner: _Owner, request: server.Request, /, *args: _Params.args, **kwargs: _Params.kwargs
     ) -> defer.Deferred[Any]:
         work = spawn(method(owner, request, *args, **kwargs))
         request.notifyFinish().addErrback(lambda _: work.cancel())
