--- a/pipitlink/dialect/control.py
+++ b/pipitlink/dialect/control.py
@@ -13,11 +13,11 @@
     JsonField,
     compact_json,
     fill_message,
+    integer_of,
     items_of,
     names_of,
     parse_object,
     text_of,
-    whole_number_of,
 )
 
 __all__ = ["ControlFormat", "Endpoint"]
@@ -120,7 +120,7 @@
     def parse_config_edit(self, body: bytes, base: int, replace: bool) -> ConfigEdit:
         """Returns the edit in the body of a PUT or, without `replace`, of a PATCH. Raises BadRequest."""
         document = parse_object(body)
-        edit = ConfigEdit(base=base, version=whole_number_of(document, "version", 1), whole=replace)
+        edit = ConfigEdit(base=base, version=integer_of(document, "version", 1), whole=replace)
         upserts, removals = (document, {}) if replace else self._partial_edit(document)
         edit.routes.extend(self._parse_route(route) for route in items_of(upserts, self.routes_key, replace))
         edit.pools.extend(self._parse_pool(pool) for pool in items_of(upserts, self.pools_key, replace))
--- a/pipitlink/dialect/json_fields.py
+++ b/pipitlink/dialect/json_fields.py
@@ -20,7 +20,7 @@
     "names_of",
     "parse_object",
     "text_of",
-    "whole_number_of",
+    "integer_of",
     "with_keys",
 ]
 
@@ -135,7 +135,7 @@
     return value
 
 
-def whole_number_of(document: JsonObject, field: str, minimum: int = 0) -> int:
+def integer_of(document: JsonObject, field: str, minimum: int = 0) -> int:
     """Returns a whole number from `minimum` up, below 2**63. Raises BadRequest where it is missing or anything else."""
     value = document.get(field)
     if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value < MAX_LONG:
--- a/pipitlink/tools/__init__.py
+++ b/pipitlink/tools/__init__.py
@@ -35,7 +35,7 @@
         return comparison.compare(arguments["A"], arguments["B"], arguments["--json"])
     addresses = (arguments["--at"] or os.environ.get(ADDRESSES_VARIABLE, "")).split(",")
     client = OperatorClient([address for address in addresses if address])
-    command = next(command for word, command in _COMMANDS.items() if arguments[word])
+    command = next(command for group, command in _COMMANDS.items() if arguments[group])
     try:
         return command(client, arguments)
     except UnreachableError as error:
--- a/pipitlink/web.py
+++ b/pipitlink/web.py
@@ -58,12 +58,14 @@
     """An HTTPChannel, whose `site` is a Site of this module."""
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802 - twisted's interface
+        """Takes the body's length in bytes, None where it is not said."""
         if length is not None and length > self.channel.site.max_body:
             self._reject_body()
             return
         server.Request.gotLength(self, length)
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
+        """Takes a part of the body."""
         if self.content is None:
             return
         if self.content.tell() + len(data) > self.channel.site.max_body:
@@ -72,6 +74,7 @@
         server.Request.handleContentChunk(self, data)
 
     def process(self) -> None:
+        """Serves a request whose body was read, unless it was rejected."""
         if self.content is not None:
             server.Request.process(self)
 
