--- a/tests/control_calls.py
+++ b/tests/control_calls.py
@@ -11,10 +11,10 @@
 from pipitlink.controller.control import Control
 from pipitlink.dialect.control import ControlFormat
 
-__all__ = ["Caller", "platform_words", "config_of", "route_of"]
+__all__ = ["Caller", "platform_control_format", "config_of", "route_of"]
 
 
-def platform_words():
+def platform_control_format():
     path = Path(__file__).resolve().parent.parent / "platform" / "control.py"
     spec = importlib.util.spec_from_file_location("platform_control", path)
     module = importlib.util.module_from_spec(spec)
@@ -80,31 +80,31 @@
 
 
 class Caller:
-    """Asks a controller by the paths of its words, as its HTTP face would."""
+    """Sends requests to a controller by the paths of a control format, as its HTTP server would."""
 
-    def __init__(self, stage, words=None):
+    def __init__(self, stage, control_format=None):
         self.stage = stage
-        self.words = words or ControlFormat()
+        self.control_format = control_format or ControlFormat()
 
-    def begin(self, controller, method: str, path: str, body=None, headers=None, words=None) -> list:
+    def begin(self, controller, method: str, path: str, body=None, headers=None) -> list:
         """Starts a call; the list holds (status, body) once it is answered."""
         raw = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         request = _Request(method, raw, headers or {})
         action, named = self._find(method, path)
         box = _Answer(request)
-        d = getattr(Control(controller.ctx, controller.part, words or self.words), action)(request, **named)
+        d = getattr(Control(controller.ctx, controller.part, self.control_format), action)(request, **named)
         d.addCallback(lambda out: box.append((request.status, json.loads(out or b"null"))))
         return box
 
     def _find(self, method, path):
-        for m, pattern, action in self.words.control_paths:
+        for m, pattern, action in self.control_format.control_paths:
             parts, given = pattern.split("/"), path.split("/")
             if m == method and len(parts) == len(given) and all(p == g or p[:1] == "<" for p, g in zip(parts, given)):
                 return action, {p[1:-1]: g for p, g in zip(parts, given) if p[:1] == "<"}
         raise AssertionError(f"{method} {path} is not among the paths")
 
-    def ask(self, controller, *words, limit: float = 8, **named):
-        box = self.begin(controller, *words, **named)
+    def ask(self, controller, *args, limit: float = 8, **kwargs):
+        box = self.begin(controller, *args, **kwargs)
         self.stage.until(lambda: box, limit, "the call is answered")
         return box[0]
 
@@ -118,4 +118,4 @@
         return self.ask(controller, "GET", self._config_path())
 
     def _config_path(self) -> str:
-        return self.words.control_paths[0][1]
+        return self.control_format.control_paths[0][1]
--- a/tests/test_batches_words.py
+++ b/tests/test_batches_words.py
@@ -1,4 +1,4 @@
-"""Paths and JSON of batches, in the product's words and in a platform's."""
+"""Paths and JSON of batches, in the product's format and in a platform's."""
 
 import base64
 import json
@@ -15,16 +15,16 @@
 PLATFORM = Path(__file__).resolve().parent.parent / "platform" / "batches.py"
 
 
-def platform():
+def platform_batch_format():
     spec = spec_from_file_location("platform_batches", PLATFORM)
     module = module_from_spec(spec)
     spec.loader.exec_module(module)
     return module.PlatformBatchFormat()
 
 
-class _Words:
+class _Format:
     def call(self, method, path, headers=None, **query):
-        return self.words.parse_batch_request(method, path, query, (headers or {}).get)
+        return self.batch_format.parse_batch_request(method, path, query, (headers or {}).get)
 
     def item(self, **changes):
         out = {"id": "a1", "path": "/p/1", "headers": {"M": "m"}, "body": "q83vEjRWeJA=", self.tokens: 940}
@@ -32,7 +32,7 @@
         return {k: v for k, v in out.items() if v is not ...}
 
     def read(self, *items):
-        return self.words.parse_batch(json.dumps({self.items: list(items)}).encode())
+        return self.batch_format.parse_batch(json.dumps({self.items: list(items)}).encode())
 
     def test_a_lot_is_read_as_it_was_sent(self):
         lot = self.read(self.item(), self.item(id="a2", body=""))
@@ -53,7 +53,7 @@
             json.dumps({self.items: []}).encode(),
         ):
             with self.assertRaises(BadRequest, msg=raw[:40]):
-                self.words.parse_batch(raw)
+                self.batch_format.parse_batch(raw)
         for changes in (
             {"id": ...},
             {"id": ""},
@@ -96,7 +96,7 @@
         ]
         shown, start = [], 0
         while start < len(outputs):
-            raw = self.words.format_outputs(lot, outputs, start)
+            raw = self.batch_format.format_outputs(lot, outputs, start)
             doc = json.loads(raw)
             self.assertEqual(doc[self.total], 6)
             self.assertGreater(doc[self.next], start)
@@ -105,13 +105,13 @@
             start = doc[self.next]
         self.assertEqual(shown, [["i0"], ["i1"], ["i2", "i3"], ["i4"]])
         self.assertEqual(
-            json.loads(self.words.format_outputs(lot, outputs, 9)), {self.total: 6, self.next: 9, "outputs": []}
+            json.loads(self.batch_format.format_outputs(lot, outputs, 9)), {self.total: 6, self.next: 9, "outputs": []}
         )
 
 
-class ProductWords(_Words, unittest.TestCase):
+class ProductFormat(_Format, unittest.TestCase):
     items, tokens, total, next = "items", "tokens", "total", "next"
-    words = Dialect()
+    batch_format = Dialect()
 
     def test_calls(self):
         self.assertEqual(
@@ -133,7 +133,7 @@
     def test_an_output(self):
         lot = self.read(self.item(), self.item(id="a2"))
         doc = json.loads(
-            self.words.format_outputs(
+            self.batch_format.format_outputs(
                 lot, [Output(item=1, state="done", text="é\nb".encode()), Output(item=0, state="abandoned")], 0
             )
         )
@@ -150,9 +150,9 @@
         )
 
 
-class PlatformWords(_Words, unittest.TestCase):
+class PlatformFormat(_Format, unittest.TestCase):
     items, tokens, total, next = "requests", "token_count", "total_count", "next_token"
-    words = platform()
+    batch_format = platform_batch_format()
 
     def test_calls(self):
         self.assertEqual(
@@ -181,7 +181,7 @@
     def test_an_output(self):
         lot = self.read(self.item(), self.item(id="a2"))
         doc = json.loads(
-            self.words.format_outputs(
+            self.batch_format.format_outputs(
                 lot, [Output(item=1, state="done", text=b"a\nb"), Output(item=0, state="abandoned")], 0
             )
         )
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -244,7 +244,7 @@
 
     def test_an_order_whose_bytes_arrive_together_with_its_callers_leaving_is_not_carried_out(self):
         app = Klein()
-        Control(self.held.ctx, self.held.part, self.caller.words).add_routes(app.route)
+        Control(self.held.ctx, self.held.part, self.caller.control_format).add_routes(app.route)
         for leaves in (True, False):
             connection = Site(app.resource(), 1000).buildProtocol(None)
             transport = StringTransport()
--- a/tests/test_platform_serve.py
+++ b/tests/test_platform_serve.py
@@ -124,10 +124,10 @@
 
 
 class Headers(unittest.TestCase):
-    def test_a_request_in_the_platforms_words_goes_its_way(self):
-        words = _load("headers").PlatformHeaderNames
+    def test_a_request_with_the_platforms_header_names_is_forwarded(self):
+        header_names = _load("headers").PlatformHeaderNames
         rig = Rig([route("f", "/f/", kind="idempotent")])
-        rig.ctx.dialect = type("Words", (words, Dialect), {})()
+        rig.ctx.dialect = type("Format", (header_names, Dialect), {})()
         rig.engine("e1")
         c = rig.caller()
         c.dataReceived(
