--- a/pipitlink/cache/poller.py
+++ b/pipitlink/cache/poller.py
@@ -52,13 +52,13 @@
 
     def open(self):
         """Polls while anything is watched; the hot poll only while a reader waits for a length that is near."""
-        p, every, report = self._ctx.settings, self._ctx.timers.call_repeatedly, self._ctx.report
+        p, every, report = self._ctx.settings, self._ctx.timers.call_repeatedly, self._ctx.error_reporter
         for span, do, what, watched in (
             (p.poll_ms, self._poll, "poll", lambda: self._seen),
             (p.hot_poll_ms, self._poll_hot, "hot_poll", lambda: self._hot),
             (p.durable_poll_ms, self._poll_durable, "durable_poll", lambda: self._seen),
         ):
-            self._timers.append(every(ms(span), do, report(what), due=lambda w=watched: ZERO if w() else None))
+            self._timers.append(every(ms(span), do, report(what), idle_time=lambda w=watched: ZERO if w() else None))
 
     def _wake(self):
         for b in self._timers:
--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from ..disk import HEAD, frames
+from ..disk import FRAME_HEADER_BYTES, decode_frames
 from ..errors import CorruptData, WireError
 from ..timers import ms, secs, spawn
 from .chunks import CHUNK, chunk_key
@@ -60,9 +60,9 @@
 
     def lack(self) -> int:
         """How many bytes the next record lacks, or its frame's header and its payload's first byte."""
-        if len(self._bytes) <= HEAD:
-            return HEAD + 1 - len(self._bytes)
-        return max(1, HEAD + int.from_bytes(self._bytes[:4], "big") - len(self._bytes))
+        if len(self._bytes) <= FRAME_HEADER_BYTES:
+            return FRAME_HEADER_BYTES + 1 - len(self._bytes)
+        return max(1, FRAME_HEADER_BYTES + int.from_bytes(self._bytes[:4], "big") - len(self._bytes))
 
     def between(self) -> bool:
         """All that is durable was read, and ends with a whole record."""
@@ -70,10 +70,10 @@
 
     def skip(self, first: bytes) -> tuple[int, int] | None:
         """Passes over the rest of the next record where its payload begins so and all of it is durable; its span."""
-        if len(self._bytes) < HEAD + len(first) or not self._bytes.startswith(first, HEAD):
+        if len(self._bytes) < FRAME_HEADER_BYTES + len(first) or not self._bytes.startswith(first, FRAME_HEADER_BYTES):
             return None
         start = self.position - len(self._bytes)
-        end = start + HEAD + int.from_bytes(self._bytes[:4], "big")
+        end = start + FRAME_HEADER_BYTES + int.from_bytes(self._bytes[:4], "big")
         if not self.position < end <= self.seen.durable:
             return None
         self._bytes.clear()
@@ -83,7 +83,7 @@
     async def record(self, start: int, end: int) -> bytes:
         """The payload of a record that was passed over."""
         await self._keep_rate(end - start)
-        for _, body, at in frames(await self.read(start, end)):
+        for _, body, at in decode_frames(await self.read(start, end)):
             if at == end - start:
                 return body
         raise CorruptData(f"{self.path}: no record stands at {start}")
@@ -101,7 +101,7 @@
         out = []
         base = self.position - len(self._bytes)
         end = 0
-        for at, body, end in frames(bytes(self._bytes)):
+        for at, body, end in decode_frames(bytes(self._bytes)):
             out.append((base + at, body))
         del self._bytes[:end]
         if self._bytes and not out and len(self._bytes) > 72 * 1024 * 1024:
--- a/pipitlink/changes.py
+++ b/pipitlink/changes.py
@@ -86,7 +86,7 @@
         from cloudevents.core.bindings.http import to_structured
         from cloudevents.core.formats.json import JSONFormat
 
-        while not self._ctx.timers.ended:
+        while not self._ctx.timers.stopped:
             if not self._queue:
                 self._wakeup = defer.Deferred(lambda _: None)
                 await self._wakeup
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -57,7 +57,7 @@
         self._ctx.membership.carry(self._fill, self._take)
         self._ctx.run_in_background(self._follow(), "follow_cluster")
         if self._ctx.role == "gateway":
-            self._ctx.timers.call_repeatedly(WITNESS_INTERVAL, self._ask_witnesses, self._ctx.report("witness"))
+            self._ctx.timers.call_repeatedly(WITNESS_INTERVAL, self._ask_witnesses, self._ctx.error_reporter("witness"))
 
     @property
     def sequence(self) -> int:
@@ -145,7 +145,7 @@
     async def _follow(self):
         """One task that follows the cluster state from a controller, or through a peer where no controller is heard."""
         failures = 0
-        while not self._ctx.timers.ended:
+        while not self._ctx.timers.stopped:
             try:
                 await self._follow_once(failures)
                 failures = 0
--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -25,12 +25,12 @@
     from .replicated_log import ReplicatedLog
     from .router.engines import Engines as RouterEngines
 
-__all__ = ["Context", "RunInThread", "fresh_id"]
+__all__ = ["Context", "RunInThread", "random_id"]
 
 ResultT = TypeVar("ResultT")
 
 
-def fresh_id() -> str:
+def random_id() -> str:
     """Returns a random id of 16 hexadecimal digits."""
     return secrets.token_hex(8)
 
--- a/pipitlink/controller/edits.py
+++ b/pipitlink/controller/edits.py
@@ -5,7 +5,7 @@
 from twisted.internet import defer
 
 from ..cluster import ClusterState
-from ..context import fresh_id
+from ..context import random_id
 from ..errors import (
     ApiError,
     BadRequest,
@@ -55,7 +55,7 @@
 
     Raises BadRequest where it has more than 100 characters.
     """
-    edit = request.getHeader("Edit-Id") or otherwise or fresh_id()
+    edit = request.getHeader("Edit-Id") or otherwise or random_id()
     if not 1 <= len(edit) <= 100:
         raise BadRequest("Edit-Id must have 1 to 100 characters", code="bad_field", field="Edit-Id")
     return edit
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -88,19 +88,19 @@
         self._ctx.rpc.register_handler("controller.empty", Empty, self._empty)
         if self.archive.snapshot.cluster_state.voters:
             self.trigger("founded")
-        b, report = self._ctx.timers, self._ctx.report
+        b, report = self._ctx.timers, self._ctx.error_reporter
         self._elections = b.call_repeatedly(
-            ELECTION_INTERVAL, self._election_beat, report("election"), due=self._election_due
+            ELECTION_INTERVAL, self._election_beat, report("election"), idle_time=self._election_due
         )
         b.call_repeatedly(
-            ms(300), self._found_beat, report("founding"), due=lambda: ZERO if self.state == "newcomer" else None
+            ms(300), self._found_beat, report("founding"), idle_time=lambda: ZERO if self.state == "newcomer" else None
         )
         for span, do, what in (
             (ms(100), self._lead_beat, "leading"),
             (ms(300), self._voters_beat, "voters"),
         ):
             self.lead_timers.append(
-                b.call_repeatedly(span, do, report(what), due=lambda: ZERO if self.state == "leader" else None)
+                b.call_repeatedly(span, do, report(what), idle_time=lambda: ZERO if self.state == "leader" else None)
             )
 
         self._open_placement_timers()
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -38,11 +38,11 @@
         self._ctx.rpc.register_handler("controller.caught_up", CaughtUp, self._told_caught_up)
 
     def _open_placement_timers(self):
-        every, report = self._ctx.timers.call_repeatedly, self._ctx.report
+        every, report = self._ctx.timers.call_repeatedly, self._ctx.error_reporter
         self._look_at_placement = every(
-            LOOK_INTERVAL, self._placement_beat, report("placement"), due=self._placement_due
+            LOOK_INTERVAL, self._placement_beat, report("placement"), idle_time=self._placement_due
         )
-        witnesses = every(LOOK_INTERVAL, self._witnesses_beat, report("witnesses"), due=self._witnesses_due)
+        witnesses = every(LOOK_INTERVAL, self._witnesses_beat, report("witnesses"), idle_time=self._witnesses_due)
         self.lead_timers += [self._look_at_placement, witnesses]
 
     async def _told_caught_up(self, node, told: CaughtUp):
--- a/pipitlink/gateway/keyed.py
+++ b/pipitlink/gateway/keyed.py
@@ -5,7 +5,7 @@
 import attrs
 from twisted.internet import defer
 
-from ..disk import frames
+from ..disk import decode_frames
 from ..errors import (
     ApiError,
     ConnectionFailed,
@@ -40,7 +40,7 @@
 
     def learn(self):
         data = bytes(self.leaseholder.data[self.parsed :])
-        for at, body, end in frames(data):
+        for at, body, end in decode_frames(data):
             lot = LogRecord.FromString(body).lot
             lot_id = f"{self.leaseholder.log.removeprefix('lots/')}.{self.parsed + at}"
             self.keys.setdefault(f"{lot.customer}\0{lot.key}", (lot_id, _digest(lot)))
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -40,7 +40,7 @@
 
     def __init__(self, ctx):
         self._ctx = ctx
-        self.engines = ctx.engines = Engines(ctx)
+        self.engines = Engines(ctx)
         self._retry_budget = RetryBudget()
         self.come_back = ComeBack(ctx.timers)
         self._hold = secs(ctx.settings.resume_hold_s)
--- a/pipitlink/gateway/results.py
+++ b/pipitlink/gateway/results.py
@@ -52,7 +52,7 @@
     def _open_results(self):
         self._readers: dict[str, _Reader] = {}
         self._lot_cache: dict[str, Lot] = {}
-        self._ctx.timers.call_repeatedly(secs(5), self._drop_readers, self._ctx.report("readers"))
+        self._ctx.timers.call_repeatedly(secs(5), self._drop_readers, self._ctx.error_reporter("readers"))
 
     def _drop_readers(self):
         now = self._ctx.timers.now()
--- a/pipitlink/membership/memory.py
+++ b/pipitlink/membership/memory.py
@@ -3,7 +3,7 @@
 import json
 from pathlib import Path
 
-from ..disk import swap_in
+from ..disk import replace_file
 from ..timers import ZERO, spawn
 
 __all__ = ["Memory"]
@@ -57,7 +57,7 @@
                 self._unkept = False
                 places = sorted({e.place for e in self._entries.values() if e.state == "alive"})
                 if places != self._kept:
-                    await self._ctx.run_in_thread(swap_in, self._file, json.dumps(places).encode())
+                    await self._ctx.run_in_thread(replace_file, self._file, json.dumps(places).encode())
                     self._kept = places
         except OSError as e:
             self._ctx.logger.failure("peers_not_kept", e)
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -15,9 +15,9 @@
 
 from .changes import ChangePublisher
 from .cluster import Cluster
-from .context import Context, fresh_id
+from .context import Context, random_id
 from .dialect import Dialect
-from .disk import set_aside
+from .disk import quarantine_data
 from .errors import CorruptData, SettingsError
 from .membership import Membership
 from .node_factory import load_gateway_factory, load_stateful_node_factory
@@ -59,7 +59,7 @@
 def _node_id(role: str, settings: Settings) -> str:
     """Returns the node's id: a gateway's is new at each start, the other roles keep theirs in the data folder."""
     if role == "gateway":
-        return fresh_id()
+        return random_id()
     from .storage import node_id
 
     return node_id(Path(settings.data), settings.fleet)
@@ -158,7 +158,7 @@
             return node
         except CorruptData as error:
             ctx.logger.failure("data_quarantined", error)
-        set_aside(Path(ctx.settings.data))
+        quarantine_data(Path(ctx.settings.data))
         ctx.node = ctx.rpc.node = _node_id(ctx.role, ctx.settings)
         ctx.logger = ctx.rpc.logger = ctx.logger.bind(node=ctx.node)
         self.node = node = self._node_factory(ctx, disk)
@@ -215,8 +215,8 @@
         await self._operator_server.end()
         if self._control_server is not None:
             await self._control_server.end()
-        self.ctx.timers.end()
-        await self.ctx.rpc.end()
+        self.ctx.timers.stop()
+        await self.ctx.rpc.close()
 
     def reload_settings(self) -> None:
         """Takes new seeds from the settings, where they changed; all else is as it was at the start."""
@@ -254,7 +254,7 @@
     """Reloads the settings on SIGHUP, also on one that is pending, and at an interval."""
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(process.reload_settings))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    report_error = process.ctx.report("settings_reload_failed")
+    report_error = process.ctx.error_reporter("settings_reload_failed")
     process.ctx.timers.call_repeatedly(RELOAD_INTERVAL, process.reload_settings, report_error)
 
 
--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from ..disk import frame
+from ..disk import encode_frame
 from ..errors import LeaseNotHeld, NoQuorum, RemoteError, StaleEpoch, StorageFull, WireError
 from ..timers import ZERO, ms, secs, spawn, wall_ms
 from ..wire.frame_pb2 import Empty
@@ -188,7 +188,7 @@
         if final:
             self.final, self.closed_ms = True, wall_ms(self._ctx.timers.utc_now())
         start = len(self.data)
-        self.data += b"".join(frame(r) for r in records)
+        self.data += b"".join(encode_frame(r) for r in records)
         await self._reach(len(self.data))
         return start
 
--- a/pipitlink/replicated_log/replicated_log.py
+++ b/pipitlink/replicated_log/replicated_log.py
@@ -36,7 +36,7 @@
         self.leaseholders: dict[str, Leaseholder] = {}
 
     def open(self):
-        self._ctx.timers.call_repeatedly(RENEW_INTERVAL, self._renew, self._ctx.report("renew"))
+        self._ctx.timers.call_repeatedly(RENEW_INTERVAL, self._renew, self._ctx.error_reporter("renew"))
 
     def placement_group(self, log: str) -> PlacementGroup:
         return self._ctx.cluster.placement_group(placement_group_of(log, self._ctx.cluster.placement_groups))
--- a/pipitlink/router/batch_run.py
+++ b/pipitlink/router/batch_run.py
@@ -44,7 +44,7 @@
             d.callback(None)
 
     async def _feed_batches(self):
-        while not self._ctx.timers.ended:
+        while not self._ctx.timers.stopped:
             try:
                 waits = self._feed_once()
             except Exception as e:
--- a/pipitlink/router/batches.py
+++ b/pipitlink/router/batches.py
@@ -6,7 +6,7 @@
 import attrs
 from twisted.internet import defer
 
-from ..disk import frames
+from ..disk import decode_frames
 from ..errors import PipitlinkError
 from ..rendezvous import rank
 from ..timers import ZERO, RepeatingCall, ms, secs
@@ -124,7 +124,7 @@
         """Takes in what has become durable."""
         data = bytes(self.leaseholder.data[self.position : self.leaseholder.committed])
         at = 0
-        for _, body, end in frames(data):
+        for _, body, end in decode_frames(data):
             self.listing.learn(LogRecord.FromString(body))
             at = end
         self.position += at
@@ -172,7 +172,7 @@
         self._open_batch_run()
         self._open_batch_reads()
         self._list_timer = self._ctx.timers.call_repeatedly(
-            LIST_INTERVAL, self._list_batches, self._ctx.report("list_batches"), due=self._list_due
+            LIST_INTERVAL, self._list_batches, self._ctx.error_reporter("list_batches"), idle_time=self._list_due
         )
 
     async def _end_batches(self):
--- a/pipitlink/storage/copying.py
+++ b/pipitlink/storage/copying.py
@@ -36,7 +36,7 @@
     been away.
 
     Offers nothing to the node but its timers' work.
-    Needs of the node: `_ctx`, `log_store`, `_syncer`.
+    Needs of the node: `_ctx`, `log_store`, `_group_commit`.
     Owns `_mine`, `_behind`, `_told`, `_led`, `_mend_at` and `_joins`.
     Shares `_quiet_groups` with Grants: a placement group that the node gets is added to it.
     """
@@ -48,8 +48,8 @@
         self._mend_at = ZERO
         self._told: dict[int, tuple[int, timedelta]] = {}
         self._ctx.cluster.watch(self._placement_groups_moved)
-        every, report = self._ctx.timers.call_repeatedly, self._ctx.report
-        self._joins = every(JOIN_INTERVAL, self._join_placement_groups, report("join"), due=self._join_due)
+        every, report = self._ctx.timers.call_repeatedly, self._ctx.error_reporter
+        self._joins = every(JOIN_INTERVAL, self._join_placement_groups, report("join"), idle_time=self._join_due)
         every(LOOK_INTERVAL, self._look_whether_away, report("away"))
         every(MEND_INTERVAL, self._mend_all, report("mend"))
 
@@ -153,7 +153,7 @@
                     await self._copy_log(log, state, storage_node)
                 epoch = promised.get(log, 0)
                 if epoch > self.log_store.state(log).epoch:
-                    await self._syncer.put(
+                    await self._group_commit.submit(
                         lambda t, log=log, epoch=epoch: self.log_store.promise(log, epoch, t, granted=False)
                     )
             except (ReplicatedLogError, WireError) as e:
@@ -178,7 +178,7 @@
             committed=min(state.committed, state.length),
             closed_ms=state.closed_ms,
         )
-        done = self._syncer.put(lambda t: self.log_store.copy(e, mine.tail_epoch, mine.length, t))
+        done = self._group_commit.submit(lambda t: self.log_store.copy(e, mine.tail_epoch, mine.length, t))
         if done is None:
             raise StaleEpoch(f"{log} moved meanwhile")
         await done
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -3,11 +3,11 @@
 import json
 from pathlib import Path
 
-from ..context import fresh_id
-from ..disk import Disk, swap_in
+from ..context import random_id
+from ..disk import Disk, replace_file
 from ..errors import SettingsError, StalePlacement, StorageFull
 from ..replicated_log.placement_group import placement_group_of
-from ..syncing import Syncer
+from ..group_commit import GroupCommit
 from ..timers import ms
 from ..wire.replicated_log_pb2 import (
     Entry,
@@ -42,8 +42,8 @@
         if kept["fleet"] != fleet:
             raise SettingsError([f"data: {folder} belongs to fleet {kept['fleet']!r}, not {fleet!r}"])
         return kept["node"]
-    node = fresh_id()
-    swap_in(path, json.dumps({"fleet": fleet, "node": node}).encode())
+    node = random_id()
+    replace_file(path, json.dumps({"fleet": fleet, "node": node}).encode())
     return node
 
 
@@ -65,7 +65,7 @@
         self.log_store = LogStore(
             Path(ctx.settings.data) / "logs", disk or Disk(), budget, max(budget // 10, 1024 * 1024)
         )
-        self._syncer = Syncer(ctx, self.log_store.segments, self.log_store.recover)
+        self._group_commit = GroupCommit(ctx, self.log_store.segments, self.log_store.recover)
         self._staged: dict[tuple[str, int], bytes] = {}
 
     def open(self):
@@ -99,7 +99,7 @@
             committed=ask.committed,
             closed_ms=ask.closed_ms,
         )
-        ticket = self._syncer.put(
+        ticket = self._group_commit.submit(
             lambda t: self.log_store.write(e, ask.expect_tail_epoch, ask.expect_length, ask.reserved, t)
         )
         if ticket is None:
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -18,7 +18,7 @@
     WrongPeer,
 )
 from ..timers import SingleFlight, Timers, ms, spawn
-from .connection import WIRE, RpcConnection, RpcConnectionFactory
+from .connection import PROTOCOL_VERSION, RpcConnection, RpcConnectionFactory
 from .frame_pb2 import Empty, Frame, Hello
 
 if TYPE_CHECKING:
@@ -72,7 +72,7 @@
 
     def hello(self) -> Hello:
         host, port = self.address
-        return Hello(fleet=self._fleet, wire=WIRE, node=self.node, incarnation=self.incarnation, host=host, port=port)
+        return Hello(fleet=self._fleet, protocol_version=PROTOCOL_VERSION, node=self.node, incarnation=self.incarnation, host=host, port=port)
 
     def check(self, hello: Hello) -> None:
         if hello.fleet != self._fleet:
--- a/rehearsal/stage.py
+++ b/rehearsal/stage.py
@@ -176,7 +176,7 @@
 
     def kill(self, power: bool = False):
         self.alive = self.frozen = False
-        self.ctx.timers.ended = True
+        self.ctx.timers.stopped = True
         self.clock.stop()
         if self.part is not None and self.role != "gateway":
             self.part.close()
@@ -367,6 +367,6 @@
             if a.alive:
                 a.kill()
         for timers in self._timers:
-            timers.end()
+            timers.stop()
         self._tokens.stop()
         shutil.rmtree(self.folder, ignore_errors=True)
--- a/tests/loss_parts.py
+++ b/tests/loss_parts.py
@@ -1,6 +1,6 @@
 """A staged fleet with many logs, losses of each kind, and what is whole in it."""
 
-from pipitlink.disk import frames
+from pipitlink.disk import decode_frames
 from pipitlink.errors import PipitlinkError
 from pipitlink.replicated_log.placement_group import placement_group_of
 from pipitlink.timers import ms, secs, spawn
@@ -214,5 +214,5 @@
                 self.run(0.5)
                 continue
             self.do(log.release([h]))
-            return {at: body for at, body, _ in frames(bytes(h.data))}
+            return {at: body for at, body, _ in decode_frames(bytes(h.data))}
         return {}
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -7,7 +7,7 @@
 from pipitlink.controller import ControllerNode
 from pipitlink.controller.leading import Leading
 from pipitlink.controller.voting import Voting
-from pipitlink.disk import frame
+from pipitlink.disk import encode_frame
 from pipitlink.replicated_log import Leaseholder
 from pipitlink.replicated_log.placement_group import placement_group_of
 from pipitlink.storage.log_store import LogStore
@@ -163,7 +163,7 @@
     def _around_log_append(self, plain):
         async def append(holder, records, *words, **named):
             start = await plain(holder, records, *words, **named)
-            end = start + sum(len(frame(r)) for r in records)
+            end = start + sum(len(encode_frame(r)) for r in records)
             self.acknowledged.append(Acknowledged(holder.log, holder.epoch, bytes(holder.data[:end])))
             return start
 
--- a/tests/router_parts.py
+++ b/tests/router_parts.py
@@ -93,7 +93,7 @@
 class _Node(Front, Choosing, Relay, Items):
     def __init__(self, ctx, rig):
         self._ctx = ctx
-        self.engines = ctx.engines = Engines(ctx)
+        self.engines = Engines(ctx)
         self.links = Links(ctx, rig.connect)
         self._open_front()
         self.engines.open()
@@ -140,7 +140,7 @@
             reactor=self.clock,
             settings=Settings(zone="zone-a"),
             logger=StructuredLogger(SimpleNamespace(log=lambda level, shape, line: self.lines.append(line))),
-            report=lambda what: lambda e: self.lines.append(f"{what} {e!r}"),
+            error_reporter=lambda what: lambda e: self.lines.append(f"{what} {e!r}"),
             engines=None,
         )
 
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -33,8 +33,8 @@
         self.addCleanup(fleet.stop)
         fleet.start()
         for hello in (
-            Hello(fleet="other", wire=1, node="x").SerializeToString(),
-            Hello(fleet="pipit", wire=9, node="x").SerializeToString(),
+            Hello(fleet="other", protocol_version=1, node="x").SerializeToString(),
+            Hello(fleet="pipit", protocol_version=9, node="x").SerializeToString(),
             b"\xff" * 40,
         ):
             with socket.create_connection(("127.0.0.1", fleet.programs["storage0"].ports[0]), timeout=5) as c:
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -5,7 +5,7 @@
 import unittest
 from pathlib import Path
 
-from pipitlink.disk import Disk, frames
+from pipitlink.disk import Disk, decode_frames
 from pipitlink.segments import Segments
 from rehearsal.interleave import Interleave, StepLock
 
@@ -54,7 +54,7 @@
                 told.extend(s.flush())
                 assert sorted(told) == ["one", "two"], f"told {told}"
                 data = (Path(folder.name) / str(count[0]) / "seg-00000001.log").read_bytes()
-                found = {body.decode(): (1, at) for at, body, _ in frames(data)}
+                found = {body.decode(): (1, at) for at, body, _ in decode_frames(data)}
                 assert found == spots, f"{found} is not {spots}"
                 s.close()
 
--- a/tests/test_membership_memory.py
+++ b/tests/test_membership_memory.py
@@ -23,7 +23,7 @@
             if path == membership._file:
                 written.append(data)
 
-        with unittest.mock.patch("pipitlink.membership.memory.swap_in", write):
+        with unittest.mock.patch("pipitlink.membership.memory.replace_file", write):
             for entry in list(membership._entries.values()):
                 entry.turn("missed", self.actor.ctx.timers.now())
                 membership._changed(entry)
--- a/tests/test_stage_logs.py
+++ b/tests/test_stage_logs.py
@@ -3,7 +3,7 @@
 import contextlib
 import unittest
 
-from pipitlink.disk import frames
+from pipitlink.disk import decode_frames
 from pipitlink.errors import LeaseNotHeld, PipitlinkError, StaleEpoch
 from pipitlink.timers import ms
 from rehearsal.stage import Stage
@@ -90,7 +90,7 @@
         data = bytes(stage.do(final(), 30).data)
         w.check(data)
         self.assertEqual(w.faults, [], trouble.told)
-        found = {at: body for at, body, _ in frames(data)}
+        found = {at: body for at, body, _ in decode_frames(data)}
         for at, body in w.acked.items():
             self.assertEqual(found.get(at), body, f"seed {seed}: acknowledged at {at} and gone; {trouble.told}")
         return len(w.acked), w.holds
@@ -130,7 +130,7 @@
         self.stage.run(3)
         state = self.stage.do(self.two.ctx.replicated_log.states(["results/a"]))["results/a"]
         data = self.stage.do(self.two.ctx.replicated_log.read("results/a", 0, state.committed))
-        self.assertEqual([b for _, b, _ in frames(data)], [b"one", b"two"])
+        self.assertEqual([b for _, b, _ in decode_frames(data)], [b"one", b"two"])
 
     def test_a_new_leaseholder_keeps_a_tail_that_only_one_storage_node_was_sent(self):
         h = self.stage.do(self.one.ctx.replicated_log.hold("results/b"))
@@ -143,7 +143,7 @@
         self.stage.heal()
         self.stage.run(4)
         h2 = self.stage.do(self.two.ctx.replicated_log.hold("results/b"))
-        bodies = [b for _, b, _ in frames(bytes(h2.data))]
+        bodies = [b for _, b, _ in decode_frames(bytes(h2.data))]
         self.assertEqual(bodies[0], b"first")
         self.stage.do(h2.append([b"next"]))
         states = [a.part.log_store.state("results/b") for a in self.stage.role("storage")]
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -36,7 +36,7 @@
         self.callee.register_handler("probe", ProbeFor, self._probe)
         here, there = RpcConnection(self.caller), RpcConnection(self.callee)
         self.pump = iosim.connect(there, iosim.makeFakeServer(there), here, iosim.makeFakeClient(here))
-        self.caller._streams[PLACE] = here
+        self.caller._connections[PLACE] = here
 
     def _endpoint(self, node):
         return RpcEndpoint(None, self.timers, StructuredLogger(_Quiet()), "pipit", node)
