--- a/pipitlink/gateway/relaying.py
+++ b/pipitlink/gateway/relaying.py
@@ -9,9 +9,9 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.web.client import Agent, HTTPConnectionPool, ResponseDone
 
+from ..body_producer import BytesBodyProducer
 from ..errors import ApiError, EngineError, ReplicatedLogError, ServiceUnavailable
 from ..timers import secs, spawn
-from ..body_producer import BytesBodyProducer
 
 __all__ = ["Relaying"]
 
--- a/pipitlink/router/links.py
+++ b/pipitlink/router/links.py
@@ -8,9 +8,9 @@
 from twisted.web._newclient import HTTP11ClientProtocol, Request
 from twisted.web.http_headers import Headers
 
+from ..body_producer import BytesBodyProducer
 from ..errors import EngineError, ServiceUnavailable
 from ..timers import ms, secs
-from ..body_producer import BytesBodyProducer
 
 __all__ = ["Link", "Links"]
 
--- a/rehearsal/plug.py
+++ b/rehearsal/plug.py
@@ -42,9 +42,9 @@
         return self._mine() in self._now().get("full", ())
 
     @hookimpl
-    def outbound(self, place, method):
+    def outbound(self, address, method):
         told = self._now()
-        mine, theirs = self._mine(), "{}:{}".format(*place)
+        mine, theirs = self._mine(), "{}:{}".format(*address)
         if [mine, theirs] in told.get("cuts", ()):
             return defer.Deferred()
         delay = told.get("delays", {}).get(theirs) or told.get("delays", {}).get(mine)
