--- a/pipitlink/controller/control.py
+++ b/pipitlink/controller/control.py
@@ -11,7 +11,7 @@
 from ..wire.membership_pb2 import EngineUpdate
 from .edits import edit_base, edit_id
 
-__all__ = ["Control", "ControlFace"]
+__all__ = ["Control", "ControlServer"]
 
 MAX_BODY = 8 * 1024 * 1024
 
@@ -110,12 +110,12 @@
         return _send(request, self._words.format_retirement(await self._controller.retirement(storage_node)))
 
 
-class ControlFace:
+class ControlServer:
     """The controller's address for operators and engines, in the words of the dialect."""
 
     def __init__(self, ctx, controller):
         self._ctx = ctx
-        self._control = Control(ctx, controller, ctx.dialect)
+        self._control = ControlApi(ctx, controller, ctx.dialect)
         self._port = None
 
     async def listen(self, host: str, port: int) -> int:
--- a/pipitlink/controller/edits.py
+++ b/pipitlink/controller/edits.py
@@ -168,7 +168,7 @@
         raw = _body(request)
         if set(raw) - {"rows", "sequence"} or not isinstance(raw.get("rows"), dict):
             raise BadRequest('the body must be {"rows": {name: row}}', code="bad_field", field="rows")
-        edit = TableEdit(base=edit_base(request), whole=True, puts=rows_from(raw["rows"]))
+        edit = TableEdit(base=edit_base(request), whole=True, puts=parse_rows(raw["rows"]))
         return await self._do_edit(request, Command(edit=edit_id(request), table=edit))
 
     @http_handler
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -110,7 +110,7 @@
 
     def add_routes(self, add):
         super().add_routes(add)
-        Control(self._ctx, self, ControlFormat()).add_routes(add)
+        ControlApi(self._ctx, self, ControlFormat()).add_routes(add)
 
     def _take_cluster_state(self, s: Snapshot):
         self.cluster_state = ClusterState(s.cluster_state)
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -34,7 +34,7 @@
 
     from twisted.python.failure import Failure
 
-    from .controller import ControlFace
+    from .controller import ControlServer
     from .node_interfaces import Node
 
 __all__ = ["Process", "run"]
@@ -100,7 +100,7 @@
         self.node: Node | None = None
         self._stopping = False
         self._operator_server: OperatorServer | None = None
-        self._control_server: ControlFace | None = None
+        self._control_server: ControlServer | None = None
 
     async def start(self) -> None:
         """Opens the node, its servers and its services, and joins the cluster.
@@ -190,9 +190,9 @@
         settings = self.ctx.settings
         if self.ctx.role != "controller" or not settings.control_port:
             return
-        from .controller import ControlFace
+        from .controller import ControlServer
 
-        self._control_server = ControlFace(self.ctx, self.node)
+        self._control_server = ControlServer(self.ctx, self.node)
         await self._control_server.listen(settings.bind, settings.control_port)
 
     async def stop(self) -> None:
--- a/tests/test_loss_model.py
+++ b/tests/test_loss_model.py
@@ -5,7 +5,8 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from pipitlink.controller.voters import Voters
+from pipitlink.controller.voter_changes import VoterChanges
+
 from pipitlink.replicated_log.placement_group import PlacementGroup, majority
 from pipitlink.settings import Settings
 
@@ -81,7 +82,7 @@
                 self.assertTrue(group.agree([d for d in group.everyone if d != lost]), f"{lost} of {group}")
 
 
-class _Leader(Voters):
+class _Leader(VoterChanges):
     """The choice of the next voters alone, at a leader that knows who is lost and who stands by."""
 
     def __init__(self, losses, lost, standbys):
@@ -138,7 +139,7 @@
             self.assertEqual(stuck(losses), [])
 
     def test_a_standby_that_is_added_first_may_stop_all(self):
-        with mock.patch.object(Voters, "_next_voters", _added_first):
+        with mock.patch.object(VoterChanges, "_next_voters", _added_first):
             self.assertTrue(stuck(1) and stuck(2))
 
     def test_all_places_are_filled_by_those_that_stand_by(self):
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 from klein import Klein
+from pipitlink.controller.control_api import ControlApi
 
 from pipitlink.cluster.routes import RouteTable
-from pipitlink.controller.control import Control
 from pipitlink.errors import BadRequest
 from rehearsal.stage import Stage
 
@@ -189,7 +189,7 @@
 
     def test_every_path_leads_to_its_handler(self):
         app = Klein()
-        Control(None, None, self.control_format).add_routes(app.route)
+        ControlApi(None, None, self.control_format).add_routes(app.route)
         at = app.url_map.bind("x")
         for method, path, action, named in (
             ("GET", "/config", "show_config", {}),
