--- a/rehearsal/hollow.py
+++ b/rehearsal/hollow.py
@@ -291,7 +291,9 @@
 
     async def do_count(self):
         counts = sum((n.rpc.counts for n in self.nodes), Counter())
-        leads = any(n.role == "controller" and n.part is not None and n.part.state == "leader" for n in self.nodes)
+        leads = any(
+            n.role == "controller" and n.part is not None and n.part.consensus.role == "leader" for n in self.nodes
+        )
         return {
             "at": self.now(),
             "counts": counts,
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -4,9 +4,10 @@
 from hashlib import blake2b
 from unittest import mock
 
+from pipitlink.controller.elections import Elections
+from pipitlink.controller.log_replication import LogReplication
+
 from pipitlink.controller import ControllerNode
-from pipitlink.controller.leading import Leading
-from pipitlink.controller.voting import Voting
 from pipitlink.disk import encode_frame
 from pipitlink.replicated_log import Leaseholder
 from pipitlink.replicated_log.placement_group import placement_group_of
@@ -190,7 +191,7 @@
             if a.ctx.cluster.ready():
                 self.admitted.append(Admitted(now, a.node, a.ctx.cluster.cluster_state.table))
         leader = self.stage.leader()
-        for g in leader.part.cluster_state.placement_groups.values() if leader else ():
+        for g in leader.part.consensus.cluster_state.placement_groups.values() if leader else ():
             if not g.joining and self._moved.setdefault(g.number, g.sequence) < g.sequence:
                 self._moved[g.number] = g.sequence
                 self._look_at_copies(g)
--- a/tests/stored_parts.py
+++ b/tests/stored_parts.py
@@ -9,8 +9,9 @@
 from random import Random
 from unittest import mock
 
+from pipitlink.controller.durable_log import DurableLog
+
 from pipitlink.cluster import ClusterState
-from pipitlink.controller.archive import Archive
 from pipitlink.disk import Disk
 from pipitlink.storage import node_id
 from pipitlink.storage.log_store import LogStore
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -6,10 +6,10 @@
 from random import Random
 from unittest import mock
 
+from pipitlink.controller.durable_log import DurableLog
 from twisted.internet import defer
 
 from pipitlink import segments
-from pipitlink.controller.archive import Archive
 from pipitlink.controller.log_replay import LogReplay
 from pipitlink.errors import CorruptData, StorageFull
 from pipitlink.segments import Segments
