--- a/pipitlink/controller/__init__.py
+++ b/pipitlink/controller/__init__.py
@@ -1,6 +1,6 @@
 """Controllers: elections, the agreed log, and all that the leader decides."""
 
-from .control import ControlFace
+from .control_api import ControlServer
 from .node import ControllerNode
 
-__all__ = ["ControlFace", "ControllerNode"]
+__all__ = ["ControlServer", "ControllerNode"]
--- /dev/null
+++ b/pipitlink/controller/control_api.py
@@ -0,0 +1,182 @@
+"""The HTTP interface for configurations, zones, retirements and engine announcements."""
+
+from collections.abc import Callable
+from hashlib import blake2b
+from typing import TYPE_CHECKING, Any, Protocol
+
+from klein import Klein
+from twisted.web.server import Request
+
+from ..cluster.routes import RouteTable
+from ..context import Context
+from ..dialect.control import ControlWords
+from ..errors import ApiError, BadRequest, NotFound
+from ..web import Site, answered, listen, send_fault, send_json
+from ..wire.cluster_pb2 import Command, ConfigEdit, ZoneEdit
+from ..wire.membership_pb2 import EngineUpdate
+from .edit_requests import edit_base, edit_id, read_body
+from .edit_submission import EditSubmission
+from .engine_announcements import EngineAnnouncements
+from .engine_registry import EngineState
+from .order_fencing import OrderFencing
+from .outcome_codes import OutcomeCode
+from .storage_retirement import StorageRetirement
+
+if TYPE_CHECKING:
+    from ..reactor_types import ListeningPort
+
+__all__ = ["ControlApi", "ControlServer", "ControllerServices"]
+
+MAX_BODY_BYTES = 8 * 1024 * 1024
+DIGEST_BYTES = 16
+MAX_SHOWN_PROBLEMS = 20
+
+
+class ControllerServices(Protocol):
+    """The parts of a controller that serve operators and engines."""
+
+    submission: EditSubmission
+    orders: OrderFencing
+    retirement: StorageRetirement
+    announcements: EngineAnnouncements
+
+
+def _send_body(request: Request, body: bytes, headers: dict[bytes, bytes] | None = None) -> bytes:
+    request.setHeader(b"Content-Type", b"application/json")
+    for name, value in (headers or {}).items():
+        request.setHeader(name, value)
+    return body
+
+
+def _default_edit_id(request: Request, base: int, body: bytes) -> str:
+    """Returns an id by the request's content: an edit that is sent again unchanged, to any controller, is the same."""
+    prefix = b"%b %d " % (request.method, base)
+    return "config-" + blake2b(prefix + body, digest_size=DIGEST_BYTES).hexdigest()
+
+
+def _check_config(edit: ConfigEdit) -> None:
+    """Raises BadRequest where a whole configuration is not consistent in itself."""
+    problems = RouteTable().edited(edit).problems()
+    if problems:
+        shown = problems[:MAX_SHOWN_PROBLEMS]
+        text = "; ".join(f"{problem['row']}.{problem['field']}: {problem['message']}" for problem in shown)
+        raise BadRequest(text, code="invalid")
+
+
+class ControlApi:
+    """HTTP handlers for configurations, zones, retirements and announcements of engines, in one dialect."""
+
+    def __init__(self, ctx: Context, services: ControllerServices, dialect: ControlWords) -> None:
+        self._ctx = ctx
+        self._services = services
+        self._dialect = dialect
+
+    def routes(self, add: Callable[..., Any]) -> None:
+        """Registers the handlers, by the dialect's paths, with the decorator factory of a klein app."""
+        for method, path, action in self._dialect.control_paths:
+            add(path, methods=[method], endpoint=f"control_{action}")(getattr(self, action))
+
+    @answered
+    async def show_config(self, request: Request) -> bytes:
+        """Answers with the whole configuration and its version."""
+        table = (await self._services.submission.newest_cluster_state()).routes
+        return _send_body(request, self._dialect.config_body(table.config()), {b"ETag": b'"%d"' % table.version})
+
+    @answered
+    async def put_config(self, request: Request) -> bytes:
+        """Replaces the configuration."""
+        return await self._edit_config(request, replace=True)
+
+    @answered
+    async def patch_config(self, request: Request) -> bytes:
+        """Adds, replaces and removes single routes and pools."""
+        return await self._edit_config(request, replace=False)
+
+    async def _edit_config(self, request: Request, replace: bool) -> bytes:
+        base = edit_base(request)
+        body = read_body(request)
+        edit = self._dialect.config_edit(body, base, replace)
+        if replace:
+            _check_config(edit)
+        command = Command(edit=edit_id(request, _default_edit_id(request, base, body)), config=edit)
+        outcome = await self._services.orders.submit(command)
+        if outcome.code == OutcomeCode.WRONG_BASE:
+            raise ApiError(
+                f"the configuration is at version {outcome.sequence}",
+                code=outcome.code,
+                status=412,
+                outcome="not_run",
+            )
+        if outcome.code != OutcomeCode.DONE:
+            raise BadRequest(f"the edit was refused: {outcome.code}", code=outcome.code)
+        answer = {"version": outcome.sequence, "edit": command.edit}
+        return send_json(request, answer, 200, {"ETag": f'"{outcome.sequence}"'})
+
+    @answered
+    async def empty_zone(self, request: Request, zone: str) -> bytes:
+        """Has a zone emptied."""
+        return await self._edit_zone(request, zone, empty=True)
+
+    @answered
+    async def fill_zone(self, request: Request, zone: str) -> bytes:
+        """Has a zone used again."""
+        return await self._edit_zone(request, zone, empty=False)
+
+    async def _edit_zone(self, request: Request, zone: str, empty: bool) -> bytes:
+        command = Command(edit=edit_id(request), zone=ZoneEdit(zone=zone, empty=empty))
+        outcome = await self._services.orders.submit(command)
+        if outcome.code != OutcomeCode.DONE:
+            raise ApiError(f"the edit was refused: {outcome.code}", code=outcome.code, status=422, outcome="not_run")
+        return send_json(request, {"sequence": outcome.sequence, "edit": command.edit})
+
+    @answered
+    async def put_engine(self, request: Request, engine: str) -> bytes:
+        """Takes an engine's announcement."""
+        await self._services.announcements.announce(self._dialect.engine_update(engine, read_body(request)))
+        return _send_body(request, self._dialect.engine_answer())
+
+    @answered
+    async def drop_engine(self, request: Request, engine: str) -> bytes:
+        """Takes an engine's announcement that it is gone."""
+        update = EngineUpdate(engine=engine, incarnation=1, state=EngineState.GONE)
+        await self._services.announcements.announce(update)
+        return _send_body(request, self._dialect.engine_answer())
+
+    @answered
+    async def retire(self, request: Request, storage_node: str) -> bytes:
+        """Has a storage node emptied."""
+        edit = edit_id(request)
+        sequence = await self._services.retirement.retire(storage_node, edit)
+        return send_json(request, {"sequence": sequence, "edit": edit}, 200, {"ETag": f'"{sequence}"'})
+
+    @answered
+    async def show_retirement(self, request: Request, storage_node: str) -> bytes:
+        """Answers whether a storage node is retired."""
+        status = await self._services.retirement.status(storage_node)
+        return _send_body(request, self._dialect.retirement_answer(status))
+
+
+class ControlServer:
+    """The controller's HTTP address for operators and engines, in the process's dialect."""
+
+    def __init__(self, ctx: Context, services: ControllerServices) -> None:
+        self._ctx = ctx
+        self._api = ControlApi(ctx, services, ctx.dialect)
+        self._port: ListeningPort | None = None
+
+    async def listen(self, host: str, port: int) -> int:
+        """Binds the address and returns its port. Raises CannotListenError."""
+        app = Klein()
+        self._api.routes(app.route)
+        app.route("/", defaults={"path": ""})(self._not_found)
+        app.route("/<path:path>")(self._not_found)
+        self._port, bound_port = await listen(self._ctx.reactor, Site(app.resource(), MAX_BODY_BYTES), host, port)
+        return int(bound_port)
+
+    async def end(self) -> None:
+        """Closes the port; open connections go on."""
+        if self._port is not None:
+            await self._port.stopListening()
+
+    def _not_found(self, request: Request, path: str) -> bytes:
+        return send_fault(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
--- /dev/null
+++ b/pipitlink/controller/engine_registry.py
@@ -0,0 +1,77 @@
+"""The engines that have announced themselves at this controller."""
+
+from collections.abc import Iterable
+from datetime import timedelta
+from enum import StrEnum
+
+import attrs
+
+from ..timers import Timers, secs, to_ms
+from ..wire.membership_pb2 import EngineList, EngineUpdate
+from .propagation import Propagation
+
+__all__ = ["AnnouncedEngine", "EngineRegistry", "EngineState"]
+
+EXPIRY = secs(30)
+GONE_EXPIRY = secs(60)
+"""An engine that is gone is remembered longer, so that a late announcement does not bring it back."""
+
+
+class EngineState(StrEnum):
+    """What an engine announces of itself."""
+
+    READY = "ready"
+    DRAINING = "leaving"
+    GONE = "gone"
+
+    @classmethod
+    def is_final(cls, state: str) -> bool:
+        """Returns whether an engine in this state takes no new requests any more."""
+        return state in (cls.DRAINING, cls.GONE)
+
+
+@attrs.define(eq=False)
+class AnnouncedEngine:
+    """The newest announcement of an engine, and the propagation of its last change of state, if there was one."""
+
+    update: EngineUpdate
+    received_at: timedelta
+    propagation: Propagation | None = None
+
+
+class EngineRegistry:
+    """The newest announcement of each engine, kept until the engine has been silent for a while."""
+
+    def __init__(self, timers: Timers) -> None:
+        self._timers = timers
+        self.engines: dict[str, AnnouncedEngine] = {}
+
+    def find(self, name: str) -> AnnouncedEngine | None:
+        """Returns the record of an engine, or None."""
+        return self.engines.get(name)
+
+    def add(self, name: str) -> AnnouncedEngine:
+        """Returns a new record with an empty announcement."""
+        engine = AnnouncedEngine(EngineUpdate(), self._timers.now())
+        self.engines[name] = engine
+        return engine
+
+    def engine_list(self, names: Iterable[str]) -> EngineList:
+        """Returns the announcements of these engines, each with its age; unknown names are left out."""
+        now = self._timers.now()
+        message = EngineList()
+        for name in names:
+            engine = self.engines.get(name)
+            if engine is not None:
+                update = message.engines.add()
+                update.CopyFrom(engine.update)
+                update.age_ms = to_ms(now - engine.received_at)
+        return message
+
+    def remove_expired(self) -> None:
+        """Removes the engines that have not announced themselves for a while."""
+        now = self._timers.now()
+        for name, engine in list(self.engines.items()):
+            expiry = GONE_EXPIRY if engine.update.state == EngineState.GONE else EXPIRY
+            if now - engine.received_at > expiry:
+                del self.engines[name]
--- /dev/null
+++ b/pipitlink/controller/gateway_notifier.py
@@ -0,0 +1,160 @@
+"""Sends engine announcements to all gateways, and knows which gateways can be reached."""
+
+from collections.abc import Iterable
+
+from ..context import Context
+from ..errors import WireError
+from ..timers import ms, secs
+from ..wire.frame_pb2 import Empty
+from ..wire.membership_pb2 import Member
+from .engine_registry import AnnouncedEngine, EngineRegistry
+from .interfaces import LeaderLog
+from .propagation import Propagation
+
+__all__ = ["GatewayNotifier"]
+
+CALL_LIMIT = ms(400)
+RETRY_INTERVAL = ms(200)
+RETRY_TIMEOUT = secs(3)
+LOSS_MEMORY = secs(60)
+"""Gateways that were lost within this time still count when a majority of the gateways is asked for."""
+REACHABLE = ("alive", "suspect")
+KNOWN = ("alive", "suspect", "gone")
+UPDATE_METHOD = "engines.tell"
+
+
+class GatewayNotifier:
+    """Sends announcements to the gateways: changes by calls that are retried, renewals mostly as notifications.
+
+    It owns which gateways did not answer their last call, which still lack a change, and which renewals are due.
+    """
+
+    def __init__(self, ctx: Context, registry: EngineRegistry, leader_log: LeaderLog) -> None:
+        self._ctx = ctx
+        self._registry = registry
+        self._leader_log = leader_log
+        self._renewed: set[str] = set()
+        self._pending: dict[str, set[str]] = {}
+        self._unreachable: set[str] = set()
+        self._turn = 0
+
+    def live_gateways(self) -> set[str]:
+        """Returns the nodes of the gateways that are alive by the membership."""
+        return {member.node for member in self._gateways(("alive",))}
+
+    def is_majority(self, nodes: Iterable[str]) -> bool:
+        """Returns whether these are more than half of the gateways, those included that were lost a short while ago.
+
+        Gateways count by their addresses, so that one that was restarted counts once.
+        """
+        membership = self._ctx.membership
+        addresses = {
+            (member.host, member.port)
+            for member in self._gateways(KNOWN)
+            if membership.status(member.node) != "gone" or membership.since(member.node) < LOSS_MEMORY
+        }
+        found = [member for node in nodes if (member := membership.find(node)) is not None]
+        return 2 * len({(member.host, member.port) for member in found} & addresses) > len(addresses)
+
+    def reaches_majority(self) -> bool:
+        """Returns whether the last calls came through to more than half of the gateways, as far as any are known."""
+        if not self._gateways(KNOWN):
+            return True
+        return self.is_majority(member.node for member in self._gateways() if member.node not in self._unreachable)
+
+    def add_renewal(self, engine: str) -> None:
+        """Has an engine's unchanged announcement sent with the next batch of renewals."""
+        self._renewed.add(engine)
+
+    def propagate(self, engine: AnnouncedEngine) -> Propagation:
+        """Starts sending a change to all gateways, with retries; returns its progress, also kept with the engine."""
+        engine.propagation = propagation = Propagation(member.node for member in self._gateways())
+        for gateway in propagation.gateways:
+            self._start_push(gateway, [engine.update.engine], propagation)
+        return propagation
+
+    def send_all(self, gateway: str) -> None:
+        """Starts sending all known announcements to one gateway, with retries."""
+        self._start_push(gateway, sorted(self._registry.engines), Propagation([gateway]))
+
+    def _gateways(self, status: tuple[str, ...] = REACHABLE) -> list[Member]:
+        members: list[Member] = self._ctx.membership.members("gateway", status=status, me=False)
+        return members
+
+    def _start_push(self, gateway: str, engines: list[str], propagation: Propagation) -> None:
+        self._ctx.run_in_background(self._push_with_retries(gateway, engines, propagation), "push_engines")
+
+    async def _push_with_retries(self, gateway: str, engines: list[str], propagation: Propagation) -> None:
+        """Calls a gateway until it acknowledges; after a while it is left to the batches of renewals."""
+        end = self._ctx.timers.now() + RETRY_TIMEOUT
+        try:
+            while self._ctx.membership.status(gateway) in REACHABLE:
+                if await self._push(gateway, engines):
+                    propagation.acknowledge(gateway)
+                    return
+                if self._ctx.timers.now() + RETRY_INTERVAL > end:
+                    self._add_pending(gateway, engines)
+                    return
+                await self._ctx.timers.sleep(RETRY_INTERVAL)
+        finally:
+            propagation.end_one()
+
+    async def _push(self, gateway: str, engines: Iterable[str]) -> bool:
+        """Calls a gateway once; returns whether it has acknowledged."""
+        member = self._ctx.membership.find(gateway)
+        if member is None:
+            return False
+        address = (member.host, member.port)
+        message = self._registry.engine_list(engines)
+        try:
+            await self._ctx.rpc.call(address, UPDATE_METHOD, message, Empty, CALL_LIMIT, node=gateway)
+        except WireError as error:
+            self._ctx.logger.debug("engine_push_failed", gateway=gateway, text=error)
+            self._unreachable.add(gateway)
+            return False
+        self._unreachable.discard(gateway)
+        return True
+
+    def _add_pending(self, gateway: str, engines: Iterable[str]) -> None:
+        self._pending.setdefault(gateway, set()).update(engines)
+
+    def send_renewals(self) -> None:
+        """Sends the batch of renewals that is due, and what gateways have not acknowledged in time.
+
+        Renewals go as notifications: what is lost of a batch is made good by the engines' next renewals, before they
+        count as silent. A gateway that has not acknowledged a change is called until it does, and so are those of
+        `_to_call`.
+        """
+        self._forget_unknown_gateways()
+        renewed, self._renewed = self._renewed, set()
+        pending, self._pending = self._pending, {}
+        gateways = self._gateways()
+        if renewed:
+            pending |= {member.node: pending.get(member.node, set()) for member in self._to_call(gateways)}
+        addresses = [(member.host, member.port) for member in gateways if member.node not in pending]
+        if renewed and addresses:
+            self._ctx.rpc.notify(addresses, UPDATE_METHOD, self._registry.engine_list(sorted(renewed)))
+        for member in gateways:
+            if member.node in pending:
+                work = self._push_pending(member.node, renewed | pending[member.node])
+                self._ctx.run_in_background(work, "push_engines")
+
+    def _to_call(self, gateways: list[Member]) -> list[Member]:
+        """Returns those that get renewals by a call, since only an answer shows that they are reached.
+
+        One of them in turn; all where one did not answer, or where this controller is out of touch with the leader.
+        """
+        if not self._leader_log.has_contact():
+            return gateways
+        if any(member.node in self._unreachable for member in gateways):
+            return gateways
+        self._turn += 1
+        return [gateways[self._turn % len(gateways)]] if gateways else []
+
+    async def _push_pending(self, gateway: str, engines: set[str]) -> None:
+        if not await self._push(gateway, sorted(engines)):
+            self._add_pending(gateway, engines)
+
+    def _forget_unknown_gateways(self) -> None:
+        membership = self._ctx.membership
+        self._unreachable = {node for node in self._unreachable if membership.find(node) is not None}
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -10,19 +10,24 @@
 from ..timers import ZERO, RepeatingCall, ms
 from ..wire.controller_pb2 import Snapshot
 from ..wire.frame_pb2 import Empty
-from .announcing import Announcing
 from .archive import Archive
-from .control import Control
-from .edits import Edits
+from .control_api import ControlApi
+from .core_adapter import CoreAdapter
+from .edit_submission import EditSubmission
+from .engine_announcements import EngineAnnouncements
 from .gateways import Gateways
 from .leading import Leading
-from .load_hub import LoadHub
-from .orders import Orders
-from .placement import Placement
-from .retiring import Retiring
+from .load_aggregator import LoadAggregator
+from .order_fencing import OrderFencing
+from .placement import PlacementController
+from .placement_planner import PlacementPlanner
 from .snapshots import Snapshots
-from .voters import Voters
+from .storage_nodes import StorageNodeView
+from .storage_retirement import StorageRetirement
+from .table_api import TableApi
+from .voter_changes import VoterChanges
 from .voting import Founding, Voting
+from .witness_changes import WitnessChanges
 
 __all__ = ["ControllerNode"]
 
@@ -34,14 +39,8 @@
     Voting,
     Leading,
     Gateways,
-    Edits,
-    Orders,
-    Retiring,
-    Announcing,
-    LoadHub,
-    Placement,
-    Voters,
     Snapshots,
+    CoreAdapter,
     StateMachineMixin,
 ):
     """A controller: takes part in the agreement on the cluster state, and serves it.
@@ -51,11 +50,17 @@
     - Founding names the first voters of a new fleet; Voting holds elections and writes the ballots.
     - Leading replicates the log while this node leads, and takes in the leader's entries while it follows.
     - Gateways leases the cluster state to followers and turns an agreed command into an edit that is in effect.
-    - Edits and Retiring serve operators, at any controller, by way of the leader's Gateways and Leading; Orders fences
-      what operators order, so that no copy takes effect late.
-    - Announcing passes news of engines on to gateways, and LoadHub sums of loads; both depend on neither leader nor
-      majority.
-    - Placement and Voters run on the leader's timers and propose changes of placement groups and of voters.
+    - CoreAdapter offers these to the other parts under the names of `interfaces`.
+
+    The other parts are objects that this class composes:
+
+    - EditSubmission forwards edits and reads to the leader, by way of its Gateways and Leading. OrderFencing sees to it
+      that no copy of an operator's order takes effect late. StorageRetirement, TableApi and ControlApi serve operators,
+      at any controller.
+    - EngineAnnouncements passes announcements of engines on to gateways, and LoadAggregator sums of loads; both depend
+      on neither leader nor majority.
+    - PlacementController, WitnessChanges and VoterChanges run on the leader's timers and propose changes of placement
+      groups, storage nodes and voters.
 
     This class owns archive, applied cluster state and timers, applies what is committed, and takes snapshots.
     """
@@ -72,6 +77,21 @@
         self.lead_timers: list[RepeatingCall] = []
         self._elections: RepeatingCall | None = None
         self._init_state_machine()
+        self.submission = EditSubmission(ctx, consensus=self, leader_log=self, delivery=self, calls=self)
+        self.orders = OrderFencing(ctx, consensus=self, submission=self.submission)
+        self.table_api = TableApi(ctx, self.submission, self.orders)
+        self.announcements = EngineAnnouncements(ctx, leader_log=self)
+        self.load_aggregator = LoadAggregator(ctx)
+        self.voter_changes = VoterChanges(ctx, consensus=self, leader_log=self)
+        self._compose_placement()
+
+    def _compose_placement(self):
+        ctx = self._ctx
+        storage_nodes = StorageNodeView(ctx, consensus=self, leader_log=self)
+        planner = PlacementPlanner(ctx, self, storage_nodes)
+        self.placement = PlacementController(ctx, self, self, storage_nodes, planner)
+        self.witnesses = WitnessChanges(ctx, self, self, delivery=self, storage_nodes=storage_nodes)
+        self.retirement = StorageRetirement(ctx, self.submission, self.orders, storage_nodes)
 
     def open(self):
         self.archive.recover()
@@ -80,11 +100,11 @@
         self._open_voting()
         self._open_leading()
         self._open_gateways()
-        self._open_edits()
-        self._open_orders()
-        self._open_placement()
-        self._open_announcing()
-        self._open_load_hub()
+        self.submission.open()
+        self.orders.open()
+        self.placement.open()
+        self.announcements.open()
+        self.load_aggregator.open()
         self._ctx.rpc.register_handler("controller.empty", Empty, self._empty)
         if self.archive.snapshot.cluster_state.voters:
             self.trigger("founded")
@@ -97,20 +117,32 @@
         )
         for span, do, what in (
             (ms(100), self._lead_beat, "leading"),
-            (ms(300), self._voters_beat, "voters"),
+            (ms(300), self.voter_changes.update_voters, "voters"),
         ):
             self.lead_timers.append(
                 b.call_repeatedly(span, do, report(what), due=lambda: ZERO if self.state == "leader" else None)
             )
-
-        self._open_placement_timers()
+        self.lead_timers += [self.placement.start_timer(), self.witnesses.start_timer()]
 
     def _say(self):
         self._ctx.logger.info("controller_founded", term=self.term, last=self.archive.last_index())
 
     def routes(self, add):
-        super().routes(add)
-        Control(self._ctx, self, ControlWords()).routes(add)
+        self.table_api.routes(add)
+        ControlApi(self._ctx, self, ControlWords()).routes(add)
+
+    def readiness(self):
+        return bool(self.leader), {"leader": self.leader, "state": self.state, "term": self.term}
+
+    def beliefs(self) -> dict:
+        return {}
+
+    def metrics(self) -> dict:
+        return {
+            "term": ("The agreement's term", self.term),
+            "leading": ("1 where this controller leads", int(self.state == "leader")),
+            "agreed": ("The agreed log's index", self.commit),
+        }
 
     def _take_cluster_state(self, s: Snapshot):
         self.cluster_state = ClusterState(s.cluster_state)
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -1,193 +1,102 @@
-"""Places placement groups on storage nodes and moves them off lost or retiring ones."""
+"""Places placement groups on storage nodes, and moves them off lost or retiring ones."""
 
-from collections import Counter
 from datetime import timedelta
 
-from ..cluster import ClusterState
-from ..errors import ApiError
-from ..timers import ZERO, RepeatingCall, ms, secs
-from ..wire.cluster_pb2 import Command, PlacementGroupRow, StorageNodeEdit
-from ..wire.cluster_pb2 import Placement as PlacementRow
-from ..wire.membership_pb2 import Member
+from ..context import Context
+from ..timers import RepeatingCall, ms, secs
+from ..wire.cluster_pb2 import Command, PlacementGroupRow
+from ..wire.cluster_pb2 import Placement as PlacementChange
 from ..wire.replicated_log_pb2 import CaughtUp
-from .moves import Moves
-
-__all__ = ["Placement"]
-
-SETTLE = secs(1)
-FEWER_AFTER = secs(5)
-BACK_SPAN = secs(15)
-LEAST_COPIES = 3
-LOOK_INTERVAL = ms(100)
-IDLE_LOOK = ms(300)
-
-
-class Placement(Moves):
-    """Mixin: the leader places placement groups on storage nodes, zones kept distinct where possible, and moves them
-    off lost ones.
-
-    Offers `_open_placement_timers` and `check_retirement`.
-    Needs of the node: `_ctx`, `archive`, `cluster_state`, `commit`, `state`; of Gateways: `edit`, `followers`,
-    `_in_effect`; of Leading and Voting: `_propose`, `_elected_at`, `term`.
-    Owns `_caught_up_placement_groups` and `_look_at_placement`.
-    """
-
-    def _open_placement(self):
-        self._caught_up_placement_groups: set[tuple[int, int, str]] = set()
-        self._look_at_placement: RepeatingCall | None = None
-        self._ctx.rpc.register_handler("controller.caught_up", CaughtUp, self._told_caught_up)
-
-    def _open_placement_timers(self):
-        every, report = self._ctx.timers.call_repeatedly, self._ctx.report
-        self._look_at_placement = every(
-            LOOK_INTERVAL, self._placement_beat, report("placement"), due=self._placement_due
+from .interfaces import ConsensusView, LeaderLog
+from .leadership import may_change_placement
+from .placement_planner import CaughtUpReplica, PlacementPlanner
+from .storage_nodes import StorageNodeView
+
+__all__ = ["PlacementController"]
+
+FEWER_REPLICAS_AFTER = secs(5)
+"""A new cluster begins with fewer replicas than the settings ask for only after this time."""
+MIN_REPLICAS = 3
+CHECK_INTERVAL = ms(100)
+IDLE_CHECK_INTERVAL = ms(300)
+
+
+class PlacementController:
+    """Runs at the leader: creates the placement groups, and proposes the changes that the planner chooses."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        consensus: ConsensusView,
+        leader_log: LeaderLog,
+        storage_nodes: StorageNodeView,
+        planner: PlacementPlanner,
+    ) -> None:
+        self._ctx = ctx
+        self._consensus = consensus
+        self._leader_log = leader_log
+        self._storage_nodes = storage_nodes
+        self._planner = planner
+        self._timer: RepeatingCall | None = None
+
+    def open(self) -> None:
+        """Registers the RPC handler for reports of storage nodes."""
+        self._ctx.rpc.register_handler("controller.caught_up", CaughtUp, self._handle_caught_up)
+
+    def start_timer(self) -> RepeatingCall:
+        """Starts the timer and returns it, so that it can be woken when this controller becomes the leader."""
+        self._timer = self._ctx.timers.call_repeatedly(
+            CHECK_INTERVAL, self._update_placement, self._ctx.report("placement"), due=self._next_check
         )
-        witnesses = every(LOOK_INTERVAL, self._witnesses_beat, report("witnesses"), due=self._witnesses_due)
-        self.lead_timers += [self._look_at_placement, witnesses]
-
-    async def _told_caught_up(self, node, told: CaughtUp):
-        self._caught_up_placement_groups.add((told.placement_group, told.sequence, told.storage_node))
-        if len(self._caught_up_placement_groups) > 10_000:
-            self._caught_up_placement_groups.clear()
-        self._look_at_placement.wake()
+        return self._timer
 
-    def _placement_due(self) -> timedelta | None:
-        return IDLE_LOOK if self.state == "leader" else None
+    async def _handle_caught_up(self, _node: str, report: CaughtUp) -> None:
+        replica = CaughtUpReplica(report.placement_group, report.sequence, report.storage_node)
+        self._planner.add_caught_up(replica)
+        if self._timer is not None:
+            self._timer.wake()
 
-    def _witnesses_due(self) -> timedelta | None:
-        if self.state != "leader":
-            return None
-        return ZERO if self.cluster_state.settled != self.cluster_state.witnesses_at else IDLE_LOOK
+    def _next_check(self) -> timedelta | None:
+        return IDLE_CHECK_INTERVAL if self._consensus.is_leader else None
 
-    def _may_place(self) -> bool:
-        agreed = self.state == "leader" and self.archive.term_at(self.commit) == self.term
-        return agreed and self._ctx.timers.now() - self._elected_at >= SETTLE
-
-    async def _witnesses_beat(self):
-        """Settles the last change of the witnesses, then makes the next."""
-        if not self._may_place():
+    async def _update_placement(self) -> None:
+        if not may_change_placement(self._ctx, self._consensus, self._leader_log):
             return
-        await self._settle_witnesses()
-        if self.cluster_state.settled == self.cluster_state.witnesses_at:
-            await self._admit_storage_node() or await self._let_storage_node_go()
-
-    async def _placement_beat(self):
-        if not self._may_place():
+        if not self._consensus.cluster_state.placement_groups:
+            await self._create_groups()
             return
-        if not self.cluster_state.placement_groups:
-            await self._first_placement_groups()
-            return
-        rows = self._next_moves()
-        if rows:
-            await self._propose(Command(placement=PlacementRow(placement_groups=rows)))
-            for r in rows:
-                self._ctx.logger.info(
-                    "placement_group",
-                    placement_group=r.number,
-                    sequence=r.sequence,
-                    storage_nodes=",".join(r.storage_nodes),
-                    joining=r.joining,
-                    leaving=r.leaving,
-                )
-
-    async def _proved(self, c: Command):
-        """One change of the witnesses at a time, each in effect before the next, by more than half of them."""
-        await self.edit(c, secs(3))
-
-    async def _settle_witnesses(self):
-        """Says in the cluster state that the last change of the witnesses is in effect; only then is half of them
-        enough.
-        """
-        at = self.cluster_state.witnesses_at
-        if at != self.cluster_state.settled and self._in_effect(at):
-            await self._propose(Command(settled=at))
-
-    async def _admit_storage_node(self) -> bool:
-        for m in self._newcomers(self.cluster_state):
-            if m.node not in self.followers:
-                continue
-            await self._proved(
-                Command(storage_node=StorageNodeEdit(storage_node=m.node, status="serving", name=m.name))
-            )
-            self._ctx.logger.info("storage_node_admitted", storage_node=m.node, zone=m.zone)
-            return True
-        return False
-
-    def _name_retired(self, name: str) -> bool:
-        """Whether a storage node of this name was retired: its machine is on its way out, also with an empty disk."""
-        return bool(name) and any(
-            self.cluster_state.storage_nodes[d] != "serving"
-            for d, n in self.cluster_state.storage_node_names.items()
-            if n == name
+        changes = self._planner.next_changes()
+        if changes:
+            await self._propose(changes)
+            for change in changes:
+                self._log_change(change)
+
+    async def _propose(self, groups: list[PlacementGroupRow]) -> None:
+        await self._leader_log.propose(Command(placement=PlacementChange(placement_groups=groups)))
+
+    def _log_change(self, group: PlacementGroupRow) -> None:
+        self._ctx.logger.info(
+            "placement_group",
+            placement_group=group.number,
+            sequence=group.sequence,
+            storage_nodes=",".join(group.storage_nodes),
+            joining=group.joining,
+            leaving=group.leaving,
         )
 
-    async def _let_storage_node_go(self) -> bool:
-        """A storage node that keeps no placement group any more: a retired one may be switched off, a lost one is
-        taken off.
-        """
-        for storage_node, status in self.cluster_state.storage_nodes.items():
-            if not self.cluster_state.placement_groups or self._holds(self.cluster_state)[storage_node]:
-                continue
-            if status == "retiring" or (status != "retired" and self._lost(storage_node)):
-                goal = "retired" if status == "retiring" else "removed"
-                await self._proved(Command(storage_node=StorageNodeEdit(storage_node=storage_node, status=goal)))
-                self._ctx.logger.info("storage_node_let_go", storage_node=storage_node, status=goal)
-                return True
-        return False
-
-    async def _first_placement_groups(self):
-        if self._newcomers(self.cluster_state):
+    async def _create_groups(self) -> None:
+        """Proposes the first placement groups, once enough storage nodes are admitted."""
+        if self._storage_nodes.candidates(self._consensus.cluster_state):
             return
-        storage_nodes = self._serving()
-        copies = self._ctx.settings.copies
-        if len(storage_nodes) < copies:
-            waited = self._ctx.timers.now() - self._elected_at > FEWER_AFTER
-            if not waited or len(storage_nodes) < LEAST_COPIES:
+        storage_nodes = self._storage_nodes.serving()
+        replicas = self._ctx.settings.copies
+        if len(storage_nodes) < replicas:
+            waited = self._ctx.timers.now() - self._leader_log.elected_at
+            if waited <= FEWER_REPLICAS_AFTER or len(storage_nodes) < MIN_REPLICAS:
                 return
-            copies = LEAST_COPIES
-        held: Counter = Counter()
-        rows = []
-        for n in range(self._ctx.settings.placement_groups):
-            picked: list[str] = []
-            while len(picked) < copies:
-                picked.append(self._pick_storage_node(storage_nodes, picked, held))
-                held[picked[-1]] += 1
-            rows.append(PlacementGroupRow(number=n, sequence=1, storage_nodes=picked))
-        await self._propose(Command(placement=PlacementRow(placement_groups=rows)))
-        self._ctx.logger.info("shelved", placement_groups=len(rows), storage_nodes=len(storage_nodes))
-
-    def check_retirement(self, cluster_state: ClusterState, storage_node: str):
-        """Refuses where too few machines would be left; one that is away for a while, or not admitted yet, counts."""
-        rest = [
-            d
-            for d, s in cluster_state.storage_nodes.items()
-            if s == "serving" and d != storage_node and not self._replaced(d)
-        ]
-        copies = self._ctx.settings.copies
-        left = len(rest) + len(self._newcomers(cluster_state))
-        if left < copies:
-            soon = left + self._just_gone(cluster_state) >= copies
-            raise ApiError(
-                f"{left} storage nodes would be left and each placement group needs {copies}",
-                code="too_few_copies_now" if soon else "too_few_copies",
-                status=503 if soon else 409,
-                outcome="not_run",
-                retry_after=1 if soon else 0,
-            )
-
-    def _just_gone(self, cluster_state: ClusterState) -> int:
-        """How many were taken off the cluster state a short while ago, and may be back at any time."""
-        return sum(
-            m.node not in cluster_state.storage_nodes
-            and self._ctx.membership.since(m.node) < BACK_SPAN
-            and not self._replaced(m.node)
-            for m in self._ctx.membership.members("storage", status=("gone",))
+            replicas = MIN_REPLICAS
+        groups = self._planner.initial_groups(storage_nodes, replicas)
+        await self._propose(groups)
+        self._ctx.logger.info(
+            "placement_groups_created", placement_groups=len(groups), storage_nodes=len(storage_nodes)
         )
-
-    def _newcomers(self, cluster_state: ClusterState) -> list[Member]:
-        """Live storage nodes that are still to be admitted."""
-        return [
-            m
-            for m in self._ctx.membership.members("storage", status=("alive",))
-            if m.node not in cluster_state.storage_nodes and not self._name_retired(m.name)
-        ]
--- /dev/null
+++ b/pipitlink/controller/storage_nodes.py
@@ -0,0 +1,104 @@
+"""The storage nodes as the leader sees them: which serve, which are lost, which are to be admitted."""
+
+from datetime import timedelta
+from enum import StrEnum
+
+from ..cluster import ClusterState
+from ..context import Context
+from ..timers import secs
+from ..wire.membership_pb2 import Member
+from .interfaces import ConsensusView, LeaderLog
+
+__all__ = ["StorageNodeView", "StorageStatus"]
+
+REPAIR_DELAY = secs(5)
+"""How long a storage node that nothing replaces must be away until its replicas are placed elsewhere."""
+SUCCESSOR_TIME = secs(15)
+"""Only a storage node that was met less than this long ago is taken for another one's successor."""
+MET_TOGETHER = secs(2)
+"""Nodes that were met within this time of each other count as met at once, as after a start of this process."""
+
+
+class StorageStatus(StrEnum):
+    """The status of a storage node in the cluster state; REMOVED takes it off."""
+
+    SERVING = "serving"
+    RETIRING = "retiring"
+    RETIRED = "retired"
+    REMOVED = "removed"
+
+
+class StorageNodeView:
+    """What cluster state and membership together say of the storage nodes. It owns no state."""
+
+    def __init__(self, ctx: Context, consensus: ConsensusView, leader_log: LeaderLog) -> None:
+        self._ctx = ctx
+        self._consensus = consensus
+        self._leader_log = leader_log
+
+    def serving(self) -> list[str]:
+        """Returns the storage nodes that serve and are alive."""
+        return [
+            node
+            for node, status in self._consensus.cluster_state.storage_nodes.items()
+            if status == StorageStatus.SERVING and self._ctx.membership.status(node) == "alive"
+        ]
+
+    def candidates(self, cluster_state: ClusterState) -> list[Member]:
+        """Returns live storage nodes that are still to be admitted to this cluster state."""
+        return [
+            member
+            for member in self._ctx.membership.members("storage", status=("alive",))
+            if member.node not in cluster_state.storage_nodes and not self._is_name_retired(member.name)
+        ]
+
+    def is_lost(self, node: str) -> bool:
+        """Returns whether a storage node's replicas are to be placed elsewhere, since it is not expected back."""
+        status = self._ctx.membership.status(node)
+        if status == "unknown":
+            return self._time_since_election() > REPAIR_DELAY or self.is_replaced(node)
+        if status != "gone":
+            return False
+        gone_for = self._ctx.membership.since(node)
+        return gone_for > REPAIR_DELAY or self.is_replaced(node) or self.has_successor(node)
+
+    def is_replaced(self, node: str) -> bool:
+        """Returns whether another storage node has taken its address or name, so that it cannot come back.
+
+        The name is taken from the cluster state, so that it is known also where no controller has met the node since
+        all of them started.
+        """
+        name = self._consensus.cluster_state.storage_node_names.get(node, "")
+        replaced: bool = self._ctx.membership.replaced(node, name)
+        return replaced
+
+    def has_successor(self, node: str) -> bool:
+        """Returns whether a serving storage node was met lately and a while after this one.
+
+        It is taken for this one's successor, so that a repair need not wait.
+        """
+        known_for = self._ctx.membership.met_ago(node)
+        if known_for is None:
+            return False
+        limit = min(known_for - MET_TOGETHER, SUCCESSOR_TIME)
+        return any(
+            self._was_met_within(member.node, limit)
+            and self._consensus.cluster_state.storage_nodes.get(member.node) == StorageStatus.SERVING
+            for member in self._ctx.membership.members("storage", status=("alive",))
+        )
+
+    def _was_met_within(self, node: str, limit: timedelta) -> bool:
+        known_for = self._ctx.membership.met_ago(node)
+        return known_for is not None and known_for < limit
+
+    def _time_since_election(self) -> timedelta:
+        return self._ctx.timers.now() - self._leader_log.elected_at
+
+    def _is_name_retired(self, name: str) -> bool:
+        """Returns whether a storage node of this name is retired: its machine is on its way out, even if emptied."""
+        cluster_state = self._consensus.cluster_state
+        return bool(name) and any(
+            cluster_state.storage_nodes[node] != StorageStatus.SERVING
+            for node, known_name in cluster_state.storage_node_names.items()
+            if known_name == name
+        )
--- /dev/null
+++ b/pipitlink/controller/voter_changes.py
@@ -0,0 +1,125 @@
+"""Changes of the voters: how many there are, who replaces a lost one, and over which zones they lie."""
+
+from collections import Counter
+from collections.abc import Iterable
+
+from ..context import Context
+from ..timers import secs
+from ..wire.cluster_pb2 import Command, Controllers
+from ..wire.membership_pb2 import Member
+from .interfaces import ConsensusView, LeaderLog
+from .zones import count_by_zone, zone_of
+
+__all__ = ["VoterChanges"]
+
+Voters = tuple[str, ...]
+
+CAUGHT_UP_TIME = secs(1)
+CAUGHT_UP_ENTRIES = 50
+NO_MATCH_INDEX = -1
+LOSS_TIMEOUTS = {"gone": secs(1), "unknown": secs(2), "suspect": secs(3)}
+"""How long a voter must be silent, by what the membership says of it, until it is replaced."""
+
+
+class VoterChanges:
+    """Runs at the leader: keeps as many voters as the settings ask for, over as many zones as can be.
+
+    One voter changes at a time. A lost voter is removed before another is added, so that the number of votes that is
+    needed never rises on the way.
+    """
+
+    def __init__(self, ctx: Context, consensus: ConsensusView, leader_log: LeaderLog) -> None:
+        self._ctx = ctx
+        self._consensus = consensus
+        self._leader_log = leader_log
+
+    async def update_voters(self) -> None:
+        """Proposes changes, each once the one before is committed, until there is none to make. For a timer."""
+        while self._may_change():
+            voters = self._consensus.voters()
+            change = self._next_voters(voters)
+            if change is None:
+                return
+            self._ctx.logger.info("voters", was=",".join(voters), next=",".join(change))
+            await self._leader_log.propose(Command(controllers=Controllers(voters=change)))
+
+    def _may_change(self) -> bool:
+        """Returns whether this leader has an entry of its term committed, and the last change of voters as well."""
+        if not self._consensus.is_leader or not self._consensus.term_is_committed():
+            return False
+        return self._consensus.voters() == self._consensus.cluster_state.voters
+
+    def _next_voters(self, voters: Voters) -> Voters | None:
+        """Returns the next set of voters, one more or one less, or None where nothing is to be changed or can be."""
+        wanted = self._ctx.settings.copies
+        lost = [voter for voter in voters if self._is_lost(voter)]
+        live = [voter for voter in voters if voter not in lost]
+        if len(voters) > wanted:
+            return self._without(voters, live, lost[0] if lost else self._spare_voter(voters))
+        standbys = self._standbys(voters, live)
+        if lost and standbys and len(voters) % 2:
+            return self._without(voters, live, lost[0])
+        if standbys and (len(voters) < wanted or self._evens_zones(live, standbys[0])):
+            return self._with(voters, live, standbys[0])
+        return None
+
+    def _is_caught_up(self, node: str) -> bool:
+        """Returns whether a controller has answered lately, and its log is not far behind."""
+        responded_at = self._leader_log.last_response_at(node)
+        if responded_at is None or self._ctx.timers.now() - responded_at >= CAUGHT_UP_TIME:
+            return False
+        match_index = self._leader_log.match_index(node)
+        if match_index is None:
+            match_index = NO_MATCH_INDEX
+        return match_index >= self._consensus.commit_index - CAUGHT_UP_ENTRIES
+
+    def _is_lost(self, voter: str) -> bool:
+        status = self._ctx.membership.status(voter)
+        if voter == self._ctx.node or status == "alive":
+            return False
+        if self._ctx.membership.replaced(voter):
+            return True
+        if status == "gone" and self._ctx.membership.since(voter) <= LOSS_TIMEOUTS["gone"]:
+            return False
+        elected_at = self._leader_log.elected_at
+        responded_at = self._leader_log.last_response_at(voter)
+        last_contact_at = elected_at if responded_at is None else max(responded_at, elected_at)
+        lost: bool = self._ctx.timers.now() - last_contact_at > LOSS_TIMEOUTS[status]
+        return lost
+
+    def _without(self, voters: Voters, live: list[str], leaving: str) -> Voters | None:
+        """Returns the voters without one, or None where the live ones would be no majority of them."""
+        remaining = tuple(voter for voter in voters if voter != leaving)
+        return remaining if 2 * sum(voter in live for voter in remaining) > len(remaining) else None
+
+    def _with(self, voters: Voters, live: list[str], joining: str) -> Voters | None:
+        """Returns the voters and one more, or None where the live ones would be no majority of them."""
+        return tuple(sorted((*voters, joining))) if 2 * (len(live) + 1) > len(voters) + 1 else None
+
+    def _standbys(self, voters: Voters, live: list[str]) -> list[str]:
+        """Returns the controllers that could vote at once, those from zones with the fewest voters first."""
+        zones = self._zone_counts(live)
+        members: list[Member] = [
+            member
+            for member in self._ctx.membership.members("controller", status=("alive",), me=False)
+            if member.node not in voters and self._is_caught_up(member.node)
+        ]
+        members.sort(key=lambda member: (zones[member.zone], member.node))
+        return [member.node for member in members]
+
+    def _evens_zones(self, voters: list[str], standby: str) -> bool:
+        """Returns whether a zone has fewer voters once this standby has replaced one of them."""
+        zones = self._zone_counts(voters)
+        return max(zones.values()) > zones[self._zone(standby)] + 1
+
+    def _spare_voter(self, voters: Voters) -> str:
+        """Returns the voter that can be spared best: another one than the leader, in the zone with the most voters."""
+        zones = self._zone_counts(voters)
+        others = [voter for voter in voters if voter != self._ctx.node]
+        return max(others, key=lambda voter: (zones[self._zone(voter)], voter))
+
+    def _zone(self, node: str) -> str:
+        return zone_of(self._ctx.membership, node)
+
+    def _zone_counts(self, nodes: Iterable[str]) -> Counter[str]:
+        return count_by_zone(self._ctx.membership, nodes)
--- /dev/null
+++ b/pipitlink/controller/witness_changes.py
@@ -0,0 +1,106 @@
+"""Admits storage nodes to the cluster state and removes them, one change of the witnesses at a time."""
+
+from datetime import timedelta
+
+from ..context import Context
+from ..timers import ZERO, RepeatingCall, ms, secs
+from ..wire.cluster_pb2 import Command, StorageNodeEdit
+from .interfaces import ConsensusView, EditDelivery, LeaderLog
+from .leadership import may_change_placement
+from .placement_planner import replicas_per_node
+from .storage_nodes import StorageNodeView, StorageStatus
+
+__all__ = ["WitnessChanges"]
+
+CHECK_INTERVAL = ms(100)
+IDLE_CHECK_INTERVAL = ms(300)
+CHANGE_TIMEOUT = secs(3)
+
+
+class WitnessChanges:
+    """Runs at the leader: changes the set of witnesses, which are the storage nodes that are not retired.
+
+    Each change is in effect at more than half of the witnesses before the next begins.
+    """
+
+    def __init__(
+        self,
+        ctx: Context,
+        consensus: ConsensusView,
+        leader_log: LeaderLog,
+        delivery: EditDelivery,
+        storage_nodes: StorageNodeView,
+    ) -> None:
+        self._ctx = ctx
+        self._consensus = consensus
+        self._leader_log = leader_log
+        self._delivery = delivery
+        self._storage_nodes = storage_nodes
+
+    def start_timer(self) -> RepeatingCall:
+        """Starts the timer and returns it, so that it can be woken when this controller becomes the leader."""
+        return self._ctx.timers.call_repeatedly(
+            CHECK_INTERVAL, self._update_witnesses, self._ctx.report("witnesses"), due=self._next_check
+        )
+
+    def _next_check(self) -> timedelta | None:
+        if not self._consensus.is_leader:
+            return None
+        return IDLE_CHECK_INTERVAL if self._is_confirmed() else ZERO
+
+    def _is_confirmed(self) -> bool:
+        """Returns whether the cluster state says that the last change of the witnesses is in effect."""
+        cluster_state = self._consensus.cluster_state
+        return cluster_state.settled == cluster_state.witnesses_at
+
+    async def _update_witnesses(self) -> None:
+        """Confirms the last change of the witnesses, then makes the next."""
+        if not may_change_placement(self._ctx, self._consensus, self._leader_log):
+            return
+        await self._confirm_change()
+        if not self._is_confirmed():
+            return
+        admitted = await self._admit_storage_node()
+        if not admitted:
+            await self._release_storage_node()
+
+    async def _confirm_change(self) -> None:
+        """Proposes that the last change of the witnesses is in effect; only then is half of them enough."""
+        changed_at = self._consensus.cluster_state.witnesses_at
+        if not self._is_confirmed() and self._delivery.is_in_effect(changed_at):
+            await self._leader_log.propose(Command(settled=changed_at))
+
+    async def _admit_storage_node(self) -> bool:
+        """Admits a live storage node that follows the cluster state; returns whether there was one."""
+        for member in self._storage_nodes.candidates(self._consensus.cluster_state):
+            if member.node in self._delivery.followers:
+                await self._change(
+                    StorageNodeEdit(storage_node=member.node, status=StorageStatus.SERVING, name=member.name)
+                )
+                self._ctx.logger.info("storage_node_admitted", storage_node=member.node, zone=member.zone)
+                return True
+        return False
+
+    async def _release_storage_node(self) -> None:
+        """Releases a storage node without replicas: a retiring one is retired, a lost one is removed."""
+        for node, status in self._consensus.cluster_state.storage_nodes.items():
+            target = self._release_target(node, status)
+            if target is not None:
+                await self._change(StorageNodeEdit(storage_node=node, status=target))
+                self._ctx.logger.info("storage_node_let_go", storage_node=node, status=target.value)
+                return
+
+    def _release_target(self, node: str, status: str) -> StorageStatus | None:
+        """Returns the status that a storage node is released to, or None where it stays."""
+        cluster_state = self._consensus.cluster_state
+        if not cluster_state.placement_groups or replicas_per_node(cluster_state)[node]:
+            return None
+        if status == StorageStatus.RETIRING:
+            return StorageStatus.RETIRED
+        if status != StorageStatus.RETIRED and self._storage_nodes.is_lost(node):
+            return StorageStatus.REMOVED
+        return None
+
+    async def _change(self, edit: StorageNodeEdit) -> None:
+        """Returns once the change is in effect at more than half of the witnesses."""
+        await self._delivery.edit(Command(storage_node=edit), CHANGE_TIMEOUT)
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -1,5 +1,6 @@
 """Failure detection and gossip: who is in the fleet, and who is heard."""
 
+from collections.abc import Callable
 from datetime import timedelta
 from hashlib import blake2b
 
@@ -57,7 +58,7 @@
         self._ctx.timers.call_repeatedly(PROBE_INTERVAL, self._beat, self._ctx.report("membership_beat"))
         self._ctx.timers.call_repeatedly(secs(1), self._greet_seeds, self._ctx.report("membership_seeds"))
 
-    def watch(self, do):
+    def watch(self, do: Callable[[Member], object]) -> None:
         self._watchers.append(do)
 
     def carry(self, fill, take):
--- a/pipitlink/web.py
+++ b/pipitlink/web.py
@@ -1,6 +1,8 @@
 """Shared HTTP server parts: bounded bodies, JSON responses, errors as JSON."""
 
 import json
+from collections.abc import Callable
+from typing import Any
 
 from twisted.internet import defer
 from twisted.web import resource, server
@@ -100,7 +102,7 @@
     return opened, opened.getHost().port
 
 
-def send_json(request, body, status: int = 200, headers: dict | None = None):
+def send_json(request, body, status: int = 200, headers: dict | None = None) -> bytes:
     """Sets status and headers of a JSON response and returns its body, which the handler is to return."""
     request.setResponseCode(status)
     request.setHeader(b"Content-Type", b"application/json")
@@ -128,7 +130,7 @@
     return ApiError("the module failed on this request", code="internal", status=500, outcome="unknown")
 
 
-def send_fault(request, e: Exception):
+def send_fault(request, e: Exception) -> bytes:
     """Sets up the JSON error response for an exception and returns its body.
 
     An exception that is no ApiError is mapped to one first; what is not known becomes a 500 with outcome unknown.
@@ -145,7 +147,7 @@
     return send_json(request, {"error": body}, f.status, headers)
 
 
-def answered(do):
+def answered(do: Callable[..., Any]) -> Callable[..., Any]:
     """Wraps a klein handler written as a coroutine: errors become JSON, a lost caller ends the work."""
 
     def handler(self, request, *words, **named):
--- a/tests/test_loss_guards.py
+++ b/tests/test_loss_guards.py
@@ -4,8 +4,9 @@
 import unittest.mock
 from collections import Counter
 
-from pipitlink.controller.moves import Moves
-from pipitlink.controller.voters import Voters
+from pipitlink.controller.placement_planner import PlacementPlanner
+from pipitlink.controller.storage_nodes import StorageNodeView
+from pipitlink.controller.voter_changes import VoterChanges
 from pipitlink.membership import Membership
 from pipitlink.replicated_log.placement_group import PlacementGroup
 from pipitlink.settings import Settings
@@ -69,7 +70,7 @@
 def retired_and_wiped(stage):
     """A storage node is retired and taken away; then one of those that took its copies over loses its disk."""
     gone, other = stage.role("storage")[2], stage.role("storage")[0]
-    stage.do(stage.leader().part.retire(gone.node, "retire"), 10)
+    stage.do(stage.leader().part.retirement.retire(gone.node, "retire"), 10)
     stage.until(
         lambda: stage.leader() and stage.leader().part.cluster_state.storage_nodes.get(gone.node) == "retired",
         8,
@@ -115,10 +116,10 @@
     @staticmethod
     def out():
         return (
-            unittest.mock.patch.object(Voters, "_voter_zones", _no_zones),
-            unittest.mock.patch.object(Moves, "_zones", _no_zones),
-            unittest.mock.patch.object(Moves, "_spreading_out", lambda self, held, serving: []),
-            unittest.mock.patch.object(Voters, "_spreads", lambda self, live, standby: False),
+            unittest.mock.patch.object(VoterChanges, "_zone_counts", _no_zones),
+            unittest.mock.patch.object(PlacementPlanner, "_zone_counts", _no_zones),
+            unittest.mock.patch.object(PlacementPlanner, "_rebalance_zones", lambda self, load, serving: []),
+            unittest.mock.patch.object(VoterChanges, "_evens_zones", lambda self, live, standby: False),
         )
 
 
@@ -127,7 +128,7 @@
 
 
 THREE = property(lambda self: 3)
-_NO_SUCCESSOR = _out(Moves, "_successor_met", lambda self, storage_node: False)
+_NO_SUCCESSOR = _out(StorageNodeView, "has_successor", lambda self, node: False)
 GUARDS = {
     "copies follow from the losses to bear": (two_copies_wiped, GROWN, _out(Settings, "copies", THREE)),
     "voters follow from the losses to bear": (two_voters_wiped, GROWN, _out(Settings, "copies", THREE)),
--- a/tests/test_loss_model.py
+++ b/tests/test_loss_model.py
@@ -5,9 +5,10 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from pipitlink.controller.voters import Voters
+from pipitlink.controller.voter_changes import VoterChanges
 from pipitlink.replicated_log.placement_group import PlacementGroup, majority
 from pipitlink.settings import Settings
+from pipitlink.wire.membership_pb2 import Member
 
 SIZES = (3, 4, 5)
 
@@ -81,23 +82,21 @@
                 self.assertTrue(group.agree([d for d in group.everyone if d != lost]), f"{lost} of {group}")
 
 
-class _Leader(Voters):
+class _Leader(VoterChanges):
     """The choice of the next voters alone, at a leader that knows who is lost and who stands by."""
 
     def __init__(self, losses, lost, standbys):
         self._lost, self._spares = set(lost), list(standbys)
         settings = Settings(machine_losses=losses)
-        self._ctx = SimpleNamespace(settings=settings, node="a")
+        membership = SimpleNamespace(find=lambda node: Member(node=node, zone=node))
+        self._ctx = SimpleNamespace(settings=settings, node="a", membership=membership)
 
-    def _lost_voter(self, node):
+    def _is_lost(self, node):
         return node in self._lost
 
     def _standbys(self, voters, live):
         return [s for s in self._spares if s not in voters]
 
-    def _zone(self, node):
-        return node
-
 
 def steps(losses, lost, standbys):
     """The sets of voters from the first to the last, one change after the other."""
@@ -124,7 +123,7 @@
 
 def _added_first(self, voters):
     """The rule as it was: a standby is added before the lost voter is taken off."""
-    lost = [v for v in voters if self._lost_voter(v)]
+    lost = [v for v in voters if self._is_lost(v)]
     live = [v for v in voters if v not in lost]
     if len(voters) > self._ctx.settings.copies:
         return self._without(voters, live, lost[0])
@@ -138,7 +137,7 @@
             self.assertEqual(stuck(losses), [])
 
     def test_a_standby_that_is_added_first_may_stop_all(self):
-        with mock.patch.object(Voters, "_next_voters", _added_first):
+        with mock.patch.object(VoterChanges, "_next_voters", _added_first):
             self.assertTrue(stuck(1) and stuck(2))
 
     def test_all_places_are_filled_by_those_that_stand_by(self):
--- a/tests/test_order_guards.py
+++ b/tests/test_order_guards.py
@@ -6,8 +6,8 @@
 from unittest import mock
 
 from pipitlink.cluster import ClusterState, cluster_state
-from pipitlink.controller import orders
-from pipitlink.controller.orders import Orders
+from pipitlink.controller import order_fencing
+from pipitlink.controller.order_fencing import OrderFencing
 from pipitlink.timers import ZERO
 from rehearsal.history import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen, check_history
 
@@ -158,8 +158,13 @@
 GUARDS = {
     "a refusal is judged anew": (early_sent_again, ClusterState, "apply", _apply_and_remember),
     "an order is fenced": (held_on_its_way_to_the_leader, ClusterState, "_late", lambda self, c, what: False),
-    "a controller that woke takes no order": (held_in_a_frozen_socket, Orders, "check_timely", lambda self, at: None),
-    "an order's caller is still there": (arrived_after_its_caller_had_left, orders, "HANG_UP_SPAN", ZERO),
+    "a controller that woke takes no order": (
+        held_in_a_frozen_socket,
+        OrderFencing,
+        "check_timely",
+        lambda self, at: None,
+    ),
+    "an order's caller is still there": (arrived_after_its_caller_had_left, order_fencing, "HANG_UP_DELAY", ZERO),
     "a change builds on the version in force": (two_on_one_base, ClusterState, "_apply_config", _apply_on_any_base),
     "what was taken is remembered": (sent_again, ClusterState, "known", lambda self, c: None),
     "an id stands for one content": (two_under_one_id, cluster_state, "_content", lambda c: b""),
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from pipitlink.cluster import ClusterState, cluster_state
-from pipitlink.controller.control import Control
+from pipitlink.controller.control_api import ControlApi
 from pipitlink.web import Site
 from pipitlink.wire.cluster_pb2 import Command, ConfigEdit, StorageNodeEdit, TableEdit, ZoneEdit
 from rehearsal.stage import Stage
@@ -244,7 +244,7 @@
 
     def test_an_order_whose_bytes_arrive_together_with_its_callers_leaving_is_not_carried_out(self):
         app = Klein()
-        Control(self.held.ctx, self.held.part, self.caller.words).routes(app.route)
+        ControlApi(self.held.ctx, self.held.part, self.caller.words).routes(app.route)
         for leaves in (True, False):
             connection = Site(app.resource(), 1000).buildProtocol(None)
             transport = StringTransport()
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -10,7 +10,7 @@
 from klein import Klein
 
 from pipitlink.cluster.routes import RouteTable
-from pipitlink.controller.control import Control
+from pipitlink.controller.control_api import ControlApi
 from pipitlink.errors import BadRequest
 from rehearsal.stage import Stage
 
@@ -187,7 +187,7 @@
 
     def test_every_path_leads_to_its_handler(self):
         app = Klein()
-        Control(None, None, self.words).routes(app.route)
+        ControlApi(None, None, self.words).routes(app.route)
         at = app.url_map.bind("x")
         for method, path, action, named in (
             ("GET", "/config", "show_config", {}),
--- a/tests/test_stage_controllers.py
+++ b/tests/test_stage_controllers.py
@@ -164,7 +164,7 @@
         self.stage.cut([leader.name], [a for a in self.stage.actors if a != leader.name])
         with self.assertRaises(Unconfirmed):
             self.stage.do(
-                other.part._ask_leader(
+                other.part.submission._call_leader(
                     "controller.edit", EditRequest(command=edit_of("r", 0, "passed on")), EditResponse
                 ),
                 3,
@@ -209,7 +209,7 @@
     def test_half_of_the_witnesses_are_not_enough_while_their_set_changes(self):
         leader, timers = self.stage.leader().part, self.stage.timers()
         leader.cluster_state.settled -= 1
-        leader._settle_witnesses = lambda: timers.sleep(ms(0))
+        leader.witnesses._confirm_change = lambda: timers.sleep(ms(0))
         for a in self.stage.role("storage")[:2]:
             a.kill()
         with self.assertRaises(PipitlinkError):
--- a/tests/test_stage_cut_off.py
+++ b/tests/test_stage_cut_off.py
@@ -4,7 +4,8 @@
 import unittest.mock
 from datetime import UTC, datetime
 
-from pipitlink.controller import announcing, gateways
+from pipitlink.controller import gateways
+from pipitlink.controller.gateway_notifier import GatewayNotifier
 from pipitlink.controller.leading import Leading
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import secs
@@ -126,7 +127,7 @@
                 self.assertLess(self.last_acknowledged(role), 2.5)
 
     def test_without_the_guard_notes_that_nobody_answers_are_taken_for_told(self):
-        with unittest.mock.patch.object(announcing.Announcing, "_to_call", lambda self, gateways: []):
+        with unittest.mock.patch.object(GatewayNotifier, "_to_call", lambda self, gateways: []):
             for role in (None, "gateway"):
                 self.assertGreater(self.last_acknowledged(role), 2.5)
 
@@ -161,7 +162,7 @@
 
     def test_announcements_are_acknowledged_that_no_gateway_hears(self):
         s = Scene(self)
-        with unittest.mock.patch.object(announcing.Announcing, "_reaches_most", lambda self: True):
+        with unittest.mock.patch.object(GatewayNotifier, "reaches_majority", lambda self: True):
             s.play(s.controller("voter"), "both", changing=False)
         self.assertTrue(any("PUT engine" in line for line in s.wrong()), s.wrong())
 
@@ -186,7 +187,7 @@
         self.assertEqual(self.acknowledged(seen=2)[0], 200)
 
     def test_without_the_guard_one_gateway_is_enough(self):
-        with unittest.mock.patch.object(announcing.Announcing, "_most", lambda self, nodes: bool(list(nodes))):
+        with unittest.mock.patch.object(GatewayNotifier, "is_majority", lambda self, nodes: bool(list(nodes))):
             self.assertIn(200, self.acknowledged(seen=1))
 
 
--- a/tests/test_stage_loss_steps.py
+++ b/tests/test_stage_loss_steps.py
@@ -123,7 +123,7 @@
         timers = stage.timers()
         for _ in range(20):
             try:
-                return await timers.with_timeout(secs(2), stage.leader().part.retire(node, "retire"))
+                return await timers.with_timeout(secs(2), stage.leader().part.retirement.retire(node, "retire"))
             except (PipitlinkError, AttributeError):
                 await timers.sleep(ms(200))
 
--- a/tests/test_stage_placement.py
+++ b/tests/test_stage_placement.py
@@ -2,6 +2,7 @@
 
 import unittest
 
+from pipitlink.controller.placement_planner import replicas_per_node
 from pipitlink.disk import frames
 from pipitlink.errors import ApiError, PipitlinkError
 from pipitlink.timers import ms
@@ -95,7 +96,7 @@
         stage, logs = self.stage(8, storage_nodes=4)
         gone = stage.role("storage")[2]
         part = stage.leader().part
-        part.check_retirement(part.cluster_state, gone.node)
+        part.retirement.check_capacity(part.cluster_state, gone.node)
         stage.do(part.edit(Command(storage_node=StorageNodeEdit(storage_node=gone.node, status="retiring"))))
         stage.until(
             lambda: stage.leader() and stage.leader().part.cluster_state.storage_nodes.get(gone.node) == "retired",
@@ -103,7 +104,9 @@
             "it may be switched off",
         )
         with self.assertRaises(ApiError) as no:
-            stage.leader().part.check_retirement(stage.leader().part.cluster_state, stage.role("storage")[0].node)
+            stage.leader().part.retirement.check_capacity(
+                stage.leader().part.cluster_state, stage.role("storage")[0].node
+            )
         self.assertEqual(no.exception.code, "too_few_copies")
         gone.kill()
         stage.run(3)
@@ -114,7 +117,7 @@
         new = stage.add("storage", "storage7", "zone-d", 1700)
         new.start()
         stage.until(
-            lambda: stage.leader() and stage.leader().part._holds(stage.leader().part.cluster_state)[new.node] >= 2,
+            lambda: stage.leader() and replicas_per_node(stage.leader().part.cluster_state)[new.node] >= 2,
             60,
             "it has placement groups",
         )
--- a/tests/test_stage_second_loss.py
+++ b/tests/test_stage_second_loss.py
@@ -51,7 +51,7 @@
     if leader is None:
         return False
     try:
-        stage.do(leader.part.retire(actor.node, "retire"), 10)
+        stage.do(leader.part.retirement.retire(actor.node, "retire"), 10)
     except ApiError as e:
         if e.status != 503:
             raise
