--- /dev/null
+++ b/pipitlink/controller/bootstrap.py
@@ -0,0 +1,82 @@
+"""Bootstraps a new cluster: the first voters, named by the settings, agree on who they are."""
+
+from ..context import Context
+from ..errors import WireError
+from ..timers import ZERO, ms
+from ..wire.cluster_pb2 import ClusterStateData
+from ..wire.controller_pb2 import BootstrapResponse, Snapshot
+from ..wire.frame_pb2 import Empty
+from ..wire.rpc import Address
+from .consensus_state import ConsensusState
+from .snapshot_transfer import SnapshotManager
+
+__all__ = ["Bootstrap"]
+
+CALL_LIMIT = ms(400)
+INTERVAL = ms(300)
+
+
+class Bootstrap:
+    """Makes the controllers of the setting `founders` the first voters, if every one of them is a newcomer.
+
+    The first of the list decides, once it has heard all of them; the others learn the voters from any that has them.
+    """
+
+    def __init__(self, ctx: Context, consensus: ConsensusState, snapshots: SnapshotManager) -> None:
+        self._ctx = ctx
+        self._consensus = consensus
+        self._snapshots = snapshots
+
+    def open(self) -> None:
+        """Answers other controllers from now on."""
+        self._ctx.rpc.register_handler("controller.empty", Empty, self._answer)
+
+    def start_timer(self) -> None:
+        """Tries to bootstrap from now on, until this controller is no newcomer any more."""
+        self._ctx.timers.call_repeatedly(
+            INTERVAL,
+            self._try_bootstrap,
+            self._ctx.report("bootstrap"),
+            due=lambda: ZERO if self._consensus.is_newcomer else None,
+        )
+
+    async def _try_bootstrap(self) -> None:
+        founders = self._ctx.settings.founders
+        if not self._consensus.is_newcomer or not founders:
+            return
+        responses = [await self._ask(_address(founder)) for founder in founders]
+        answered = [response for response in responses if response is not None]
+        for response in answered:
+            if self._ctx.node in response.voters:
+                await self._install_voters(tuple(response.voters))
+                return
+        decides = _address(founders[0]) == self._ctx.rpc.address
+        all_empty = len(answered) == len(responses) and not any(response.bootstrapped for response in answered)
+        if decides and all_empty:
+            await self._install_voters(tuple(sorted(response.node for response in answered)))
+
+    async def _ask(self, address: Address) -> BootstrapResponse | None:
+        try:
+            response: BootstrapResponse = await self._ctx.rpc.call(
+                address, "controller.empty", Empty(), BootstrapResponse, CALL_LIMIT
+            )
+        except WireError:
+            return None
+        return response
+
+    async def _answer(self, _node: str, _request: Empty) -> BootstrapResponse:
+        bootstrapped = not self._consensus.is_newcomer
+        voters = self._consensus.initial_voters if bootstrapped else ()
+        return BootstrapResponse(node=self._ctx.node, bootstrapped=bootstrapped, voters=voters)
+
+    async def _install_voters(self, voters: tuple[str, ...]) -> None:
+        if not self._consensus.is_newcomer or self._ctx.node not in voters:
+            return
+        await self._snapshots.install(Snapshot(index=0, term=0, cluster_state=ClusterStateData(voters=voters)))
+        self._ctx.logger.info("bootstrapped", voters=",".join(voters))
+
+
+def _address(founder: str) -> Address:
+    """Returns the address in HOST:PORT."""
+    host, _, port = founder.rpartition(":")
+    return host, int(port)
--- /dev/null
+++ b/pipitlink/controller/consensus_state.py
@@ -0,0 +1,171 @@
+"""What one controller knows of the consensus: its role, the term, the leader, and the committed cluster state."""
+
+from collections.abc import Callable, Collection
+from enum import StrEnum
+
+from ..cluster import ClusterState
+from ..context import Context
+from ..state_machines import StateMachineMixin
+from ..wire.cluster_pb2 import Outcome
+from ..wire.controller_pb2 import Snapshot
+from .durable_log import DurableLog
+
+__all__ = ["ConsensusState", "ControllerRole"]
+
+
+class ControllerRole(StrEnum):
+    """A controller's role in the consensus; the values are the states of `voter.toml`."""
+
+    NEWCOMER = "newcomer"
+    FOLLOWER = "follower"
+    CANDIDATE = "candidate"
+    LEADER = "leader"
+
+
+class ConsensusState(StateMachineMixin):
+    """A controller's role, the leader it knows, the commit index, and the cluster state with all that is committed.
+
+    Term, vote, entries and voters stand in the durable log. Other parts register callbacks for changes of the role and
+    for entries that are applied; callbacks run in the order in which they were registered.
+    """
+
+    state_machine = "voter"
+
+    def __init__(self, ctx: Context, durable_log: DurableLog) -> None:
+        self._ctx = ctx
+        self._durable_log = durable_log
+        self.cluster_state = ClusterState()
+        self.commit_index = 0
+        self.leader_id = ""
+        self.initial_voters: tuple[str, ...] = ()
+        self._on_elected: list[Callable[[], None]] = []
+        self._on_stepped_down: list[Callable[[], None]] = []
+        self._on_applied: list[Callable[[int, int, Outcome], None]] = []
+        self._on_advanced: list[Callable[[], None]] = []
+        self._init_state_machine()
+
+    def when_elected(self, callback: Callable[[], None]) -> None:
+        """Has `callback` called each time this controller becomes the leader."""
+        self._on_elected.append(callback)
+
+    def when_stepped_down(self, callback: Callable[[], None]) -> None:
+        """Has `callback` called each time this controller ceases to be the leader."""
+        self._on_stepped_down.append(callback)
+
+    def when_applied(self, callback: Callable[[int, int, Outcome], None]) -> None:
+        """Has `callback` called with index, term and outcome of each entry that is applied."""
+        self._on_applied.append(callback)
+
+    def when_advanced(self, callback: Callable[[], None]) -> None:
+        """Has `callback` called after committed entries were applied."""
+        self._on_advanced.append(callback)
+
+    @property
+    def role(self) -> ControllerRole:
+        """This controller's present role."""
+        return ControllerRole(self.state)
+
+    @property
+    def is_newcomer(self) -> bool:
+        """Whether this controller has no cluster state yet."""
+        return self.state == ControllerRole.NEWCOMER
+
+    @property
+    def is_follower(self) -> bool:
+        """Whether this controller follows, or waits for, a leader."""
+        return self.state == ControllerRole.FOLLOWER
+
+    @property
+    def is_candidate(self) -> bool:
+        """Whether this controller stands for election."""
+        return self.state == ControllerRole.CANDIDATE
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this controller leads, as far as it knows."""
+        return self.state == ControllerRole.LEADER
+
+    def leads_in(self, term: int) -> bool:
+        """Returns whether this controller leads, and its term is still this one."""
+        return self.is_leader and self.term == term
+
+    @property
+    def term(self) -> int:
+        """The newest term that this controller has seen."""
+        return self._durable_log.hard_state.term
+
+    def voters(self) -> tuple[str, ...]:
+        """Returns the voters by the newest entry of the log, committed or not."""
+        return self._durable_log.voters()
+
+    def is_voter(self) -> bool:
+        """Returns whether this controller is one of the voters."""
+        return self._ctx.node in self.voters()
+
+    def is_majority(self, nodes: Collection[str]) -> bool:
+        """Returns whether more than half of the voters are among these nodes."""
+        voters = self.voters()
+        return 2 * sum(voter in nodes for voter in voters) > len(voters)
+
+    def term_is_committed(self) -> bool:
+        """Returns whether an entry of the present term is committed."""
+        return self._durable_log.term_at(self.commit_index) == self.term
+
+    async def observe_term(self, term: int) -> None:
+        """Follows from now on where a higher term was seen, and returns once that term is durable."""
+        if term > self.term:
+            self.step_down()
+            await self._durable_log.save_hard_state(term, "")
+
+    def bootstrapped(self) -> None:
+        """Makes a newcomer a follower, once it has a first cluster state."""
+        self.trigger("bootstrapped")
+
+    def start_election(self) -> None:
+        """Makes a follower a candidate."""
+        self.trigger("start_election")
+
+    def win_election(self) -> None:
+        """Makes a candidate the leader."""
+        self.trigger("win_election")
+
+    def step_down(self) -> None:
+        """Makes a leader or candidate a follower."""
+        self.trigger("step_down")
+
+    def _join(self) -> None:
+        last_index = self._durable_log.last_index()
+        self._ctx.logger.info("cluster_joined", term=self.term, last_index=last_index)
+
+    def _become_leader(self) -> None:
+        self.leader_id = self._ctx.node
+        for callback in self._on_elected:
+            callback()
+
+    def _leave_leadership(self) -> None:
+        self._ctx.logger.info("stepped_down", term=self.term)
+        self.leader_id = ""
+        for callback in self._on_stepped_down:
+            callback()
+
+    def commit(self, index: int) -> None:
+        """Takes entries up to an index for committed, and applies them."""
+        self.commit_index = index
+        self.apply_committed()
+
+    def apply_committed(self) -> None:
+        """Applies all committed entries that the cluster state does not have yet."""
+        while self.cluster_state.sequence < self.commit_index:
+            entry = self._durable_log.entries[self.cluster_state.sequence - self._durable_log.snapshot.index]
+            outcome = self.cluster_state.apply(entry.index, entry.command)
+            for callback in self._on_applied:
+                callback(entry.index, entry.term, outcome)
+        for advanced in self._on_advanced:
+            advanced()
+
+    def restore(self, snapshot: Snapshot) -> None:
+        """Takes the cluster state of a snapshot, which is committed, in place of the present one."""
+        self.cluster_state = ClusterState(snapshot.cluster_state)
+        self.cluster_state.sequence = snapshot.index
+        self.commit_index = max(self.commit_index, snapshot.index)
+        self.initial_voters = self.initial_voters or tuple(snapshot.cluster_state.voters)
--- /dev/null
+++ b/pipitlink/controller/controller_client.py
@@ -0,0 +1,35 @@
+"""RPC calls to other controllers, by node."""
+
+from datetime import timedelta
+from typing import TypeVar
+
+from google.protobuf.message import Message
+
+from ..context import Context
+from ..errors import WireError
+
+__all__ = ["ControllerClient"]
+
+ResponseT = TypeVar("ResponseT", bound=Message)
+
+
+class ControllerClient:
+    """Calls controllers at the addresses that the membership has for them."""
+
+    def __init__(self, ctx: Context) -> None:
+        self._ctx = ctx
+
+    async def call(
+        self, node: str, method: str, request: Message, response_type: type[ResponseT], limit: timedelta
+    ) -> ResponseT:
+        """Calls a method at a controller and returns the response.
+
+        Raises WireError where the node is not in the membership, is not reached or does not answer within `limit`, and
+        where another node answers at its address.
+        """
+        member = self._ctx.membership.find(node)
+        if member is None:
+            raise WireError(f"controller {node} is not on the membership")
+        address = (member.host, member.port)
+        response: ResponseT = await self._ctx.rpc.call(address, method, request, response_type, limit, node=node)
+        return response
--- /dev/null
+++ b/pipitlink/controller/elections.py
@@ -0,0 +1,208 @@
+"""Elections of the leader, with a pre-vote; hard states are synced before a vote is sent."""
+
+from datetime import timedelta
+from typing import Any
+
+from twisted.internet import defer
+from twisted.python.failure import Failure
+
+from ..context import Context
+from ..timers import ZERO, RepeatingCall, ms, spawn
+from ..wire.controller_pb2 import VoteRequest, VoteResponse
+from .consensus_state import ConsensusState
+from .durable_log import DurableLog
+from .interfaces import ControllerCalls
+from .leader_contact import LeaderContact
+from .log_replication import LogReplication
+from .vote_poll import Poll, VotePoll
+
+__all__ = ["LEADER_STICKINESS", "Elections"]
+
+TICK_INTERVAL = ms(50)
+LEADER_STICKINESS = ms(600)
+"""A voter that heard a leader so lately grants no vote; the shortest election timeout."""
+MAX_ELECTION_TIMEOUT = ms(1200)
+"""Also how long a leader leads on that hears no majority."""
+COLD_START_STEP = ms(60)
+MAX_LEADER_CHECK_INTERVAL = ms(200)
+
+
+class Elections:
+    """Stands for election after an election timeout, grants votes, and steps down as a leader without a quorum.
+
+    A controller that just started and has heard no leader stands at once, if all other voters just started as well:
+    a cold start. For that each voter has its turn, so that none takes the vote of the one before.
+    """
+
+    def __init__(
+        self,
+        ctx: Context,
+        consensus: ConsensusState,
+        durable_log: DurableLog,
+        contact: LeaderContact,
+        replication: LogReplication,
+        calls: ControllerCalls,
+    ) -> None:
+        self._ctx = ctx
+        self._consensus = consensus
+        self._durable_log = durable_log
+        self._contact = contact
+        self._replication = replication
+        self._calls = calls
+        self._cold_start_over = False
+        self._cold_start_turn: timedelta | None = None
+        self.election_timeout = MAX_ELECTION_TIMEOUT
+        self._timer: RepeatingCall | None = None
+
+    def open(self) -> None:
+        """Answers vote requests from now on."""
+        self.election_timeout = self._random_timeout()
+        self._consensus.when_stepped_down(self._wake_timer)
+        self._ctx.rpc.register_handler("controller.vote", VoteRequest, self._answer_vote_request)
+
+    def start_timer(self) -> None:
+        """Stands for election from now on, when one is due."""
+        self._timer = self._ctx.timers.call_repeatedly(
+            TICK_INTERVAL, self._tick, self._ctx.report("election"), due=self._next_due
+        )
+
+    def _wake_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.wake()
+
+    def _random_timeout(self) -> timedelta:
+        return LEADER_STICKINESS + (MAX_ELECTION_TIMEOUT - LEADER_STICKINESS) * self._ctx.rng.random()
+
+    def _tick(self) -> "defer.Deferred[Any] | None":
+        now = self._ctx.timers.now()
+        if self._consensus.is_leader:
+            self._check_quorum(now)
+            return None
+        if not self._consensus.is_follower or not self._consensus.is_voter():
+            return None
+        if self._just_started() and now >= self._next_cold_start_turn():
+            self._cold_start_turn = now + COLD_START_STEP * len(self._consensus.voters())
+            return self._start_election(cold_start=True)
+        if now - self._contact.election_timer_reset_at > self.election_timeout:
+            self.election_timeout = self._random_timeout()
+            self._contact.reset_election_timer()
+            return self._start_election(cold_start=False)
+        return None
+
+    def _check_quorum(self, now: timedelta) -> None:
+        if now - self._quorum_or_election_at() > MAX_ELECTION_TIMEOUT:
+            self._ctx.logger.info("quorum_lost", term=self._consensus.term)
+            self._consensus.step_down()
+
+    def _quorum_or_election_at(self) -> timedelta:
+        return max(self._replication.quorum_contact_at(), self._replication.elected_at)
+
+    def _next_due(self) -> timedelta:
+        """How long nothing can be due. A leader checks often: the voters, and so its quorum contact, may change."""
+        now = self._ctx.timers.now()
+        if self._consensus.is_follower and not self._just_started():
+            return self._contact.election_timer_reset_at + self.election_timeout - now
+        if self._consensus.is_leader:
+            return min(MAX_LEADER_CHECK_INTERVAL, self._quorum_or_election_at() + MAX_ELECTION_TIMEOUT - now)
+        return ZERO
+
+    def _start_election(self, cold_start: bool) -> "defer.Deferred[Any]":
+        self._consensus.start_election()
+        return spawn(self._run_election(cold_start)).addErrback(self._election_failed)
+
+    def _election_failed(self, failure: Failure) -> None:
+        self._ctx.logger.failure("election_failed", failure.value)
+        self._consensus.step_down()
+
+    def _just_started(self) -> bool:
+        """Whether this controller started a short while ago, and has neither heard a leader nor voted since."""
+        if self._cold_start_over or self._contact.heard_since_start():
+            return False
+        return self._ctx.timers.now() - self._contact.started_at < LEADER_STICKINESS
+
+    def _next_cold_start_turn(self) -> timedelta:
+        if self._cold_start_turn is None:
+            position = self._consensus.voters().index(self._ctx.node)
+            self._cold_start_turn = self._contact.started_at + COLD_START_STEP * (1 + position)
+        return self._cold_start_turn
+
+    async def _run_election(self, cold_start: bool) -> None:
+        term = self._consensus.term + 1
+        if not await self._poll_voters(Poll(term, pre_vote=True, cold_start=cold_start)):
+            self._consensus.step_down()
+            return
+        self._cold_start_over = True
+        term = self._consensus.term + 1
+        await self._durable_log.save_hard_state(term, self._ctx.node)
+        if not self._is_candidate_in(term):
+            return
+        self._consensus.leader_id = ""
+        elected = await self._poll_voters(Poll(term, pre_vote=False, cold_start=cold_start))
+        if elected and self._is_candidate_in(term):
+            self._consensus.win_election()
+        elif self._consensus.is_candidate:
+            self._consensus.step_down()
+
+    def _is_candidate_in(self, term: int) -> bool:
+        return self._consensus.term == term and self._consensus.is_candidate
+
+    async def _poll_voters(self, poll: Poll) -> bool:
+        """Returns whether a majority votes, or in a pre-vote would vote, for this controller."""
+        request = VoteRequest(
+            term=poll.term,
+            candidate=self._ctx.node,
+            last_index=self._durable_log.last_index(),
+            last_term=self._durable_log.last_term(),
+            pre_vote=poll.pre_vote,
+            cold_start=poll.cold_start,
+            voters=self._consensus.voters() if poll.cold_start else (),
+        )
+        return await VotePoll(self._ctx, self._consensus, self._calls, poll, request).run()
+
+    async def _answer_vote_request(self, _node: str, request: VoteRequest) -> VoteResponse:
+        response = await self.vote(request)
+        response.node = self._ctx.node
+        return response
+
+    async def vote(self, request: VoteRequest) -> VoteResponse:
+        """Answers a vote request; a vote is durable before it is granted."""
+        if self._consensus.is_newcomer:
+            return VoteResponse(term=self._consensus.term)
+        cold_start = self._confirms_cold_start(request)
+        outdated = request.term < self._consensus.term
+        if outdated or self._keeps_leader(cold_start) or not self._log_up_to_date(request):
+            return VoteResponse(term=self._consensus.term, cold_start=cold_start)
+        if request.pre_vote:
+            granted = request.term > self._consensus.term
+            return VoteResponse(term=self._consensus.term, granted=granted, cold_start=cold_start)
+        self._cold_start_over = True
+        if request.term > self._consensus.term:
+            self._consensus.step_down()
+        elif self._durable_log.hard_state.voted_for not in ("", request.candidate):
+            return VoteResponse(term=self._consensus.term)
+        granted = await self._save_vote(request)
+        return VoteResponse(term=self._consensus.term, granted=granted)
+
+    async def _save_vote(self, request: VoteRequest) -> bool:
+        """Makes a vote durable; returns whether it still stands once it is."""
+        await self._durable_log.save_hard_state(request.term, request.candidate)
+        hard_state = self._durable_log.hard_state
+        stands = (hard_state.term, hard_state.voted_for) == (request.term, request.candidate)
+        if stands:
+            self._contact.reset_election_timer()
+        return stands
+
+    def _confirms_cold_start(self, request: VoteRequest) -> bool:
+        return request.cold_start and self._just_started() and tuple(request.voters) == self._consensus.voters()
+
+    def _keeps_leader(self, cold_start: bool) -> bool:
+        """Leader stickiness: whether this controller leads, or heard a leader too lately to help elect another."""
+        if self._consensus.is_leader:
+            return True
+        heard_lately = self._ctx.timers.now() - self._contact.heard_at < LEADER_STICKINESS
+        return heard_lately and not cold_start
+
+    def _log_up_to_date(self, request: VoteRequest) -> bool:
+        """Whether the candidate's log has all that this controller's log has."""
+        last = (self._durable_log.last_term(), self._durable_log.last_index())
+        return (request.last_term, request.last_index) >= last
--- a/pipitlink/controller/log_replay.py
+++ b/pipitlink/controller/log_replay.py
@@ -1,66 +1,70 @@
-"""The agreed log as its records on disk make it: entries, ballots and the marks of snapshots, in order."""
+"""Rebuilds a controller's log from its records on disk: entries, hard states and snapshot markers, in their order."""
 
 from ..errors import CorruptData
-from ..wire.controller_pb2 import Ballot, ControllerEntry, ControllerRecord, Snapshot
+from ..wire.controller_pb2 import ControllerEntry, ControllerRecord, HardState, Snapshot
 
 __all__ = ["LogReplay"]
 
 
 class LogReplay:
-    """Replays records in their order. An entry takes the place of all that stood at its index and after it.
+    """Replays records in their order. An entry replaces all entries at its index and after it.
 
-    A mark says that the log goes on from a snapshot from there on: what stood there on another branch is dropped.
+    A snapshot marker says that the log continues from a snapshot: entries of another branch are dropped there.
     """
 
-    def __init__(self):
-        self.ballot: Ballot | None = None
-        self.mark = Snapshot()
+    def __init__(self) -> None:
+        self.hard_state: HardState | None = None
+        self.newest_marker = Snapshot()
         self._entries: dict[int, ControllerEntry] = {}
-        self._last = 0
+        self._last_index = 0
 
-    def add(self, record: ControllerRecord):
-        what = record.WhichOneof("of")
-        if what == "ballot":
-            self.ballot = record.ballot
-        elif what == "entry":
+    def add(self, record: ControllerRecord) -> None:
+        """Takes the next record."""
+        kind = record.WhichOneof("of")
+        if kind == "hard_state":
+            self.hard_state = record.hard_state
+        elif kind == "entry":
             self._add_entry(record.entry)
-        elif what == "snapshot":
-            self._add_mark(record.snapshot)
+        elif kind == "snapshot":
+            self._add_marker(record.snapshot)
 
-    def _add_entry(self, e: ControllerEntry):
-        """One that stands there already was written again behind a mark: what follows it stays."""
-        known = self._entries.get(e.index)
-        if known is not None and known.term == e.term:
+    def _add_entry(self, entry: ControllerEntry) -> None:
+        """Adds an entry. One that is known already was rewritten behind a marker: what follows it stays."""
+        known = self._entries.get(entry.index)
+        if known is not None and known.term == entry.term:
             return
-        self._cut_after(e.index - 1)
-        self._entries[e.index] = e
-        self._last = e.index
+        self._truncate_after(entry.index - 1)
+        self._entries[entry.index] = entry
+        self._last_index = entry.index
 
-    def _add_mark(self, mark: Snapshot):
-        self.mark = mark
-        if self._conflicts(mark):
-            self._cut_after(mark.index)
-        self._entries.pop(mark.index, None)
-        self._last = max(self._last, mark.index)
+    def _add_marker(self, marker: Snapshot) -> None:
+        self.newest_marker = marker
+        if self._conflicts(marker):
+            self._truncate_after(marker.index)
+        self._entries.pop(marker.index, None)
+        self._last_index = max(self._last_index, marker.index)
 
-    def _cut_after(self, index: int):
-        while self._last > index:
-            self._entries.pop(self._last, None)
-            self._last -= 1
+    def _truncate_after(self, index: int) -> None:
+        while self._last_index > index:
+            self._entries.pop(self._last_index, None)
+            self._last_index -= 1
 
     def _conflicts(self, snapshot: Snapshot) -> bool:
-        at = self._entries.get(snapshot.index)
-        return at is not None and at.term != snapshot.term
+        entry = self._entries.get(snapshot.index)
+        return entry is not None and entry.term != snapshot.term
 
-    def marks(self, snapshot: Snapshot) -> bool:
-        """Whether the newest mark is this snapshot's, so that entries may follow it on disk."""
-        return (self.mark.index, self.mark.term) == (snapshot.index, snapshot.term)
+    def has_marker_of(self, snapshot: Snapshot) -> bool:
+        """Returns whether the newest marker is of this snapshot, so that entries may follow it on disk."""
+        return (self.newest_marker.index, self.newest_marker.term) == (snapshot.index, snapshot.term)
 
     def entries_after(self, snapshot: Snapshot) -> list[ControllerEntry]:
-        """What follows a snapshot; nothing where the log is on another branch there."""
+        """Returns the entries after a snapshot, or none where the log is on another branch there.
+
+        Raises CorruptData where entries are missing in between.
+        """
         if self._conflicts(snapshot):
             return []
-        numbers = range(snapshot.index + 1, self._last + 1)
-        if any(n not in self._entries for n in numbers):
+        indexes = range(snapshot.index + 1, self._last_index + 1)
+        if any(index not in self._entries for index in indexes):
             raise CorruptData(f"the log has a gap after {snapshot.index}")
-        return [self._entries[n] for n in numbers]
+        return [self._entries[index] for index in indexes]
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -1,149 +1,208 @@
-"""The controller node, put together from its mixins."""
+"""The controller node: puts the parts of a controller together."""
 
+from datetime import timedelta
 from pathlib import Path
 
+from google.protobuf.message import Message
+
 from ..cluster import ClusterState
+from ..context import Context
 from ..dialect.control import ControlWords
 from ..disk import Disk
-from ..errors import WireError
-from ..state_machines import StateMachineMixin
 from ..timers import ZERO, RepeatingCall, ms
-from ..wire.controller_pb2 import Snapshot
-from ..wire.frame_pb2 import Empty
+from ..wire.cluster_pb2 import Command, Outcome
 from .announcing import Announcing
-from .archive import Archive
+from .bootstrap import Bootstrap
+from .consensus_state import ConsensusState, ControllerRole
 from .control import Control
+from .controller_client import ControllerClient
+from .durable_log import DurableLog
 from .edits import Edits
-from .gateways import Gateways
-from .leading import Leading
+from .elections import Elections
+from .leader_contact import LeaderContact
 from .load_hub import LoadHub
+from .log_receiver import LogReceiver
+from .log_replication import LogReplication
 from .orders import Orders
 from .placement import Placement
 from .retiring import Retiring
-from .snapshots import Snapshots
+from .snapshot_transfer import SnapshotManager
+from .state_delivery import Follower, StateDelivery
 from .voters import Voters
-from .voting import Founding, Voting
 
 __all__ = ["ControllerNode"]
 
-ELECTION_INTERVAL = ms(50)
-
-
-class ControllerNode(
-    Founding,
-    Voting,
-    Leading,
-    Gateways,
-    Edits,
-    Orders,
-    Retiring,
-    Announcing,
-    LoadHub,
-    Placement,
-    Voters,
-    Snapshots,
-    StateMachineMixin,
-):
-    """A controller: takes part in the agreement on the cluster state, and serves it.
-
-    The mixins share one archive (ballot, log, snapshot), one cluster state and one state machine (`voter.toml`):
-
-    - Founding names the first voters of a new fleet; Voting holds elections and writes the ballots.
-    - Leading replicates the log while this node leads, and takes in the leader's entries while it follows.
-    - Gateways leases the cluster state to followers and turns an agreed command into an edit that is in effect.
-    - Edits and Retiring serve operators, at any controller, by way of the leader's Gateways and Leading; Orders fences
-      what operators order, so that no copy takes effect late.
-    - Announcing passes news of engines on to gateways, and LoadHub sums of loads; both depend on neither leader nor
-      majority.
-    - Placement and Voters run on the leader's timers and propose changes of placement groups and of voters.
-
-    This class owns archive, applied cluster state and timers, applies what is committed, and takes snapshots.
+REPLICATION_INTERVAL = ms(100)
+VOTERS_INTERVAL = ms(300)
+
+
+class _Services(Edits, Orders, Retiring, Announcing, LoadHub, Placement, Voters):
+    """The services as mixins, and the names under which they reach the consensus.
+
+    Until the services are classes of their own.
     """
 
-    state_machine = "voter"
+    _ctx: Context
+    consensus: ConsensusState
+    durable_log: DurableLog
+    calls: ControllerClient
+    log_replication: LogReplication
+    state_delivery: StateDelivery
+
+    @property
+    def archive(self) -> DurableLog:
+        return self.durable_log
+
+    @property
+    def cluster_state(self) -> ClusterState:
+        return self.consensus.cluster_state
+
+    @property
+    def commit(self) -> int:
+        return self.consensus.commit_index
+
+    @property
+    def leader(self) -> str:
+        return self.consensus.leader_id
+
+    @property
+    def state(self) -> ControllerRole:
+        return self.consensus.role
+
+    @property
+    def term(self) -> int:
+        return self.consensus.term
+
+    def voters(self) -> tuple[str, ...]:
+        return self.consensus.voters()
+
+    @property
+    def followers(self) -> dict[str, Follower]:
+        return self.state_delivery.followers
+
+    @property
+    def _elected_at(self) -> timedelta:
+        return self.log_replication.elected_at
+
+    @property
+    def _match(self) -> dict[str, int]:
+        return self.log_replication.known("match_index")
+
+    @property
+    def _acked_at(self) -> dict[str, timedelta]:
+        return self.log_replication.known("last_response_at")
+
+    async def _propose(self, command: Command) -> Outcome:
+        return await self.log_replication.propose(command)
 
-    def __init__(self, ctx, disk: Disk | None = None):
+    async def confirm_leadership(self) -> None:
+        await self.log_replication.confirm_leadership()
+
+    def in_touch(self) -> bool:
+        return self.log_replication.has_contact()
+
+    def _in_effect(self, sequence: int) -> bool:
+        return self.state_delivery.is_in_effect(sequence)
+
+    def _order_limit(self) -> timedelta:
+        return self.state_delivery.order_time_limit()
+
+    async def edit(self, command: Command, *limit: timedelta) -> Outcome:
+        return await self.state_delivery.edit(command, *limit)
+
+    async def call_controller(
+        self, node: str, method: str, request: Message, response_type: type[Message], limit: timedelta
+    ) -> Message:
+        return await self.calls.call(node, method, request, response_type, limit)
+
+
+class ControllerNode(_Services):
+    """A controller: takes part in the consensus on the cluster state, and serves it.
+
+    - ConsensusState and DurableLog hold what is known and kept of the consensus.
+    - Bootstrap names the first voters of a new cluster; Elections elects the leader; LogReplication replicates the log
+      while this node leads, and LogReceiver takes the leader's entries while it follows; SnapshotManager compacts the
+      log.
+    - StateDelivery leases the cluster state to followers, and turns a committed command into an edit in effect.
+    - The services serve operators, engines and gateways, and place placement groups and voters.
+    """
+
+    def __init__(self, ctx: Context, disk: Disk | None = None) -> None:
         self._ctx = ctx
-        self.archive = Archive(ctx, Path(ctx.settings.data), disk or Disk())
-        self.cluster_state = ClusterState()
-        self.commit = 0
-        self.leader = ""
-        self.founders: tuple[str, ...] = ()
+        self.durable_log = DurableLog(ctx, Path(ctx.settings.data), disk or Disk())
+        self.consensus = ConsensusState(ctx, self.durable_log)
+        self.calls = ControllerClient(ctx)
+        contact = self._contact = LeaderContact(ctx)
+        self.snapshots = SnapshotManager(ctx, self.consensus, self.durable_log)
+        self.bootstrap = Bootstrap(ctx, self.consensus, self.snapshots)
+        self.log_replication = LogReplication(ctx, self.consensus, self.durable_log, contact, self.calls)
+        self.log_receiver = LogReceiver(ctx, self.consensus, self.durable_log, contact, self.snapshots)
+        self.elections = Elections(ctx, self.consensus, self.durable_log, contact, self.log_replication, self.calls)
+        self.state_delivery = StateDelivery(ctx, self.consensus, self.durable_log, self.log_replication)
         self.lead_timers: list[RepeatingCall] = []
-        self._elections: RepeatingCall | None = None
-        self._init_state_machine()
-
-    def open(self):
-        self.archive.recover()
-        self._take_cluster_state(self.archive.snapshot)
-        self._open_snapshots()
-        self._open_voting()
-        self._open_leading()
-        self._open_gateways()
+
+    def open(self) -> None:
+        """Reads what is on disk and takes part from now on. Raises CorruptData."""
+        self.durable_log.recover()
+        self.consensus.restore(self.durable_log.snapshot)
+        self._open_consensus()
+        self._open_services()
+        if self.durable_log.snapshot.cluster_state.voters:
+            self.consensus.bootstrapped()
+        self.elections.start_timer()
+        self.bootstrap.start_timer()
+        self._start_leader_timers()
+
+    def _open_consensus(self) -> None:
+        """Opens the parts in the order in which they are to learn of changes of the role and of the log."""
+        self._contact.open()
+        self.elections.open()
+        self.log_replication.open()
+        self.log_receiver.open()
+        self.consensus.when_elected(self._wake_leader_timers)
+        self.state_delivery.open()
+        self.snapshots.open()
+        self.bootstrap.open()
+
+    def _open_services(self) -> None:
         self._open_edits()
         self._open_orders()
         self._open_placement()
         self._open_announcing()
         self._open_load_hub()
-        self._ctx.rpc.register_handler("controller.empty", Empty, self._empty)
-        if self.archive.snapshot.cluster_state.voters:
-            self.trigger("founded")
-        b, report = self._ctx.timers, self._ctx.report
-        self._elections = b.call_repeatedly(
-            ELECTION_INTERVAL, self._election_beat, report("election"), due=self._election_due
-        )
-        b.call_repeatedly(
-            ms(300), self._found_beat, report("founding"), due=lambda: ZERO if self.state == "newcomer" else None
-        )
-        for span, do, what in (
-            (ms(100), self._lead_beat, "leading"),
-            (ms(300), self._voters_beat, "voters"),
-        ):
-            self.lead_timers.append(
-                b.call_repeatedly(span, do, report(what), due=lambda: ZERO if self.state == "leader" else None)
-            )
 
+    def _start_leader_timers(self) -> None:
+        self._start_leader_timer(REPLICATION_INTERVAL, self._replicate, "leading")
+        self._start_leader_timer(VOTERS_INTERVAL, self._voters_beat, "voters")
         self._open_placement_timers()
 
-    def _say(self):
-        self._ctx.logger.info("controller_founded", term=self.term, last=self.archive.last_index())
+    def _start_leader_timer(self, interval: timedelta, work, event: str) -> None:
+        """Runs work repeatedly from now on while this controller leads."""
+        timer = self._ctx.timers.call_repeatedly(
+            interval, work, self._ctx.report(event), due=lambda: ZERO if self.consensus.is_leader else None
+        )
+        self.lead_timers.append(timer)
+
+    def _wake_leader_timers(self) -> None:
+        for timer in self.lead_timers:
+            timer.wake()
 
-    def routes(self, add):
+    def _replicate(self) -> None:
+        if self.consensus.is_leader:
+            self.log_replication.send_to_all()
+            self.state_delivery.forget_followers()
+
+    def routes(self, add) -> None:
+        """Adds the HTTP routes of the operators' interface."""
         super().routes(add)
         Control(self._ctx, self, ControlWords()).routes(add)
 
-    def _take_cluster_state(self, s: Snapshot):
-        self.cluster_state = ClusterState(s.cluster_state)
-        self.cluster_state.sequence = s.index
-        self.commit = max(self.commit, s.index)
-        self.founders = self.founders or tuple(s.cluster_state.voters)
+    def close(self) -> None:
+        """Closes the files."""
+        self.durable_log.close()
 
-    def voters(self) -> tuple[str, ...]:
-        return self.archive.voters()
-
-    async def call_controller(self, node: str, method: str, what, kind, limit):
-        m = self._ctx.membership.find(node)
-        if m is None:
-            raise WireError(f"controller {node} is not on the membership")
-        return await self._ctx.rpc.call((m.host, m.port), method, what, kind, limit, node=node)
-
-    def apply(self):
-        while self.cluster_state.sequence < self.commit:
-            e = self.archive.entries[self.cluster_state.sequence - self.archive.snapshot.index]
-            outcome = self.cluster_state.apply(e.index, e.command)
-            self.settle(e.index, e.term, outcome)
-        self.wake_news()
-        self.trim_when_long()
-
-    def _lead_beat(self):
-        if self.state == "leader":
-            self._send_to_all()
-            self._forget_followers()
-
-    def close(self):
-        self.archive.close()
-
-    async def end(self):
-        if self.state == "leader":
-            self.step_down()
+    async def end(self) -> None:
+        """Steps down and leaves the membership."""
+        if self.consensus.is_leader:
+            self.consensus.step_down()
         await self._ctx.membership.leave()
--- /dev/null
+++ b/pipitlink/controller/vote_poll.py
@@ -0,0 +1,90 @@
+"""One poll of the voters: whether a majority votes, or would vote, for a candidate."""
+
+from datetime import timedelta
+
+import attrs
+from twisted.internet import defer
+
+from ..context import Context
+from ..errors import WireError, WrongPeer
+from ..timers import ms
+from ..wire.controller_pb2 import VoteRequest, VoteResponse
+from .consensus_state import ConsensusState
+from .interfaces import ControllerCalls
+
+__all__ = ["Poll", "VotePoll"]
+
+CALL_LIMIT: timedelta = ms(400)
+
+
+@attrs.frozen
+class Poll:
+    """What the voters are asked: for a vote in a term, or in a pre-vote whether they would give it.
+
+    In a cold start no leader needs to be waited out: all voters have just started, or another node answers at their
+    address, so that none of them leads and whoever led has ended. The pre-vote shows it: each single voter must have
+    started a short while ago and know the same voters.
+    """
+
+    term: int
+    pre_vote: bool
+    cold_start: bool
+
+    @property
+    def proves_cold_start(self) -> bool:
+        """Whether this poll has to show that all voters just started."""
+        return self.pre_vote and self.cold_start
+
+
+class VotePoll:
+    """Asks all voters at the same time, and collects their votes until the result is known."""
+
+    def __init__(
+        self, ctx: Context, consensus: ConsensusState, calls: ControllerCalls, poll: Poll, request: VoteRequest
+    ) -> None:
+        self._ctx = ctx
+        self._consensus = consensus
+        self._calls = calls
+        self._poll = poll
+        self._request = request
+        self._voters = consensus.voters()
+        self._granted = {ctx.node}
+        self._just_started = {ctx.node}
+        self._unanswered = len(self._voters) - 1
+        self._result_known: defer.Deferred[None] = defer.Deferred()
+
+    async def run(self) -> bool:
+        """Returns whether a majority granted its vote, and where this is to be proved, all voters just started."""
+        for voter in self._voters:
+            if voter != self._ctx.node:
+                self._ctx.run_in_background(self._ask(voter), "vote_request")
+        if self._unanswered:
+            await self._result_known
+        if self._poll.proves_cold_start and not self._just_started.issuperset(self._voters):
+            return False
+        return self._consensus.is_majority(self._granted)
+
+    async def _ask(self, voter: str) -> None:
+        try:
+            response = await self._calls.call(voter, "controller.vote", self._request, VoteResponse, CALL_LIMIT)
+            await self._take_response(voter, response)
+        except WrongPeer:
+            self._just_started.add(voter)
+        except WireError:
+            pass
+        self._unanswered -= 1
+        if not self._result_known.called and self._is_decided():
+            self._result_known.callback(None)
+
+    async def _take_response(self, voter: str, response: VoteResponse) -> None:
+        if response.cold_start:
+            self._just_started.add(voter)
+        if response.granted and response.node == voter:
+            self._granted.add(voter)
+        elif response.term > self._consensus.term and not self._poll.pre_vote:
+            await self._consensus.observe_term(response.term)
+
+    def _is_decided(self) -> bool:
+        if self._unanswered == 0:
+            return True
+        return not self._poll.proves_cold_start and self._consensus.is_majority(self._granted)
--- a/rehearsal/hollow.py
+++ b/rehearsal/hollow.py
@@ -284,14 +284,17 @@
         return {
             "ready": all(n.ready() for n in self.nodes),
             "rows": min(
-                len((n.part if n.role == "controller" else n.ctx.cluster).cluster_state.rows) for n in self.nodes
+                len((n.part.consensus if n.role == "controller" else n.ctx.cluster).cluster_state.rows)
+                for n in self.nodes
             ),
             "known": min(len(n.ctx.membership.members()) for n in self.nodes),
         }
 
     async def do_count(self):
         counts = sum((n.rpc.counts for n in self.nodes), Counter())
-        leads = any(n.role == "controller" and n.part is not None and n.part.state == "leader" for n in self.nodes)
+        leads = any(
+            n.role == "controller" and n.part is not None and n.part.consensus.role == "leader" for n in self.nodes
+        )
         return {
             "at": self.now(),
             "counts": counts,
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -4,9 +4,10 @@
 from hashlib import blake2b
 from unittest import mock
 
-from pipitlink.controller import ControllerNode
-from pipitlink.controller.leading import Leading
-from pipitlink.controller.voting import Voting
+from pipitlink.controller.consensus_state import ConsensusState
+from pipitlink.controller.elections import Elections
+from pipitlink.controller.log_receiver import LogReceiver
+from pipitlink.controller.log_replication import LogReplication
 from pipitlink.disk import frame
 from pipitlink.replicated_log import Leaseholder
 from pipitlink.replicated_log.placement_group import placement_group_of
@@ -56,12 +57,12 @@
         """While this is open, the staged nodes tell what they do."""
         with contextlib.ExitStack() as stack:
             for owner, name, around in (
-                (Voting, "_vote_by_name", self._around_vote),
-                (Voting, "_poll", self._around_poll),
-                (Leading, "_lead", self._around_lead),
-                (Leading, "_append", self._around_append),
-                (Leading, "_advance", self._around_advance),
-                (ControllerNode, "apply", self._around_apply),
+                (Elections, "_answer_vote_request", self._around_vote),
+                (Elections, "_poll_voters", self._around_poll),
+                (ConsensusState, "_become_leader", self._around_lead),
+                (LogReceiver, "append", self._around_append),
+                (LogReplication, "_advance_commit_index", self._around_advance),
+                (ConsensusState, "apply_committed", self._around_apply),
                 (Leaseholder, "_settle_tail", self._around_settle_tail),
                 (Leaseholder, "append", self._around_log_append),
                 (LogStore, "settle", self._around_settle),
@@ -87,66 +88,67 @@
         ]
 
     def _around_vote(self, plain):
-        async def vote(controller, node, ask):
-            r = await plain(controller, node, ask)
-            if r.granted and not ask.pre:
-                self.votes.append(Vote(ask.term, controller._ctx.node, ask.candidate))
+        async def vote(elections, node, ask):
+            r = await plain(elections, node, ask)
+            if r.granted and not ask.pre_vote:
+                self.votes.append(Vote(ask.term, elections._ctx.node, ask.candidate))
             return r
 
         return vote
 
     def _around_poll(self, plain):
-        def poll(controller, term, pre, fresh=False):
-            if not pre:
-                self.votes.append(Vote(term, controller._ctx.node, controller._ctx.node))
-            return plain(controller, term, pre, fresh)
+        def poll(elections, poll):
+            if not poll.pre_vote:
+                self.votes.append(Vote(poll.term, elections._ctx.node, elections._ctx.node))
+            return plain(elections, poll)
 
         return poll
 
     def _around_lead(self, plain):
-        def lead(controller):
-            archive = controller.archive
-            entries = tuple(_entry(e) for e in archive.entries)
-            self.elected.append(Elected(controller.term, controller._ctx.node, archive.snapshot.index, entries))
-            plain(controller)
+        def lead(consensus):
+            durable_log = consensus._durable_log
+            entries = tuple(_entry(e) for e in durable_log.entries)
+            self.elected.append(Elected(consensus.term, consensus._ctx.node, durable_log.snapshot.index, entries))
+            plain(consensus)
 
         return lead
 
     def _around_append(self, plain):
-        async def append(controller, node, ask):
-            r = await plain(controller, node, ask)
-            if r.done:
-                key = controller._ctx.node, ask.term
-                self._synced[key] = max(self._synced.get(key, 0), r.last)
+        async def append(receiver, node, ask):
+            r = await plain(receiver, node, ask)
+            if r.success:
+                key = receiver._ctx.node, ask.term
+                self._synced[key] = max(self._synced.get(key, 0), r.last_index)
             return r
 
         return append
 
     def _around_advance(self, plain):
-        def advance(controller):
-            before = controller.commit
-            plain(controller)
-            if controller.commit > before:
-                self._count(controller)
+        def advance(replication):
+            before = replication._consensus.commit_index
+            plain(replication)
+            if replication._consensus.commit_index > before:
+                self._count(replication)
 
         return advance
 
-    def _count(self, controller):
-        term, index = controller.term, controller.commit
+    def _count(self, replication):
+        consensus = replication._consensus
+        term, index = consensus.term, consensus.commit_index
         holders = {node for (node, synced_in), last in self._synced.items() if synced_in == term and last >= index}
-        if controller._synced >= index:
-            holders.add(controller._ctx.node)
-        self.counted.append(Counted(index, term, controller.voters(), frozenset(holders)))
+        if replication.synced_index >= index:
+            holders.add(replication._ctx.node)
+        self.counted.append(Counted(index, term, consensus.voters(), frozenset(holders)))
 
     def _around_apply(self, plain):
-        def apply(controller):
-            for e in controller.archive.entries:
-                if controller.cluster_state.sequence < e.index <= controller.commit:
-                    c = Committed(e.index, _entry(e), controller.term)
+        def apply(consensus):
+            for e in consensus._durable_log.entries:
+                if consensus.cluster_state.sequence < e.index <= consensus.commit_index:
+                    c = Committed(e.index, _entry(e), consensus.term)
                     self.committed.setdefault((c.index, c.entry), c)
-            plain(controller)
-            body = controller.cluster_state.data().SerializeToString(deterministic=True)
-            a = Applied(controller.cluster_state.sequence, controller._ctx.node, blake2b(body).digest())
+            plain(consensus)
+            body = consensus.cluster_state.data().SerializeToString(deterministic=True)
+            a = Applied(consensus.cluster_state.sequence, consensus._ctx.node, blake2b(body).digest())
             self.applied.setdefault((a.sequence, a.state), a)
 
         return apply
@@ -190,7 +192,7 @@
             if a.ctx.cluster.ready():
                 self.admitted.append(Admitted(now, a.node, a.ctx.cluster.cluster_state.table))
         leader = self.stage.leader()
-        for g in leader.part.cluster_state.placement_groups.values() if leader else ():
+        for g in leader.part.consensus.cluster_state.placement_groups.values() if leader else ():
             if not g.joining and self._moved.setdefault(g.number, g.sequence) < g.sequence:
                 self._moved[g.number] = g.sequence
                 self._look_at_copies(g)
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -1,4 +1,4 @@
-"""The controller's archive under a loss of power at every single disk call, with names and ends lost at random."""
+"""The controller's durable log under a loss of power at every single disk call, with names and ends lost at random."""
 
 import tempfile
 import unittest
@@ -9,7 +9,7 @@
 from twisted.internet import defer
 
 from pipitlink import segments
-from pipitlink.controller.archive import Archive
+from pipitlink.controller.durable_log import DurableLog
 from pipitlink.controller.log_replay import LogReplay
 from pipitlink.errors import CorruptData, StorageFull
 from pipitlink.segments import Segments
@@ -103,41 +103,41 @@
 
 
 class _Member:
-    """Plays a member's calls and remembers what it has promised: synced entries and ballots."""
+    """Plays a member's calls and remembers what it has promised: synced entries and terms."""
 
     def __init__(self, folder: Path, disk):
         self.ctx, self.folder = _Context(), folder
-        self.archive = Archive(self.ctx, folder, disk)
+        self.durable_log = DurableLog(self.ctx, folder, disk)
         self.promised: dict[int, int] = {}
-        self.ballot = 0
+        self.term = 0
 
     def start(self) -> "_Member":
-        self.archive.recover()
+        self.durable_log.recover()
         return self
 
     def put(self, e: ControllerEntry):
         for n in [n for n in self.promised if n >= e.index]:
             del self.promised[n]
-        d = self.archive.put_entry(e)
+        d = self.durable_log.append(e)
         d.addCallback(lambda _: self._promise(e))
         d.addErrback(lambda f: f.trap(StorageFull, _PowerLost))
 
     def _promise(self, e):
-        if self.archive.term_at(e.index) == e.term:
+        if self.durable_log.term_at(e.index) == e.term:
             self.promised[e.index] = e.term
 
     def vote(self, term):
-        d = self.archive.put_ballot(term, "a")
-        d.addCallback(lambda _: setattr(self, "ballot", term))
+        d = self.durable_log.save_hard_state(term, "a")
+        d.addCallback(lambda _: setattr(self, "term", term))
         d.addErrback(lambda f: f.trap(StorageFull, _PowerLost))
 
     def take(self, s: Snapshot):
         if self.promised.get(s.index, s.term) != s.term:
             self.promised = {n: t for n, t in self.promised.items() if n < s.index}
-        self.archive.keep_snapshot(s)
-        d = self.archive.use_snapshot(s)
+        self.durable_log.save_snapshot(s)
+        d = self.durable_log.use_snapshot(s)
         d.addErrback(lambda f: f.trap(StorageFull, _PowerLost))
-        self.promised = {n: t for n, t in self.promised.items() if self.archive.term_at(n) == t}
+        self.promised = {n: t for n, t in self.promised.items() if self.durable_log.term_at(n) == t}
 
         def promise(_):
             self.promised[s.index] = s.term
@@ -174,9 +174,9 @@
 
 
 def _always_cut(replay, e):
-    replay._cut_after(e.index - 1)
+    replay._truncate_after(e.index - 1)
     replay._entries[e.index] = e
-    replay._last = e.index
+    replay._last_index = e.index
 
 
 GUARDS = {
@@ -187,7 +187,7 @@
         lambda self: self._disk.sync_folder(self._folder),
     ),
     "an entry written again cuts nothing off": (LogReplay, "_add_entry", _always_cut),
-    "entries follow a snapshot only behind its mark": (LogReplay, "marks", lambda self, snapshot: True),
+    "entries follow a snapshot only behind its marker": (LogReplay, "has_marker_of", lambda self, snapshot: True),
     "another branch ends at a snapshot": (LogReplay, "_conflicts", lambda self, snapshot: False),
 }
 
@@ -217,7 +217,7 @@
 
     def check(self, member, again):
         self.assertEqual(member.ctx.logger.faults, [])
-        self.assertGreaterEqual(again.ballot.term, member.ballot)
+        self.assertGreaterEqual(again.hard_state.term, member.term)
         for index, term in member.promised.items():
             if index >= again.snapshot.index:
                 self.assertEqual(again.term_at(index), term, f"{index} was promised: {member.promised}")
@@ -230,13 +230,13 @@
         """Loses power at a call, starts again, writes one entry, and loses power once more."""
         member, disk, folder = self.run_to(stop_at, seed)
         again = _Member(folder, disk).start()
-        self.check(member, again.archive)
-        last = again.archive.last_index()
+        self.check(member, again.durable_log)
+        last = again.durable_log.last_index()
         again.put(entry(last + 1, 6))
         again.ctx.step()
-        again.archive.close()
+        again.durable_log.close()
         disk.lose_power()
-        third = _Member(folder, disk).start().archive
+        third = _Member(folder, disk).start().durable_log
         self.assertEqual(third.term_at(last + 1), 6)
         self.check(member, third)
         third.close()
@@ -278,9 +278,9 @@
         def again(f):
             f.trap(StorageFull)
             disk.full = False
-            member.archive.put_ballot(3, "b").addCallback(lambda _: told.append("ballot"))
+            member.durable_log.save_hard_state(3, "b").addCallback(lambda _: told.append("hard state"))
 
-        member.archive.put_entry(entry(1, 1)).addErrback(again)
+        member.durable_log.append(entry(1, 1)).addErrback(again)
         member.ctx.step()
-        self.assertEqual(told, ["ballot"])
-        member.archive.close()
+        self.assertEqual(told, ["hard state"])
+        member.durable_log.close()
--- a/tests/test_currency_orders.py
+++ b/tests/test_currency_orders.py
@@ -7,7 +7,7 @@
 
 from pipitlink.cluster.cluster_state import ClusterState
 from pipitlink.cluster.follower import Cluster
-from pipitlink.controller.gateways import Gateways
+from pipitlink.controller.state_delivery import StateDelivery
 from pipitlink.errors import NotLeader
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, spawn
@@ -39,19 +39,16 @@
         pass
 
 
-class _Leader(Gateways):
-    def __init__(self, ctx, elected_at, fresh_until):
-        self._ctx, self._elected_at, self._fresh_until = ctx, elected_at, fresh_until
-        self.state, self.leader = "leader", "controller"
-        self.cluster_state = ClusterState(BASE)
-        self.followers, self._news, self._confirmations = {}, {}, {}
-        self.archive, self.snapshot = self, Snapshot()
+class _Consensus:
+    """One leader's view, and its log: an edit that is committed when the play says so."""
 
-    def heard_majority_at(self):
-        now = self._ctx.timers.now()
-        return now if now < self._fresh_until else now - timedelta(seconds=9)
+    is_leader, leader_id, term = True, "controller", 0
+
+    def __init__(self):
+        self.cluster_state = ClusterState(BASE)
+        self.snapshot = Snapshot()
 
-    def after(self, index, most):
+    def entries_after(self, index, limit):
         return [ControllerEntry(index=2, command=EDIT)] if index == 1 and self.cluster_state.sequence == 2 else []
 
     def commit(self):
@@ -59,6 +56,23 @@
             self.cluster_state.apply(2, EDIT)
 
 
+class _Replication:
+    """A leader's contact with its majority, up to a time."""
+
+    def __init__(self, ctx, elected_at, contact_until):
+        self._ctx, self.elected_at, self._contact_until = ctx, elected_at, contact_until
+
+    def quorum_contact_at(self):
+        now = self._ctx.timers.now()
+        return now if now < self._contact_until else now - timedelta(seconds=9)
+
+
+class _Leader(StateDelivery):
+    def __init__(self, ctx, elected_at, contact_until):
+        self.consensus = _Consensus()
+        super().__init__(ctx, self.consensus, self.consensus, _Replication(ctx, elected_at, contact_until))
+
+
 class _Play:
     """One order of steps on the real admission and delivery code; `cut` takes the gateway off the first leader's
     voters.
@@ -88,7 +102,7 @@
     def answer(self):
         box = []
         for leader in reversed(self.leaders):
-            spawn(leader._follow("g", self.ask)).addCallbacks(box.append, lambda f: f.trap(NotLeader) and None)
+            spawn(leader.follow("g", self.ask)).addCallbacks(box.append, lambda f: f.trap(NotLeader) and None)
             if box:
                 break
         self.response = box[0] if box else None
@@ -104,11 +118,11 @@
             self.leaders.append(_Leader(self.ctx, now, now + timedelta(days=1)))
 
     def commit(self):
-        self.leaders[-1].commit()
+        self.leaders[-1].consensus.commit()
 
     def acknowledge(self):
         leader = self.leaders[-1]
-        if leader.cluster_state.sequence == 2 and leader._in_effect(2) and leader._fresh():
+        if leader.consensus.cluster_state.sequence == 2 and leader.is_in_effect(2) and leader.has_recent_quorum():
             self.acked = True
 
     def broken(self) -> bool:
@@ -152,7 +166,7 @@
         self.assertGreater(acked, 20)
 
     def test_a_leader_that_does_not_wait_is_caught(self):
-        with unittest.mock.patch.object(_Leader, "_in_effect", lambda self, sequence: True):
+        with unittest.mock.patch.object(_Leader, "is_in_effect", lambda self, sequence: True):
             with self.assertRaises(AssertionError):
                 self.play(False, (("send", "answer", "absorb"), ("commit", "acknowledge"), ("tick",) * 2))
 
--- a/tests/test_loss_guards.py
+++ b/tests/test_loss_guards.py
@@ -44,12 +44,12 @@
 
 def two_copies_wiped(stage):
     """Two storage nodes that keep one placement group lose their disks, and do not come back for a while."""
-    group = next(iter(stage.leader().part.cluster_state.placement_groups.values()))
+    group = next(iter(stage.leader().part.consensus.cluster_state.placement_groups.values()))
     _lose(stage, [a for a in stage.role("storage") if a.node in group.storage_nodes[:2]], back=False)
 
 
 def two_voters_wiped(stage):
-    voters = stage.leader().part.cluster_state.voters
+    voters = stage.leader().part.consensus.cluster_state.voters
     _lose(stage, [a for a in stage.role("controller") if a.node in voters][:2], back=True)
 
 
@@ -58,7 +58,10 @@
     part = stage.leader().part
     held = Counter(
         max(Counter(part._ctx.membership.find(d).zone for d in s).items(), key=lambda z: z[1])[0]
-        for s in (part.cluster_state.voters, *(g.storage_nodes for g in part.cluster_state.placement_groups.values()))
+        for s in (
+            part.consensus.cluster_state.voters,
+            *(g.storage_nodes for g in part.consensus.cluster_state.placement_groups.values()),
+        )
     )
     zone = held.most_common(1)[0][0]
     for a in stage.role("storage") + stage.role("controller"):
@@ -71,7 +74,9 @@
     gone, other = stage.role("storage")[2], stage.role("storage")[0]
     stage.do(stage.leader().part.retire(gone.node, "retire"), 10)
     stage.until(
-        lambda: stage.leader() and stage.leader().part.cluster_state.storage_nodes.get(gone.node) == "retired",
+        lambda: (
+            stage.leader() and stage.leader().part.consensus.cluster_state.storage_nodes.get(gone.node) == "retired"
+        ),
         8,
         "it is retired",
     )
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -210,7 +210,9 @@
         self.stage.start()
         self.stage.ready()
         self.stage.until(
-            lambda: len(self.stage.leader().part.cluster_state.storage_nodes) == 4, 20, "all storage nodes are admitted"
+            lambda: len(self.stage.leader().part.consensus.cluster_state.storage_nodes) == 4,
+            20,
+            "all storage nodes are admitted",
         )
         self.caller = Caller(self.stage, platform_words())
         self.controller = self.stage.role("controller")[1]
--- a/tests/test_snapshot_orders.py
+++ b/tests/test_snapshot_orders.py
@@ -7,11 +7,11 @@
 from twisted.internet import defer
 
 from pipitlink.cluster import ClusterState
-from pipitlink.controller import archive
-from pipitlink.controller.snapshots import Snapshots
+from pipitlink.controller import durable_log
+from pipitlink.controller.snapshot_transfer import SnapshotManager
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from pipitlink.wire.controller_pb2 import AppendRequest, ControllerEntry, Snapshot, SnapshotChunk
+from pipitlink.wire.controller_pb2 import AppendRequest, ControllerEntry, HardState, Snapshot, SnapshotChunk
 from rehearsal.interleave import Choices
 from rehearsal.stage import Stage
 
@@ -56,7 +56,7 @@
     def append(self, prev: int, last: int) -> AppendRequest:
         entries = [self.entries[n] for n in range(prev + 1, last + 1)]
         return AppendRequest(
-            term=TERM, leader=LEADER, prev_index=prev, prev_term=term_of(prev), entries=entries, commit=last
+            term=TERM, leader=LEADER, prev_index=prev, prev_term=term_of(prev), entries=entries, commit_index=last
         )
 
     def other_branch(self, last: int) -> AppendRequest:
@@ -66,20 +66,25 @@
             for n in range(OLD_LAST + 1, last + 1)
         ]
         return AppendRequest(
-            term=OLD_TERM, leader=LEADER, prev_index=OLD_LAST, prev_term=OLD_TERM, entries=entries, commit=OLD_LAST
+            term=OLD_TERM,
+            leader=LEADER,
+            prev_index=OLD_LAST,
+            prev_term=OLD_TERM,
+            entries=entries,
+            commit_index=OLD_LAST,
         )
 
     def poll(self) -> AppendRequest:
         """What the leader sends once all pieces are there, until they are adopted."""
         ask = self.whole()
-        ask.piece.offset, ask.piece.data = ask.piece.total, b""
+        ask.chunk.offset, ask.chunk.data = ask.chunk.total, b""
         return ask
 
     def whole(self) -> AppendRequest:
         data = zlib.compress(self.snapshot.SerializeToString())
-        piece = SnapshotChunk(index=SNAPSHOT_AT, term=TERM, total=len(data), data=data)
+        chunk = SnapshotChunk(index=SNAPSHOT_AT, term=TERM, total=len(data), data=data)
         ask = self.append(SNAPSHOT_AT, SNAPSHOT_AT)
-        ask.piece.CopyFrom(piece)
+        ask.chunk.CopyFrom(chunk)
         return ask
 
 
@@ -98,12 +103,12 @@
         self.actor = self.stage.role("controller")[0]
         self.stage.start()
         self.part = self.actor.part
-        self.stage.until(lambda: self.part.state != "newcomer", 5, "it is founded")
+        self.stage.until(lambda: self.part.consensus.role != "newcomer", 5, "it is founded")
         self.history = _History((self.actor.node, LEADER, "third"))
         self._begin()
         self.choices = choices
         if other_branch:
-            self.stage.do(self.part._append(LEADER, self.history.other_branch(NEWEST)))
+            self.stage.do(self.part.log_receiver.append(LEADER, self.history.other_branch(NEWEST)))
         self._jobs: list = []
         self.actor.ctx.run_in_thread = self._hold
         self.results: list = []
@@ -114,16 +119,16 @@
         """Three voters, none of whom it hears, and the first three entries."""
         part = self.part
         s = Snapshot(index=0, term=0, cluster_state=self.history.first().data())
-        part.archive.ballot.CopyFrom(type(part.archive.ballot)())
-        part.trigger("yield")
-        part.archive.entries.clear()
-        part.archive._entry_bytes = 0
-        part.commit = 0
-        part.archive.snapshot = s
-        part._take_cluster_state(s)
+        part.durable_log.hard_state.CopyFrom(HardState())
+        part.consensus.step_down()
+        part.durable_log.entries.clear()
+        part.durable_log.entry_bytes = 0
+        part.consensus.commit_index = 0
+        part.durable_log.snapshot = s
+        part.consensus.restore(s)
         first = self.history.append(0, OLD_LAST)
         first.term = OLD_TERM
-        self.stage.do(part._append(LEADER, first))
+        self.stage.do(part.log_receiver.append(LEADER, first))
 
     def _hold(self, do, *words):
         d = defer.Deferred()
@@ -139,7 +144,7 @@
             chosen = options[self.choices.pick(len(options)) if len(options) > 1 else 0]
             if chosen in messages:
                 messages.remove(chosen)
-                spawn(self.part._append(LEADER, chosen)).addBoth(self.results.append)
+                spawn(self.part.log_receiver.append(LEADER, chosen)).addBoth(self.results.append)
             else:
                 self._jobs.remove(chosen)
                 self._end(*chosen)
@@ -155,15 +160,19 @@
 
     def faults(self) -> list[str]:
         """What the logger says of snapshots and trims that failed."""
-        return [line for line in self.stage.sink.lines if "event=snapshot " in line or "event=trim " in line]
+        return [
+            line for line in self.stage.sink.lines if "event=install_snapshot " in line or "event=compact_log " in line
+        ]
 
     def check(self):
-        part, kept = self.part, self.part.archive
-        sequence = part.cluster_state.sequence
+        part, kept = self.part, self.part.durable_log
+        sequence = part.consensus.cluster_state.sequence
         assert sequence >= self.sequence, f"back from {self.sequence} to {sequence}"
         self.sequence = sequence
-        assert told(part.cluster_state) == self.history.states[sequence], f"another state at {sequence}"
-        assert part.commit <= kept.last_index(), f"commit {part.commit} beyond {kept.last_index()}"
+        assert told(part.consensus.cluster_state) == self.history.states[sequence], f"another state at {sequence}"
+        assert part.consensus.commit_index <= kept.last_index(), (
+            f"commit {part.consensus.commit_index} beyond {kept.last_index()}"
+        )
         assert kept.snapshot.index <= sequence, f"snapshot {kept.snapshot.index} beyond the state {sequence}"
         indexes = [e.index for e in kept.entries]
         first = kept.snapshot.index + 1
@@ -174,45 +183,45 @@
 
     def restart(self):
         """What is on the disk after all that is the same history as well."""
-        told_last = max((r.last for r in self.results if r.done), default=0)
+        told_last = max((r.last_index for r in self.results if r.success), default=0)
         self.actor.kill(power=True)
         self.actor.start()
-        kept = self.actor.part.archive
+        kept = self.actor.part.durable_log
         assert kept.last_index() >= told_last, f"{told_last} was answered, {kept.last_index()} is kept"
-        state = self.actor.part.cluster_state
+        state = self.actor.part.consensus.cluster_state
         assert state.sequence == 0 or told(state) == self.history.states[state.sequence]
 
 
 async def _state_after_the_disk(self, s):
-    if self.lacks(s):
-        await self._ctx.run_in_thread(self.archive.keep_snapshot, s)
-        await self.archive.use_snapshot(s)
-        self._take_cluster_state(s)
+    if self.is_needed(s):
+        await self._ctx.run_in_thread(self._durable_log.save_snapshot, s)
+        await self._durable_log.use_snapshot(s)
+        self._consensus.restore(s)
 
 
 async def _state_always_taken(self, s):
-    if self.lacks(s):
-        await self._ctx.run_in_thread(self.archive.keep_snapshot, s)
-        synced = self.archive.use_snapshot(s)
-        self._take_cluster_state(s)
+    if self.is_needed(s):
+        await self._ctx.run_in_thread(self._durable_log.save_snapshot, s)
+        synced = self._durable_log.use_snapshot(s)
+        self._consensus.restore(s)
         await synced
 
 
-async def _adopt_beside_a_trim(self, s):
-    await self._adopt_locked(s)
+async def _install_beside_a_compaction(self, s):
+    await self._install_locked(s)
 
 
 GUARDS = {
-    "the state is taken in the same step as the snapshot": ("_adopt_locked", _state_after_the_disk),
-    "a state that has gone further stays": ("_adopt_locked", _state_always_taken),
-    "one snapshot at a time": ("adopt", _adopt_beside_a_trim),
+    "the state is taken in the same step as the snapshot": ("_install_locked", _state_after_the_disk),
+    "a state that has gone further stays": ("_install_locked", _state_always_taken),
+    "one snapshot at a time": ("install", _install_beside_a_compaction),
 }
 
 
 class SnapshotOrders(unittest.TestCase):
     def setUp(self):
-        for name, value in (("TRIM_EVERY", 3), ("KEEP_ENTRIES", 1)):
-            patch = mock.patch.object(archive, name, value)
+        for name, value in (("COMPACTION_ENTRIES", 3), ("RETAINED_ENTRIES", 1)):
+            patch = mock.patch.object(durable_log, name, value)
             patch.start()
             self.addCleanup(patch.stop)
 
@@ -242,15 +251,15 @@
 
     def test_a_longer_branch_would_keep_the_snapshot_out(self):
         def shorter(self, s):
-            return self.state == "newcomer" or s.index > self.archive.last_index()
+            return self._consensus.is_newcomer or s.index > self._durable_log.last_index()
 
-        with mock.patch.object(Snapshots, "lacks", shorter), self.assertRaises(AssertionError):
+        with mock.patch.object(SnapshotManager, "is_needed", shorter), self.assertRaises(AssertionError):
             self.explore(self.snapshot_and_on, other_branch=True)
 
     def test_a_disk_that_refuses_a_snapshot_is_tried_again_without_sending_it_again(self):
         follower = _Follower(self, Choices([]))
         follower.refusals = 2
-        keep = follower.part.archive.keep_snapshot
+        keep = follower.part.durable_log.save_snapshot
         tries = []
 
         def refusing(s):
@@ -259,16 +268,20 @@
                 raise OSError(28, "No space left on device")
             keep(s)
 
-        with mock.patch.object(follower.part.archive, "keep_snapshot", refusing):
+        with mock.patch.object(follower.part.durable_log, "save_snapshot", refusing):
             for ask in (follower.history.whole(), follower.history.poll(), follower.history.poll()):
                 follower.play([ask])
         self.assertEqual(len(follower.faults()), follower.refusals)
         self.assertEqual(tries, [SNAPSHOT_AT] * 3)
-        self.assertEqual(follower.part.cluster_state.sequence, SNAPSHOT_AT)
+        self.assertEqual(follower.part.consensus.cluster_state.sequence, SNAPSHOT_AT)
         follower.restart()
-        self.assertEqual(follower.part.archive.snapshot.index, SNAPSHOT_AT)
+        self.assertEqual(follower.part.durable_log.snapshot.index, SNAPSHOT_AT)
 
     def test_without_a_guard_some_order_breaks_it(self):
         for name, (part, instead) in GUARDS.items():
-            with self.subTest(name), mock.patch.object(Snapshots, part, instead), self.assertRaises(AssertionError):
+            with (
+                self.subTest(name),
+                mock.patch.object(SnapshotManager, part, instead),
+                self.assertRaises(AssertionError),
+            ):
                 self.explore(self.all_messages)
--- a/tests/test_stage_placement.py
+++ b/tests/test_stage_placement.py
@@ -60,7 +60,7 @@
         leader = stage.leader()
         if leader is None:
             return False
-        rows = leader.part.cluster_state.placement_groups.values()
+        rows = leader.part.consensus.cluster_state.placement_groups.values()
         return all(not s.joining and without not in s.storage_nodes and len(s.storage_nodes) == 3 for s in rows)
 
     def test_two_losses_in_turn_with_repair_between_lose_nothing(self):
@@ -85,7 +85,7 @@
         lost.start()
         stage.until(lambda: self.placed(stage, node), 6, "the placement groups have moved, and nothing was waited for")
         stage.until(
-            lambda: stage.leader() and node not in stage.leader().part.cluster_state.storage_nodes,
+            lambda: stage.leader() and node not in stage.leader().part.consensus.cluster_state.storage_nodes,
             10,
             "it is off the cluster state",
         )
@@ -95,15 +95,21 @@
         stage, logs = self.stage(8, storage_nodes=4)
         gone = stage.role("storage")[2]
         part = stage.leader().part
-        part.check_retirement(part.cluster_state, gone.node)
-        stage.do(part.edit(Command(storage_node=StorageNodeEdit(storage_node=gone.node, status="retiring"))))
+        part.check_retirement(part.consensus.cluster_state, gone.node)
+        stage.do(
+            part.state_delivery.edit(Command(storage_node=StorageNodeEdit(storage_node=gone.node, status="retiring")))
+        )
         stage.until(
-            lambda: stage.leader() and stage.leader().part.cluster_state.storage_nodes.get(gone.node) == "retired",
+            lambda: (
+                stage.leader() and stage.leader().part.consensus.cluster_state.storage_nodes.get(gone.node) == "retired"
+            ),
             60,
             "it may be switched off",
         )
         with self.assertRaises(ApiError) as no:
-            stage.leader().part.check_retirement(stage.leader().part.cluster_state, stage.role("storage")[0].node)
+            stage.leader().part.check_retirement(
+                stage.leader().part.consensus.cluster_state, stage.role("storage")[0].node
+            )
         self.assertEqual(no.exception.code, "too_few_copies")
         gone.kill()
         stage.run(3)
@@ -114,7 +120,10 @@
         new = stage.add("storage", "storage7", "zone-d", 1700)
         new.start()
         stage.until(
-            lambda: stage.leader() and stage.leader().part._holds(stage.leader().part.cluster_state)[new.node] >= 2,
+            lambda: (
+                stage.leader()
+                and stage.leader().part._holds(stage.leader().part.consensus.cluster_state)[new.node] >= 2
+            ),
             60,
             "it has placement groups",
         )
--- a/tests/test_stage_second_loss.py
+++ b/tests/test_stage_second_loss.py
@@ -23,7 +23,7 @@
 def _voters(stage):
     """The controllers that vote, the leader first."""
     leader = stage.until(stage.leader, 10, "a controller leads")
-    voters = leader.part.cluster_state.voters
+    voters = leader.part.consensus.cluster_state.voters
     return [leader] + [a for a in stage.role("controller", alive=True) if a.node in voters and a is not leader]
 
 
@@ -57,7 +57,7 @@
             raise
         stage.run(1)
         return False
-    return leader.part.cluster_state.storage_nodes.get(actor.node) == "retired"
+    return leader.part.consensus.cluster_state.storage_nodes.get(actor.node) == "retired"
 
 
 class SecondLoss(unittest.TestCase):
