--- a/pipitlink/controller/bootstrap.py
+++ b/pipitlink/controller/bootstrap.py
@@ -35,12 +35,12 @@
         """Tries to bootstrap from now on, until this controller is no newcomer any more."""
         self._ctx.timers.call_repeatedly(
             INTERVAL,
-            self._try_bootstrap,
+            self._attempt_bootstrap,
             self._ctx.report("bootstrap"),
             due=lambda: ZERO if self._consensus.is_newcomer else None,
         )
 
-    async def _try_bootstrap(self) -> None:
+    async def _attempt_bootstrap(self) -> None:
         founders = self._ctx.settings.founders
         if not self._consensus.is_newcomer or not founders:
             return
--- a/pipitlink/controller/durable_log.py
+++ b/pipitlink/controller/durable_log.py
@@ -179,17 +179,17 @@
         for entry in remaining:
             self._insert(entry)
         self._segments.roll()
-        first_kept = self._segments.newest()
+        first_retained = self._segments.newest()
         self._write_marker()
         for entry in remaining:
             self._write(ControllerRecord(entry=entry)).addErrback(ignore_failure)
         synced = self._write(ControllerRecord(hard_state=self.hard_state))
-        synced.addCallback(lambda _: self._drop_segments(old_segments, first_kept))
+        synced.addCallback(lambda _: self._drop_segments(old_segments, first_retained))
         return synced
 
-    def _drop_segments(self, numbers: Sequence[int], first_kept: int) -> None:
+    def _drop_segments(self, numbers: Sequence[int], first_retained: int) -> None:
         for number in numbers:
-            if number < first_kept:
+            if number < first_retained:
                 self._segments.drop(number)
 
     def close(self) -> None:
--- a/pipitlink/controller/elections.py
+++ b/pipitlink/controller/elections.py
@@ -23,7 +23,7 @@
 """A voter that heard a leader so lately grants no vote; the shortest election timeout."""
 MAX_ELECTION_TIMEOUT = ms(1200)
 """Also how long a leader leads on that hears no majority."""
-COLD_START_STEP = ms(60)
+FULL_RESTART_STEP = ms(60)
 MAX_LEADER_CHECK_INTERVAL = ms(200)
 
 
@@ -31,7 +31,7 @@
     """Stands for election after an election timeout, grants votes, and steps down as a leader without a quorum.
 
     A controller that just started and has heard no leader stands at once, if all other voters just started as well:
-    a cold start. For that each voter has its turn, so that none takes the vote of the one before.
+    a full restart. For that each voter has its turn, so that none takes the vote of the one before.
     """
 
     def __init__(
@@ -49,8 +49,8 @@
         self._contact = contact
         self._replication = replication
         self._calls = calls
-        self._cold_start_over = False
-        self._cold_start_turn: timedelta | None = None
+        self._full_restart_over = False
+        self._full_restart_turn: timedelta | None = None
         self.election_timeout = MAX_ELECTION_TIMEOUT
         self._timer: RepeatingCall | None = None
 
@@ -63,7 +63,7 @@
     def start_timer(self) -> None:
         """Stands for election from now on, when one is due."""
         self._timer = self._ctx.timers.call_repeatedly(
-            TICK_INTERVAL, self._tick, self._ctx.report("election"), due=self._next_due
+            TICK_INTERVAL, self._tick, self._ctx.report("election"), due=self._time_to_next_check
         )
 
     def _wake_timer(self) -> None:
@@ -80,13 +80,13 @@
             return None
         if not self._consensus.is_follower or not self._consensus.is_voter():
             return None
-        if self._just_started() and now >= self._next_cold_start_turn():
-            self._cold_start_turn = now + COLD_START_STEP * len(self._consensus.voters())
-            return self._start_election(cold_start=True)
+        if self._just_started() and now >= self._next_full_restart_turn():
+            self._full_restart_turn = now + FULL_RESTART_STEP * len(self._consensus.voters())
+            return self._start_election(full_restart=True)
         if now - self._contact.election_timer_reset_at > self.election_timeout:
             self.election_timeout = self._random_timeout()
             self._contact.reset_election_timer()
-            return self._start_election(cold_start=False)
+            return self._start_election(full_restart=False)
         return None
 
     def _check_quorum(self, now: timedelta) -> None:
@@ -97,7 +97,7 @@
     def _quorum_or_election_at(self) -> timedelta:
         return max(self._replication.quorum_contact_at(), self._replication.elected_at)
 
-    def _next_due(self) -> timedelta:
+    def _time_to_next_check(self) -> timedelta:
         """How long nothing can be due. A leader checks often: the voters, and so its quorum contact, may change."""
         now = self._ctx.timers.now()
         if self._consensus.is_follower and not self._just_started():
@@ -106,9 +106,9 @@
             return min(MAX_LEADER_CHECK_INTERVAL, self._quorum_or_election_at() + MAX_ELECTION_TIMEOUT - now)
         return ZERO
 
-    def _start_election(self, cold_start: bool) -> "defer.Deferred[Any]":
+    def _start_election(self, full_restart: bool) -> "defer.Deferred[Any]":
         self._consensus.start_election()
-        return spawn(self._run_election(cold_start)).addErrback(self._election_failed)
+        return spawn(self._run_election(full_restart)).addErrback(self._election_failed)
 
     def _election_failed(self, failure: Failure) -> None:
         self._ctx.logger.failure("election_failed", failure.value)
@@ -116,28 +116,28 @@
 
     def _just_started(self) -> bool:
         """Whether this controller started a short while ago, and has neither heard a leader nor voted since."""
-        if self._cold_start_over or self._contact.heard_since_start():
+        if self._full_restart_over or self._contact.had_leader_since_start():
             return False
         return self._ctx.timers.now() - self._contact.started_at < LEADER_STICKINESS
 
-    def _next_cold_start_turn(self) -> timedelta:
-        if self._cold_start_turn is None:
+    def _next_full_restart_turn(self) -> timedelta:
+        if self._full_restart_turn is None:
             position = self._consensus.voters().index(self._ctx.node)
-            self._cold_start_turn = self._contact.started_at + COLD_START_STEP * (1 + position)
-        return self._cold_start_turn
+            self._full_restart_turn = self._contact.started_at + FULL_RESTART_STEP * (1 + position)
+        return self._full_restart_turn
 
-    async def _run_election(self, cold_start: bool) -> None:
+    async def _run_election(self, full_restart: bool) -> None:
         term = self._consensus.term + 1
-        if not await self._poll_voters(Poll(term, pre_vote=True, cold_start=cold_start)):
+        if not await self._poll_voters(Poll(term, pre_vote=True, full_restart=full_restart)):
             self._consensus.step_down()
             return
-        self._cold_start_over = True
+        self._full_restart_over = True
         term = self._consensus.term + 1
         await self._durable_log.save_hard_state(term, self._ctx.node)
         if not self._is_candidate_in(term):
             return
         self._consensus.leader_id = ""
-        elected = await self._poll_voters(Poll(term, pre_vote=False, cold_start=cold_start))
+        elected = await self._poll_voters(Poll(term, pre_vote=False, full_restart=full_restart))
         if elected and self._is_candidate_in(term):
             self._consensus.win_election()
         elif self._consensus.is_candidate:
@@ -154,8 +154,8 @@
             last_index=self._durable_log.last_index(),
             last_term=self._durable_log.last_term(),
             pre_vote=poll.pre_vote,
-            cold_start=poll.cold_start,
-            voters=self._consensus.voters() if poll.cold_start else (),
+            full_restart=poll.full_restart,
+            voters=self._consensus.voters() if poll.full_restart else (),
         )
         return await VotePoll(self._ctx, self._consensus, self._calls, poll, request).run()
 
@@ -168,14 +168,14 @@
         """Answers a vote request; a vote is durable before it is granted."""
         if self._consensus.is_newcomer:
             return VoteResponse(term=self._consensus.term)
-        cold_start = self._confirms_cold_start(request)
+        full_restart = self._confirms_full_restart(request)
         outdated = request.term < self._consensus.term
-        if outdated or self._keeps_leader(cold_start) or not self._log_up_to_date(request):
-            return VoteResponse(term=self._consensus.term, cold_start=cold_start)
+        if outdated or self._keeps_leader(full_restart) or not self._log_up_to_date(request):
+            return VoteResponse(term=self._consensus.term, full_restart=full_restart)
         if request.pre_vote:
             granted = request.term > self._consensus.term
-            return VoteResponse(term=self._consensus.term, granted=granted, cold_start=cold_start)
-        self._cold_start_over = True
+            return VoteResponse(term=self._consensus.term, granted=granted, full_restart=full_restart)
+        self._full_restart_over = True
         if request.term > self._consensus.term:
             self._consensus.step_down()
         elif self._durable_log.hard_state.voted_for not in ("", request.candidate):
@@ -192,15 +192,15 @@
             self._contact.reset_election_timer()
         return stands
 
-    def _confirms_cold_start(self, request: VoteRequest) -> bool:
-        return request.cold_start and self._just_started() and tuple(request.voters) == self._consensus.voters()
+    def _confirms_full_restart(self, request: VoteRequest) -> bool:
+        return request.full_restart and self._just_started() and tuple(request.voters) == self._consensus.voters()
 
-    def _keeps_leader(self, cold_start: bool) -> bool:
+    def _keeps_leader(self, full_restart: bool) -> bool:
         """Leader stickiness: whether this controller leads, or heard a leader too lately to help elect another."""
         if self._consensus.is_leader:
             return True
-        heard_lately = self._ctx.timers.now() - self._contact.heard_at < LEADER_STICKINESS
-        return heard_lately and not cold_start
+        recent_leader = self._ctx.timers.now() - self._contact.leader_message_at < LEADER_STICKINESS
+        return recent_leader and not full_restart
 
     def _log_up_to_date(self, request: VoteRequest) -> bool:
         """Whether the candidate's log has all that this controller's log has."""
--- a/pipitlink/controller/leader_contact.py
+++ b/pipitlink/controller/leader_contact.py
@@ -14,25 +14,25 @@
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
         self.started_at = ZERO
-        self.heard_at = ZERO
+        self.leader_message_at = ZERO
         self.election_timer_reset_at = ZERO
         self.round_trip_at = ZERO
 
     def open(self) -> None:
         """Begins all times now, at the start of the controller."""
         now = self._ctx.timers.now()
-        self.started_at = self.heard_at = self.election_timer_reset_at = self.round_trip_at = now
+        self.started_at = self.leader_message_at = self.election_timer_reset_at = self.round_trip_at = now
 
-    def leader_heard(self, response_age: timedelta) -> None:
+    def record_leader_message(self, response_age: timedelta) -> None:
         """Notes a leader's message, which says how long ago it sent the latest call that had a response from here."""
         now = self._ctx.timers.now()
-        self.election_timer_reset_at = self.heard_at = now
+        self.election_timer_reset_at = self.leader_message_at = now
         self.round_trip_at = max(self.round_trip_at, now - response_age)
 
     def reset_election_timer(self) -> None:
         """Has the election timeout begin anew, as after a vote."""
         self.election_timer_reset_at = self._ctx.timers.now()
 
-    def heard_since_start(self) -> bool:
+    def had_leader_since_start(self) -> bool:
         """Returns whether a leader was heard after this controller started."""
-        return self.heard_at != self.started_at
+        return self.leader_message_at != self.started_at
--- a/pipitlink/controller/log_receiver.py
+++ b/pipitlink/controller/log_receiver.py
@@ -43,7 +43,7 @@
             self._consensus.step_down()
         if self._consensus.term != request.term or self._consensus.is_leader:
             return AppendResponse(term=self._consensus.term)
-        self._contact.leader_heard(ms(request.last_response_age_ms))
+        self._contact.record_leader_message(ms(request.last_response_age_ms))
         self._consensus.leader_id = request.leader
         if request.HasField("chunk") and self._snapshots.is_needed(request.chunk):
             received_bytes = self._snapshots.receive_chunk(request)
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -1,7 +1,9 @@
 """The controller node: puts the parts of a controller together."""
 
+from collections.abc import Callable
 from datetime import timedelta
 from pathlib import Path
+from typing import Any
 
 from google.protobuf.message import Message
 
@@ -176,7 +178,7 @@
         self._start_leader_timer(VOTERS_INTERVAL, self._voters_beat, "voters")
         self._open_placement_timers()
 
-    def _start_leader_timer(self, interval: timedelta, work, event: str) -> None:
+    def _start_leader_timer(self, interval: timedelta, work: Callable[[], object], event: str) -> None:
         """Runs work repeatedly from now on while this controller leads."""
         timer = self._ctx.timers.call_repeatedly(
             interval, work, self._ctx.report(event), due=lambda: ZERO if self.consensus.is_leader else None
@@ -192,7 +194,7 @@
             self.log_replication.send_to_all()
             self.state_delivery.forget_followers()
 
-    def routes(self, add) -> None:
+    def routes(self, add: Callable[..., Any]) -> None:
         """Adds the HTTP routes of the operators' interface."""
         super().routes(add)
         Control(self._ctx, self, ControlWords()).routes(add)
--- a/pipitlink/controller/snapshot_files.py
+++ b/pipitlink/controller/snapshot_files.py
@@ -93,7 +93,7 @@
 
     def _read_records(self, folder: Path) -> tuple[list[Row], bytes]:
         with dbm.dumb.open(str(folder / "setup"), "r") as database:
-            keys = [key for key in sorted(database.keys()) if key.startswith(b"row/")]
-            rows = [Row.FromString(database[key]) for key in keys]
+            keys = sorted(key for key in database.keys() if isinstance(key, bytes))
+            rows = [Row.FromString(database[key]) for key in keys if key.startswith(b"row/")]
             rows.sort(key=lambda row: row.name)
             return rows, database[b"head"]
--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -93,9 +93,9 @@
         self._replication = replication
         self._followers: dict[str, Follower] = {}
         self._transfers: list[StateTransfer] = []
-        self.held_requests = _Waiters(ctx)
+        self.pending_requests = _Waiters(ctx)
         self._waiting_edits = _Waiters(ctx)
-        self._proposals = SingleFlight()
+        self._proposals: SingleFlight[object, Outcome] = SingleFlight()
 
     def open(self) -> None:
         """Answers followers from now on."""
@@ -129,16 +129,16 @@
         self._followers[request.node] = Follower(request.role, request.sequence, asked_at + LEASE_SPAN)
         self._waiting_edits.wake()
         if request.sequence >= self._consensus.cluster_state.sequence and not request.at_once:
-            await self._hold(request)
+            await self._wait_for_newer_state(request)
         self._require_recent_quorum()
         response = self._follow_response(request)
         response.held_ms = self._renew_lease(request.node, asked_at)
         return response
 
-    async def _hold(self, request: FollowRequest) -> None:
+    async def _wait_for_newer_state(self, request: FollowRequest) -> None:
         """Returns once there is something newer, or this controller leads no more, or after a while."""
         limit = min(ms(request.hold_ms) or HOLD_FOLLOW, MOST_HELD)
-        await self.held_requests.wait(limit, lambda: self._is_outdated(request))
+        await self.pending_requests.wait(limit, lambda: self._is_outdated(request))
 
     def _is_outdated(self, request: FollowRequest) -> bool:
         return self._consensus.cluster_state.sequence > request.sequence or not self._consensus.is_leader
@@ -196,7 +196,7 @@
 
     def _wake_all(self) -> None:
         """Answers held requests, and checks edits again, as the cluster state or the role has changed."""
-        self.held_requests.wake()
+        self.pending_requests.wake()
         self._waiting_edits.wake()
 
     def is_in_effect(self, sequence: int) -> bool:
--- a/pipitlink/controller/vote_poll.py
+++ b/pipitlink/controller/vote_poll.py
@@ -21,19 +21,19 @@
 class Poll:
     """What the voters are asked: for a vote in a term, or in a pre-vote whether they would give it.
 
-    In a cold start no leader needs to be waited out: all voters have just started, or another node answers at their
+    In a full restart no leader needs to be waited out: all voters have just started, or another node answers at their
     address, so that none of them leads and whoever led has ended. The pre-vote shows it: each single voter must have
     started a short while ago and know the same voters.
     """
 
     term: int
     pre_vote: bool
-    cold_start: bool
+    full_restart: bool
 
     @property
-    def proves_cold_start(self) -> bool:
+    def proves_full_restart(self) -> bool:
         """Whether this poll has to show that all voters just started."""
-        return self.pre_vote and self.cold_start
+        return self.pre_vote and self.full_restart
 
 
 class VotePoll:
@@ -60,7 +60,7 @@
                 self._ctx.run_in_background(self._ask(voter), "vote_request")
         if self._unanswered:
             await self._result_known
-        if self._poll.proves_cold_start and not self._just_started.issuperset(self._voters):
+        if self._poll.proves_full_restart and not self._just_started.issuperset(self._voters):
             return False
         return self._consensus.is_majority(self._granted)
 
@@ -77,7 +77,7 @@
             self._result_known.callback(None)
 
     async def _take_response(self, voter: str, response: VoteResponse) -> None:
-        if response.cold_start:
+        if response.full_restart:
             self._just_started.add(voter)
         if response.granted and response.node == voter:
             self._granted.add(voter)
@@ -87,4 +87,4 @@
     def _is_decided(self) -> bool:
         if self._unanswered == 0:
             return True
-        return not self._poll.proves_cold_start and self._consensus.is_majority(self._granted)
+        return not self._poll.proves_full_restart and self._consensus.is_majority(self._granted)
--- a/tests/stored_parts.py
+++ b/tests/stored_parts.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from pipitlink.cluster import ClusterState
-from pipitlink.controller.archive import Archive
+from pipitlink.controller.durable_log import DurableLog
 from pipitlink.disk import Disk
 from pipitlink.storage import node_id
 from pipitlink.storage.log_store import LogStore
@@ -51,21 +51,21 @@
 
 def read_controller(folder: Path) -> dict:
     """A controller's ballot, snapshot, log and the state that they make; its log is agreed to the end."""
-    archive = Archive(mock.Mock(chance=Random(1)), folder, Disk())
-    archive.recover()
-    state = ClusterState(archive.snapshot.cluster_state)
-    for entry in archive.entries:
+    durable_log = DurableLog(mock.Mock(chance=Random(1)), folder, Disk())
+    durable_log.recover()
+    state = ClusterState(durable_log.snapshot.cluster_state)
+    for entry in durable_log.entries:
         state.apply(entry.index, entry.command)
     read = {
         "node": node_id(folder, FLEET),
-        "term": archive.ballot.term,
-        "vote": archive.ballot.vote,
-        "snapshot": [archive.snapshot.index, archive.snapshot.term, _message_digest(archive.snapshot)],
-        "entries": [[e.index, e.term, _message_digest(e)] for e in archive.entries],
-        "voters": list(archive.voters()),
+        "term": durable_log.hard_state.term,
+        "vote": durable_log.hard_state.voted_for,
+        "snapshot": [durable_log.snapshot.index, durable_log.snapshot.term, _message_digest(durable_log.snapshot)],
+        "entries": [[e.index, e.term, _message_digest(e)] for e in durable_log.entries],
+        "voters": list(durable_log.voters()),
         "state": read_state(state),
     }
-    archive.close()
+    durable_log.close()
     return read
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -154,7 +154,7 @@
             stage.run(SPAN)
             heartbeats = 2 * SPAN * 10
             self.assertLessEqual(len(waits), 1.05 * len(asked) + heartbeats, gateways)
-            self.assertLessEqual(len(leader.part.state_delivery.held_requests), gateways + 3, gateways)
+            self.assertLessEqual(len(leader.part.state_delivery.pending_requests), gateways + 3, gateways)
 
     def test_an_edit_is_still_seen_as_soon_as_the_last_gateway_confirms(self):
         stage = HollowStage(7, controllers=3, storage_nodes=3, gateways=12, placement_groups=2)
--- a/tests/test_stage_follow.py
+++ b/tests/test_stage_follow.py
@@ -100,10 +100,10 @@
         with held_long():
             stage = self.stage()
             leader = stage.leader()
-            stage.until(lambda: len(leader.part.state_delivery.held_requests) >= 5, 2, "questions are held")
+            stage.until(lambda: len(leader.part.state_delivery.pending_requests) >= 5, 2, "questions are held")
             leader.part.consensus.step_down()
             stage.run(0.01)
-            self.assertEqual(len(leader.part.state_delivery.held_requests), 0)
+            self.assertEqual(len(leader.part.state_delivery.pending_requests), 0)
 
 
 class LongHeldUnderTrouble(under_trouble.ClusterUnderTrouble):
