--- a/tests/stored_parts.py
+++ b/tests/stored_parts.py
@@ -51,7 +51,7 @@
 
 def read_controller(folder: Path) -> dict:
     """A controller's ballot, snapshot, log and the state that they make; its log is agreed to the end."""
-    durable_log = DurableLog(mock.Mock(chance=Random(1)), folder, Disk())
+    durable_log = DurableLog(mock.Mock(rng=Random(1)), folder, Disk())
     durable_log.recover()
     state = ClusterState(durable_log.snapshot.cluster_state)
     for entry in durable_log.entries:
