--- a/pipitlink/controller/durable_log.py
+++ b/pipitlink/controller/durable_log.py
@@ -133,12 +133,12 @@
         newest = self.entries[: max(0, commit_index - self.snapshot.index)][-RETAINED_ENTRIES:]
         return commit_index - len(_prefix_within(newest[::-1], RETAINED_BYTES))
 
-    def save_hard_state(self, term: int, voted_for: str) -> "defer.Deferred[None]":
+    def save_hard_state(self, term: int, voted_for: str) -> defer.Deferred[None]:
         """Writes a term and the vote in it, empty for none; fires once they are synced."""
         self.hard_state = HardState(term=term, voted_for=voted_for)
         return self._write(ControllerRecord(hard_state=self.hard_state))
 
-    def append(self, entry: ControllerEntry) -> "defer.Deferred[None]":
+    def append(self, entry: ControllerEntry) -> defer.Deferred[None]:
         """Writes an entry in place of all that stands at its index and after it; fires once it is synced."""
         self._insert(entry)
         if self._marker_missing:
@@ -151,13 +151,13 @@
         marker = Snapshot(index=self.snapshot.index, term=self.snapshot.term, cluster_state=ClusterStateData())
         self._write(ControllerRecord(snapshot=marker)).addErrback(ignore_failure)
 
-    def _write(self, record: ControllerRecord) -> "defer.Deferred[None]":
+    def _write(self, record: ControllerRecord) -> defer.Deferred[None]:
         body = record.SerializeToString()
         synced = self._syncer.put(lambda ticket: self._segments.put(body, ticket))
         assert synced is not None
         return synced
 
-    def all_synced(self) -> "defer.Deferred[None]":
+    def all_synced(self) -> defer.Deferred[None]:
         """Returns a Deferred that fires once all that was written before is synced."""
         return self._write(ControllerRecord()) if self._syncer.busy else defer.succeed(None)
 
@@ -165,7 +165,7 @@
         """Makes a snapshot durable in place of the one before. Blocks, for a thread; raises OSError."""
         self._snapshot_files.save(snapshot)
 
-    def use_snapshot(self, snapshot: Snapshot) -> "defer.Deferred[None]":
+    def use_snapshot(self, snapshot: Snapshot) -> defer.Deferred[None]:
         """After `save_snapshot`: drops what the snapshot covers from the log, in memory and on disk.
 
         Entries after it stay where the log is on its branch. Fires once the shortened log is synced.
--- a/pipitlink/controller/elections.py
+++ b/pipitlink/controller/elections.py
@@ -14,7 +14,7 @@
 from .interfaces import ControllerCalls
 from .leader_contact import LeaderContact
 from .log_replication import LogReplication
-from .vote_poll import Poll, VotePoll
+from .vote_poll import VotePoll
 
 __all__ = ["LEADER_STICKINESS", "Elections"]
 
@@ -73,7 +73,7 @@
     def _random_timeout(self) -> timedelta:
         return LEADER_STICKINESS + (MAX_ELECTION_TIMEOUT - LEADER_STICKINESS) * self._ctx.rng.random()
 
-    def _tick(self) -> "defer.Deferred[Any] | None":
+    def _tick(self) -> defer.Deferred[Any] | None:
         now = self._ctx.timers.now()
         if self._consensus.is_leader:
             self._check_quorum(now)
@@ -106,7 +106,7 @@
             return min(MAX_LEADER_CHECK_INTERVAL, self._quorum_or_election_at() + MAX_ELECTION_TIMEOUT - now)
         return ZERO
 
-    def _start_election(self, full_restart: bool) -> "defer.Deferred[Any]":
+    def _start_election(self, full_restart: bool) -> defer.Deferred[Any]:
         self._consensus.start_election()
         return spawn(self._run_election(full_restart)).addErrback(self._election_failed)
 
@@ -128,7 +128,7 @@
 
     async def _run_election(self, full_restart: bool) -> None:
         term = self._consensus.term + 1
-        if not await self._poll_voters(Poll(term, pre_vote=True, full_restart=full_restart)):
+        if not await self._poll_voters(term, pre_vote=True, full_restart=full_restart):
             self._consensus.step_down()
             return
         self._full_restart_over = True
@@ -137,7 +137,7 @@
         if not self._is_candidate_in(term):
             return
         self._consensus.leader_id = ""
-        elected = await self._poll_voters(Poll(term, pre_vote=False, full_restart=full_restart))
+        elected = await self._poll_voters(term, pre_vote=False, full_restart=full_restart)
         if elected and self._is_candidate_in(term):
             self._consensus.win_election()
         elif self._consensus.is_candidate:
@@ -146,18 +146,18 @@
     def _is_candidate_in(self, term: int) -> bool:
         return self._consensus.term == term and self._consensus.is_candidate
 
-    async def _poll_voters(self, poll: Poll) -> bool:
+    async def _poll_voters(self, term: int, *, pre_vote: bool, full_restart: bool) -> bool:
         """Returns whether a majority votes, or in a pre-vote would vote, for this controller."""
         request = VoteRequest(
-            term=poll.term,
+            term=term,
             candidate=self._ctx.node,
             last_index=self._durable_log.last_index(),
             last_term=self._durable_log.last_term(),
-            pre_vote=poll.pre_vote,
-            full_restart=poll.full_restart,
-            voters=self._consensus.voters() if poll.full_restart else (),
+            pre_vote=pre_vote,
+            full_restart=full_restart,
+            voters=self._consensus.voters() if full_restart else (),
         )
-        return await VotePoll(self._ctx, self._consensus, self._calls, poll, request).run()
+        return await VotePoll(self._ctx, self._consensus, self._calls, request).run()
 
     async def _answer_vote_request(self, _node: str, request: VoteRequest) -> VoteResponse:
         response = await self.vote(request)
--- a/pipitlink/controller/log_receiver.py
+++ b/pipitlink/controller/log_receiver.py
@@ -60,7 +60,7 @@
         """Whether the log here has the entry that the request's entries follow."""
         return self._durable_log.term_at(request.prev_index) == request.prev_term
 
-    def _write_entries(self, request: AppendRequest) -> "defer.Deferred[None]":
+    def _write_entries(self, request: AppendRequest) -> defer.Deferred[None]:
         """Writes the entries that are new here; the Deferred fires once they and all before them are synced."""
         for entry in request.entries:
             known = self._durable_log.term_at(entry.index) == entry.term
--- a/pipitlink/controller/log_replication.py
+++ b/pipitlink/controller/log_replication.py
@@ -40,7 +40,7 @@
     """An entry whose outcome is waited for. Errors are values, since nobody may be left to wait for one."""
 
     term: int
-    result: "defer.Deferred[Outcome | Unconfirmed]"
+    result: defer.Deferred[Outcome | Unconfirmed]
 
 
 class LogReplication:
--- a/pipitlink/controller/vote_poll.py
+++ b/pipitlink/controller/vote_poll.py
@@ -1,8 +1,5 @@
 """One poll of the voters: whether a majority votes, or would vote, for a candidate."""
 
-from datetime import timedelta
-
-import attrs
 from twisted.internet import defer
 
 from ..context import Context
@@ -12,41 +9,25 @@
 from .consensus_state import ConsensusState
 from .interfaces import ControllerCalls
 
-__all__ = ["Poll", "VotePoll"]
+__all__ = ["VotePoll"]
 
-CALL_LIMIT: timedelta = ms(400)
+CALL_LIMIT = ms(400)
 
 
-@attrs.frozen
-class Poll:
-    """What the voters are asked: for a vote in a term, or in a pre-vote whether they would give it.
+class VotePoll:
+    """Asks all voters at the same time, and collects their votes until the result is known.
 
-    In a full restart no leader needs to be waited out: all voters have just started, or another node answers at their
-    address, so that none of them leads and whoever led has ended. The pre-vote shows it: each single voter must have
-    started a short while ago and know the same voters.
+    After a full restart no leader needs to be waited out: all voters have just started, or another node answers at
+    their address, so that none of them leads and whoever led has ended. The pre-vote proves it: each single voter must
+    have started a short while ago and know the same voters.
     """
 
-    term: int
-    pre_vote: bool
-    full_restart: bool
-
-    @property
-    def proves_full_restart(self) -> bool:
-        """Whether this poll has to show that all voters just started."""
-        return self.pre_vote and self.full_restart
-
-
-class VotePoll:
-    """Asks all voters at the same time, and collects their votes until the result is known."""
-
-    def __init__(
-        self, ctx: Context, consensus: ConsensusState, calls: ControllerCalls, poll: Poll, request: VoteRequest
-    ) -> None:
+    def __init__(self, ctx: Context, consensus: ConsensusState, calls: ControllerCalls, request: VoteRequest) -> None:
         self._ctx = ctx
         self._consensus = consensus
         self._calls = calls
-        self._poll = poll
         self._request = request
+        self._proves_full_restart = request.pre_vote and request.full_restart
         self._voters = consensus.voters()
         self._granted = {ctx.node}
         self._just_started = {ctx.node}
@@ -60,7 +41,7 @@
                 self._ctx.run_in_background(self._ask(voter), "vote_request")
         if self._unanswered:
             await self._result_known
-        if self._poll.proves_full_restart and not self._just_started.issuperset(self._voters):
+        if self._proves_full_restart and not self._just_started.issuperset(self._voters):
             return False
         return self._consensus.is_majority(self._granted)
 
@@ -81,10 +62,10 @@
             self._just_started.add(voter)
         if response.granted and response.node == voter:
             self._granted.add(voter)
-        elif response.term > self._consensus.term and not self._poll.pre_vote:
+        elif response.term > self._consensus.term and not self._request.pre_vote:
             await self._consensus.observe_term(response.term)
 
     def _is_decided(self) -> bool:
         if self._unanswered == 0:
             return True
-        return not self._poll.proves_full_restart and self._consensus.is_majority(self._granted)
+        return not self._proves_full_restart and self._consensus.is_majority(self._granted)
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -97,10 +97,10 @@
         return vote
 
     def _around_poll(self, plain):
-        def poll(elections, poll):
-            if not poll.pre_vote:
-                self.votes.append(Vote(poll.term, elections._ctx.node, elections._ctx.node))
-            return plain(elections, poll)
+        def poll(elections, term, *, pre_vote, full_restart):
+            if not pre_vote:
+                self.votes.append(Vote(term, elections._ctx.node, elections._ctx.node))
+            return plain(elections, term, pre_vote=pre_vote, full_restart=full_restart)
 
         return poll
 
