--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -149,6 +149,8 @@
             with self.subTest(seed=seed):
                 recorder, told = run_recorded(seed)
                 self.assertEqual(recorder.found(IN_EFFECT), [], f"seed {seed}: {told}")
+                for observed in (recorder.votes, recorder.elected, recorder.counted, recorder.applied):
+                    self.assertTrue(observed, "the recorder no longer sees the consensus")
                 acknowledged += len(recorder.acknowledged)
                 changes += len(recorder.changes)
         self.assertGreater(acknowledged, 20 * len(SEEDS))
