--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -93,8 +93,10 @@
 
     def put_row(self, name: str):
         leader = self.stage.leader().part
-        edit = TableEdit(base=leader.cluster_state.table, puts=[Row(name=name, model="new-model", pool="models")])
-        outcome = self.stage.do(leader.edit(Command(edit=f"edit-{name}", table=edit)))
+        edit = TableEdit(
+            base=leader.consensus.cluster_state.table, puts=[Row(name=name, model="new-model", pool="models")]
+        )
+        outcome = self.stage.do(leader.state_delivery.edit(Command(edit=f"edit-{name}", table=edit)))
         self.assertEqual(outcome.code, "done")
         self.stage.run(1)  # until the followers have it as well
 
