--- a/pipitlink/controller/bootstrap.py
+++ b/pipitlink/controller/bootstrap.py
@@ -36,8 +36,8 @@
         self._ctx.timers.call_repeatedly(
             INTERVAL,
             self._attempt_bootstrap,
-            self._ctx.report("bootstrap"),
-            due=lambda: ZERO if self._consensus.is_newcomer else None,
+            self._ctx.error_reporter("bootstrap"),
+            idle_time=lambda: ZERO if self._consensus.is_newcomer else None,
         )
 
     async def _attempt_bootstrap(self) -> None:
--- a/pipitlink/controller/control_api.py
+++ b/pipitlink/controller/control_api.py
@@ -9,9 +9,9 @@
 
 from ..cluster.routes import RouteTable
 from ..context import Context
-from ..dialect.control import ControlWords
+from ..dialect.control import ControlFormat
 from ..errors import ApiError, BadRequest, NotFound
-from ..web import Site, answered, listen, send_fault, send_json
+from ..web import Site, http_handler, listen, send_error, send_json
 from ..wire.cluster_pb2 import Command, ConfigEdit, ZoneEdit
 from ..wire.membership_pb2 import EngineUpdate
 from .edit_requests import edit_base, edit_id, read_body
@@ -66,28 +66,28 @@
 class ControlApi:
     """HTTP handlers for configurations, zones, retirements and announcements of engines, in one dialect."""
 
-    def __init__(self, ctx: Context, services: ControllerServices, dialect: ControlWords) -> None:
+    def __init__(self, ctx: Context, services: ControllerServices, dialect: ControlFormat) -> None:
         self._ctx = ctx
         self._services = services
         self._dialect = dialect
 
-    def routes(self, add: Callable[..., Any]) -> None:
+    def add_routes(self, add: Callable[..., Any]) -> None:
         """Registers the handlers, by the dialect's paths, with the decorator factory of a klein app."""
         for method, path, action in self._dialect.control_paths:
             add(path, methods=[method], endpoint=f"control_{action}")(getattr(self, action))
 
-    @answered
+    @http_handler
     async def show_config(self, request: Request) -> bytes:
         """Answers with the whole configuration and its version."""
         table = (await self._services.submission.newest_cluster_state()).routes
-        return _send_body(request, self._dialect.config_body(table.config()), {b"ETag": b'"%d"' % table.version})
+        return _send_body(request, self._dialect.format_config(table.config()), {b"ETag": b'"%d"' % table.version})
 
-    @answered
+    @http_handler
     async def put_config(self, request: Request) -> bytes:
         """Replaces the configuration."""
         return await self._edit_config(request, replace=True)
 
-    @answered
+    @http_handler
     async def patch_config(self, request: Request) -> bytes:
         """Adds, replaces and removes single routes and pools."""
         return await self._edit_config(request, replace=False)
@@ -95,7 +95,7 @@
     async def _edit_config(self, request: Request, replace: bool) -> bytes:
         base = edit_base(request)
         body = read_body(request)
-        edit = self._dialect.config_edit(body, base, replace)
+        edit = self._dialect.parse_config_edit(body, base, replace)
         if replace:
             _check_config(edit)
         command = Command(edit=edit_id(request, _default_edit_id(request, base, body)), config=edit)
@@ -112,12 +112,12 @@
         answer = {"version": outcome.sequence, "edit": command.edit}
         return send_json(request, answer, 200, {"ETag": f'"{outcome.sequence}"'})
 
-    @answered
+    @http_handler
     async def empty_zone(self, request: Request, zone: str) -> bytes:
         """Has a zone emptied."""
         return await self._edit_zone(request, zone, empty=True)
 
-    @answered
+    @http_handler
     async def fill_zone(self, request: Request, zone: str) -> bytes:
         """Has a zone used again."""
         return await self._edit_zone(request, zone, empty=False)
@@ -129,31 +129,31 @@
             raise ApiError(f"the edit was refused: {outcome.code}", code=outcome.code, status=422, outcome="not_run")
         return send_json(request, {"sequence": outcome.sequence, "edit": command.edit})
 
-    @answered
+    @http_handler
     async def put_engine(self, request: Request, engine: str) -> bytes:
         """Takes an engine's announcement."""
-        await self._services.announcements.announce(self._dialect.engine_update(engine, read_body(request)))
-        return _send_body(request, self._dialect.engine_answer())
+        await self._services.announcements.announce(self._dialect.parse_engine_update(engine, read_body(request)))
+        return _send_body(request, self._dialect.format_engine_response())
 
-    @answered
+    @http_handler
     async def drop_engine(self, request: Request, engine: str) -> bytes:
         """Takes an engine's announcement that it is gone."""
         update = EngineUpdate(engine=engine, incarnation=1, state=EngineState.GONE)
         await self._services.announcements.announce(update)
-        return _send_body(request, self._dialect.engine_answer())
+        return _send_body(request, self._dialect.format_engine_response())
 
-    @answered
+    @http_handler
     async def retire(self, request: Request, storage_node: str) -> bytes:
         """Has a storage node emptied."""
         edit = edit_id(request)
         sequence = await self._services.retirement.retire(storage_node, edit)
         return send_json(request, {"sequence": sequence, "edit": edit}, 200, {"ETag": f'"{sequence}"'})
 
-    @answered
+    @http_handler
     async def show_retirement(self, request: Request, storage_node: str) -> bytes:
         """Answers whether a storage node is retired."""
         status = await self._services.retirement.status(storage_node)
-        return _send_body(request, self._dialect.retirement_answer(status))
+        return _send_body(request, self._dialect.format_retirement(status))
 
 
 class ControlServer:
@@ -167,7 +167,7 @@
     async def listen(self, host: str, port: int) -> int:
         """Binds the address and returns its port. Raises CannotListenError."""
         app = Klein()
-        self._api.routes(app.route)
+        self._api.add_routes(app.route)
         app.route("/", defaults={"path": ""})(self._not_found)
         app.route("/<path:path>")(self._not_found)
         self._port, bound_port = await listen(self._ctx.reactor, Site(app.resource(), MAX_BODY_BYTES), host, port)
@@ -179,4 +179,4 @@
             await self._port.stopListening()
 
     def _not_found(self, request: Request, path: str) -> bytes:
-        return send_fault(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
+        return send_error(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
--- a/pipitlink/controller/durable_log.py
+++ b/pipitlink/controller/durable_log.py
@@ -9,8 +9,8 @@
 from ..context import Context
 from ..disk import Disk
 from ..errors import CorruptData
+from ..group_commit import GroupCommit
 from ..segments import Segments
-from ..syncing import Syncer
 from ..wire.cluster_pb2 import ClusterStateData
 from ..wire.controller_pb2 import ControllerEntry, ControllerRecord, HardState, Snapshot
 from .log_replay import LogReplay
@@ -47,7 +47,7 @@
         self._log_folder = folder / "agreed"
         self._snapshot_files = SnapshotFiles(folder, disk)
         self._segments = Segments(self._log_folder, disk)
-        self._syncer = Syncer(ctx, self._segments, self._replay)
+        self._group_commit = GroupCommit(ctx, self._segments, self._replay)
         self.hard_state = HardState()
         self.snapshot = Snapshot()
         self.entries: list[ControllerEntry] = []
@@ -99,7 +99,7 @@
 
     def used_bytes(self) -> int:
         """Returns the bytes on disk: the log, and the snapshot twice, as it is while one replaces another."""
-        return self._segments.used() + 2 * self.snapshot.ByteSize()
+        return self._segments.used_bytes() + 2 * self.snapshot.ByteSize()
 
     def last_index(self) -> int:
         """Returns the index of the last entry, or of the snapshot where no entry follows it."""
@@ -153,13 +153,13 @@
 
     def _write(self, record: ControllerRecord) -> defer.Deferred[None]:
         body = record.SerializeToString()
-        synced = self._syncer.put(lambda ticket: self._segments.put(body, ticket))
+        synced = self._group_commit.submit(lambda ticket: self._segments.append(body, ticket))
         assert synced is not None
         return synced
 
     def all_synced(self) -> defer.Deferred[None]:
         """Returns a Deferred that fires once all that was written before is synced."""
-        return self._write(ControllerRecord()) if self._syncer.busy else defer.succeed(None)
+        return self._write(ControllerRecord()) if self._group_commit.in_progress else defer.succeed(None)
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
         """Makes a snapshot durable in place of the one before. Blocks, for a thread; raises OSError."""
@@ -173,13 +173,13 @@
         remaining: list[ControllerEntry] = []
         if self.term_at(snapshot.index) == snapshot.term:
             remaining = [entry for entry in self.entries if entry.index > snapshot.index]
-        old_segments = self._segments.numbers()
+        old_segments = self._segments.segment_numbers()
         self.snapshot = snapshot
         self._reset_entries()
         for entry in remaining:
             self._insert(entry)
         self._segments.roll()
-        first_retained = self._segments.newest()
+        first_retained = self._segments.newest_segment()
         self._write_marker()
         for entry in remaining:
             self._write(ControllerRecord(entry=entry)).addErrback(ignore_failure)
@@ -190,7 +190,7 @@
     def _drop_segments(self, numbers: Sequence[int], first_retained: int) -> None:
         for number in numbers:
             if number < first_retained:
-                self._segments.drop(number)
+                self._segments.remove_segment(number)
 
     def close(self) -> None:
         """Closes the files."""
--- a/pipitlink/controller/edit_requests.py
+++ b/pipitlink/controller/edit_requests.py
@@ -5,7 +5,7 @@
 
 from twisted.web.server import Request
 
-from ..context import fresh_id
+from ..context import random_id
 from ..errors import BadRequest
 
 __all__ = ["edit_base", "edit_id", "read_body", "read_json_object"]
@@ -38,7 +38,7 @@
 
     Raises BadRequest where it has more than 100 characters.
     """
-    edit = request.getHeader("Edit-Id") or default or fresh_id()
+    edit = request.getHeader("Edit-Id") or default or random_id()
     if not 1 <= len(edit) <= MAX_EDIT_ID_LENGTH:
         raise BadRequest("Edit-Id must have 1 to 100 characters", code="bad_field", field="Edit-Id")
     return edit
--- a/pipitlink/controller/elections.py
+++ b/pipitlink/controller/elections.py
@@ -63,7 +63,7 @@
     def start_timer(self) -> None:
         """Stands for election from now on, when one is due."""
         self._timer = self._ctx.timers.call_repeatedly(
-            TICK_INTERVAL, self._tick, self._ctx.report("election"), due=self._time_to_next_check
+            TICK_INTERVAL, self._tick, self._ctx.error_reporter("election"), idle_time=self._time_to_next_check
         )
 
     def _wake_timer(self) -> None:
--- a/pipitlink/controller/engine_announcements.py
+++ b/pipitlink/controller/engine_announcements.py
@@ -31,7 +31,7 @@
     def open(self) -> None:
         """Watches the membership for gateways, and starts the timer of renewals."""
         self._ctx.membership.watch(self._member_changed)
-        self._ctx.timers.call_repeatedly(RENEWAL_INTERVAL, self._renew, self._ctx.report("engine_renewals"))
+        self._ctx.timers.call_repeatedly(RENEWAL_INTERVAL, self._renew, self._ctx.error_reporter("engine_renewals"))
 
     async def announce(self, update: EngineUpdate) -> None:
         """Takes an engine's announcement; returns once it may be acknowledged.
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -7,7 +7,7 @@
 
 from ..cluster import ClusterState
 from ..context import Context
-from ..dialect.control import ControlWords
+from ..dialect.control import ControlFormat
 from ..disk import Disk
 from ..timers import ZERO, RepeatingCall, ms
 from .bootstrap import Bootstrap
@@ -124,7 +124,10 @@
     def _start_leader_timer(self, interval: timedelta, work: Callable[[], object], event: str) -> None:
         """Runs work repeatedly from now on while this controller leads."""
         timer = self._ctx.timers.call_repeatedly(
-            interval, work, self._ctx.report(event), due=lambda: ZERO if self.consensus.is_leader else None
+            interval,
+            work,
+            self._ctx.error_reporter(event),
+            idle_time=lambda: ZERO if self.consensus.is_leader else None,
         )
         self.lead_timers.append(timer)
 
@@ -142,10 +145,10 @@
         """The cluster state with all committed entries applied, for the operators' interface."""
         return self.consensus.cluster_state
 
-    def routes(self, add: Callable[..., Any]) -> None:
+    def add_routes(self, add: Callable[..., Any]) -> None:
         """Adds the HTTP routes of the operators' interface."""
-        self.table_api.routes(add)
-        ControlApi(self._ctx, self, ControlWords()).routes(add)
+        self.table_api.add_routes(add)
+        ControlApi(self._ctx, self, ControlFormat()).add_routes(add)
 
     def readiness(self) -> tuple[bool, dict[str, Any]]:
         """Returns whether a leader is known, and what is shown with that."""
--- a/pipitlink/controller/order_fencing.py
+++ b/pipitlink/controller/order_fencing.py
@@ -40,7 +40,9 @@
     def open(self) -> None:
         """Starts the timer that notices when the process was paused."""
         self._last_ran_at = self._ctx.timers.now()
-        self._ctx.timers.call_repeatedly(RUN_CHECK_INTERVAL, self._record_running, self._ctx.report("run_check"))
+        self._ctx.timers.call_repeatedly(
+            RUN_CHECK_INTERVAL, self._record_running, self._ctx.error_reporter("run_check")
+        )
 
     def _record_running(self) -> None:
         now = self._ctx.timers.now()
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -46,7 +46,7 @@
     def start_timer(self) -> RepeatingCall:
         """Starts the timer and returns it, so that it can be woken when this controller becomes the leader."""
         self._timer = self._ctx.timers.call_repeatedly(
-            CHECK_INTERVAL, self._update_placement, self._ctx.report("placement"), due=self._next_check
+            CHECK_INTERVAL, self._update_placement, self._ctx.error_reporter("placement"), idle_time=self._next_check
         )
         return self._timer
 
@@ -89,7 +89,7 @@
         if self._storage_nodes.candidates(self._consensus.cluster_state):
             return
         storage_nodes = self._storage_nodes.serving()
-        replicas = self._ctx.settings.copies
+        replicas = self._ctx.settings.replica_count
         if len(storage_nodes) < replicas:
             waited = self._ctx.timers.now() - self._leader_log.elected_at
             if waited <= FEWER_REPLICAS_AFTER or len(storage_nodes) < MIN_REPLICAS:
--- a/pipitlink/controller/placement_planner.py
+++ b/pipitlink/controller/placement_planner.py
@@ -146,7 +146,7 @@
 
     def _resize(self, group: PlacementGroupRow, load: Counter[str]) -> PlacementGroupRow | None:
         """Returns the change by one replica, where the settings ask for another number than the group has, or None."""
-        replicas = self._ctx.settings.copies
+        replicas = self._ctx.settings.replica_count
         if len(group.storage_nodes) < replicas:
             joining = self._pick_storage_node(self._storage_nodes.serving(), group.storage_nodes, load)
             return _with_change(group, "", joining) if joining else None
@@ -162,7 +162,7 @@
         if not all(self._all_alive(group) for group in self._consensus.cluster_state.placement_groups.values()):
             return []
         change = self._rebalance_zones(load, serving)
-        if change or len(serving) <= self._ctx.settings.copies:
+        if change or len(serving) <= self._ctx.settings.replica_count:
             return change
         return self._rebalance_load(load, serving)
 
--- a/pipitlink/controller/snapshot_files.py
+++ b/pipitlink/controller/snapshot_files.py
@@ -6,7 +6,7 @@
 import zlib
 from pathlib import Path
 
-from ..disk import Disk, swap_in
+from ..disk import Disk, replace_file
 from ..errors import CorruptData
 from ..wire.cluster_pb2 import Row
 from ..wire.controller_pb2 import Snapshot
@@ -44,7 +44,7 @@
         os.replace(temporary, target)
         self._disk.sync_folder(self._folder)
         if not self.was_bootstrapped():
-            swap_in(self._bootstrapped_file, b"", self._disk)
+            replace_file(self._bootstrapped_file, b"", self._disk)
         for older in self._folder.glob("setup-*"):
             if older != target:
                 shutil.rmtree(older, ignore_errors=True)
--- a/pipitlink/controller/storage_retirement.py
+++ b/pipitlink/controller/storage_retirement.py
@@ -60,7 +60,7 @@
             for node, status in cluster_state.storage_nodes.items()
             if status == StorageStatus.SERVING and node != leaving and not self._storage_nodes.is_replaced(node)
         ]
-        replicas = self._ctx.settings.copies
+        replicas = self._ctx.settings.replica_count
         left = len(remaining) + len(self._storage_nodes.candidates(cluster_state))
         if left >= replicas:
             return
--- a/pipitlink/controller/table_api.py
+++ b/pipitlink/controller/table_api.py
@@ -8,7 +8,7 @@
 from ..cluster import ClusterState
 from ..context import Context
 from ..errors import ApiError, BadRequest, NotFound, VersionConflict
-from ..web import answered, send_json
+from ..web import http_handler, send_json
 from ..wire.cluster_pb2 import Command, TableEdit, ZoneEdit
 from .edit_requests import edit_base, edit_id, read_json_object
 from .edit_submission import EditSubmission
@@ -31,7 +31,7 @@
         self._submission = submission
         self._orders = orders
 
-    def routes(self, add: Callable[..., Any]) -> None:
+    def add_routes(self, add: Callable[..., Any]) -> None:
         """Registers the handlers with the decorator factory of a klein app."""
         add("/v1/table", methods=["GET"])(self.show_table)
         add("/v1/table", methods=["PUT"])(self.put_table)
@@ -54,7 +54,7 @@
         body = {"sequence": outcome.sequence, "edit": command.edit}
         return send_json(request, body, 200, _sequence_header(outcome.sequence))
 
-    @answered
+    @http_handler
     async def show_table(self, request: Request) -> bytes:
         """Answers with all rows and the table's sequence."""
         cluster_state = await self._submission.newest_cluster_state()
@@ -62,7 +62,7 @@
         body = {"sequence": cluster_state.table, "rows": rows}
         return send_json(request, body, 200, _sequence_header(cluster_state.table))
 
-    @answered
+    @http_handler
     async def put_table(self, request: Request) -> bytes:
         """Replaces all rows."""
         raw = read_json_object(request)
@@ -71,7 +71,7 @@
         edit = TableEdit(base=edit_base(request), whole=True, puts=parse_rows(raw["rows"]))
         return await self._submit(request, Command(edit=edit_id(request), table=edit))
 
-    @answered
+    @http_handler
     async def show_row(self, request: Request, name: str) -> bytes:
         """Answers with one row and the table's sequence."""
         cluster_state = await self._submission.newest_cluster_state()
@@ -80,19 +80,19 @@
         body = {"sequence": cluster_state.table, "row": row_to_json(cluster_state.rows[name])}
         return send_json(request, body, 200, _sequence_header(cluster_state.table))
 
-    @answered
+    @http_handler
     async def put_row(self, request: Request, name: str) -> bytes:
         """Adds or replaces one row."""
         edit = TableEdit(base=edit_base(request), puts=[parse_row(name, read_json_object(request))])
         return await self._submit(request, Command(edit=edit_id(request), table=edit))
 
-    @answered
+    @http_handler
     async def delete_row(self, request: Request, name: str) -> bytes:
         """Removes one row."""
         edit = TableEdit(base=edit_base(request), drops=[name])
         return await self._submit(request, Command(edit=edit_id(request), table=edit))
 
-    @answered
+    @http_handler
     async def put_zone(self, request: Request, zone: str) -> bytes:
         """Has a zone emptied, or used again."""
         empty = read_json_object(request).get("empty")
@@ -101,14 +101,14 @@
         edit = ZoneEdit(zone=zone, empty=empty)
         return await self._submit(request, Command(edit=edit_id(request), zone=edit))
 
-    @answered
+    @http_handler
     async def show_zones(self, request: Request) -> bytes:
         """Answers with the zones of all members, and those that are emptied."""
         cluster_state = await self._submission.newest_cluster_state()
         zones = sorted({member.zone for member in self._ctx.membership.everyone()} | cluster_state.empty_zones)
         return send_json(request, {"zones": {zone: {"empty": zone in cluster_state.empty_zones} for zone in zones}})
 
-    @answered
+    @http_handler
     async def show_storage_nodes(self, request: Request) -> bytes:
         """Answers with the storage nodes of the cluster state and what the membership says of them."""
         cluster_state = await self._submission.newest_cluster_state()
--- a/pipitlink/controller/voter_changes.py
+++ b/pipitlink/controller/voter_changes.py
@@ -51,7 +51,7 @@
 
     def _next_voters(self, voters: Voters) -> Voters | None:
         """Returns the next set of voters, one more or one less, or None where nothing is to be changed or can be."""
-        wanted = self._ctx.settings.copies
+        wanted = self._ctx.settings.replica_count
         lost = [voter for voter in voters if self._is_lost(voter)]
         live = [voter for voter in voters if voter not in lost]
         if len(voters) > wanted:
--- a/pipitlink/controller/witness_changes.py
+++ b/pipitlink/controller/witness_changes.py
@@ -40,7 +40,7 @@
     def start_timer(self) -> RepeatingCall:
         """Starts the timer and returns it, so that it can be woken when this controller becomes the leader."""
         return self._ctx.timers.call_repeatedly(
-            CHECK_INTERVAL, self._update_witnesses, self._ctx.report("witnesses"), due=self._next_check
+            CHECK_INTERVAL, self._update_witnesses, self._ctx.error_reporter("witnesses"), idle_time=self._next_check
         )
 
     def _next_check(self) -> timedelta | None:
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -55,8 +55,8 @@
         d.register_handler("membership.probe_for", ProbeFor, self._probe_for)
         d.register_handler("membership.tell", Gossip, self._told)
         self._recall()
-        self._ctx.timers.call_repeatedly(PROBE_INTERVAL, self._beat, self._ctx.report("membership_beat"))
-        self._ctx.timers.call_repeatedly(secs(1), self._greet_seeds, self._ctx.report("membership_seeds"))
+        self._ctx.timers.call_repeatedly(PROBE_INTERVAL, self._beat, self._ctx.error_reporter("membership_beat"))
+        self._ctx.timers.call_repeatedly(secs(1), self._greet_seeds, self._ctx.error_reporter("membership_seeds"))
 
     def watch(self, do: Callable[[Member], object]) -> None:
         self._watchers.append(do)
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -94,9 +94,9 @@
         self._face = OperatorFace(ctx, self.node)
         me.operator_port = await self._face.listen(p.bind, p.operator_port)
         if ctx.role == "controller" and p.control_port:
-            from .controller import ControlServer
+            from .controller import ControlFace
 
-            self._control = ControlServer(ctx, self.node)
+            self._control = ControlFace(ctx, self.node)
             await self._control.listen(p.bind, p.control_port)
         ctx.changes = Changes(ctx)
         ctx.changes.open()
--- a/pipitlink/web.py
+++ b/pipitlink/web.py
@@ -24,7 +24,7 @@
 )
 from .timers import spawn
 
-__all__ = ["Late", "Site", "answered", "send_json", "send_fault", "listen"]
+__all__ = ["Late", "Site", "answered", "send_json", "send_error", "listen"]
 
 
 class _Request(server.Request):
@@ -130,7 +130,7 @@
     return ApiError("the module failed on this request", code="internal", status=500, outcome="unknown")
 
 
-def send_fault(request, e: Exception) -> bytes:
+def send_error(request, e: Exception) -> bytes:
     """Sets up the JSON error response for an exception and returns its body.
 
     An exception that is no ApiError is mapped to one first; what is not known becomes a 500 with outcome unknown.
@@ -163,7 +163,7 @@
             if request.startedWriting:
                 request.transport.abortConnection()
                 return b""
-            return send_fault(request, f.value)
+            return send_error(request, f.value)
 
         return work.addErrback(fault)
 
--- a/rehearsal/stage.py
+++ b/rehearsal/stage.py
@@ -349,11 +349,7 @@
         return out
 
     def leader(self):
-        now = [
-            a
-            for a in self.role("controller", alive=True)
-            if a.part.consensus.role == "leader" and a.part.state_delivery.has_recent_quorum()
-        ]
+        now = [a for a in self.role("controller", alive=True) if a.part.state == "leader" and a.part._fresh()]
         return now[0] if len(now) == 1 else None
 
     def ready(self, limit: float = 30):
--- a/tests/control_calls.py
+++ b/tests/control_calls.py
@@ -8,7 +8,7 @@
 from twisted.internet import defer
 from twisted.internet.error import ConnectionDone
 
-from pipitlink.controller.control_api import ControlApi
+from pipitlink.controller.control import Control
 from pipitlink.dialect.control import ControlWords
 
 __all__ = ["Caller", "platform_words", "config_of", "route_of"]
@@ -92,7 +92,7 @@
         request = _Request(method, raw, headers or {})
         action, named = self._find(method, path)
         box = _Answer(request)
-        d = getattr(ControlApi(controller.ctx, controller.part, words or self.words), action)(request, **named)
+        d = getattr(Control(controller.ctx, controller.part, words or self.words), action)(request, **named)
         d.addCallback(lambda out: box.append((request.status, json.loads(out or b"null"))))
         return box
 
--- a/tests/loss_parts.py
+++ b/tests/loss_parts.py
@@ -97,12 +97,10 @@
             n += 1
             edit = Command(
                 edit=f"e{n}",
-                table=TableEdit(
-                    base=leader.part.consensus.cluster_state.table, puts=[Row(name=f"r{n % 20}", model=f"m{n}")]
-                ),
+                table=TableEdit(base=leader.part.cluster_state.table, puts=[Row(name=f"r{n % 20}", model=f"m{n}")]),
             )
             try:
-                out = await timers.with_timeout(secs(3), leader.part.state_delivery.edit(edit))
+                out = await timers.with_timeout(secs(3), leader.part.edit(edit))
                 if out.code == "done":
                     self.edits[edit.edit] = out.sequence
             except PipitlinkError:
@@ -113,7 +111,7 @@
         leader = self.leader()
         if leader is None:
             return "no leader"
-        groups = leader.part.consensus.cluster_state.placement_groups
+        groups = leader.part.cluster_state.placement_groups
         alive = {a.node: a for a in self.role("storage", alive=True)}
         if not groups:
             return "nothing is placed"
@@ -142,11 +140,11 @@
         leader = self.leader()
         if leader is None:
             return "no leader"
-        voters = set(leader.part.consensus.cluster_state.voters)
+        voters = set(leader.part.cluster_state.voters)
         alive = {a.node: a for a in self.role("controller", alive=True)}
         if len(voters) != 2 * self.losses + 1 or not voters <= set(alive):
             return f"{len(voters)} voters, {len(voters - set(alive))} of them away"
-        behind = [v for v in voters if alive[v].part.consensus.commit_index + 10 < leader.part.consensus.commit_index]
+        behind = [v for v in voters if alive[v].part.commit + 10 < leader.part.commit]
         return f"{behind} lag" if behind else ""
 
     def lose(self, actor, kind: str):
@@ -203,7 +201,7 @@
         for name, acked in self.acked.items():
             found = self._read(name)
             bad += [f"{name} at {at}" for at, body in acked.items() if found.get(at) != body]
-        done = {o.edit: o.sequence for o in self.leader().part.consensus.cluster_state.outcomes.values()}
+        done = {o.edit: o.sequence for o in self.leader().part.cluster_state.outcomes.values()}
         return bad + [e for e, sequence in self.edits.items() if done.get(e) != sequence]
 
     def _read(self, name: str) -> dict[int, bytes]:
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -8,7 +8,7 @@
 from pipitlink.controller.elections import Elections
 from pipitlink.controller.log_receiver import LogReceiver
 from pipitlink.controller.log_replication import LogReplication
-from pipitlink.disk import frame
+from pipitlink.disk import encode_frame
 from pipitlink.replicated_log import Leaseholder
 from pipitlink.replicated_log.placement_group import placement_group_of
 from pipitlink.storage.log_store import LogStore
@@ -165,7 +165,7 @@
     def _around_log_append(self, plain):
         async def append(holder, records, *words, **named):
             start = await plain(holder, records, *words, **named)
-            end = start + sum(len(frame(r)) for r in records)
+            end = start + sum(len(encode_frame(r)) for r in records)
             self.acknowledged.append(Acknowledged(holder.log, holder.epoch, bytes(holder.data[:end])))
             return start
 
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from pipitlink import segments
-from pipitlink.controller import durable_log
+from pipitlink.controller import archive
 from pipitlink.disk import frame
 from pipitlink.storage import keeping, node_id
 from pipitlink.wire.cluster_pb2 import Bounds, Command, ConfigEdit, Pool, PoolShare, Route, Row, TableEdit, ZoneEdit
@@ -40,16 +40,16 @@
 
     def edit(self, **command):
         self._edits += 1
-        work = self._stage.leader().part.state_delivery.edit(Command(edit=f"edit{self._edits}", **command))
+        work = self._stage.leader().part.edit(Command(edit=f"edit{self._edits}", **command))
         outcome = self._stage.do(work)
         assert outcome.code == "done", outcome
 
     def put_row(self, name: str, model: str, weight: float):
-        base = self._stage.leader().part.consensus.cluster_state.table
+        base = self._stage.leader().part.cluster_state.table
         self.edit(table=TableEdit(base=base, puts=[Row(name=name, model=model, pool="models", weight=weight)]))
 
     def drop_row(self, name: str):
-        self.edit(table=TableEdit(base=self._stage.leader().part.consensus.cluster_state.table, drops=[name]))
+        self.edit(table=TableEdit(base=self._stage.leader().part.cluster_state.table, drops=[name]))
 
     def put_routes(self, base: int, version: int):
         route = Route(
@@ -141,8 +141,8 @@
     """Writes the folders of all nodes that keep any, and `contents.json`, what they hold."""
     with (
         mock.patch.object(segments, "SEGMENT", SMALL_SEGMENT_BYTES),
-        mock.patch.object(durable_log, "COMPACTION_ENTRIES", SMALL_TRIM_ENTRIES),
-        mock.patch.object(durable_log, "RETAINED_ENTRIES", SMALL_KEPT_ENTRIES),
+        mock.patch.object(archive, "TRIM_EVERY", SMALL_TRIM_ENTRIES),
+        mock.patch.object(archive, "KEEP_ENTRIES", SMALL_KEPT_ENTRIES),
         mock.patch.object(keeping, "STONE_MS", SMALL_TOMBSTONE_MS),
     ):
         stage = _stage()
--- a/tests/stored_parts.py
+++ b/tests/stored_parts.py
@@ -86,7 +86,7 @@
             "closed_ms": state.closed_ms,
             "bytes": _digest(data),
         }
-    files = len(store.segments.numbers())
+    files = len(store.segments.segment_numbers())
     store.close()
     return {"node": node_id(folder, FLEET), "files": files, "logs": logs}
 
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -14,7 +14,7 @@
 from twisted.internet.task import Clock
 
 from pipitlink.command import main
-from pipitlink.controller.table_rows import parse_rows
+from pipitlink.controller.rows import rows_from
 from pipitlink.errors import InvalidRows, ServiceUnavailable, SettingsError
 from pipitlink.gateway.dispatch import Dispatch
 from pipitlink.gateway.limits import ComeBack
@@ -363,7 +363,7 @@
 
     def test_a_bad_cluster_state_names_each_row_and_field(self):
         with self.assertRaises(InvalidRows) as no:
-            parse_rows(
+            rows_from(
                 {
                     "a": {"model": "m", "weight": -1},
                     "b": {},
--- a/tests/test_loss_guards.py
+++ b/tests/test_loss_guards.py
@@ -135,8 +135,8 @@
 THREE = property(lambda self: 3)
 _NO_SUCCESSOR = _out(StorageNodeView, "has_successor", lambda self, node: False)
 GUARDS = {
-    "copies follow from the losses to bear": (two_copies_wiped, GROWN, _out(Settings, "copies", THREE)),
-    "voters follow from the losses to bear": (two_voters_wiped, GROWN, _out(Settings, "copies", THREE)),
+    "copies follow from the losses to bear": (two_copies_wiped, GROWN, _out(Settings, "replica_count", THREE)),
+    "voters follow from the losses to bear": (two_voters_wiped, GROWN, _out(Settings, "replica_count", THREE)),
     "zones share voters and copies": (zone_lost, {**GROWN, "zones": 3}, _NoSpread.out()),
     "a joining storage node copies what a majority shows": (
         retired_and_wiped,
--- a/tests/test_loss_model.py
+++ b/tests/test_loss_model.py
@@ -125,7 +125,7 @@
     """The rule as it was: a standby is added before the lost voter is taken off."""
     lost = [v for v in voters if self._is_lost(v)]
     live = [v for v in voters if v not in lost]
-    if len(voters) > self._ctx.settings.copies:
+    if len(voters) > self._ctx.settings.replica_count:
         return self._without(voters, live, lost[0])
     standbys = self._standbys(voters, live)
     return self._with(voters, live, standbys[0]) if lost and standbys else None
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from pipitlink.cluster import ClusterState, cluster_state
-from pipitlink.controller.control_api import ControlApi
+from pipitlink.controller.control import Control
 from pipitlink.web import Site
 from pipitlink.wire.cluster_pb2 import Command, ConfigEdit, StorageNodeEdit, TableEdit, ZoneEdit
 from rehearsal.stage import Stage
@@ -31,9 +31,7 @@
         self.stage.start()
         self.stage.ready()
         self.stage.until(
-            lambda: len(self.stage.leader().part.consensus.cluster_state.storage_nodes) == 4,
-            20,
-            "all storage nodes are admitted",
+            lambda: len(self.stage.leader().part.cluster_state.storage_nodes) == 4, 20, "all storage nodes are admitted"
         )
         self.stage.run(2)
         self.caller = Caller(self.stage)
@@ -48,10 +46,10 @@
         return self.caller.ask(controller or self.other, method, ZONE)[0]
 
     def empty(self):
-        return "zone-b" in self.stage.leader().part.consensus.cluster_state.empty_zones
+        return "zone-b" in self.stage.leader().part.cluster_state.empty_zones
 
     def version(self):
-        return self.stage.leader().part.consensus.cluster_state.routes.version
+        return self.stage.leader().part.cluster_state.routes.version
 
     def new_leader(self):
         old = self.stage.leader()
@@ -60,9 +58,7 @@
         self.stage.run(2)
         old.start()
         self.stage.until(
-            lambda: {a.part.consensus.leader_id for a in self.controllers} == {self.stage.leader().node},
-            5,
-            "all follow",
+            lambda: {a.part.leader for a in self.controllers} == {self.stage.leader().node}, 5, "all follow"
         )
 
     def arriving_while_frozen(self, controller, *words):
@@ -146,7 +142,7 @@
                 self.addCleanup(stage.end)
                 stage.start()
                 stage.ready()
-                stage.until(lambda: len(stage.leader().part.consensus.cluster_state.storage_nodes) == 4, 20, "admitted")
+                stage.until(lambda: len(stage.leader().part.cluster_state.storage_nodes) == 4, 20, "admitted")
                 stage.run(2)
                 caller = Caller(stage)
                 boxes = [
@@ -159,7 +155,7 @@
                 ]
                 stage.until(lambda: all(boxes), 10, "both are answered")
                 self.assertEqual(sorted(b[0][0] for b in boxes), [200, 409])
-                statuses = stage.leader().part.consensus.cluster_state.storage_nodes.values()
+                statuses = stage.leader().part.cluster_state.storage_nodes.values()
                 self.assertEqual(sum(s != "serving" for s in statuses), 1)
 
     def test_eight_orders_at_once_on_two_zones_are_all_taken(self):
@@ -203,11 +199,11 @@
             self.assertGreaterEqual(late[0][0], 500)
 
     def test_nor_by_one_that_was_held_up_on_its_way_to_the_leader(self):
-        fenced = self.held.part.consensus.cluster_state.sequence
+        fenced = self.held.part.cluster_state.sequence
         self.assertEqual(self.zone("PUT"), 200)
         self.assertEqual(self.zone("DELETE"), 200)
         late = Command(edit="late", zone=ZoneEdit(zone="zone-b", empty=True), fence=fenced)
-        out = self.stage.do(self.leader.part.state_delivery.edit(late))
+        out = self.stage.do(self.leader.part.edit(late))
         self.assertEqual(out.code, "late")
         self.assertFalse(self.empty())
 
@@ -221,10 +217,10 @@
     def test_an_order_that_was_refused_as_early_does_not_come_in_force_by_a_copy_that_was_held_up(self):
         early = config_of(9, route_of("early"))
         self.put(config_of(3), 0)
-        held = config_command("early", 5, 9, fence=self.held.part.consensus.cluster_state.sequence)
+        held = config_command("early", 5, 9, fence=self.held.part.cluster_state.sequence)
         self.assertEqual(self.put(early, 5)[0], 412)
         self.assertEqual(self.put(config_of(5), 3)[0], 200)
-        self.assertEqual(self.stage.do(self.leader.part.state_delivery.edit(held)).code, "late")
+        self.assertEqual(self.stage.do(self.leader.part.edit(held)).code, "late")
         self.assertEqual(self.version(), 5)
 
     def test_a_retirement_that_was_held_up_does_not_take_a_retired_storage_node_back(self):
@@ -240,9 +236,7 @@
         self.stage.cut([self.leader.name], [self.held.name], one_way=True)
         self.stage.run(0.2)
         self.assertEqual(self.zone("PUT"), 200)
-        self.assertLess(
-            self.held.part.consensus.cluster_state.zones_at, self.leader.part.consensus.cluster_state.zones_at
-        )
+        self.assertLess(self.held.part.cluster_state.zones_at, self.leader.part.cluster_state.zones_at)
         self.stage.heal()
         before = self.stage.clock.seconds()
         self.assertEqual(self.zone("DELETE", self.held), 200)
@@ -250,7 +244,7 @@
 
     def test_an_order_whose_bytes_arrive_together_with_its_callers_leaving_is_not_carried_out(self):
         app = Klein()
-        ControlApi(self.held.ctx, self.held.part, self.caller.words).routes(app.route)
+        Control(self.held.ctx, self.held.part, self.caller.words).routes(app.route)
         for leaves in (True, False):
             connection = Site(app.resource(), 1000).buildProtocol(None)
             transport = StringTransport()
@@ -266,11 +260,11 @@
     def test_an_order_whose_caller_left_while_it_was_being_agreed_still_counts_on_the_leaders_disk(self):
         part = self.leader.part
         late = self.caller.begin(self.leader, "PUT", ZONE)
-        self.stage.until(lambda: part.log_replication.proposals, 1, "it is proposed")
-        index = max(part.log_replication.proposals)
+        self.stage.until(lambda: part._proposed, 1, "it is proposed")
+        index = max(part._proposed)
         late.hang_up()
         self.stage.run(1)
-        self.assertGreaterEqual(part.log_replication.synced_index, index)
+        self.assertGreaterEqual(part._synced, index)
 
 
 class Kept(unittest.TestCase):
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -10,7 +10,7 @@
 from klein import Klein
 
 from pipitlink.cluster.routes import RouteTable
-from pipitlink.controller.control_api import ControlApi
+from pipitlink.controller.control import Control
 from pipitlink.errors import BadRequest
 from rehearsal.stage import Stage
 
@@ -187,7 +187,7 @@
 
     def test_every_path_leads_to_its_handler(self):
         app = Klein()
-        ControlApi(None, None, self.words).routes(app.route)
+        Control(None, None, self.words).routes(app.route)
         at = app.url_map.bind("x")
         for method, path, action, named in (
             ("GET", "/config", "show_config", {}),
@@ -210,9 +210,7 @@
         self.stage.start()
         self.stage.ready()
         self.stage.until(
-            lambda: len(self.stage.leader().part.consensus.cluster_state.storage_nodes) == 4,
-            20,
-            "all storage nodes are admitted",
+            lambda: len(self.stage.leader().part.cluster_state.storage_nodes) == 4, 20, "all storage nodes are admitted"
         )
         self.caller = Caller(self.stage, platform_words())
         self.controller = self.stage.role("controller")[1]
--- a/tests/test_stage_disk_lost.py
+++ b/tests/test_stage_disk_lost.py
@@ -18,7 +18,7 @@
                 stage = staged(seed, named=True)
                 self.addCleanup(stage.end)
                 stage.until(
-                    lambda: len(self._leader(stage).consensus.cluster_state.storage_node_names) == 4,
+                    lambda: len(self._leader(stage).cluster_state.storage_node_names) == 4,
                     20,
                     "names are in the cluster state",
                 )
@@ -39,8 +39,7 @@
                 stage.until(
                     lambda: (
                         not any(
-                            was in s.storage_nodes
-                            for s in self._leader(stage).consensus.cluster_state.placement_groups.values()
+                            was in s.storage_nodes for s in self._leader(stage).cluster_state.placement_groups.values()
                         )
                     ),
                     6,
--- a/tests/test_stage_long_logs.py
+++ b/tests/test_stage_long_logs.py
@@ -202,7 +202,7 @@
             leader = stage.leader()
             if (
                 leader is not None
-                and len(leader.part.consensus.voters()) == leader.ctx.settings.copies
+                and len(leader.part.consensus.voters()) == leader.ctx.settings.replica_count
                 and nodes.issuperset(leader.part.consensus.voters())
             ):
                 return
--- a/tests/test_stage_placement.py
+++ b/tests/test_stage_placement.py
@@ -3,7 +3,7 @@
 import unittest
 
 from pipitlink.controller.placement_planner import replicas_per_node
-from pipitlink.disk import frames
+from pipitlink.disk import decode_frames
 from pipitlink.errors import ApiError, PipitlinkError
 from pipitlink.timers import ms
 from pipitlink.wire.cluster_pb2 import Command, StorageNodeEdit
@@ -53,7 +53,7 @@
         for log in logs:
             self.assertGreater(len(log.acked), 20)
             h = stage.do(stage.role("gateway")[0].ctx.replicated_log.hold(log.log), 30)
-            found = {at: body for at, body, _ in frames(bytes(h.data))}
+            found = {at: body for at, body, _ in decode_frames(bytes(h.data))}
             for at, body in log.acked.items():
                 self.assertEqual(found.get(at), body, f"seed {stage.seed} {log.log}")
 
--- a/tests/test_stage_restart.py
+++ b/tests/test_stage_restart.py
@@ -35,7 +35,7 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 stage = self._fleet(seed)
-                voters = [a for a in stage.role("controller") if a.node in stage.leader().part.consensus.voters()]
+                voters = [a for a in stage.role("controller") if a.node in stage.leader().part.voters()]
                 for a in stage.role("controller"):
                     a.kill(power=True)
                 stage.run(1.5)
@@ -49,16 +49,14 @@
             with self.subTest(seed=seed):
                 stage = self._fleet(seed)
                 leader = stage.leader()
-                term = leader.part.consensus.term
-                others = [
-                    a for a in stage.role("controller") if a is not leader and a.node in leader.part.consensus.voters()
-                ]
+                term = leader.part.term
+                others = [a for a in stage.role("controller") if a is not leader and a.node in leader.part.voters()]
                 for a in others[:1]:
                     a.kill(power=True)
                     a.start()
                 stage.run(2)
                 self.assertIs(stage.leader(), leader)
-                self.assertEqual(leader.part.consensus.term, term)
+                self.assertEqual(leader.part.term, term)
 
     def test_two_that_started_wait_out_a_leader_that_they_cannot_hear(self):
         for seed in SEEDS:
@@ -71,10 +69,8 @@
                     a.kill(power=True)
                     a.start()
                 stage.run(0.55)
-                self.assertFalse([a.name for a in others if a.part.consensus.role == "leader"])
-                stage.until(
-                    lambda: [a for a in others if a.part.consensus.role == "leader"], 6, "another leader in time"
-                )
+                self.assertFalse([a.name for a in others if a.part.state == "leader"])
+                stage.until(lambda: [a for a in others if a.part.state == "leader"], 6, "another leader in time")
 
 
 if __name__ == "__main__":
--- a/tests/test_stale_leaseholder.py
+++ b/tests/test_stale_leaseholder.py
@@ -33,7 +33,7 @@
         stage.ready()
         stage.run(6)
         first, second = stage.role("gateway")
-        group = stage.leader().part.consensus.cluster_state.placement_groups[0]
+        group = stage.leader().part.cluster_state.placement_groups[0]
         nodes = {a.node: a for a in stage.role("storage")}
         stays, ends, leaves = (nodes[n] for n in group.storage_nodes)
         joins = next(a for n, a in nodes.items() if n not in group.storage_nodes)
@@ -53,7 +53,7 @@
             joining=joins.node,
             leaving=leaves.node,
         )
-        stage.do(stage.leader().part.log_replication.propose(Command(placement=PlacementRow(placement_groups=[row]))))
+        stage.do(stage.leader().part._propose(Command(placement=PlacementRow(placement_groups=[row]))))
         until = stage.clock.seconds() + 4
         while stage.clock.seconds() < until:
             stage.run(0.05)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -93,18 +93,15 @@
 
     def put_row(self, name: str):
         leader = self.stage.leader().part
-        edit = TableEdit(
-            base=leader.consensus.cluster_state.table, puts=[Row(name=name, model="new-model", pool="models")]
-        )
-        outcome = self.stage.do(leader.state_delivery.edit(Command(edit=f"edit-{name}", table=edit)))
+        edit = TableEdit(base=leader.cluster_state.table, puts=[Row(name=name, model="new-model", pool="models")])
+        outcome = self.stage.do(leader.edit(Command(edit=f"edit-{name}", table=edit)))
         self.assertEqual(outcome.code, "done")
         self.stage.run(1)  # until the followers have it as well
 
     def states(self):
         nodes = (*self.stage.role("controller"), *self.stage.role("gateway"))
         return [
-            read_state(a.part.consensus.cluster_state if a.role == "controller" else a.ctx.cluster.cluster_state)
-            for a in nodes
+            read_state(a.part.cluster_state if a.role == "controller" else a.ctx.cluster.cluster_state) for a in nodes
         ]
 
     def assert_tables(self, new_rows=()):
@@ -118,7 +115,7 @@
     def test_it_elects_in_a_higher_term_and_shows_the_tables_that_were_written(self):
         self.assert_tables()
         leader = self.stage.leader()
-        self.assertGreater(leader.part.consensus.term, max(c["term"] for c in CONTENTS["controllers"].values()))
+        self.assertGreater(leader.part.term, max(c["term"] for c in CONTENTS["controllers"].values()))
         self.assertEqual(
             {a.node for a in self.kept},
             {n["node"] for part in ("controllers", "storage_nodes") for n in CONTENTS[part].values()},
@@ -158,12 +155,12 @@
         self.stage.seeds = tuple(f"{a.place[0]}:{a.place[1]}" for a in self.stage.role("controller") if a is not lost)
         lost.start()
         rows = CONTENTS["controllers"]["controller0"]["state"]["rows"]
-        self.stage.until(lambda: read_state(lost.part.consensus.cluster_state)["rows"] == rows, 20, "it has the state")
+        self.stage.until(lambda: read_state(lost.part.cluster_state)["rows"] == rows, 20, "it has the state")
         lost.kill(power=True)
         self.assertEqual(read_controller(lost.folder)["state"]["rows"], rows)
         lost.start()
         self.put_row("new1")
-        self.stage.until(lambda: "new1" in read_state(lost.part.consensus.cluster_state)["rows"], 10, "it follows")
+        self.stage.until(lambda: "new1" in read_state(lost.part.cluster_state)["rows"], 10, "it follows")
 
 
 class Written(unittest.TestCase):
--- a/tests/test_who_answered.py
+++ b/tests/test_who_answered.py
@@ -25,7 +25,7 @@
     def test_an_emptied_controller_is_not_counted_as_the_voter_it_was(self):
         stage, recorder = self.record(3, controllers=3, storage_nodes=3, gateways=1)
         lost = next(a for a in stage.role("controller") if a is not stage.leader())
-        stage.leader().part.consensus.step_down()
+        stage.leader().part.step_down()
         lost.kill(power=True)
         leader = stage.until(stage.leader, 10, "another term is led")
         cut = next(a for a in stage.role("controller", alive=True) if a is not leader)
@@ -33,12 +33,7 @@
         lost.wipe()
         lost.start()
         with self.assertRaises(PipitlinkError):
-            stage.do(
-                leader.part.state_delivery.edit(
-                    Command(edit="lone", table=TableEdit(puts=[Row(name="r", model="lone")]))
-                ),
-                10,
-            )
+            stage.do(leader.part.edit(Command(edit="lone", table=TableEdit(puts=[Row(name="r", model="lone")]))), 10)
         stage.heal()
         stage.run(6)
         self.assertEqual(recorder.found(IN_EFFECT), [])
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -109,9 +109,9 @@
         down, emptied = [a for a in self.stage.role("controller") if a is not leader]
         down.kill()
         self.empty(emptied)
-        edit = TableEdit(base=leader.part.consensus.cluster_state.table, puts=[Row(name="r", model="m")])
+        edit = TableEdit(base=leader.part.cluster_state.table, puts=[Row(name="r", model="m")])
         try:
-            self.stage.do(leader.part.state_delivery.edit(Command(edit="alone", table=edit)), 10)
+            self.stage.do(leader.part.edit(Command(edit="alone", table=edit)), 10)
         except PipitlinkError:
             return False
         return True
