--- /dev/null
+++ b/pipitlink/controller/vote_poll.py
@@ -0,0 +1,71 @@
+"""One poll of the voters: whether a majority votes, or would vote, for a candidate."""
+
+from twisted.internet import defer
+
+from ..context import Context
+from ..errors import WireError, WrongPeer
+from ..timers import ms
+from ..wire.controller_pb2 import VoteRequest, VoteResponse
+from .consensus_state import ConsensusState
+from .interfaces import ControllerCalls
+
+__all__ = ["VotePoll"]
+
+CALL_LIMIT = ms(400)
+
+
+class VotePoll:
+    """Asks all voters at the same time, and collects their votes until the result is known.
+
+    After a full restart no leader needs to be waited out: all voters have just started, or another node answers at
+    their address, so that none of them leads and whoever led has ended. The pre-vote proves it: each single voter must
+    have started a short while ago and know the same voters.
+    """
+
+    def __init__(self, ctx: Context, consensus: ConsensusState, calls: ControllerCalls, request: VoteRequest) -> None:
+        self._ctx = ctx
+        self._consensus = consensus
+        self._calls = calls
+        self._request = request
+        self._proves_full_restart = request.pre_vote and request.full_restart
+        self._voters = consensus.voters()
+        self._granted = {ctx.node}
+        self._just_started = {ctx.node}
+        self._unanswered = len(self._voters) - 1
+        self._result_known: defer.Deferred[None] = defer.Deferred()
+
+    async def run(self) -> bool:
+        """Returns whether a majority granted its vote, and where this is to be proved, all voters just started."""
+        for voter in self._voters:
+            if voter != self._ctx.node:
+                self._ctx.run_in_background(self._ask(voter), "vote_request")
+        if self._unanswered:
+            await self._result_known
+        if self._proves_full_restart and not self._just_started.issuperset(self._voters):
+            return False
+        return self._consensus.is_majority(self._granted)
+
+    async def _ask(self, voter: str) -> None:
+        try:
+            response = await self._calls.call(voter, "controller.vote", self._request, VoteResponse, CALL_LIMIT)
+            await self._take_response(voter, response)
+        except WrongPeer:
+            self._just_started.add(voter)
+        except WireError:
+            pass
+        self._unanswered -= 1
+        if not self._result_known.called and self._is_decided():
+            self._result_known.callback(None)
+
+    async def _take_response(self, voter: str, response: VoteResponse) -> None:
+        if response.full_restart:
+            self._just_started.add(voter)
+        if response.granted and response.node == voter:
+            self._granted.add(voter)
+        elif response.term > self._consensus.term and not self._request.pre_vote:
+            await self._consensus.observe_term(response.term)
+
+    def _is_decided(self) -> bool:
+        if self._unanswered == 0:
+            return True
+        return not self._proves_full_restart and self._consensus.is_majority(self._granted)
--- a/rehearsal/hollow.py
+++ b/rehearsal/hollow.py
@@ -284,7 +284,8 @@
         return {
             "ready": all(n.ready() for n in self.nodes),
             "rows": min(
-                len((n.part if n.role == "controller" else n.ctx.cluster).cluster_state.rows) for n in self.nodes
+                len((n.part.consensus if n.role == "controller" else n.ctx.cluster).cluster_state.rows)
+                for n in self.nodes
             ),
             "known": min(len(n.ctx.membership.members()) for n in self.nodes),
         }
--- a/tests/control_calls.py
+++ b/tests/control_calls.py
@@ -5,10 +5,10 @@
 import json
 from pathlib import Path
 
-from pipitlink.controller.control_api import ControlApi
 from twisted.internet import defer
 from twisted.internet.error import ConnectionDone
 
+from pipitlink.controller.control_api import ControlApi
 from pipitlink.dialect.control import ControlFormat
 
 __all__ = ["Caller", "platform_control_format", "config_of", "route_of"]
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -1,8 +1,7 @@
 """Each line of "What must never happen": the failure is brought about on a stage, and without its guard it shows."""
 
-from pipitlink.controller.log_replication import LogReplication
-
 from pipitlink.cluster import Cluster, ClusterState
+from pipitlink.controller.log_replication import LogReplication
 from pipitlink.errors import PipitlinkError
 from pipitlink.gateway.dispatch import Dispatch
 from pipitlink.gateway.engines import Engines
@@ -380,7 +379,7 @@
     "a table is read only after a majority answered": (
         operators_race,
         {},
-        Leading,
+        LogReplication,
         "confirm_leadership",
         _nothing,
         "was acknowledged",
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -10,11 +10,11 @@
 from random import Random
 
 import attrs
-from pipitlink.controller.table_rows import parse_rows
 from twisted.internet import defer
 from twisted.internet.task import Clock
 
 from pipitlink.command import main
+from pipitlink.controller.table_rows import parse_rows
 from pipitlink.errors import InvalidRows, ServiceUnavailable, SettingsError
 from pipitlink.gateway.dispatch import Dispatch
 from pipitlink.gateway.limits import ComeBack
--- a/tests/test_loss_guards.py
+++ b/tests/test_loss_guards.py
@@ -4,9 +4,9 @@
 import unittest.mock
 from collections import Counter
 
+from pipitlink.controller.placement_planner import PlacementPlanner
+from pipitlink.controller.storage_nodes import StorageNodeView
 from pipitlink.controller.voter_changes import VoterChanges
-
-from pipitlink.controller.moves import Moves
 from pipitlink.membership import Membership
 from pipitlink.replicated_log.placement_group import PlacementGroup
 from pipitlink.settings import Settings
@@ -122,8 +122,8 @@
     def out():
         return (
             unittest.mock.patch.object(VoterChanges, "_zone_counts", _no_zones),
-            unittest.mock.patch.object(Moves, "_zones", _no_zones),
-            unittest.mock.patch.object(Moves, "_spreading_out", lambda self, held, serving: []),
+            unittest.mock.patch.object(PlacementPlanner, "_zone_counts", _no_zones),
+            unittest.mock.patch.object(PlacementPlanner, "_rebalance_zones", lambda self, load, serving: []),
             unittest.mock.patch.object(VoterChanges, "_evens_zones", lambda self, live, standby: False),
         )
 
@@ -133,7 +133,7 @@
 
 
 THREE = property(lambda self: 3)
-_NO_SUCCESSOR = _out(Moves, "_successor_met", lambda self, storage_node: False)
+_NO_SUCCESSOR = _out(StorageNodeView, "has_successor", lambda self, node: False)
 GUARDS = {
     "copies follow from the losses to bear": (two_copies_wiped, GROWN, _out(Settings, "replica_count", THREE)),
     "voters follow from the losses to bear": (two_voters_wiped, GROWN, _out(Settings, "replica_count", THREE)),
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -4,12 +4,12 @@
 from unittest import mock
 
 from klein import Klein
-from pipitlink.controller.control_api import ControlApi
 from twisted.internet.error import ConnectionDone
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
 from pipitlink.cluster import ClusterState, cluster_state
+from pipitlink.controller.control_api import ControlApi
 from pipitlink.web import Site
 from pipitlink.wire.cluster_pb2 import Command, ConfigEdit, StorageNodeEdit, TableEdit, ZoneEdit
 from rehearsal.stage import Stage
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 from klein import Klein
-from pipitlink.controller.control_api import ControlApi
 
 from pipitlink.cluster.routes import RouteTable
+from pipitlink.controller.control_api import ControlApi
 from pipitlink.errors import BadRequest
 from rehearsal.stage import Stage
 
--- a/tests/test_stage_cut_off.py
+++ b/tests/test_stage_cut_off.py
@@ -4,9 +4,9 @@
 import unittest.mock
 from datetime import UTC, datetime
 
+from pipitlink.controller import state_delivery
+from pipitlink.controller.gateway_notifier import GatewayNotifier
 from pipitlink.controller.log_replication import LogReplication
-
-from pipitlink.controller import announcing, state_delivery
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import secs
 from rehearsal.stage import Stage
@@ -129,7 +129,7 @@
                 self.assertLess(self.last_acknowledged(role), 2.5)
 
     def test_without_the_guard_notes_that_nobody_answers_are_taken_for_told(self):
-        with unittest.mock.patch.object(announcing.Announcing, "_to_call", lambda self, gateways: []):
+        with unittest.mock.patch.object(GatewayNotifier, "_to_call", lambda self, gateways: []):
             for role in (None, "gateway"):
                 self.assertGreater(self.last_acknowledged(role), 2.5)
 
@@ -144,7 +144,7 @@
         return s.slow()
 
     def test_orders_are_held_where_contact_is_not_asked_for(self):
-        found = self.slow("voter", "both", LogReplication, "has_contact", lambda self: bool(self.leader))
+        found = self.slow("voter", "both", LogReplication, "has_contact", lambda self: bool(self._consensus.leader_id))
         self.assertTrue(any("PUT config" in line for line in found), found)
 
     def test_orders_are_held_where_only_one_way_counts_as_contact(self):
@@ -164,7 +164,7 @@
 
     def test_announcements_are_acknowledged_that_no_gateway_hears(self):
         s = Scene(self)
-        with unittest.mock.patch.object(announcing.Announcing, "_reaches_most", lambda self: True):
+        with unittest.mock.patch.object(GatewayNotifier, "reaches_majority", lambda self: True):
             s.play(s.controller("voter"), "both", changing=False)
         self.assertTrue(any("PUT engine" in line for line in s.wrong()), s.wrong())
 
@@ -189,7 +189,7 @@
         self.assertEqual(self.acknowledged(seen=2)[0], 200)
 
     def test_without_the_guard_one_gateway_is_enough(self):
-        with unittest.mock.patch.object(announcing.Announcing, "_most", lambda self, nodes: bool(list(nodes))):
+        with unittest.mock.patch.object(GatewayNotifier, "is_majority", lambda self, nodes: bool(list(nodes))):
             self.assertIn(200, self.acknowledged(seen=1))
 
 
--- a/tests/test_stage_long_logs.py
+++ b/tests/test_stage_long_logs.py
@@ -54,15 +54,15 @@
         """A life begins: its votes are read from now on, and its state may be older than that of the life before."""
         part = actor.part
         self.sequences[actor.name] = 0
-        vote = part._vote
+        vote = part.elections.vote
 
-        async def judged(node, ask):
-            r = await vote(node, ask)
-            if r.granted and not ask.pre:
+        async def judged(ask):
+            r = await vote(ask)
+            if r.granted and not ask.pre_vote:
                 self._voted(actor.node, part, ask)
             return r
 
-        part._vote = judged
+        part.elections.vote = judged
 
     def _voted(self, node, part, ask):
         if part.consensus.role == "newcomer":
--- a/tests/test_stage_loss_steps.py
+++ b/tests/test_stage_loss_steps.py
@@ -6,8 +6,8 @@
 import unittest.mock
 
 import attrs
-from pipitlink.controller.log_replication import LogReplication
 
+from pipitlink.controller.log_replication import LogReplication
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import ms, secs, spawn
 
@@ -27,11 +27,11 @@
         self.armed = False
         strike, plain = self, LogReplication.propose
 
-        async def propose(node, command):
+        async def propose(replication, command):
             lost = strike._lost_at(command)
             if lost and not agreed:
                 stage.clock.callLater(0, strike._hit, lost)
-            out = await plain(node, command)
+            out = await plain(replication, command)
             if lost and agreed:
                 strike._hit(lost)
             return out
--- a/tests/test_stage_placement.py
+++ b/tests/test_stage_placement.py
@@ -2,6 +2,7 @@
 
 import unittest
 
+from pipitlink.controller.placement_planner import replicas_per_node
 from pipitlink.disk import decode_frames
 from pipitlink.errors import ApiError, PipitlinkError
 from pipitlink.timers import ms
@@ -120,10 +121,7 @@
         new = stage.add("storage", "storage7", "zone-d", 1700)
         new.start()
         stage.until(
-            lambda: (
-                stage.leader()
-                and stage.leader().part._holds(stage.leader().part.consensus.cluster_state)[new.node] >= 2
-            ),
+            lambda: stage.leader() and replicas_per_node(stage.leader().part.consensus.cluster_state)[new.node] >= 2,
             60,
             "it has placement groups",
         )
--- a/tests/test_stage_slow_link.py
+++ b/tests/test_stage_slow_link.py
@@ -4,10 +4,9 @@
 from random import Random
 from unittest import mock
 
-from pipitlink.controller.log_replication import LogReplication
-
 from pipitlink.cluster import state_transfer
 from pipitlink.controller import durable_log, snapshot_transfer
+from pipitlink.controller.log_replication import LogReplication, SenderKey
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import ms, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
@@ -159,7 +158,7 @@
 
     def test_senders_by_node_alone_would_be_held_up(self):
         with (
-            mock.patch.object(LogReplication, "_sender_key", lambda self, node: (node, 0)),
+            mock.patch.object(LogReplication, "_sender_key", lambda self, node: SenderKey(node, 0)),
             self.assertRaises(AssertionError),
         ):
             self.elected_again_while_a_call_hangs()
@@ -216,7 +215,7 @@
         out = snapshot_transfer.OutgoingSnapshot(7, 2, data)
         got = b""
         while out.offset < len(data):
-            piece = out.piece()
+            piece = out.next_chunk()
             self.assertLessEqual(len(piece.data), snapshot_transfer.CHUNK_BYTES)
             got += piece.data
             out.offset += len(piece.data)
