--- a/pipitlink/controller/log_replication.py
+++ b/pipitlink/controller/log_replication.py
@@ -1,7 +1,6 @@
 """Log replication by the leader: appends commands, sends entries and snapshots to followers, and commits."""
 
 from datetime import timedelta
-from typing import Any
 
 import attrs
 from twisted.internet import defer
@@ -95,14 +94,6 @@
         progress = self._followers.get(node)
         return progress.last_response_at if progress is not None else None
 
-    def known(self, attribute: str) -> dict[str, Any]:
-        """Returns an attribute of the progress of all followers that have it, by node.
-
-        Until the services are classes of their own.
-        """
-        values = {node: getattr(progress, attribute) for node, progress in self._followers.items()}
-        return {node: value for node, value in values.items() if value is not None}
-
     def quorum_contact_at(self) -> timedelta:
         """Returns the latest time for which a majority of the voters is known to have followed this leader."""
         now = self._ctx.timers.now()
