--- a/pipitlink/replicated_log/spans.py
+++ b/pipitlink/replicated_log/spans.py
@@ -2,7 +2,7 @@
 
 from ..timers import secs
 
-__all__ = ["LEASE_SPAN", "HOLD_SPAN"]
+__all__ = ["LEASE_SPAN", "LEASEHOLDER_VALIDITY"]
 
 LEASE_SPAN = secs(3)
-HOLD_SPAN = secs(2)
+LEASEHOLDER_VALIDITY = secs(2)
--- a/pipitlink/storage/copying.py
+++ b/pipitlink/storage/copying.py
@@ -76,7 +76,7 @@
     async def _join_placement_groups(self):
         """Copies what the own placement groups need: those that move first, then those that may lack something."""
         for placement_group in sorted(self._placement_groups(), key=lambda s: not s.moving):
-            if self._ctx.node in placement_group.copying:
+            if self._ctx.node in placement_group.transfer_targets:
                 if not self._told_lately(placement_group) and await self._copy_placement_group(placement_group, True):
                     await self._tell_caught_up(placement_group)
             elif placement_group.number in self._behind and self._ctx.timers.now() >= self._mend_at:
@@ -106,7 +106,7 @@
         """True once this storage node holds all that a majority of the others, all at this placement, are seen to
         hold.
         """
-        others = [d for d in placement_group.everyone if d != self._ctx.node]
+        others = [d for d in placement_group.all_nodes if d != self._ctx.node]
 
         def at_this_placement(got) -> dict[str, States]:
             return {d: r for d, r in got.items() if r.placement_group_sequence >= placement_group.sequence}
@@ -114,7 +114,7 @@
         def enough(got) -> bool:
             return majority([*at_this_placement(got), self._ctx.node], placement_group.storage_nodes)
 
-        got = await self._ctx.replicated_log.ask_each(
+        got = await self._ctx.replicated_log.call_each(
             others,
             "replicated_log.list",
             ListRequest(placement_group=placement_group.number, one_placement_group=True),
@@ -192,4 +192,4 @@
         )
         self._told[placement_group.number] = placement_group.sequence, self._ctx.timers.now()
         controllers = [m.node for m in self._ctx.membership.members("controller", me=False)]
-        await self._ctx.replicated_log.ask_each(controllers, "controller.caught_up", told, Empty, ms(500))
+        await self._ctx.replicated_log.call_each(controllers, "controller.caught_up", told, Empty, ms(500))
--- a/pipitlink/storage/grants.py
+++ b/pipitlink/storage/grants.py
@@ -4,8 +4,8 @@
 
 import attrs
 
+from ..replicated_log.lease_durations import LEASE_SPAN
 from ..replicated_log.placement_group import placement_group_of
-from ..replicated_log.spans import LEASE_SPAN
 from ..timers import ZERO
 from ..wire.replicated_log_pb2 import LeaseRequest, LeaseResponse, RenewRequest, RenewResponse
 
--- a/pipitlink/storage/keeping.py
+++ b/pipitlink/storage/keeping.py
@@ -59,7 +59,7 @@
             return
         for k in [k for k in self.log_store.logs.values() if k.stands_in(n)]:
             before = (k.epoch, k.tail_epoch, k.length, k.final)
-            data = await self._ctx.run_in_thread(self._gather, self.log_store.spans(k.log, 0, k.length))
+            data = await self._ctx.run_in_thread(self._gather, self.log_store.extents(k.log, 0, k.length))
             if (
                 before != (k.epoch, k.tail_epoch, k.length, k.final)
                 or len(data) != k.length
@@ -72,4 +72,4 @@
                 lambda t: self.log_store.segments.append(Entry(kind=Entry.NOTHING).SerializeToString(), t)
             )
             self.log_store.segments.remove_segment(n)
-            self._ctx.logger.info("room_given_back", file=n, used=self.log_store.used())
+            self._ctx.logger.info("room_given_back", file=n, used=self.log_store.used_bytes())
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -70,7 +70,7 @@
 
     def open(self):
         self.log_store.recover()
-        self._ctx.logger.info("recovered", logs=len(self.log_store.logs), used=self.log_store.used())
+        self._ctx.logger.info("recovered", logs=len(self.log_store.logs), used=self.log_store.used_bytes())
         self._open_grants()
         self._open_copying()
         self._open_keeping()
@@ -123,7 +123,7 @@
             k.committed = max(k.committed, min(ask.committed, k.length))
 
     async def _read(self, node, ask: ReadRequest):
-        spans = self.log_store.spans(ask.log, ask.position, min(ask.length, MAX_READ))
+        spans = self.log_store.extents(ask.log, ask.position, min(ask.length, MAX_READ))
         return ReadResponse(data=await self._ctx.run_in_thread(self._gather, spans))
 
     def _gather(self, spans) -> bytes:
@@ -161,7 +161,7 @@
             )
 
     def readiness(self):
-        used, room = self.log_store.used(), self.log_store.room()
+        used, room = self.log_store.used_bytes(), self.log_store.room()
         return True, {"used": used, "room": room, "budget": self.log_store.budget, "logs": len(self.log_store.logs)}
 
     def beliefs(self) -> dict:
@@ -179,7 +179,7 @@
 
     def metrics(self) -> dict:
         return {
-            "disk_used_bytes": ("Bytes of the data folder in use", self.log_store.used()),
+            "disk_used_bytes": ("Bytes of the data folder in use", self.log_store.used_bytes()),
             "disk_room_bytes": ("Bytes before the reserve is touched", self.log_store.room()),
             "logs": ("Logs kept", len(self.log_store.logs)),
         }
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -63,9 +63,9 @@
                 (LogReceiver, "append", self._around_append),
                 (LogReplication, "_advance_commit_index", self._around_advance),
                 (ConsensusState, "apply_committed", self._around_apply),
-                (Leaseholder, "_settle_tail", self._around_settle_tail),
+                (Leaseholder, "_recover_tail", self._around_recover_tail),
                 (Leaseholder, "append", self._around_log_append),
-                (LogStore, "settle", self._around_settle),
+                (LogStore, "record_synced", self._around_settle),
             ):
                 stack.enter_context(mock.patch.object(owner, name, around(getattr(owner, name))))
             yield self
@@ -153,7 +153,7 @@
 
         return apply
 
-    def _around_settle_tail(self, plain):
+    def _around_recover_tail(self, plain):
         async def settle_tail(holder, granted):
             await plain(holder, granted)
             found = bytes(holder.data)
@@ -207,7 +207,7 @@
 
 
 def _synced_bytes(store: LogStore, log: str) -> bytes:
-    spans = store.spans(log, 0, store.logs[log].synced[1])
+    spans = store.extents(log, 0, store.logs[log].synced[1])
     return b"".join(store.segments.read_bytes(spot, n) for spot, n in spans)
 
 
