--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -221,11 +221,11 @@
         now = self._ctx.timers.now()
         if not witnesses or (self._leased_at is not None and now - self._leased_at < self._hold() + WITNESS_AFTER):
             return
-        got = await self._ctx.replicated_log.ask_each(witnesses, "cluster.witness", Empty(), WitnessResponse, ms(500))
+        got = await self._ctx.replicated_log.call_each(witnesses, "cluster.witness", Empty(), WitnessResponse, ms(500))
         sure = {n: r.sequence for n, r in got.items() if r.current}
         newest = max(sure, key=sure.get, default="")
         if newest and sure[newest] > self.sequence:
-            self._absorb(await self._ctx.replicated_log.ask(newest, "cluster.cluster_state", Empty(), FollowResponse))
+            self._absorb(await self._ctx.replicated_log.call(newest, "cluster.cluster_state", Empty(), FollowResponse))
         if (
             2 * len(sure) > len(witnesses)
             and self.sequence >= max(sure.values())
--- a/pipitlink/controller/moves.py
+++ b/pipitlink/controller/moves.py
@@ -97,9 +97,9 @@
     def _ended(self, s: PlacementGroupRow) -> PlacementGroupRow | None:
         """The placement group after its move, or as it was where the storage node that joins was lost meanwhile."""
         group = PlacementGroup(s.number, s.sequence, tuple(s.storage_nodes), s.joining, s.leaving)
-        if all((s.number, s.sequence, d) in self._caught_up_placement_groups for d in group.copying):
+        if all((s.number, s.sequence, d) in self._caught_up_placement_groups for d in group.transfer_targets):
             storage_nodes = group.next_nodes
-        elif any(self._lost(d) for d in group.copying):
+        elif any(self._lost(d) for d in group.transfer_targets):
             storage_nodes = group.storage_nodes
         else:
             return None
--- /dev/null
+++ b/pipitlink/replicated_log/lease_durations.py
@@ -0,0 +1,13 @@
+"""How long a log lease is valid: less for the leaseholder than for the storage nodes that granted it."""
+
+from datetime import timedelta
+
+from ..timers import secs
+
+__all__ = ["LEASE_DURATION", "LEASEHOLDER_VALIDITY"]
+
+LEASE_DURATION: timedelta = secs(3)
+"""How long a storage node refuses other leaseholders after it granted or renewed a lease."""
+
+LEASEHOLDER_VALIDITY: timedelta = secs(2)
+"""How long a leaseholder relies on a renewal, counted from the time of its request."""
--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -1,315 +1,269 @@
 """The writing side of a replicated log: lease, epoch, append, commit."""
 
+from collections.abc import Callable, Mapping
 from datetime import timedelta
 
-from twisted.internet import defer
+from twisted.python.failure import Failure
 
+from ..context import Context
 from ..disk import frame
-from ..errors import LeaseNotHeld, NoQuorum, RemoteError, StaleEpoch, StorageFull, WireError
-from ..timers import ZERO, ms, secs, spawn, wall_ms
+from ..errors import LeaseNotHeld, NoQuorum, StaleEpoch, StorageFull
+from ..timers import spawn, wall_ms
 from ..wire.frame_pb2 import Empty
-from ..wire.replicated_log_pb2 import (
-    LeaseRequest,
-    LeaseResponse,
-    LogState,
-    MarkRequest,
-    States,
-    StatesRequest,
-    WriteRequest,
-    WriteResponse,
-)
-from .placement_group import PlacementGroup
-from .spans import HOLD_SPAN
+from ..wire.replicated_log_pb2 import CommitRequest, LeaseRequest, LeaseResponse
+from .commit_waiters import CommitWaiters
+from .lease_refusal import LeaseRefusal
+from .lease_validity import LeaseValidity
+from .replica_progress import ReplicaProgress, TailPosition
+from .replica_sender import WRITE_TIMEOUT, ReplicaSender
+from .storage_client import StorageClient
 
 __all__ = ["Leaseholder"]
 
-WRITE_LIMIT = secs(2)
-RETRY_INTERVAL = ms(150)
-IDLE_INTERVAL = secs(1)
-MOVED_SPAN = secs(1.5)
-MAX_WRITE = 4 * 1024 * 1024
+COMMIT_TIMEOUT: timedelta = WRITE_TIMEOUT * 2
+MAX_LEASE_ATTEMPTS = 4
+MAX_RECORD_OVERHEAD_BYTES = 64
+
+LeaseholderCallback = Callable[["Leaseholder"], None]
 
 
 class Leaseholder:
-    """The one owner of a log while its lease lasts: settles the tail it found, then appends to all replicas."""
+    """The one writer of a log while its lease is valid.
+
+    It recovers the tail that it finds, then appends to all replicas. `lost` is the reason why the lease is no longer
+    held, empty while it is. `data` and `committed` are the log's content and how much of it is committed.
+    """
 
-    def __init__(self, ctx, replicated_log, log: str):
+    def __init__(self, ctx: Context, client: StorageClient, log: str, on_lost: LeaseholderCallback) -> None:
         self._ctx = ctx
-        self._replicated_log = replicated_log
+        self._client = client
+        self._on_lost = on_lost
         self.log = log
         self.epoch = 0
-        self.placement_group = replicated_log.placement_group(log)
+        self.placement_group = client.placement_group(log)
         self.data = bytearray()
         self.committed = 0
         self.final = False
         self.closed_ms = 0
         self.lost = ""
-        self.granted: dict[str, int] = {}
-        self._states: dict[str, LogState] = {}
-        self._renewals: dict[str, timedelta] = {}
-        self._no_room: set[str] = set()
-        self._room: dict[str, int] = {}
-        self._sending: set[str] = set()
-        self._waiters: list[tuple[int, defer.Deferred]] = []
-        self._reserved = False
-        self._best = (0, 0)
-        self._moved: PlacementGroup | None = None
-        self._moved_at = ZERO
-        self._watchers: list = []
-
-    def held(self) -> bool:
-        """By the own clock, and earlier than the storage nodes' view ends."""
-        return not self.lost and self._renewed_by_majority()
-
-    def _renewed_by_majority(self) -> bool:
-        """Or by one of the placement group as it was until a short while ago: a storage node that joins it is only
-        asked to renew since.
-        """
-        now = self._ctx.timers.now()
-        kept = [d for d, at in self._renewals.items() if now - at < HOLD_SPAN]
-        return (
-            self.placement_group.agree(kept)
-            or self._moved is not None
-            and now - self._moved_at < MOVED_SPAN
-            and self._moved.agree(kept)
-        )
+        self.uses_reserve = False
+        self.granted_epochs: dict[str, int] = {}
+        self.progress = ReplicaProgress()
+        self.recovered_tail = TailPosition()
+        self._validity = LeaseValidity(ctx.timers)
+        self._senders: dict[str, ReplicaSender] = {}
+        self._waiters = CommitWaiters()
+        self._free_bytes: dict[str, int] = {}
+        self._full_nodes: set[str] = set()
+        self._watchers: list[LeaseholderCallback] = []
+
+    @property
+    def has_waiters(self) -> bool:
+        """Whether an append waits for its commit."""
+        return bool(self._waiters)
+
+    def is_held(self) -> bool:
+        """Returns whether the lease is valid by the local clock, which ends before the storage nodes' view does."""
+        return not self.lost and self._validity.is_valid(self.placement_group)
 
-    def renewing(self):
-        self.look_again()
-        if not self.lost and not self._renewed_by_majority():
-            self.lapse("lease ran out")
+    def check_validity(self) -> None:
+        """Follows the placement group and gives the lease up where it has run out."""
+        self.refresh_placement()
+        if not self.lost and not self._validity.is_valid(self.placement_group):
+            self.invalidate("lease ran out")
 
-    def look_again(self):
-        """Follows its placement group where the cluster state has moved it.
+    def refresh_placement(self) -> None:
+        """Follows the log's placement group where the cluster state has changed it.
 
-        What storage nodes told before the move counts no longer: a later leaseholder may have been granted the log by
-        a majority that a joining node does not know of, and that majority must refuse for the count to be told apart.
+        What storage nodes reported before the change no longer counts: a later leaseholder may have been granted the
+        log by a majority that a joining node does not know of, and that majority must refuse before the position
+        counts as committed.
         """
-        placement_group = self._replicated_log.placement_group(self.log)
-        if placement_group.sequence > self.placement_group.sequence:
-            self._moved, self._moved_at = self.placement_group, self._ctx.timers.now()
-            self.placement_group = placement_group
-            self._states.clear()
-            if self.data and not self.lost:
-                for n in placement_group.everyone:
-                    self._send_to(n)
-
-    def renewed(self, storage_node: str, asked: timedelta, room: int):
-        self._room[storage_node] = room
-        self._renewals[storage_node] = max(asked, self._renewals.get(storage_node, asked))
-
-    def lapse(self, why: str):
+        placement_group = self._client.placement_group(self.log)
+        if placement_group.sequence <= self.placement_group.sequence:
+            return
+        self._validity.moved_from(self.placement_group)
+        self.placement_group = placement_group
+        self.progress.clear()
+        if self.data and not self.lost:
+            self._replicate()
+
+    def record_renewal(self, storage_node: str, requested_at: timedelta, free_bytes: int) -> None:
+        """Records that a storage node renewed the lease on a request sent at `requested_at`."""
+        self._free_bytes[storage_node] = free_bytes
+        self._validity.record_renewal(storage_node, requested_at)
+
+    def invalidate(self, reason: str) -> None:
+        """Ends the lease: appends that wait fail with LeaseNotHeld, and the watchers are called."""
         if self.lost:
             return
-        self.lost = why
-        self._replicated_log.drop(self)
-        self._ctx.logger.info("lease_lost", log=self.log, epoch=self.epoch, why=why)
-        waiters, self._waiters = self._waiters, []
-        for _, d in waiters:
-            d.errback(LeaseNotHeld(f"{self.log}: {why}"))
-        for do in self._watchers:
-            do(self)
-
-    def watch(self, do):
-        self._watchers.append(do)
-
-    async def take(self, gone: str | None = None):
+        self.lost = reason
+        self._on_lost(self)
+        self._ctx.logger.info("lease_lost", log=self.log, epoch=self.epoch, reason=reason)
+        self._waiters.fail_all(lambda: LeaseNotHeld(f"{self.log}: {reason}"))
+        self._call_watchers()
+
+    def watch(self, callback: LeaseholderCallback) -> None:
+        """Has `callback` called with this leaseholder after each commit and when the lease is lost."""
+        self._watchers.append(callback)
+
+    def _call_watchers(self) -> None:
+        for callback in self._watchers:
+            callback(self)
+
+    async def acquire(self, lost_leaseholder: str | None = None) -> None:
+        """Acquires the lease under a new epoch and recovers the tail.
+
+        Does not wait for the lease of `lost_leaseholder` to run out; an empty name stands for a log without one. Raises
+        LeaseNotHeld where another node holds the lease or may hold it, and NoQuorum.
+        """
         epoch = 1
-        for _ in range(4):
-            asked = self._ctx.timers.now()
-            ask = LeaseRequest(
-                log=self.log,
-                leaseholder=self._ctx.node,
-                epoch=epoch,
-                placement_group_sequence=self.placement_group.sequence,
-                usurp=gone is not None,
-                gone=gone or "",
-            )
-            got = await self._replicated_log.ask_each(
-                self.placement_group.everyone,
-                "replicated_log.lease",
-                ask,
-                LeaseResponse,
-                enough=lambda g: self.placement_group.agree([n for n, r in g.items() if r.granted]),
-            )
-            granted = [n for n, r in got.items() if r.granted]
-            self.granted.update((n, epoch) for n in granted)
-            if self.placement_group.agree(granted):
-                break
-            self._refuse_to_duel(got)
-            if not self.placement_group.agree(got):
-                raise NoQuorum(f"{self.log}: {len(got)} of {len(self.placement_group.everyone)} storage nodes answered")
-            epoch = max(r.state.epoch for r in got.values()) + 1
-        else:
-            raise LeaseNotHeld(f"{self.log}: outbid")
-        self.epoch = epoch
-        for n in granted:
-            self.renewed(n, asked, got[n].room)
-            self._states[n] = got[n].state
-        await self._settle_tail(granted)
-
-    def _refuse_to_duel(self, got: dict[str, LeaseResponse]):
-        """A live lease is known to a majority, so those that cannot know of one yet count only where they are needed
-        for it.
+        for _ in range(MAX_LEASE_ATTEMPTS):
+            requested_at = self._ctx.timers.now()
+            responses = await self._request_lease(epoch, lost_leaseholder)
+            granted = [node for node, response in responses.items() if response.granted]
+            self.granted_epochs.update((node, epoch) for node in granted)
+            if self.placement_group.is_quorum(granted):
+                await self._begin_epoch(epoch, requested_at, {node: responses[node] for node in granted})
+                return
+            self._raise_if_contended(responses)
+            if not self.placement_group.is_quorum(responses):
+                total = len(self.placement_group.all_nodes)
+                raise NoQuorum(f"{self.log}: {len(responses)} of {total} storage nodes answered")
+            epoch = max(response.state.epoch for response in responses.values()) + 1
+        raise LeaseNotHeld(f"{self.log}: outbid")
+
+    async def _request_lease(self, epoch: int, lost_leaseholder: str | None) -> dict[str, LeaseResponse]:
+        request = LeaseRequest(
+            log=self.log,
+            leaseholder=self._ctx.node,
+            epoch=epoch,
+            placement_group_sequence=self.placement_group.sequence,
+            take_over=lost_leaseholder is not None,
+            lost_leaseholder=lost_leaseholder or "",
+        )
+        return await self._client.call_each(
+            self.placement_group.all_nodes,
+            "replicated_log.lease",
+            request,
+            LeaseResponse,
+            enough=self._is_granted,
+        )
+
+    def _is_granted(self, responses: dict[str, LeaseResponse]) -> bool:
+        return self.placement_group.is_quorum([node for node, response in responses.items() if response.granted])
+
+    def _raise_if_contended(self, responses: dict[str, LeaseResponse]) -> None:
+        """Raises LeaseNotHeld where another node holds the lease or may hold it.
+
+        A valid lease is known to a majority, so storage nodes that have just started are counted only where a quorum
+        needs them.
         """
-        for r in got.values():
-            if r.why == "held" and not r.granted:
-                raise LeaseNotHeld(f"{self.log} is held", r.state.leaseholder)
-        know = [n for n, r in got.items() if r.why != "just_started"]
-        if not self.placement_group.agree(know) and len(know) < len(got):
+        for response in responses.values():
+            if response.reason == LeaseRefusal.HELD and not response.granted:
+                raise LeaseNotHeld(f"{self.log} is held", response.state.leaseholder)
+        informed = [node for node, response in responses.items() if response.reason != LeaseRefusal.RECENTLY_STARTED]
+        if not self.placement_group.is_quorum(informed) and len(informed) < len(responses):
             raise LeaseNotHeld(f"{self.log} may be held")
 
-    async def _settle_tail(self, granted):
-        """Makes the newest-epoch tail that a majority shows durable under the own epoch."""
-        best = max(granted, key=lambda n: (self._states[n].tail_epoch, self._states[n].length))
-        state = self._states[best]
+    async def _begin_epoch(self, epoch: int, requested_at: timedelta, grants: Mapping[str, LeaseResponse]) -> None:
+        self.epoch = epoch
+        for node, response in grants.items():
+            self.record_renewal(node, requested_at, response.free_bytes)
+            self.progress.record(node, response.state)
+        await self._recover_tail(list(grants))
+
+    async def _recover_tail(self, granted: list[str]) -> None:
+        """Makes the most up-to-date tail that a quorum shows durable under the new epoch."""
+        source = self.progress.most_up_to_date(granted)
+        state = self.progress.known(source)
         if state.length:
-            self.data = bytearray(await self._replicated_log.read_from(best, self.log, 0, state.length))
+            self.data = bytearray(await self._client.read_from(source, self.log, 0, state.length))
             if len(self.data) != state.length:
-                raise NoQuorum(f"{self.log}: {best} could not show its tail")
-        self.final, self.closed_ms = state.final, state.closed_ms
-        self._best = (state.tail_epoch, state.length)
-        self.committed = max(s.committed for s in self._states.values())
+                raise NoQuorum(f"{self.log}: {source} could not show its tail")
+        self.final = state.final
+        self.closed_ms = state.closed_ms
+        self.recovered_tail = TailPosition.of(state)
+        self.committed = self.progress.max_committed()
         if state.length:
-            await self._reach(state.length, restamp=True)
+            await self._commit(state.length)
 
     async def append(self, records: list[bytes], final: bool = False, reserved: bool = False) -> int:
-        """Appends whole records; returns where they start, once a majority has synced them."""
-        if not self.held():
-            self.renewing()
+        """Appends framed records; returns the position of the first, once a quorum has synced all of them.
+
+        A `final` append ends the log, a `reserved` one may use the space that storage nodes keep in reserve. Raises
+        LeaseNotHeld, StaleEpoch where the log has ended, StorageFull, and DeadlineExceeded where the commit takes too
+        long: the records may then still be committed.
+        """
+        self._check_append(records, reserved)
+        self.uses_reserve = reserved
+        self._full_nodes.clear()
+        if final:
+            self.final = True
+            self.closed_ms = wall_ms(self._ctx.timers.utc_now())
+        start = len(self.data)
+        self.data += b"".join(frame(record) for record in records)
+        await self.wait_durable()
+        return start
+
+    def _check_append(self, records: list[bytes], reserved: bool) -> None:
+        if not self.is_held():
+            self.check_validity()
             raise LeaseNotHeld(f"{self.log}: {self.lost or 'the lease is not current'}")
         if self.final:
             raise StaleEpoch(f"{self.log} is final")
-        size = sum(len(r) + 64 for r in records)
-        if not reserved and not self.placement_group.agree([n for n, room in self._room.items() if room > size]):
+        if reserved:
+            return
+        size = sum(len(record) + MAX_RECORD_OVERHEAD_BYTES for record in records)
+        if not self.placement_group.is_quorum([node for node, free in self._free_bytes.items() if free > size]):
             raise StorageFull(f"{self.log}: the storage nodes are out of room", sent=False)
-        self._reserved = reserved
-        self._no_room.clear()
-        if final:
-            self.final, self.closed_ms = True, wall_ms(self._ctx.timers.utc_now())
-        start = len(self.data)
-        self.data += b"".join(frame(r) for r in records)
-        await self._reach(len(self.data))
-        return start
 
-    async def all_durable(self):
-        """Returns once everything written so far is durable."""
-        await self._reach(len(self.data))
+    async def wait_durable(self) -> None:
+        """Returns once everything appended so far is committed; raises as `append` does."""
+        end = len(self.data)
+        if self.committed < end:
+            await self._commit(end)
 
-    async def _reach(self, end: int, restamp: bool = False):
-        d = defer.Deferred()
-        if not restamp and self.committed >= end:
-            return
-        self._waiters.append((end, d))
-        for n in self.placement_group.everyone:
-            self._send_to(n)
-        await self._ctx.timers.with_timeout(WRITE_LIMIT * 2, d)
-
-    def _send_to(self, node: str):
-        if node not in self._sending and not self.lost:
-            self._sending.add(node)
-            spawn(self._send(node)).addBoth(lambda r: self._sent(node, r))
-
-    def _sent(self, node, r):
-        self._sending.discard(node)
-        if isinstance(r, Exception) or hasattr(r, "value"):
-            self._ctx.logger.failure("send_failed", getattr(r, "value", r), log=self.log, storage_node=node)
-
-    def _settled(self, state: LogState) -> bool:
-        return state.tail_epoch == self.epoch and state.length == len(self.data) and state.final == self.final
-
-    async def _send(self, node: str):
-        """One task for each replica, while it lacks anything."""
-        while not self.lost and node in self.placement_group.everyone:
-            state = self._states.get(node)
-            placement = self.placement_group
-            try:
-                if state is None:
-                    told = await self._ask_state(node)
-                elif self._settled(state):
-                    return
-                else:
-                    told = await self._write_to(node, state)
-                if self.placement_group is placement:
-                    self._states[node] = told
-            except RemoteError as e:
-                if e.remote_code == "fenced":
-                    self.lapse(str(e))
-                    return
-                if e.remote_code == "no_room":
-                    self._full(node)
-                    return
-                if e.remote_code == "old_placement_group":
-                    self.look_again()
-                self._states.pop(node, None)
-                await self._ctx.timers.sleep(RETRY_INTERVAL)
-            except WireError as e:
-                self._states.pop(node, None)
-                self._ctx.logger.debug("replica_behind", log=self.log, storage_node=node, text=e)
-                await self._ctx.timers.sleep(RETRY_INTERVAL if self._waiters else IDLE_INTERVAL)
-            self._advance()
-
-    async def _ask_state(self, node: str) -> LogState:
-        r = await self._replicated_log.ask(node, "replicated_log.states", StatesRequest(logs=[self.log]), States)
-        return r.states[0]
-
-    async def _write_to(self, node: str, state: LogState) -> LogState:
-        if state.tail_epoch == self.epoch:
-            start = state.length
-        elif (state.tail_epoch, state.length) == self._best or state.tail_epoch == self._best[0]:
-            start = min(state.length, self._best[1])
-        else:
-            start = min(state.committed, state.length)
-        data = bytes(self.data[start:])
-        final = self.final
-        ask = WriteRequest(
-            log=self.log,
-            epoch=self.epoch,
-            placement_group_sequence=self.placement_group.sequence,
-            position=start,
-            expect_tail_epoch=state.tail_epoch,
-            expect_length=state.length,
-            committed=self.committed,
-            final=final,
-            reserved=self._reserved,
-            closed_ms=self.closed_ms,
-        )
-        while len(data) - ask.staged_bytes > MAX_WRITE:
-            at = ask.staged_bytes
-            part = WriteRequest(
-                log=self.log, epoch=self.epoch, staged=True, position=at, data=data[at : at + MAX_WRITE]
-            )
-            await self._replicated_log.ask(node, "replicated_log.write", part, WriteResponse, WRITE_LIMIT)
-            ask.staged_bytes += len(part.data)
-        ask.data = data[ask.staged_bytes :]
-        r = await self._replicated_log.ask(node, "replicated_log.write", ask, WriteResponse, WRITE_LIMIT)
-        return r.state
-
-    def _full(self, node):
-        self._no_room.add(node)
-        rest = [n for n in self.placement_group.everyone if n not in self._no_room]
-        if not self.placement_group.agree(rest):
-            waiters, self._waiters = self._waiters, []
-            for _, d in waiters:
-                d.errback(StorageFull(f"{self.log}: the storage nodes are out of room"))
-            self.lapse("no room")
-
-    def _advance(self):
-        marks = {n: s.length for n, s in self._states.items() if s.tail_epoch == self.epoch}
-        if not self.placement_group.agree(marks):
+    async def _commit(self, end: int) -> None:
+        """Replicates the log and waits until a quorum has its bytes up to `end` under the current epoch."""
+        committed = self._waiters.add(end)
+        self._replicate()
+        await self._ctx.timers.with_timeout(COMMIT_TIMEOUT, committed)
+
+    def _replicate(self) -> None:
+        for node in self.placement_group.all_nodes:
+            if node not in self._senders:
+                self._senders[node] = ReplicaSender(self._ctx, self._client, self, node)
+            self._senders[node].start()
+
+    def storage_full(self, node: str) -> None:
+        """Ends the lease where the storage nodes that are not full are no quorum; `node` has just refused a write."""
+        self._full_nodes.add(node)
+        rest = [other for other in self.placement_group.all_nodes if other not in self._full_nodes]
+        if not self.placement_group.is_quorum(rest):
+            self._waiters.fail_all(lambda: StorageFull(f"{self.log}: the storage nodes are out of room"))
+            self.invalidate("no room")
+
+    def advance_commit(self) -> None:
+        """Commits the position that a quorum of replicas has reached under the current epoch."""
+        lengths = self.progress.match_lengths(self.epoch)
+        if not self.placement_group.is_quorum(lengths):
             return
-        reached = self.placement_group.reached(marks)
-        ready = [w for w in self._waiters if w[0] <= reached]
-        self._waiters = [w for w in self._waiters if w[0] > reached]
-        if reached > self.committed or ready:
-            self.committed = max(reached, self.committed)
-            spawn(self._mark()).addErrback(lambda f: None)
-            for do in self._watchers:
-                do(self)
-        for _, d in ready:
-            if not d.called:
-                d.callback(None)
-
-    async def _mark(self):
-        ask = MarkRequest(log=self.log, epoch=self.epoch, committed=self.committed)
-        await self._replicated_log.ask_each(self.placement_group.everyone, "replicated_log.mark", ask, Empty)
+        position = self.placement_group.quorum_position(lengths)
+        reached = self._waiters.remove_reached(position)
+        if position > self.committed or reached:
+            self.committed = max(position, self.committed)
+            spawn(self._announce_commit()).addErrback(_ignore_failure)
+            self._call_watchers()
+        for deferred in reached:
+            if not deferred.called:
+                deferred.callback(None)
+
+    async def _announce_commit(self) -> None:
+        """Tells the storage nodes the commit position, so that later readers need no quorum for it."""
+        request = CommitRequest(log=self.log, epoch=self.epoch, committed=self.committed)
+        await self._client.call_each(self.placement_group.all_nodes, "replicated_log.mark", request, Empty)
+
+
+def _ignore_failure(_: Failure) -> None:
+    """A lost announcement is made up for by the next write."""
--- /dev/null
+++ b/pipitlink/replicated_log/log_reader.py
@@ -0,0 +1,67 @@
+"""Reads of committed log content, hedged over the replicas."""
+
+from datetime import timedelta
+
+from twisted.internet import defer
+
+from ..context import Context
+from ..errors import NoQuorum
+from ..timers import ms
+from .storage_client import READ_TIMEOUT, StorageClient
+
+__all__ = ["LogReader"]
+
+HEDGE_DELAY: timedelta = ms(100)
+"""How long one storage node has before the next is read from as well."""
+
+
+class LogReader:
+    """Reads ranges of logs from whichever replica answers first."""
+
+    def __init__(self, ctx: Context, client: StorageClient) -> None:
+        self._ctx = ctx
+        self._client = client
+
+    async def read(self, log: str, position: int, length: int) -> bytes:
+        """Returns a committed range of a log; raises NoQuorum where no storage node returns all of it."""
+        nodes = list(self._client.placement_group(log).all_nodes)
+        self._ctx.rng.shuffle(nodes)
+        nodes.sort(key=lambda node: self._ctx.membership.status(node) != "alive")
+        read = _HedgedRead(self._ctx, self._client, log, position, length)
+        for count, node in enumerate(nodes, 1):
+            self._ctx.run_in_background(read.read_from(node), "read_log")
+            content = await read.wait(count, HEDGE_DELAY if count < len(nodes) else READ_TIMEOUT)
+            if content is not None:
+                return content
+        raise NoQuorum(f"{log}: bytes {position} to {position + length} could not be read")
+
+
+class _HedgedRead:
+    """One range, read from several storage nodes."""
+
+    def __init__(self, ctx: Context, client: StorageClient, log: str, position: int, length: int) -> None:
+        self._ctx = ctx
+        self._client = client
+        self._log = log
+        self._position = position
+        self._length = length
+        self._results: list[bytes] = []
+        self._next_result: defer.Deferred[None] | None = None
+
+    async def read_from(self, node: str) -> None:
+        """Reads the range from one storage node and wakes who waits."""
+        self._results.append(await self._client.read_from(node, self._log, self._position, self._length))
+        if self._next_result is not None and not self._next_result.called:
+            self._next_result.callback(None)
+
+    async def wait(self, started: int, timeout: timedelta) -> bytes | None:
+        """Returns the complete range, or None once the timeout has passed or all `started` reads have ended."""
+        timers = self._ctx.timers
+        deadline = timers.now() + timeout
+        while self._complete() is None and len(self._results) < started and timers.now() < deadline:
+            self._next_result = defer.Deferred()
+            await timers.wait_at_most(self._next_result, deadline - timers.now())
+        return self._complete()
+
+    def _complete(self) -> bytes | None:
+        return next((content for content in self._results if len(content) >= self._length), None)
--- /dev/null
+++ b/pipitlink/replicated_log/log_states.py
@@ -0,0 +1,144 @@
+"""Which logs there are, and how much of each is committed, from the answers of their storage nodes."""
+
+from collections.abc import Callable, Mapping
+from datetime import timedelta
+from typing import NamedTuple
+
+from twisted.internet import defer
+
+from ..context import Context
+from ..timers import ms, secs
+from ..wire.replicated_log_pb2 import ListRequest, LogState, StatesRequest, StatesResponse
+from .placement_group import PlacementGroup
+from .storage_client import StorageClient
+
+__all__ = ["LogListing", "LogStates", "merge_states"]
+
+GRACE_PERIOD: timedelta = ms(50)
+"""How long the rest of the storage nodes is waited for once a quorum of each placement group has answered."""
+
+LIST_TIMEOUT: timedelta = secs(1)
+
+StatesByNode = dict[str, LogState]
+
+
+def merge_states(placement_group: PlacementGroup, states: Mapping[str, LogState]) -> LogState:
+    """Returns the state of a log that its replicas, by storage node, prove.
+
+    Its length is the longest that is surely committed: reported as such, or on a quorum under one tail epoch.
+    """
+    merged = LogState(log=next(iter(states.values())).log)
+    merged.committed = _committed(placement_group, states)
+    merged.epoch = max(state.epoch for state in states.values())
+    merged.tail_epoch = max(state.tail_epoch for state in states.values())
+    merged.length = merged.committed
+    merged.final = any(state.final and state.length <= merged.committed for state in states.values())
+    for state in states.values():
+        if state.leaseholder and state.lease_ms >= merged.lease_ms:
+            merged.leaseholder = state.leaseholder
+            merged.lease_ms = state.lease_ms
+    return merged
+
+
+def _committed(placement_group: PlacementGroup, states: Mapping[str, LogState]) -> int:
+    committed = max(state.committed for state in states.values())
+    for epoch in {state.tail_epoch for state in states.values()}:
+        lengths = {node: state.length for node, state in states.items() if state.tail_epoch == epoch}
+        if placement_group.is_quorum(lengths):
+            committed = max(committed, placement_group.quorum_position(lengths))
+    return committed
+
+
+class LogListing(NamedTuple):
+    """The logs that were found, by name; `complete` where enough storage nodes answered that none is missing."""
+
+    states: dict[str, LogState]
+    complete: bool
+
+
+class LogStates:
+    """Reads the states of logs from their storage nodes."""
+
+    def __init__(self, ctx: Context, client: StorageClient) -> None:
+        self._ctx = ctx
+        self._client = client
+
+    async def read(self, logs: list[str]) -> dict[str, LogState]:
+        """Returns what is committed of each log; logs without a quorum of answers are left out."""
+        logs_by_node: dict[str, list[str]] = {}
+        for log in logs:
+            for node in self._client.placement_group(log).all_nodes:
+                logs_by_node.setdefault(node, []).append(log)
+        query = _StatesQuery(self._ctx, self._client, logs, len(logs_by_node))
+        for node, node_logs in logs_by_node.items():
+            self._ctx.run_in_background(query.ask(node, node_logs), "read_states")
+        if logs_by_node:
+            await query.complete
+        return query.merged()
+
+    async def list(self, request: ListRequest) -> LogListing:
+        """Returns the logs that a request selects, as far as the storage nodes that answer have them.
+
+        Waits for all storage nodes; where only open logs are requested, for a quorum of each placement group.
+        """
+        cluster = self._ctx.cluster
+        placement_groups = [cluster.placement_group(number) for number in range(cluster.placement_groups)]
+        storage_nodes = sorted({node for group in placement_groups for node in group.all_nodes})
+        responses = await self._client.call_each(
+            storage_nodes,
+            "replicated_log.list",
+            request,
+            StatesResponse,
+            LIST_TIMEOUT,
+            enough=_quorum_of_each(placement_groups) if request.open_only else None,
+        )
+        states: dict[str, StatesByNode] = {}
+        for node, response in responses.items():
+            for state in response.states:
+                states.setdefault(state.log, {})[node] = state
+        merged = {log: merge_states(self._client.placement_group(log), by_node) for log, by_node in states.items()}
+        return LogListing(merged, all(group.is_quorum(responses) for group in placement_groups))
+
+
+def _quorum_of_each(placement_groups: list[PlacementGroup]) -> Callable[[dict[str, StatesResponse]], bool]:
+    return lambda responses: all(group.is_quorum(responses) for group in placement_groups)
+
+
+class _StatesQuery:
+    """The answers to one query for states; `complete` fires once all are in, or soon after a quorum for each log."""
+
+    def __init__(self, ctx: Context, client: StorageClient, logs: list[str], node_count: int) -> None:
+        self._ctx = ctx
+        self._client = client
+        self._states: dict[str, StatesByNode] = {log: {} for log in logs}
+        self._pending = node_count
+        self.complete: defer.Deferred[None] = defer.Deferred()
+
+    async def ask(self, node: str, logs: list[str]) -> None:
+        """Asks one storage node for the states of its logs; an error of the call leaves them out."""
+        request = StatesRequest(logs=logs)
+        responses = await self._client.call_each([node], "replicated_log.states", request, StatesResponse)
+        if node in responses:
+            for state in responses[node].states:
+                self._states[state.log][node] = state
+        self._pending -= 1
+        if not self._pending:
+            self._finish()
+        elif self._has_quorums():
+            self._ctx.timers.call_later(GRACE_PERIOD, self._finish)
+
+    def _has_quorums(self) -> bool:
+        return all(self._client.placement_group(log).is_quorum(states) for log, states in self._states.items())
+
+    def _finish(self) -> None:
+        if not self.complete.called:
+            self.complete.callback(None)
+
+    def merged(self) -> dict[str, LogState]:
+        """Returns the merged state of each log of which a quorum has answered."""
+        merged = {}
+        for log, states in self._states.items():
+            placement_group = self._client.placement_group(log)
+            if placement_group.is_quorum(states):
+                merged[log] = merge_states(placement_group, states)
+        return merged
--- a/pipitlink/replicated_log/placement_group.py
+++ b/pipitlink/replicated_log/placement_group.py
@@ -1,5 +1,6 @@
-"""Which storage nodes keep a log, and which of them make a quorum."""
+"""Placement groups: which storage nodes replicate a log, and which of them form a quorum."""
 
+from collections.abc import Collection, Mapping
 from hashlib import blake2b
 
 import attrs
@@ -12,15 +13,17 @@
     return int.from_bytes(blake2b(log.encode(), digest_size=4).digest(), "big") % placement_groups
 
 
-def majority(nodes, of) -> bool:
-    """Whether these nodes are more than half of those."""
-    return 2 * sum(d in nodes for d in of) > len(of)
+def majority(nodes: Collection[str], of: Collection[str]) -> bool:
+    """Returns whether `nodes` include more than half of the nodes in `of`."""
+    return 2 * sum(node in nodes for node in of) > len(of)
 
 
 @attrs.frozen
 class PlacementGroup:
-    """Where a placement group's logs are kept. While `joining` is to take the place of `leaving`, both sets must
-    agree. Without `leaving` the group grows by `joining`, and without `joining` it shrinks by `leaving`.
+    """The storage nodes that replicate the logs of one placement group.
+
+    While `joining` replaces `leaving`, a quorum needs a majority of both the old and the new set. Without `leaving` the
+    group grows by `joining`, and without `joining` it shrinks by `leaving`.
     """
 
     number: int
@@ -30,38 +33,44 @@
     leaving: str = ""
 
     @property
-    def moving(self) -> bool:
+    def is_moving(self) -> bool:
+        """Whether a change of the storage nodes is in progress."""
         return bool(self.joining or self.leaving)
 
     @property
     def next_nodes(self) -> tuple[str, ...]:
-        """The storage nodes once the move that is under way has ended."""
-        rest = tuple(d for d in self.storage_nodes if d != self.leaving)
-        return (*rest, self.joining) if self.joining else rest
+        """The storage nodes after the change in progress."""
+        remaining = tuple(node for node in self.storage_nodes if node != self.leaving)
+        return (*remaining, self.joining) if self.joining else remaining
 
     @property
-    def sets(self) -> tuple[tuple[str, ...], ...]:
-        return (self.storage_nodes, self.next_nodes) if self.moving else (self.storage_nodes,)
+    def quorum_sets(self) -> tuple[tuple[str, ...], ...]:
+        """The sets of storage nodes of each of which a quorum needs a majority."""
+        return (self.storage_nodes, self.next_nodes) if self.is_moving else (self.storage_nodes,)
 
     @property
-    def copying(self) -> tuple[str, ...]:
-        """Those that must say that they hold all that is durable before the move ends.
+    def transfer_targets(self) -> tuple[str, ...]:
+        """The storage nodes that must report all durable data as replicated before the change may end.
 
-        A storage node that leaves without another in its place takes a copy along, and what is left is a majority of
-        the smaller set only if the others have made up for it.
+        A storage node that leaves without a replacement takes a replica along, and what remains is a majority of the
+        smaller set only if the others have made up for it.
         """
         if self.joining:
             return (self.joining,)
         return self.next_nodes if self.leaving else ()
 
     @property
-    def everyone(self) -> tuple[str, ...]:
+    def all_nodes(self) -> tuple[str, ...]:
+        """The storage nodes of the old and the new set."""
         return self.storage_nodes + ((self.joining,) if self.joining else ())
 
-    def agree(self, nodes) -> bool:
-        """Whether these nodes are a majority of each set."""
-        return bool(self.storage_nodes) and all(majority(nodes, s) for s in self.sets)
+    def is_quorum(self, nodes: Collection[str]) -> bool:
+        """Returns whether these nodes are a majority of each quorum set."""
+        return bool(self.storage_nodes) and all(majority(nodes, quorum_set) for quorum_set in self.quorum_sets)
 
-    def reached(self, marks: dict[str, int]) -> int:
-        """The highest position that a majority of each set has reached."""
-        return min(sorted((marks.get(d, 0) for d in s), reverse=True)[len(s) // 2] for s in self.sets)
+    def quorum_position(self, positions: Mapping[str, int]) -> int:
+        """Returns the highest position that a majority of each quorum set has reached."""
+        return min(
+            sorted((positions.get(node, 0) for node in quorum_set), reverse=True)[len(quorum_set) // 2]
+            for quorum_set in self.quorum_sets
+        )
--- /dev/null
+++ b/pipitlink/replicated_log/replica_sender.py
@@ -0,0 +1,153 @@
+"""Replication of a log from its leaseholder to one storage node."""
+
+from datetime import timedelta
+from typing import TYPE_CHECKING
+
+from twisted.python.failure import Failure
+
+from ..context import Context
+from ..errors import RemoteError, StaleEpoch, StalePlacement, StorageFull, WireError
+from ..timers import ms, secs, spawn
+from ..wire.replicated_log_pb2 import LogState, StatesRequest, StatesResponse, WriteRequest, WriteResponse
+from .replica_progress import TailPosition
+from .storage_client import StorageClient
+
+if TYPE_CHECKING:
+    from .leaseholder import Leaseholder
+
+__all__ = ["WRITE_TIMEOUT", "ReplicaSender"]
+
+WRITE_TIMEOUT: timedelta = secs(2)
+RETRY_INTERVAL: timedelta = ms(150)
+IDLE_RETRY_INTERVAL: timedelta = secs(1)
+MAX_WRITE_BYTES = 4 * 1024 * 1024
+
+
+class ReplicaSender:
+    """Writes to one replica, in one task at a time, until it has all that the leaseholder has."""
+
+    def __init__(self, ctx: Context, client: StorageClient, leaseholder: "Leaseholder", node: str) -> None:
+        self._ctx = ctx
+        self._client = client
+        self._leaseholder = leaseholder
+        self._node = node
+        self._is_running = False
+
+    def start(self) -> None:
+        """Starts the task unless it runs already or the lease is lost."""
+        if self._is_running or self._leaseholder.lost:
+            return
+        self._is_running = True
+        spawn(self._run()).addBoth(self._stopped)
+
+    def _stopped(self, result: Failure | None) -> None:
+        self._is_running = False
+        if result is not None:
+            self._ctx.logger.failure(
+                "replication_failed", result.value, log=self._leaseholder.log, storage_node=self._node
+            )
+
+    async def _run(self) -> None:
+        leaseholder = self._leaseholder
+        while not leaseholder.lost and self._node in leaseholder.placement_group.all_nodes:
+            try:
+                if await self._bring_forward():
+                    return
+            except RemoteError as error:
+                if self._is_final(error):
+                    return
+                leaseholder.progress.discard(self._node)
+                await self._ctx.timers.sleep(RETRY_INTERVAL)
+            except WireError as error:
+                leaseholder.progress.discard(self._node)
+                self._ctx.logger.debug("replica_behind", log=leaseholder.log, storage_node=self._node, text=error)
+                await self._ctx.timers.sleep(RETRY_INTERVAL if leaseholder.has_waiters else IDLE_RETRY_INTERVAL)
+            leaseholder.advance_commit()
+
+    async def _bring_forward(self) -> bool:
+        """Returns True where the replica is up to date; else writes what it lacks, or asks how far it is."""
+        leaseholder = self._leaseholder
+        state = leaseholder.progress.get(self._node)
+        placement_group = leaseholder.placement_group
+        if state is None:
+            reported = await self._request_state()
+        elif self._is_up_to_date(state):
+            return True
+        else:
+            reported = await self._write(state)
+        if leaseholder.placement_group is placement_group:
+            leaseholder.progress.record(self._node, reported)
+        return False
+
+    def _is_final(self, error: RemoteError) -> bool:
+        """Handles an error that the storage node returned; returns whether a retry is pointless."""
+        if error.remote_code == StaleEpoch.code:
+            self._leaseholder.invalidate(str(error))
+            return True
+        if error.remote_code == StorageFull.code:
+            self._leaseholder.storage_full(self._node)
+            return True
+        if error.remote_code == StalePlacement.code:
+            self._leaseholder.refresh_placement()
+        return False
+
+    def _is_up_to_date(self, state: LogState) -> bool:
+        leaseholder = self._leaseholder
+        return (
+            state.tail_epoch == leaseholder.epoch
+            and state.length == len(leaseholder.data)
+            and state.final == leaseholder.final
+        )
+
+    async def _request_state(self) -> LogState:
+        request = StatesRequest(logs=[self._leaseholder.log])
+        response = await self._client.call(self._node, "replicated_log.states", request, StatesResponse)
+        return response.states[0]
+
+    async def _write(self, state: LogState) -> LogState:
+        start = self._first_difference(state)
+        data = bytes(self._leaseholder.data[start:])
+        request = self._write_request(state, start)
+        while len(data) - request.buffered_bytes > MAX_WRITE_BYTES:
+            request.buffered_bytes += await self._write_partial(data, request.buffered_bytes)
+        request.data = data[request.buffered_bytes :]
+        response = await self._client.call(self._node, "replicated_log.write", request, WriteResponse, WRITE_TIMEOUT)
+        return response.state
+
+    def _first_difference(self, state: LogState) -> int:
+        """Returns the position up to which the replica is known to have the same bytes as the leaseholder."""
+        recovered = self._leaseholder.recovered_tail
+        if state.tail_epoch == self._leaseholder.epoch:
+            return state.length
+        if state.tail_epoch == recovered.epoch:
+            return min(state.length, recovered.length)
+        return min(state.committed, state.length)
+
+    def _write_request(self, state: LogState, start: int) -> WriteRequest:
+        leaseholder = self._leaseholder
+        expected = TailPosition.of(state)
+        return WriteRequest(
+            log=leaseholder.log,
+            epoch=leaseholder.epoch,
+            placement_group_sequence=leaseholder.placement_group.sequence,
+            position=start,
+            expect_tail_epoch=expected.epoch,
+            expect_length=expected.length,
+            committed=leaseholder.committed,
+            final=leaseholder.final,
+            reserved=leaseholder.uses_reserve,
+            closed_ms=leaseholder.closed_ms,
+        )
+
+    async def _write_partial(self, data: bytes, offset: int) -> int:
+        """Sends one part of a long write, which the storage node buffers; returns the number of bytes sent."""
+        leaseholder = self._leaseholder
+        part = WriteRequest(
+            log=leaseholder.log,
+            epoch=leaseholder.epoch,
+            partial=True,
+            position=offset,
+            data=data[offset : offset + MAX_WRITE_BYTES],
+        )
+        await self._client.call(self._node, "replicated_log.write", part, WriteResponse, WRITE_TIMEOUT)
+        return len(part.data)
--- /dev/null
+++ b/pipitlink/replicated_log/storage_client.py
@@ -0,0 +1,133 @@
+"""RPC calls from any node to the storage nodes."""
+
+from collections.abc import Callable, Collection
+from datetime import timedelta
+from typing import Generic, TypeVar
+
+from google.protobuf.message import Message
+from twisted.internet import defer
+from twisted.python.failure import Failure
+
+from ..context import Context
+from ..errors import WireError
+from ..timers import ms, secs, spawn
+from ..wire.replicated_log_pb2 import ReadRequest, ReadResponse
+from ..wire.rpc import Address
+from .placement_group import PlacementGroup, placement_group_of
+
+__all__ = ["CALL_TIMEOUT", "READ_TIMEOUT", "StorageClient"]
+
+Response = TypeVar("Response", bound=Message)
+EnoughResponses = Callable[[dict[str, Response]], bool]
+
+CALL_TIMEOUT: timedelta = ms(800)
+READ_TIMEOUT: timedelta = secs(2)
+MAX_READ_BYTES = 4 * 1024 * 1024
+
+
+class StorageClient:
+    """Finds the storage nodes of a log and calls them by their node id."""
+
+    def __init__(self, ctx: Context) -> None:
+        self._ctx = ctx
+
+    def placement_group(self, log: str) -> PlacementGroup:
+        """Returns the placement group of a log as the newest known cluster state has it."""
+        group: PlacementGroup = self._ctx.cluster.placement_group(
+            placement_group_of(log, self._ctx.cluster.placement_groups)
+        )
+        return group
+
+    def address_of(self, node: str) -> Address | None:
+        """Returns the address of a member, None where the membership does not have it."""
+        member = self._ctx.membership.find(node)
+        return (member.host, member.port) if member is not None else None
+
+    async def call(
+        self,
+        node: str,
+        method: str,
+        request: Message,
+        response_type: type[Response],
+        timeout: timedelta = CALL_TIMEOUT,
+    ) -> Response:
+        """Calls one node and returns its response; raises WireError."""
+        address = self.address_of(node)
+        if address is None:
+            raise WireError(f"storage node {node} is not on the membership")
+        response: Response = await self._ctx.rpc.call(address, method, request, response_type, timeout, node=node)
+        return response
+
+    async def call_each(
+        self,
+        nodes: Collection[str],
+        method: str,
+        request: Message,
+        response_type: type[Response],
+        timeout: timedelta = CALL_TIMEOUT,
+        enough: EnoughResponses[Response] | None = None,
+    ) -> dict[str, Response]:
+        """Calls all nodes at once and returns the responses by node.
+
+        Nodes that fail are left out. Returns early once `enough` is true of the responses so far.
+        """
+        responses = _Responses[Response](len(nodes), enough)
+        for node in nodes:
+            spawn(self._call_one(node, method, request, response_type, timeout, responses)).addErrback(
+                self._log_failure
+            )
+        if nodes:
+            await responses.complete
+        return dict(responses.by_node)
+
+    async def _call_one(
+        self,
+        node: str,
+        method: str,
+        request: Message,
+        response_type: type[Response],
+        timeout: timedelta,
+        responses: "_Responses[Response]",
+    ) -> None:
+        try:
+            responses.by_node[node] = await self.call(node, method, request, response_type, timeout)
+        except WireError as error:
+            self._ctx.logger.debug("storage_node_unreachable", storage_node=node, method=method, text=error)
+        finally:
+            responses.call_ended()
+
+    def _log_failure(self, failure: Failure) -> None:
+        self._ctx.logger.failure("call_each", failure.value)
+
+    async def read_from(self, node: str, log: str, position: int, length: int) -> bytes:
+        """Returns the bytes of a range that one storage node has: fewer where it has less or cannot be reached."""
+        content = b""
+        while len(content) < length:
+            request = ReadRequest(
+                log=log, position=position + len(content), length=min(MAX_READ_BYTES, length - len(content))
+            )
+            try:
+                response = await self.call(node, "replicated_log.read", request, ReadResponse, READ_TIMEOUT)
+            except WireError:
+                break
+            if not response.data:
+                break
+            content += response.data
+        return content
+
+
+class _Responses(Generic[Response]):
+    """The responses of one fan-out call; `complete` fires once all calls have ended or the responses are enough."""
+
+    def __init__(self, call_count: int, enough: EnoughResponses[Response] | None) -> None:
+        self.by_node: dict[str, Response] = {}
+        self.complete: defer.Deferred[None] = defer.Deferred()
+        self._pending = call_count
+        self._enough = enough
+
+    def call_ended(self) -> None:
+        self._pending -= 1
+        if self.complete.called:
+            return
+        if self._pending == 0 or (self._enough is not None and self._enough(self.by_node)):
+            self.complete.callback(None)
--- /dev/null
+++ b/pipitlink/storage/lease_grants.py
@@ -0,0 +1,126 @@
+"""Grants and renews leases on logs."""
+
+from datetime import timedelta
+from functools import partial
+
+import attrs
+
+from ..context import Context
+from ..replicated_log.lease_durations import LEASE_DURATION
+from ..replicated_log.lease_refusal import LeaseRefusal
+from ..replicated_log.placement_group import placement_group_of
+from ..syncing import Syncer
+from ..timers import ZERO
+from ..wire.replicated_log_pb2 import HeldLease, LeaseRequest, LeaseResponse, LogState, RenewRequest, RenewResponse
+from .durable import sync
+from .log_store import LogStore
+from .placement_check import PlacementCheck
+
+__all__ = ["LeaseGrants"]
+
+
+@attrs.frozen
+class _Grant:
+    leaseholder: str
+    epoch: int
+    expires_at: timedelta
+
+
+class LeaseGrants:
+    """The short leases that this storage node has granted, each under a higher epoch, which is on disk first.
+
+    A storage node that has just started, or has just joined a placement group, may not know of a valid lease: until
+    that would have run out, it refuses new ones.
+    """
+
+    def __init__(self, ctx: Context, log_store: LogStore, syncer: Syncer, placement_check: PlacementCheck) -> None:
+        self._ctx = ctx
+        self._log_store = log_store
+        self._syncer = syncer
+        self._placement_check = placement_check
+        self._grants: dict[str, _Grant] = {}
+        self._no_grants_until = ZERO
+        self._group_joined_until: dict[int, timedelta] = {}
+
+    def open(self) -> None:
+        """Registers the handlers for `replicated_log.lease` and `replicated_log.renew`."""
+        self._no_grants_until = self._ctx.timers.now() + LEASE_DURATION
+        self._ctx.rpc.register_handler("replicated_log.lease", LeaseRequest, self._lease)
+        self._ctx.rpc.register_handler("replicated_log.renew", RenewRequest, self._renew)
+
+    def joined_placement_group(self, number: int) -> None:
+        """Refuses new leases on the logs of a placement group that this node has joined, as after a start."""
+        self._group_joined_until[number] = self._ctx.timers.now() + LEASE_DURATION
+
+    def _valid_grant(self, log: str) -> _Grant | None:
+        grant = self._grants.get(log)
+        if grant is not None and grant.expires_at > self._ctx.timers.now():
+            return grant
+        return None
+
+    def log_state(self, log: str) -> LogState:
+        """Returns what is on disk of a log, with its leaseholder where its lease is valid."""
+        state = self._log_store.state(log)
+        grant = self._valid_grant(log)
+        if grant is not None:
+            state.leaseholder = grant.leaseholder
+            state.lease_ms = _whole_ms(grant.expires_at - self._ctx.timers.now())
+        return state
+
+    def _unknown_lease_left(self, log: str) -> timedelta:
+        """Returns for how long a lease may still be valid that this storage node does not know of."""
+        number = placement_group_of(log, self._ctx.cluster.placement_groups)
+        until = max(self._no_grants_until, self._group_joined_until.get(number, ZERO))
+        return until - self._ctx.timers.now()
+
+    async def _lease(self, _peer: str, request: LeaseRequest) -> LeaseResponse:
+        """Grants a lease that no other node holds.
+
+        Epochs alone keep a log consistent; to wait for a lease only avoids contention. So the lease of a leaseholder
+        that is lost may be requested by its name, and one that nobody is known to hold without a wait (`take_over`).
+        """
+        await self._placement_check.require_current(request.log, request.placement_group_sequence)
+        now = self._ctx.timers.now()
+        refusal = self._refuse(request)
+        if refusal is not None:
+            return refusal
+        self._grants[request.log] = _Grant(request.leaseholder, request.epoch, now + LEASE_DURATION)
+        await sync(self._syncer, partial(self._log_store.grant_epoch, request.log, request.epoch))
+        return LeaseResponse(granted=True, state=self.log_state(request.log), free_bytes=self._log_store.free_bytes())
+
+    def _refuse(self, request: LeaseRequest) -> LeaseResponse | None:
+        """Returns the response that refuses a lease, None where it can be granted."""
+        grant = self._valid_grant(request.log)
+        state = self.log_state(request.log)
+        if grant is not None and grant.leaseholder not in (request.leaseholder, request.lost_leaseholder):
+            return LeaseResponse(reason=LeaseRefusal.HELD, state=state)
+        unknown_lease_left = self._unknown_lease_left(request.log)
+        if grant is None and unknown_lease_left > ZERO and state.epoch > 0 and not request.take_over:
+            state.lease_ms = _whole_ms(unknown_lease_left)
+            return LeaseResponse(reason=LeaseRefusal.RECENTLY_STARTED, state=state)
+        if request.epoch <= state.epoch:
+            return LeaseResponse(reason=LeaseRefusal.STALE_EPOCH, state=state)
+        return None
+
+    async def _renew(self, _peer: str, request: RenewRequest) -> RenewResponse:
+        """Renews or releases the leases whose epoch is still the highest granted."""
+        expires_at = self._ctx.timers.now() + LEASE_DURATION
+        response = RenewResponse(free_bytes=self._log_store.free_bytes())
+        for lease in request.leases:
+            if self._log_store.state(lease.log).epoch != lease.epoch:
+                continue
+            if request.release:
+                self._release(lease)
+            else:
+                self._grants[lease.log] = _Grant(request.leaseholder, lease.epoch, expires_at)
+                response.renewed.append(lease.log)
+        return response
+
+    def _release(self, lease: HeldLease) -> None:
+        grant = self._grants.get(lease.log)
+        if grant is not None and grant.epoch == lease.epoch:
+            del self._grants[lease.log]
+
+
+def _whole_ms(duration: timedelta) -> int:
+    return int(duration.total_seconds() * 1000)
--- a/pipitlink/storage/log_store.py
+++ b/pipitlink/storage/log_store.py
@@ -1,236 +1,223 @@
 """The replicas of all logs on one storage node, and the rules of epochs and positions."""
 
-import bisect
+from collections.abc import Callable
 from pathlib import Path
 
-import attrs
+from twisted.internet import defer
 
 from ..disk import Disk
 from ..errors import StaleEpoch, StorageFull
 from ..segments import Segments, Spot
 from ..wire.replicated_log_pb2 import Entry, LogState
+from .entries import delete_entry, encode, expire_entry, grant_entry, snapshot_entry
+from .replica import Extent, Replica, Tail
 
-__all__ = ["LogStore", "Kept"]
-
-
-@attrs.define(eq=False)
-class Kept:
-    """One log as this storage node keeps it. `epoch` is the highest promised, `tail_epoch` that of its last writer."""
-
-    log: str
-    epoch: int = 0
-    granted: int = 0
-    tail_epoch: int = 0
-    length: int = 0
-    committed: int = 0
-    final: bool = False
-    closed_ms: int = 0
-    promise_spot: Spot | None = None
-    stamp_spot: Spot | None = None
-    starts: list[int] = attrs.field(factory=list)
-    extents: list[tuple[int, int, Spot]] = attrs.field(factory=list)
-    synced: tuple[int, int, bool] = (0, 0, False)
-
-    def stands_in(self, n: int) -> bool:
-        """Whether anything that counts for this log lies in that file."""
-        spots = [self.promise_spot, self.stamp_spot, *(spot for _, _, spot in self.extents)]
-        return any(spot is not None and spot[0] == n for spot in spots)
-
-    def cut(self, position: int):
-        while self.extents and self.extents[-1][0] >= position:
-            self.extents.pop()
-            self.starts.pop()
-        if self.extents:
-            start, length, spot = self.extents[-1]
-            if start + length > position:
-                self.extents[-1] = (start, position - start, spot)
-        self.length = position
-
-    def add(self, length: int, spot: Spot):
-        if length:
-            self.starts.append(self.length)
-            self.extents.append((self.length, length, spot))
-            self.length += length
+__all__ = ["LogStore", "SyncTicket"]
+
+SyncTicket = defer.Deferred[None]
+"""Fires once the entry that was queued with it is on disk."""
+
+GRANT_ENTRY_BYTES = 64
+WRITE_OVERHEAD_BYTES = 128
+
+EntryHandler = Callable[[Entry, Spot, int], None]
 
 
 class LogStore:
-    """The logs of one storage node: what each holds, and the rules an entry must meet."""
+    """The replicas of one storage node, on segment files.
 
-    def __init__(self, folder: Path, disk: Disk, budget: int, reserve: int):
+    Methods that take a ticket change the state at once and queue an entry, which is on disk when the ticket fires.
+    `budget` is the most bytes that the files may take, the last `reserve` of them only for what must not be refused.
+    """
+
+    def __init__(self, folder: Path, disk: Disk, budget: int, reserve: int) -> None:
         self.segments = Segments(folder, disk)
         self.budget = budget
         self.reserve = reserve
-        self.logs: dict[str, Kept] = {}
-        self.forgets: set[int] = set()
-
-    def recover(self):
+        self.logs: dict[str, Replica] = {}
+        self.delete_segments: set[int] = set()
+        self._entry_handlers: dict[int, EntryHandler] = {
+            Entry.GRANT_EPOCH: self._apply_grant,
+            Entry.WRITE: self._recover_write,
+            Entry.DELETE: self._apply_delete,
+            Entry.EXPIRE: self._recover_expiry,
+            Entry.NO_OP: self._apply_no_op,
+        }
+
+    def recover(self) -> None:
+        """Rebuilds all replicas from the segment files; raises CorruptData."""
         self.logs = {}
-        for spot, body in self.segments.recover():
-            self._replay(Entry.FromString(body), spot, len(body))
-        for k in self.logs.values():
-            k.synced = (k.tail_epoch, k.length, k.final)
-            k.granted = k.epoch
-
-    def _replay(self, e: Entry, spot: Spot, size: int):
-        if e.kind == Entry.NOTHING:
-            return
-        if e.kind == Entry.FORGET:
-            self.logs.pop(e.log, None)
-            self.forgets.add(spot[0])
-            return
-        k = self.logs.setdefault(e.log, Kept(e.log))
-        k.epoch = max(k.epoch, e.epoch)
-        if e.kind == Entry.PROMISE:
-            k.promise_spot = spot
-            return
-        if e.kind == Entry.WITHER:
-            self._wither(k, e, spot)
-            return
-        self._apply(k, e, spot, size)
-
-    def _apply(self, k: Kept, e: Entry, spot: Spot, size: int):
-        if e.position < k.length:
-            k.cut(e.position)
-        k.add(len(e.data), (spot[0], spot[1] + size - len(e.data)))
-        k.stamp_spot = spot
-        k.tail_epoch = e.epoch
-        k.final = e.final
-        k.closed_ms = e.closed_ms
-        k.committed = min(max(k.committed, e.committed), k.length)
-
-    def used(self) -> int:
+        for location, body in self.segments.recover():
+            entry = Entry.FromString(body)
+            self._entry_handlers[entry.kind](entry, location, len(body))
+        for replica in self.logs.values():
+            replica.synced = replica.tail
+            replica.leased_epoch = replica.epoch
+
+    def _recovered_replica(self, entry: Entry) -> Replica:
+        replica = self._replica(entry.log)
+        replica.epoch = max(replica.epoch, entry.epoch)
+        return replica
+
+    def _apply_no_op(self, entry: Entry, location: Spot, size: int) -> None:
+        """Does nothing: the entry only shows that others before it are on disk."""
+
+    def _apply_delete(self, entry: Entry, location: Spot, _size: int) -> None:
+        self.logs.pop(entry.log, None)
+        segment, _ = location
+        self.delete_segments.add(segment)
+
+    def _apply_grant(self, entry: Entry, location: Spot, _size: int) -> None:
+        self._recovered_replica(entry).epoch_location = location
+
+    def _recover_expiry(self, entry: Entry, location: Spot, _size: int) -> None:
+        _apply_expiry(self._recovered_replica(entry), entry, location)
+
+    def _recover_write(self, entry: Entry, location: Spot, size: int) -> None:
+        _apply_write(self._recovered_replica(entry), entry, location, size)
+
+    def _replica(self, log: str) -> Replica:
+        replica = self.logs.get(log)
+        if replica is None:
+            replica = self.logs[log] = Replica(log)
+        return replica
+
+    def used_bytes(self) -> int:
+        """Returns the size of all segment files, including what is queued for them."""
         return self.segments.used()
 
+    def free_bytes(self) -> int:
+        """Returns how many bytes may still be written before the reserve is used."""
+        return max(0, self.budget - self.reserve - self.used_bytes())
+
+    def _check_capacity(self, size: int, reserved: bool) -> None:
+        limit = self.budget if reserved else self.budget - self.reserve
+        used = self.used_bytes()
+        if used + size > limit:
+            raise StorageFull(f"the data folder holds {used} of {self.budget} bytes")
+
     def state(self, log: str) -> LogState:
-        k = self.logs.get(log)
-        if k is None:
-            return LogState(log=log)
-        tail_epoch, length, final = k.synced
-        return LogState(
-            log=log,
-            epoch=k.epoch,
-            tail_epoch=tail_epoch,
-            length=length,
-            committed=min(k.committed, length),
-            final=final,
-            closed_ms=k.closed_ms,
-        )
-
-    def promise(self, log: str, epoch: int, ticket, granted: bool = True) -> None:
-        k = self.logs.setdefault(log, Kept(log))
-        if epoch <= k.epoch:
-            raise StaleEpoch(f"{log}: epoch {k.epoch} is promised")
-        self._room(64, True)
-        k.epoch = epoch
-        if granted:
-            k.granted = epoch
-        e = Entry(kind=Entry.PROMISE, log=log, epoch=epoch)
-        k.promise_spot = self.segments.put(e.SerializeToString(), ticket)
-
-    def room(self) -> int:
-        """Bytes that may still be taken before the reserve is touched."""
-        return max(0, self.budget - self.reserve - self.used())
-
-    def _room(self, size: int, reserved: bool):
-        most = self.budget if reserved else self.budget - self.reserve
-        if self.used() + size > most:
-            raise StorageFull(f"the data folder holds {self.used()} of {self.budget} bytes")
-
-    def write(
-        self, e: Entry, expect_tail_epoch: int, expect_length: int, reserved: bool, ticket, copied: bool = False
-    ) -> bool:
-        """Queues a write; False if this replica does not stand where the writer expects."""
-        k = self.logs.setdefault(e.log, Kept(e.log))
-        if e.epoch < k.epoch and not copied:
-            raise StaleEpoch(f"{e.log}: epoch {k.epoch} is promised")
-        if (k.tail_epoch, k.length) != (expect_tail_epoch, expect_length) or e.position > k.length:
-            return False
-        if e.position < k.committed:
-            raise StaleEpoch(f"{e.log}: bytes below {k.committed} are committed")
-        self._room(len(e.data) + 128, reserved)
-        k.epoch = max(k.epoch, e.epoch)
-        body = _packed(e)
-        self._apply(k, e, self.segments.put(body, ticket), len(body))
-        return True
+        """Returns what is on disk of a log, an empty state where there is no replica."""
+        replica = self.logs.get(log)
+        return replica.state() if replica is not None else LogState(log=log)
+
+    def grant_epoch(self, log: str, epoch: int, ticket: SyncTicket, leased: bool = True) -> None:
+        """Queues the grant of an epoch, which fences the writers of lower ones; raises StaleEpoch and StorageFull.
 
-    def copy(self, e: Entry, expect_tail_epoch: int, expect_length: int, ticket) -> bool:
-        """A copy of another storage node's state; never where a later leaseholder has already counted on what is
-        here.
+        `leased` is False for the replicated grant of another storage node.
         """
-        k = self.logs.get(e.log)
-        if k is not None and k.granted > e.epoch:
-            raise StaleEpoch(f"{e.log}: epoch {k.granted} was granted here")
-        return self.write(e, expect_tail_epoch, expect_length, True, ticket, copied=True)
-
-    def settle(self, log: str, tail_epoch: int, length: int, final: bool):
-        k = self.logs.get(log)
-        if k is not None:
-            k.synced = (tail_epoch, length, final)
-
-    def spans(self, log: str, position: int, length: int) -> list[tuple[Spot, int]]:
-        """Where the synced bytes of a stretch lie: (place of bytes, count) in order."""
-        k = self.logs.get(log)
-        if k is None:
-            return []
-        end = min(position + length, k.synced[1])
-        out = []
-        i = max(0, bisect.bisect_right(k.starts, position) - 1)
-        while i < len(k.extents) and position < end:
-            start, size, (n, at) = k.extents[i]
-            skip = position - start
-            take = min(size - skip, end - position)
-            if take > 0:
-                out.append(((n, at + skip), take))
-                position += take
-            i += 1
-        return out
-
-    def wither(self, log: str, ticket):
-        """Drops a final log's bytes and keeps that it was final."""
-        k = self.logs[log]
-        e = Entry(kind=Entry.WITHER, log=log, epoch=k.tail_epoch, final=True, closed_ms=k.closed_ms)
-        self._wither(k, e, self.segments.put(e.SerializeToString(), ticket))
-        k.synced = (k.tail_epoch, 0, True)
-
-    def _wither(self, k: Kept, e: Entry, spot: Spot):
-        k.cut(0)
-        k.tail_epoch, k.final, k.closed_ms, k.committed, k.stamp_spot = e.epoch, True, e.closed_ms, 0, spot
-
-    def rewrite(self, k: Kept, data: bytes, ticket):
-        """The whole log once more, at the end of the newest file."""
-        e = Entry(kind=Entry.PROMISE, log=k.log, epoch=k.epoch)
-        k.promise_spot = self.segments.put(e.SerializeToString(), None)
-        e = Entry(
-            kind=Entry.WRITE if data or not k.final else Entry.WITHER,
-            log=k.log,
-            epoch=k.tail_epoch,
-            data=data,
-            final=k.final,
-            committed=k.committed,
-            closed_ms=k.closed_ms,
-        )
-        body = _packed(e)
-        spot = self.segments.put(body, ticket)
-        if e.kind == Entry.WITHER:
-            self._wither(k, e, spot)
-        else:
-            k.cut(0)
-            self._apply(k, e, spot, len(body))
+        replica = self._replica(log)
+        if epoch <= replica.epoch:
+            raise StaleEpoch(f"{log}: epoch {replica.epoch} is promised")
+        self._check_capacity(GRANT_ENTRY_BYTES, True)
+        replica.epoch = epoch
+        if leased:
+            replica.leased_epoch = epoch
+        replica.epoch_location = self.segments.put(grant_entry(log, epoch).SerializeToString(), ticket)
+
+    def write(self, entry: Entry, expected: Tail, reserved: bool, ticket: SyncTicket) -> bool:
+        """Queues a leaseholder's write; returns False where the replica does not end as expected.
+
+        Raises StaleEpoch where a higher epoch is granted or committed bytes would change, and StorageFull.
+        """
+        replica = self._replica(entry.log)
+        if entry.epoch < replica.epoch:
+            raise StaleEpoch(f"{entry.log}: epoch {replica.epoch} is promised")
+        return self._write(replica, entry, expected, reserved, ticket)
+
+    def install(self, entry: Entry, expected: Tail, ticket: SyncTicket) -> bool:
+        """Queues the state of another storage node's replica; returns False where this one does not end as expected.
+
+        Raises StaleEpoch where this storage node has leased the log under a later epoch, whose leaseholder already
+        relies on what is here, or where committed bytes would change; and StorageFull.
+        """
+        replica = self._replica(entry.log)
+        if replica.leased_epoch > entry.epoch:
+            raise StaleEpoch(f"{entry.log}: epoch {replica.leased_epoch} was granted here")
+        return self._write(replica, entry, expected, True, ticket)
 
-    def forget(self, log: str, ticket):
+    def _write(self, replica: Replica, entry: Entry, expected: Tail, reserved: bool, ticket: SyncTicket) -> bool:
+        if (replica.tail_epoch, replica.length) != (expected.epoch, expected.length):
+            return False
+        if entry.position > replica.length:
+            return False
+        if entry.position < replica.committed:
+            raise StaleEpoch(f"{entry.log}: bytes below {replica.committed} are committed")
+        self._check_capacity(len(entry.data) + WRITE_OVERHEAD_BYTES, reserved)
+        replica.epoch = max(replica.epoch, entry.epoch)
+        body = encode(entry)
+        _apply_write(replica, entry, self.segments.put(body, ticket), len(body))
+        return True
+
+    def mark_synced(self, log: str, tail_epoch: int, length: int, final: bool) -> None:
+        """Records that a write up to this tail is on disk."""
+        replica = self.logs.get(log)
+        if replica is not None:
+            replica.synced = Tail(tail_epoch, length, final)
+
+    def commit(self, log: str, epoch: int, position: int) -> None:
+        """Records that bytes below a position are committed, where the last writer had that epoch."""
+        replica = self.logs.get(log)
+        if replica is not None and replica.tail_epoch == epoch:
+            replica.committed = max(replica.committed, min(position, replica.length))
+
+    def extents(self, log: str, position: int, length: int) -> list[Extent]:
+        """Returns where the bytes of a range that are on disk lie, in order."""
+        replica = self.logs.get(log)
+        return replica.synced_extents(position, length) if replica is not None else []
+
+    def read_extents(self, extents: list[Extent]) -> bytes:
+        """Reads bytes from disk; blocks, so it is called on a thread."""
+        return b"".join(self.segments.read_bytes(extent.location, extent.length) for extent in extents)
+
+    def expire(self, log: str, ticket: SyncTicket) -> None:
+        """Drops a final log's bytes, and keeps that it was final."""
+        replica = self.logs[log]
+        entry = expire_entry(replica)
+        _apply_expiry(replica, entry, self.segments.put(entry.SerializeToString(), ticket))
+        replica.synced = Tail(replica.tail_epoch, 0, True)
+
+    def delete(self, log: str, ticket: SyncTicket) -> None:
+        """Removes a log and all that is known of it."""
         self.logs.pop(log, None)
-        n, _ = self.segments.put(Entry(kind=Entry.FORGET, log=log).SerializeToString(), ticket)
-        self.forgets.add(n)
+        segment, _ = self.segments.put(delete_entry(log).SerializeToString(), ticket)
+        self.delete_segments.add(segment)
+
+    def rewrite(self, replica: Replica, data: bytes, ticket: SyncTicket) -> None:
+        """Queues a whole log, whose bytes are `data`, once more at the end of the newest segment file."""
+        grant = grant_entry(replica.log, replica.epoch)
+        replica.epoch_location = self.segments.put(grant.SerializeToString(), None)
+        entry = snapshot_entry(replica, data)
+        body = encode(entry)
+        location = self.segments.put(body, ticket)
+        if entry.kind == Entry.EXPIRE:
+            _apply_expiry(replica, entry, location)
+        else:
+            replica.truncate(0)
+            _apply_write(replica, entry, location, len(body))
 
-    def close(self):
+    def close(self) -> None:
+        """Closes the segment files."""
         self.segments.close()
 
 
-def _packed(e: Entry) -> bytes:
-    """The entry with its data last, so that log bytes lie in one stretch of the file."""
-    head = Entry()
-    head.CopyFrom(e)
-    head.ClearField("data")
-    if not e.data:
-        return head.SerializeToString()
-    return head.SerializeToString() + Entry(data=e.data).SerializeToString()
+def _apply_write(replica: Replica, entry: Entry, location: Spot, size: int) -> None:
+    """Applies a write whose encoded entry is `size` bytes long."""
+    if entry.position < replica.length:
+        replica.truncate(entry.position)
+    segment, offset = location
+    replica.append_extent(len(entry.data), (segment, offset + size - len(entry.data)))
+    replica.tail_location = location
+    replica.tail_epoch = entry.epoch
+    replica.final = entry.final
+    replica.closed_ms = entry.closed_ms
+    replica.committed = min(max(replica.committed, entry.committed), replica.length)
+
+
+def _apply_expiry(replica: Replica, entry: Entry, location: Spot) -> None:
+    replica.truncate(0)
+    replica.tail_epoch = entry.epoch
+    replica.final = True
+    replica.closed_ms = entry.closed_ms
+    replica.committed = 0
+    replica.tail_location = location
--- /dev/null
+++ b/pipitlink/storage/node_identity.py
@@ -0,0 +1,29 @@
+"""The identity of a storage node or controller, kept in its data folder."""
+
+import json
+from pathlib import Path
+
+from ..context import fresh_id
+from ..disk import swap_in
+from ..errors import SettingsError
+
+__all__ = ["node_id"]
+
+FILE_NAME = "node.json"
+
+
+def node_id(folder: Path, fleet: str) -> str:
+    """Returns the id of the node that a data folder belongs to; an empty folder gets a new one.
+
+    Raises SettingsError where the folder belongs to another fleet.
+    """
+    folder.mkdir(parents=True, exist_ok=True)
+    path = folder / FILE_NAME
+    if path.exists():
+        identity: dict[str, str] = json.loads(path.read_text())
+        if identity["fleet"] != fleet:
+            raise SettingsError([f"data: {folder} belongs to fleet {identity['fleet']!r}, not {fleet!r}"])
+        return identity["node"]
+    node = fresh_id()
+    swap_in(path, json.dumps({"fleet": fleet, "node": node}).encode())
+    return node
--- /dev/null
+++ b/pipitlink/storage/placement_check.py
@@ -0,0 +1,34 @@
+"""Whether a writer knows the newest placement of a log."""
+
+from datetime import timedelta
+
+from ..context import Context
+from ..errors import StalePlacement
+from ..replicated_log.placement_group import placement_group_of
+from ..timers import ms
+
+__all__ = ["PlacementCheck"]
+
+FOLLOW_TIMEOUT: timedelta = ms(500)
+
+
+class PlacementCheck:
+    """Refuses requests that rest on an older placement than this storage node knows."""
+
+    def __init__(self, ctx: Context) -> None:
+        self._ctx = ctx
+
+    async def require_current(self, log: str, sequence: int) -> None:
+        """Raises StalePlacement where the log's placement group has a higher sequence, or may have one.
+
+        The placement is not kept on disk: a storage node that has just started knows it only once it has followed a
+        leader, and until then it might accept a writer of an older placement.
+        """
+        if not await self._ctx.cluster.wait_followed(FOLLOW_TIMEOUT):
+            raise StalePlacement("this storage node has not heard the newest placement since it started")
+        cluster = self._ctx.cluster
+        placement_group = cluster.placement_group(placement_group_of(log, cluster.placement_groups))
+        if sequence < placement_group.sequence:
+            raise StalePlacement(
+                f"placement group {placement_group.number} is at sequence {placement_group.sequence}, not {sequence}"
+            )
--- /dev/null
+++ b/pipitlink/storage/replica.py
@@ -0,0 +1,118 @@
+"""A storage node's replica of one log: its epochs, its tail, and where its bytes are on disk."""
+
+import bisect
+
+import attrs
+
+from ..segments import Spot
+from ..wire.replicated_log_pb2 import LogState
+
+__all__ = ["Extent", "Replica", "Tail"]
+
+
+@attrs.frozen
+class Extent:
+    """A contiguous range of a log's bytes in one segment file; `start` is its position in the log."""
+
+    start: int
+    length: int
+    location: Spot
+
+    @property
+    def segment(self) -> int:
+        """The number of the segment file."""
+        return self.location[0]
+
+    def slice(self, position: int, length: int) -> "Extent":
+        """Returns the part from a position of the log on, `length` bytes long."""
+        segment, offset = self.location
+        return Extent(position, length, (segment, offset + position - self.start))
+
+
+@attrs.frozen
+class Tail:
+    """The end of a replica: the epoch of its last writer, its length, and whether the log has ended."""
+
+    epoch: int = 0
+    length: int = 0
+    final: bool = False
+
+
+@attrs.define(eq=False)
+class Replica:
+    """The replica of one log.
+
+    `epoch` is the highest epoch granted, by this storage node or, as far as it has replicated their grants, by others;
+    `leased_epoch` is the highest that it granted itself. `tail_epoch` is the epoch of the last writer, and `synced` the
+    tail that is on disk. `epoch_location` and `tail_location` are the entries that the epochs were recovered from.
+    """
+
+    log: str
+    epoch: int = 0
+    leased_epoch: int = 0
+    tail_epoch: int = 0
+    length: int = 0
+    committed: int = 0
+    final: bool = False
+    closed_ms: int = 0
+    epoch_location: Spot | None = None
+    tail_location: Spot | None = None
+    extent_starts: list[int] = attrs.field(factory=list)
+    extents: list[Extent] = attrs.field(factory=list)
+    synced: Tail = Tail()
+
+    @property
+    def tail(self) -> Tail:
+        """The tail including writes that are not on disk yet."""
+        return Tail(self.tail_epoch, self.length, self.final)
+
+    def state(self) -> LogState:
+        """Returns what is on disk as a message, without the lease."""
+        return LogState(
+            log=self.log,
+            epoch=self.epoch,
+            tail_epoch=self.synced.epoch,
+            length=self.synced.length,
+            committed=min(self.committed, self.synced.length),
+            final=self.synced.final,
+            closed_ms=self.closed_ms,
+        )
+
+    def uses_segment(self, segment: int) -> bool:
+        """Returns whether the replica needs anything in that segment file."""
+        entries = [self.epoch_location, self.tail_location]
+        if any(location is not None and location[0] == segment for location in entries):
+            return True
+        return any(extent.segment == segment for extent in self.extents)
+
+    def truncate(self, position: int) -> None:
+        """Drops all bytes from a position on."""
+        while self.extents and self.extents[-1].start >= position:
+            self.extents.pop()
+            self.extent_starts.pop()
+        if self.extents:
+            last = self.extents[-1]
+            if last.start + last.length > position:
+                self.extents[-1] = last.slice(last.start, position - last.start)
+        self.length = position
+
+    def append_extent(self, length: int, location: Spot) -> None:
+        """Adds bytes, which are at a location on disk, to the end."""
+        if length:
+            self.extent_starts.append(self.length)
+            self.extents.append(Extent(self.length, length, location))
+            self.length += length
+
+    def synced_extents(self, position: int, length: int) -> list[Extent]:
+        """Returns where the bytes of a range that are on disk lie, in order."""
+        end = min(position + length, self.synced.length)
+        found = []
+        index = max(0, bisect.bisect_right(self.extent_starts, position) - 1)
+        while index < len(self.extents) and position < end:
+            extent = self.extents[index]
+            size = min(extent.length - (position - extent.start), end - position)
+            if size > 0:
+                found.append(extent.slice(position, size))
+                position += size
+            index += 1
+        return found
--- /dev/null
+++ b/pipitlink/storage/replica_transfer.py
@@ -0,0 +1,158 @@
+"""Transfers the logs of a placement group from peers to this storage node."""
+
+from collections.abc import Iterator, Mapping
+from datetime import timedelta
+from functools import partial
+
+import attrs
+from twisted.internet import defer
+
+from ..context import Context
+from ..errors import NoQuorum, ReplicatedLogError, StaleEpoch, WireError
+from ..replicated_log.placement_group import PlacementGroup, majority
+from ..replicated_log.replica_progress import TailPosition
+from ..syncing import Syncer
+from ..timers import secs, spawn
+from ..wire.replicated_log_pb2 import Entry, ListRequest, LogState, StatesResponse
+from .durable import sync
+from .log_store import LogStore
+from .replica import Tail
+
+__all__ = ["ReplicaTransfer"]
+
+LIST_TIMEOUT: timedelta = secs(1)
+MAX_BYTES_PER_SECOND = 16 * 1024 * 1024
+CONCURRENT_TRANSFERS = 8
+
+
+@attrs.frozen
+class _PeerReplica:
+    """The most up-to-date replica of a log among the peers."""
+
+    state: LogState
+    storage_node: str
+
+
+@attrs.define
+class _PeerReplicas:
+    """What a majority of the peers has of the logs of one placement group."""
+
+    best: dict[str, _PeerReplica] = attrs.field(factory=dict)
+    granted_epochs: dict[str, int] = attrs.field(factory=dict)
+
+    def add(self, storage_node: str, state: LogState) -> None:
+        """Adds the state of one replica."""
+        log = state.log
+        self.granted_epochs[log] = max(self.granted_epochs.get(log, 0), state.epoch)
+        if log not in self.best or TailPosition.of(state) > TailPosition.of(self.best[log].state):
+            self.best[log] = _PeerReplica(state, storage_node)
+
+
+class ReplicaTransfer:
+    """Makes the replicas of this storage node as up to date as those of a majority of its peers."""
+
+    def __init__(self, ctx: Context, log_store: LogStore, syncer: Syncer) -> None:
+        self._ctx = ctx
+        self._log_store = log_store
+        self._syncer = syncer
+
+    async def transfer_placement_group(self, placement_group: PlacementGroup, joining: bool) -> bool:
+        """Returns True once this storage node has all that a majority, at this placement, is seen to have.
+
+        A node that is `joining` also replicates the granted epochs.
+        """
+        peers = await self._list_peer_replicas(placement_group)
+        if peers is None:
+            return False
+        granted_epochs = peers.granted_epochs if joining else {}
+        outdated = iter(
+            [
+                peer
+                for log, peer in peers.best.items()
+                if self._is_outdated(peer.state) or granted_epochs.get(log, 0) > self._log_store.state(log).epoch
+            ]
+        )
+        workers = [spawn(self._transfer_logs(outdated, granted_epochs)) for _ in range(CONCURRENT_TRANSFERS)]
+        return all(await defer.gatherResults(workers, consumeErrors=True))
+
+    async def _list_peer_replicas(self, placement_group: PlacementGroup) -> _PeerReplicas | None:
+        """Returns what the peers at this placement have, None where they and this node are no majority."""
+
+        def is_enough(responses: dict[str, StatesResponse]) -> bool:
+            current = _at_placement(responses, placement_group.sequence)
+            return majority([*current, self._ctx.node], placement_group.storage_nodes)
+
+        responses: dict[str, StatesResponse] = await self._ctx.replicated_log.call_each(
+            [node for node in placement_group.all_nodes if node != self._ctx.node],
+            "replicated_log.list",
+            ListRequest(placement_group=placement_group.number, by_placement_group=True),
+            StatesResponse,
+            LIST_TIMEOUT,
+            enough=is_enough,
+        )
+        if not is_enough(responses):
+            return None
+        peers = _PeerReplicas()
+        for storage_node, response in _at_placement(responses, placement_group.sequence).items():
+            for state in response.states:
+                peers.add(storage_node, state)
+        return peers
+
+    def _is_outdated(self, peer: LogState) -> bool:
+        """Returns whether the local replica lacks what a peer has; one that has expired here lacks nothing."""
+        local = self._log_store.state(peer.log)
+        if TailPosition.of(peer) <= TailPosition.of(local):
+            return False
+        return not (_is_expired(local) and local.tail_epoch >= peer.tail_epoch)
+
+    async def _transfer_logs(self, outdated: Iterator[_PeerReplica], granted_epochs: Mapping[str, int]) -> bool:
+        """Takes logs from an iterator that several workers share; returns True where each of them succeeded."""
+        succeeded = True
+        for peer in outdated:
+            log = peer.state.log
+            try:
+                if self._is_outdated(peer.state):
+                    await self._transfer_log(peer)
+                epoch = granted_epochs.get(log, 0)
+                if epoch > self._log_store.state(log).epoch:
+                    await sync(self._syncer, partial(self._log_store.grant_epoch, log, epoch, leased=False))
+            except (ReplicatedLogError, WireError) as error:
+                self._ctx.logger.debug("replica_transfer_failed", log=log, text=error)
+                succeeded = False
+        return succeeded
+
+    async def _transfer_log(self, peer: _PeerReplica) -> None:
+        """Makes the local replica the same as a peer's, including its uncommitted tail, in one entry."""
+        log, state = peer.state.log, peer.state
+        local = self._log_store.state(log)
+        start = local.length if local.tail_epoch == state.tail_epoch else min(local.committed, state.length)
+        data = await self._ctx.replicated_log.read_from(peer.storage_node, log, start, state.length - start)
+        if len(data) != state.length - start:
+            raise NoQuorum(f"{log}: {peer.storage_node} did not show all of it")
+        expected = Tail(local.tail_epoch, local.length)
+        if not await sync(self._syncer, partial(self._log_store.install, _entry_of(state, start, data), expected)):
+            raise StaleEpoch(f"{log} moved meanwhile")
+        self._log_store.mark_synced(log, state.tail_epoch, state.length, state.final)
+        self._ctx.logger.info("replica_transferred", log=log, bytes=len(data), source=peer.storage_node)
+        await self._ctx.timers.sleep(secs(len(data) * CONCURRENT_TRANSFERS / MAX_BYTES_PER_SECOND))
+
+
+def _at_placement(responses: Mapping[str, StatesResponse], sequence: int) -> dict[str, StatesResponse]:
+    return {node: response for node, response in responses.items() if response.placement_group_sequence >= sequence}
+
+
+def _is_expired(state: LogState) -> bool:
+    return state.final and not state.length
+
+
+def _entry_of(state: LogState, start: int, data: bytes) -> Entry:
+    return Entry(
+        kind=Entry.WRITE,
+        log=state.log,
+        epoch=state.tail_epoch,
+        position=start,
+        data=data,
+        final=state.final,
+        committed=min(state.committed, state.length),
+        closed_ms=state.closed_ms,
+    )
--- /dev/null
+++ b/pipitlink/storage/retention.py
@@ -0,0 +1,47 @@
+"""Retention: drops the bytes of logs that ended long ago, and later all that is known of them."""
+
+from datetime import timedelta
+from functools import partial
+
+from ..context import Context
+from ..syncing import Syncer
+from ..timers import secs, wall_ms
+from .durable import sync
+from .log_store import LogStore
+from .replica import Replica
+from .segment_compaction import SegmentCompactor
+
+__all__ = ["Retention"]
+
+INTERVAL: timedelta = secs(5)
+TOMBSTONE_MS = 40 * 86_400_000
+"""How long after its bytes an expired log is remembered, so that no peer brings it back."""
+
+
+class Retention:
+    """Expires and deletes logs by the time that they ended at, then compacts segment files."""
+
+    def __init__(self, ctx: Context, log_store: LogStore, syncer: Syncer) -> None:
+        self._ctx = ctx
+        self._log_store = log_store
+        self._syncer = syncer
+        self._compactor = SegmentCompactor(ctx, log_store, syncer)
+
+    def open(self) -> None:
+        """Starts the regular work."""
+        self._ctx.timers.call_repeatedly(INTERVAL, self._run, self._ctx.report("retention"))
+
+    async def _run(self) -> None:
+        now_ms = wall_ms(self._ctx.timers.utc_now())
+        for replica in list(self._log_store.logs.values()):
+            if replica.final and replica.closed_ms:
+                await self._apply_retention(replica, now_ms - replica.closed_ms)
+        await self._compactor.compact_one()
+
+    async def _apply_retention(self, replica: Replica, age_ms: int) -> None:
+        retention_ms = self._ctx.settings.retention_s * 1000
+        if age_ms > retention_ms + TOMBSTONE_MS:
+            await sync(self._syncer, partial(self._log_store.delete, replica.log))
+        elif replica.length and age_ms > retention_ms:
+            await sync(self._syncer, partial(self._log_store.expire, replica.log))
+            self._ctx.logger.info("log_expired", log=replica.log)
--- /dev/null
+++ b/pipitlink/storage/write_handler.py
@@ -0,0 +1,106 @@
+"""Writes of leaseholders to the replicas of a storage node."""
+
+from functools import partial
+
+import attrs
+
+from ..context import Context
+from ..errors import StorageFull
+from ..syncing import Syncer
+from ..wire.replicated_log_pb2 import CommitRequest, Entry, WriteRequest, WriteResponse
+from .durable import sync
+from .lease_grants import LeaseGrants
+from .log_store import LogStore
+from .placement_check import PlacementCheck
+from .replica import Tail
+
+__all__ = ["PartialWrites", "WriteHandler"]
+
+MAX_LOG_BYTES = 64 * 1024 * 1024
+MAX_PARTIAL_WRITES = 16
+POSITION_MISMATCH = "elsewhere"
+"""The `reason` of a response to a write that expected another end of the replica."""
+
+
+@attrs.frozen
+class _WriterKey:
+    log: str
+    epoch: int
+
+
+class PartialWrites:
+    """Buffers the parts of long writes until the last part makes each of them one entry."""
+
+    def __init__(self) -> None:
+        self._buffers: dict[_WriterKey, bytes] = {}
+
+    def add(self, part: WriteRequest) -> None:
+        """Buffers one part; raises StorageFull where it does not follow on the parts before it."""
+        key = _WriterKey(part.log, part.epoch)
+        buffered = b"" if part.position == 0 else self._buffers.get(key, b"")
+        if len(buffered) != part.position or len(self._buffers) > MAX_PARTIAL_WRITES or len(buffered) > MAX_LOG_BYTES:
+            raise StorageFull(f"{part.log}: this part does not follow on what is staged")
+        self._buffers[key] = buffered + part.data
+
+    def complete(self, last: WriteRequest) -> bytes | None:
+        """Returns the data of a write from the buffered parts and the last one, None where a part is missing."""
+        buffered = self._buffers.pop(_WriterKey(last.log, last.epoch), b"")[: last.buffered_bytes]
+        return buffered + last.data if len(buffered) == last.buffered_bytes else None
+
+
+class WriteHandler:
+    """Answers `replicated_log.write` and `replicated_log.mark`."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        log_store: LogStore,
+        syncer: Syncer,
+        lease_grants: LeaseGrants,
+        placement_check: PlacementCheck,
+    ) -> None:
+        self._ctx = ctx
+        self._log_store = log_store
+        self._syncer = syncer
+        self._lease_grants = lease_grants
+        self._placement_check = placement_check
+        self._partial_writes = PartialWrites()
+
+    def open(self) -> None:
+        """Registers the handlers."""
+        self._ctx.rpc.register_handler("replicated_log.write", WriteRequest, self._write)
+        self._ctx.rpc.register_handler("replicated_log.mark", CommitRequest, self._commit)
+
+    async def _write(self, _peer: str, request: WriteRequest) -> WriteResponse:
+        await self._placement_check.require_current(request.log, request.placement_group_sequence)
+        if request.partial:
+            self._partial_writes.add(request)
+            return WriteResponse(written=True)
+        data = self._partial_writes.complete(request)
+        if data is None:
+            return self._position_mismatch(request)
+        entry = _write_entry(request, data)
+        expected = Tail(request.expect_tail_epoch, request.expect_length)
+        if not await sync(self._syncer, partial(self._log_store.write, entry, expected, request.reserved)):
+            return self._position_mismatch(request)
+        self._log_store.mark_synced(request.log, request.epoch, request.position + len(data), request.final)
+        return WriteResponse(written=True, state=self._lease_grants.log_state(request.log))
+
+    def _position_mismatch(self, request: WriteRequest) -> WriteResponse:
+        return WriteResponse(reason=POSITION_MISMATCH, state=self._lease_grants.log_state(request.log))
+
+    async def _commit(self, _peer: str, request: CommitRequest) -> None:
+        self._log_store.commit(request.log, request.epoch, request.committed)
+
+
+def _write_entry(request: WriteRequest, data: bytes) -> Entry:
+    return Entry(
+        kind=Entry.WRITE,
+        log=request.log,
+        epoch=request.epoch,
+        position=request.position,
+        data=data,
+        final=request.final,
+        committed=request.committed,
+        closed_ms=request.closed_ms,
+    )
--- a/tests/model/leases.py
+++ b/tests/model/leases.py
@@ -181,7 +181,7 @@
         """The nodes of the placement group, as the leaseholder knows it, that take a call which rests on it."""
         return [
             int(n)
-            for n in self.group(h.seq).everyone
+            for n in self.group(h.seq).all_nodes
             if not s.copies[int(n)].lost
             and self._first_of_its_like(s, int(n))
             and (s.copies[int(n)].seq <= h.seq or not self.old_placement_is_refused)
@@ -190,7 +190,7 @@
     def _agree(self, h: Holder, nodes) -> bool:
         if not self.majority:
             return bool(nodes)
-        return self.group(h.seq).agree({str(n) for n in nodes})
+        return self.group(h.seq).is_quorum({str(n) for n in nodes})
 
     def _settle(self, s: State, at: int, h: Holder):
         if h.state != "asking" or not self._agree(h, dict(h.seen)):
@@ -241,7 +241,7 @@
         marks = {str(n): k.length for n, k in h.seen if k.tail == h.epoch}
         if h.state not in ("settling", "held") or not self._agree(h, marks):
             return
-        reached = self.group(h.seq).reached(marks) if self.majority else max(marks.values())
+        reached = self.group(h.seq).quorum_position(marks) if self.majority else max(marks.values())
         if h.state == "settling" and reached >= h.wanted:
             after = h._replace(state="held", committed=max(h.committed, reached))
             settled = Settled(LOG, h.epoch, at, h.data)
@@ -258,7 +258,7 @@
 
     def _look_again(self, s: State, at: int, h: Holder):
         if h.seq < s.seq and h.state != "asking":
-            everyone = {int(n) for n in self.group(s.seq).everyone}
+            everyone = {int(n) for n in self.group(s.seq).all_nodes}
             seen = () if self.counts_afresh_after_move else tuple((n, k) for n, k in h.seen if n in everyone)
             yield f"look {at} at {s.seq}", _held(s, at, h._replace(seq=s.seq, seen=seen))
 
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -62,9 +62,9 @@
                 (Leading, "_append", self._around_append),
                 (Leading, "_advance", self._around_advance),
                 (ControllerNode, "apply", self._around_apply),
-                (Leaseholder, "_settle_tail", self._around_settle_tail),
+                (Leaseholder, "_recover_tail", self._around_recover_tail),
                 (Leaseholder, "append", self._around_log_append),
-                (LogStore, "settle", self._around_settle),
+                (LogStore, "mark_synced", self._around_settle),
             ):
                 stack.enter_context(mock.patch.object(owner, name, around(getattr(owner, name))))
             yield self
@@ -151,7 +151,7 @@
 
         return apply
 
-    def _around_settle_tail(self, plain):
+    def _around_recover_tail(self, plain):
         async def settle_tail(holder, granted):
             await plain(holder, granted)
             found = bytes(holder.data)
@@ -205,8 +205,7 @@
 
 
 def _synced_bytes(store: LogStore, log: str) -> bytes:
-    spans = store.spans(log, 0, store.logs[log].synced[1])
-    return b"".join(store.segments.read_bytes(spot, n) for spot, n in spans)
+    return store.read_extents(store.extents(log, 0, store.logs[log].synced.length))
 
 
 def _entry(e) -> tuple[int, bytes]:
--- a/tests/test_batches_trouble.py
+++ b/tests/test_batches_trouble.py
@@ -54,7 +54,7 @@
                     o.leaseholder.final,
                     o.leaseholder.committed,
                     len(o.leaseholder.data),
-                    o.leaseholder.held(),
+                    o.leaseholder.is_held(),
                     sorted(o.done),
                     o.waiting,
                     list(o.running),
--- a/tests/test_loss_guards.py
+++ b/tests/test_loss_guards.py
@@ -9,8 +9,9 @@
 from pipitlink.membership import Membership
 from pipitlink.replicated_log.placement_group import PlacementGroup
 from pipitlink.settings import Settings
-from pipitlink.storage import copying
-from pipitlink.storage.copying import Copying
+from pipitlink.storage import replica_transfer
+from pipitlink.storage.replica_repair import ReplicaRepair
+from pipitlink.storage.replica_transfer import ReplicaTransfer
 
 from .loss_parts import LossStage
 
@@ -135,7 +136,7 @@
     "a joining storage node copies what a majority shows": (
         retired_and_wiped,
         {},
-        _out(Copying, "_copy_placement_group", lambda self, group, joining: _whole_at_once()),
+        _out(ReplicaTransfer, "transfer_placement_group", lambda self, group, joining: _whole_at_once()),
     ),
     "a storage node that lost its disk is replaced at once": (
         replaced_in_time,
@@ -150,12 +151,12 @@
     "a storage node that was away compares at once": (
         current_in_time,
         {},
-        _out(Copying, "_look_whether_away", lambda self: None),
+        _out(ReplicaRepair, "_check_leader_contact", lambda self: None),
     ),
     "a dead member is not waited for": (
         successor_of_a_silent_one_in_time,
         {},
-        _out(copying, "majority", lambda nodes, of: len(nodes) > len(of)),
+        _out(replica_transfer, "majority", lambda nodes, of: len(nodes) > len(of)),
     ),
 }
 
@@ -186,6 +187,6 @@
     def test_sets_of_a_move_are_both_asked(self):
         """A writer that goes by the new set alone and one that goes by the old would not see each other."""
         group = PlacementGroup(0, 2, ("a", "b", "c"), joining="d", leaving="c")
-        self.assertFalse(group.agree(["a", "d"]))
-        self.assertFalse(group.agree(["a", "c"]))
-        self.assertTrue(group.agree(["a", "b"]))
+        self.assertFalse(group.is_quorum(["a", "d"]))
+        self.assertFalse(group.is_quorum(["a", "c"]))
+        self.assertTrue(group.is_quorum(["a", "b"]))
--- a/tests/test_stage_cut_off.py
+++ b/tests/test_stage_cut_off.py
@@ -222,7 +222,7 @@
         side = [behind.name, old.name]
         stage.cut(side, [a for a in stage.actors if a not in side])
         stage.until(
-            lambda: behind.node not in stage.leader().part.cluster_state.placement_group(0).everyone,
+            lambda: behind.node not in stage.leader().part.cluster_state.placement_group(0).all_nodes,
             40,
             "its copy is moved",
         )
@@ -237,7 +237,7 @@
 
     def written(self, stage, gateway) -> bool:
         async def write():
-            h = await gateway.ctx.replicated_log.hold("log", gone="")
+            h = await gateway.ctx.replicated_log.acquire("log", lost_leaseholder="")
             return await h.append([gateway.name.encode()])
 
         try:
--- a/tests/test_stage_keeping.py
+++ b/tests/test_stage_keeping.py
@@ -33,7 +33,7 @@
 
     def write(self, log, n, final):
         async def go():
-            h = await self.gateway.replicated_log.hold(log)
+            h = await self.gateway.replicated_log.acquire(log)
             for i in range(n):
                 await h.append([f"{log}/{i}".encode() * 100], final=final and i == n - 1)
             return h
@@ -41,7 +41,7 @@
         return self.stage.do(go(), 60)
 
     def used(self):
-        return [a.part.log_store.used() for a in self.stage.role("storage")]
+        return [a.part.log_store.used_bytes() for a in self.stage.role("storage")]
 
     def test_old_logs_wither_their_room_comes_back_and_the_rest_stays(self):
         kept = self.write("lots/kept", 10, False)
