--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -6,7 +6,7 @@
 from twisted.python.failure import Failure
 
 from ..context import Context
-from ..disk import frame
+from ..disk import encode_frame
 from ..errors import LeaseNotHeld, NoQuorum, StaleEpoch, StorageFull
 from ..timers import spawn, wall_ms
 from ..wire.frame_pb2 import Empty
@@ -202,7 +202,7 @@
             self.final = True
             self.closed_ms = wall_ms(self._ctx.timers.utc_now())
         start = len(self.data)
-        self.data += b"".join(frame(record) for record in records)
+        self.data += b"".join(encode_frame(record) for record in records)
         await self.wait_durable()
         return start
 
--- a/pipitlink/replicated_log/replicated_log.py
+++ b/pipitlink/replicated_log/replicated_log.py
@@ -36,7 +36,7 @@
 
     def open(self) -> None:
         """Starts the renewal of this node's leases."""
-        self._ctx.timers.call_repeatedly(RENEW_INTERVAL, self._renew_all, self._ctx.report("renew_leases"))
+        self._ctx.timers.call_repeatedly(RENEW_INTERVAL, self._renew_all, self._ctx.error_reporter("renew_leases"))
 
     def placement_group(self, log: str) -> PlacementGroup:
         """Returns the placement group of a log as the newest known cluster state has it."""
--- a/pipitlink/storage/lease_grants.py
+++ b/pipitlink/storage/lease_grants.py
@@ -6,10 +6,10 @@
 import attrs
 
 from ..context import Context
+from ..group_commit import GroupCommit
 from ..replicated_log.lease_durations import LEASE_DURATION
 from ..replicated_log.lease_refusal import LeaseRefusal
 from ..replicated_log.placement_group import placement_group_of
-from ..syncing import Syncer
 from ..timers import ZERO
 from ..wire.replicated_log_pb2 import HeldLease, LeaseRequest, LeaseResponse, LogState, RenewRequest, RenewResponse
 from .durable import sync
@@ -33,10 +33,12 @@
     that would have run out, it refuses new ones.
     """
 
-    def __init__(self, ctx: Context, log_store: LogStore, syncer: Syncer, placement_check: PlacementCheck) -> None:
+    def __init__(
+        self, ctx: Context, log_store: LogStore, group_commit: GroupCommit, placement_check: PlacementCheck
+    ) -> None:
         self._ctx = ctx
         self._log_store = log_store
-        self._syncer = syncer
+        self._group_commit = group_commit
         self._placement_check = placement_check
         self._grants: dict[str, _Grant] = {}
         self._no_grants_until = ZERO
@@ -85,7 +87,7 @@
         if refusal is not None:
             return refusal
         self._grants[request.log] = _Grant(request.leaseholder, request.epoch, now + LEASE_DURATION)
-        await sync(self._syncer, partial(self._log_store.grant_epoch, request.log, request.epoch))
+        await sync(self._group_commit, partial(self._log_store.grant_epoch, request.log, request.epoch))
         return LeaseResponse(granted=True, state=self.log_state(request.log), free_bytes=self._log_store.free_bytes())
 
     def _refuse(self, request: LeaseRequest) -> LeaseResponse | None:
--- a/pipitlink/storage/log_store.py
+++ b/pipitlink/storage/log_store.py
@@ -7,9 +7,9 @@
 
 from ..disk import Disk
 from ..errors import StaleEpoch, StorageFull
-from ..segments import Segments, Spot
+from ..segments import Position, Segments
 from ..wire.replicated_log_pb2 import Entry, LogState
-from .entries import delete_entry, encode, expire_entry, grant_entry, snapshot_entry
+from .entries import delete_entry, encode, expire_entry, grant_entry, no_op_entry, snapshot_entry
 from .replica import Extent, Replica, Tail
 
 __all__ = ["LogStore", "SyncTicket"]
@@ -20,7 +20,7 @@
 GRANT_ENTRY_BYTES = 64
 WRITE_OVERHEAD_BYTES = 128
 
-EntryHandler = Callable[[Entry, Spot, int], None]
+EntryHandler = Callable[[Entry, Position, int], None]
 
 
 class LogStore:
@@ -59,21 +59,20 @@
         replica.epoch = max(replica.epoch, entry.epoch)
         return replica
 
-    def _apply_no_op(self, entry: Entry, location: Spot, size: int) -> None:
+    def _apply_no_op(self, entry: Entry, location: Position, size: int) -> None:
         """Does nothing: the entry only shows that others before it are on disk."""
 
-    def _apply_delete(self, entry: Entry, location: Spot, _size: int) -> None:
+    def _apply_delete(self, entry: Entry, location: Position, _size: int) -> None:
         self.logs.pop(entry.log, None)
-        segment, _ = location
-        self.delete_segments.add(segment)
+        self.delete_segments.add(location.segment)
 
-    def _apply_grant(self, entry: Entry, location: Spot, _size: int) -> None:
+    def _apply_grant(self, entry: Entry, location: Position, _size: int) -> None:
         self._recovered_replica(entry).epoch_location = location
 
-    def _recover_expiry(self, entry: Entry, location: Spot, _size: int) -> None:
+    def _recover_expiry(self, entry: Entry, location: Position, _size: int) -> None:
         _apply_expiry(self._recovered_replica(entry), entry, location)
 
-    def _recover_write(self, entry: Entry, location: Spot, size: int) -> None:
+    def _recover_write(self, entry: Entry, location: Position, size: int) -> None:
         _apply_write(self._recovered_replica(entry), entry, location, size)
 
     def _replica(self, log: str) -> Replica:
@@ -84,7 +83,7 @@
 
     def used_bytes(self) -> int:
         """Returns the size of all segment files, including what is queued for them."""
-        return self.segments.used()
+        return self.segments.used_bytes()
 
     def free_bytes(self) -> int:
         """Returns how many bytes may still be written before the reserve is used."""
@@ -113,7 +112,7 @@
         replica.epoch = epoch
         if leased:
             replica.leased_epoch = epoch
-        replica.epoch_location = self.segments.put(grant_entry(log, epoch).SerializeToString(), ticket)
+        replica.epoch_location = self.segments.append(grant_entry(log, epoch).SerializeToString(), ticket)
 
     def write(self, entry: Entry, expected: Tail, reserved: bool, ticket: SyncTicket) -> bool:
         """Queues a leaseholder's write; returns False where the replica does not end as expected.
@@ -146,7 +145,7 @@
         self._check_capacity(len(entry.data) + WRITE_OVERHEAD_BYTES, reserved)
         replica.epoch = max(replica.epoch, entry.epoch)
         body = encode(entry)
-        _apply_write(replica, entry, self.segments.put(body, ticket), len(body))
+        _apply_write(replica, entry, self.segments.append(body, ticket), len(body))
         return True
 
     def mark_synced(self, log: str, tail_epoch: int, length: int, final: bool) -> None:
@@ -174,39 +173,43 @@
         """Drops a final log's bytes, and keeps that it was final."""
         replica = self.logs[log]
         entry = expire_entry(replica)
-        _apply_expiry(replica, entry, self.segments.put(entry.SerializeToString(), ticket))
+        _apply_expiry(replica, entry, self.segments.append(entry.SerializeToString(), ticket))
         replica.synced = Tail(replica.tail_epoch, 0, True)
 
     def delete(self, log: str, ticket: SyncTicket) -> None:
         """Removes a log and all that is known of it."""
         self.logs.pop(log, None)
-        segment, _ = self.segments.put(delete_entry(log).SerializeToString(), ticket)
-        self.delete_segments.add(segment)
+        location = self.segments.append(delete_entry(log).SerializeToString(), ticket)
+        self.delete_segments.add(location.segment)
 
     def rewrite(self, replica: Replica, data: bytes, ticket: SyncTicket) -> None:
         """Queues a whole log, whose bytes are `data`, once more at the end of the newest segment file."""
         grant = grant_entry(replica.log, replica.epoch)
-        replica.epoch_location = self.segments.put(grant.SerializeToString(), None)
+        replica.epoch_location = self.segments.append(grant.SerializeToString(), None)
         entry = snapshot_entry(replica, data)
         body = encode(entry)
-        location = self.segments.put(body, ticket)
+        location = self.segments.append(body, ticket)
         if entry.kind == Entry.EXPIRE:
             _apply_expiry(replica, entry, location)
         else:
             replica.truncate(0)
             _apply_write(replica, entry, location, len(body))
 
+    def write_no_op(self, ticket: SyncTicket) -> None:
+        """Queues an entry without effect, whose sync shows that all entries before it are on disk."""
+        self.segments.append(no_op_entry().SerializeToString(), ticket)
+
     def close(self) -> None:
         """Closes the segment files."""
         self.segments.close()
 
 
-def _apply_write(replica: Replica, entry: Entry, location: Spot, size: int) -> None:
+def _apply_write(replica: Replica, entry: Entry, location: Position, size: int) -> None:
     """Applies a write whose encoded entry is `size` bytes long."""
     if entry.position < replica.length:
         replica.truncate(entry.position)
-    segment, offset = location
-    replica.append_extent(len(entry.data), (segment, offset + size - len(entry.data)))
+    data_offset = location.offset + size - len(entry.data)
+    replica.append_extent(len(entry.data), Position(location.segment, data_offset))
     replica.tail_location = location
     replica.tail_epoch = entry.epoch
     replica.final = entry.final
@@ -214,7 +217,7 @@
     replica.committed = min(max(replica.committed, entry.committed), replica.length)
 
 
-def _apply_expiry(replica: Replica, entry: Entry, location: Spot) -> None:
+def _apply_expiry(replica: Replica, entry: Entry, location: Position) -> None:
     replica.truncate(0)
     replica.tail_epoch = entry.epoch
     replica.final = True
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -5,8 +5,8 @@
 
 from ..context import Context
 from ..disk import Disk
+from ..group_commit import GroupCommit
 from ..replicated_log.placement_group import placement_group_of
-from ..syncing import Syncer
 from ..wire.replicated_log_pb2 import ListRequest, ReadRequest, ReadResponse, StatesRequest, StatesResponse
 from .lease_grants import LeaseGrants
 from .log_store import LogStore
@@ -28,7 +28,7 @@
 class StorageNode:
     """A storage node: keeps replicas of logs, and grants leases on them.
 
-    All parts work on one log store through one syncer, so that their writes share group syncs.
+    All parts work on one log store through one group commit, so that their writes share group syncs.
     """
 
     def __init__(self, ctx: Context, disk: Disk | None = None) -> None:
@@ -36,13 +36,13 @@
         budget = ctx.settings.budget_mb * 1024 * 1024
         reserve = max(budget // RESERVE_FRACTION, MIN_RESERVE_BYTES)
         self.log_store = LogStore(Path(ctx.settings.data) / "logs", disk or Disk(), budget, reserve)
-        syncer = Syncer(ctx, self.log_store.segments, self.log_store.recover)
+        group_commit = GroupCommit(ctx, self.log_store.segments, self.log_store.recover)
         placement_check = PlacementCheck(ctx)
-        self._lease_grants = LeaseGrants(ctx, self.log_store, syncer, placement_check)
-        transfer = ReplicaTransfer(ctx, self.log_store, syncer)
+        self._lease_grants = LeaseGrants(ctx, self.log_store, group_commit, placement_check)
+        transfer = ReplicaTransfer(ctx, self.log_store, group_commit)
         self._replica_repair = ReplicaRepair(ctx, self._lease_grants, transfer)
-        self._retention = Retention(ctx, self.log_store, syncer)
-        self._write_handler = WriteHandler(ctx, self.log_store, syncer, self._lease_grants, placement_check)
+        self._retention = Retention(ctx, self.log_store, group_commit)
+        self._write_handler = WriteHandler(ctx, self.log_store, group_commit, self._lease_grants, placement_check)
 
     def open(self) -> None:
         """Recovers the log store, starts the regular work and registers the RPC handlers; raises CorruptData."""
--- a/pipitlink/storage/node_identity.py
+++ b/pipitlink/storage/node_identity.py
@@ -3,8 +3,8 @@
 import json
 from pathlib import Path
 
-from ..context import fresh_id
-from ..disk import swap_in
+from ..context import random_id
+from ..disk import replace_file
 from ..errors import SettingsError
 
 __all__ = ["node_id"]
@@ -24,6 +24,6 @@
         if identity["fleet"] != fleet:
             raise SettingsError([f"data: {folder} belongs to fleet {identity['fleet']!r}, not {fleet!r}"])
         return identity["node"]
-    node = fresh_id()
-    swap_in(path, json.dumps({"fleet": fleet, "node": node}).encode())
+    node = random_id()
+    replace_file(path, json.dumps({"fleet": fleet, "node": node}).encode())
     return node
--- a/pipitlink/storage/replica.py
+++ b/pipitlink/storage/replica.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from ..segments import Spot
+from ..segments import Position
 from ..wire.replicated_log_pb2 import LogState
 
 __all__ = ["Extent", "Replica", "Tail"]
@@ -16,17 +16,17 @@
 
     start: int
     length: int
-    location: Spot
+    location: Position
 
     @property
     def segment(self) -> int:
         """The number of the segment file."""
-        return self.location[0]
+        return self.location.segment
 
     def slice(self, position: int, length: int) -> "Extent":
         """Returns the part from a position of the log on, `length` bytes long."""
-        segment, offset = self.location
-        return Extent(position, length, (segment, offset + position - self.start))
+        offset = self.location.offset + position - self.start
+        return Extent(position, length, Position(self.location.segment, offset))
 
 
 @attrs.frozen
@@ -55,8 +55,8 @@
     committed: int = 0
     final: bool = False
     closed_ms: int = 0
-    epoch_location: Spot | None = None
-    tail_location: Spot | None = None
+    epoch_location: Position | None = None
+    tail_location: Position | None = None
     extent_starts: list[int] = attrs.field(factory=list)
     extents: list[Extent] = attrs.field(factory=list)
     synced: Tail = Tail()
@@ -81,7 +81,7 @@
     def uses_segment(self, segment: int) -> bool:
         """Returns whether the replica needs anything in that segment file."""
         entries = [self.epoch_location, self.tail_location]
-        if any(location is not None and location[0] == segment for location in entries):
+        if any(location is not None and location.segment == segment for location in entries):
             return True
         return any(extent.segment == segment for extent in self.extents)
 
@@ -96,7 +96,7 @@
                 self.extents[-1] = last.slice(last.start, position - last.start)
         self.length = position
 
-    def append_extent(self, length: int, location: Spot) -> None:
+    def append_extent(self, length: int, location: Position) -> None:
         """Adds bytes, which are at a location on disk, to the end."""
         if length:
             self.extent_starts.append(self.length)
--- a/pipitlink/storage/replica_repair.py
+++ b/pipitlink/storage/replica_repair.py
@@ -45,7 +45,7 @@
     def open(self) -> None:
         """Starts to watch the placement, and the regular work."""
         self._ctx.cluster.watch(self._placement_changed)
-        timers, report = self._ctx.timers, self._ctx.report
+        timers, report = self._ctx.timers, self._ctx.error_reporter
         self._transfers = timers.call_repeatedly(
             TRANSFER_INTERVAL, self._transfer_all, report("replica_transfer"), due=self._transfers_due
         )
--- a/pipitlink/storage/replica_transfer.py
+++ b/pipitlink/storage/replica_transfer.py
@@ -9,9 +9,9 @@
 
 from ..context import Context
 from ..errors import NoQuorum, ReplicatedLogError, StaleEpoch, WireError
+from ..group_commit import GroupCommit
 from ..replicated_log.placement_group import PlacementGroup, majority
 from ..replicated_log.replica_progress import TailPosition
-from ..syncing import Syncer
 from ..timers import secs, spawn
 from ..wire.replicated_log_pb2 import Entry, ListRequest, LogState, StatesResponse
 from .durable import sync
@@ -51,10 +51,10 @@
 class ReplicaTransfer:
     """Makes the replicas of this storage node as up to date as those of a majority of its peers."""
 
-    def __init__(self, ctx: Context, log_store: LogStore, syncer: Syncer) -> None:
+    def __init__(self, ctx: Context, log_store: LogStore, group_commit: GroupCommit) -> None:
         self._ctx = ctx
         self._log_store = log_store
-        self._syncer = syncer
+        self._group_commit = group_commit
 
     async def transfer_placement_group(self, placement_group: PlacementGroup, joining: bool) -> bool:
         """Returns True once this storage node has all that a majority, at this placement, is seen to have.
@@ -72,7 +72,9 @@
                 if self._is_outdated(peer.state) or granted_epochs.get(log, 0) > self._log_store.state(log).epoch
             ]
         )
-        workers = [spawn(self._transfer_logs(outdated, granted_epochs)) for _ in range(CONCURRENT_TRANSFERS)]
+        workers: list[defer.Deferred[object]] = [
+            spawn(self._transfer_logs(outdated, granted_epochs)) for _ in range(CONCURRENT_TRANSFERS)
+        ]
         return all(await defer.gatherResults(workers, consumeErrors=True))
 
     async def _list_peer_replicas(self, placement_group: PlacementGroup) -> _PeerReplicas | None:
@@ -115,7 +117,7 @@
                     await self._transfer_log(peer)
                 epoch = granted_epochs.get(log, 0)
                 if epoch > self._log_store.state(log).epoch:
-                    await sync(self._syncer, partial(self._log_store.grant_epoch, log, epoch, leased=False))
+                    await sync(self._group_commit, partial(self._log_store.grant_epoch, log, epoch, leased=False))
             except (ReplicatedLogError, WireError) as error:
                 self._ctx.logger.debug("replica_transfer_failed", log=log, text=error)
                 succeeded = False
@@ -130,7 +132,9 @@
         if len(data) != state.length - start:
             raise NoQuorum(f"{log}: {peer.storage_node} did not show all of it")
         expected = Tail(local.tail_epoch, local.length)
-        if not await sync(self._syncer, partial(self._log_store.install, _entry_of(state, start, data), expected)):
+        if not await sync(
+            self._group_commit, partial(self._log_store.install, _entry_of(state, start, data), expected)
+        ):
             raise StaleEpoch(f"{log} moved meanwhile")
         self._log_store.mark_synced(log, state.tail_epoch, state.length, state.final)
         self._ctx.logger.info("replica_transferred", log=log, bytes=len(data), source=peer.storage_node)
--- a/pipitlink/storage/retention.py
+++ b/pipitlink/storage/retention.py
@@ -4,7 +4,7 @@
 from functools import partial
 
 from ..context import Context
-from ..syncing import Syncer
+from ..group_commit import GroupCommit
 from ..timers import secs, wall_ms
 from .durable import sync
 from .log_store import LogStore
@@ -21,15 +21,15 @@
 class Retention:
     """Expires and deletes logs by the time that they ended at, then compacts segment files."""
 
-    def __init__(self, ctx: Context, log_store: LogStore, syncer: Syncer) -> None:
+    def __init__(self, ctx: Context, log_store: LogStore, group_commit: GroupCommit) -> None:
         self._ctx = ctx
         self._log_store = log_store
-        self._syncer = syncer
-        self._compactor = SegmentCompactor(ctx, log_store, syncer)
+        self._group_commit = group_commit
+        self._compactor = SegmentCompactor(ctx, log_store, group_commit)
 
     def open(self) -> None:
         """Starts the regular work."""
-        self._ctx.timers.call_repeatedly(INTERVAL, self._run, self._ctx.report("retention"))
+        self._ctx.timers.call_repeatedly(INTERVAL, self._run, self._ctx.error_reporter("retention"))
 
     async def _run(self) -> None:
         now_ms = wall_ms(self._ctx.timers.utc_now())
@@ -41,7 +41,7 @@
     async def _apply_retention(self, replica: Replica, age_ms: int) -> None:
         retention_ms = self._ctx.settings.retention_s * 1000
         if age_ms > retention_ms + TOMBSTONE_MS:
-            await sync(self._syncer, partial(self._log_store.delete, replica.log))
+            await sync(self._group_commit, partial(self._log_store.delete, replica.log))
         elif replica.length and age_ms > retention_ms:
-            await sync(self._syncer, partial(self._log_store.expire, replica.log))
+            await sync(self._group_commit, partial(self._log_store.expire, replica.log))
             self._ctx.logger.info("log_expired", log=replica.log)
--- a/pipitlink/storage/segment_compaction.py
+++ b/pipitlink/storage/segment_compaction.py
@@ -4,9 +4,8 @@
 from functools import partial
 
 from ..context import Context
-from ..syncing import Syncer
+from ..group_commit import GroupCommit
 from .durable import sync
-from .entries import no_op_entry
 from .log_store import LogStore
 from .replica import Replica
 
@@ -18,10 +17,10 @@
 class SegmentCompactor:
     """Rewrites the logs that need an old segment file to the newest one, then drops the file."""
 
-    def __init__(self, ctx: Context, log_store: LogStore, syncer: Syncer) -> None:
+    def __init__(self, ctx: Context, log_store: LogStore, group_commit: GroupCommit) -> None:
         self._ctx = ctx
         self._log_store = log_store
-        self._syncer = syncer
+        self._group_commit = group_commit
 
     async def compact_one(self) -> None:
         """Compacts the segment file with the smallest live fraction, if that is small enough."""
@@ -33,8 +32,8 @@
                 return
         if any(replica.uses_segment(segment) for replica in self._log_store.logs.values()):
             return
-        await sync(self._syncer, partial(self._log_store.segments.put, no_op_entry().SerializeToString()))
-        self._log_store.segments.drop(segment)
+        await sync(self._group_commit, self._log_store.write_no_op)
+        self._log_store.segments.remove_segment(segment)
         self._ctx.logger.info("segment_compacted", file=segment, used=self._log_store.used_bytes())
 
     def _select(self) -> int | None:
@@ -43,9 +42,9 @@
             for extent in replica.extents:
                 live_bytes[extent.segment] += extent.length
         segments = self._log_store.segments
-        older = segments.numbers()[:-1]
+        older = segments.segment_numbers()[:-1]
         live_fractions = {
-            number: live_bytes[number] / max(1, segments.size(number))
+            number: live_bytes[number] / max(1, segments.segment_size(number))
             for number in older
             if number == older[0] or number not in self._log_store.delete_segments
         }
@@ -62,5 +61,5 @@
         changed = before != (replica.epoch, replica.tail)
         if changed or len(data) != replica.length or replica.synced != replica.tail:
             return False
-        await sync(self._syncer, partial(self._log_store.rewrite, replica, data))
+        await sync(self._group_commit, partial(self._log_store.rewrite, replica, data))
         return True
--- a/pipitlink/storage/write_handler.py
+++ b/pipitlink/storage/write_handler.py
@@ -6,7 +6,7 @@
 
 from ..context import Context
 from ..errors import StorageFull
-from ..syncing import Syncer
+from ..group_commit import GroupCommit
 from ..wire.replicated_log_pb2 import CommitRequest, Entry, WriteRequest, WriteResponse
 from .durable import sync
 from .lease_grants import LeaseGrants
@@ -55,13 +55,13 @@
         self,
         ctx: Context,
         log_store: LogStore,
-        syncer: Syncer,
+        group_commit: GroupCommit,
         lease_grants: LeaseGrants,
         placement_check: PlacementCheck,
     ) -> None:
         self._ctx = ctx
         self._log_store = log_store
-        self._syncer = syncer
+        self._group_commit = group_commit
         self._lease_grants = lease_grants
         self._placement_check = placement_check
         self._partial_writes = PartialWrites()
@@ -81,7 +81,7 @@
             return self._position_mismatch(request)
         entry = _write_entry(request, data)
         expected = Tail(request.expect_tail_epoch, request.expect_length)
-        if not await sync(self._syncer, partial(self._log_store.write, entry, expected, request.reserved)):
+        if not await sync(self._group_commit, partial(self._log_store.write, entry, expected, request.reserved)):
             return self._position_mismatch(request)
         self._log_store.mark_synced(request.log, request.epoch, request.position + len(data), request.final)
         return WriteResponse(written=True, state=self._lease_grants.log_state(request.log))
