--- a/pipitlink/replicated_log/storage_client.py
+++ b/pipitlink/replicated_log/storage_client.py
@@ -126,6 +126,7 @@
         self._enough = enough
 
     def call_ended(self) -> None:
+        """Records that one call has ended, with or without a response."""
         self._pending -= 1
         if self.complete.called:
             return
--- a/pipitlink/storage/lease_grants.py
+++ b/pipitlink/storage/lease_grants.py
@@ -66,7 +66,7 @@
         grant = self._valid_grant(log)
         if grant is not None:
             state.leaseholder = grant.leaseholder
-            state.lease_ms = _whole_ms(grant.expires_at - self._ctx.timers.now())
+            state.lease_ms = _milliseconds(grant.expires_at - self._ctx.timers.now())
         return state
 
     def _unknown_lease_left(self, log: str) -> timedelta:
@@ -98,7 +98,7 @@
             return LeaseResponse(reason=LeaseRefusal.HELD, state=state)
         unknown_lease_left = self._unknown_lease_left(request.log)
         if grant is None and unknown_lease_left > ZERO and state.epoch > 0 and not request.take_over:
-            state.lease_ms = _whole_ms(unknown_lease_left)
+            state.lease_ms = _milliseconds(unknown_lease_left)
             return LeaseResponse(reason=LeaseRefusal.RECENTLY_STARTED, state=state)
         if request.epoch <= state.epoch:
             return LeaseResponse(reason=LeaseRefusal.STALE_EPOCH, state=state)
@@ -124,5 +124,5 @@
             del self._grants[lease.log]
 
 
-def _whole_ms(duration: timedelta) -> int:
+def _milliseconds(duration: timedelta) -> int:
     return int(duration.total_seconds() * 1000)
--- a/pipitlink/storage/log_store.py
+++ b/pipitlink/storage/log_store.py
@@ -148,7 +148,7 @@
         _apply_write(replica, entry, self.segments.append(body, ticket), len(body))
         return True
 
-    def mark_synced(self, log: str, tail_epoch: int, length: int, final: bool) -> None:
+    def record_synced(self, log: str, tail_epoch: int, length: int, final: bool) -> None:
         """Records that a write up to this tail is on disk."""
         replica = self.logs.get(log)
         if replica is not None:
--- a/pipitlink/storage/replica_repair.py
+++ b/pipitlink/storage/replica_repair.py
@@ -47,7 +47,7 @@
         self._ctx.cluster.watch(self._placement_changed)
         timers, report = self._ctx.timers, self._ctx.error_reporter
         self._transfers = timers.call_repeatedly(
-            TRANSFER_INTERVAL, self._transfer_all, report("replica_transfer"), due=self._transfers_due
+            TRANSFER_INTERVAL, self._transfer_all, report("replica_transfer"), idle_time=self._time_until_transfer
         )
         timers.call_repeatedly(LEADER_CHECK_INTERVAL, self._check_leader_contact, report("leader_check"))
         timers.call_repeatedly(REPAIR_INTERVAL, self._repair_all, report("replica_repair"))
@@ -69,7 +69,8 @@
         if self._transfers is not None:
             self._transfers.wake()
 
-    def _transfers_due(self) -> timedelta | None:
+    def _time_until_transfer(self) -> timedelta | None:
+        """Returns how long there is nothing to transfer, None until a change of the placement or a repair."""
         if any(self._ctx.node in group.transfer_targets for group in self._placement_groups()):
             return ZERO
         if not self._outdated_groups:
--- a/pipitlink/storage/replica_transfer.py
+++ b/pipitlink/storage/replica_transfer.py
@@ -79,11 +79,7 @@
 
     async def _list_peer_replicas(self, placement_group: PlacementGroup) -> _PeerReplicas | None:
         """Returns what the peers at this placement have, None where they and this node are no majority."""
-
-        def is_enough(responses: dict[str, StatesResponse]) -> bool:
-            current = _at_placement(responses, placement_group.sequence)
-            return majority([*current, self._ctx.node], placement_group.storage_nodes)
-
+        is_enough = partial(self._is_majority, placement_group)
         responses: dict[str, StatesResponse] = await self._ctx.replicated_log.call_each(
             [node for node in placement_group.all_nodes if node != self._ctx.node],
             "replicated_log.list",
@@ -100,6 +96,11 @@
                 peers.add(storage_node, state)
         return peers
 
+    def _is_majority(self, placement_group: PlacementGroup, responses: Mapping[str, StatesResponse]) -> bool:
+        """Returns whether this node and the peers that answered at this placement are a majority."""
+        current = _at_placement(responses, placement_group.sequence)
+        return majority([*current, self._ctx.node], placement_group.storage_nodes)
+
     def _is_outdated(self, peer: LogState) -> bool:
         """Returns whether the local replica lacks what a peer has; one that has expired here lacks nothing."""
         local = self._log_store.state(peer.log)
@@ -136,7 +137,7 @@
             self._group_commit, partial(self._log_store.install, _entry_of(state, start, data), expected)
         ):
             raise StaleEpoch(f"{log} moved meanwhile")
-        self._log_store.mark_synced(log, state.tail_epoch, state.length, state.final)
+        self._log_store.record_synced(log, state.tail_epoch, state.length, state.final)
         self._ctx.logger.info("replica_transferred", log=log, bytes=len(data), source=peer.storage_node)
         await self._ctx.timers.sleep(secs(len(data) * CONCURRENT_TRANSFERS / MAX_BYTES_PER_SECOND))
 
--- a/pipitlink/storage/write_handler.py
+++ b/pipitlink/storage/write_handler.py
@@ -83,7 +83,7 @@
         expected = Tail(request.expect_tail_epoch, request.expect_length)
         if not await sync(self._group_commit, partial(self._log_store.write, entry, expected, request.reserved)):
             return self._position_mismatch(request)
-        self._log_store.mark_synced(request.log, request.epoch, request.position + len(data), request.final)
+        self._log_store.record_synced(request.log, request.epoch, request.position + len(data), request.final)
         return WriteResponse(written=True, state=self._lease_grants.log_state(request.log))
 
     def _position_mismatch(self, request: WriteRequest) -> WriteResponse:
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -64,7 +64,7 @@
                 (ControllerNode, "apply", self._around_apply),
                 (Leaseholder, "_recover_tail", self._around_recover_tail),
                 (Leaseholder, "append", self._around_log_append),
-                (LogStore, "mark_synced", self._around_settle),
+                (LogStore, "record_synced", self._around_settle),
             ):
                 stack.enter_context(mock.patch.object(owner, name, around(getattr(owner, name))))
             yield self
