--- a/tests/model/leases.py
+++ b/tests/model/leases.py
@@ -1,12 +1,12 @@
-"""Leases and copies of one log in a placement group over a move: epochs, tails, quorums of both sets, emptied disks.
+"""Leases and replicas of one log in a placement group over a move: epochs, tails, quorums of both sets, wiped disks.
 
-Leases have no time here: anybody may ask for one at any moment, since epochs alone must keep the log whole. A write
-and its answer are one step, and what a leaseholder was told stays true of the past: it counts it at any later time.
-Copying is two steps, since the source may change between the list and the read. What a storage node promised or wrote
-is on its disk before it answers.
+Leases have no time here: anybody may request one at any moment, since epochs alone must keep the log consistent. A
+write and its response are one step, and what a storage node reported to a leaseholder stays true of the past: the
+leaseholder counts it at any later time. A transfer is two steps, since the source may change between the list and the
+read. What a storage node granted or wrote is on its disk before it responds.
 """
 
-from collections.abc import Iterator
+from collections.abc import Collection, Iterator
 from itertools import combinations
 from typing import NamedTuple
 
@@ -21,315 +21,368 @@
 
 LOG = "log"
 
+IDLE = "idle"
+REQUESTING = "requesting"
+RECOVERING = "recovering"
+HELD = "held"
 
-class Copy(NamedTuple):
-    """A storage node's copy; `granted` is the highest epoch that it was asked for as a lease."""
 
-    seq: int = 0
+class Replica(NamedTuple):
+    """A storage node's replica; `leased_epoch` is the highest epoch that it granted as a lease itself."""
+
+    sequence: int = 0
     epoch: int = 0
-    granted: int = 0
-    tail: int = 0
+    leased_epoch: int = 0
+    tail_epoch: int = 0
     data: tuple = ()
     committed: int = 0
     lost: bool = False
 
+    def reported(self) -> "Reported":
+        return Reported(self.tail_epoch, len(self.data), self.committed)
+
 
-class Seen(NamedTuple):
-    """What a leaseholder was last told of a copy."""
+class Reported(NamedTuple):
+    """The state of a replica that a storage node reported."""
 
-    tail: int
+    tail_epoch: int
     length: int
     committed: int
 
 
-class Holder(NamedTuple):
-    """A leaseholder, from its first request on; `held` once its tail is durable under its epoch."""
+NOTHING_REPORTED = Reported(0, 0, 0)
+
+
+class Leaseholder(NamedTuple):
+    """A leaseholder from its first request on; its phase is HELD once its tail is durable under its epoch."""
 
-    state: str = "idle"
-    seq: int = 0
+    phase: str = IDLE
+    sequence: int = 0
     epoch: int = 0
-    seen: tuple = ()
+    progress: tuple = ()
     data: tuple = ()
-    best: Seen = Seen(0, 0, 0)
+    recovered: Reported = NOTHING_REPORTED
     committed: int = 0
-    wanted: int = 0
+    recovered_length: int = 0
 
+    def known(self, node: int) -> Reported | None:
+        return dict(self.progress).get(node)
 
-class Joining(NamedTuple):
-    """How far the joining node has come: what it listed, and whether it has told that it has all."""
+    def with_progress(self, node: int, reported: Reported) -> "Leaseholder":
+        progress = dict(self.progress)
+        progress[node] = reported
+        return self._replace(progress=tuple(sorted(progress.items())))
+
+
+class Transfer(NamedTuple):
+    """The transfer to the joining node: what it listed at its source, and whether it has reported to be complete."""
 
     source: int = -1
-    seen: Seen = Seen(0, 0, 0)
-    promised: int = 0
-    whole: bool = False
+    listed: Reported = NOTHING_REPORTED
+    granted_epoch: int = 0
+    complete: bool = False
 
 
 class State(NamedTuple):
-    copies: tuple[Copy, ...]
-    holders: tuple[Holder, ...]
-    seq: int = 0
-    joining: Joining = Joining()
-    settled: frozenset = frozenset()
+    """All replicas and leaseholders, the newest placement, and what the properties need of the past."""
+
+    replicas: tuple[Replica, ...]
+    leaseholders: tuple[Leaseholder, ...]
+    sequence: int = 0
+    transfer: Transfer = Transfer()
+    recovered: frozenset = frozenset()
     acknowledged: frozenset = frozenset()
     moved: tuple = ()
-    emptied: int = 0
+    wiped: int = 0
+
+    def with_leaseholder(self, index: int, leaseholder: Leaseholder) -> "State":
+        return self._replace(leaseholders=_replaced(self.leaseholders, index, leaseholder))
+
+    def with_replica(self, node: int, replica: Replica) -> "State":
+        return self._replace(replicas=_replaced(self.replicas, node, replica))
+
+    def with_recovered(self, index: int, leaseholder: Leaseholder) -> "State":
+        recovered = Settled(LOG, leaseholder.epoch, index, leaseholder.data)
+        return self._replace(recovered=self.recovered | {recovered})
+
+
+def _replaced(items: tuple, index: int, item) -> tuple:
+    return (*items[:index], item, *items[index + 1 :])
 
 
 @attrs.frozen
 class Leases:
     """The model at a size, and the guards that a mutation takes out.
 
-    With `begun`, the first leaseholder already holds the empty log under epoch 1, by the first majority.
+    With `starts_held`, the first leaseholder already holds the empty log under epoch 1, by the first majority.
     """
 
-    copies: int = 3
-    holders: int = 2
+    replicas: int = 3
+    leaseholders: int = 2
     epochs: int = 2
     appends: int = 2
     moves: bool = False
-    begun: bool = False
-    empties: int = 0
-    promise_is_kept: bool = True
+    starts_held: bool = False
+    wipes: int = 0
+    grant_is_durable: bool = True
     write_checks_epoch: bool = True
-    write_checks_stand: bool = True
-    settles_tail: bool = True
+    write_checks_position: bool = True
+    recovers_tail: bool = True
     newest_tail: bool = True
     both_sets: bool = True
-    old_placement_is_refused: bool = True
-    joining_copies_first: bool = True
-    copy_is_fenced: bool = True
-    counts_afresh_after_move: bool = True
-    emptied_is_another: bool = True
+    stale_placement_is_rejected: bool = True
+    transfers_before_join: bool = True
+    transfer_is_fenced: bool = True
+    resets_progress_after_move: bool = True
+    wiped_node_has_new_identity: bool = True
     majority: bool = True
 
-    def group(self, seq: int) -> PlacementGroup:
-        """Before, during and after the move of the last node's place to one that joins."""
-        first = tuple(range(self.copies))
-        joining = str(self.copies)
-        names = tuple(str(n) for n in first)
-        if seq == 0:
-            return PlacementGroup(0, seq, names)
-        if seq == 1:
-            return PlacementGroup(0, seq, names, joining if self.both_sets else "", names[-1] if self.both_sets else "")
-        return PlacementGroup(0, seq, (*names[:-1], joining))
+    def group(self, sequence: int) -> PlacementGroup:
+        """Before, during and after the replacement of the last node by one that joins."""
+        joining = str(self.replicas)
+        names = tuple(str(n) for n in range(self.replicas))
+        if sequence == 0:
+            return PlacementGroup(0, sequence, names)
+        if sequence == 1 and self.both_sets:
+            return PlacementGroup(0, sequence, names, joining, names[-1])
+        if sequence == 1:
+            return PlacementGroup(0, sequence, names)
+        return PlacementGroup(0, sequence, (*names[:-1], joining))
 
     def start(self) -> State:
-        nodes = self.copies + (1 if self.moves else 0)
-        if not self.begun:
-            return State((Copy(),) * nodes, (Holder(),) * self.holders)
-        first = Holder("held", 0, 1)
-        rest = (Copy(),) * (nodes - self.copies // 2 - 1)
-        copies = (Copy(epoch=1, granted=1),) * (self.copies // 2 + 1) + rest
-        settled = frozenset({Settled(LOG, 1, 0, ())})
-        return State(copies, (first, *(Holder(),) * (self.holders - 1)), settled=settled)
-
-    def wrong(self, s: State) -> list[str]:
-        tails = [Tail(LOG, c.tail, n, c.data) for n, c in enumerate(s.copies) if not c.lost]
-        held = tuple(c.data for c in s.copies if not c.lost)
-        shown = [Acknowledged(LOG, t.epoch, t.data) for t in s.settled]
+        nodes = self.replicas + (1 if self.moves else 0)
+        if not self.starts_held:
+            return State((Replica(),) * nodes, (Leaseholder(),) * self.leaseholders)
+        quorum = self.replicas // 2 + 1
+        replicas = (Replica(epoch=1, leased_epoch=1),) * quorum + (Replica(),) * (nodes - quorum)
+        first = Leaseholder(HELD, 0, 1)
+        state = State(replicas, (first, *(Leaseholder(),) * (self.leaseholders - 1)))
+        return state.with_recovered(0, first)
+
+    def wrong(self, state: State) -> list[str]:
+        tails = [Tail(LOG, r.tail_epoch, n, r.data) for n, r in enumerate(state.replicas) if not r.lost]
+        held = tuple(r.data for r in state.replicas if not r.lost)
+        shown = [Acknowledged(LOG, t.epoch, t.data) for t in state.recovered]
         return [
-            *properties.one_leaseholder_an_epoch(s.settled),
+            *properties.one_leaseholder_an_epoch(state.recovered),
             *properties.one_tail_an_epoch(tails),
-            *properties.acknowledged_in_later_tails(s.acknowledged, s.settled),
-            *properties.acknowledged_in_later_tails(shown, s.settled),
-            *properties.copies_are_kept(s.acknowledged, (Copies(LOG, 1, held), *s.moved)),
+            *properties.acknowledged_in_later_tails(state.acknowledged, state.recovered),
+            *properties.acknowledged_in_later_tails(shown, state.recovered),
+            *properties.copies_are_kept(state.acknowledged, (Copies(LOG, 1, held), *state.moved)),
         ]
 
-    def steps(self, s: State) -> Iterator[tuple[str, State]]:
-        for at, h in enumerate(s.holders):
-            yield from self._ask(s, at, h)
-            yield from self._grant(s, at, h)
-            yield from self._settle(s, at, h)
-            yield from self._write(s, at, h)
-            yield from self._count(s, at, h)
-            yield from self._append(s, at, h)
-            yield from self._look_again(s, at, h)
-        for n, c in enumerate(s.copies):
-            yield from self._follow(s, n, c)
-            yield from self._empty(s, n, c)
+    def steps(self, state: State) -> Iterator[tuple[str, State]]:
+        for index, leaseholder in enumerate(state.leaseholders):
+            yield from self._request(state, index, leaseholder)
+            yield from self._grant(state, index, leaseholder)
+            yield from self._recover(state, index, leaseholder)
+            yield from self._write(state, index, leaseholder)
+            yield from self._advance_commit(state, index, leaseholder)
+            yield from self._append(state, index, leaseholder)
+            yield from self._refresh_placement(state, index, leaseholder)
+        for node, replica in enumerate(state.replicas):
+            yield from self._follow(state, node, replica)
+            yield from self._wipe(state, node, replica)
         if self.moves:
-            yield from self._move(s)
+            yield from self._move(state)
 
-    def _ask(self, s: State, at: int, h: Holder):
-        newest = max([c.epoch for c in s.copies] + [o.epoch for o in s.holders])
-        for epoch in range(max(h.epoch, newest, 1), min(newest + 1, self.epochs) + 1):
-            if epoch > h.epoch and (at == 0 or s.holders[0].epoch):
-                yield f"ask {at} for {epoch}", _held(s, at, Holder("asking", h.seq, epoch))
+    def _request(self, state: State, index: int, leaseholder: Leaseholder):
+        newest = max([r.epoch for r in state.replicas] + [other.epoch for other in state.leaseholders])
+        for epoch in range(max(leaseholder.epoch, newest, 1), min(newest + 1, self.epochs) + 1):
+            if epoch > leaseholder.epoch and (index == 0 or state.leaseholders[0].epoch):
+                after = Leaseholder(REQUESTING, leaseholder.sequence, epoch)
+                yield f"ask {index} for {epoch}", state.with_leaseholder(index, after)
 
-    def _grant(self, s: State, at: int, h: Holder):
-        if h.state != "asking":
+    def _grant(self, state: State, index: int, leaseholder: Leaseholder):
+        if leaseholder.phase != REQUESTING:
             return
-        for n in self._reached(s, h):
-            c = s.copies[n]
-            if c.epoch >= h.epoch or dict(h.seen).get(n):
+        for node in self._reachable(state, leaseholder):
+            replica = state.replicas[node]
+            if replica.epoch >= leaseholder.epoch or leaseholder.known(node):
                 continue
-            promised = h.epoch if self.promise_is_kept else c.epoch
-            after = _copied(s, n, c._replace(epoch=promised, granted=promised))
-            yield f"grant {n} to {at}", _held(after, at, _see(h, n, c))
+            epoch = leaseholder.epoch if self.grant_is_durable else replica.epoch
+            after = state.with_replica(node, replica._replace(epoch=epoch, leased_epoch=epoch))
+            informed = leaseholder.with_progress(node, replica.reported())
+            yield f"grant {node} to {index}", after.with_leaseholder(index, informed)
 
-    def _first_of_its_like(self, s: State, n: int) -> bool:
+    def _first_of_its_like(self, state: State, node: int) -> bool:
         """False where a lower node could be put in this one's place: its steps stand for both."""
-        alike = range(min(n, self.copies - 1 if self.moves else self.copies))
-        if n >= (self.copies - 1 if self.moves else self.copies) or s.joining.source >= 0:
+        staying = self.replicas - 1 if self.moves else self.replicas
+        if node >= staying or state.transfer.source >= 0:
             return True
         return not any(
-            s.copies[m] == s.copies[n] and all(dict(h.seen).get(m) == dict(h.seen).get(n) for h in s.holders)
-            for m in alike
+            state.replicas[other] == state.replicas[node]
+            and all(h.known(other) == h.known(node) for h in state.leaseholders)
+            for other in range(min(node, staying))
         )
 
-    def _reached(self, s: State, h: Holder) -> list[int]:
+    def _reachable(self, state: State, leaseholder: Leaseholder) -> list[int]:
         """The nodes of the placement group, as the leaseholder knows it, that take a call which rests on it."""
         return [
-            int(n)
-            for n in self.group(h.seq).all_nodes
-            if not s.copies[int(n)].lost
-            and self._first_of_its_like(s, int(n))
-            and (s.copies[int(n)].seq <= h.seq or not self.old_placement_is_refused)
+            node
+            for node in map(int, self.group(leaseholder.sequence).all_nodes)
+            if not state.replicas[node].lost
+            and self._first_of_its_like(state, node)
+            and (state.replicas[node].sequence <= leaseholder.sequence or not self.stale_placement_is_rejected)
         ]
 
-    def _agree(self, h: Holder, nodes) -> bool:
+    def _is_quorum(self, leaseholder: Leaseholder, nodes: Collection[int]) -> bool:
         if not self.majority:
             return bool(nodes)
-        return self.group(h.seq).is_quorum({str(n) for n in nodes})
+        return self.group(leaseholder.sequence).is_quorum({str(n) for n in nodes})
 
-    def _settle(self, s: State, at: int, h: Holder):
-        if h.state != "asking" or not self._agree(h, dict(h.seen)):
+    def _recover(self, state: State, index: int, leaseholder: Leaseholder):
+        progress = dict(leaseholder.progress)
+        if leaseholder.phase != REQUESTING or not self._is_quorum(leaseholder, progress):
             return
-        seen = dict(h.seen)
-        best = max(seen, key=lambda n: (seen[n].tail, seen[n].length) if self.newest_tail else n)
-        data = s.copies[best].data[: seen[best].length]
-        if s.copies[best].lost or len(data) < seen[best].length:
+        source = max(progress, key=lambda n: (progress[n].tail_epoch, progress[n].length) if self.newest_tail else n)
+        data = state.replicas[source].data[: progress[source].length]
+        if state.replicas[source].lost or len(data) < progress[source].length:
             return
-        committed = max(o.committed for o in seen.values())
-        state = "settling" if data and self.settles_tail else "held"
-        after = h._replace(state=state, data=data, best=seen[best], committed=committed, wanted=len(data))
-        out = _held(s, at, after)
-        if state == "held":
-            out = out._replace(settled=s.settled | {Settled(LOG, h.epoch, at, data)})
-        yield f"settle {at}", out
-
-    def _write(self, s: State, at: int, h: Holder):
-        """A write that found the copy where its writer expects it; a late or repeated one finds it elsewhere."""
-        if h.state not in ("settling", "held"):
+        after = leaseholder._replace(
+            phase=RECOVERING if data and self.recovers_tail else HELD,
+            data=data,
+            recovered=progress[source],
+            committed=max(reported.committed for reported in progress.values()),
+            recovered_length=len(data),
+        )
+        out = state.with_leaseholder(index, after)
+        if after.phase == HELD:
+            out = out.with_recovered(index, after)
+        yield f"settle {index}", out
+
+    def _write(self, state: State, index: int, leaseholder: Leaseholder):
+        """A write that found the replica as its writer expects it; a late or repeated one finds another end."""
+        if leaseholder.phase not in (RECOVERING, HELD):
             return
-        for n in self._reached(s, h):
-            c = s.copies[n]
-            known = Seen(c.tail, len(c.data), c.committed)
-            if c.epoch > h.epoch and self.write_checks_epoch:
+        for node in self._reachable(state, leaseholder):
+            replica = state.replicas[node]
+            reported = replica.reported()
+            if replica.epoch > leaseholder.epoch and self.write_checks_epoch:
                 continue
-            if c.tail == h.epoch and dict(h.seen).get(n) != known:
-                yield f"see {n} by {at}", _held(s, at, _see(h, n, c))
-            start = self._start(h, known)
-            ends = (len(h.data),) if self.write_checks_stand else range(start, len(h.data) + 1)
-            starts = (start,) if self.write_checks_stand else range(start + 1)
-            for start, end in ((a, b) for a in starts for b in ends):
-                if (c.tail, c.data) == (h.epoch, h.data[:end]) or start < c.committed:
+            if replica.tail_epoch == leaseholder.epoch and leaseholder.known(node) != reported:
+                informed = leaseholder.with_progress(node, reported)
+                yield f"see {node} by {index}", state.with_leaseholder(index, informed)
+            for start, end in self._ranges(leaseholder, reported):
+                is_same = (replica.tail_epoch, replica.data) == (leaseholder.epoch, leaseholder.data[:end])
+                if is_same or start < replica.committed:
                     continue
-                data = (*c.data[:start], *h.data[start:end])
-                committed = min(max(c.committed, h.committed), len(data))
-                written = c._replace(epoch=max(c.epoch, h.epoch), tail=h.epoch, data=data, committed=committed)
-                yield f"write {n} by {at}", _held(_copied(s, n, written), at, _see(h, n, written))
-
-    def _start(self, h: Holder, known: Seen) -> int:
-        if known.tail == h.epoch:
-            return known.length
-        if known.tail == h.best.tail:
-            return min(known.length, h.best.length)
-        return min(known.committed, known.length)
-
-    def _count(self, s: State, at: int, h: Holder):
-        marks = {str(n): k.length for n, k in h.seen if k.tail == h.epoch}
-        if h.state not in ("settling", "held") or not self._agree(h, marks):
+                written = _written(replica, leaseholder, start, end)
+                informed = leaseholder.with_progress(node, written.reported())
+                after = state.with_replica(node, written).with_leaseholder(index, informed)
+                yield f"write {node} by {index}", after
+
+    def _ranges(self, leaseholder: Leaseholder, reported: Reported) -> list[tuple[int, int]]:
+        """The writes that may arrive, by start and end: only the one that was meant, where positions are checked."""
+        start = _first_difference(leaseholder, reported)
+        if self.write_checks_position:
+            return [(start, len(leaseholder.data))]
+        ends = range(start, len(leaseholder.data) + 1)
+        return [(first, end) for first in range(start + 1) for end in ends]
+
+    def _advance_commit(self, state: State, index: int, leaseholder: Leaseholder):
+        lengths = {str(n): r.length for n, r in leaseholder.progress if r.tail_epoch == leaseholder.epoch}
+        if leaseholder.phase not in (RECOVERING, HELD) or not self._is_quorum(leaseholder, lengths):
             return
-        reached = self.group(h.seq).quorum_position(marks) if self.majority else max(marks.values())
-        if h.state == "settling" and reached >= h.wanted:
-            after = h._replace(state="held", committed=max(h.committed, reached))
-            settled = Settled(LOG, h.epoch, at, h.data)
-            yield f"hold {at}", _held(s, at, after)._replace(settled=s.settled | {settled})
-        elif h.state == "held" and reached > h.committed:
-            told = Acknowledged(LOG, h.epoch, h.data[:reached])
-            after = _held(s, at, h._replace(committed=reached))
-            yield f"acknowledge {at} at {reached}", after._replace(acknowledged=s.acknowledged | {told})
-
-    def _append(self, s: State, at: int, h: Holder):
-        written = len({e for o in s.holders for e in o.data} | {e for c in s.copies for e in c.data})
-        if h.state == "held" and written < self.appends:
-            yield f"append {at}", _held(s, at, h._replace(data=(*h.data, (h.epoch, at, len(h.data)))))
-
-    def _look_again(self, s: State, at: int, h: Holder):
-        if h.seq < s.seq and h.state != "asking":
-            everyone = {int(n) for n in self.group(s.seq).all_nodes}
-            seen = () if self.counts_afresh_after_move else tuple((n, k) for n, k in h.seen if n in everyone)
-            yield f"look {at} at {s.seq}", _held(s, at, h._replace(seq=s.seq, seen=seen))
-
-    def _follow(self, s: State, n: int, c: Copy):
-        if c.seq < s.seq and not c.lost and self._first_of_its_like(s, n):
-            yield f"follow {n}", _copied(s, n, c._replace(seq=s.seq))
-
-    def _empty(self, s: State, n: int, c: Copy):
-        """A disk is lost: nobody answers for that identity any more, and so few may be lost at once as is borne."""
-        borne = s.emptied < self.empties and n < self.copies and self._first_of_its_like(s, n)
-        if borne and not c.lost and c != Copy(seq=c.seq):
-            after = Copy(lost=True) if self.emptied_is_another else Copy(seq=c.seq)
-            yield f"empty {n}", _copied(s, n, after)._replace(emptied=s.emptied + 1)
-
-    def _move(self, s: State):
-        if s.seq == 0:
-            yield "move", s._replace(seq=1)
-        if s.seq == 1 and s.copies[self.copies].seq == 1 and not s.joining.whole:
-            yield from self._list(s)
-            yield from self._read(s)
-        if s.seq == 1 and (s.joining.whole or not self.joining_copies_first):
-            group = self.group(2)
-            lost = sum(s.copies[int(n)].lost for n in group.storage_nodes)
-            held = tuple(s.copies[int(n)].data for n in group.storage_nodes)
-            moved = Copies(LOG, self.copies // 2 + 1 - lost, held)
-            wrong = properties.copies_are_kept(s.acknowledged, [moved])
-            yield "end", s._replace(seq=2, moved=(moved,) if wrong else ())
-
-    def _list(self, s: State):
-        """Any majority of the old set that has heard of the move may be the one that answers."""
-        there = [n for n in range(self.copies) if s.copies[n].seq >= 1 and not s.copies[n].lost]
-        if s.joining.source >= 0:
+        group = self.group(leaseholder.sequence)
+        position = group.quorum_position(lengths) if self.majority else max(lengths.values())
+        if leaseholder.phase == RECOVERING and position >= leaseholder.recovered_length:
+            after = leaseholder._replace(phase=HELD, committed=max(leaseholder.committed, position))
+            yield f"hold {index}", state.with_leaseholder(index, after).with_recovered(index, leaseholder)
+        elif leaseholder.phase == HELD and position > leaseholder.committed:
+            acknowledged = Acknowledged(LOG, leaseholder.epoch, leaseholder.data[:position])
+            after = state.with_leaseholder(index, leaseholder._replace(committed=position))
+            yield (
+                f"acknowledge {index} at {position}",
+                after._replace(acknowledged=state.acknowledged | {acknowledged}),
+            )
+
+    def _append(self, state: State, index: int, leaseholder: Leaseholder):
+        logs = [h.data for h in state.leaseholders] + [r.data for r in state.replicas]
+        written = {record for data in logs for record in data}
+        if leaseholder.phase == HELD and len(written) < self.appends:
+            data = (*leaseholder.data, (leaseholder.epoch, index, len(leaseholder.data)))
+            yield f"append {index}", state.with_leaseholder(index, leaseholder._replace(data=data))
+
+    def _refresh_placement(self, state: State, index: int, leaseholder: Leaseholder):
+        if leaseholder.sequence < state.sequence and leaseholder.phase != REQUESTING:
+            everyone = {int(n) for n in self.group(state.sequence).all_nodes}
+            known = tuple((n, reported) for n, reported in leaseholder.progress if n in everyone)
+            progress = () if self.resets_progress_after_move else known
+            after = leaseholder._replace(sequence=state.sequence, progress=progress)
+            yield f"look {index} at {state.sequence}", state.with_leaseholder(index, after)
+
+    def _follow(self, state: State, node: int, replica: Replica):
+        if replica.sequence < state.sequence and not replica.lost and self._first_of_its_like(state, node):
+            yield f"follow {node}", state.with_replica(node, replica._replace(sequence=state.sequence))
+
+    def _wipe(self, state: State, node: int, replica: Replica):
+        """A disk is lost: nobody answers for that identity any more. Only as many are lost at once as is tolerated."""
+        tolerated = state.wiped < self.wipes and node < self.replicas and self._first_of_its_like(state, node)
+        if tolerated and not replica.lost and replica != Replica(sequence=replica.sequence):
+            wiped = Replica(lost=True) if self.wiped_node_has_new_identity else Replica(sequence=replica.sequence)
+            yield f"empty {node}", state.with_replica(node, wiped)._replace(wiped=state.wiped + 1)
+
+    def _move(self, state: State):
+        if state.sequence == 0:
+            yield "move", state._replace(sequence=1)
+        if state.sequence == 1 and state.replicas[self.replicas].sequence == 1 and not state.transfer.complete:
+            yield from self._list(state)
+            yield from self._read(state)
+        if state.sequence == 1 and (state.transfer.complete or not self.transfers_before_join):
+            members = [state.replicas[int(n)] for n in self.group(2).storage_nodes]
+            lost = sum(r.lost for r in members)
+            moved = Copies(LOG, self.replicas // 2 + 1 - lost, tuple(r.data for r in members))
+            wrong = properties.copies_are_kept(state.acknowledged, [moved])
+            yield "end", state._replace(sequence=2, moved=(moved,) if wrong else ())
+
+    def _list(self, state: State):
+        """Any majority of the old set that has heard of the move may be the one that responds."""
+        if state.transfer.source >= 0:
             return
-        for nodes in _majorities(there, self.copies):
-            best = max(nodes, key=lambda n: (s.copies[n].tail, len(s.copies[n].data)))
-            c = s.copies[best]
-            promised = max(s.copies[n].epoch for n in nodes)
-            listed = Joining(best, Seen(c.tail, len(c.data), c.committed), promised)
-            yield f"list {nodes}", s._replace(joining=listed)
-
-    def _read(self, s: State):
-        j, mine = s.joining, s.copies[self.copies]
-        if j.source < 0:
+        informed = [n for n in range(self.replicas) if state.replicas[n].sequence >= 1 and not state.replicas[n].lost]
+        for nodes in _majorities(informed, self.replicas):
+            source = max(nodes, key=lambda n: (state.replicas[n].tail_epoch, len(state.replicas[n].data)))
+            granted_epoch = max(state.replicas[n].epoch for n in nodes)
+            transfer = Transfer(source, state.replicas[source].reported(), granted_epoch)
+            yield f"list {nodes}", state._replace(transfer=transfer)
+
+    def _read(self, state: State):
+        transfer, local = state.transfer, state.replicas[self.replicas]
+        if transfer.source < 0:
             return
-        source = s.copies[j.source]
-        data = mine.data
-        if (j.seen.tail, j.seen.length) > (mine.tail, len(mine.data)):
-            start = len(mine.data) if mine.tail == j.seen.tail else min(mine.committed, j.seen.length)
-            data = (*mine.data[:start], *source.data[start : j.seen.length])
-            fenced = mine.granted > j.seen.tail and self.copy_is_fenced
-            if source.lost or len(data) < j.seen.length or fenced:
-                yield "list_again", s._replace(joining=Joining())
+        source, listed = state.replicas[transfer.source], transfer.listed
+        if (listed.tail_epoch, listed.length) > (local.tail_epoch, len(local.data)):
+            is_same_epoch = local.tail_epoch == listed.tail_epoch
+            start = len(local.data) if is_same_epoch else min(local.committed, listed.length)
+            data = (*local.data[:start], *source.data[start : listed.length])
+            is_fenced = local.leased_epoch > listed.tail_epoch and self.transfer_is_fenced
+            if source.lost or len(data) < listed.length or is_fenced:
+                yield "list_again", state._replace(transfer=Transfer())
                 return
-            mine = mine._replace(tail=j.seen.tail, data=data, committed=min(j.seen.committed, len(data)))
-        mine = mine._replace(epoch=max(mine.epoch, j.promised, mine.tail))
-        yield "copy", _copied(s, self.copies, mine)._replace(joining=Joining(whole=True))
-
-
-def _majorities(nodes: list[int], copies: int):
-    return combinations(nodes, copies // 2 + 1)
+            committed = min(listed.committed, len(data))
+            local = local._replace(tail_epoch=listed.tail_epoch, data=data, committed=committed)
+        local = local._replace(epoch=max(local.epoch, transfer.granted_epoch, local.tail_epoch))
+        yield "copy", state.with_replica(self.replicas, local)._replace(transfer=Transfer(complete=True))
 
 
-def _see(h: Holder, n: int, c: Copy) -> Holder:
-    seen = dict(h.seen)
-    seen[n] = Seen(c.tail, len(c.data), c.committed)
-    return h._replace(seen=tuple(sorted(seen.items())))
+def _first_difference(leaseholder: Leaseholder, reported: Reported) -> int:
+    if reported.tail_epoch == leaseholder.epoch:
+        return reported.length
+    if reported.tail_epoch == leaseholder.recovered.tail_epoch:
+        return min(reported.length, leaseholder.recovered.length)
+    return min(reported.committed, reported.length)
 
 
-def _held(s: State, at: int, h: Holder) -> State:
-    return s._replace(holders=(*s.holders[:at], h, *s.holders[at + 1 :]))
+def _written(replica: Replica, leaseholder: Leaseholder, start: int, end: int) -> Replica:
+    data = (*replica.data[:start], *leaseholder.data[start:end])
+    return replica._replace(
+        epoch=max(replica.epoch, leaseholder.epoch),
+        tail_epoch=leaseholder.epoch,
+        data=data,
+        committed=min(max(replica.committed, leaseholder.committed), len(data)),
+    )
 
 
-def _copied(s: State, n: int, c: Copy) -> State:
-    return s._replace(copies=(*s.copies[:n], c, *s.copies[n + 1 :]))
+def _majorities(nodes: list[int], replicas: int) -> Iterator[tuple[int, ...]]:
+    return combinations(nodes, replicas // 2 + 1)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -16,8 +16,8 @@
     "an emptied disk": Agreement(terms=2, entries=1, empties=1, whole_elections=True),
     "a snapshot": Agreement(terms=2, entries=2, trims=True, whole_elections=True),
     "two leaseholders": Leases(appends=1),
-    "an emptied copy": Leases(appends=1, empties=1, begun=True),
-    "a move": Leases(holders=1, epochs=1, appends=1, moves=True, begun=True),
+    "a wiped replica": Leases(appends=1, wipes=1, starts_held=True),
+    "a move": Leases(leaseholders=1, epochs=1, appends=1, moves=True, starts_held=True),
     "proofs by leaders": Proofs(by_witnesses=False),
     "proofs by three witnesses": Proofs(by_leaders=False),
     "proofs by four witnesses": Proofs(by_leaders=False, witnesses=4),
@@ -26,8 +26,8 @@
 WALKS = {
     "agreement": (Agreement(members=5, terms=5, entries=5, crashes=2, empties=2, trims=True), 400, 90),
     "voters": (Agreement(standbys=2, terms=4, entries=5, changes=3, crashes=1, whole_elections=True), 300, 80),
-    "leases": (Leases(holders=3, epochs=4, appends=4, moves=True, empties=1), 300, 80),
-    "leases, five copies": (Leases(copies=5, holders=3, epochs=4, appends=4, moves=True, empties=2), 200, 90),
+    "leases": (Leases(leaseholders=3, epochs=4, appends=4, moves=True, wipes=1), 300, 80),
+    "leases, five replicas": (Leases(replicas=5, leaseholders=3, epochs=4, appends=4, moves=True, wipes=2), 200, 90),
     "proofs": (Proofs(witnesses=4), 500, 80),
 }
 
@@ -58,20 +58,20 @@
 }
 
 LEASE_GUARDS = {
-    "promise_is_kept": {"appends": 1},
-    "write_checks_epoch": {"appends": 1, "begun": True},
+    "grant_is_durable": {"appends": 1},
+    "write_checks_epoch": {"appends": 1, "starts_held": True},
     "majority": {"appends": 1},
-    "settles_tail": {"appends": 1, "epochs": 3, "holders": 1},
-    "newest_tail": {"appends": 1, "holders": 1, "begun": True},
-    "joining_copies_first": {"appends": 1, "moves": True, "begun": True},
-    "emptied_is_another": {"appends": 1, "empties": 1},
+    "recovers_tail": {"appends": 1, "epochs": 3, "leaseholders": 1},
+    "newest_tail": {"appends": 1, "leaseholders": 1, "starts_held": True},
+    "transfers_before_join": {"appends": 1, "moves": True, "starts_held": True},
+    "wiped_node_has_new_identity": {"appends": 1, "wipes": 1},
 }
 
 LEASE_GUARDS_BY_WALKS = {
-    "write_checks_stand": {"holders": 1},
+    "write_checks_position": {"leaseholders": 1},
     "both_sets": {"moves": True},
-    "old_placement_is_refused": {"moves": True},
-    "counts_afresh_after_move": {"moves": True},
+    "stale_placement_is_rejected": {"moves": True},
+    "resets_progress_after_move": {"moves": True},
 }
 
 LEADER_PROOF_GUARDS = (
@@ -118,7 +118,7 @@
         for guard, size in LEASE_GUARDS.items():
             self.found(guard, explore(Leases(**size, **{guard: False}), 100_000))
         for guard, size in LEASE_GUARDS_BY_WALKS.items():
-            model = Leases(**size, epochs=3, appends=3, begun=True, **{guard: False})
+            model = Leases(**size, epochs=3, appends=3, starts_held=True, **{guard: False})
             self.found(guard, walk(model, 1, 4000, 60, RARE))
 
     def test_a_guard_of_the_proofs_taken_out_is_found(self):
