--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -64,7 +64,7 @@
                 (ControllerNode, "apply", self._around_apply),
                 (Leaseholder, "_recover_tail", self._around_recover_tail),
                 (Leaseholder, "append", self._around_log_append),
-                (LogStore, "record_synced", self._around_settle),
+                (LogStore, "record_synced", self._around_record_synced),
             ):
                 stack.enter_context(mock.patch.object(owner, name, around(getattr(owner, name))))
             yield self
@@ -152,33 +152,33 @@
         return apply
 
     def _around_recover_tail(self, plain):
-        async def settle_tail(holder, granted):
-            await plain(holder, granted)
-            found = bytes(holder.data)
-            self.settled.append(Settled(holder.log, holder.epoch, holder._ctx.node, found))
-            self.acknowledged.append(Acknowledged(holder.log, holder.epoch, found))
+        async def recover_tail(leaseholder, granted):
+            await plain(leaseholder, granted)
+            found = bytes(leaseholder.data)
+            self.settled.append(Settled(leaseholder.log, leaseholder.epoch, leaseholder._ctx.node, found))
+            self.acknowledged.append(Acknowledged(leaseholder.log, leaseholder.epoch, found))
 
-        return settle_tail
+        return recover_tail
 
     def _around_log_append(self, plain):
-        async def append(holder, records, *words, **named):
-            start = await plain(holder, records, *words, **named)
+        async def append(leaseholder, records, *words, **named):
+            start = await plain(leaseholder, records, *words, **named)
             end = start + sum(len(encode_frame(r)) for r in records)
-            self.acknowledged.append(Acknowledged(holder.log, holder.epoch, bytes(holder.data[:end])))
+            self.acknowledged.append(Acknowledged(leaseholder.log, leaseholder.epoch, bytes(leaseholder.data[:end])))
             return start
 
         return append
 
-    def _around_settle(self, plain):
-        def settle(store, log, tail_epoch, length, final):
+    def _around_record_synced(self, plain):
+        def record_synced(store, log, tail_epoch, length, final):
             plain(store, log, tail_epoch, length, final)
-            kept = store.logs.get(log)
-            if kept is not None and (kept.tail_epoch, kept.length) == (tail_epoch, length):
+            replica = store.logs.get(log)
+            if replica is not None and (replica.tail_epoch, replica.length) == (tail_epoch, length):
                 tail = Tail(log, tail_epoch, self._owner(store), _synced_bytes(store, log))
                 self.tails.append(tail)
                 self._held[tail.node, log] = tail.data
 
-        return settle
+        return record_synced
 
     def _owner(self, store) -> str:
         return next((a.node for a in self.stage.role("storage") if a.part and a.part.log_store is store), "ended")
--- a/tests/test_stage_keeping.py
+++ b/tests/test_stage_retention.py
@@ -1,4 +1,4 @@
-"""Room is given back without losing what counts, and damage is met honestly."""
+"""Expired logs free their space and nothing else is lost; torn and damaged segment files are detected."""
 
 import unittest
 from unittest import mock
@@ -9,7 +9,7 @@
 from rehearsal.stage import Stage
 
 
-class Keeping(unittest.TestCase):
+class Retention(unittest.TestCase):
     def setUp(self):
         p = mock.patch.object(segments, "MAX_SEGMENT_BYTES", 20_000)
         p.start()
@@ -43,7 +43,7 @@
     def used(self):
         return [a.part.log_store.used_bytes() for a in self.stage.role("storage")]
 
-    def test_old_logs_wither_their_room_comes_back_and_the_rest_stays(self):
+    def test_old_logs_expire_their_space_is_freed_and_the_rest_stays(self):
         kept = self.write("lots/kept", 10, False)
         for n in range(12):
             self.stage.do(self.gateway.replicated_log.release([self.write(f"results/{n}", 10, True)]))
@@ -61,7 +61,7 @@
         data = self.stage.do(self.other.replicated_log.read("lots/kept", 0, state.committed))
         self.assertEqual(data, bytes(kept.data))
 
-    def test_a_torn_end_is_cut_and_mended_from_the_others(self):
+    def test_a_torn_end_is_truncated_and_repaired_from_the_other_replicas(self):
         h = self.write("lots/torn", 5, False)
         a = self.stage.role("storage")[0]
         a.kill()
@@ -70,11 +70,11 @@
         path.write_bytes(data[:-7])
         a.start()
         self.assertLess(a.part.log_store.state("lots/torn").length, len(h.data))
-        self.stage.until(lambda: a.part.log_store.state("lots/torn").length == len(h.data), 20, "mended")
+        self.stage.until(lambda: a.part.log_store.state("lots/torn").length == len(h.data), 20, "repaired")
         got = self.stage.do(self.other.replicated_log.read_from(a.node, "lots/torn", 0, len(h.data)))
         self.assertEqual(got, bytes(h.data))
 
-    def test_damage_inside_an_old_file_is_never_served(self):
+    def test_damage_inside_an_old_segment_is_never_served(self):
         self.write("lots/hurt", 60, False)
         a = self.stage.role("storage")[0]
         a.kill()
@@ -85,7 +85,7 @@
         with self.assertRaises(CorruptData):
             a.start()
 
-    def test_a_real_full_disk_is_refused_and_recovers(self):
+    def test_a_full_disk_is_refused_and_recovers(self):
         h = self.write("lots/full", 3, False)
         for a in self.stage.role("storage"):
             a.disk.full = True
