--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -6,6 +6,7 @@
 from ..context import Context
 from ..disk import Disk
 from ..group_commit import GroupCommit
+from ..node_interfaces import Metrics
 from ..replicated_log.placement_group import placement_group_of
 from ..wire.replicated_log_pb2 import ListRequest, ReadRequest, ReadResponse, StatesRequest, StatesResponse
 from .lease_grants import LeaseGrants
@@ -80,7 +81,7 @@
             placement_group_sequence=cluster.placement_group(number).sequence,
         )
 
-    def readiness(self) -> tuple[bool, dict[str, int]]:
+    def readiness(self) -> tuple[bool, dict[str, Any]]:
         """Returns that the node is ready, and how full its data folder is, in bytes."""
         return True, {
             "used": self.log_store.used_bytes(),
@@ -103,7 +104,7 @@
             "leases": {state.log: f"{state.leaseholder}@{state.epoch}" for state in states if state.leaseholder},
         }
 
-    def metrics(self) -> dict[str, tuple[str, int]]:
+    def metrics(self) -> Metrics:
         """Returns help text and value of each metric by its name."""
         return {
             "disk_used_bytes": ("Bytes of the data folder in use", self.log_store.used_bytes()),
--- a/rehearsal/hollow.py
+++ b/rehearsal/hollow.py
@@ -208,7 +208,7 @@
         self.ctx, self.rpc = self._process.ctx, self._process.ctx.rpc
 
     async def listen(self) -> Member:
-        await self._process.open()
+        await self._process.start()
         self.part = self._process.node
         return self.ctx.membership.me
 
@@ -284,14 +284,17 @@
         return {
             "ready": all(n.ready() for n in self.nodes),
             "rows": min(
-                len((n.part if n.role == "controller" else n.ctx.cluster).cluster_state.rows) for n in self.nodes
+                len((n.part.consensus if n.role == "controller" else n.ctx.cluster).cluster_state.rows)
+                for n in self.nodes
             ),
             "known": min(len(n.ctx.membership.members()) for n in self.nodes),
         }
 
     async def do_count(self):
         counts = sum((n.rpc.counts for n in self.nodes), Counter())
-        leads = any(n.role == "controller" and n.part is not None and n.part.state == "leader" for n in self.nodes)
+        leads = any(
+            n.role == "controller" and n.part is not None and n.part.consensus.role == "leader" for n in self.nodes
+        )
         return {
             "at": self.now(),
             "counts": counts,
--- a/tests/test_loss_guards.py
+++ b/tests/test_loss_guards.py
@@ -4,8 +4,9 @@
 import unittest.mock
 from collections import Counter
 
-from pipitlink.controller.moves import Moves
-from pipitlink.controller.voters import Voters
+from pipitlink.controller.placement_planner import PlacementPlanner
+from pipitlink.controller.storage_nodes import StorageNodeView
+from pipitlink.controller.voter_changes import VoterChanges
 from pipitlink.membership import Membership
 from pipitlink.replicated_log.placement_group import PlacementGroup
 from pipitlink.settings import Settings
@@ -45,12 +46,12 @@
 
 def two_copies_wiped(stage):
     """Two storage nodes that keep one placement group lose their disks, and do not come back for a while."""
-    group = next(iter(stage.leader().part.cluster_state.placement_groups.values()))
+    group = next(iter(stage.leader().part.consensus.cluster_state.placement_groups.values()))
     _lose(stage, [a for a in stage.role("storage") if a.node in group.storage_nodes[:2]], back=False)
 
 
 def two_voters_wiped(stage):
-    voters = stage.leader().part.cluster_state.voters
+    voters = stage.leader().part.consensus.cluster_state.voters
     _lose(stage, [a for a in stage.role("controller") if a.node in voters][:2], back=True)
 
 
@@ -59,7 +60,10 @@
     part = stage.leader().part
     held = Counter(
         max(Counter(part._ctx.membership.find(d).zone for d in s).items(), key=lambda z: z[1])[0]
-        for s in (part.cluster_state.voters, *(g.storage_nodes for g in part.cluster_state.placement_groups.values()))
+        for s in (
+            part.consensus.cluster_state.voters,
+            *(g.storage_nodes for g in part.consensus.cluster_state.placement_groups.values()),
+        )
     )
     zone = held.most_common(1)[0][0]
     for a in stage.role("storage") + stage.role("controller"):
@@ -70,9 +74,11 @@
 def retired_and_wiped(stage):
     """A storage node is retired and taken away; then one of those that took its copies over loses its disk."""
     gone, other = stage.role("storage")[2], stage.role("storage")[0]
-    stage.do(stage.leader().part.retire(gone.node, "retire"), 10)
+    stage.do(stage.leader().part.retirement.retire(gone.node, "retire"), 10)
     stage.until(
-        lambda: stage.leader() and stage.leader().part.cluster_state.storage_nodes.get(gone.node) == "retired",
+        lambda: (
+            stage.leader() and stage.leader().part.consensus.cluster_state.storage_nodes.get(gone.node) == "retired"
+        ),
         8,
         "it is retired",
     )
@@ -116,10 +122,10 @@
     @staticmethod
     def out():
         return (
-            unittest.mock.patch.object(Voters, "_voter_zones", _no_zones),
-            unittest.mock.patch.object(Moves, "_zones", _no_zones),
-            unittest.mock.patch.object(Moves, "_spreading_out", lambda self, held, serving: []),
-            unittest.mock.patch.object(Voters, "_spreads", lambda self, live, standby: False),
+            unittest.mock.patch.object(VoterChanges, "_zone_counts", _no_zones),
+            unittest.mock.patch.object(PlacementPlanner, "_zone_counts", _no_zones),
+            unittest.mock.patch.object(PlacementPlanner, "_rebalance_zones", lambda self, load, serving: []),
+            unittest.mock.patch.object(VoterChanges, "_evens_zones", lambda self, live, standby: False),
         )
 
 
@@ -128,10 +134,10 @@
 
 
 THREE = property(lambda self: 3)
-_NO_SUCCESSOR = _out(Moves, "_successor_met", lambda self, storage_node: False)
+_NO_SUCCESSOR = _out(StorageNodeView, "has_successor", lambda self, node: False)
 GUARDS = {
-    "copies follow from the losses to bear": (two_copies_wiped, GROWN, _out(Settings, "copies", THREE)),
-    "voters follow from the losses to bear": (two_voters_wiped, GROWN, _out(Settings, "copies", THREE)),
+    "copies follow from the losses to bear": (two_copies_wiped, GROWN, _out(Settings, "replica_count", THREE)),
+    "voters follow from the losses to bear": (two_voters_wiped, GROWN, _out(Settings, "replica_count", THREE)),
     "zones share voters and copies": (zone_lost, {**GROWN, "zones": 3}, _NoSpread.out()),
     "a joining storage node copies what a majority shows": (
         retired_and_wiped,
