--- a/pipitlink/controller/placement_planner.py
+++ b/pipitlink/controller/placement_planner.py
@@ -118,9 +118,9 @@
         None while the change has to go on.
         """
         group = PlacementGroup(row.number, row.sequence, tuple(row.storage_nodes), row.joining, row.leaving)
-        if all(CaughtUpReplica(row.number, row.sequence, node) in self._caught_up for node in group.transfer_targets):
+        if all(CaughtUpReplica(row.number, row.sequence, node) in self._caught_up for node in group.copying):
             storage_nodes = group.next_nodes
-        elif any(self._storage_nodes.is_lost(node) for node in group.transfer_targets):
+        elif any(self._storage_nodes.is_lost(node) for node in group.copying):
             storage_nodes = group.storage_nodes
         else:
             return None
--- a/pipitlink/gateway/dispatch.py
+++ b/pipitlink/gateway/dispatch.py
@@ -128,7 +128,7 @@
                 owned, key=lambda o: (self._urgency(o, wall), -self._priority(o), busy[o.lot.customer], o.lot.limit_ms)
             )
             i = next((i for i in o.waiting if o.again_at.get(i, now) <= now and o.lot.items[i].model not in full), None)
-            if i is None or not o.leaseholder.is_held():
+            if i is None or not o.leaseholder.held():
                 owned.remove(o)
                 continue
             item = o.lot.items[i]
@@ -233,7 +233,7 @@
         self._check_owned(o)
 
     def _check_owned(self, o: OpenLot):
-        if o.leaseholder is None or not o.leaseholder.is_held() or o.leaseholder.final:
+        if o.leaseholder is None or not o.leaseholder.held() or o.leaseholder.final:
             raise LeaseNotHeld(f"{o.id}: the lease ended before the item was sent")
 
     async def _list(self, o: OpenLot, r: Result):
@@ -262,7 +262,7 @@
         one.
         """
         if h.final:
-            await h.wait_durable()
+            await h.all_durable()
         else:
             await h.append([LogRecord(ended=Ended(why=why)).SerializeToString()], final=True, reserved=True)
 
--- a/pipitlink/gateway/intake.py
+++ b/pipitlink/gateway/intake.py
@@ -93,7 +93,7 @@
             log = await self._ctx.timers.with_timeout(ms(2500), self._own_log())
         except Exception as e:
             raise ServiceUnavailable(f"the store cannot take lots now: {e}", code=getattr(e, "code", "store")) from e
-        if not log.is_held():
+        if not log.held():
             raise ServiceUnavailable("the lot log's lease is not current", code="store")
         start = await log.append([LogRecord(lot=lot).SerializeToString()])
         lot_id = f"{log.log.removeprefix('lots/')}.{start}"
--- a/pipitlink/gateway/keyed.py
+++ b/pipitlink/gateway/keyed.py
@@ -109,10 +109,10 @@
                 s.learn()
                 if key in s.keys:
                     lot_id, other = s.keys[key]
-                    await s.leaseholder.wait_durable()
+                    await s.leaseholder.all_durable()
                     return KeyedResponse(lot=lot_id, again=True, same=other == digest)
             h = shards[0].leaseholder
-            if not all(s.leaseholder.is_held() for s in shards):
+            if not all(s.leaseholder.held() for s in shards):
                 raise LeaseNotHeld("the lease of this key's log is not current")
             start = await h.append([LogRecord(lot=lot).SerializeToString()])
             lot_id = f"{h.log.removeprefix('lots/')}.{start}"
--- a/pipitlink/gateway/lots.py
+++ b/pipitlink/gateway/lots.py
@@ -112,7 +112,7 @@
             if not idle or unread or self._lots_of.get(log, set()) - self._closed or self._owner(log) != self._ctx.node:
                 continue
             try:
-                h = self._ctx.replicated_log.leaseholders.get(log) or await self._ctx.replicated_log.acquire(log)
+                h = self._ctx.replicated_log.leaseholders.get(log) or await self._ctx.replicated_log.hold(log)
                 if not h.final:
                     await h.append([LogRecord(ended=Ended(why="done")).SerializeToString()], final=True, reserved=True)
                 await self._ctx.replicated_log.release([h])
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -71,7 +71,7 @@
 
     async def keep(self, log: str):
         """Holds a log and shadows it into the caches."""
-        h = await self._ctx.replicated_log.acquire(log)
+        h = await self._ctx.replicated_log.hold(log)
         self._ctx.cache.shadow(log, h)
         return h
 
--- a/pipitlink/router/batch_read.py
+++ b/pipitlink/router/batch_read.py
@@ -85,7 +85,7 @@
 
     def _owned_listing(self, batch_id: str):
         o = self.batches.get(batch_id)
-        return o if o is not None and o.taken() and o.leaseholder.is_held() else None
+        return o if o is not None and o.taken() and o.leaseholder.held() else None
 
     async def _listing_of(self, batch_id: str) -> Listing:
         """The batch as it surely is by now; an error where it is not known, or nothing is sure."""
@@ -299,7 +299,7 @@
         if not o.taken():
             return "unsure"
         if o.leaseholder.final:
-            await o.leaseholder.wait_durable()
+            await o.leaseholder.all_durable()
             return "closed"
         work = o.leaseholder.append(
             [LogRecord(ended=Ended(why="ended")).SerializeToString()], final=True, reserved=True
--- a/pipitlink/router/batches.py
+++ b/pipitlink/router/batches.py
@@ -137,7 +137,7 @@
         return self.listing.batch is not None
 
     def current(self) -> bool:
-        return self.leaseholder.is_held() and not self.leaseholder.final
+        return self.leaseholder.held() and not self.leaseholder.final
 
     def idle(self) -> bool:
         return self.taken() and not (self.running or self.queue or self.flushing)
@@ -211,7 +211,7 @@
         o = self.batches.get(batch_id)
         if o is not None and not o.leaseholder.lost:
             return o
-        h = await self._ctx.replicated_log.acquire(batch_log(batch_id), gone)
+        h = await self._ctx.replicated_log.hold(batch_log(batch_id), gone)
         o = OpenBatch(batch_id, h)
         o.learn()
         o.batch = o.listing.batch
--- a/tests/loss_parts.py
+++ b/tests/loss_parts.py
@@ -66,7 +66,7 @@
 
     async def _closed(self, n: int):
         name, log = f"closed/{n}", self.gateway(n).replicated_log
-        h = await log.acquire(name)
+        h = await log.hold(name)
         for i in range(3):
             body = f"{name}/{i}".encode() * 60
             self.acked.setdefault(name, {})[await h.append([body], final=i == 2)] = body
@@ -77,7 +77,7 @@
         mine = self.acked.setdefault(name, {})
         while not self.over:
             try:
-                h = await ctx.replicated_log.acquire(name)
+                h = await ctx.replicated_log.hold(name)
                 while not self.over:
                     n += 1
                     body = f"{name}/{n}".encode()
@@ -211,7 +211,7 @@
         log = self.gateway().replicated_log
         for _ in range(10):
             try:
-                h = self.do(log.acquire(name), 30)
+                h = self.do(log.hold(name), 30)
             except PipitlinkError:
                 self.run(0.5)
                 continue
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -12,7 +12,7 @@
 from pipitlink import segments
 from pipitlink.controller import durable_log
 from pipitlink.disk import encode_frame
-from pipitlink.storage import node_id, retention
+from pipitlink.storage import keeping, node_id
 from pipitlink.wire.cluster_pb2 import Bounds, Command, ConfigEdit, Pool, PoolShare, Route, Row, TableEdit, ZoneEdit
 from rehearsal.stage import Stage
 
@@ -67,12 +67,12 @@
 
     def append(self, log: str, records: list[bytes], final: bool = False, gateway: int = 0):
         replicated_log = self._stage.role("gateway")[gateway].ctx.replicated_log
-        leaseholder = replicated_log.leaseholders.get(log) or self._stage.do(replicated_log.acquire(log))
+        leaseholder = replicated_log.leaseholders.get(log) or self._stage.do(replicated_log.hold(log))
         self._stage.do(leaseholder.append(records, final=final))
         self.log_bytes[log] = self.log_bytes.get(log, b"") + b"".join(encode_frame(r) for r in records)
 
     def hold(self, log: str, gateway: int = 0):
-        self._stage.do(self._stage.role("gateway")[gateway].ctx.replicated_log.acquire(log))
+        self._stage.do(self._stage.role("gateway")[gateway].ctx.replicated_log.hold(log))
 
     def release_all(self, gateway: int = 0):
         replicated_log = self._stage.role("gateway")[gateway].ctx.replicated_log
@@ -143,7 +143,7 @@
         mock.patch.object(segments, "MAX_SEGMENT_BYTES", SMALL_SEGMENT_BYTES),
         mock.patch.object(durable_log, "COMPACTION_ENTRIES", SMALL_TRIM_ENTRIES),
         mock.patch.object(durable_log, "RETAINED_ENTRIES", SMALL_KEPT_ENTRIES),
-        mock.patch.object(retention, "TOMBSTONE_MS", SMALL_TOMBSTONE_MS),
+        mock.patch.object(keeping, "STONE_MS", SMALL_TOMBSTONE_MS),
     ):
         stage = _stage()
         try:
--- a/tests/stored_parts.py
+++ b/tests/stored_parts.py
@@ -76,7 +76,7 @@
     logs = {}
     for name in sorted(store.logs):
         state = store.state(name)
-        data = store.read_extents(store.extents(name, 0, state.length))
+        data = b"".join(store.segments.read_bytes(spot, size) for spot, size in store.spans(name, 0, state.length))
         logs[name] = {
             "epoch": state.epoch,
             "tail_epoch": state.tail_epoch,
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -15,11 +15,7 @@
 
     def owner(self, stage, name):
         return next(
-            (
-                a
-                for a in stage.role("gateway", alive=True)
-                if (o := a.part.batches.get(name)) and o.leaseholder.is_held()
-            ),
+            (a for a in stage.role("gateway", alive=True) if (o := a.part.batches.get(name)) and o.leaseholder.held()),
             None,
         )
 
@@ -143,7 +139,7 @@
         gateway = stage.role("gateway")[0]
         name = c.lot(3)
         placement_group = gateway.ctx.replicated_log.placement_group(f"batch/{name}")
-        storage_nodes = [a for a in stage.role("storage") if a.node in placement_group.all_nodes]
+        storage_nodes = [a for a in stage.role("storage") if a.node in placement_group.everyone]
 
         def trip(sender, method):
             if method == "replicated_log.write" and sender is gateway:
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -80,7 +80,7 @@
         gateway = stage.role("gateway")[0]
         for a in stage.role("gateway"):
             a.part._taking_up_batches.add(name)
-        h = stage.do(gateway.ctx.replicated_log.acquire(batch_log(name)))
+        h = stage.do(gateway.ctx.replicated_log.hold(batch_log(name)))
         for records in groups:
             stage.do(h.append([r.SerializeToString() for r in records]))
         return h
--- a/tests/test_batches_taken_up.py
+++ b/tests/test_batches_taken_up.py
@@ -14,11 +14,7 @@
 
     def owner(self, stage, name):
         return next(
-            (
-                a
-                for a in stage.role("gateway", alive=True)
-                if (o := a.part.batches.get(name)) and o.leaseholder.is_held()
-            ),
+            (a for a in stage.role("gateway", alive=True) if (o := a.part.batches.get(name)) and o.leaseholder.held()),
             None,
         )
 
--- a/tests/test_batches_trouble.py
+++ b/tests/test_batches_trouble.py
@@ -54,7 +54,7 @@
                     o.leaseholder.final,
                     o.leaseholder.committed,
                     len(o.leaseholder.data),
-                    o.leaseholder.is_held(),
+                    o.leaseholder.held(),
                     sorted(o.done),
                     o.waiting,
                     list(o.running),
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -274,9 +274,7 @@
             name,
             Lot(customer=customer, priority=priority, limit_ms=wall + due_s * 1000, items=[Item(model="m")] * items),
         )
-        o.leaseholder = type(
-            "Leaseholder", (), {"is_held": lambda self: True, "lost": "", "epoch": 1, "final": False}
-        )()
+        o.leaseholder = type("Leaseholder", (), {"held": lambda self: True, "lost": "", "epoch": 1, "final": False})()
         o.waiting = list(range(items))
         self.open_lots[name] = o
         return o
--- a/tests/test_loss_model.py
+++ b/tests/test_loss_model.py
@@ -35,11 +35,11 @@
     """
     out = []
     after = PlacementGroup(0, 3, group.next_nodes)
-    for held in _subsets(group.all_nodes):
+    for held in _subsets(group.everyone):
         before_move = majority(held, group.storage_nodes) and held <= set(group.storage_nodes)
-        if before_move and not after.is_quorum(held | set(group.transfer_targets)):
+        if before_move and not after.agree(held | set(group.copying)):
             out.append(f"{sorted(held)} before {group}")
-        if group.is_quorum(held) and not after.is_quorum(held):
+        if group.agree(held) and not after.agree(held):
             out.append(f"{sorted(held)} during {group}")
     return out
 
@@ -50,9 +50,9 @@
     return [
         f"{sorted(one)} and {sorted(other)} in {group}"
         for first, second in sides
-        for one in _subsets(group.all_nodes)
-        for other in _subsets(group.all_nodes)
-        if first.is_quorum(one) and second.is_quorum(other) and not one & other
+        for one in _subsets(group.everyone)
+        for other in _subsets(group.everyone)
+        if first.agree(one) and second.agree(other) and not one & other
     ]
 
 
@@ -63,23 +63,23 @@
                 self.assertEqual(lost_by(group) + disjoint_quorums(group), [])
 
     def test_a_copy_that_leaves_unmade_up_for_is_found(self):
-        with mock.patch.object(PlacementGroup, "transfer_targets", ()):
+        with mock.patch.object(PlacementGroup, "copying", ()):
             found = [bad for size in SIZES for group in moves(size) for bad in lost_by(group)]
         self.assertTrue(found)
 
     def test_a_move_by_the_new_set_alone_is_found(self):
-        with mock.patch.object(PlacementGroup, "quorum_sets", property(lambda self: (self.next_nodes,))):
+        with mock.patch.object(PlacementGroup, "sets", property(lambda self: (self.next_nodes,))):
             found = [bad for size in (3, 5) for group in moves(size) for bad in disjoint_quorums(group)]
         self.assertFalse([f for f in found if "leaving=''" in f])
         lost = []
-        with mock.patch.object(PlacementGroup, "quorum_sets", property(lambda self: (self.storage_nodes,))):
+        with mock.patch.object(PlacementGroup, "sets", property(lambda self: (self.storage_nodes,))):
             lost = [bad for size in SIZES for group in moves(size) for bad in lost_by(group) if " during " in bad]
         self.assertTrue(lost)
 
     def test_each_move_goes_on_with_any_one_of_its_members_lost(self):
         for group in (g for size in SIZES for g in moves(size) if len(g.next_nodes) >= 3):
-            for lost in group.all_nodes:
-                self.assertTrue(group.is_quorum([d for d in group.all_nodes if d != lost]), f"{lost} of {group}")
+            for lost in group.everyone:
+                self.assertTrue(group.agree([d for d in group.everyone if d != lost]), f"{lost} of {group}")
 
 
 class _Leader(VoterChanges):
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -91,7 +91,7 @@
     async def _hold(self, ctx, log: str, n: int) -> int:
         gone = self.stage.rng.choice((None, None, ""))
         try:
-            h = await ctx.replicated_log.acquire(log, gone)
+            h = await ctx.replicated_log.hold(log, gone)
             for _ in range(ctx.rng.randrange(1, 10)):
                 n += 1
                 await h.append([f"{ctx.node}/{n}".encode() + b"." * ctx.rng.randrange(60)])
@@ -161,6 +161,6 @@
     """The log's lease, taken by this node as soon as it can be had."""
     while True:
         try:
-            return await ctx.replicated_log.acquire(log, "")
+            return await ctx.replicated_log.hold(log, "")
         except PipitlinkError:
             await ctx.timers.sleep(ms(300))
--- a/tests/test_stage_cut_off.py
+++ b/tests/test_stage_cut_off.py
@@ -225,7 +225,7 @@
         side = [behind.name, old.name]
         stage.cut(side, [a for a in stage.actors if a not in side])
         stage.until(
-            lambda: behind.node not in stage.leader().part.consensus.cluster_state.placement_group(0).all_nodes,
+            lambda: behind.node not in stage.leader().part.consensus.cluster_state.placement_group(0).everyone,
             40,
             "its copy is moved",
         )
@@ -240,7 +240,7 @@
 
     def written(self, stage, gateway) -> bool:
         async def write():
-            h = await gateway.ctx.replicated_log.acquire("log", lost_leaseholder="")
+            h = await gateway.ctx.replicated_log.hold("log", gone="")
             return await h.append([gateway.name.encode()])
 
         try:
--- a/tests/test_stage_logs.py
+++ b/tests/test_stage_logs.py
@@ -30,7 +30,7 @@
                 return
             ctx = actor.ctx
             try:
-                h = await ctx.replicated_log.acquire(self.log)
+                h = await ctx.replicated_log.hold(self.log)
                 self.holds += 1
                 for _ in range(ctx.rng.randrange(1, 12)):
                     n += 1
@@ -83,7 +83,7 @@
         async def final():
             while True:
                 try:
-                    return await last.replicated_log.acquire(w.log)
+                    return await last.replicated_log.hold(w.log)
                 except LeaseNotHeld:
                     await last.timers.sleep(ms(500))
 
@@ -114,17 +114,17 @@
         self.one, self.two = self.stage.role("gateway")
 
     def test_a_leaseholder_that_slept_past_its_lease_is_fenced_and_stops_by_its_own_clock(self):
-        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/a"))
+        h = self.stage.do(self.one.ctx.replicated_log.hold("results/a"))
         self.stage.do(h.append([b"one"]))
         with self.assertRaises(LeaseNotHeld):
-            self.stage.do(self.two.ctx.replicated_log.acquire("results/a"))
+            self.stage.do(self.two.ctx.replicated_log.hold("results/a"))
         self.one.freeze()
         self.stage.run(4)
-        h2 = self.stage.do(self.two.ctx.replicated_log.acquire("results/a"))
+        h2 = self.stage.do(self.two.ctx.replicated_log.hold("results/a"))
         self.assertGreater(h2.epoch, h.epoch)
         self.stage.do(h2.append([b"two"]))
         self.one.thaw()
-        self.assertFalse(h.is_held())
+        self.assertFalse(h.held())
         with self.assertRaises((LeaseNotHeld, StaleEpoch)):
             self.stage.do(h.append([b"late"]))
         self.stage.run(3)
@@ -133,7 +133,7 @@
         self.assertEqual([b for _, b, _ in decode_frames(data)], [b"one", b"two"])
 
     def test_a_new_leaseholder_keeps_a_tail_that_only_one_storage_node_was_sent(self):
-        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/b"))
+        h = self.stage.do(self.one.ctx.replicated_log.hold("results/b"))
         self.stage.do(h.append([b"first"]))
         storage_nodes = [a.name for a in self.stage.role("storage")]
         self.stage.cut([self.one.name], storage_nodes[1:])
@@ -142,7 +142,7 @@
         self.one.kill()
         self.stage.heal()
         self.stage.run(4)
-        h2 = self.stage.do(self.two.ctx.replicated_log.acquire("results/b"))
+        h2 = self.stage.do(self.two.ctx.replicated_log.hold("results/b"))
         bodies = [b for _, b, _ in decode_frames(bytes(h2.data))]
         self.assertEqual(bodies[0], b"first")
         self.stage.do(h2.append([b"next"]))
@@ -151,7 +151,7 @@
         self.assertEqual(len({(s.tail_epoch) for s in states if s.length == max(x.length for x in states)}), 1)
 
     def test_an_append_whose_responses_were_lost_is_known_to_be_durable_once_storage_nodes_are_heard(self):
-        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/d"))
+        h = self.stage.do(self.one.ctx.replicated_log.hold("results/d"))
         self.stage.do(h.append([b"first"]))
         storage_nodes = [a.name for a in self.stage.role("storage")]
         self.stage.clock.callLater(0.002, lambda: self.stage.cut(storage_nodes, [self.one.name], one_way=True))
@@ -159,13 +159,13 @@
         with contextlib.suppress(PipitlinkError):
             self.stage.do(h.append([b"last"]), 10)
         self.stage.until(lambda: h.committed == len(h.data), 5, "the append is known to be durable")
-        self.assertTrue(h.is_held())
+        self.assertTrue(h.held())
 
     def test_a_full_disk_refuses_lots_but_keeps_room_for_ends(self):
-        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/c"))
+        h = self.stage.do(self.one.ctx.replicated_log.hold("results/c"))
         for a in self.stage.role("storage"):
             log_store = a.part.log_store
-            log_store.budget = log_store.used_bytes() + log_store.reserve + 2000
+            log_store.budget = log_store.used() + log_store.reserve + 2000
         self.stage.run(1.5)
         with self.assertRaises(PipitlinkError) as no:
             self.stage.do(h.append([b"x" * 8000]))
--- a/tests/test_stage_placement.py
+++ b/tests/test_stage_placement.py
@@ -22,7 +22,7 @@
         ctx = actor.ctx
         while not self.over:
             try:
-                h = await ctx.replicated_log.acquire(self.log)
+                h = await ctx.replicated_log.hold(self.log)
                 while not self.over:
                     n += 1
                     body = f"{self.log}/{n}".encode()
@@ -52,7 +52,7 @@
         stage.run(4)
         for log in logs:
             self.assertGreater(len(log.acked), 20)
-            h = stage.do(stage.role("gateway")[0].ctx.replicated_log.acquire(log.log), 30)
+            h = stage.do(stage.role("gateway")[0].ctx.replicated_log.hold(log.log), 30)
             found = {at: body for at, body, _ in decode_frames(bytes(h.data))}
             for at, body in log.acked.items():
                 self.assertEqual(found.get(at), body, f"seed {stage.seed} {log.log}")
--- a/tests/test_stale_leaseholder.py
+++ b/tests/test_stale_leaseholder.py
@@ -37,14 +37,14 @@
         nodes = {a.node: a for a in stage.role("storage")}
         stays, ends, leaves = (nodes[n] for n in group.storage_nodes)
         joins = next(a for n, a in nodes.items() if n not in group.storage_nodes)
-        stale = stage.do(first.ctx.replicated_log.acquire(LOG))
+        stale = stage.do(first.ctx.replicated_log.hold(LOG))
         stage.run(0.7)
         stage.cut([first.name], [stays.name, leaves.name])
         spawn(stale.append([b"stale"])).addErrback(lambda f: None)
         stage.run(0.03)
         ends.kill()
         stage.cut([joins.name], [stays.name, leaves.name])
-        newer = stage.do(second.ctx.replicated_log.acquire(LOG, first.node))
+        newer = stage.do(second.ctx.replicated_log.hold(LOG, first.node))
         stage.do(newer.append([b"acknowledged"]))
         row = PlacementGroupRow(
             number=0,
@@ -57,7 +57,7 @@
         until = stage.clock.seconds() + 4
         while stage.clock.seconds() < until:
             stage.run(0.05)
-            told = stale.progress.get(joins.node)
+            told = stale._states.get(joins.node)
             if told is not None and told.tail_epoch == stale.epoch:
                 stage.cuts = {c for c in stage.cuts if joins.name not in c}
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -126,7 +126,7 @@
 
     def test_it_shows_the_logs_that_were_written(self):
         for log, final in ((LIVE, False), (FINAL, True)):
-            leaseholder = self.stage.do(self.replicated_log().acquire(log))
+            leaseholder = self.stage.do(self.replicated_log().hold(log))
             data = bytes.fromhex(CONTENTS["log_bytes"][log])
             self.assertEqual((bytes(leaseholder.data), leaseholder.final), (data, final), log)
             self.assertEqual(self.read(log), (data, final), log)
@@ -137,7 +137,7 @@
         self.put_row("new1")
         epochs = {}
         for log in (LIVE, PROMISED):
-            leaseholder = self.stage.do(self.replicated_log().acquire(log))
+            leaseholder = self.stage.do(self.replicated_log().hold(log))
             self.stage.do(leaseholder.append([b"of a later release"]))
             epochs[log] = leaseholder.epoch
         for log, epoch in epochs.items():
--- a/tests/test_who_answered.py
+++ b/tests/test_who_answered.py
@@ -49,7 +49,7 @@
         has, lags, lost = stage.role("storage")
         gateways = [first.name, second.name]
         stage.cut([lags.name], gateways)
-        holder = stage.do(first.ctx.replicated_log.acquire("results/x"))
+        holder = stage.do(first.ctx.replicated_log.hold("results/x"))
         stage.do(holder.append([b"kept"]))
         stage.do(first.ctx.replicated_log.release([holder]))
         stage.heal()
@@ -58,7 +58,7 @@
         lost.wipe()
         lost.start()
         with self.assertRaises(PipitlinkError):
-            stage.do(second.ctx.replicated_log.acquire("results/x", ""), 10)
+            stage.do(second.ctx.replicated_log.hold("results/x", ""), 10)
         stage.heal()
         stage.run(8)
         stage.do(settled_anew(second.ctx, "results/x"), 30)
