--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -75,7 +75,7 @@
             await self._ctx.timers.sleep(START_INTERVAL)
         return self.followed
 
-    def watch(self, do):
+    def watch(self, do) -> None:
         self._watchers.append(do)
 
     def ready(self) -> bool:
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -227,7 +227,7 @@
         g = self._gossip()
         return [spawn(self._tell_one((m.host, m.port), g)).addErrback(lambda f: None) for m in self.members(me=False)]
 
-    async def leave(self):
+    async def leave(self) -> None:
         """Tells all peers that this node ends, so that nobody has to find out."""
         self._change_me(status="gone")
         await defer.DeferredList(self.tell())
--- a/tests/test_loss_guards.py
+++ b/tests/test_loss_guards.py
@@ -4,8 +4,6 @@
 import unittest.mock
 from collections import Counter
 
-from pipitlink.storage.replica_repair import ReplicaRepair
-
 from pipitlink.controller.placement_planner import PlacementPlanner
 from pipitlink.controller.storage_nodes import StorageNodeView
 from pipitlink.controller.voter_changes import VoterChanges
@@ -13,6 +11,8 @@
 from pipitlink.replicated_log.placement_group import PlacementGroup
 from pipitlink.settings import Settings
 from pipitlink.storage import replica_transfer
+from pipitlink.storage.replica_repair import ReplicaRepair
+from pipitlink.storage.replica_transfer import ReplicaTransfer
 
 from .loss_parts import LossStage
 
