--- a/pipitlink/cache/cache.py
+++ b/pipitlink/cache/cache.py
@@ -51,7 +51,7 @@
         self.poller.open()
 
     def ring(self) -> Ring:
-        nodes = {m.node: m.zone for m in self._ctx.membership.members("gateway", status=("alive",))}
+        nodes = {m.node: m.zone for m in self._ctx.membership.members("gateway", statuses=("alive",))}
         if nodes != self._ring.nodes:
             self._ring = Ring(nodes)
         return self._ring
@@ -98,7 +98,7 @@
                 by_node.setdefault(n, []).append(k)
         return by_node
 
-    async def put_chunks(self, chunks: dict[bytes, bytes]) -> set[bytes]:
+    async def store_chunks(self, chunks: dict[bytes, bytes]) -> set[bytes]:
         """Writes chunks to their replicas; returns the keys that a majority of theirs took."""
         by_node = self._spread(chunks, lambda k: k)
         asks = {n: Chunks(chunks=[Chunk(key=k, data=chunks[k]) for k in ks]) for n, ks in by_node.items()}
@@ -117,7 +117,7 @@
                 out.add(k)
         return out
 
-    async def put_lengths(self, lengths: dict[str, Lengths]):
+    async def store_lengths(self, lengths: dict[str, Lengths]):
         by_node = self._spread(lengths, str.encode)
         asks = {n: LengthsList(lengths=[lengths[p] for p in ps]) for n, ps in by_node.items()}
         await self._each(asks, "cache.lengths_put", Empty, self._all_by_majority(lengths, str.encode))
--- a/pipitlink/cache/shadow.py
+++ b/pipitlink/cache/shadow.py
@@ -65,7 +65,7 @@
             if self._written.get(n, 0) >= len(data):
                 return
             key = chunk_key(self._path, n)
-            if key in await self._cache.put_chunks({key: data}):
+            if key in await self._cache.store_chunks({key: data}):
                 self._written[n] = max(self._written.get(n, 0), len(data))
                 return
             await self._ctx.timers.sleep(RETRY)
@@ -88,4 +88,4 @@
             await self._tell(Lengths(path=self._path, durable=self._held.committed, cached=at, writer=self._ctx.node))
 
     async def _tell(self, lengths: Lengths):
-        await self._cache.put_lengths({self._path: lengths})
+        await self._cache.store_lengths({self._path: lengths})
--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -112,9 +112,9 @@
         """Until there may be more to read."""
         if self.seen.durable > self.position and self.seen.cached <= self.position:
             with self._cache.poller.hot(self.seen):
-                await self._cache.poller.moved(ms(self._ctx.settings.poll_ms))
+                await self._cache.poller.wait_for_growth(ms(self._ctx.settings.poll_ms))
         else:
-            await self._cache.poller.moved(ms(self._ctx.settings.durable_poll_ms))
+            await self._cache.poller.wait_for_growth(ms(self._ctx.settings.durable_poll_ms))
 
     async def _keep_rate(self, size: int):
         now = self._ctx.timers.now()
--- a/pipitlink/cluster/cluster_state.py
+++ b/pipitlink/cluster/cluster_state.py
@@ -40,11 +40,11 @@
         self.storage_node_names: dict[str, str] = {d.storage_node: d.name for d in data.storage_nodes if d.name}
         self.placement_groups: dict[int, PlacementGroupRow] = {s.number: s for s in data.placement_groups}
         self.voters: tuple[str, ...] = tuple(data.voters)
-        self.witnesses_at = data.witnesses_at
+        self.witnesses_changed_at = data.witnesses_changed_at
         self.settled = data.settled
-        self.config_at = data.config_at
-        self.zones_at = data.zones_at
-        self.storage_nodes_at = data.storage_nodes_at
+        self.config_changed_at = data.config_changed_at
+        self.zones_changed_at = data.zones_changed_at
+        self.storage_nodes_changed_at = data.storage_nodes_changed_at
         self.outcomes: OrderedDict[str, Outcome] = OrderedDict((o.edit, o) for o in data.outcomes if o.code == "done")
         self._by_target: dict[tuple[str, str], Row] | None = None
 
@@ -56,7 +56,7 @@
             empty_zones=sorted(self.empty_zones),
             placement_groups=self.placement_groups.values(),
             voters=self.voters,
-            witnesses_at=self.witnesses_at,
+            witnesses_changed_at=self.witnesses_changed_at,
             settled=self.settled,
             storage_nodes=[
                 StorageNodeEdit(storage_node=d, status=s, name=self.storage_node_names.get(d))
@@ -64,9 +64,9 @@
             ],
             outcomes=self.outcomes.values(),
             config=self.routes.config(),
-            config_at=self.config_at,
-            zones_at=self.zones_at,
-            storage_nodes_at=self.storage_nodes_at,
+            config_changed_at=self.config_changed_at,
+            zones_changed_at=self.zones_changed_at,
+            storage_nodes_changed_at=self.storage_nodes_changed_at,
         )
 
     def known(self, c: Command) -> Outcome | None:
@@ -97,12 +97,12 @@
     def _late(self, c: Command, what: str | None) -> bool:
         """Whether what the command changes was changed after the command's order had arrived."""
         changed_at = {
-            "config": self.config_at,
+            "config": self.config_changed_at,
             "table": self.table,
-            "zone": self.zones_at,
-            "storage_node": self.storage_nodes_at,
+            "zone": self.zones_changed_at,
+            "storage_node": self.storage_nodes_changed_at,
         }
-        return c.HasField("fence") and c.fence < changed_at.get(what, 0)
+        return c.HasField("fence") and c.fencing_token < changed_at.get(what, 0)
 
     def _remember(self, out: Outcome, c: Command, what: str):
         """Keeps the newest outcomes, and of each kind of edit the last one for as long as its effect stands."""
@@ -118,12 +118,12 @@
     def _apply_table(self, e, sequence) -> str:
         if e.base != self.table:
             return "wrong_base"
-        kept = 0 if e.whole else len(self.rows)
+        kept = 0 if e.replace_all else len(self.rows)
         if kept + len(e.puts) > MAX_ROWS:
             return "too_many_rows"
         if any(d not in self.rows for d in e.drops):
             return "no_such_row"
-        if e.whole:
+        if e.replace_all:
             self.rows = {}
         for d in e.drops:
             self.rows.pop(d, None)
@@ -138,21 +138,21 @@
             return "wrong_base"
         if e.version <= self.routes.version:
             return "old_version"
-        edited = self.routes.edited(e)
-        if edited.problems():
+        edited = self.routes.with_edit(e)
+        if edited.validation_faults():
             return "invalid"
         self.routes = edited
-        self.config_at = sequence
+        self.config_changed_at = sequence
         return "done"
 
     def _apply_zone(self, e, sequence) -> str:
-        self.zones_at = sequence
+        self.zones_changed_at = sequence
         (self.empty_zones.add if e.empty else self.empty_zones.discard)(e.zone)
         return "done"
 
     def _apply_storage_node(self, e, sequence) -> str:
         before = self.witnesses()
-        self.storage_nodes_at = sequence
+        self.storage_nodes_changed_at = sequence
         if e.status == "removed":
             self.storage_nodes.pop(e.storage_node, None)
             self.storage_node_names.pop(e.storage_node, None)
@@ -161,7 +161,7 @@
             if e.name:
                 self.storage_node_names[e.storage_node] = e.name
         if self.witnesses() != before:
-            self.witnesses_at = sequence
+            self.witnesses_changed_at = sequence
         return "done"
 
     def _apply_settled(self, at, sequence) -> str:
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -14,12 +14,12 @@
 from .cluster_state import ClusterState
 from .state_transfer import StateReceipt
 
-__all__ = ["Cluster", "LEASE_SPAN", "OWN_SPAN", "HOLD_FOLLOW", "MOST_HELD"]
+__all__ = ["Cluster", "LEASE_SPAN", "FOLLOWER_LEASE_SPAN", "MIN_FOLLOW_WAIT", "MAX_FOLLOW_WAIT"]
 
 LEASE_SPAN = secs(1.5)
-OWN_SPAN = secs(1.2)
-HOLD_FOLLOW = ms(250)
-MOST_HELD = ms(600)
+FOLLOWER_LEASE_SPAN = secs(1.2)
+MIN_FOLLOW_WAIT = ms(250)
+MAX_FOLLOW_WAIT = ms(600)
 HOLD_NODES = 24
 FOLLOW_LIMIT = ms(450)
 WITNESS_AFTER = ms(300)
@@ -54,7 +54,7 @@
         d.register_handler("cluster.pass_on", FollowRequest, self._pass_on)
         d.register_handler("cluster.witness", Empty, self._witness)
         d.register_handler("cluster.cluster_state", Empty, self._whole)
-        self._ctx.membership.carry(self._fill, self._take)
+        self._ctx.membership.add_gossip_carrier(self)
         self._ctx.run_in_background(self._follow(), "follow_cluster")
         if self._ctx.role == "gateway":
             self._ctx.timers.call_repeatedly(WITNESS_INTERVAL, self._ask_witnesses, self._ctx.error_reporter("witness"))
@@ -95,7 +95,7 @@
 
     def led(self) -> bool:
         """Whether a leader answered lately that this node has all that is agreed."""
-        return self._leased_at is not None and self._ctx.timers.now() - self._leased_at < OWN_SPAN
+        return self._leased_at is not None and self._ctx.timers.now() - self._leased_at < FOLLOWER_LEASE_SPAN
 
     def usable(self) -> bool:
         """Whether requests may be served: proved, or without proof for as long as the settings allow that."""
@@ -137,7 +137,7 @@
             if delta.sequence == self.sequence + 1:
                 self.cluster_state.apply(delta.sequence, delta.command)
         if self.sequence != before:
-            self._ctx.logger.info("cluster", sequence=self.sequence, table=self.cluster_state.table)
+            self._ctx.logger.info("cluster", sequence=self.sequence, table=self.cluster_state.table_sequence)
             for do in self._watchers:
                 do()
         return self.sequence >= r.sequence
@@ -169,30 +169,30 @@
             sequence=self.sequence,
             at_once=self._leased_at is None,
             have=self._receipt.have(),
-            hold_ms=to_ms(self._hold()),
+            max_wait_ms=to_ms(self._hold()),
         )
-        limit = FOLLOW_LIMIT + ms(ask.hold_ms)
+        limit = FOLLOW_LIMIT + ms(ask.max_wait_ms)
         r = await self._ctx.rpc.call((m.host, m.port), method, ask, FollowResponse, limit, node=m.node)
         if r.controller and method == "controller.follow":
             self._controller = r.controller
         if not self._absorb(r):
             return
         if r.leased:
-            self._leased_at = min(asked + ms(r.held_ms), self._ctx.timers.now())
+            self._leased_at = min(asked + ms(r.waited_ms), self._ctx.timers.now())
             self._followed = True
             self.ready()
 
     def _hold(self) -> timedelta:
         """How long the leader may hold this node's question: longer where many ask it, within what a lease allows."""
         nodes = len(self._ctx.membership.members())
-        return max(HOLD_FOLLOW, min(MOST_HELD, HOLD_FOLLOW * nodes / HOLD_NODES))
+        return max(MIN_FOLLOW_WAIT, min(MAX_FOLLOW_WAIT, MIN_FOLLOW_WAIT * nodes / HOLD_NODES))
 
     def _whom(self, failures: int) -> tuple[Member, str]:
-        controllers = self._ctx.membership.members("controller", me=False)
+        controllers = self._ctx.membership.members("controller", include_self=False)
         known = [m for m in controllers if m.node == self._controller]
         if known and not failures:
             return known[0], "controller.follow"
-        peers = self._ctx.membership.members("gateway", status=("alive",), me=False)
+        peers = self._ctx.membership.members("gateway", statuses=("alive",), include_self=False)
         if controllers and (failures % 3 or not peers):
             return self._ctx.rng.choice(controllers), "controller.follow"
         if not peers:
@@ -205,7 +205,7 @@
         if m is None:
             raise WireError("no controller is heard here either")
         return await self._ctx.rpc.call(
-            (m.host, m.port), "controller.follow", ask, FollowResponse, FOLLOW_LIMIT + ms(ask.hold_ms), node=m.node
+            (m.host, m.port), "controller.follow", ask, FollowResponse, FOLLOW_LIMIT + ms(ask.max_wait_ms), node=m.node
         )
 
     async def _witness(self, node, _) -> WitnessResponse:
--- a/pipitlink/cluster/routes.py
+++ b/pipitlink/cluster/routes.py
@@ -32,10 +32,10 @@
         out = Config(version=e.version)
         out.bounds.CopyFrom(e.bounds if e.HasField("bounds") else self.bounds)
         for kept, puts, drops, goal in (
-            (self.routes, e.routes, e.drop_routes, out.routes),
-            (self.pools, e.pools, e.drop_pools, out.pools),
+            (self.routes, e.routes, e.removed_routes, out.routes),
+            (self.pools, e.pools, e.removed_pools, out.pools),
         ):
-            rest = {} if e.whole else {n: r for n, r in kept.items() if n not in drops}
+            rest = {} if e.replace_all else {n: r for n, r in kept.items() if n not in drops}
             rest.update((r.name, r) for r in puts)
             goal.extend(rest.values())
         return RouteTable(out)
--- a/pipitlink/cluster/state_transfer.py
+++ b/pipitlink/cluster/state_transfer.py
@@ -32,7 +32,7 @@
 
     def piece_after(self, have: StateChunk) -> StateChunk:
         """What follows the bytes that a follower has; the first piece where those are of another state."""
-        offset = have.offset if self.is_of(have) else 0
+        offset = have.offset if self.matches(have) else 0
         data = self.data[offset : offset + PIECE_BYTES]
         return StateChunk(sequence=self.sequence, term=self.term, offset=offset, total=len(self.data), data=data)
 
--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from .cache import Cache
     from .changes import ChangePublisher
-    from .cluster import Cluster
+    from .cluster import ClusterFollower
     from .membership import Membership
     from .reactor_types import Reactor
     from .replicated_log import ReplicatedLog
@@ -60,7 +60,7 @@
     rpc: RpcEndpoint
     rng: Random
     membership: "Membership" = attrs.field(init=False)
-    cluster: "Cluster" = attrs.field(init=False)
+    cluster: "ClusterFollower" = attrs.field(init=False)
     replicated_log: "ReplicatedLog" = attrs.field(init=False)
     # Set in gateways only.
     cache: "Cache" = attrs.field(init=False)
--- a/pipitlink/controller/engine_announcements.py
+++ b/pipitlink/controller/engine_announcements.py
@@ -30,7 +30,7 @@
 
     def open(self) -> None:
         """Watches the membership for gateways, and starts the timer of renewals."""
-        self._ctx.membership.watch(self._member_changed)
+        self._ctx.membership.add_listener(self._member_changed)
         self._ctx.timers.call_repeatedly(RENEWAL_INTERVAL, self._renew, self._ctx.error_reporter("engine_renewals"))
 
     async def announce(self, update: EngineUpdate) -> None:
@@ -71,12 +71,12 @@
 
     def _is_renewal(self, update: EngineUpdate) -> bool:
         """Returns whether an engine that is new here must have announced itself before."""
-        return update.sequence > 1 and update.state == EngineState.READY and not update.cold_ms
+        return update.sequence > 1 and update.state == EngineState.READY and not update.slow_start_ms
 
     def _is_change(self, before: EngineUpdate, update: EngineUpdate) -> bool:
         if (update.state, update.address) != (before.state, before.address):
             return True
-        return bool(update.cold_ms and not before.cold_ms)
+        return bool(update.slow_start_ms and not before.slow_start_ms)
 
     def _log_state(self, before: EngineUpdate, update: EngineUpdate) -> None:
         if update.state != before.state:
--- a/pipitlink/controller/gateway_notifier.py
+++ b/pipitlink/controller/gateway_notifier.py
@@ -51,7 +51,7 @@
         addresses = {
             (member.host, member.port)
             for member in self._gateways(KNOWN)
-            if membership.status(member.node) != "gone" or membership.since(member.node) < LOSS_MEMORY
+            if membership.status(member.node) != "gone" or membership.time_in_status(member.node) < LOSS_MEMORY
         }
         found = [member for node in nodes if (member := membership.find(node)) is not None]
         return 2 * len({(member.host, member.port) for member in found} & addresses) > len(addresses)
@@ -78,7 +78,7 @@
         self._start_push(gateway, sorted(self._registry.engines), Propagation([gateway]))
 
     def _gateways(self, status: tuple[str, ...] = REACHABLE) -> list[Member]:
-        members: list[Member] = self._ctx.membership.members("gateway", status=status, me=False)
+        members: list[Member] = self._ctx.membership.members("gateway", statuses=status, include_self=False)
         return members
 
     def _start_push(self, gateway: str, engines: list[str], propagation: Propagation) -> None:
--- a/pipitlink/controller/load_aggregator.py
+++ b/pipitlink/controller/load_aggregator.py
@@ -93,5 +93,5 @@
             totals=[Load(engine=engine, running=total.running, batch=total.batch) for engine, total in totals.items()],
             lots=batches.values(),
         )
-        gateways = self._ctx.membership.members("gateway", me=False)
+        gateways = self._ctx.membership.members("gateway", include_self=False)
         self._ctx.rpc.notify([(member.host, member.port) for member in gateways], "engines.totals", message)
--- a/pipitlink/controller/log_replication.py
+++ b/pipitlink/controller/log_replication.py
@@ -76,7 +76,7 @@
         self._followers = {}
         self.synced_index = 0
         self._ctx.logger.info("leading", term=self._consensus.term, voters=",".join(self._consensus.voters()))
-        self._ctx.run_in_background(self.propose(Command(nothing=True)), "first_entry")
+        self._ctx.run_in_background(self.propose(Command(no_op=True)), "first_entry")
 
     def _end_leadership(self) -> None:
         proposals, self.proposals = self.proposals, {}
@@ -116,7 +116,7 @@
 
     def send_to_all(self) -> None:
         """Starts a sender for each controller of the membership that has none in this term."""
-        for member in self._ctx.membership.members("controller", me=False):
+        for member in self._ctx.membership.members("controller", include_self=False):
             key = self._sender_key(member.node)
             if key not in self._senders:
                 self._senders.add(key)
--- a/pipitlink/controller/order_fencing.py
+++ b/pipitlink/controller/order_fencing.py
@@ -81,7 +81,7 @@
         proposed again with the newest fence, as long as its caller waits: a caller that left cancels this, and one that
         may have turned to another controller gets ServiceUnavailable, and nothing was done.
         """
-        command.fence = self._consensus.cluster_state.sequence
+        command.fencing_token = self._consensus.cluster_state.sequence
         arrived_at = await self.admit()
         while True:
             self.check_timely(arrived_at)
@@ -95,4 +95,4 @@
                 )
             if outcome.code != OutcomeCode.STALE_FENCE:
                 return outcome
-            command.fence = outcome.sequence
+            command.fencing_token = outcome.sequence
--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -6,7 +6,8 @@
 import attrs
 from twisted.internet import defer
 
-from ..cluster.follower import HOLD_FOLLOW, LEASE_SPAN, MOST_HELD
+from ..cluster.currency import LEASE_SPAN
+from ..cluster.follower import MAX_FOLLOW_WAIT, MIN_FOLLOW_WAIT
 from ..cluster.state_transfer import StateTransfer
 from ..context import Context
 from ..errors import DeadlineExceeded, NotLeader, StorageFull, Unconfirmed
@@ -128,16 +129,16 @@
         asked_at = self._ctx.timers.now()
         self._followers[request.node] = Follower(request.role, request.sequence, asked_at + LEASE_SPAN)
         self._waiting_edits.wake()
-        if request.sequence >= self._consensus.cluster_state.sequence and not request.at_once:
+        if request.sequence >= self._consensus.cluster_state.sequence and not request.no_wait:
             await self._wait_for_newer_state(request)
         self._require_recent_quorum()
         response = self._follow_response(request)
-        response.held_ms = self._renew_lease(request.node, asked_at)
+        response.waited_ms = self._renew_lease(request.node, asked_at)
         return response
 
     async def _wait_for_newer_state(self, request: FollowRequest) -> None:
         """Returns once there is something newer, or this controller leads no more, or after a while."""
-        limit = min(ms(request.hold_ms) or HOLD_FOLLOW, MOST_HELD)
+        limit = min(ms(request.max_wait_ms) or MIN_FOLLOW_WAIT, MAX_FOLLOW_WAIT)
         await self.pending_requests.wait(limit, lambda: self._is_outdated(request))
 
     def _is_outdated(self, request: FollowRequest) -> bool:
@@ -150,10 +151,10 @@
         base = request.sequence
         deltas = self._deltas_after(base)
         if base == 0 or (base < newest and not deltas):
-            response.piece.CopyFrom(self._state_chunk(request.have))
-            if response.piece.offset + len(response.piece.data) < response.piece.total:
+            response.chunk.CopyFrom(self._state_chunk(request.received))
+            if response.chunk.offset + len(response.chunk.data) < response.chunk.total:
                 return response
-            base = response.piece.sequence
+            base = response.chunk.sequence
             deltas = self._deltas_after(base)
         response.deltas.extend(deltas)
         response.leased = base + len(deltas) >= newest
@@ -170,14 +171,14 @@
     def _state_chunk(self, received: StateChunk) -> StateChunk:
         """The next chunk of the state that the follower has a part of, or else of one that is not far behind."""
         transfers = [transfer for transfer in self._transfers if self._is_usable(transfer)]
-        continued = next((transfer for transfer in transfers if transfer.is_of(received)), None)
+        continued = next((transfer for transfer in transfers if transfer.matches(received)), None)
         if continued is None:
             newest = self._consensus.cluster_state
             if not transfers or newest.sequence - transfers[-1].sequence > MAX_TRANSFER_LAG:
                 transfers.append(StateTransfer.of(newest, self._consensus.term))
             continued = transfers[-1]
         self._transfers = transfers[-MAX_TRANSFERS:]
-        return continued.piece_after(received)
+        return continued.chunk_after(received)
 
     def _is_usable(self, transfer: StateTransfer) -> bool:
         """Whether the log still has all that follows this state."""
@@ -222,7 +223,7 @@
         confirmed = sum(self._has_sequence(witness, sequence) for witness in witnesses)
         if 2 * confirmed > len(witnesses) or not witnesses:
             return True
-        change_is_settled: bool = cluster_state.settled == cluster_state.witnesses_at
+        change_is_settled: bool = cluster_state.confirmed_witness_change == cluster_state.witnesses_changed_at
         return 2 * confirmed == len(witnesses) and change_is_settled
 
     def _has_sequence(self, storage_node: str, sequence: int) -> bool:
@@ -245,7 +246,7 @@
             raise NotLeader("a majority of the controllers was not heard")
         deadline = self._ctx.timers.now() + limit
         self._require_disk_space(command)
-        known = self._consensus.cluster_state.known(command)
+        known = self._consensus.cluster_state.recorded_outcome(command)
         outcome = known
         if outcome is None:
             outcome = await self._ctx.timers.with_timeout(limit, self._propose(command))
--- a/pipitlink/controller/storage_nodes.py
+++ b/pipitlink/controller/storage_nodes.py
@@ -48,7 +48,7 @@
         """Returns live storage nodes that are still to be admitted to this cluster state."""
         return [
             member
-            for member in self._ctx.membership.members("storage", status=("alive",))
+            for member in self._ctx.membership.members("storage", statuses=("alive",))
             if member.node not in cluster_state.storage_nodes and not self._is_name_retired(member.name)
         ]
 
@@ -59,7 +59,7 @@
             return self._time_since_election() > REPAIR_DELAY or self.is_replaced(node)
         if status != "gone":
             return False
-        gone_for = self._ctx.membership.since(node)
+        gone_for = self._ctx.membership.time_in_status(node)
         return gone_for > REPAIR_DELAY or self.is_replaced(node) or self.has_successor(node)
 
     def is_replaced(self, node: str) -> bool:
@@ -69,7 +69,7 @@
         all of them started.
         """
         name = self._consensus.cluster_state.storage_node_names.get(node, "")
-        replaced: bool = self._ctx.membership.replaced(node, name)
+        replaced: bool = self._ctx.membership.is_replaced(node, name)
         return replaced
 
     def has_successor(self, node: str) -> bool:
@@ -77,18 +77,18 @@
 
         It is taken for this one's successor, so that a repair need not wait.
         """
-        known_for = self._ctx.membership.met_ago(node)
+        known_for = self._ctx.membership.known_for(node)
         if known_for is None:
             return False
         limit = min(known_for - MET_TOGETHER, SUCCESSOR_TIME)
         return any(
             self._was_met_within(member.node, limit)
             and self._consensus.cluster_state.storage_nodes.get(member.node) == StorageStatus.SERVING
-            for member in self._ctx.membership.members("storage", status=("alive",))
+            for member in self._ctx.membership.members("storage", statuses=("alive",))
         )
 
     def _was_met_within(self, node: str, limit: timedelta) -> bool:
-        known_for = self._ctx.membership.met_ago(node)
+        known_for = self._ctx.membership.known_for(node)
         return known_for is not None and known_for < limit
 
     def _time_since_election(self) -> timedelta:
--- a/pipitlink/controller/storage_retirement.py
+++ b/pipitlink/controller/storage_retirement.py
@@ -77,9 +77,9 @@
         """Returns how many were removed from the cluster state a short while ago, and may be back at any time."""
         return sum(
             member.node not in cluster_state.storage_nodes
-            and self._ctx.membership.since(member.node) < RETURN_TIME
+            and self._ctx.membership.time_in_status(member.node) < RETURN_TIME
             and not self._storage_nodes.is_replaced(member.node)
-            for member in self._ctx.membership.members("storage", status=("gone",))
+            for member in self._ctx.membership.members("storage", statuses=("gone",))
         )
 
     def _nodes_named(self, cluster_state: ClusterState, name: str) -> list[str]:
@@ -89,7 +89,7 @@
         named = {node for node, known_name in cluster_state.storage_node_names.items() if known_name == name}
         members = {
             member.node
-            for member in self._ctx.membership.everyone()
+            for member in self._ctx.membership.all_members()
             if member.role == "storage" and member.name == name
         }
         found = sorted((named | members) & set(cluster_state.storage_nodes))
@@ -115,4 +115,4 @@
     async def _retire_node(self, storage_node: str, edit: str, read_at: int) -> None:
         """Has one storage node emptied, unless any storage node has changed since the sequence `read_at`."""
         change = StorageNodeEdit(storage_node=storage_node, status=StorageStatus.RETIRING)
-        await self._submission.submit(Command(edit=edit, storage_node=change, fence=read_at))
+        await self._submission.submit(Command(edit=edit, storage_node=change, fencing_token=read_at))
--- a/pipitlink/controller/table_api.py
+++ b/pipitlink/controller/table_api.py
@@ -59,8 +59,8 @@
         """Answers with all rows and the table's sequence."""
         cluster_state = await self._submission.newest_cluster_state()
         rows = {name: row_to_json(row) for name, row in sorted(cluster_state.rows.items())}
-        body = {"sequence": cluster_state.table, "rows": rows}
-        return send_json(request, body, 200, _sequence_header(cluster_state.table))
+        body = {"sequence": cluster_state.table_sequence, "rows": rows}
+        return send_json(request, body, 200, _sequence_header(cluster_state.table_sequence))
 
     @http_handler
     async def put_table(self, request: Request) -> bytes:
@@ -68,7 +68,7 @@
         raw = read_json_object(request)
         if set(raw) - {"rows", "sequence"} or not isinstance(raw.get("rows"), dict):
             raise BadRequest('the body must be {"rows": {name: row}}', code="bad_field", field="rows")
-        edit = TableEdit(base=edit_base(request), whole=True, puts=parse_rows(raw["rows"]))
+        edit = TableEdit(base=edit_base(request), replace_all=True, upserts=parse_rows(raw["rows"]))
         return await self._submit(request, Command(edit=edit_id(request), table=edit))
 
     @http_handler
@@ -77,19 +77,19 @@
         cluster_state = await self._submission.newest_cluster_state()
         if name not in cluster_state.rows:
             raise NotFound("there is no such row", code="no_such_row", field="row")
-        body = {"sequence": cluster_state.table, "row": row_to_json(cluster_state.rows[name])}
-        return send_json(request, body, 200, _sequence_header(cluster_state.table))
+        body = {"sequence": cluster_state.table_sequence, "row": row_to_json(cluster_state.rows[name])}
+        return send_json(request, body, 200, _sequence_header(cluster_state.table_sequence))
 
     @http_handler
     async def put_row(self, request: Request, name: str) -> bytes:
         """Adds or replaces one row."""
-        edit = TableEdit(base=edit_base(request), puts=[parse_row(name, read_json_object(request))])
+        edit = TableEdit(base=edit_base(request), upserts=[parse_row(name, read_json_object(request))])
         return await self._submit(request, Command(edit=edit_id(request), table=edit))
 
     @http_handler
     async def delete_row(self, request: Request, name: str) -> bytes:
         """Removes one row."""
-        edit = TableEdit(base=edit_base(request), drops=[name])
+        edit = TableEdit(base=edit_base(request), removed_rows=[name])
         return await self._submit(request, Command(edit=edit_id(request), table=edit))
 
     @http_handler
@@ -105,7 +105,7 @@
     async def show_zones(self, request: Request) -> bytes:
         """Answers with the zones of all members, and those that are emptied."""
         cluster_state = await self._submission.newest_cluster_state()
-        zones = sorted({member.zone for member in self._ctx.membership.everyone()} | cluster_state.empty_zones)
+        zones = sorted({member.zone for member in self._ctx.membership.all_members()} | cluster_state.empty_zones)
         return send_json(request, {"zones": {zone: {"empty": zone in cluster_state.empty_zones} for zone in zones}})
 
     @http_handler
--- a/pipitlink/controller/voter_changes.py
+++ b/pipitlink/controller/voter_changes.py
@@ -77,9 +77,9 @@
         status = self._ctx.membership.status(voter)
         if voter == self._ctx.node or status == "alive":
             return False
-        if self._ctx.membership.replaced(voter):
+        if self._ctx.membership.is_replaced(voter):
             return True
-        if status == "gone" and self._ctx.membership.since(voter) <= LOSS_TIMEOUTS["gone"]:
+        if status == "gone" and self._ctx.membership.time_in_status(voter) <= LOSS_TIMEOUTS["gone"]:
             return False
         elected_at = self._leader_log.elected_at
         responded_at = self._leader_log.last_response_at(voter)
@@ -101,7 +101,7 @@
         zones = self._zone_counts(live)
         members: list[Member] = [
             member
-            for member in self._ctx.membership.members("controller", status=("alive",), me=False)
+            for member in self._ctx.membership.members("controller", statuses=("alive",), include_self=False)
             if member.node not in voters and self._is_caught_up(member.node)
         ]
         members.sort(key=lambda member: (zones[member.zone], member.node))
--- a/pipitlink/controller/witness_changes.py
+++ b/pipitlink/controller/witness_changes.py
@@ -51,7 +51,7 @@
     def _is_confirmed(self) -> bool:
         """Returns whether the cluster state says that the last change of the witnesses is in effect."""
         cluster_state = self._consensus.cluster_state
-        return cluster_state.settled == cluster_state.witnesses_at
+        return cluster_state.confirmed_witness_change == cluster_state.witnesses_changed_at
 
     async def _update_witnesses(self) -> None:
         """Confirms the last change of the witnesses, then makes the next."""
@@ -66,9 +66,9 @@
 
     async def _confirm_change(self) -> None:
         """Proposes that the last change of the witnesses is in effect; only then is half of them enough."""
-        changed_at = self._consensus.cluster_state.witnesses_at
+        changed_at = self._consensus.cluster_state.witnesses_changed_at
         if not self._is_confirmed() and self._delivery.is_in_effect(changed_at):
-            await self._leader_log.propose(Command(settled=changed_at))
+            await self._leader_log.propose(Command(witness_change=changed_at))
 
     async def _admit_storage_node(self) -> bool:
         """Admits a live storage node that follows the cluster state; returns whether there was one."""
--- a/pipitlink/dialect/control.py
+++ b/pipitlink/dialect/control.py
@@ -73,9 +73,9 @@
         JsonField("prefix", "prefix", TEXT, required=True),
         JsonField("kind", "kind", TEXT, required=True),
         JsonField("deadline_ms", "deadline_ms", required=True),
-        JsonField("aim_ms", "aim_ms"),
+        JsonField("aim_ms", "latency_target_ms"),
         JsonField("priority", "priority", SIGNED),
-        JsonField("max_tries", "max_tries"),
+        JsonField("max_tries", "max_attempts"),
         JsonField("sticky", "sticky", FLAG),
         JsonField("resumable", "resumable", FLAG),
         JsonField("gap_ms", "gap_ms"),
@@ -94,8 +94,8 @@
         JsonField("health_path", "health_path", TEXT),
         JsonField("max_connections", "max_connections"),
         JsonField("warmup_ms", "warmup_ms"),
-        JsonField("cold_rate", "cold_rate", AMOUNT),
-        JsonField("places", "places"),
+        JsonField("cold_rate", "slow_start_rate", AMOUNT),
+        JsonField("places", "slots"),
         JsonField("cache_tokens", "cache_tokens", LONG),
     )
     bounds_fields: tuple[JsonField, ...] = (
@@ -110,7 +110,7 @@
         JsonField("zone", "zone", TEXT),
         JsonField("version", "version", TEXT),
         JsonField("capacity", "capacity"),
-        JsonField("cold_ms", "cold_ms", LONG),
+        JsonField("cold_ms", "slow_start_ms", LONG),
         JsonField("sequence", "sequence", LONG, required=True),
     )
     engine_states = {"ready": "ready", "leaving": "leaving"}
@@ -120,12 +120,12 @@
     def parse_config_edit(self, body: bytes, base: int, replace: bool) -> ConfigEdit:
         """Returns the edit in the body of a PUT or, without `replace`, of a PATCH. Raises BadRequest."""
         document = parse_object(body)
-        edit = ConfigEdit(base=base, version=integer_of(document, "version", 1), whole=replace)
+        edit = ConfigEdit(base=base, version=integer_of(document, "version", 1), replace_all=replace)
         upserts, removals = (document, {}) if replace else self._partial_edit(document)
         edit.routes.extend(self._parse_route(route) for route in items_of(upserts, self.routes_key, replace))
         edit.pools.extend(self._parse_pool(pool) for pool in items_of(upserts, self.pools_key, replace))
-        edit.drop_routes.extend(names_of(removals, self.routes_key))
-        edit.drop_pools.extend(names_of(removals, self.pools_key))
+        edit.removed_routes.extend(names_of(removals, self.routes_key))
+        edit.removed_pools.extend(names_of(removals, self.pools_key))
         if replace or document.get(self.bounds_key) is not None:
             edit.bounds.CopyFrom(self._parse_bounds(document.get(self.bounds_key)))
         return edit
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -9,7 +9,7 @@
 from ..errors import WireError
 from ..timers import ms, secs, spawn
 from ..wire.frame_pb2 import Empty
-from ..wire.membership_pb2 import Gossip, Member, ProbeFor, ProbeResponse
+from ..wire.membership_pb2 import Gossip, IndirectProbeRequest, Member, ProbeResponse
 from .entry import Entry
 from .memory import Memory
 
@@ -52,7 +52,7 @@
         self._change_me(status="alive")
         d = self._ctx.rpc
         d.register_handler("membership.probe", Gossip, self._probed)
-        d.register_handler("membership.probe_for", ProbeFor, self._probe_for)
+        d.register_handler("membership.probe_for", IndirectProbeRequest, self._probe_for)
         d.register_handler("membership.tell", Gossip, self._told)
         self._recall()
         self._ctx.timers.call_repeatedly(PROBE_INTERVAL, self._beat, self._ctx.error_reporter("membership_beat"))
@@ -108,7 +108,7 @@
         name = name or (m.name if m is not None else "")
         return self.status(node) != "alive" and any(
             o.node != node and (m is not None and (o.host, o.port) == (m.host, m.port) or name and o.name == name)
-            for o in self.members(m.role if m is not None else None, status=("alive",))
+            for o in self.members(m.role if m is not None else None, statuses=("alive",))
         )
 
     def met_ago(self, node: str) -> timedelta | None:
@@ -117,7 +117,7 @@
         return self._ctx.timers.now() - e.met if e else None
 
     def everyone(self) -> list[Member]:
-        return self.members(status=("alive", "suspect", "gone"))
+        return self.members(statuses=("alive", "suspect", "gone"))
 
     def _change_me(self, **fields):
         for name, value in fields.items():
@@ -209,7 +209,7 @@
         self._absorb(g)
         return Empty()
 
-    async def _probe_for(self, node, ask: ProbeFor):
+    async def _probe_for(self, node, ask: IndirectProbeRequest):
         e = self._entries.get(ask.target)
         return ProbeResponse(alive=e is not None and await self._probe(e.place) == ask.target)
 
@@ -225,7 +225,10 @@
 
     def tell(self) -> list:
         g = self._gossip()
-        return [spawn(self._tell_one((m.host, m.port), g)).addErrback(lambda f: None) for m in self.members(me=False)]
+        return [
+            spawn(self._tell_one((m.host, m.port), g)).addErrback(lambda f: None)
+            for m in self.members(include_self=False)
+        ]
 
     async def leave(self) -> None:
         """Tells all peers that this node ends, so that nobody has to find out."""
@@ -279,13 +282,13 @@
             e.turn("lapsed", self._ctx.timers.now())
             self._changed(e)
             return
-        helpers = [m for m in self.members(me=False, status=("alive",)) if m.node != e.member.node]
+        helpers = [m for m in self.members(include_self=False, status=("alive",)) if m.node != e.member.node]
         for m in self._ctx.rng.sample(helpers, min(3, len(helpers))):
             try:
                 r = await self._ctx.rpc.call(
                     (m.host, m.port),
                     "membership.probe_for",
-                    ProbeFor(target=e.member.node),
+                    IndirectProbeRequest(target=e.member.node),
                     ProbeResponse,
                     PROBE_LIMIT * 2,
                 )
--- a/pipitlink/node_metrics.py
+++ b/pipitlink/node_metrics.py
@@ -33,7 +33,9 @@
         yield GaugeMetricFamily(
             "pipitlink_cluster_sequence", "The cluster state's sequence here", cluster_state.sequence
         )
-        yield GaugeMetricFamily("pipitlink_table_sequence", "The weight table's sequence here", cluster_state.table)
+        yield GaugeMetricFamily(
+            "pipitlink_table_sequence", "The weight table's sequence here", cluster_state.table_sequence
+        )
         yield self._peers()
         changes = self._ctx.changes
         yield GaugeMetricFamily("pipitlink_changes_told", "Changes told as CloudEvents", changes.published)
@@ -46,7 +48,7 @@
     def _peers(self) -> Metric:
         membership = self._ctx.membership
         peers = GaugeMetricFamily("pipitlink_peers", "Peers by role and status", labels=["role", "status"])
-        counts = Counter((member.role, membership.status(member.node)) for member in membership.everyone())
+        counts = Counter((member.role, membership.status(member.node)) for member in membership.all_members())
         for labels, count in sorted(counts.items()):
             peers.add_metric(labels, count)
         return peers
--- a/pipitlink/node_report.py
+++ b/pipitlink/node_report.py
@@ -27,7 +27,7 @@
 def beliefs_of(ctx: Context, node: Node) -> Document:
     """Returns what a node holds to be true, topic by topic, each a flat map that can be compared between nodes."""
     cluster_state = cluster_state_of(ctx, node)
-    local_member = ctx.membership.me
+    local_member = ctx.membership.local_member
     beliefs: Document = {
         "node": local_member.node,
         "role": local_member.role,
@@ -41,7 +41,7 @@
             for number, group in sorted(cluster_state.placement_groups.items())
         },
     }
-    for member in [*ctx.membership.everyone()]:
+    for member in [*ctx.membership.all_members()]:
         address = f"{member.host}:{member.port}"
         beliefs["membership"][member.node] = f"{member.role} {member.zone} {address} {member.incarnation}"
         beliefs["status"][member.node] = ctx.membership.status(member.node)
@@ -52,7 +52,7 @@
 def _cluster_belief(cluster_state: ClusterState) -> Document:
     return {
         "sequence": cluster_state.sequence,
-        "table": cluster_state.table,
+        "table": cluster_state.table_sequence,
         "voters": ",".join(cluster_state.voters),
         "empty_zones": ",".join(sorted(cluster_state.empty_zones)),
     }
@@ -61,7 +61,7 @@
 def status_of(ctx: Context, node: Node) -> Document:
     """Returns a node's readiness, its peers with their addresses and status, and the engines that it knows."""
     membership = ctx.membership
-    members = sorted(membership.everyone(), key=lambda member: (member.role, member.zone, member.node))
+    members = sorted(membership.all_members(), key=lambda member: (member.role, member.zone, member.node))
     peers = [
         {
             "node": member.node,
@@ -76,8 +76,8 @@
     ]
     ready, details = node.readiness()
     return {
-        "node": membership.me.node,
-        "role": membership.me.role,
+        "node": membership.local_member.node,
+        "role": membership.local_member.role,
         "ready": ready,
         **details,
         "peers": peers,
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -14,7 +14,7 @@
 from twisted.internet import reactor as installed_reactor
 
 from .changes import ChangePublisher
-from .cluster import Cluster
+from .cluster import ClusterFollower
 from .context import Context, random_id
 from .dialect import Dialect
 from .disk import quarantine_data
@@ -129,8 +129,8 @@
         ctx = self.ctx
         ctx.membership = Membership(ctx)
         if ctx.role != "gateway":
-            ctx.membership.remember_in(Path(ctx.settings.data))
-        ctx.cluster = Cluster(ctx)
+            ctx.membership.persist_peers_in(Path(ctx.settings.data))
+        ctx.cluster = ClusterFollower(ctx)
         ctx.replicated_log = ReplicatedLog(ctx)
 
     def _local_member(self, port: int) -> Member:
--- a/pipitlink/storage/placement_check.py
+++ b/pipitlink/storage/placement_check.py
@@ -24,7 +24,7 @@
         The placement is not kept on disk: a storage node that has just started knows it only once it has followed a
         leader, and until then it might accept a writer of an older placement.
         """
-        if not await self._ctx.cluster.wait_followed(FOLLOW_TIMEOUT):
+        if not await self._ctx.cluster.wait_until_caught_up(FOLLOW_TIMEOUT):
             raise StalePlacement("this storage node has not heard the newest placement since it started")
         cluster = self._ctx.cluster
         placement_group = cluster.placement_group(placement_group_of(log, cluster.placement_groups))
--- a/pipitlink/storage/replica_repair.py
+++ b/pipitlink/storage/replica_repair.py
@@ -44,7 +44,7 @@
 
     def open(self) -> None:
         """Starts to watch the placement, and the regular work."""
-        self._ctx.cluster.watch(self._placement_changed)
+        self._ctx.cluster.add_listener(self._placement_changed)
         timers, report = self._ctx.timers, self._ctx.error_reporter
         self._transfers = timers.call_repeatedly(
             TRANSFER_INTERVAL, self._transfer_all, report("replica_transfer"), idle_time=self._time_until_transfer
@@ -99,7 +99,7 @@
 
     def _check_leader_contact(self) -> None:
         """Starts a repair after a start, or a time without a leader: what was written meanwhile may be missing."""
-        has_leader = self._ctx.cluster.led()
+        has_leader = self._ctx.cluster.has_live_lease()
         if has_leader and not self._had_leader:
             self._repair_all()
         self._had_leader = has_leader
@@ -120,5 +120,5 @@
             storage_node=self._ctx.node, placement_group=placement_group.number, sequence=placement_group.sequence
         )
         self._reports[placement_group.number] = _CaughtUpReport(placement_group.sequence, self._ctx.timers.now())
-        controllers = [member.node for member in self._ctx.membership.members("controller", me=False)]
+        controllers = [member.node for member in self._ctx.membership.members("controller", include_self=False)]
         await self._ctx.replicated_log.call_each(controllers, "controller.caught_up", caught_up, Empty, REPORT_TIMEOUT)
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -1,6 +1,6 @@
 """Each line of "What must never happen": the failure is brought about on a stage, and without its guard it shows."""
 
-from pipitlink.cluster import Cluster, ClusterState
+from pipitlink.cluster import ClusterFollower, ClusterState
 from pipitlink.controller.log_replication import LogReplication
 from pipitlink.errors import PipitlinkError
 from pipitlink.gateway.dispatch import Dispatch
@@ -144,7 +144,8 @@
         Command(
             edit="w",
             table=TableEdit(
-                base=s.stage.leader().part.consensus.cluster_state.table, puts=[Row(name="m", model="m", weight=0)]
+                base=s.stage.leader().part.consensus.cluster_state.table_sequence,
+                upserts=[Row(name="m", model="m", weight=0)],
             ),
         )
     )
@@ -190,12 +191,14 @@
 def operators_race(s):
     """Two edits build on one sequence; then the leader is cut off, another takes an edit, and the old one is read."""
     old = s.stage.leader()
-    base = old.part.consensus.cluster_state.table
+    base = old.part.consensus.cluster_state.table_sequence
 
     def edit(part, name, base):
         asked = s.stage.clock.seconds()
         out = s.stage.do(
-            part.state_delivery.edit(Command(edit=name, table=TableEdit(base=base, puts=[Row(name="r", model=name)]))),
+            part.state_delivery.edit(
+                Command(edit=name, table=TableEdit(base=base, upserts=[Row(name="r", model=name)]))
+            ),
             10,
         )
         good = out.code == "done"
@@ -217,7 +220,7 @@
     s.stage.cut([old.name], [a for a in s.stage.actors if a != old.name])
     new = s.stage.until(lambda: next((a for a in rest if a.part.consensus.role == "leader"), None), 20, "another leads")
     s.stage.run(2)
-    edit(new.part, "third", new.part.consensus.cluster_state.table)
+    edit(new.part, "third", new.part.consensus.cluster_state.table_sequence)
     s.stage.run(0.1)
     for a in (new, old):
         asked = s.stage.clock.seconds()
@@ -227,7 +230,7 @@
             continue
         s.c.note(
             "table_read",
-            sequence=a.part.consensus.cluster_state.table,
+            sequence=a.part.consensus.cluster_state.table_sequence,
             asked=asked,
             rows={r.name: {"model": r.model} for r in a.part.consensus.cluster_state.rows.values()},
         )
@@ -246,7 +249,7 @@
     r = self._readers.get(lot_id)
     if r is None:
         return await _read_results(self, lot_id)
-    await self._read_to(r, r.tail.seen.durable)
+    await self._read_to(r, r.tail.lengths.durable)
     return r
 
 
@@ -254,7 +257,7 @@
 
 
 def _any_base(self, e, sequence):
-    e.base = self.table
+    e.base = self.table_sequence
     return _apply_table(self, e, sequence)
 
 
@@ -307,7 +310,7 @@
     "an emptied zone's engines are no candidates": (
         zone_emptied,
         {},
-        Cluster,
+        ClusterFollower,
         "zone_empty",
         lambda self, zone: False,
         "was emptied",
@@ -339,7 +342,7 @@
     "a gateway that cannot prove its cluster state admits nothing": (
         weight_zero,
         {},
-        Cluster,
+        ClusterFollower,
         "ready",
         lambda self: True,
         "after its weight was 0",
--- a/tests/loss_parts.py
+++ b/tests/loss_parts.py
@@ -98,7 +98,8 @@
             edit = Command(
                 edit=f"e{n}",
                 table=TableEdit(
-                    base=leader.part.consensus.cluster_state.table, puts=[Row(name=f"r{n % 20}", model=f"m{n}")]
+                    base=leader.part.consensus.cluster_state.table_sequence,
+                    upserts=[Row(name=f"r{n % 20}", model=f"m{n}")],
                 ),
             )
             try:
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -45,11 +45,13 @@
         assert outcome.code == "done", outcome
 
     def put_row(self, name: str, model: str, weight: float):
-        base = self._stage.leader().part.consensus.cluster_state.table
-        self.edit(table=TableEdit(base=base, puts=[Row(name=name, model=model, pool="models", weight=weight)]))
+        base = self._stage.leader().part.consensus.cluster_state.table_sequence
+        self.edit(table=TableEdit(base=base, upserts=[Row(name=name, model=model, pool="models", weight=weight)]))
 
     def drop_row(self, name: str):
-        self.edit(table=TableEdit(base=self._stage.leader().part.consensus.cluster_state.table, drops=[name]))
+        self.edit(
+            table=TableEdit(base=self._stage.leader().part.consensus.cluster_state.table_sequence, removed_rows=[name])
+        )
 
     def put_routes(self, base: int, version: int):
         route = Route(
@@ -58,12 +60,14 @@
             prefix=f"/forms/{version}/",
             kind="idempotent",
             deadline_ms=2000,
-            max_tries=2,
+            max_attempts=2,
         )
         route.shares.extend([PoolShare(pool="models", share=0.75), PoolShare(pool="cards", share=0.25)])
         pools = [Pool(name="models", health_path="/health", max_connections=8), Pool(name="cards", health_path="/up")]
         bounds = Bounds(max_header_bytes=8192, idle_timeout_ms=3000)
-        self.edit(config=ConfigEdit(base=base, version=version, whole=True, routes=[route], pools=pools, bounds=bounds))
+        self.edit(
+            config=ConfigEdit(base=base, version=version, replace_all=True, routes=[route], pools=pools, bounds=bounds)
+        )
 
     def append(self, log: str, records: list[bytes], final: bool = False, gateway: int = 0):
         replicated_log = self._stage.role("gateway")[gateway].ctx.replicated_log
--- a/tests/stored_parts.py
+++ b/tests/stored_parts.py
@@ -34,7 +34,7 @@
     """The cluster state's tables, by name."""
     return {
         "sequence": state.sequence,
-        "table": state.table,
+        "table": state.table_sequence,
         "rows": {r.name: [r.model, r.pool, r.weight] for r in state.rows.values()},
         "config_version": state.routes.version,
         "routes": {r.name: [r.host, r.prefix, [s.pool for s in r.shares]] for r in state.routes.routes.values()},
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -164,7 +164,9 @@
         stage.run(3)
         leader = stage.leader().part
         began = stage.clock.seconds()
-        edit = TableEdit(base=leader.consensus.cluster_state.table, puts=[Row(name="m", model="m", weight=1)])
+        edit = TableEdit(
+            base=leader.consensus.cluster_state.table_sequence, upserts=[Row(name="m", model="m", weight=1)]
+        )
         stage.do(leader.state_delivery.edit(Command(edit="e", table=edit)))
         self.assertLess(stage.clock.seconds() - began, 0.1)
         self.assertEqual(
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -94,11 +94,11 @@
 
 
 def entry(index, term, size=40):
-    return ControllerEntry(index=index, term=term, command=Command(edit=f"{index}.{term}." + "x" * size, nothing=True))
+    return ControllerEntry(index=index, term=term, command=Command(edit=f"{index}.{term}." + "x" * size, no_op=True))
 
 
 def snapshot(index, term):
-    state = ClusterStateData(sequence=index, voters=["a", "b", "c"], table=term)
+    state = ClusterStateData(sequence=index, voters=["a", "b", "c"], table_sequence=term)
     return Snapshot(index=index, term=term, cluster_state=state)
 
 
--- a/tests/test_membership_memory.py
+++ b/tests/test_membership_memory.py
@@ -20,11 +20,11 @@
         membership, written = self.actor.ctx.membership, []
 
         def write(path, data):
-            if path == membership._file:
+            if path == membership.peer_store.path:
                 written.append(data)
 
         with unittest.mock.patch("pipitlink.membership.memory.replace_file", write):
-            for entry in list(membership._entries.values()):
+            for entry in list(membership.table.peers.values()):
                 entry.turn("missed", self.actor.ctx.timers.now())
                 membership._changed(entry)
             self.assertEqual(written, [])
@@ -35,5 +35,5 @@
         others = [a for a in self.stage.actors.values() if a is not self.actor]
         others[0].kill()
         self.stage.run(5)
-        path = self.actor.ctx.membership._file
+        path = self.actor.ctx.membership.peer_store.path
         self.assertEqual({tuple(p) for p in json.loads(path.read_text())}, {a.place for a in others[1:]})
--- a/tests/test_stage_cache.py
+++ b/tests/test_stage_cache.py
@@ -2,11 +2,11 @@
 
 import unittest
 
+from pipitlink.cache.log_writer import LogCacheWriter
 from twisted.internet import defer
 from twisted.internet.task import Clock
 
 from pipitlink.cache.chunks import CHUNK, chunk_key
-from pipitlink.cache.shadow import Shadow
 from pipitlink.cache.stores import DataStore, LengthStore
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms, secs, spawn
@@ -36,7 +36,7 @@
         self.waiting: list[tuple[dict, defer.Deferred]] = []
         self.cached = self.durable = 0
 
-    def put_chunks(self, chunks):
+    def store_chunks(self, chunks):
         d = defer.Deferred()
         self.waiting.append((chunks, d))
         return d
@@ -45,7 +45,7 @@
         chunks, d = self.waiting.pop(i)
         d.callback(set(chunks) if took else set())
 
-    async def put_lengths(self, lengths):
+    async def store_lengths(self, lengths):
         for one in lengths.values():
             assert one.cached >= self.cached or one.cached == 0, "the cached length went back"
             self.cached = max(self.cached, one.cached)
@@ -66,7 +66,7 @@
 class ChunkOrder(unittest.TestCase):
     def setUp(self):
         self.ctx, self.cache, self.held = _Ctx(), _Cache(), _Held()
-        self.shadow = Shadow(self.ctx, self.cache, "log", self.held)
+        self.shadow = LogCacheWriter(self.ctx, self.cache, "log", self.held)
 
     def number(self, i):
         chunks, _ = self.cache.waiting[i]
@@ -122,10 +122,10 @@
 
     def test_chunks_only_grow_and_go_by_age_or_room(self):
         s = DataStore(self.timers, secs(10), 30)
-        s.put(b"a", b"12345")
-        s.put(b"a", b"123")
+        s.store(b"a", b"12345")
+        s.store(b"a", b"123")
         self.assertEqual(s.get(b"a"), b"12345")
-        s.put(b"b", b"x" * 28)
+        s.store(b"b", b"x" * 28)
         self.assertEqual((s.get(b"a"), s.size), (b"", 28))
         self.clock.advance(11)
         self.assertEqual((s.get(b"b"), s.size), (b"", 0))
@@ -152,7 +152,7 @@
             h = ctx.replicated_log.leaseholders.get("results/r")
             if h is None:
                 h = await ctx.replicated_log.acquire("results/r")
-                ctx.cache.shadow("results/r", h)
+                ctx.cache.start_log_writer("results/r", h)
             for r in records:
                 await h.append([r])
 
@@ -164,8 +164,8 @@
 
         async def go():
             while len(got) < n:
-                if not (more := await tail.more()):
-                    await tail.wait()
+                if not (more := await tail.read_records()):
+                    await tail.wait_for_growth()
                 got.extend(body for _, body in more)
 
         began = self.stage.clock.seconds()
@@ -190,7 +190,7 @@
         self.writer.freeze()
         for a in self.others:
             a.ctx.cache.chunks._chunks.clear()
-            a.ctx.cache.lengths._files.clear()
+            a.ctx.cache.lengths._lengths.clear()
         ctx = self.others[0].ctx
         got, took = self.read(ctx, 40)
         self.assertEqual(got, records)
@@ -214,7 +214,7 @@
         tails = [ctx.cache.tail("results/r") for _ in range(3)]
         self.stage.run(0.5)
         before = ctx.cache.counts["durable_reads"]
-        reads = [spawn(t.read(0, t.seen.cached)) for t in tails]
+        reads = [spawn(t.read(0, t.lengths.cached)) for t in tails]
         got = self.stage.do(defer.gatherResults(reads))
         self.assertEqual((len(set(got)), ctx.cache.counts["durable_reads"] - before), (1, 1), "readers share one span")
 
@@ -226,8 +226,8 @@
         began = self.stage.clock.seconds()
 
         async def go():
-            while not await tail.more():
-                await tail.wait()
+            while not await tail.read_records():
+                await tail.wait_for_growth()
 
         self.stage.do(go(), 3)
         self.assertLess(self.stage.clock.seconds() - began, 0.9)
--- a/tests/test_stage_controllers.py
+++ b/tests/test_stage_controllers.py
@@ -17,7 +17,7 @@
 
 
 def edit_of(name, base, text):
-    return Command(edit=text, table=TableEdit(base=base, puts=[Row(name=name, model=text)]))
+    return Command(edit=text, table=TableEdit(base=base, upserts=[Row(name=name, model=text)]))
 
 
 class _Operators:
@@ -46,7 +46,7 @@
             try:
                 floor = self.newest()
                 await part.log_replication.confirm_leadership()
-                table = part.consensus.cluster_state.table
+                table = part.consensus.cluster_state.table_sequence
                 self.reads += 1
                 if table < floor:
                     self.faults.append(f"read {table} after {floor} was acknowledged")
@@ -67,8 +67,10 @@
         old = max((seq for at, seq, _ in self.acked if now - at > IN_EFFECT), default=0)
         for a in self.stage.role("gateway", alive=True):
             cluster = a.ctx.cluster
-            if cluster.ready() and cluster.cluster_state.table < old:
-                self.faults.append(f"{a.name} admits at table {cluster.cluster_state.table}, {old} is in effect, {now}")
+            if cluster.ready() and cluster.cluster_state.table_sequence < old:
+                self.faults.append(
+                    f"{a.name} admits at table {cluster.cluster_state.table_sequence}, {old} is in effect, {now}"
+                )
 
 
 class ClusterUnderTrouble(unittest.TestCase):
@@ -99,10 +101,10 @@
         for _, sequence, text in ops.acked:
             self.assertEqual(done.get(text), sequence, f"seed {seed}: {text} was acknowledged and is gone")
         self.assertFalse(ops.refused & set(done))
-        tables = {a.part.consensus.cluster_state.table for a in stage.role("controller")} | {
-            a.ctx.cluster.cluster_state.table for a in stage.role("gateway")
+        tables = {a.part.consensus.cluster_state.table_sequence for a in stage.role("controller")} | {
+            a.ctx.cluster.cluster_state.table_sequence for a in stage.role("gateway")
         }
-        self.assertEqual(tables, {cluster_state.table}, f"seed {seed}")
+        self.assertEqual(tables, {cluster_state.table_sequence}, f"seed {seed}")
         return len(ops.acked)
 
     def test_edits_hold_while_controllers_fail(self):
@@ -192,13 +194,13 @@
 
     def test_edits_go_on_with_two_of_four_storage_nodes_away_and_no_gateway_misses_one(self):
         cluster_state = self.stage.leader().part.consensus.cluster_state
-        self.assertEqual(cluster_state.settled, cluster_state.witnesses_at)
+        self.assertEqual(cluster_state.confirmed_witness_change, cluster_state.witnesses_changed_at)
         storage_nodes = self.stage.role("storage")
         for a in storage_nodes[:2]:
             a.kill()
         leader = self.stage.leader().part
-        self.stage.do(leader.state_delivery.edit(edit_of("r", cluster_state.table, "two away")), 6)
-        newest = leader.consensus.cluster_state.table
+        self.stage.do(leader.state_delivery.edit(edit_of("r", cluster_state.table_sequence, "two away")), 6)
+        newest = leader.consensus.cluster_state.table_sequence
         self.stage.cut(
             [a.name for a in self.stage.role("controller")],
             [a.name for a in self.stage.actors.values() if a.role != "controller"],
@@ -208,19 +210,19 @@
         for _ in range(100):
             self.stage.run(0.05)
             for g in self.stage.role("gateway"):
-                self.assertFalse(g.ctx.cluster.ready() and g.ctx.cluster.cluster_state.table < newest)
+                self.assertFalse(g.ctx.cluster.ready() and g.ctx.cluster.cluster_state.table_sequence < newest)
         self.stage.heal()
         self.stage.ready()
 
     def test_half_of_the_witnesses_are_not_enough_while_their_set_changes(self):
         leader, timers = self.stage.leader().part, self.stage.timers()
-        leader.consensus.cluster_state.settled -= 1
+        leader.consensus.cluster_state.confirmed_witness_change -= 1
         leader.witnesses._confirm_change = lambda: timers.sleep(ms(0))
         for a in self.stage.role("storage")[:2]:
             a.kill()
         with self.assertRaises(PipitlinkError):
             self.stage.do(
-                leader.state_delivery.edit(edit_of("r", leader.consensus.cluster_state.table, "unsettled")), 6
+                leader.state_delivery.edit(edit_of("r", leader.consensus.cluster_state.table_sequence, "unsettled")), 6
             )
 
     def test_nodes_that_met_need_no_seed_again_and_a_wrong_suspicion_is_refuted(self):
@@ -230,7 +232,7 @@
             a.kill()
             a.start()
         for a in (storage_node, controller):
-            self.stage.until(lambda: len(a.ctx.membership.members(status=("alive",))) == 11, 10, "all are met again")
+            self.stage.until(lambda: len(a.ctx.membership.members(statuses=("alive",))) == 11, 10, "all are met again")
         storage_node.freeze()
         self.stage.until(
             lambda: controller.ctx.membership.status(storage_node.node) == "gone", 10, "it is held for gone"
@@ -239,7 +241,7 @@
         self.stage.until(
             lambda: controller.ctx.membership.status(storage_node.node) == "alive", 10, "it has refuted that"
         )
-        self.assertGreater(storage_node.ctx.membership.me.incarnation, 1)
+        self.assertGreater(storage_node.ctx.membership.local_member.incarnation, 1)
 
     def test_a_controller_without_room_refuses_edits_up_front(self):
         part = self.stage.leader().part
@@ -260,12 +262,14 @@
         for n in range(3):
             part = self.stage.until(self.stage.leader, 10, "a controller leads").part
             self.stage.do(part.log_replication.confirm_leadership())
-            out = self.stage.do(part.state_delivery.edit(edit_of("s", part.consensus.cluster_state.table, f"next{n}")))
+            out = self.stage.do(
+                part.state_delivery.edit(edit_of("s", part.consensus.cluster_state.table_sequence, f"next{n}"))
+            )
             self.assertEqual(out.code, "done")
         self.stage.run(3)
         cluster_states = {
             (
-                a.part.consensus.cluster_state.table,
+                a.part.consensus.cluster_state.table_sequence,
                 *sorted((r.name, r.model) for r in a.part.consensus.cluster_state.rows.values()),
             )
             for a in self.stage.role("controller")
@@ -328,7 +332,7 @@
 
         async def many():
             for n in range(2700):
-                await leader.part.log_replication.propose(Command(nothing=True))
+                await leader.part.log_replication.propose(Command(no_op=True))
 
         self.stage.do(many(), 600)
         self.stage.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "trimmed")
--- a/tests/test_stage_slow_link.py
+++ b/tests/test_stage_slow_link.py
@@ -34,7 +34,9 @@
         part = stage.leader().part
         row = Row(name=name, model=self.random.randbytes(size // 2).hex())
         stage.do(
-            part.log_replication.propose(Command(table=TableEdit(base=part.consensus.cluster_state.table, puts=[row]))),
+            part.log_replication.propose(
+                Command(table=TableEdit(base=part.consensus.cluster_state.table_sequence, upserts=[row]))
+            ),
             20,
         )
 
@@ -93,7 +95,7 @@
                     leader = stage.leader()
                     if leader is not None:
                         try:
-                            await leader.part.log_replication.propose(Command(nothing=True))
+                            await leader.part.log_replication.propose(Command(no_op=True))
                         except PipitlinkError:
                             pass
 
@@ -146,7 +148,7 @@
         stage.cut([leader.name], [needed.name])
         row = Row(name="large", model="x" * 20 * LARGE_EDIT)
         lost = leader.part.log_replication.propose(
-            Command(table=TableEdit(base=leader.part.consensus.cluster_state.table, puts=[row]))
+            Command(table=TableEdit(base=leader.part.consensus.cluster_state.table_sequence, upserts=[row]))
         )
         spawn(lost).addErrback(lambda f: f.trap(PipitlinkError))
         stage.run(0.8)
@@ -203,7 +205,7 @@
         for module, bound, scene in (
             (snapshot_transfer, "CHUNK_BYTES", self.leader_needs_a_member_without_its_log),
             (durable_log, "MAX_BATCH_BYTES", self.gateway_far_behind),
-            (state_transfer, "PIECE_BYTES", self.gateway_starts),
+            (state_transfer, "CHUNK_BYTES", self.gateway_starts),
         ):
             with self.subTest(bound), mock.patch.object(module, bound, 10**9), self.assertRaises(AssertionError):
                 scene()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -94,7 +94,8 @@
     def put_row(self, name: str):
         leader = self.stage.leader().part
         edit = TableEdit(
-            base=leader.consensus.cluster_state.table, puts=[Row(name=name, model="new-model", pool="models")]
+            base=leader.consensus.cluster_state.table_sequence,
+            upserts=[Row(name=name, model="new-model", pool="models")],
         )
         outcome = self.stage.do(leader.state_delivery.edit(Command(edit=f"edit-{name}", table=edit)))
         self.assertEqual(outcome.code, "done")
--- a/tests/test_who_answered.py
+++ b/tests/test_who_answered.py
@@ -35,7 +35,7 @@
         with self.assertRaises(PipitlinkError):
             stage.do(
                 leader.part.state_delivery.edit(
-                    Command(edit="lone", table=TableEdit(puts=[Row(name="r", model="lone")]))
+                    Command(edit="lone", table=TableEdit(upserts=[Row(name="r", model="lone")]))
                 ),
                 10,
             )
