--- a/pipitlink/cache/cache.py
+++ b/pipitlink/cache/cache.py
@@ -1,155 +1,212 @@
 """The cache as its users see it: reads and writes of chunks and lengths over the replicas."""
 
 from collections import Counter
+from collections.abc import Callable, Collection, Mapping
 from datetime import timedelta
+from typing import Any, TypeVar
 
+import attrs
+from google.protobuf.message import Message
 from twisted.internet import defer
 
+from ..context import Context
 from ..errors import WireError
+from ..replicated_log.leaseholder import Leaseholder
 from ..timers import SingleFlight, ms, secs
 from ..wire.cache_pb2 import Chunk, ChunkKeys, Chunks, Lengths, LengthsList, Paths
 from ..wire.frame_pb2 import Empty
+from .log_writer import LogCacheWriter
 from .poller import Poller
 from .ring import Ring
-from .shadow import Shadow
 from .stores import DataStore, LengthStore
 from .tail import Tail
 
 __all__ = ["Cache"]
 
-CACHE_LIMIT = ms(400)
+CALL_TIMEOUT = ms(400)
+BYTES_PER_MB = 1024 * 1024
 
+# The key of a chunk, or the path of a log.
+Key = TypeVar("Key", bytes, str)
+Response = TypeVar("Response", bound=Message)
 
-class Cache:
-    """The volatile shadow of the logs: a data cache and a metadata cache, three replicas each over the gateways."""
 
-    def __init__(self, ctx):
-        self._ctx = ctx
-        p = ctx.settings
-        self.chunks = DataStore(ctx.timers, secs(p.chunk_ttl_s), p.cache_mb * 1024 * 1024)
-        self.lengths = LengthStore(ctx.timers, secs(p.chunk_ttl_s))
-        self.poller = Poller(ctx, self)
-        self.counts: Counter = Counter()
-        self._ring = Ring({})
-        self._spans = SingleFlight()
+def _ring_key(key: bytes | str) -> bytes:
+    return key.encode() if isinstance(key, str) else key
 
-    async def read_durable(self, path: str, start: int, length: int) -> bytes:
-        """One span of the durable log; readers that want the same one meanwhile share the read."""
 
-        def read():
-            self.counts["durable_reads"] += 1
-            return self._ctx.replicated_log.read(path, start, length)
+@attrs.frozen
+class _DurableSpan:
+    """A part of a durable log that readers may share the read of."""
+
+    path: str
+    start: int
+    length: int
 
-        return await self._spans.run((path, start, length), read)
 
-    def open(self):
-        d = self._ctx.rpc
-        d.register_handler("cache.put", Chunks, self.chunks.put_all)
-        d.register_handler("cache.get", ChunkKeys, self.chunks.get_all)
-        d.register_handler("cache.lengths_put", LengthsList, self.lengths.put_all)
-        d.register_handler("cache.lengths", Paths, self.lengths.get_all)
+@attrs.define(eq=False)
+class _Responses:
+    """The responses of several nodes to a call; `done` fires when they are enough, or none is outstanding."""
+
+    outstanding: int
+    are_enough: Callable[[dict[str, Any]], bool]
+    by_node: dict[str, Any] = attrs.field(factory=dict)
+    done: defer.Deferred[None] = attrs.field(factory=defer.Deferred)
+
+    def end_one(self) -> None:
+        """Notes that a node has answered or failed to."""
+        self.outstanding -= 1
+        if not self.done.called and (self.outstanding == 0 or self.are_enough(self.by_node)):
+            self.done.callback(None)
+
+
+class Cache:
+    """The volatile cache of the logs: a data cache and a metadata cache, three replicas each over the gateways.
+
+    `counts` has the reads by their outcome, for the metrics.
+    """
+
+    def __init__(self, ctx: Context) -> None:
+        self._ctx = ctx
+        settings = ctx.settings
+        ttl = secs(settings.chunk_ttl_s)
+        self.chunks = DataStore(ctx.timers, ttl, settings.cache_mb * BYTES_PER_MB)
+        self.lengths = LengthStore(ctx.timers, ttl)
+        self.poller = Poller(ctx, self)
+        self.counts: Counter[str] = Counter()
+        self._ring = Ring({})
+        self._durable_reads = SingleFlight()
+
+    def open(self) -> None:
+        """Answers other gateways, and polls lengths of logs that are followed, from now on."""
+        rpc = self._ctx.rpc
+        rpc.register_handler("cache.put", Chunks, self.chunks.put_all)
+        rpc.register_handler("cache.get", ChunkKeys, self.chunks.get_all)
+        rpc.register_handler("cache.lengths_put", LengthsList, self.lengths.put_all)
+        rpc.register_handler("cache.lengths", Paths, self.lengths.get_all)
         self.poller.open()
 
     def ring(self) -> Ring:
-        nodes = {m.node: m.zone for m in self._ctx.membership.members("gateway", status=("alive",))}
+        """Returns where the replicas are, by the gateways that are alive now."""
+        gateways = self._ctx.membership.members("gateway", statuses=("alive",))
+        nodes = {member.node: member.zone for member in gateways}
         if nodes != self._ring.nodes:
             self._ring = Ring(nodes)
         return self._ring
 
-    def shadow(self, path: str, held) -> Shadow:
-        return Shadow(self._ctx, self, path, held)
+    def start_log_writer(self, path: str, leaseholder: Leaseholder) -> LogCacheWriter:
+        """Copies a log into the cache from now on, as long as this process holds its lease."""
+        return LogCacheWriter(self._ctx, self, path, leaseholder)
 
     def tail(self, path: str, limit: timedelta | None = None) -> Tail:
+        """Returns a reader at the start of a log; `limit` is the time that it may lag behind, 1 s by default."""
         return Tail(self._ctx, self, path, limit)
 
-    async def _ask(self, node: str, method: str, what, kind):
-        m = self._ctx.membership.find(node)
-        if m is None:
-            raise WireError(f"gateway {node} is not on the membership")
-        return await self._ctx.rpc.call((m.host, m.port), method, what, kind, CACHE_LIMIT)
-
-    async def _each(self, asks: dict[str, object], method: str, kind, enough) -> dict[str, object]:
-        """Asks all at once and goes on as soon as the responses that are in are enough; the rest may still come."""
-        got: dict[str, object] = {}
-        done = defer.Deferred()
-        left = len(asks)
-
-        async def one(node, what):
-            nonlocal left
-            try:
-                got[node] = await self._ask(node, method, what, kind)
-            except WireError:
-                self.counts["unheard"] += 1
-            left -= 1
-            if not done.called and (left == 0 or enough(got)):
-                done.callback(None)
-
-        for n, w in asks.items():
-            self._ctx.run_in_background(one(n, w), method)
-        if asks:
-            await done
-        return dict(got)
-
-    def _spread(self, keys, wrap) -> dict[str, list]:
-        by_node: dict[str, list] = {}
-        ring = self.ring()
-        for k in keys:
-            for n in ring.replicas(wrap(k)):
-                by_node.setdefault(n, []).append(k)
-        return by_node
+    async def read_durable(self, path: str, start: int, length: int) -> bytes:
+        """Returns bytes of the durable log; readers that want the same bytes meanwhile share the read."""
 
-    async def put_chunks(self, chunks: dict[bytes, bytes]) -> set[bytes]:
-        """Writes chunks to their replicas; returns the keys that a majority of theirs took."""
-        by_node = self._spread(chunks, lambda k: k)
-        asks = {n: Chunks(chunks=[Chunk(key=k, data=chunks[k]) for k in ks]) for n, ks in by_node.items()}
-        got = await self._each(asks, "cache.put", Empty, self._all_by_majority(chunks, lambda k: k))
-        return self._by_majority(chunks, lambda k: k, got)
+        def read() -> Any:
+            self.counts["durable_reads"] += 1
+            return self._ctx.replicated_log.read(path, start, length)
 
-    def _all_by_majority(self, keys, wrap):
-        return lambda got: len(self._by_majority(keys, wrap, got)) == len(keys)
+        data: bytes = await self._durable_reads.run(_DurableSpan(path, start, length), read)
+        return data
 
-    def _by_majority(self, keys, wrap, got) -> set:
-        ring = self.ring()
-        out = set()
-        for k in keys:
-            r = ring.replicas(wrap(k))
-            if r and 2 * sum(n in got for n in r) > len(r):
-                out.add(k)
-        return out
-
-    async def put_lengths(self, lengths: dict[str, Lengths]):
-        by_node = self._spread(lengths, str.encode)
-        asks = {n: LengthsList(lengths=[lengths[p] for p in ps]) for n, ps in by_node.items()}
-        await self._each(asks, "cache.lengths_put", Empty, self._all_by_majority(lengths, str.encode))
+    async def put_chunks(self, chunks: dict[bytes, bytes]) -> set[bytes]:
+        """Writes chunks to their replicas; returns the keys of those that a majority of their replicas stored."""
+        requests = {
+            node: Chunks(chunks=[Chunk(key=key, data=chunks[key]) for key in keys])
+            for node, keys in self._keys_by_node(chunks).items()
+        }
+        responses = await self._call_each(requests, "cache.put", Empty, chunks)
+        return self._answered_by_majority(chunks, responses)
+
+    async def put_lengths(self, lengths: dict[str, Lengths]) -> None:
+        """Writes lengths of logs, by path, to a majority of their replicas, or to as many as answer."""
+        requests = {
+            node: LengthsList(lengths=[lengths[path] for path in paths])
+            for node, paths in self._keys_by_node(lengths).items()
+        }
+        await self._call_each(requests, "cache.lengths_put", Empty, lengths)
 
     async def get_lengths(self, paths: list[str]) -> dict[str, Lengths]:
-        """Consistent bulk read: only lengths that at least a majority of the replicas were asked for."""
-        by_node = self._spread(paths, str.encode)
-        got = await self._each(
-            {n: Paths(paths=ps) for n, ps in by_node.items()},
-            "cache.lengths",
-            LengthsList,
-            self._all_by_majority(paths, str.encode),
-        )
-        heard = self._by_majority(paths, str.encode, got)
-        out = {p: Lengths(path=p) for p in heard}
-        for r in got.values():
-            for one in r.lengths:
-                if one.path in out:
-                    out[one.path].durable = max(out[one.path].durable, one.durable)
-                    out[one.path].cached = max(out[one.path].cached, one.cached)
-        return out
+        """Returns the highest lengths of the logs for which a majority of the replicas answered."""
+        requests = {node: Paths(paths=node_paths) for node, node_paths in self._keys_by_node(paths).items()}
+        responses = await self._call_each(requests, "cache.lengths", LengthsList, paths)
+        highest = {path: Lengths(path=path) for path in self._answered_by_majority(paths, responses)}
+        for response in responses.values():
+            for lengths in response.lengths:
+                found = highest.get(lengths.path)
+                if found is not None:
+                    found.durable = max(found.durable, lengths.durable)
+                    found.cached = max(found.cached, lengths.cached)
+        return highest
 
     async def get_chunks(self, node: str, keys: list[bytes]) -> dict[bytes, bytes]:
-        r = await self._ask(node, "cache.get", ChunkKeys(keys=keys), Chunks)
-        return {c.key: c.data for c in r.chunks}
+        """Returns the chunks that one gateway has, by key. Raises WireError where it does not answer."""
+        response = await self._call(node, "cache.get", ChunkKeys(keys=keys), Chunks)
+        return {chunk.key: chunk.data for chunk in response.chunks}
 
     async def get_consistent(self, keys: list[bytes]) -> dict[bytes, bytes]:
-        """At least two of the three replicas; the longest value is the newest."""
-        asks = {n: ChunkKeys(keys=ks) for n, ks in self._spread(keys, lambda k: k).items()}
-        out: dict[bytes, bytes] = {}
-        got = await self._each(asks, "cache.get", Chunks, self._all_by_majority(keys, lambda k: k))
-        for r in got.values():
-            for c in r.chunks:
-                out[c.key] = max(out.get(c.key, b""), c.data, key=len)
-        return out
+        """Returns chunks by key as at least two of their three replicas have them: the longest is the newest."""
+        requests = {node: ChunkKeys(keys=node_keys) for node, node_keys in self._keys_by_node(keys).items()}
+        responses = await self._call_each(requests, "cache.get", Chunks, keys)
+        found: dict[bytes, bytes] = {}
+        for response in responses.values():
+            for chunk in response.chunks:
+                found[chunk.key] = max(found.get(chunk.key, b""), chunk.data, key=len)
+        return found
+
+    async def _call(self, node: str, method: str, request: Message, kind: type[Response]) -> Response:
+        member = self._ctx.membership.find(node)
+        if member is None:
+            raise WireError(f"gateway {node} is not on the membership")
+        address = (member.host, member.port)
+        response: Response = await self._ctx.rpc.call(address, method, request, kind, CALL_TIMEOUT)
+        return response
+
+    async def _call_each(
+        self, requests: Mapping[str, Message], method: str, kind: type[Response], keys: Collection[Key]
+    ) -> dict[str, Response]:
+        """Sends all requests at once; returns the responses by node once each key has those of a majority.
+
+        Where that many do not answer, it returns what there is once no response is outstanding.
+        """
+
+        def are_enough(by_node: dict[str, Any]) -> bool:
+            return len(self._answered_by_majority(keys, by_node)) == len(keys)
+
+        responses = _Responses(len(requests), are_enough)
+        for node, request in requests.items():
+            self._ctx.run_in_background(self._call_one(node, method, request, kind, responses), method)
+        if requests:
+            await responses.done
+        return dict(responses.by_node)
+
+    async def _call_one(
+        self, node: str, method: str, request: Message, kind: type[Response], responses: _Responses
+    ) -> None:
+        try:
+            responses.by_node[node] = await self._call(node, method, request, kind)
+        except WireError:
+            self.counts["unheard"] += 1
+        responses.end_one()
+
+    def _keys_by_node(self, keys: Collection[Key]) -> dict[str, list[Key]]:
+        """The keys that each gateway has replicas of."""
+        by_node: dict[str, list[Key]] = {}
+        ring = self.ring()
+        for key in keys:
+            for node in ring.replicas(_ring_key(key)):
+                by_node.setdefault(node, []).append(key)
+        return by_node
+
+    def _answered_by_majority(self, keys: Collection[Key], responses: Mapping[str, Any]) -> set[Key]:
+        """The keys for which a majority of the replicas, as they are now, is among the nodes that answered."""
+        ring = self.ring()
+        answered = set()
+        for key in keys:
+            replicas = ring.replicas(_ring_key(key))
+            if replicas and 2 * sum(node in responses for node in replicas) > len(replicas):
+                answered.add(key)
+        return answered
--- a/pipitlink/cache/chunks.py
+++ b/pipitlink/cache/chunks.py
@@ -4,9 +4,11 @@
 
 __all__ = ["CHUNK", "chunk_key"]
 
+# The size of a chunk in bytes.
 CHUNK = 4096
+KEY_BYTES = 16
 
 
-def chunk_key(path: str, n: int) -> bytes:
-    """Returns the 16-byte cache key of chunk `n`, bytes `n * CHUNK` on, of a log."""
-    return blake2b(f"{path}\0{n}".encode(), digest_size=16).digest()
+def chunk_key(path: str, number: int) -> bytes:
+    """Returns the 16-byte cache key of a chunk of a log: its bytes from `number * CHUNK` on."""
+    return blake2b(f"{path}\0{number}".encode(), digest_size=KEY_BYTES).digest()
--- a/pipitlink/cache/poller.py
+++ b/pipitlink/cache/poller.py
@@ -1,154 +1,194 @@
 """Polls the lengths of the logs that readers of this process follow."""
 
 from collections import deque
+from collections.abc import Callable, Iterable, Iterator
 from contextlib import contextmanager
 from datetime import timedelta
+from typing import TYPE_CHECKING, Any
 
 import attrs
 from twisted.internet import defer
 
+from ..context import Context
 from ..timers import ZERO, RepeatingCall, ms
 
-__all__ = ["Poller", "Seen"]
+if TYPE_CHECKING:
+    from .cache import Cache
 
-MOST_AHEAD = 256
+__all__ = ["KnownLengths", "Poller"]
+
+MAX_UNCACHED_STEPS = 256
+
+
+@attrs.frozen
+class _UncachedStep:
+    """A durable length that the cache has not reached yet, and when it became known."""
+
+    length: int
+    known_at: timedelta
+
+
+@attrs.frozen
+class _LengthUpdate:
+    """Lengths of a log, in bytes, as an answer states them."""
+
+    path: str
+    durable: int
+    cached: int
+    final: bool
 
 
 @attrs.define
-class Seen:
+class KnownLengths:
     """What is known here of one log's lengths, in bytes: `durable` on a majority, `cached` in the data cache.
 
-    `proved` is when the storage nodes were last asked with an answer; times are on the timers' clock.
+    `final` means that the log has ended. `cached_at` is when `cached` last grew, `confirmed_at` when the storage nodes
+    were last asked and answered; times are on the timers' clock. `readers` follow the log, and `waiting_readers` of
+    them wait for a length that is expected soon.
     """
 
     path: str
     durable: int = 0
     cached: int = 0
     final: bool = False
-    ahead: deque = attrs.field(factory=deque)
+    uncached_steps: deque[_UncachedStep] = attrs.field(factory=deque)
     cached_at: timedelta = timedelta(0)
     readers: int = 0
-    hot: int = 0
-    asked: timedelta = timedelta(0)
-    proved: timedelta | None = None
+    waiting_readers: int = 0
+    confirmed_at: timedelta | None = None
 
-    def ahead_since(self, now: timedelta) -> timedelta:
-        """Since when the oldest durable byte that is not cached yet has been known."""
-        return self.ahead[0][1] if self.ahead else now
+    def uncached_since(self, now: timedelta) -> timedelta:
+        """Returns since when the oldest durable byte that is not cached yet has been known; `now` without one."""
+        return self.uncached_steps[0].known_at if self.uncached_steps else now
 
 
 class Poller:
-    """Reads lengths for all readers of the process: often from the metadata cache, less often from the storage
-    nodes.
+    """Reads lengths for all readers of the process: often from the metadata cache, less often from the storage nodes.
+
+    It polls while a log is followed, and at the shortest interval only while a reader waits for a length that is
+    expected soon.
     """
 
-    def __init__(self, ctx, cache):
+    def __init__(self, ctx: Context, cache: "Cache") -> None:
         self._ctx = ctx
         self._cache = cache
-        self._seen: dict[str, Seen] = {}
-        self._waiters: list[defer.Deferred] = []
-        self._hot = 0
-        self._timers: list[RepeatingCall] = []
-
-    def open(self):
-        """Polls while anything is watched; the hot poll only while a reader waits for a length that is near."""
-        p, every, report = self._ctx.settings, self._ctx.timers.call_repeatedly, self._ctx.report
-        for span, do, what, watched in (
-            (p.poll_ms, self._poll, "poll", lambda: self._seen),
-            (p.hot_poll_ms, self._poll_hot, "hot_poll", lambda: self._hot),
-            (p.durable_poll_ms, self._poll_durable, "durable_poll", lambda: self._seen),
-        ):
-            self._timers.append(every(ms(span), do, report(what), due=lambda w=watched: ZERO if w() else None))
-
-    def _wake(self):
-        for b in self._timers:
-            b.wake()
-
-    def join(self, path: str) -> Seen:
-        s = self._seen.setdefault(path, Seen(path))
-        s.readers += 1
+        self._known: dict[str, KnownLengths] = {}
+        self._growth_waiters: list[defer.Deferred[None]] = []
+        self._waiting_readers = 0
+        self._calls: list[RepeatingCall] = []
+
+    def open(self) -> None:
+        """Polls from now on whenever a log is followed."""
+        settings = self._ctx.settings
+        self._repeat(settings.poll_ms, self._poll, "poll", lambda: bool(self._known))
+        self._repeat(settings.hot_poll_ms, self._poll_waiting, "hot_poll", lambda: bool(self._waiting_readers))
+        self._repeat(settings.durable_poll_ms, self._poll_durable, "durable_poll", lambda: bool(self._known))
+
+    def join(self, path: str) -> KnownLengths:
+        """Follows a log for one more reader; returns its lengths, which the poller updates."""
+        known = self._known.setdefault(path, KnownLengths(path))
+        known.readers += 1
         self._wake()
-        return s
+        return known
+
+    def leave(self, path: str) -> None:
+        """Follows a log for one reader less."""
+        known = self._known.get(path)
+        if known is not None:
+            known.readers -= 1
+            if known.readers <= 0:
+                del self._known[path]
 
     @contextmanager
-    def hot(self, s: Seen):
-        s.hot += 1
-        self._hot += 1
+    def waiting(self, known: KnownLengths) -> Iterator[None]:
+        """Polls a log at the shortest interval meanwhile."""
+        known.waiting_readers += 1
+        self._waiting_readers += 1
         self._wake()
         try:
             yield
         finally:
-            s.hot -= 1
-            self._hot -= 1
-
-    def leave(self, path: str):
-        s = self._seen.get(path)
-        if s is not None:
-            s.readers -= 1
-            if s.readers <= 0:
-                del self._seen[path]
-
-    def recall(self, s: Seen, before: Seen):
-        """Lengths only grow, so what was seen of them before still holds."""
-        self._grow(s, before.durable, before.cached, before.final)
-        if s.proved is None:
-            s.proved = before.proved
-
-    def _grow(self, s: Seen, durable: int, cached: int, final: bool = False) -> bool:
-        grew = durable > s.durable or cached > s.cached or (final and not s.final)
-        if durable > s.durable:
-            s.durable = durable
-            if len(s.ahead) < MOST_AHEAD:
-                s.ahead.append((durable, self._ctx.timers.now()))
-            else:
-                s.ahead[-1] = (durable, s.ahead[-1][1])
-        if min(cached, s.durable) > s.cached:
-            s.cached, s.cached_at = min(cached, s.durable), self._ctx.timers.now()
-        while s.ahead and s.ahead[0][0] <= s.cached:
-            s.ahead.popleft()
-        s.final = s.final or final
+            known.waiting_readers -= 1
+            self._waiting_readers -= 1
+
+    def restore(self, known: KnownLengths, before: KnownLengths) -> None:
+        """Takes over what was known of a log before it was last left, as lengths only grow."""
+        self._grow(known, before.durable, before.cached, before.final)
+        if known.confirmed_at is None:
+            known.confirmed_at = before.confirmed_at
+
+    async def confirm_durable(self, paths: list[str]) -> None:
+        """Asks the storage nodes themselves for the durable lengths of logs."""
+        asked_at = self._ctx.timers.now()
+        states = await self._ctx.replicated_log.states(paths)
+        self._update(_LengthUpdate(path, state.committed, 0, state.final) for path, state in states.items())
+        for path in states:
+            if path in self._known:
+                self._known[path].confirmed_at = asked_at
+
+    async def wait_for_growth(self, timeout: timedelta) -> None:
+        """Waits until any followed log grows, or until the timeout."""
+        waiter: defer.Deferred[None] = defer.Deferred()
+        self._growth_waiters.append(waiter)
+        try:
+            await self._ctx.timers.wait_at_most(waiter, timeout)
+        finally:
+            if waiter in self._growth_waiters:
+                self._growth_waiters.remove(waiter)
+
+    def _repeat(self, interval_ms: float, poll: Callable[[], Any], what: str, is_needed: Callable[[], bool]) -> None:
+        def due() -> timedelta | None:
+            return ZERO if is_needed() else None
+
+        self._calls.append(self._ctx.timers.call_repeatedly(ms(interval_ms), poll, self._ctx.report(what), due=due))
+
+    def _wake(self) -> None:
+        for call in self._calls:
+            call.wake()
+
+    def _grow(self, known: KnownLengths, durable: int, cached: int, final: bool = False) -> bool:
+        """Raises known lengths to those of an answer; returns whether the answer told anything new."""
+        grew = durable > known.durable or cached > known.cached or (final and not known.final)
+        if durable > known.durable:
+            known.durable = durable
+            self._add_uncached_step(known)
+        if min(cached, known.durable) > known.cached:
+            known.cached = min(cached, known.durable)
+            known.cached_at = self._ctx.timers.now()
+        while known.uncached_steps and known.uncached_steps[0].length <= known.cached:
+            known.uncached_steps.popleft()
+        known.final = known.final or final
         return grew
 
-    async def _poll(self):
-        await self._poll_these(list(self._seen))
+    def _add_uncached_step(self, known: KnownLengths) -> None:
+        steps = known.uncached_steps
+        if len(steps) < MAX_UNCACHED_STEPS:
+            steps.append(_UncachedStep(known.durable, self._ctx.timers.now()))
+        else:
+            steps[-1] = _UncachedStep(known.durable, steps[-1].known_at)
+
+    async def _poll(self) -> None:
+        await self._poll_cache(list(self._known))
 
-    async def _poll_hot(self):
-        await self._poll_these([p for p, s in self._seen.items() if s.hot])
+    async def _poll_waiting(self) -> None:
+        await self._poll_cache([path for path, known in self._known.items() if known.waiting_readers])
 
-    async def _poll_these(self, paths: list[str]):
+    async def _poll_cache(self, paths: list[str]) -> None:
         if paths:
-            got = await self._cache.get_lengths(paths)
-            self._take((p, m.durable, m.cached, False) for p, m in got.items())
-
-    async def _poll_durable(self):
-        if self._seen:
-            await self.prove(list(self._seen))
-
-    async def prove(self, paths: list[str]):
-        """Asks the storage nodes themselves for the durable lengths."""
-        asked = self._ctx.timers.now()
-        got = await self._ctx.replicated_log.states(paths)
-        self._take((p, st.committed, 0, st.final) for p, st in got.items())
-        for p in got:
-            if p in self._seen:
-                self._seen[p].proved = asked
-
-    def _take(self, news):
+            lengths = await self._cache.get_lengths(paths)
+            self._update(_LengthUpdate(path, found.durable, found.cached, False) for path, found in lengths.items())
+
+    async def _poll_durable(self) -> None:
+        if self._known:
+            await self.confirm_durable(list(self._known))
+
+    def _update(self, updates: Iterable[_LengthUpdate]) -> None:
         grew = False
-        for path, durable, cached, final in news:
-            if path in self._seen:
-                grew = self._grow(self._seen[path], durable, cached, final) or grew
+        for update in updates:
+            known = self._known.get(update.path)
+            if known is not None:
+                grew = self._grow(known, update.durable, update.cached, update.final) or grew
         if grew:
-            waiters, self._waiters = self._waiters, []
-            for d in waiters:
-                d.callback(None)
-
-    async def moved(self, limit: timedelta):
-        """Waits until any watched length grows, or the limit has passed."""
-        d = defer.Deferred()
-        self._waiters.append(d)
-        try:
-            await self._ctx.timers.wait_at_most(d, limit)
-        finally:
-            if d in self._waiters:
-                self._waiters.remove(d)
+            waiters, self._growth_waiters = self._growth_waiters, []
+            for waiter in waiters:
+                waiter.callback(None)
--- a/pipitlink/cache/stores.py
+++ b/pipitlink/cache/stores.py
@@ -3,85 +3,115 @@
 from collections import OrderedDict
 from datetime import timedelta
 
+import attrs
+
+from ..timers import Timers
 from ..wire.cache_pb2 import Chunk, ChunkKeys, Chunks, Lengths, LengthsList, Paths
 
 __all__ = ["DataStore", "LengthStore"]
 
+MAX_LENGTHS = 65536
+
+
+@attrs.frozen
+class _StoredChunk:
+    data: bytes
+    expires_at: timedelta
+
+
+@attrs.frozen
+class _StoredLengths:
+    lengths: Lengths
+    expires_at: timedelta
+
 
 class DataStore:
-    """One replica of the data cache: chunks by key, dropped by age or when full."""
+    """One replica of the data cache: chunks by key, dropped by age or when full. `size` is in bytes."""
 
-    def __init__(self, timers, ttl: timedelta, capacity: int):
+    def __init__(self, timers: Timers, ttl: timedelta, capacity_bytes: int) -> None:
         self._timers = timers
         self._ttl = ttl
-        self._capacity = capacity
-        self._chunks: OrderedDict[bytes, tuple[bytes, timedelta]] = OrderedDict()
+        self._capacity = capacity_bytes
+        self._chunks: OrderedDict[bytes, _StoredChunk] = OrderedDict()
         self.size = 0
 
-    def __len__(self):
+    def __len__(self) -> int:
         return len(self._chunks)
 
-    def put(self, key: bytes, data: bytes):
-        have, _ = self._chunks.pop(key, (b"", None))
-        self.size -= len(have)
-        data = max(have, data, key=len)
-        self._chunks[key] = (data, self._timers.now() + self._ttl)
+    def put(self, key: bytes, data: bytes) -> None:
+        """Stores a chunk, or keeps what is stored where that is longer; drops the oldest chunks when full."""
+        stored = self._chunks.pop(key, None)
+        if stored is not None:
+            self.size -= len(stored.data)
+            data = max(stored.data, data, key=len)
+        self._chunks[key] = _StoredChunk(data, self._timers.now() + self._ttl)
         self.size += len(data)
         while self._chunks and self.size > self._capacity:
             self._drop(next(iter(self._chunks)))
 
-    def _drop(self, key: bytes):
-        data, _ = self._chunks.pop(key)
-        self.size -= len(data)
-
     def get(self, key: bytes) -> bytes:
-        data, until = self._chunks.get(key, (b"", None))
-        if until is not None and until < self._timers.now():
+        """Returns a chunk, or b"" where it is not stored or too old."""
+        stored = self._chunks.get(key)
+        if stored is None:
+            return b""
+        if stored.expires_at < self._timers.now():
             self._drop(key)
             return b""
-        return data
+        return stored.data
 
-    async def put_all(self, node, ask: Chunks):
-        for c in ask.chunks:
-            self.put(c.key, c.data)
+    async def put_all(self, _node: str, request: Chunks) -> None:
+        """Answers a request that stores chunks."""
+        for chunk in request.chunks:
+            self.put(chunk.key, chunk.data)
 
-    async def get_all(self, node, ask: ChunkKeys):
-        found = ((k, self.get(k)) for k in ask.keys)
-        return Chunks(chunks=[Chunk(key=k, data=d) for k, d in found if d])
+    async def get_all(self, _node: str, request: ChunkKeys) -> Chunks:
+        """Answers a request for chunks with those that are stored."""
+        found = ((key, self.get(key)) for key in request.keys)
+        return Chunks(chunks=[Chunk(key=key, data=data) for key, data in found if data])
+
+    def _drop(self, key: bytes) -> None:
+        self.size -= len(self._chunks.pop(key).data)
 
 
 class LengthStore:
-    """One replica of the metadata cache: durable and cached lengths that only grow, and a best-effort writer."""
+    """One replica of the metadata cache: durable and cached lengths that only grow, and the log's last known writer."""
 
-    def __init__(self, timers, ttl: timedelta, capacity: int = 65536):
+    def __init__(self, timers: Timers, ttl: timedelta, capacity: int = MAX_LENGTHS) -> None:
         self._timers = timers
         self._ttl = ttl
         self._capacity = capacity
-        self._files: OrderedDict[str, tuple[Lengths, timedelta]] = OrderedDict()
+        self._lengths: OrderedDict[str, _StoredLengths] = OrderedDict()
 
-    def __len__(self):
-        return len(self._files)
+    def __len__(self) -> int:
+        return len(self._lengths)
 
-    def merge(self, new: Lengths):
-        have, _ = self._files.pop(new.path, (Lengths(path=new.path), None))
-        have.durable = max(have.durable, new.durable)
-        have.cached = max(have.cached, new.cached)
+    def merge(self, new: Lengths) -> None:
+        """Raises the stored lengths of a log to those given; drops the oldest entries when full."""
+        stored = self._lengths.pop(new.path, None)
+        lengths = stored.lengths if stored is not None else Lengths(path=new.path)
+        lengths.durable = max(lengths.durable, new.durable)
+        lengths.cached = max(lengths.cached, new.cached)
         if new.writer:
-            have.writer = new.writer
-        self._files[new.path] = (have, self._timers.now() + self._ttl)
-        while len(self._files) > self._capacity:
-            self._files.popitem(last=False)
+            lengths.writer = new.writer
+        self._lengths[new.path] = _StoredLengths(lengths, self._timers.now() + self._ttl)
+        while len(self._lengths) > self._capacity:
+            self._lengths.popitem(last=False)
 
     def get(self, path: str) -> Lengths:
-        have, until = self._files.get(path, (Lengths(path=path), None))
-        if until is not None and until < self._timers.now():
-            del self._files[path]
+        """Returns the lengths of a log; zeros where they are not stored or too old."""
+        stored = self._lengths.get(path)
+        if stored is None:
+            return Lengths(path=path)
+        if stored.expires_at < self._timers.now():
+            del self._lengths[path]
             return Lengths(path=path)
-        return have
+        return stored.lengths
 
-    async def put_all(self, node, ask: LengthsList):
-        for new in ask.lengths:
+    async def put_all(self, _node: str, request: LengthsList) -> None:
+        """Answers a request that stores lengths."""
+        for new in request.lengths:
             self.merge(new)
 
-    async def get_all(self, node, ask: Paths):
-        return LengthsList(lengths=[self.get(p) for p in ask.paths])
+    async def get_all(self, _node: str, request: Paths) -> LengthsList:
+        """Answers a request for the lengths of logs, in the order of the request."""
+        return LengthsList(lengths=[self.get(path) for path in request.paths])
--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -1,196 +1,185 @@
-"""Follows one log record by record, from the cache where it can and from the storage nodes otherwise."""
+"""Reads one log record by record, from the cache where it can and from the storage nodes otherwise."""
 
 from datetime import timedelta
+from typing import TYPE_CHECKING
 
-from twisted.internet import defer
-
+from ..context import Context
 from ..disk import HEAD, frames
-from ..errors import CorruptData, WireError
-from ..timers import ms, secs, spawn
+from ..errors import CorruptData
+from ..timers import ms, secs
 from .chunks import CHUNK, chunk_key
+from .hedged_read import HedgedRead
+
+if TYPE_CHECKING:
+    from .cache import Cache
 
 __all__ = ["Tail"]
 
-BULK = 64
+MAX_READ_BYTES = 64 * CHUNK
+MAX_RECORD_BYTES = 72 * 1024 * 1024
+DEFAULT_LIMIT = secs(1)
+# A reader postpones reads of durable bytes for its limit divided by these: without progress of the cache, and in all.
+POSTPONE_IDLE_DIVISOR = 5
+POSTPONE_DIVISOR = 2
 
 
 class Tail:
-    """Reads one log in order: chunks from a random replica, then from two of three, then the durable log."""
+    """Reads one log in order: chunks from a random replica, then from two of three, then from the durable log.
 
-    def __init__(self, ctx, cache, path: str, limit: timedelta | None):
+    `position` is up to where the log has been read, `lengths` what is known of its lengths.
+    """
+
+    def __init__(self, ctx: Context, cache: "Cache", path: str, limit: timedelta | None) -> None:
         self._ctx = ctx
         self._cache = cache
         self.path = path
-        self._limit = limit or secs(1)
-        self.seen = cache.poller.join(path)
+        self._limit = limit or DEFAULT_LIMIT
+        self.lengths = cache.poller.join(path)
         self.position = 0
-        self._bytes = bytearray()
-        self._rate = ctx.settings.reader_kb_s * 1024
-        self._free_at = ctx.timers.now()
-        self._resting = False
-
-    def close(self):
-        self.rest()
-
-    def rest(self):
-        """Lengths are not polled any more until the tail is read on."""
-        if not self._resting:
-            self._resting = True
+        self._partial = bytearray()
+        self._bytes_per_s = ctx.settings.reader_kb_s * 1024
+        self._next_read_at = ctx.timers.now()
+        self._is_paused = False
+
+    def close(self) -> None:
+        """Ends the reading."""
+        self.pause()
+
+    def pause(self) -> None:
+        """Lets the log's lengths no longer be polled until `resume`."""
+        if not self._is_paused:
+            self._is_paused = True
             self._cache.poller.leave(self.path)
 
-    def resume(self):
-        if self._resting:
-            self._resting = False
-            before, self.seen = self.seen, self._cache.poller.join(self.path)
-            self._cache.poller.recall(self.seen, before)
-
-    def _postponed(self) -> bool:
-        """A durable read waits while the cache follows, for a small share of the time that the reader has."""
-        now, s = self._ctx.timers.now(), self.seen
-        since = s.ahead_since(now)
-        still = now - max(since, s.cached_at)
-        return still < min(ms(self._ctx.settings.postpone_ms), self._limit / 5) and now - since < self._limit / 2
-
-    def goal(self) -> int:
-        if self.seen.cached > self.position:
-            return self.seen.cached
-        if self.seen.durable > self.position and not self._postponed():
-            return self.seen.durable
+    def resume(self) -> None:
+        """Has the log's lengths polled again after `pause`."""
+        if self._is_paused:
+            self._is_paused = False
+            before, self.lengths = self.lengths, self._cache.poller.join(self.path)
+            self._cache.poller.restore(self.lengths, before)
+
+    def readable_end(self) -> int:
+        """Returns up to where the log can be read now, at least `position`."""
+        if self.lengths.cached > self.position:
+            return self.lengths.cached
+        if self.lengths.durable > self.position and not self._is_durable_read_postponed():
+            return self.lengths.durable
         return self.position
 
-    def lack(self) -> int:
-        """How many bytes the next record lacks, or its frame's header and its payload's first byte."""
-        if len(self._bytes) <= HEAD:
-            return HEAD + 1 - len(self._bytes)
-        return max(1, HEAD + int.from_bytes(self._bytes[:4], "big") - len(self._bytes))
+    def missing_bytes(self) -> int:
+        """Returns how many bytes the next record lacks, or its frame's header and the first byte of its payload."""
+        if len(self._partial) <= HEAD:
+            return HEAD + 1 - len(self._partial)
+        return max(1, HEAD + self._next_payload_size() - len(self._partial))
+
+    def at_record_boundary(self) -> bool:
+        """Whether all that is durable was read, and ends with a complete record."""
+        return not self._partial and self.position >= self.lengths.durable
 
-    def between(self) -> bool:
-        """All that is durable was read, and ends with a whole record."""
-        return not self._bytes and self.position >= self.seen.durable
+    def skip_record(self, prefix: bytes) -> tuple[int, int] | None:
+        """Skips the next record where its payload begins with `prefix` and all of it is durable.
 
-    def skip(self, first: bytes) -> tuple[int, int] | None:
-        """Passes over the rest of the next record where its payload begins so and all of it is durable; its span."""
-        if len(self._bytes) < HEAD + len(first) or not self._bytes.startswith(first, HEAD):
+        Returns its start and end in the log, or None where it was not skipped.
+        """
+        if len(self._partial) < HEAD + len(prefix) or not self._partial.startswith(prefix, HEAD):
             return None
-        start = self.position - len(self._bytes)
-        end = start + HEAD + int.from_bytes(self._bytes[:4], "big")
-        if not self.position < end <= self.seen.durable:
+        start = self.position - len(self._partial)
+        end = start + HEAD + self._next_payload_size()
+        if not self.position < end <= self.lengths.durable:
             return None
-        self._bytes.clear()
+        self._partial.clear()
         self.position = end
         return start, end
 
-    async def record(self, start: int, end: int) -> bytes:
-        """The payload of a record that was passed over."""
+    async def read_record(self, start: int, end: int) -> bytes:
+        """Returns the payload of a record that was skipped. Raises CorruptData where none is there."""
         await self._keep_rate(end - start)
-        for _, body, at in frames(await self.read(start, end)):
-            if at == end - start:
-                return body
+        for _, payload, frame_end in frames(await self.read(start, end)):
+            if frame_end == end - start:
+                return bytes(payload)
         raise CorruptData(f"{self.path}: no record stands at {start}")
 
-    async def more(self, most: int = BULK * CHUNK) -> list[tuple[int, bytes]]:
-        """The next whole records as (position, payload); empty when there is nothing new yet."""
-        goal = self.goal()
-        if goal <= self.position:
+    async def read_records(self, max_bytes: int = MAX_READ_BYTES) -> list[tuple[int, bytes]]:
+        """Returns the next complete records as (position, payload); none where there is nothing new yet."""
+        end = self.readable_end()
+        if end <= self.position:
             return []
-        goal = min(goal, self.position + min(most, BULK * CHUNK))
-        await self._keep_rate(goal - self.position)
-        data = await self.read(self.position, goal)
-        self._bytes += data
-        self.position = goal
-        out = []
-        base = self.position - len(self._bytes)
+        end = min(end, self.position + min(max_bytes, MAX_READ_BYTES))
+        await self._keep_rate(end - self.position)
+        self._partial += await self.read(self.position, end)
+        self.position = end
+        return self._take_records()
+
+    async def wait_for_growth(self) -> None:
+        """Waits until there may be more to read."""
+        settings = self._ctx.settings
+        if self.lengths.durable > self.position and self.lengths.cached <= self.position:
+            with self._cache.poller.waiting(self.lengths):
+                await self._cache.poller.wait_for_growth(ms(settings.poll_ms))
+        else:
+            await self._cache.poller.wait_for_growth(ms(settings.durable_poll_ms))
+
+    async def read(self, start: int, end: int) -> bytes:
+        """Returns the log's bytes from `start` to `end`, which must be durable."""
+        numbers = range(start // CHUNK, (end - 1) // CHUNK + 1)
+        keys = {number: chunk_key(self.path, number) for number in numbers}
+        needed = {number: min(CHUNK, end - number * CHUNK) for number in numbers}
+        found = await self._read_cached(keys, needed)
+        missing = [number for number in numbers if len(found.get(keys[number], b"")) < needed[number]]
+        durable = await self._read_missing(missing, needed) if missing else {}
+        data = bytearray()
+        for number in numbers:
+            data += durable[number] if number in durable else found[keys[number]][: needed[number]]
+        return bytes(data[start - numbers[0] * CHUNK :])
+
+    async def _read_cached(self, keys: dict[int, bytes], needed: dict[int, int]) -> dict[bytes, bytes]:
+        """What the cache has of the chunks, by key, which may be less than is needed of them."""
+        counts = self._cache.counts
+        cached = {keys[number]: size for number, size in needed.items() if number * CHUNK + size <= self.lengths.cached}
+        found = await HedgedRead(self._ctx, self._cache, cached).run()
+        short = [key for key, size in cached.items() if len(found.get(key, b"")) < size]
+        counts["relaxed"] += len(cached) - len(short)
+        if short:
+            consistent = await self._cache.get_consistent(short)
+            for key in short:
+                found[key] = max(found.get(key, b""), consistent.get(key, b""), key=len)
+        counts["consistent"] += sum(len(found[key]) >= cached[key] for key in short)
+        return found
+
+    async def _read_missing(self, missing: list[int], needed: dict[int, int]) -> dict[int, bytes]:
+        """The chunks that the cache lacks, by number, in one read from the first of them to the last."""
+        start = missing[0] * CHUNK
+        end = missing[-1] * CHUNK + needed[missing[-1]]
+        self._cache.counts["durable"] += len(missing)
+        data = await self._cache.read_durable(self.path, start, end - start)
+        return {number: data[number * CHUNK - start : number * CHUNK - start + needed[number]] for number in missing}
+
+    def _take_records(self) -> list[tuple[int, bytes]]:
+        """Removes the complete records from the bytes that were read."""
+        base = self.position - len(self._partial)
+        records = []
         end = 0
-        for at, body, end in frames(bytes(self._bytes)):
-            out.append((base + at, body))
-        del self._bytes[:end]
-        if self._bytes and not out and len(self._bytes) > 72 * 1024 * 1024:
+        for start, payload, end in frames(bytes(self._partial)):
+            records.append((base + start, payload))
+        del self._partial[:end]
+        if self._partial and not records and len(self._partial) > MAX_RECORD_BYTES:
             raise CorruptData(f"{self.path}: no record ends after {base}")
-        return out
+        return records
 
-    async def wait(self):
-        """Until there may be more to read."""
-        if self.seen.durable > self.position and self.seen.cached <= self.position:
-            with self._cache.poller.hot(self.seen):
-                await self._cache.poller.moved(ms(self._ctx.settings.poll_ms))
-        else:
-            await self._cache.poller.moved(ms(self._ctx.settings.durable_poll_ms))
+    def _next_payload_size(self) -> int:
+        return int.from_bytes(self._partial[:4], "big")
 
-    async def _keep_rate(self, size: int):
+    def _is_durable_read_postponed(self) -> bool:
+        """Whether the cache is likely to have the bytes soon, within a small share of the time that the reader has."""
         now = self._ctx.timers.now()
-        if self._free_at > now:
-            await self._ctx.timers.sleep(self._free_at - now)
-        self._free_at = max(self._free_at, now) + timedelta(seconds=size / self._rate)
+        uncached_since = self.lengths.uncached_since(now)
+        idle = now - max(uncached_since, self.lengths.cached_at)
+        max_idle = min(ms(self._ctx.settings.postpone_ms), self._limit / POSTPONE_IDLE_DIVISOR)
+        return idle < max_idle and now - uncached_since < self._limit / POSTPONE_DIVISOR
 
-    async def read(self, start: int, end: int) -> bytes:
-        numbers = range(start // CHUNK, (end - 1) // CHUNK + 1)
-        keys = {n: chunk_key(self.path, n) for n in numbers}
-        need = {n: min(CHUNK, end - n * CHUNK) for n in numbers}
-        cached_need = {n: w for n, w in need.items() if n * CHUNK + w <= self.seen.cached}
-        have = await self._relaxed({keys[n]: w for n, w in cached_need.items()})
-        short = [keys[n] for n, w in cached_need.items() if len(have.get(keys[n], b"")) < w]
-        self._cache.counts["relaxed"] += len(cached_need) - len(short)
-        if short:
-            again = await self._cache.get_consistent(short)
-            for k in short:
-                have[k] = max(have.get(k, b""), again.get(k, b""), key=len)
-        missing = [n for n in numbers if len(have.get(keys[n], b"")) < need[n]]
-        self._cache.counts["consistent"] += sum(1 for k in short if k not in {keys[n] for n in missing})
-        span, span_start = b"", 0
-        if missing:
-            span_start = missing[0] * CHUNK
-            span_end = missing[-1] * CHUNK + need[missing[-1]]
-            self._cache.counts["durable"] += len(missing)
-            span = await self._cache.read_durable(self.path, span_start, span_end - span_start)
-        out = bytearray()
-        for n in numbers:
-            at = n * CHUNK
-            data = span[at - span_start : at - span_start + need[n]] if n in missing else have[keys[n]][: need[n]]
-            out += data
-        return bytes(out[start - numbers[0] * CHUNK :])
-
-    async def _relaxed(self, needs: dict[bytes, int]) -> dict[bytes, bytes]:
-        """Each chunk from one random replica, hedged with another after a short delay."""
-        ring = self._cache.ring()
-        first: dict[str, list[bytes]] = {}
-        second: dict[str, list[bytes]] = {}
-        for k in needs:
-            replicas = list(ring.replicas(k))
-            if not replicas:
-                continue
-            self._ctx.rng.shuffle(replicas)
-            first.setdefault(replicas[0], []).append(k)
-            second.setdefault(replicas[-1], []).append(k)
-        have: dict[bytes, bytes] = {}
-        done = defer.Deferred()
-        waiting = len(first)
-
-        async def one(node, keys):
-            nonlocal waiting
-            try:
-                for k, d in (await self._cache.get_chunks(node, keys)).items():
-                    have[k] = max(have.get(k, b""), d, key=len)
-            except WireError:
-                pass
-            waiting -= 1
-            if not done.called and (waiting == 0 or all(len(have.get(k, b"")) >= w for k, w in needs.items())):
-                done.callback(None)
-
-        def hedge():
-            nonlocal waiting
-            self._cache.counts["hedged"] += 1
-            late = {n: [k for k in ks if len(have.get(k, b"")) < needs[k]] for n, ks in second.items()}
-            late = {n: ks for n, ks in late.items() if ks}
-            waiting += len(late)
-            for n, ks in late.items():
-                spawn(one(n, ks))
-
-        if not first:
-            return have
-        beat = self._ctx.timers.call_later(ms(self._ctx.settings.hedge_ms), hedge)
-        for n, ks in first.items():
-            spawn(one(n, ks))
-        await done
-        if beat.active():
-            beat.cancel()
-        return have
+    async def _keep_rate(self, size: int) -> None:
+        """Waits until bytes may be read by the settings' rate of a reader."""
+        now = self._ctx.timers.now()
+        if self._next_read_at > now:
+            await self._ctx.timers.sleep(self._next_read_at - now)
+        self._next_read_at = max(self._next_read_at, now) + timedelta(seconds=size / self._bytes_per_s)
--- a/pipitlink/cluster/__init__.py
+++ b/pipitlink/cluster/__init__.py
@@ -1,6 +1,6 @@
 """The cluster state that controllers agree on, and how other nodes follow it."""
 
-from .cluster_state import ClusterState
-from .follower import Cluster
+from .cluster_state import ClusterState, OutcomeCode
+from .follower import ClusterFollower
 
-__all__ = ["Cluster", "ClusterState"]
+__all__ = ["ClusterFollower", "ClusterState", "OutcomeCode"]
--- a/pipitlink/cluster/cluster_state.py
+++ b/pipitlink/cluster/cluster_state.py
@@ -1,54 +1,87 @@
-"""The deterministic state that the controllers' agreed commands are applied to."""
+"""The replicated state machine that the controllers' agreed commands are applied to."""
 
 from collections import OrderedDict
+from enum import StrEnum
 from hashlib import blake2b
 
 from google.protobuf.message import Message
 
 from ..replicated_log.placement_group import PlacementGroup
-from ..wire.cluster_pb2 import ClusterStateData, Command, Outcome, PlacementGroupRow, Row, StorageNodeEdit
+from ..wire.cluster_pb2 import (
+    ClusterStateData,
+    Command,
+    ConfigEdit,
+    Controllers,
+    Outcome,
+    Placement,
+    PlacementGroupRow,
+    Row,
+    StorageNodeEdit,
+    TableEdit,
+    ZoneEdit,
+)
 from .routes import RouteTable
 
-__all__ = ["ClusterState", "MAX_ROWS"]
+__all__ = ["MAX_ROWS", "ClusterState", "OutcomeCode"]
 
 MAX_OUTCOMES = 2000
 MAX_ROWS = 100_000
-CONTENT_SIZE = 12
+CONTENT_DIGEST_BYTES = 12
 
 
-def _content(c: Command) -> bytes:
-    """A digest of what an edit asks for, whatever its id and its fence."""
-    kind = c.WhichOneof("of")
-    what = getattr(c, kind) if kind else ""
-    body = what.SerializeToString(deterministic=True) if isinstance(what, Message) else str(what).encode()
-    return blake2b(body, digest_size=CONTENT_SIZE, person=(kind or "").encode()).digest()
+class OutcomeCode(StrEnum):
+    """What became of a command; the values stand on the wire and in stored outcomes."""
+
+    DONE = "done"
+    FENCED = "late"
+    EDIT_ID_USED = "edit_id_used"
+    WRONG_BASE = "wrong_base"
+    OLD_VERSION = "old_version"
+    INVALID = "invalid"
+    TOO_MANY_ROWS = "too_many_rows"
+    NO_SUCH_ROW = "no_such_row"
+
+
+def _content_digest(command: Command) -> bytes:
+    """A digest of what an edit asks for, whatever its id and its fencing token."""
+    kind = command.WhichOneof("of") or ""
+    content = getattr(command, kind) if kind else ""
+    body = content.SerializeToString(deterministic=True) if isinstance(content, Message) else str(content).encode()
+    return blake2b(body, digest_size=CONTENT_DIGEST_BYTES, person=kind.encode()).digest()
 
 
 class ClusterState:
-    """The cluster state: the weight table, routes, zones, storage nodes, placement groups and voters, as the agreed
-    commands make it.
+    """Weight table, routes, zones, storage nodes, placement groups and voters, as the agreed commands make them.
+
+    The same commands in the same order give the same state on each node. `table`, `config_at`, `zones_at`,
+    `storage_nodes_at` and `witnesses_at` are the sequences of the last changes of each part.
     """
 
-    def __init__(self, data: ClusterStateData | None = None):
+    def __init__(self, data: ClusterStateData | None = None) -> None:
         data = data or ClusterStateData()
         self.sequence = data.sequence
         self.table = data.table
-        self.rows: dict[str, Row] = {r.name: r for r in data.rows}
+        self.rows: dict[str, Row] = {row.name: row for row in data.rows}
         self.routes = RouteTable(data.config)
         self.empty_zones: set[str] = set(data.empty_zones)
-        self.storage_nodes: dict[str, str] = {d.storage_node: d.status for d in data.storage_nodes}
-        self.storage_node_names: dict[str, str] = {d.storage_node: d.name for d in data.storage_nodes if d.name}
-        self.placement_groups: dict[int, PlacementGroupRow] = {s.number: s for s in data.placement_groups}
+        self.storage_nodes: dict[str, str] = {edit.storage_node: edit.status for edit in data.storage_nodes}
+        self.storage_node_names: dict[str, str] = {
+            edit.storage_node: edit.name for edit in data.storage_nodes if edit.name
+        }
+        self.placement_groups: dict[int, PlacementGroupRow] = {group.number: group for group in data.placement_groups}
         self.voters: tuple[str, ...] = tuple(data.voters)
         self.witnesses_at = data.witnesses_at
-        self.settled = data.settled
+        self.confirmed_witnesses_at = data.confirmed_witnesses_at
         self.config_at = data.config_at
         self.zones_at = data.zones_at
         self.storage_nodes_at = data.storage_nodes_at
-        self.outcomes: OrderedDict[str, Outcome] = OrderedDict((o.edit, o) for o in data.outcomes if o.code == "done")
-        self._by_target: dict[tuple[str, str], Row] | None = None
+        self.outcomes: OrderedDict[str, Outcome] = OrderedDict(
+            (outcome.edit, outcome) for outcome in data.outcomes if outcome.code == OutcomeCode.DONE
+        )
+        self._rows_by_target: dict[tuple[str, str], Row] | None = None
 
     def data(self) -> ClusterStateData:
+        """Returns the whole state as a message, from which the constructor makes the same state."""
         return ClusterStateData(
             sequence=self.sequence,
             table=self.table,
@@ -57,10 +90,10 @@
             placement_groups=self.placement_groups.values(),
             voters=self.voters,
             witnesses_at=self.witnesses_at,
-            settled=self.settled,
+            confirmed_witnesses_at=self.confirmed_witnesses_at,
             storage_nodes=[
-                StorageNodeEdit(storage_node=d, status=s, name=self.storage_node_names.get(d))
-                for d, s in self.storage_nodes.items()
+                StorageNodeEdit(storage_node=node, status=status, name=self.storage_node_names.get(node))
+                for node, status in self.storage_nodes.items()
             ],
             outcomes=self.outcomes.values(),
             config=self.routes.config(),
@@ -69,132 +102,167 @@
             storage_nodes_at=self.storage_nodes_at,
         )
 
-    def known(self, c: Command) -> Outcome | None:
-        """What became of this edit, where it was taken before; the same id with another content is refused."""
-        out = self.outcomes.get(c.edit) if c.edit else None
-        if out is None or out.content in (b"", _content(c)):
-            return out
-        return Outcome(edit=c.edit, code="edit_id_used", sequence=self.sequence)
+    def recorded_outcome(self, command: Command) -> Outcome | None:
+        """Returns what became of this edit where it took effect before, else None.
 
-    def apply(self, sequence: int, c: Command) -> Outcome:
-        """Applies one agreed command. The same edit id never takes effect twice; only what took effect is remembered,
-        so that an edit that was refused is judged anew when it is sent again.
+        An edit with the id of another and a different content is answered with `edit_id_used`.
+        """
+        outcome = self.outcomes.get(command.edit) if command.edit else None
+        if outcome is None or outcome.content in (b"", _content_digest(command)):
+            return outcome
+        return Outcome(edit=command.edit, code=OutcomeCode.EDIT_ID_USED, sequence=self.sequence)
+
+    def apply(self, sequence: int, command: Command) -> Outcome:
+        """Applies the agreed command at a sequence and returns its outcome.
+
+        The same edit id never takes effect twice. Only edits that took effect are recorded, so that one that was
+        rejected is judged anew when it is sent again.
         """
         self.sequence = sequence
-        known = self.known(c)
-        if known is not None:
-            return known
-        what = c.WhichOneof("of")
-        if self._late(c, what):
-            return Outcome(edit=c.edit, code="late", sequence=sequence)
-        code = getattr(self, "_apply_" + what)(getattr(c, what), sequence) if what else "done"
-        at = {"table": self.table, "config": self.routes.version}.get(what, sequence)
-        out = Outcome(edit=c.edit, code=code, sequence=at)
-        if c.edit and code == "done":
-            self._remember(out, c, what)
-        return out
-
-    def _late(self, c: Command, what: str | None) -> bool:
-        """Whether what the command changes was changed after the command's order had arrived."""
+        recorded = self.recorded_outcome(command)
+        if recorded is not None:
+            return recorded
+        kind = command.WhichOneof("of")
+        if self._is_fenced(command, kind):
+            return Outcome(edit=command.edit, code=OutcomeCode.FENCED, sequence=sequence)
+        code = self._apply_kind(kind, command, sequence)
+        outcome = Outcome(edit=command.edit, code=code, sequence=self._version_of(kind, sequence))
+        if command.edit and code == OutcomeCode.DONE:
+            self._record_outcome(outcome, command, kind or "")
+        return outcome
+
+    def placement_group(self, number: int) -> PlacementGroup:
+        """Returns a placement group; one without storage nodes where it is not placed yet."""
+        group = self.placement_groups.get(number)
+        if group is None:
+            return PlacementGroup(number, 0, ())
+        return PlacementGroup(number, group.sequence, tuple(group.storage_nodes), group.joining, group.leaving)
+
+    def row(self, model: str, pool: str) -> Row | None:
+        """Returns the row for a model in a pool, else the model's, else the pool's, or None."""
+        if self._rows_by_target is None:
+            self._rows_by_target = {(row.model, row.pool): row for row in self.rows.values()}
+        rows = self._rows_by_target
+        return rows.get((model, pool)) or rows.get((model, "")) or rows.get(("", pool))
+
+    def witnesses(self) -> list[str]:
+        """Returns the storage nodes that count for a gateway's proof that its state is the newest, sorted."""
+        return sorted(node for node, status in self.storage_nodes.items() if status != "retired")
+
+    def _is_fenced(self, command: Command, kind: str | None) -> bool:
+        """Whether what the command changes was changed after the operator's request had arrived."""
+        if not command.HasField("fencing_token"):
+            return False
         changed_at = {
             "config": self.config_at,
             "table": self.table,
             "zone": self.zones_at,
             "storage_node": self.storage_nodes_at,
         }
-        return c.HasField("fence") and c.fence < changed_at.get(what, 0)
+        return command.fencing_token < changed_at.get(kind or "", 0)
+
+    def _version_of(self, kind: str | None, sequence: int) -> int:
+        """The version that the outcome of a command states: that of the part which it edits, else its sequence."""
+        if kind == "table":
+            return self.table
+        if kind == "config":
+            return self.routes.version
+        return sequence
 
-    def _remember(self, out: Outcome, c: Command, what: str):
+    def _record_outcome(self, outcome: Outcome, command: Command, kind: str) -> None:
         """Keeps the newest outcomes, and of each kind of edit the last one for as long as its effect stands."""
-        out.kind, out.content = what, _content(c)
-        self.outcomes[c.edit] = out
+        outcome.kind = kind
+        outcome.content = _content_digest(command)
+        self.outcomes[command.edit] = outcome
         while len(self.outcomes) > MAX_OUTCOMES:
             oldest = next(iter(self.outcomes.values()))
-            if any(o.kind == oldest.kind for o in self.outcomes.values() if o is not oldest):
+            if self._has_other_outcome(oldest):
                 del self.outcomes[oldest.edit]
             else:
                 self.outcomes.move_to_end(oldest.edit)
 
-    def _apply_table(self, e, sequence) -> str:
-        if e.base != self.table:
-            return "wrong_base"
-        kept = 0 if e.whole else len(self.rows)
-        if kept + len(e.puts) > MAX_ROWS:
-            return "too_many_rows"
-        if any(d not in self.rows for d in e.drops):
-            return "no_such_row"
-        if e.whole:
+    def _has_other_outcome(self, outcome: Outcome) -> bool:
+        return any(other.kind == outcome.kind for other in self.outcomes.values() if other is not outcome)
+
+    def _apply_kind(self, kind: str | None, command: Command, sequence: int) -> OutcomeCode:
+        match kind:
+            case "config":
+                return self._apply_config(command.config, sequence)
+            case "table":
+                return self._apply_table(command.table, sequence)
+            case "zone":
+                return self._apply_zone(command.zone, sequence)
+            case "storage_node":
+                return self._apply_storage_node(command.storage_node, sequence)
+            case "placement":
+                return self._apply_placement(command.placement)
+            case "controllers":
+                return self._apply_controllers(command.controllers)
+            case "confirmed_witnesses_at":
+                self.confirmed_witnesses_at = command.confirmed_witnesses_at
+        return OutcomeCode.DONE
+
+    def _apply_table(self, edit: TableEdit, sequence: int) -> OutcomeCode:
+        if edit.base != self.table:
+            return OutcomeCode.WRONG_BASE
+        remaining = 0 if edit.replace_all else len(self.rows)
+        if remaining + len(edit.upserts) > MAX_ROWS:
+            return OutcomeCode.TOO_MANY_ROWS
+        if any(name not in self.rows for name in edit.removed_rows):
+            return OutcomeCode.NO_SUCH_ROW
+        if edit.replace_all:
             self.rows = {}
-        for d in e.drops:
-            self.rows.pop(d, None)
-        for r in e.puts:
-            self.rows[r.name] = r
+        for name in edit.removed_rows:
+            self.rows.pop(name, None)
+        for row in edit.upserts:
+            self.rows[row.name] = row
         self.table = sequence
-        self._by_target = None
-        return "done"
-
-    def _apply_config(self, e, sequence) -> str:
-        if e.base != self.routes.version:
-            return "wrong_base"
-        if e.version <= self.routes.version:
-            return "old_version"
-        edited = self.routes.edited(e)
-        if edited.problems():
-            return "invalid"
-        self.routes = edited
+        self._rows_by_target = None
+        return OutcomeCode.DONE
+
+    def _apply_config(self, edit: ConfigEdit, sequence: int) -> OutcomeCode:
+        if edit.base != self.routes.version:
+            return OutcomeCode.WRONG_BASE
+        if edit.version <= self.routes.version:
+            return OutcomeCode.OLD_VERSION
+        routes = self.routes.with_edit(edit)
+        if routes.validation_faults():
+            return OutcomeCode.INVALID
+        self.routes = routes
         self.config_at = sequence
-        return "done"
+        return OutcomeCode.DONE
 
-    def _apply_zone(self, e, sequence) -> str:
+    def _apply_zone(self, edit: ZoneEdit, sequence: int) -> OutcomeCode:
         self.zones_at = sequence
-        (self.empty_zones.add if e.empty else self.empty_zones.discard)(e.zone)
-        return "done"
+        if edit.empty:
+            self.empty_zones.add(edit.zone)
+        else:
+            self.empty_zones.discard(edit.zone)
+        return OutcomeCode.DONE
 
-    def _apply_storage_node(self, e, sequence) -> str:
+    def _apply_storage_node(self, edit: StorageNodeEdit, sequence: int) -> OutcomeCode:
         before = self.witnesses()
         self.storage_nodes_at = sequence
-        if e.status == "removed":
-            self.storage_nodes.pop(e.storage_node, None)
-            self.storage_node_names.pop(e.storage_node, None)
+        if edit.status == "removed":
+            self.storage_nodes.pop(edit.storage_node, None)
+            self.storage_node_names.pop(edit.storage_node, None)
         else:
-            self.storage_nodes[e.storage_node] = e.status
-            if e.name:
-                self.storage_node_names[e.storage_node] = e.name
+            self.storage_nodes[edit.storage_node] = edit.status
+            if edit.name:
+                self.storage_node_names[edit.storage_node] = edit.name
         if self.witnesses() != before:
             self.witnesses_at = sequence
-        return "done"
-
-    def _apply_settled(self, at, sequence) -> str:
-        self.settled = at
-        return "done"
-
-    def _apply_placement(self, e, sequence) -> str:
-        for s in e.placement_groups:
-            have = self.placement_groups.get(s.number)
-            if have is not None and s.sequence != have.sequence + 1:
-                return "wrong_base"
-        for s in e.placement_groups:
-            self.placement_groups[s.number] = s
-        return "done"
-
-    def _apply_controllers(self, e, sequence) -> str:
-        self.voters = tuple(e.voters)
-        return "done"
-
-    def _apply_nothing(self, e, sequence) -> str:
-        return "done"
-
-    def placement_group(self, n: int) -> PlacementGroup:
-        s = self.placement_groups.get(n)
-        if s is None:
-            return PlacementGroup(n, 0, ())
-        return PlacementGroup(n, s.sequence, tuple(s.storage_nodes), s.joining, s.leaving)
+        return OutcomeCode.DONE
 
-    def row(self, model: str, pool: str) -> Row | None:
-        if self._by_target is None:
-            self._by_target = {(r.model, r.pool): r for r in self.rows.values()}
-        t = self._by_target
-        return t.get((model, pool)) or t.get((model, "")) or t.get(("", pool))
+    def _apply_placement(self, placement: Placement) -> OutcomeCode:
+        for group in placement.placement_groups:
+            current = self.placement_groups.get(group.number)
+            if current is not None and group.sequence != current.sequence + 1:
+                return OutcomeCode.WRONG_BASE
+        for group in placement.placement_groups:
+            self.placement_groups[group.number] = group
+        return OutcomeCode.DONE
 
-    def witnesses(self) -> list[str]:
-        return sorted(d for d, s in self.storage_nodes.items() if s != "retired")
+    def _apply_controllers(self, controllers: Controllers) -> OutcomeCode:
+        self.voters = tuple(controllers.voters)
+        return OutcomeCode.DONE
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -1,235 +1,244 @@
-"""Follows the cluster state outside the controllers and proves that it is the newest."""
+"""Follows the cluster state outside the controllers."""
 
+from collections.abc import Callable
 from datetime import timedelta
 
+import attrs
 from twisted.internet import defer
 
+from ..context import Context
 from ..errors import RemoteError, WireError
 from ..replicated_log.placement_group import PlacementGroup
-from ..state_machines import StateMachineMixin
 from ..timers import ms, secs, to_ms
-from ..wire.cluster_pb2 import FollowRequest, FollowResponse, WitnessResponse
-from ..wire.frame_pb2 import Empty
-from ..wire.membership_pb2 import Member
+from ..wire.cluster_pb2 import FollowRequest, FollowResponse, Row
+from ..wire.membership_pb2 import Gossip, Member
 from .cluster_state import ClusterState
+from .currency import Currency
 from .state_transfer import StateReceipt
+from .witnesses import Witnesses
 
-__all__ = ["Cluster", "LEASE_SPAN", "OWN_SPAN", "HOLD_FOLLOW", "MOST_HELD"]
+__all__ = ["MAX_FOLLOW_WAIT", "MIN_FOLLOW_WAIT", "ClusterFollower"]
 
-LEASE_SPAN = secs(1.5)
-OWN_SPAN = secs(1.2)
-HOLD_FOLLOW = ms(250)
-MOST_HELD = ms(600)
-HOLD_NODES = 24
-FOLLOW_LIMIT = ms(450)
-WITNESS_AFTER = ms(300)
-WITNESS_INTERVAL = ms(300)
-WITNESS_SPAN = secs(1)
-PAUSE = ms(100)
-START_INTERVAL = ms(20)
+# A leader answers a request of a node that has the newest state after a wait, which is longer in a larger cluster.
+MIN_FOLLOW_WAIT = ms(250)
+MAX_FOLLOW_WAIT = ms(600)
+NODES_PER_FOLLOW_WAIT = 24
+FOLLOW_TIMEOUT = ms(450)
+RETRY_PAUSE = ms(100)
+CATCH_UP_POLL_INTERVAL = ms(20)
+# While the controller that was followed does not answer, each third attempt goes by way of a peer.
+ATTEMPTS_PER_PEER_ATTEMPT = 3
 
+FOLLOW_CONTROLLER = "controller.follow"
+FOLLOW_PEER = "cluster.pass_on"
 
-class Cluster(StateMachineMixin):
-    """The cluster state as a node outside the controllers follows it: higher sequences only, and a proof that it is
-    the newest.
-    """
 
-    state_machine = "currency"
+@attrs.frozen
+class _Source:
+    """A member that is asked for the cluster state, and the RPC method for that."""
+
+    member: Member
+    method: str
+
+
+class ClusterFollower:
+    """The cluster state as a node outside the controllers has it: only ever replaced by one of a higher sequence.
+
+    `currency` tells whether the state is proved to be the newest.
+    """
 
-    def __init__(self, ctx):
+    def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
         self.cluster_state = ClusterState()
+        self.currency = Currency(ctx)
         self.placement_groups = ctx.settings.placement_groups
-        self._leased_at: timedelta | None = None
-        self._proved_at: timedelta | None = None
+        self._witnesses = Witnesses(ctx, self)
         self._controller = ""
-        self._followed = False
-        self._watchers: list = []
+        self._caught_up = False
+        self._listeners: list[Callable[[], object]] = []
         self._receipt = StateReceipt()
-        self._nudged: defer.Deferred | None = None
-        self._init_state_machine()
-
-    def open(self):
-        d = self._ctx.rpc
-        d.register_handler("cluster.pass_on", FollowRequest, self._pass_on)
-        d.register_handler("cluster.witness", Empty, self._witness)
-        d.register_handler("cluster.cluster_state", Empty, self._whole)
-        self._ctx.membership.carry(self._fill, self._take)
+        self._retry_pause: defer.Deferred[None] | None = None
+
+    def open(self) -> None:
+        """Follows the cluster state from now on, and answers peers; membership must be open."""
+        self._ctx.rpc.register_handler(FOLLOW_PEER, FollowRequest, self._forward_follow)
+        self._witnesses.open()
+        self._ctx.membership.add_gossip_carrier(self)
         self._ctx.run_in_background(self._follow(), "follow_cluster")
         if self._ctx.role == "gateway":
-            self._ctx.timers.call_repeatedly(WITNESS_INTERVAL, self._ask_witnesses, self._ctx.report("witness"))
+            self._witnesses.start_polling()
 
     @property
     def sequence(self) -> int:
+        """The sequence of the last command that was applied to the state, 0 before the first."""
         return self.cluster_state.sequence
 
     @property
-    def followed(self) -> bool:
-        """Whether the newest cluster state was heard from a leader since this node started."""
-        return self._followed
+    def state(self) -> str:
+        """By what the cluster state was proved to be current when that was last asked."""
+        return self.currency.state
+
+    @property
+    def caught_up(self) -> bool:
+        """Whether a leader has confirmed since this node started that it has the newest cluster state."""
+        return self._caught_up
 
-    async def wait_followed(self, span: timedelta) -> bool:
-        """Waits a while for `followed` on a node that has just started."""
-        end = self._ctx.timers.now() + span
-        while not self.followed and self._ctx.timers.now() < end:
-            await self._ctx.timers.sleep(START_INTERVAL)
-        return self.followed
+    async def wait_until_caught_up(self, timeout: timedelta) -> bool:
+        """Waits a while for `caught_up` on a node that has just started, and returns it."""
+        end = self._ctx.timers.now() + timeout
+        while not self.caught_up and self._ctx.timers.now() < end:
+            await self._ctx.timers.sleep(CATCH_UP_POLL_INTERVAL)
+        return self.caught_up
 
-    def watch(self, do):
-        self._watchers.append(do)
+    def add_listener(self, listener: Callable[[], object]) -> None:
+        """Has `listener` called after each change of the cluster state from now on."""
+        self._listeners.append(listener)
 
     def ready(self) -> bool:
-        """Whether new work may be admitted: checked at the moment of use, so a node that woke asks afresh."""
-        now = self._ctx.timers.now()
+        """Whether new work may be admitted: checked at the moment of use, so a node that woke looks at its proofs."""
         if self.sequence == 0 or not self.cluster_state.placement_groups:
             return False
-        if self.led():
-            state, what = "led", "leased"
-        elif self._proved_at is not None and now - self._proved_at < WITNESS_SPAN:
-            state, what = "witnessed", "proved"
-        else:
-            state, what = "lapsed", "lapse"
-        if self.state != state:
-            self.trigger(what)
-        return self.state in ("led", "witnessed")
-
-    def led(self) -> bool:
+        return self.currency.refresh(self.sequence)
+
+    def has_live_lease(self) -> bool:
         """Whether a leader answered lately that this node has all that is agreed."""
-        return self._leased_at is not None and self._ctx.timers.now() - self._leased_at < OWN_SPAN
+        return self.currency.has_live_lease()
 
     def usable(self) -> bool:
         """Whether requests may be served: proved, or without proof for as long as the settings allow that."""
         if self.ready():
             return True
-        span = self._ctx.settings.unproved_s
-        proofs = [at for at in (self._leased_at, self._proved_at) if at is not None]
-        return bool(span and proofs and self.sequence) and self._ctx.timers.now() - max(proofs) < secs(span)
-
-    def _say(self):
-        self._ctx.logger.info("currency", state=self.state, sequence=self.sequence)
+        unproved_s = self._ctx.settings.unproved_s
+        if not unproved_s or not self.sequence:
+            return False
+        return self.currency.was_proved_within(secs(unproved_s))
 
-    def placement_group(self, n: int) -> PlacementGroup:
-        return self.cluster_state.placement_group(n)
+    def placement_group(self, number: int) -> PlacementGroup:
+        """Returns a placement group; one without storage nodes where it is not placed yet."""
+        return self.cluster_state.placement_group(number)
 
-    def row(self, model: str, pool: str):
+    def row(self, model: str, pool: str) -> Row | None:
+        """Returns the row of the weight table for a model in a pool, or None."""
         return self.cluster_state.row(model, pool)
 
     def zone_empty(self, zone: str) -> bool:
+        """Whether a zone is to get no work."""
         return zone in self.cluster_state.empty_zones
 
-    def _fill(self, g):
-        g.cluster_sequence = self.sequence
-
-    def _take(self, g):
-        if g.cluster_sequence > self.sequence and self._nudged is not None:
-            d, self._nudged = self._nudged, None
-            d.callback(None)
+    def max_follow_wait(self) -> timedelta:
+        """How long a leader may wait before it answers: longer where many ask it, within what a lease allows."""
+        nodes = len(self._ctx.membership.members())
+        return max(MIN_FOLLOW_WAIT, min(MAX_FOLLOW_WAIT, MIN_FOLLOW_WAIT * nodes / NODES_PER_FOLLOW_WAIT))
 
-    def _absorb(self, r: FollowResponse) -> bool:
+    def absorb(self, response: FollowResponse) -> bool:
+        """Takes over what is newer in a response; returns whether this node now has all that its sender has."""
         before = self.sequence
-        if r.HasField("cluster_state") and r.cluster_state.sequence > self.sequence:
-            self.cluster_state = ClusterState(r.cluster_state)
-        if r.HasField("piece"):
-            state = self._receipt.add(r.piece)
-            if state is not None and (state.sequence > self.sequence or not self.sequence):
-                self.cluster_state = state
-        for delta in r.deltas:
+        self._install_state(response)
+        for delta in response.deltas:
             if delta.sequence == self.sequence + 1:
                 self.cluster_state.apply(delta.sequence, delta.command)
         if self.sequence != before:
             self._ctx.logger.info("cluster", sequence=self.sequence, table=self.cluster_state.table)
-            for do in self._watchers:
-                do()
-        return self.sequence >= r.sequence
+            for listener in self._listeners:
+                listener()
+        return self.sequence >= response.sequence
+
+    def fill_gossip(self, gossip: Gossip) -> None:
+        """Adds the sequence of this node's cluster state to a message."""
+        gossip.cluster_sequence = self.sequence
+
+    def absorb_gossip(self, gossip: Gossip) -> None:
+        """Ends the pause before the next attempt where a peer has a newer cluster state."""
+        if gossip.cluster_sequence > self.sequence and self._retry_pause is not None:
+            pause, self._retry_pause = self._retry_pause, None
+            pause.callback(None)
+
+    def _install_state(self, response: FollowResponse) -> None:
+        if response.HasField("cluster_state") and response.cluster_state.sequence > self.sequence:
+            self.cluster_state = ClusterState(response.cluster_state)
+        if not response.HasField("chunk"):
+            return
+        state = self._receipt.add(response.chunk)
+        if state is not None and (state.sequence > self.sequence or not self.sequence):
+            self.cluster_state = state
 
-    async def _follow(self):
-        """One task that follows the cluster state from a controller, or through a peer where no controller is heard."""
+    async def _follow(self) -> None:
+        """Follows the cluster state from a controller, or by way of a peer where no controller answers."""
         failures = 0
         while not self._ctx.timers.ended:
             try:
                 await self._follow_once(failures)
                 failures = 0
-            except (WireError, RemoteError) as e:
+            except WireError as error:
                 failures += 1
-                leader = e.message if isinstance(e, RemoteError) and e.remote_code == "not_leading" else ""
+                leader = _leader_named_by(error)
                 if leader and leader != self._controller:
-                    self._controller, failures = leader, 0
+                    self._controller = leader
+                    failures = 0
                     continue
                 self._controller = ""
-                self._ctx.logger.debug("no_controller", text=e)
-                self._nudged = defer.Deferred()
-                await self._ctx.timers.with_timeout(PAUSE, self._nudged).addErrback(lambda f: None)
-
-    async def _follow_once(self, failures: int):
-        m, method = self._whom(failures)
-        asked = self._ctx.timers.now()
-        ask = FollowRequest(
+                self._ctx.logger.debug("no_controller", text=error)
+                await self._pause()
+
+    async def _pause(self) -> None:
+        self._retry_pause = defer.Deferred()
+        await self._ctx.timers.with_timeout(RETRY_PAUSE, self._retry_pause).addErrback(lambda _: None)
+
+    async def _follow_once(self, failures: int) -> None:
+        source = self._choose_source(failures)
+        asked_at = self._ctx.timers.now()
+        request = FollowRequest(
             node=self._ctx.node,
             role=self._ctx.role,
             sequence=self.sequence,
-            at_once=self._leased_at is None,
-            have=self._receipt.have(),
-            hold_ms=to_ms(self._hold()),
+            no_wait=self.currency.leased_at is None,
+            received=self._receipt.received(),
+            max_wait_ms=to_ms(self.max_follow_wait()),
         )
-        limit = FOLLOW_LIMIT + ms(ask.hold_ms)
-        r = await self._ctx.rpc.call((m.host, m.port), method, ask, FollowResponse, limit, node=m.node)
-        if r.controller and method == "controller.follow":
-            self._controller = r.controller
-        if not self._absorb(r):
+        response = await self._ask(source.member, source.method, request)
+        if response.controller and source.method == FOLLOW_CONTROLLER:
+            self._controller = response.controller
+        if not self.absorb(response):
             return
-        if r.leased:
-            self._leased_at = min(asked + ms(r.held_ms), self._ctx.timers.now())
-            self._followed = True
+        if response.leased:
+            self.currency.leased_at = min(asked_at + ms(response.waited_ms), self._ctx.timers.now())
+            self._caught_up = True
             self.ready()
 
-    def _hold(self) -> timedelta:
-        """How long the leader may hold this node's question: longer where many ask it, within what a lease allows."""
-        nodes = len(self._ctx.membership.members())
-        return max(HOLD_FOLLOW, min(MOST_HELD, HOLD_FOLLOW * nodes / HOLD_NODES))
-
-    def _whom(self, failures: int) -> tuple[Member, str]:
-        controllers = self._ctx.membership.members("controller", me=False)
-        known = [m for m in controllers if m.node == self._controller]
-        if known and not failures:
-            return known[0], "controller.follow"
-        peers = self._ctx.membership.members("gateway", status=("alive",), me=False)
-        if controllers and (failures % 3 or not peers):
-            return self._ctx.rng.choice(controllers), "controller.follow"
+    async def _ask(self, member: Member, method: str, request: FollowRequest) -> FollowResponse:
+        timeout = FOLLOW_TIMEOUT + ms(request.max_wait_ms)
+        address = (member.host, member.port)
+        response: FollowResponse = await self._ctx.rpc.call(
+            address, method, request, FollowResponse, timeout, node=member.node
+        )
+        return response
+
+    def _choose_source(self, failures: int) -> _Source:
+        """Chooses the controller that was followed last, after failures another one or a peer.
+
+        Raises WireError where none is known.
+        """
+        controllers = self._ctx.membership.members("controller", include_self=False)
+        followed = [member for member in controllers if member.node == self._controller]
+        if followed and not failures:
+            return _Source(followed[0], FOLLOW_CONTROLLER)
+        peers = self._ctx.membership.members("gateway", statuses=("alive",), include_self=False)
+        if controllers and (failures % ATTEMPTS_PER_PEER_ATTEMPT or not peers):
+            return _Source(self._ctx.rng.choice(controllers), FOLLOW_CONTROLLER)
         if not peers:
             raise WireError("neither a controller nor a peer is known")
-        return self._ctx.rng.choice(peers), "cluster.pass_on"
+        return _Source(self._ctx.rng.choice(peers), FOLLOW_PEER)
 
-    async def _pass_on(self, node, ask: FollowRequest) -> FollowResponse:
-        """A peer that hears no controller follows through this node."""
-        m = self._ctx.membership.find(self._controller) if self._controller else None
-        if m is None:
+    async def _forward_follow(self, _node: str, request: FollowRequest) -> FollowResponse:
+        """Forwards the request of a peer that no controller answers."""
+        controller = self._ctx.membership.find(self._controller) if self._controller else None
+        if controller is None:
             raise WireError("no controller is heard here either")
-        return await self._ctx.rpc.call(
-            (m.host, m.port), "controller.follow", ask, FollowResponse, FOLLOW_LIMIT + ms(ask.hold_ms), node=m.node
-        )
-
-    async def _witness(self, node, _) -> WitnessResponse:
-        return WitnessResponse(current=self.followed, sequence=self.sequence)
+        return await self._ask(controller, FOLLOW_CONTROLLER, request)
 
-    async def _whole(self, node, _) -> FollowResponse:
-        return FollowResponse(sequence=self.sequence, cluster_state=self.cluster_state.data())
 
-    async def _ask_witnesses(self):
-        """Proof without a controller: an edit is only acknowledged when a majority of the storage nodes has it."""
-        self.ready()
-        witnesses = self.cluster_state.witnesses()
-        now = self._ctx.timers.now()
-        if not witnesses or (self._leased_at is not None and now - self._leased_at < self._hold() + WITNESS_AFTER):
-            return
-        got = await self._ctx.replicated_log.ask_each(witnesses, "cluster.witness", Empty(), WitnessResponse, ms(500))
-        sure = {n: r.sequence for n, r in got.items() if r.current}
-        newest = max(sure, key=sure.get, default="")
-        if newest and sure[newest] > self.sequence:
-            self._absorb(await self._ctx.replicated_log.ask(newest, "cluster.cluster_state", Empty(), FollowResponse))
-        if (
-            2 * len(sure) > len(witnesses)
-            and self.sequence >= max(sure.values())
-            and witnesses == self.cluster_state.witnesses()
-        ):
-            self._proved_at = now
-            self.ready()
+def _leader_named_by(error: WireError) -> str:
+    """The leader that a controller names which does not lead itself; "" where it knows none."""
+    if isinstance(error, RemoteError) and error.remote_code == "not_leading":
+        return error.message
+    return ""
--- a/pipitlink/cluster/routes.py
+++ b/pipitlink/cluster/routes.py
@@ -1,65 +1,90 @@
 """Lookup and validation of the configuration of routes and pools."""
 
-from ..wire.cluster_pb2 import Config, Pool, Route
+from collections.abc import Iterator
+from typing import TypedDict
 
-__all__ = ["RouteTable", "KINDS"]
+from ..wire.cluster_pb2 import Config, ConfigEdit, Pool, Route
+
+__all__ = ["KINDS", "ConfigFault", "RouteTable"]
 
 KINDS = ("streaming", "idempotent", "mutating", "bulk")
 
 
+class ConfigFault(TypedDict):
+    """What is wrong with one field of a route, as operators get it."""
+
+    row: str
+    field: str
+    message: str
+
+
 class RouteTable:
     """The configuration of routes and pools as it is looked up: routes by host and longest prefix, pools by name."""
 
-    def __init__(self, config: Config | None = None):
+    def __init__(self, config: Config | None = None) -> None:
         config = config or Config()
         self.version = config.version
         self.bounds = config.bounds
-        self.routes: dict[str, Route] = {r.name: r for r in config.routes}
-        self.pools: dict[str, Pool] = {p.name: p for p in config.pools}
-        self._hosts: dict[str, list[Route]] = {}
-        for r in sorted(config.routes, key=lambda r: -len(r.prefix)):
-            self._hosts.setdefault(r.host, []).append(r)
+        self.routes: dict[str, Route] = {route.name: route for route in config.routes}
+        self.pools: dict[str, Pool] = {pool.name: pool for pool in config.pools}
+        self._routes_by_host: dict[str, list[Route]] = {}
+        for route in sorted(config.routes, key=_longest_prefix_first):
+            self._routes_by_host.setdefault(route.host, []).append(route)
 
     def config(self) -> Config:
+        """Returns the configuration as a message, from which the constructor makes the same table."""
         return Config(version=self.version, routes=self.routes.values(), pools=self.pools.values(), bounds=self.bounds)
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of this host whose prefix is the longest that begins the path; None where there is none."""
-        return next((r for r in self._hosts.get(host, ()) if path.startswith(r.prefix)), None)
-
-    def edited(self, e) -> "RouteTable":
-        """The table after one edit, which must have been checked against this one."""
-        out = Config(version=e.version)
-        out.bounds.CopyFrom(e.bounds if e.HasField("bounds") else self.bounds)
-        for kept, puts, drops, goal in (
-            (self.routes, e.routes, e.drop_routes, out.routes),
-            (self.pools, e.pools, e.drop_pools, out.pools),
+        """Returns the route of this host with the longest prefix that begins the path, or None."""
+        return next((route for route in self._routes_by_host.get(host, ()) if path.startswith(route.prefix)), None)
+
+    def with_edit(self, edit: ConfigEdit) -> "RouteTable":
+        """Returns the table after an edit, whose base must have been checked against this one."""
+        config = Config(version=edit.version)
+        config.bounds.CopyFrom(edit.bounds if edit.HasField("bounds") else self.bounds)
+        routes: dict[str, Route] = {}
+        pools: dict[str, Pool] = {}
+        if not edit.replace_all:
+            routes = {name: route for name, route in self.routes.items() if name not in edit.removed_routes}
+            pools = {name: pool for name, pool in self.pools.items() if name not in edit.removed_pools}
+        routes.update((route.name, route) for route in edit.routes)
+        pools.update((pool.name, pool) for pool in edit.pools)
+        config.routes.extend(routes.values())
+        config.pools.extend(pools.values())
+        return RouteTable(config)
+
+    def validation_faults(self) -> list[ConfigFault]:
+        """Returns what is wrong with this table; nothing where it may be put in force."""
+        faults: list[ConfigFault] = []
+        owners: dict[tuple[str, str], str] = {}
+        for route in self.routes.values():
+            owner = owners.setdefault((route.host, route.prefix), route.name)
+            faults.extend(self._faults_of(route, owner))
+        return faults
+
+    def _faults_of(self, route: Route, owner: str) -> Iterator[ConfigFault]:
+        """The faults of one route; `owner` is the first route with its host and prefix."""
+        if route.kind not in KINDS:
+            yield _fault(route, "kind", f"must be one of {', '.join(KINDS)}")
+        if not route.host or not route.prefix.startswith("/") or not route.prefix.endswith("/"):
+            yield _fault(route, "prefix", "must have a host, and a prefix that begins and ends with a slash")
+        if owner != route.name:
+            yield _fault(route, "prefix", f"route {owner} has the same host and prefix")
+        if not route.deadline_ms:
+            yield _fault(route, "deadline_ms", "must be above 0")
+        if not sum(target.share for target in route.shares) > 0 or any(
+            not target.share >= 0 for target in route.shares
         ):
-            rest = {} if e.whole else {n: r for n, r in kept.items() if n not in drops}
-            rest.update((r.name, r) for r in puts)
-            goal.extend(rest.values())
-        return RouteTable(out)
-
-    def problems(self) -> list[dict]:
-        """What is wrong with this table, a line for each: nothing where it may be put in force."""
-        out = []
-
-        def wrong(row, field, text):
-            out.append({"row": row, "field": field, "message": text})
-
-        places: dict[tuple[str, str], str] = {}
-        for r in self.routes.values():
-            if r.kind not in KINDS:
-                wrong(r.name, "kind", f"must be one of {', '.join(KINDS)}")
-            if not r.host or not r.prefix.startswith("/") or not r.prefix.endswith("/"):
-                wrong(r.name, "prefix", "must have a host, and a prefix that begins and ends with a slash")
-            if places.setdefault((r.host, r.prefix), r.name) != r.name:
-                wrong(r.name, "prefix", f"route {places[r.host, r.prefix]} has the same host and prefix")
-            if not r.deadline_ms:
-                wrong(r.name, "deadline_ms", "must be above 0")
-            if not sum(s.share for s in r.shares) > 0 or any(not s.share >= 0 for s in r.shares):
-                wrong(r.name, "shares", "must add up to more than 0, and none may be below 0")
-            for s in r.shares:
-                if s.pool not in self.pools:
-                    wrong(r.name, "shares", f"pool {s.pool} is not known")
-        return out
+            yield _fault(route, "shares", "must add up to more than 0, and none may be below 0")
+        for target in route.shares:
+            if target.pool not in self.pools:
+                yield _fault(route, "shares", f"pool {target.pool} is not known")
+
+
+def _fault(route: Route, field: str, message: str) -> ConfigFault:
+    return ConfigFault(row=route.name, field=field, message=message)
+
+
+def _longest_prefix_first(route: Route) -> int:
+    return -len(route.prefix)
--- a/pipitlink/cluster/state_transfer.py
+++ b/pipitlink/cluster/state_transfer.py
@@ -1,4 +1,4 @@
-"""The whole cluster state on its way to a follower, compressed and in bounded pieces."""
+"""The whole cluster state on its way to a follower, compressed and in chunks of bounded size."""
 
 import zlib
 
@@ -7,9 +7,10 @@
 from ..wire.cluster_pb2 import ClusterStateData, StateChunk
 from .cluster_state import ClusterState
 
-__all__ = ["StateTransfer", "StateReceipt"]
+__all__ = ["StateReceipt", "StateTransfer"]
 
-PIECE_BYTES = 128 * 1024
+CHUNK_BYTES = 128 * 1024
+COMPRESSION_LEVEL = 1
 
 
 @attrs.frozen
@@ -23,42 +24,44 @@
     @classmethod
     def of(cls, state: ClusterState, term: int) -> "StateTransfer":
         """Compresses a state as it is now."""
-        return cls(state.sequence, term, zlib.compress(state.data().SerializeToString(), 1))
-
-    def is_of(self, have: StateChunk) -> bool:
-        """Whether a follower has a part of this state."""
-        mine = (have.sequence, have.term, have.total) == (self.sequence, self.term, len(self.data))
-        return mine and 0 < have.offset < len(self.data)
-
-    def piece_after(self, have: StateChunk) -> StateChunk:
-        """What follows the bytes that a follower has; the first piece where those are of another state."""
-        offset = have.offset if self.is_of(have) else 0
-        data = self.data[offset : offset + PIECE_BYTES]
+        return cls(state.sequence, term, zlib.compress(state.data().SerializeToString(), COMPRESSION_LEVEL))
+
+    def matches(self, received: StateChunk) -> bool:
+        """Whether a follower has received a part, but not all, of this state."""
+        total = len(self.data)
+        is_this_state = (received.sequence, received.term, received.total) == (self.sequence, self.term, total)
+        return is_this_state and 0 < received.offset < total
+
+    def chunk_after(self, received: StateChunk) -> StateChunk:
+        """Returns what follows the bytes that a follower has; the first chunk where those are of another state."""
+        offset = received.offset if self.matches(received) else 0
+        data = self.data[offset : offset + CHUNK_BYTES]
         return StateChunk(sequence=self.sequence, term=self.term, offset=offset, total=len(self.data), data=data)
 
 
 class StateReceipt:
-    """The pieces that a follower has of a state."""
+    """The chunks of a state that a follower has received."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self._data = bytearray()
-        self._of = StateChunk()
+        self._transfer = StateChunk()
 
-    def have(self) -> StateChunk:
-        """Which state, and how many bytes of it, as the next request says it."""
-        of = self._of
-        return StateChunk(sequence=of.sequence, term=of.term, total=of.total, offset=len(self._data))
+    def received(self) -> StateChunk:
+        """Returns which state is being received, and as `offset` how many bytes of it; the next request states this."""
+        transfer = self._transfer
+        return StateChunk(sequence=transfer.sequence, term=transfer.term, total=transfer.total, offset=len(self._data))
 
-    def add(self, piece: StateChunk) -> ClusterState | None:
-        """Takes a piece; returns the state once it is whole."""
-        of = self._of
-        if (of.sequence, of.term, of.total) != (piece.sequence, piece.term, piece.total):
+    def add(self, chunk: StateChunk) -> ClusterState | None:
+        """Takes the next chunk; returns the state once it is complete. A chunk out of order is ignored."""
+        transfer = self._transfer
+        if (transfer.sequence, transfer.term, transfer.total) != (chunk.sequence, chunk.term, chunk.total):
             self._data.clear()
-        self._of = StateChunk(sequence=piece.sequence, term=piece.term, total=piece.total)
-        if piece.offset != len(self._data):
+        self._transfer = StateChunk(sequence=chunk.sequence, term=chunk.term, total=chunk.total)
+        if chunk.offset != len(self._data):
             return None
-        self._data += piece.data
-        if len(self._data) < piece.total:
+        self._data += chunk.data
+        if len(self._data) < chunk.total:
             return None
-        whole, self._data = bytes(self._data), bytearray()
-        return ClusterState(ClusterStateData.FromString(zlib.decompress(whole)))
+        compressed = bytes(self._data)
+        self._data = bytearray()
+        return ClusterState(ClusterStateData.FromString(zlib.decompress(compressed)))
--- a/pipitlink/controller/announcing.py
+++ b/pipitlink/controller/announcing.py
@@ -67,7 +67,7 @@
         self._owed: dict[str, set[str]] = {}
         self._unreached: set[str] = set()
         self._turn = 0
-        self._ctx.membership.watch(self._gateway_changed)
+        self._ctx.membership.add_listener(self._gateway_changed)
         self._ctx.timers.call_repeatedly(BATCH_INTERVAL, self._tell_renewed, self._ctx.report("renewed_engines"))
 
     async def announce(self, n: EngineUpdate):
@@ -108,7 +108,7 @@
             self._tell(have)
 
     def _gateways(self, status=("alive", "suspect")):
-        return self._ctx.membership.members("gateway", status=status, me=False)
+        return self._ctx.membership.members("gateway", statuses=status, include_self=False)
 
     def _most(self, nodes) -> bool:
         """Whether these are more than half of the gateways, those among them that were lost in the last minute."""
@@ -116,7 +116,7 @@
         places = {
             (m.host, m.port)
             for m in self._gateways(("alive", "suspect", "gone"))
-            if membership.status(m.node) != "gone" or membership.since(m.node) < LOST_SPAN
+            if membership.status(m.node) != "gone" or membership.time_in_status(m.node) < LOST_SPAN
         }
         found = [m for n in nodes if (m := membership.find(n)) is not None]
         return 2 * len({(m.host, m.port) for m in found} & places) > len(places)
--- a/pipitlink/controller/control.py
+++ b/pipitlink/controller/control.py
@@ -59,7 +59,7 @@
         body = request.content.read()
         edit = self._words.config_edit(body, base, whole)
         if whole:
-            faults = RouteTable().edited(edit).problems()
+            faults = RouteTable().with_edit(edit).validation_faults()
             if faults:
                 raise BadRequest(
                     "; ".join(f"{f['row']}.{f['field']}: {f['message']}" for f in faults[:20]), code="invalid"
--- a/pipitlink/controller/edits.py
+++ b/pipitlink/controller/edits.py
@@ -168,7 +168,7 @@
         raw = _body(request)
         if set(raw) - {"rows", "sequence"} or not isinstance(raw.get("rows"), dict):
             raise BadRequest('the body must be {"rows": {name: row}}', code="bad_field", field="rows")
-        edit = TableEdit(base=edit_base(request), whole=True, puts=rows_from(raw["rows"]))
+        edit = TableEdit(base=edit_base(request), replace_all=True, upserts=rows_from(raw["rows"]))
         return await self._do_edit(request, Command(edit=edit_id(request), table=edit))
 
     @answered
@@ -180,12 +180,12 @@
 
     @answered
     async def put_row(self, request, name: str):
-        edit = TableEdit(base=edit_base(request), puts=[row_from(name, _body(request))])
+        edit = TableEdit(base=edit_base(request), upserts=[row_from(name, _body(request))])
         return await self._do_edit(request, Command(edit=edit_id(request), table=edit))
 
     @answered
     async def drop_row(self, request, name: str):
-        edit = TableEdit(base=edit_base(request), drops=[name])
+        edit = TableEdit(base=edit_base(request), removed_rows=[name])
         return await self._do_edit(request, Command(edit=edit_id(request), table=edit))
 
     @answered
@@ -198,7 +198,7 @@
     @answered
     async def show_zones(self, request):
         s = await self.newest()
-        zones = sorted({m.zone for m in self._ctx.membership.everyone()} | s.empty_zones)
+        zones = sorted({m.zone for m in self._ctx.membership.all_members()} | s.empty_zones)
         return send_json(request, {"zones": {z: {"empty": z in s.empty_zones} for z in zones}})
 
     @answered
--- a/pipitlink/controller/gateways.py
+++ b/pipitlink/controller/gateways.py
@@ -5,7 +5,8 @@
 import attrs
 from twisted.internet import defer
 
-from ..cluster.follower import HOLD_FOLLOW, LEASE_SPAN, MOST_HELD
+from ..cluster.currency import LEASE_SPAN
+from ..cluster.follower import MAX_FOLLOW_WAIT, MIN_FOLLOW_WAIT
 from ..cluster.state_transfer import StateTransfer
 from ..errors import DeadlineExceeded, NotLeader, StorageFull, Unconfirmed
 from ..timers import SingleFlight, ms, secs, to_ms
@@ -67,12 +68,12 @@
         asked = self._ctx.timers.now()
         self.followers[ask.node] = _Follower(ask.role, ask.sequence, asked + LEASE_SPAN)
         _wake(self._confirmations)
-        if ask.sequence >= self.cluster_state.sequence and not ask.at_once:
+        if ask.sequence >= self.cluster_state.sequence and not ask.no_wait:
             await self._hold_question(ask)
         if not self._fresh():
             raise NotLeader(self.leader if self.leader != self._ctx.node else "", self.leader)
         out = self._follow_response(ask)
-        out.held_ms = self._lease_from_now(ask.node, asked)
+        out.waited_ms = self._lease_from_now(ask.node, asked)
         return out
 
     def _follow_response(self, ask: FollowRequest) -> FollowResponse:
@@ -81,10 +82,10 @@
         base = ask.sequence
         deltas = self._deltas_after(base)
         if base == 0 or base < self.cluster_state.sequence and not deltas:
-            out.piece.CopyFrom(self._state_piece(ask.have))
-            if out.piece.offset + len(out.piece.data) < out.piece.total:
+            out.chunk.CopyFrom(self._state_piece(ask.received))
+            if out.chunk.offset + len(out.chunk.data) < out.chunk.total:
                 return out
-            base = out.piece.sequence
+            base = out.chunk.sequence
             deltas = self._deltas_after(base)
         out.deltas.extend(deltas)
         out.leased = base + len(deltas) >= self.cluster_state.sequence
@@ -100,16 +101,16 @@
     def _state_piece(self, have: StateChunk) -> StateChunk:
         """The next piece of the state that the asker has a part of, or else of one that is not far behind."""
         kept = [t for t in self._transfers if t.term == self.term and t.sequence >= self.archive.snapshot.index]
-        going_on = next((t for t in kept if t.is_of(have)), None)
+        going_on = next((t for t in kept if t.matches(have)), None)
         if going_on is None:
             if not kept or self.cluster_state.sequence - kept[-1].sequence > MOST_BEHIND:
                 kept.append(StateTransfer.of(self.cluster_state, self.term))
             going_on = kept[-1]
         self._transfers = kept[-MOST_TRANSFERS:]
-        return going_on.piece_after(have)
+        return going_on.chunk_after(have)
 
     async def _hold_question(self, ask: FollowRequest):
-        span = min(ms(ask.hold_ms) or HOLD_FOLLOW, MOST_HELD)
+        span = min(ms(ask.max_wait_ms) or MIN_FOLLOW_WAIT, MAX_FOLLOW_WAIT)
         await self._wait(self._news, span, lambda: self.cluster_state.sequence > ask.sequence or self.state != "leader")
 
     def _lease_from_now(self, node: str, asked: timedelta) -> int:
@@ -163,7 +164,7 @@
             2 * have > len(witnesses)
             or not witnesses
             or 2 * have == len(witnesses)
-            and self.cluster_state.settled == self.cluster_state.witnesses_at
+            and self.cluster_state.confirmed_witnesses_at == self.cluster_state.witnesses_at
         )
 
     def _shows(self, storage_node: str, sequence: int) -> bool:
@@ -186,7 +187,7 @@
         end = self._ctx.timers.now() + limit
         if self.archive.used() + 3 * c.ByteSize() > self._ctx.settings.budget_mb * 1024 * 1024 * ROOM_SHARE:
             raise StorageFull("the controller's data folder has no room for this edit", sent=False)
-        out = self.cluster_state.known(c)
+        out = self.cluster_state.recorded_outcome(c)
         known = out is not None
         if not known:
             out = await self._ctx.timers.with_timeout(limit, self._agreed(c))
--- a/pipitlink/controller/leading.py
+++ b/pipitlink/controller/leading.py
@@ -48,7 +48,7 @@
         self._elected_at = self._ctx.timers.now()
         self._match, self._acked_at, self._synced = {}, {}, 0
         self._ctx.logger.info("leading", term=self.term, voters=",".join(self.voters()))
-        self._ctx.run_in_background(self._propose(Command(nothing=True)), "first_entry")
+        self._ctx.run_in_background(self._propose(Command(no_op=True)), "first_entry")
         for b in self.lead_timers:
             b.wake()
 
@@ -79,7 +79,7 @@
         return self._ctx.timers.now() - at < CONTACT_SPAN
 
     def _send_to_all(self):
-        for m in self._ctx.membership.members("controller", me=False):
+        for m in self._ctx.membership.members("controller", include_self=False):
             key = self._sender_key(m.node)
             if key not in self._senders:
                 self._senders.add(key)
--- a/pipitlink/controller/load_hub.py
+++ b/pipitlink/controller/load_hub.py
@@ -65,5 +65,5 @@
             totals=[Load(engine=e, running=r, batch=b) for e, (r, b) in totals.items()],
             lots=lots.values(),
         )
-        gateways = self._ctx.membership.members("gateway", me=False)
+        gateways = self._ctx.membership.members("gateway", include_self=False)
         self._ctx.rpc.notify([(m.host, m.port) for m in gateways], "engines.totals", what)
--- a/pipitlink/controller/orders.py
+++ b/pipitlink/controller/orders.py
@@ -58,7 +58,7 @@
         """
         arrived = self._ctx.timers.now()
         self.check_timely(arrived)
-        c.fence = self.cluster_state.sequence
+        c.fencing_token = self.cluster_state.sequence
         await self._ctx.timers.sleep(HANG_UP_SPAN)
         while True:
             self.check_timely(arrived)
@@ -69,4 +69,4 @@
                 )
             if out.code != "late":
                 return out
-            c.fence = out.sequence
+            c.fencing_token = out.sequence
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -57,7 +57,7 @@
     def _witnesses_due(self) -> timedelta | None:
         if self.state != "leader":
             return None
-        return ZERO if self.cluster_state.settled != self.cluster_state.witnesses_at else IDLE_LOOK
+        return ZERO if self.cluster_state.confirmed_witnesses_at != self.cluster_state.witnesses_at else IDLE_LOOK
 
     def _may_place(self) -> bool:
         agreed = self.state == "leader" and self.archive.term_at(self.commit) == self.term
@@ -68,7 +68,7 @@
         if not self._may_place():
             return
         await self._settle_witnesses()
-        if self.cluster_state.settled == self.cluster_state.witnesses_at:
+        if self.cluster_state.confirmed_witnesses_at == self.cluster_state.witnesses_at:
             await self._admit_storage_node() or await self._let_storage_node_go()
 
     async def _placement_beat(self):
@@ -99,8 +99,8 @@
         enough.
         """
         at = self.cluster_state.witnesses_at
-        if at != self.cluster_state.settled and self._in_effect(at):
-            await self._propose(Command(settled=at))
+        if at != self.cluster_state.confirmed_witnesses_at and self._in_effect(at):
+            await self._propose(Command(confirmed_witnesses_at=at))
 
     async def _admit_storage_node(self) -> bool:
         for m in self._newcomers(self.cluster_state):
@@ -179,15 +179,15 @@
         """How many were taken off the cluster state a short while ago, and may be back at any time."""
         return sum(
             m.node not in cluster_state.storage_nodes
-            and self._ctx.membership.since(m.node) < BACK_SPAN
+            and self._ctx.membership.time_in_status(m.node) < BACK_SPAN
             and not self._replaced(m.node)
-            for m in self._ctx.membership.members("storage", status=("gone",))
+            for m in self._ctx.membership.members("storage", statuses=("gone",))
         )
 
     def _newcomers(self, cluster_state: ClusterState) -> list[Member]:
         """Live storage nodes that are still to be admitted."""
         return [
             m
-            for m in self._ctx.membership.members("storage", status=("alive",))
+            for m in self._ctx.membership.members("storage", statuses=("alive",))
             if m.node not in cluster_state.storage_nodes and not self._name_retired(m.name)
         ]
--- a/pipitlink/controller/retiring.py
+++ b/pipitlink/controller/retiring.py
@@ -21,7 +21,7 @@
         if name in cluster_state.storage_nodes:
             return [name]
         named = {d for d, n in cluster_state.storage_node_names.items() if n == name}
-        heard = {m.node for m in self._ctx.membership.everyone() if m.role == "storage" and m.name == name}
+        heard = {m.node for m in self._ctx.membership.all_members() if m.role == "storage" and m.name == name}
         found = sorted((named | heard) & set(cluster_state.storage_nodes))
         if not found and heard:
             raise ApiError(
@@ -58,7 +58,7 @@
     async def _retire_one(self, storage_node: str, edit: str, read_at: int):
         """Has one storage node emptied, unless any storage node changed since its room was checked."""
         c = Command(
-            edit=edit, storage_node=StorageNodeEdit(storage_node=storage_node, status="retiring"), fence=read_at
+            edit=edit, storage_node=StorageNodeEdit(storage_node=storage_node, status="retiring"), fencing_token=read_at
         )
         await self.decide(c)
 
--- a/pipitlink/controller/voters.py
+++ b/pipitlink/controller/voters.py
@@ -33,11 +33,11 @@
         status = self._ctx.membership.status(node)
         if node == self._ctx.node or status == "alive":
             return False
-        if self._ctx.membership.replaced(node):
+        if self._ctx.membership.is_replaced(node):
             return True
         now = self._ctx.timers.now()
         heard = max(self._acked_at.get(node, self._elected_at), self._elected_at)
-        if status == "gone" and self._ctx.membership.since(node) <= LOST_AFTER["gone"]:
+        if status == "gone" and self._ctx.membership.time_in_status(node) <= LOST_AFTER["gone"]:
             return False
         return now - heard > LOST_AFTER[status]
 
@@ -79,7 +79,7 @@
         zones = self._voter_zones(live)
         found = [
             m
-            for m in self._ctx.membership.members("controller", status=("alive",), me=False)
+            for m in self._ctx.membership.members("controller", statuses=("alive",), include_self=False)
             if m.node not in voters and self._caught_up(m.node)
         ]
         return [m.node for m in sorted(found, key=lambda m: (zones[m.zone], m.node))]
--- a/pipitlink/dialect/control.py
+++ b/pipitlink/dialect/control.py
@@ -35,9 +35,9 @@
         Field("prefix", "prefix", "text", needed=True),
         Field("kind", "kind", "text", needed=True),
         Field("deadline_ms", "deadline_ms", needed=True),
-        Field("aim_ms", "aim_ms"),
+        Field("aim_ms", "latency_target_ms"),
         Field("priority", "priority", "rank"),
-        Field("max_tries", "max_tries"),
+        Field("max_tries", "max_attempts"),
         Field("sticky", "sticky", "flag"),
         Field("resumable", "resumable", "flag"),
         Field("gap_ms", "gap_ms"),
@@ -50,8 +50,8 @@
         Field("health_path", "health_path", "text"),
         Field("max_connections", "max_connections"),
         Field("warmup_ms", "warmup_ms"),
-        Field("cold_rate", "cold_rate", "amount"),
-        Field("places", "places"),
+        Field("cold_rate", "slow_start_rate", "amount"),
+        Field("places", "slots"),
         Field("cache_tokens", "cache_tokens", "long"),
     )
     bounds_fields = tuple(
@@ -73,7 +73,7 @@
 
     def config_edit(self, body: bytes, base: int, whole: bool) -> ConfigEdit:
         raw = read_json(body)
-        out = ConfigEdit(base=base, version=count_of(raw, "version", 1), whole=whole)
+        out = ConfigEdit(base=base, version=count_of(raw, "version", 1), replace_all=whole)
         puts, drops = raw, {}
         if not whole:
             puts, drops = raw.get(self.puts_word, {}), raw.get(self.drops_word, {})
@@ -81,8 +81,8 @@
                 raise BadRequest(f"{self.puts_word} and {self.drops_word} must be objects", code="bad_field")
         out.routes.extend(self._route(r) for r in items_of(puts, self.routes_word, whole))
         out.pools.extend(self._pool(p) for p in items_of(puts, self.pools_word, whole))
-        out.drop_routes.extend(names_of(drops, self.routes_word))
-        out.drop_pools.extend(names_of(drops, self.pools_word))
+        out.removed_routes.extend(names_of(drops, self.routes_word))
+        out.removed_pools.extend(names_of(drops, self.pools_word))
         if whole or raw.get(self.bounds_word) is not None:
             out.bounds.CopyFrom(self._bounds(raw.get(self.bounds_word)))
         return out
--- a/pipitlink/gateway/dispatch.py
+++ b/pipitlink/gateway/dispatch.py
@@ -41,7 +41,7 @@
             )
 
     def _owner(self, lot_id: str) -> str:
-        gateways = self._ctx.membership.members("gateway", status=("alive",))
+        gateways = self._ctx.membership.members("gateway", statuses=("alive",))
         gateways = [m for m in gateways if not self._ctx.cluster.zone_empty(m.zone)] or gateways
         return max(gateways, key=lambda m: rank(lot_id, m.node)).node
 
--- a/pipitlink/gateway/engines.py
+++ b/pipitlink/gateway/engines.py
@@ -69,7 +69,7 @@
     def open(self):
         self._ctx.rpc.register_handler("engines.tell", EngineList, self._told_engines)
         self._ctx.rpc.register_handler("engines.loads", Loads, self._told_loads)
-        self._ctx.membership.carry(self._fill, self._take)
+        self._ctx.membership.add_gossip_carrier(self)
         self._ctx.timers.call_repeatedly(LOADS_INTERVAL, self._tell_loads, self._ctx.report("loads"))
 
     def all(self) -> list[Engine]:
@@ -81,7 +81,7 @@
         self._push(EngineList(engines=[self._engines[news.engine].news]))
 
     def _push(self, what: EngineList):
-        for m in self._ctx.membership.members("gateway", me=False):
+        for m in self._ctx.membership.members("gateway", include_self=False):
             place = (m.host, m.port)
             spawn(self._ctx.rpc.call(place, "engines.tell", what, Empty, ms(500))).addErrback(lambda f: None)
 
@@ -90,14 +90,14 @@
             for n in what.engines:
                 self._merge(n)
 
-    def _fill(self, g: Gossip):
+    def fill_gossip(self, g: Gossip):
         now = self._ctx.timers.now()
         for e in self._engines.values():
             n = g.engines.add()
             n.CopyFrom(e.news)
             n.age_ms = to_ms(now - e.renewed)
 
-    def _take(self, g: Gossip):
+    def absorb_gossip(self, g: Gossip):
         if not self._just_woke():
             for n in g.engines[:1024]:
                 self._merge(n)
@@ -191,12 +191,12 @@
         While the engine is cold, gateways that were heard a short while ago keep their parts: they may only be cut off.
         """
         membership = self._ctx.membership
-        gateways = {m.node for m in membership.members("gateway", status=("alive",))} | {self._ctx.node}
+        gateways = {m.node for m in membership.members("gateway", statuses=("alive",))} | {self._ctx.node}
         if self._cold(e):
             gateways |= {
                 m.node
-                for m in membership.members("gateway", status=("suspect", "gone"))
-                if membership.since(m.node) < RAMP_SPAN
+                for m in membership.members("gateway", statuses=("suspect", "gone"))
+                if membership.time_in_status(m.node) < RAMP_SPAN
             }
         ranked = sorted(gateways, key=lambda g: blake2b(f"{e.name}/{g}".encode(), digest_size=8).digest())
         turn = (ranked.index(self._ctx.node) + wall_ms(self._ctx.timers.utc_now()) // TURN_MS) % len(ranked)
@@ -249,7 +249,7 @@
         self._stirred_at = self._ctx.timers.now()
 
     def _tell(self, what: Loads):
-        for m in self._ctx.membership.members("gateway", me=False):
+        for m in self._ctx.membership.members("gateway", include_self=False):
             place = (m.host, m.port)
             spawn(self._ctx.rpc.call(place, "engines.loads", what, Empty, ms(400))).addErrback(lambda f: None)
 
--- a/pipitlink/gateway/limits.py
+++ b/pipitlink/gateway/limits.py
@@ -112,7 +112,7 @@
         )
 
     def _steward(self, row: str) -> str:
-        gateways = {m.node for m in self._ctx.membership.members("gateway", status=("alive",))} | {self._ctx.node}
+        gateways = {m.node for m in self._ctx.membership.members("gateway", statuses=("alive",))} | {self._ctx.node}
         return max(gateways, key=lambda g: rank(row, g))
 
     def _look(self):
@@ -120,7 +120,7 @@
         heard.
         """
         now = self._ctx.timers.now()
-        gateways = frozenset(m.node for m in self._ctx.membership.members("gateway", status=("alive",)))
+        gateways = frozenset(m.node for m in self._ctx.membership.members("gateway", statuses=("alive",)))
         if gateways != self._gateways_then or now - self._looked_at > secs(1):
             self._gateways_then, self._moved_at = gateways, now
         self._looked_at = now
@@ -128,12 +128,12 @@
     def _may_grant(self) -> bool:
         """Not while gateways change, nor on the smaller side of a cut, nor where the cluster state is not proved."""
         self._look()
-        alive = self._ctx.membership.members("gateway", status=("alive",))
+        alive = self._ctx.membership.members("gateway", statuses=("alive",))
         places = {(m.host, m.port) for m in alive}
         away = [
             m
-            for m in self._ctx.membership.members("gateway", status=("suspect", "gone"), me=False)
-            if (m.host, m.port) not in places and self._ctx.membership.since(m.node) < KNOWN_SPAN
+            for m in self._ctx.membership.members("gateway", statuses=("suspect", "gone"), include_self=False)
+            if (m.host, m.port) not in places and self._ctx.membership.time_in_status(m.node) < KNOWN_SPAN
         ]
         return (
             self._ctx.cluster.ready()
@@ -146,7 +146,7 @@
 
     def _permit_here(self, node: str, ask: PermitRequest) -> PermitResponse:
         book = self._books.setdefault(ask.row, _Book())
-        if ask.give:
+        if ask.release:
             book.permits.pop(ask.id, None)
             return PermitResponse()
         row = self._ctx.cluster.cluster_state.rows.get(ask.row)
@@ -208,7 +208,7 @@
 
     def _give_permit(self, permit: str):
         row = self._held.pop(permit)
-        self._ctx.run_in_background(self._ask_steward(PermitRequest(row=row, id=permit, give=True)), "give_permit")
+        self._ctx.run_in_background(self._ask_steward(PermitRequest(row=row, id=permit, release=True)), "give_permit")
 
     def _fill_permits(self, what: Loads):
         self._look()
--- a/pipitlink/gateway/live.py
+++ b/pipitlink/gateway/live.py
@@ -194,7 +194,7 @@
         return send_json(request, {"renew_ms": 1000, "gateways": self.addresses()})
 
     def addresses(self) -> list[str]:
-        return [f"{m.host}:{m.http_port}" for m in self._ctx.membership.members("gateway", status=("alive",))]
+        return [f"{m.host}:{m.http_port}" for m in self._ctx.membership.members("gateway", statuses=("alive",))]
 
 
 class _Pace:
--- a/pipitlink/gateway/lots.py
+++ b/pipitlink/gateway/lots.py
@@ -108,7 +108,7 @@
                 idle = int(turn) < self._lot_turn
             else:
                 idle = self._ctx.membership.status(writer) in ("gone", "unknown")
-            unread = tail.seen.proved is None or tail.position < tail.seen.durable
+            unread = tail.lengths.confirmed_at is None or tail.position < tail.lengths.durable
             if not idle or unread or self._lots_of.get(log, set()) - self._closed or self._owner(log) != self._ctx.node:
                 continue
             try:
@@ -126,7 +126,7 @@
         tail = self._tails[log]
         while not self._ctx.timers.ended and self._tails.get(log) is tail:
             try:
-                for at, body in await tail.more():
+                for at, body in await tail.read_records():
                     record = LogRecord.FromString(body)
                     if record.WhichOneof("of") == "lot":
                         lot_id = f"{log.removeprefix('lots/')}.{at}"
@@ -135,4 +135,4 @@
             except PipitlinkError as e:
                 self._ctx.logger.failure("log_unread", e, log=log)
                 await self._ctx.timers.sleep(secs(1))
-            await tail.wait()
+            await tail.wait_for_growth()
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -72,7 +72,7 @@
     async def keep(self, log: str):
         """Holds a log and shadows it into the caches."""
         h = await self._ctx.replicated_log.hold(log)
-        self._ctx.cache.shadow(log, h)
+        self._ctx.cache.start_log_writer(log, h)
         return h
 
     def _routes(self) -> Klein:
--- a/pipitlink/gateway/results.py
+++ b/pipitlink/gateway/results.py
@@ -70,24 +70,24 @@
         log, at = lot_parts(lot_id)
         tail = self._ctx.cache.tail(log)
         try:
-            await self._ctx.cache.poller.prove([log])
-            if tail.seen.proved is None:
+            await self._ctx.cache.poller.confirm_durable([log])
+            if tail.lengths.confirmed_at is None:
                 raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
-            if tail.seen.durable <= at:
+            if tail.lengths.durable <= at:
                 raise NotFound("there is no such lot", code="no_such_lot", field="lot")
             tail.position = at
             for _ in range(20):
-                for place, body in await tail.more():
+                for place, body in await tail.read_records():
                     record = LogRecord.FromString(body)
                     if place == at and record.WhichOneof("of") == "lot":
                         if len(self._lot_cache) > 256:
                             self._lot_cache.clear()
                         self._lot_cache[lot_id] = record.lot
                         return record.lot
-                if tail.position >= tail.seen.durable:
+                if tail.position >= tail.lengths.durable:
                     break
-                if tail.goal() <= tail.position:
-                    await tail.wait()
+                if tail.readable_end() <= tail.position:
+                    await tail.wait_for_growth()
             raise NotFound("there is no such lot", code="no_such_lot", field="lot")
         finally:
             tail.close()
@@ -99,10 +99,10 @@
         if r is None:
             r = self._readers[lot_id] = _Reader(self._ctx.cache.tail(result_log(lot_id), secs(1)), now)
         r.used = now
-        seen = r.tail.seen
-        if seen.proved is None or now - seen.proved > FRESH:
-            await self._ctx.cache.poller.prove([r.tail.path])
-        if seen.proved is None or self._ctx.timers.now() - seen.proved > secs(1):
+        seen = r.tail.lengths
+        if seen.confirmed_at is None or now - seen.confirmed_at > FRESH:
+            await self._ctx.cache.poller.confirm_durable([r.tail.path])
+        if seen.confirmed_at is None or self._ctx.timers.now() - seen.confirmed_at > secs(1):
             raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
         if seen.final and not seen.durable:
             raise NotFound("the lot's results were removed after their retention", code="results_removed", status=410)
@@ -111,13 +111,13 @@
         return r
 
     async def _read_to(self, r: _Reader, goal: int):
-        seen = r.tail.seen
+        seen = r.tail.lengths
         while r.tail.position < goal or seen.cached > r.tail.position:
             before = r.tail.position
-            for _, body in await r.tail.more():
+            for _, body in await r.tail.read_records():
                 r.learn(LogRecord.FromString(body))
             if r.tail.position == before:
-                await r.tail.wait()
+                await r.tail.wait_for_growth()
 
     def _shown(self, lot_id: str, lot: Lot, r: _Reader) -> dict:
         state = {"done": "done", "ended": "ended"}.get(r.ended, "open")
--- a/pipitlink/membership/__init__.py
+++ b/pipitlink/membership/__init__.py
@@ -1,5 +1,6 @@
-"""Fleet membership by gossip and failure detection."""
+"""Fleet membership by gossip and failure detection, after SWIM."""
 
+from .member_status import MemberStatus
 from .membership import Membership
 
-__all__ = ["Membership"]
+__all__ = ["MemberStatus", "Membership"]
--- /dev/null
+++ b/pipitlink/membership/gossip_carrier.py
@@ -0,0 +1,17 @@
+"""What other parts of a node add to gossip."""
+
+from typing import Protocol
+
+from ..wire.membership_pb2 import Gossip
+
+__all__ = ["GossipCarrier"]
+
+
+class GossipCarrier(Protocol):
+    """A part of a node whose data is exchanged with each gossip message."""
+
+    def fill_gossip(self, gossip: Gossip) -> None:
+        """Adds this part's data to a message that is about to be sent."""
+
+    def absorb_gossip(self, gossip: Gossip) -> None:
+        """Takes this part's data from a message that was received."""
--- /dev/null
+++ b/pipitlink/membership/peer.py
@@ -0,0 +1,57 @@
+"""One other member of the fleet, with its status."""
+
+from datetime import timedelta
+
+from ..state_machines import StateMachineMixin
+from ..structured_log import StructuredLogger
+from ..wire.membership_pb2 import Member
+from .member_status import MemberStatus
+
+__all__ = ["Peer"]
+
+
+class Peer(StateMachineMixin):
+    """Another member, its status, and when that changed; times are on the timers' clock.
+
+    `met_at` is when it was first heard of, `status_since` when its status last changed, and `changed_at` when anything
+    that gossip passes on last changed.
+    """
+
+    state_machine = "member"
+
+    def __init__(self, member: Member, now: timedelta, logger: StructuredLogger) -> None:
+        self.member = member
+        self.met_at = self.status_since = self.changed_at = now
+        self._logger = logger
+        self._init_state_machine()
+        if member.status == MemberStatus.SUSPECT:
+            self.trigger("suspect")
+        elif member.status == MemberStatus.GONE:
+            self.trigger("confirm_gone")
+
+    @property
+    def status(self) -> MemberStatus:
+        """What this node believes of the peer."""
+        return MemberStatus(self.state)
+
+    @property
+    def address(self) -> tuple[str, int]:
+        """Host and port of the peer's RPC endpoint."""
+        return self.member.host, self.member.port
+
+    def transition(self, event: str, now: timedelta) -> None:
+        """Takes the transition of an event of the state machine `member`."""
+        before = self.state
+        self.trigger(event)
+        self.member.status = self.state
+        if self.state != before:
+            self.status_since = now
+
+    def _log_status(self) -> None:
+        self._logger.info(
+            "status",
+            peer=self.member.node,
+            role=self.member.role,
+            status=self.state,
+            incarnation=self.member.incarnation,
+        )
--- /dev/null
+++ b/pipitlink/membership/peer_store.py
@@ -0,0 +1,76 @@
+"""Keeps the addresses of live peers on disk, so that a node that restarts does not depend on its seeds."""
+
+import json
+from pathlib import Path
+
+from ..context import Context
+from ..disk import swap_in
+from ..timers import ZERO
+from ..wire.membership_pb2 import Member
+from .member_status import MemberStatus
+from .member_table import MemberTable
+
+__all__ = ["PeerStore"]
+
+FILE_NAME = "colleagues.json"
+MAX_ADDRESSES_READ = 64
+
+
+class PeerStore:
+    """The file of peers' addresses of a node that has a data folder; without one it does nothing.
+
+    All changes within one turn of the event loop make a single write. A network partition changes the status of every
+    member and each write waits twice for the disk, so writes run in a thread, one at a time, and only where the
+    addresses differ from those last written.
+    """
+
+    def __init__(self, ctx: Context, table: MemberTable) -> None:
+        self._ctx = ctx
+        self._table = table
+        self.path: Path | None = None
+        self._written: list[tuple[str, int]] | None = None
+        self._has_changes = False
+        self._is_write_due = False
+
+    def open_in(self, folder: Path) -> None:
+        """Reads and writes the file in this folder from now on."""
+        self.path = folder / FILE_NAME
+
+    def read(self) -> list[tuple[str, int]]:
+        """Returns the stored addresses as (host, port); none where the file is missing or cannot be read."""
+        if self.path is None or not self.path.exists():
+            return []
+        try:
+            addresses = [(str(host), int(port)) for host, port in json.loads(self.path.read_text())]
+        except (ValueError, TypeError, OSError) as error:
+            self._ctx.logger.failure("peers_file_unreadable", error)
+            return []
+        return addresses[:MAX_ADDRESSES_READ]
+
+    def peer_changed(self, _member: Member) -> None:
+        """Has the file written on the next turn of the event loop."""
+        if self.path is None:
+            return
+        self._has_changes = True
+        if not self._is_write_due:
+            self._is_write_due = True
+            self._ctx.timers.call_later(ZERO, self._start_write, self.path)
+
+    def _start_write(self, path: Path) -> None:
+        self._ctx.run_in_background(self._write(path), "save_peers")
+
+    async def _write(self, path: Path) -> None:
+        try:
+            while self._has_changes:
+                self._has_changes = False
+                addresses = self._live_addresses()
+                if addresses != self._written:
+                    await self._ctx.run_in_thread(swap_in, path, json.dumps(addresses).encode())
+                    self._written = addresses
+        except OSError as error:
+            self._ctx.logger.failure("peers_not_saved", error)
+        finally:
+            self._is_write_due = False
+
+    def _live_addresses(self) -> list[tuple[str, int]]:
+        return sorted({peer.address for peer in self._table.peers.values() if peer.state == MemberStatus.ALIVE})
--- a/pipitlink/operator.py
+++ b/pipitlink/operator.py
@@ -67,7 +67,7 @@
 
     def beliefs(self) -> dict:
         cluster_state = self._cluster_state()
-        me = self._ctx.membership.me
+        me = self._ctx.membership.local_member
         out = {
             "node": me.node,
             "role": me.role,
@@ -86,7 +86,7 @@
                 for n, s in sorted(cluster_state.placement_groups.items())
             },
         }
-        for m in [*self._ctx.membership.everyone()]:
+        for m in [*self._ctx.membership.all_members()]:
             out["membership"][m.node] = f"{m.role} {m.zone} {m.host}:{m.port} {m.incarnation}"
             out["status"][m.node] = self._ctx.membership.status(m.node)
         out.update(self._node.beliefs())
@@ -104,12 +104,12 @@
                 "operator": m.operator_port,
                 "status": membership.status(m.node),
             }
-            for m in sorted(membership.everyone(), key=lambda m: (m.role, m.zone, m.node))
+            for m in sorted(membership.all_members(), key=lambda m: (m.role, m.zone, m.node))
         ]
         ok, words = self._node.readiness()
         return {
-            "node": membership.me.node,
-            "role": membership.me.role,
+            "node": membership.local_member.node,
+            "role": membership.local_member.role,
             "ready": ok,
             **words,
             "peers": peers,
@@ -126,7 +126,7 @@
         yield GaugeMetricFamily("pipitlink_table_sequence", "The weight table's sequence here", cluster_state.table)
         seen = GaugeMetricFamily("pipitlink_peers", "Peers by role and status", labels=["role", "status"])
         counts: dict = {}
-        for m in self._ctx.membership.everyone():
+        for m in self._ctx.membership.all_members():
             key = (m.role, self._ctx.membership.status(m.node))
             counts[key] = counts.get(key, 0) + 1
         for key, n in sorted(counts.items()):
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -10,7 +10,7 @@
 from twisted.internet import reactor
 
 from .changes import Changes
-from .cluster import Cluster
+from .cluster import ClusterFollower
 from .context import Context, fresh_id
 from .dialect import Dialect
 from .disk import set_aside
@@ -77,8 +77,8 @@
         ctx, p = self.ctx, self.ctx.settings
         ctx.membership = Membership(ctx)
         if ctx.role != "gateway":
-            ctx.membership.remember_in(Path(p.data))
-        ctx.cluster = Cluster(ctx)
+            ctx.membership.persist_peers_in(Path(p.data))
+        ctx.cluster = ClusterFollower(ctx)
         ctx.replicated_log = ReplicatedLog(ctx)
         self._open_kept()
         _, port = await ctx.rpc.listen(p.bind, p.port)
--- a/pipitlink/router/batch_read.py
+++ b/pipitlink/router/batch_read.py
@@ -53,7 +53,7 @@
         finally:
             self.users -= 1
             if not self.users:
-                self.tail.rest()
+                self.tail.pause()
 
     def over(self) -> bool:
         return bool(self.listing.ended) and self.listing.head is not None
@@ -110,7 +110,7 @@
     async def _read_bodies(self, r: _Reader):
         async with r.turn:
             if r.listing.batch is None:
-                r.listing.batch = LogRecord.FromString(await r.tail.record(*r.batch_span)).batch
+                r.listing.batch = LogRecord.FromString(await r.tail.read_record(*r.batch_span)).batch
 
     async def _read_on(self, batch_id: str) -> _Reader:
         if not good_id(batch_id):
@@ -132,18 +132,18 @@
         return r
 
     async def _read_batch_on(self, batch_id: str, r: _Reader):
-        seen = r.tail.seen
+        seen = r.tail.lengths
         now = self._ctx.timers.now()
-        if seen.proved is None or now - seen.proved > FRESH:
-            await self._ctx.cache.poller.prove([r.tail.path])
-        if seen.proved is None or self._ctx.timers.now() - seen.proved > PROVED_SPAN:
+        if seen.confirmed_at is None or now - seen.confirmed_at > FRESH:
+            await self._ctx.cache.poller.confirm_durable([r.tail.path])
+        if seen.confirmed_at is None or self._ctx.timers.now() - seen.confirmed_at > PROVED_SPAN:
             raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
         if not seen.durable:
             await self._say_batch_absent(batch_id, seen)
         async with r.turn:
             await self._catch_up_reader(r, seen.durable)
         if r.listing.head is None:
-            alone = r.listing.announced is not None and r.tail.between()
+            alone = r.listing.announced is not None and r.tail.at_record_boundary()
             raise ServiceUnavailable(
                 "the batch cannot be read now", code=HEAD_ALONE if alone else "unread", outcome="unknown"
             )
@@ -162,15 +162,15 @@
         raise NotFound("there is no such batch", code="no_such_batch", field="id")
 
     async def _catch_up_reader(self, r: _Reader, goal: int):
-        seen = r.tail.seen
+        seen = r.tail.lengths
         while not r.closed and (r.tail.position < goal or seen.cached > r.tail.position):
             before = r.tail.position
             if r.listing.head is None:
                 await self._read_head(r)
             else:
-                self._learn_records(r, await r.tail.more())
+                self._learn_records(r, await r.tail.read_records())
             if r.tail.position == before:
-                await r.tail.wait()
+                await r.tail.wait_for_growth()
 
     def _learn_records(self, r: _Reader, records):
         for _, body in records:
@@ -178,10 +178,10 @@
 
     async def _read_head(self, r: _Reader):
         """Reads as little as it takes to know the batch's items, and passes over their bodies."""
-        most = r.tail.lack() if r.listing.announced is not None else max(CHUNK, r.tail.lack())
-        self._learn_records(r, await r.tail.more(most))
+        most = r.tail.missing_bytes() if r.listing.announced is not None else max(CHUNK, r.tail.missing_bytes())
+        self._learn_records(r, await r.tail.read_records(most))
         if r.listing.head is None and r.listing.announced is not None:
-            r.batch_span = r.tail.skip(BATCH_TAG)
+            r.batch_span = r.tail.skip_record(BATCH_TAG)
             if r.batch_span is not None:
                 r.listing.pass_over()
 
@@ -224,8 +224,8 @@
             return
         until = self._ctx.timers.now() + left
         with r.in_use():
-            while r.tail.goal() <= r.tail.position and self._ctx.timers.now() < until and not r.closed:
-                await self._ctx.cache.poller.moved(min(until - self._ctx.timers.now(), FRESH))
+            while r.tail.readable_end() <= r.tail.position and self._ctx.timers.now() < until and not r.closed:
+                await self._ctx.cache.poller.wait_for_growth(min(until - self._ctx.timers.now(), FRESH))
 
     async def read_item(self, lot_id: str, item_id: str):
         try:
--- a/pipitlink/router/batch_run.py
+++ b/pipitlink/router/batch_run.py
@@ -149,7 +149,7 @@
             return
         if answer.status == 500:
             o.failures[i] = o.failures.get(i, 0) + 1
-            if o.failures[i] >= max(1, call.route.max_tries):
+            if o.failures[i] >= max(1, call.route.max_attempts):
                 self._list_output(o, i, ABANDONED)
                 return
         pause = o.pauses.get(i, FIRST_PAUSE) if call.last_event == before else FIRST_PAUSE
--- a/pipitlink/router/batches.py
+++ b/pipitlink/router/batches.py
@@ -234,7 +234,7 @@
 
     def _adopt_batch(self, o: OpenBatch):
         self.batches[o.id] = o
-        self._ctx.cache.shadow(o.leaseholder.log, o.leaseholder)
+        self._ctx.cache.start_log_writer(o.leaseholder.log, o.leaseholder)
         o.leaseholder.watch(lambda h: self._batch_moved(o))
         self._wake_feed()
 
@@ -294,7 +294,7 @@
         self._orphan_batches = {b: self._orphan_batches.get(b, now) for b in free}
         if self._closing_batches or not self._ctx.cluster.usable():
             return
-        gateways = [m.node for m in self._ctx.membership.members("gateway", status=("alive",))]
+        gateways = [m.node for m in self._ctx.membership.members("gateway", statuses=("alive",))]
         for b in sorted(free):
             place = sorted(gateways, key=lambda g: rank(b, g), reverse=True).index(me)
             if now - self._orphan_batches[b] >= place * NEXT_OWNER:
--- a/pipitlink/router/call.py
+++ b/pipitlink/router/call.py
@@ -102,7 +102,7 @@
     @property
     def budget_spent(self) -> bool:
         """Whether it may run on no engine but those on which it may have run; items of batches may run anywhere."""
-        return not self.batch and len(self.engines_run) >= max(1, self.route.max_tries)
+        return not self.batch and len(self.engines_run) >= max(1, self.route.max_attempts)
 
     def forget_body(self):
         """Frees the body of a call that will not be sent again."""
--- a/pipitlink/router/choosing.py
+++ b/pipitlink/router/choosing.py
@@ -154,7 +154,11 @@
         if not call.pool:
             call.pool = self._share_pool(call)
         now = self._ctx.timers.now()
-        wait = min(SHORT_WAIT, timedelta(milliseconds=call.route.aim_ms * WAIT_SHARE)) if not call.batch else ms(0)
+        wait = (
+            min(SHORT_WAIT, timedelta(milliseconds=call.route.latency_target_ms * WAIT_SHARE))
+            if not call.batch
+            else ms(0)
+        )
         until = min(call.limit, now + wait)
         while True:
             e = self._choose(call)
--- a/pipitlink/router/engines.py
+++ b/pipitlink/router/engines.py
@@ -114,8 +114,8 @@
         self._ctx.rpc.register_handler("engines.tell", EngineList, self._told_engines)
         self._ctx.rpc.register_handler("engines.loads", Loads, self._told_loads)
         self._ctx.rpc.register_handler("engines.totals", LoadTotals, self._told_totals)
-        self._ctx.cluster.watch(self._zones_moved)
-        self._ctx.membership.watch(self._gateway_changed)
+        self._ctx.cluster.add_listener(self._zones_moved)
+        self._ctx.membership.add_listener(self._gateway_changed)
         self._ctx.timers.call_repeatedly(LOADS_INTERVAL, self._tell_loads, self._ctx.report("loads"))
 
     def carry(self, fill, take):
@@ -257,13 +257,13 @@
         Each of these may have saved up one request, so the most that an engine can get at once grows with their number.
         """
         pool = self._ctx.cluster.cluster_state.routes.pools.get(e.news.pool)
-        if pool is None or not pool.cold_rate or not self.cold(e):
+        if pool is None or not pool.slow_start_rate or not self.cold(e):
             return True
         sharers = self._cold_sharers(e)
         if self._ctx.node not in sharers:
             return False
         now = self._ctx.timers.now()
-        rate = 0.9 * pool.cold_rate / len(sharers)
+        rate = 0.9 * pool.slow_start_rate / len(sharers)
         e.allowance = min(1.0, e.allowance + rate * (now - e.allowed_at).total_seconds())
         e.allowed_at = now
         return e.allowance >= 1.0
@@ -331,9 +331,9 @@
 
     def _whom_to_tell(self) -> list[tuple[str, int]]:
         """All other gateways where they are few; else the one controller that sums up what all of them tell."""
-        peers = self._ctx.membership.members("gateway", me=False)
+        peers = self._ctx.membership.members("gateway", include_self=False)
         if len(peers) > MOST_TOLD:
-            controllers = self._ctx.membership.members("controller", status=("alive",))
+            controllers = self._ctx.membership.members("controller", statuses=("alive",))
             if controllers:
                 peers = [max(controllers, key=lambda m: rank("loads", m.node))]
         return [(m.host, m.port) for m in peers]
--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -127,26 +127,26 @@
 
     def _look_at_gateways(self):
         now = self._ctx.timers.now()
-        gateways = frozenset(m.node for m in self._ctx.membership.members("gateway", status=("alive",)))
+        gateways = frozenset(m.node for m in self._ctx.membership.members("gateway", statuses=("alive",)))
         if gateways != self._quota_gateways or now - self._quota_looked_at > SLEPT_SPAN:
             self._quota_gateways, self._quota_moved_at = gateways, now
             self._list_soon()
         self._quota_looked_at = now
 
     def _quota_steward(self, route: str) -> str:
-        gateways = {m.node for m in self._ctx.membership.members("gateway", status=("alive",))} | {self._ctx.node}
+        gateways = {m.node for m in self._ctx.membership.members("gateway", statuses=("alive",))} | {self._ctx.node}
         return max(gateways, key=lambda g: rank(f"quota/{route}", g))
 
     def _count_is_sure(self) -> bool:
         """Not while gateways change, nor on the smaller side of a cut, nor before all open batches are counted."""
         self._look_at_gateways()
         now = self._ctx.timers.now()
-        alive = self._ctx.membership.members("gateway", status=("alive",))
+        alive = self._ctx.membership.members("gateway", statuses=("alive",))
         places = {(m.host, m.port) for m in alive}
         away = [
             m
-            for m in self._ctx.membership.members("gateway", status=("suspect", "gone"), me=False)
-            if (m.host, m.port) not in places and self._ctx.membership.since(m.node) < KNOWN_SPAN
+            for m in self._ctx.membership.members("gateway", statuses=("suspect", "gone"), include_self=False)
+            if (m.host, m.port) not in places and self._ctx.membership.time_in_status(m.node) < KNOWN_SPAN
         ]
         if (
             not self._ctx.cluster.usable()
@@ -192,7 +192,7 @@
             return QuotaResponse()
         route = self._batch_routes().get(ask.route)
         if self._quota_steward(ask.route) != self._ctx.node or route is None or not self._count_is_sure():
-            return QuotaResponse(unsure=True)
+            return QuotaResponse(uncertain=True)
         if not route.max_waiting_tokens:
             return QuotaResponse(granted=True)
         now = self._ctx.timers.now()
@@ -214,7 +214,7 @@
         try:
             return await self._ctx.rpc.call((m.host, m.port), "quota.take", ask, QuotaResponse, ASK_LIMIT)
         except (WireError, RemoteError):
-            return QuotaResponse(unsure=True)
+            return QuotaResponse(uncertain=True)
 
     async def _await_quota(self, route, batch, until: timedelta):
         """Room for the whole batch, or a refusal: 429 where it surely does not fit, 503 where nobody can tell."""
@@ -227,7 +227,7 @@
             if r.granted:
                 self._quota_mine[batch.id] = route.name, tokens
                 return
-            if not r.unsure:
+            if not r.uncertain:
                 raise ApiError(
                     f"route {route.name} has no room for {tokens} more waiting tokens",
                     code="over_quota",
--- a/pipitlink/router/relay.py
+++ b/pipitlink/router/relay.py
@@ -23,7 +23,7 @@
 
 def live_urgency(route) -> int:
     """0 to 5, 0 first: the shorter a route's aim, the sooner its requests are let in."""
-    return max(0, min(5, route.aim_ms // AIM_STEP_MS + route.priority))
+    return max(0, min(5, route.latency_target_ms // AIM_STEP_MS + route.priority))
 
 
 class _Flow(protocol.Protocol):
@@ -157,7 +157,7 @@
             return False
         if call.state == "taken":
             return fault.code != "no_room"
-        if call.state != "lost" or call.runs.total() > max(2, call.route.max_tries):
+        if call.state != "lost" or call.runs.total() > max(2, call.route.max_attempts):
             return False
         return call.resumable or call.repeatable and not call.headed
 
--- a/pipitlink/storage/copying.py
+++ b/pipitlink/storage/copying.py
@@ -47,7 +47,7 @@
         self._led = False
         self._mend_at = ZERO
         self._told: dict[int, tuple[int, timedelta]] = {}
-        self._ctx.cluster.watch(self._placement_groups_moved)
+        self._ctx.cluster.add_listener(self._placement_groups_moved)
         every, report = self._ctx.timers.call_repeatedly, self._ctx.report
         self._joins = every(JOIN_INTERVAL, self._join_placement_groups, report("join"), due=self._join_due)
         every(LOOK_INTERVAL, self._look_whether_away, report("away"))
@@ -89,7 +89,7 @@
         """A storage node that heard no leader for a while may lack what was written meanwhile; so may one that
         started.
         """
-        led = self._ctx.cluster.led()
+        led = self._ctx.cluster.has_live_lease()
         if led and not self._led:
             self._mend_all()
         self._led = led
@@ -191,5 +191,5 @@
             storage_node=self._ctx.node, placement_group=placement_group.number, sequence=placement_group.sequence
         )
         self._told[placement_group.number] = placement_group.sequence, self._ctx.timers.now()
-        controllers = [m.node for m in self._ctx.membership.members("controller", me=False)]
+        controllers = [m.node for m in self._ctx.membership.members("controller", include_self=False)]
         await self._ctx.replicated_log.ask_each(controllers, "controller.caught_up", told, Empty, ms(500))
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -152,7 +152,7 @@
         The placement is not kept on disk: a storage node that has just started knows it only once it has followed a
         leader, and until then it might agree with a writer that was left behind.
         """
-        if not await self._ctx.cluster.wait_followed(START_SPAN):
+        if not await self._ctx.cluster.wait_until_caught_up(START_SPAN):
             raise StalePlacement("this storage node has not heard the newest placement since it started")
         placement_group = self._ctx.cluster.placement_group(placement_group_of(log, self._ctx.cluster.placement_groups))
         if sequence < placement_group.sequence:
--- a/rehearsal/hollow.py
+++ b/rehearsal/hollow.py
@@ -12,7 +12,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from pipitlink.cache import Cache
-from pipitlink.cluster import Cluster
+from pipitlink.cluster import ClusterFollower
 from pipitlink.context import Context, fresh_id
 from pipitlink.controller import ControllerNode
 from pipitlink.disk import Disk
@@ -121,7 +121,7 @@
 
 def open_parts(ctx, kind: str, me: Member, disk: Disk):
     """The parts of one hollow node, opened as its process would, but for its HTTP sides; returns the role's own."""
-    ctx.membership, ctx.cluster, ctx.replicated_log = Membership(ctx), Cluster(ctx), ReplicatedLog(ctx)
+    ctx.membership, ctx.cluster, ctx.replicated_log = Membership(ctx), ClusterFollower(ctx), ReplicatedLog(ctx)
     if ctx.role == "gateway":
         ctx.cache = Cache(ctx)
         part = (_Member if kind == "member" else HollowGateway)(ctx)
@@ -210,7 +210,7 @@
     async def listen(self) -> Member:
         await self._process.open()
         self.part = self._process.node
-        return self.ctx.membership.me
+        return self.ctx.membership.local_member
 
     def open(self):
         pass
--- a/rehearsal/stage.py
+++ b/rehearsal/stage.py
@@ -11,7 +11,7 @@
 from twisted.internet import defer
 
 from pipitlink.cache import Cache
-from pipitlink.cluster import Cluster
+from pipitlink.cluster import ClusterFollower
 from pipitlink.context import Context
 from pipitlink.controller import ControllerNode
 from pipitlink.errors import ConnectionFailed, DeadlineExceeded, PipitlinkError, RemoteError, UnknownMethod, WrongPeer
@@ -127,8 +127,8 @@
         ctx.run_in_thread = partial(self._on_thread, self.clock)
         ctx.membership = Membership(ctx)
         if self.role != "gateway":
-            ctx.membership.remember_in(self.folder)
-        ctx.cluster = Cluster(ctx)
+            ctx.membership.persist_peers_in(self.folder)
+        ctx.cluster = ClusterFollower(ctx)
         ctx.replicated_log = ReplicatedLog(ctx)
         self.part = None
         if self.role == "storage":
--- a/tests/batch_parts.py
+++ b/tests/batch_parts.py
@@ -30,7 +30,7 @@
             "host": "h",
             "prefix": f"/{name}/",
             "kind": "bulk",
-            "max_tries": 3,
+            "max_attempts": 3,
             "due_ms": 20_000,
             "retain_ms": 600_000,
             **words,
--- a/tests/behaviour_scenes.py
+++ b/tests/behaviour_scenes.py
@@ -351,8 +351,8 @@
 ROUTES = [
     route("s", "/a/", resumable=True, sticky=True),
     route("o", "/once/", kind="mutating"),
-    route("n", "/n/", resumable=False, max_tries=1),
-    route("f", "/f/", kind="idempotent", max_tries=3),
+    route("n", "/n/", resumable=False, max_attempts=1),
+    route("f", "/f/", kind="idempotent", max_attempts=3),
 ]
 ID_HEADER = b"x-request-id: "
 CALL_HEADERS = ("X-Other: 1", "X-Deadline-Ms: 900", "X-Tenant: t", "Last-Event-ID: 1")
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -1,6 +1,6 @@
 """Each line of "What must never happen": the failure is brought about on a stage, and without its guard it shows."""
 
-from pipitlink.cluster import Cluster, ClusterState
+from pipitlink.cluster import ClusterFollower, ClusterState
 from pipitlink.controller.leading import Leading
 from pipitlink.errors import PipitlinkError
 from pipitlink.gateway.dispatch import Dispatch
@@ -143,7 +143,9 @@
     s.edit(
         Command(
             edit="w",
-            table=TableEdit(base=s.stage.leader().part.cluster_state.table, puts=[Row(name="m", model="m", weight=0)]),
+            table=TableEdit(
+                base=s.stage.leader().part.cluster_state.table, upserts=[Row(name="m", model="m", weight=0)]
+            ),
         )
     )
     s.c.note("gate", model="m", open=False, done=True)
@@ -193,7 +195,7 @@
     def edit(part, name, base):
         asked = s.stage.clock.seconds()
         out = s.stage.do(
-            part.edit(Command(edit=name, table=TableEdit(base=base, puts=[Row(name="r", model=name)]))), 10
+            part.edit(Command(edit=name, table=TableEdit(base=base, upserts=[Row(name="r", model=name)]))), 10
         )
         good = out.code == "done"
         s.c.note(
@@ -243,7 +245,7 @@
     r = self._readers.get(lot_id)
     if r is None:
         return await _read_results(self, lot_id)
-    await self._read_to(r, r.tail.seen.durable)
+    await self._read_to(r, r.tail.lengths.durable)
     return r
 
 
@@ -304,7 +306,7 @@
     "an emptied zone's engines are no candidates": (
         zone_emptied,
         {},
-        Cluster,
+        ClusterFollower,
         "zone_empty",
         lambda self, zone: False,
         "was emptied",
@@ -336,7 +338,7 @@
     "a gateway that cannot prove its cluster state admits nothing": (
         weight_zero,
         {},
-        Cluster,
+        ClusterFollower,
         "ready",
         lambda self: True,
         "after its weight was 0",
--- a/tests/router_parts.py
+++ b/tests/router_parts.py
@@ -49,7 +49,7 @@
 
 
 def route(name, prefix, kind="streaming", pools=(("models", 1),), **words) -> Route:
-    words = {"deadline_ms": 5000, "aim_ms": 250, "max_tries": 2, **words}
+    words = {"deadline_ms": 5000, "latency_target_ms": 250, "max_attempts": 2, **words}
     return Route(
         name=name,
         host="h.example",
@@ -113,18 +113,22 @@
         self.lines = []
         timers = Timers(self.clock, seconds=self.clock.seconds)
         timers.utc_now = lambda: datetime.fromtimestamp(1_700_000_000 + self.clock.seconds(), UTC)
-        pools = pools or [Pool(name="models", max_connections=100, places=4, cache_tokens=100_000)]
+        pools = pools or [Pool(name="models", max_connections=100, slots=4, cache_tokens=100_000)]
         self.cluster_state = SimpleNamespace(
             empty_zones=set(),
             routes=RouteTable(Config(version=1, routes=routes, pools=pools, bounds=Bounds(max_body_bytes=100_000))),
         )
-        self.cluster = SimpleNamespace(cluster_state=self.cluster_state, watch=lambda do: None, usable=lambda: True)
+        self.cluster = SimpleNamespace(
+            cluster_state=self.cluster_state, add_listener=lambda do: None, usable=lambda: True
+        )
         self.gone: set[str] = set()
         self._member_watchers = []
         membership = SimpleNamespace(
-            watch=self._member_watchers.append,
+            add_listener=self._member_watchers.append,
             status=lambda node: "gone" if node in self.gone else "alive",
-            members=lambda role=None, status=(), me=True: [Member(node=f"g{i}") for i in range(gateways) if i or me],
+            members=lambda role=None, statuses=(), include_self=True: [
+                Member(node=f"g{i}") for i in range(gateways) if i or include_self
+            ],
         )
         rpc = SimpleNamespace(
             register_handler=lambda *w: None, call=lambda *w: defer.Deferred(), notify=lambda *w: None
--- a/tests/test_announcing.py
+++ b/tests/test_announcing.py
@@ -285,7 +285,7 @@
     def restart(self, actor):
         actor.kill()
         actor.start()
-        self.stage.until(lambda: actor.ctx.membership.members("gateway", status=("alive",)), 5, "it has met gateways")
+        self.stage.until(lambda: actor.ctx.membership.members("gateway", statuses=("alive",)), 5, "it has met gateways")
         self.stage.run(1)
 
     def states(self):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,7 +11,7 @@
 RESUMABLE = route("s", "/a/", resumable=True, deadline_ms=20_000)
 ONCE = route("o", "/once/", kind="mutating")
 IDEMPOTENT = route("f", "/f/", kind="idempotent")
-ONE_ENGINE = route("g", "/g/", kind="idempotent", max_tries=1)
+ONE_ENGINE = route("g", "/g/", kind="idempotent", max_attempts=1)
 REFUSED = ("X-Not-Executed: 1",)
 
 
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -9,7 +9,7 @@
 from twisted.internet.task import Clock
 
 from pipitlink.cache.chunks import CHUNK
-from pipitlink.cache.poller import Seen
+from pipitlink.cache.poller import KnownLengths
 from pipitlink.cache.tail import Tail
 from pipitlink.disk import frame
 from pipitlink.errors import StorageFull
@@ -36,7 +36,7 @@
         read, self.reads = Tail.read, []
 
         async def watched(tail, start, end):
-            self.reads.append((tail.path, start, end, tail.seen.durable))
+            self.reads.append((tail.path, start, end, tail.lengths.durable))
             return await read(tail, start, end)
 
         patch = mock.patch.object(Tail, "read", watched)
@@ -265,7 +265,7 @@
 
     def __init__(self, data: bytes, step: int, behind: int):
         self.data, self._step, self._behind = data, step, behind
-        self.seen = Seen("log")
+        self.seen = KnownLengths("log")
 
     def join(self, path):
         return self.seen
@@ -278,7 +278,7 @@
         s.durable = min(len(self.data), s.durable + self._step)
         s.cached = max(s.cached, s.durable - self._behind if s.durable < len(self.data) else s.durable)
 
-    async def moved(self, limit):
+    async def wait_for_growth(self, limit):
         self.grow()
 
 
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -94,7 +94,7 @@
 
 
 def entry(index, term, size=40):
-    return ControllerEntry(index=index, term=term, command=Command(edit=f"{index}.{term}." + "x" * size, nothing=True))
+    return ControllerEntry(index=index, term=term, command=Command(edit=f"{index}.{term}." + "x" * size, no_op=True))
 
 
 def snapshot(index, term):
--- a/tests/test_currency_orders.py
+++ b/tests/test_currency_orders.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from pipitlink.cluster.cluster_state import ClusterState
-from pipitlink.cluster.follower import Cluster
+from pipitlink.cluster.follower import ClusterFollower
 from pipitlink.controller.gateways import Gateways
 from pipitlink.errors import NotLeader
 from pipitlink.structured_log import StructuredLogger
@@ -24,7 +24,7 @@
 
 TICK = 0.5
 BASE = ClusterStateData(sequence=1, placement_groups=[PlacementGroupRow(number=0, sequence=1, storage_nodes=["d"])])
-EDIT = Command(table=TableEdit(base=0, puts=[Row(name="r", model="m")]))
+EDIT = Command(table=TableEdit(base=0, upserts=[Row(name="r", model="m")]))
 
 
 class _Ctx:
@@ -72,7 +72,7 @@
             self.ctx, now - timedelta(seconds=9), now + timedelta(seconds=0.5) if change_leader else forever
         )
         self.leaders = [self.first]
-        self.gateway = Cluster(self.ctx)
+        self.gateway = ClusterFollower(self.ctx)
         self.gateway.cluster_state = ClusterState(BASE)
         self.change_leader = change_leader
         self.asked = self.ask = self.response = None
@@ -83,7 +83,7 @@
 
     def send(self):
         self.asked = self.ctx.timers.now()
-        self.ask = FollowRequest(node="g", role="gateway", sequence=self.gateway.sequence, at_once=True)
+        self.ask = FollowRequest(node="g", role="gateway", sequence=self.gateway.sequence, no_wait=True)
 
     def answer(self):
         box = []
@@ -94,8 +94,8 @@
         self.response = box[0] if box else None
 
     def absorb(self):
-        if self.response is not None and self.gateway._absorb(self.response) and self.response.leased:
-            self.gateway._leased_at = self.asked
+        if self.response is not None and self.gateway.absorb(self.response) and self.response.leased:
+            self.gateway.currency.leased_at = self.asked
 
     def elect(self):
         """Voters refuse another leader for 600 ms after they heard theirs."""
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -45,7 +45,7 @@
         return ask
 
     def edit(self, row):
-        self.cluster.cluster_state.apply(1, Command(table=TableEdit(puts=[row])))
+        self.cluster.cluster_state.apply(1, Command(table=TableEdit(upserts=[row])))
 
     def still(self):
         if not self.held:
--- a/tests/test_hanging_connections.py
+++ b/tests/test_hanging_connections.py
@@ -10,7 +10,7 @@
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms, spawn
 from pipitlink.wire.connection import RpcConnection
-from pipitlink.wire.membership_pb2 import ProbeFor, ProbeResponse
+from pipitlink.wire.membership_pb2 import IndirectProbeRequest, ProbeResponse
 from pipitlink.wire.rpc import RpcEndpoint
 
 PLACE = ("10.0.0.2", 7)
@@ -30,7 +30,7 @@
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
         self.caller, self.callee = self._endpoint("caller"), self._endpoint("callee")
         self.asked: list[str] = []
-        self.callee.register_handler("probe", ProbeFor, self._probe)
+        self.callee.register_handler("probe", IndirectProbeRequest, self._probe)
         self.pumps: list = []
         self.opened = 0
         self.caller._open = self._open
@@ -63,7 +63,7 @@
 
     def call(self, target, body=""):
         box = []
-        work = self.caller.call(PLACE, "probe", ProbeFor(target=target + body), ProbeResponse, LIMIT)
+        work = self.caller.call(PLACE, "probe", IndirectProbeRequest(target=target + body), ProbeResponse, LIMIT)
         spawn(work).addBoth(box.append)
         return box
 
@@ -106,7 +106,7 @@
             await self.timers.sleep(ms(450))
             return ProbeResponse(alive=True)
 
-        self.callee.register_handler("probe", ProbeFor, probe)
+        self.callee.register_handler("probe", IndirectProbeRequest, probe)
         for _ in range(10):
             late.append(self.call("late"))
             self.advance(0.5)
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -116,7 +116,7 @@
         for a in s.role("controller"):
             a.kill()
         s.until(
-            lambda: all(not a.ctx.membership.members("controller", status=("alive",)) for a in s.role("gateway")),
+            lambda: all(not a.ctx.membership.members("controller", statuses=("alive",)) for a in s.role("gateway")),
             6, "none is alive to the gateways",
         )  # fmt: skip
         self.put_on(s, 2)
--- a/tests/test_membership_memory.py
+++ b/tests/test_membership_memory.py
@@ -20,13 +20,13 @@
         membership, written = self.actor.ctx.membership, []
 
         def write(path, data):
-            if path == membership._file:
+            if path == membership.peer_store.path:
                 written.append(data)
 
-        with unittest.mock.patch("pipitlink.membership.memory.swap_in", write):
-            for entry in list(membership._entries.values()):
-                entry.turn("missed", self.actor.ctx.timers.now())
-                membership._changed(entry)
+        with unittest.mock.patch("pipitlink.membership.peer_store.swap_in", write):
+            for peer in list(membership.table.peers.values()):
+                peer.transition("suspect", self.actor.ctx.timers.now())
+                membership.table.peer_changed(peer)
             self.assertEqual(written, [])
             self.stage.run(0.001, step=0.001)
         self.assertEqual(written, [b"[]"])
@@ -35,5 +35,5 @@
         others = [a for a in self.stage.actors.values() if a is not self.actor]
         others[0].kill()
         self.stage.run(5)
-        path = self.actor.ctx.membership._file
+        path = self.actor.ctx.membership.peer_store.path
         self.assertEqual({tuple(p) for p in json.loads(path.read_text())}, {a.place for a in others[1:]})
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -81,29 +81,40 @@
 
     def test_a_whole_configuration_in_the_products_terms(self):
         e = self.read(WHOLE)
-        self.assertEqual((e.base, e.version, e.whole), (5, 7, True))
+        self.assertEqual((e.base, e.version, e.replace_all), (5, 7, True))
         a, b = e.routes
         self.assertEqual(
-            (a.name, a.host, a.prefix, a.kind, a.deadline_ms, a.aim_ms, a.gap_ms, a.max_tries, a.sticky, a.resumable),
+            (
+                a.name,
+                a.host,
+                a.prefix,
+                a.kind,
+                a.deadline_ms,
+                a.latency_target_ms,
+                a.gap_ms,
+                a.max_attempts,
+                a.sticky,
+                a.resumable,
+            ),
             ("r-3d3zji9", "ficu95.example", "/lohu930/", "streaming", 6000, 300, 300, 2, True, True),
         )
         self.assertEqual([(s.pool, s.share) for s in a.shares], [("huvo11a", 90), ("wuno96b", 10)])
         self.assertEqual([(s.pool, s.share) for s in b.shares], [("huvo11a", 1)])
         self.assertEqual(
-            (b.kind, b.priority, b.retain_ms, b.due_ms, b.max_waiting_tokens, b.max_tries),
+            (b.kind, b.priority, b.retain_ms, b.due_ms, b.max_waiting_tokens, b.max_attempts),
             ("bulk", 1, 2500, 8000, 1100000, 3),
         )
         p, q = e.pools
         self.assertEqual(
-            (p.name, p.health_path, p.max_connections, p.warmup_ms, p.cold_rate, p.places, p.cache_tokens),
+            (p.name, p.health_path, p.max_connections, p.warmup_ms, p.slow_start_rate, p.slots, p.cache_tokens),
             ("huvo11a", "/health", 210, 3000, 20, 24, 379754),
         )
-        self.assertEqual((q.warmup_ms, q.cold_rate, q.places), (0, 0, 0))
+        self.assertEqual((q.warmup_ms, q.slow_start_rate, q.slots), (0, 0, 0))
         self.assertEqual({f: getattr(e.bounds, f) for f in LIMITS}, LIMITS)
-        self.assertEqual(RouteTable().edited(e).problems(), [])
+        self.assertEqual(RouteTable().with_edit(e).validation_faults(), [])
 
     def test_it_comes_back_as_it_was_sent_also_after_a_patch(self):
-        table = RouteTable().edited(self.read(WHOLE))
+        table = RouteTable().with_edit(self.read(WHOLE))
         self.assertEqual(json.loads(self.words.config_body(table.config())), WHOLE)
         changed = {**ROUTES[0], "deadline_ms": 9000}
         added = {**ROUTES[0], "name": "r-new", "path_prefix": "/new/"}
@@ -111,7 +122,7 @@
             {"version": 9, "upsert": {"routes": [changed, added]}, "remove": {"routes": ["r-bulk"]}}, 7, whole=False
         )
         self.assertEqual(
-            json.loads(self.words.config_body(table.edited(e).config())),
+            json.loads(self.words.config_body(table.with_edit(e).config())),
             {"version": 9, "routes": [changed, added], "backends": BACKENDS, "limits": LIMITS},
         )
 
@@ -142,7 +153,7 @@
             {**WHOLE, "routes": [ROUTES[0], {**ROUTES[1], "path_prefix": "/lohu930/"}]},
             {**WHOLE, "routes": [{**ROUTES[0], "weighted_backends": [{"backend": "huvo11a", "share": 0}]}]},
         ):
-            self.assertNotEqual(RouteTable().edited(self.read(body)).problems(), [], body)
+            self.assertNotEqual(RouteTable().with_edit(self.read(body)).validation_faults(), [], body)
 
     def test_an_engines_announcement(self):
         raw = {
--- a/tests/test_snapshot_orders.py
+++ b/tests/test_snapshot_orders.py
@@ -41,7 +41,7 @@
         self.states: dict[int, bytes] = {}
         state = self.first()
         for n in range(1, NEWEST + 1):
-            edit = TableEdit(base=state.table, puts=[Row(name=f"row{n}", model=f"m{n}")])
+            edit = TableEdit(base=state.table, upserts=[Row(name=f"row{n}", model=f"m{n}")])
             self.entries[n] = ControllerEntry(index=n, term=term_of(n), command=Command(edit=f"e{n}", table=edit))
             state.apply(n, self.entries[n].command)
             self.states[n] = told(state)
@@ -62,7 +62,7 @@
     def other_branch(self, last: int) -> AppendRequest:
         """What the earlier leader wrote on and never got agreed."""
         entries = [
-            ControllerEntry(index=n, term=OLD_TERM, command=Command(edit=f"lost{n}", nothing=True))
+            ControllerEntry(index=n, term=OLD_TERM, command=Command(edit=f"lost{n}", no_op=True))
             for n in range(OLD_LAST + 1, last + 1)
         ]
         return AppendRequest(
--- a/tests/test_stage_cache.py
+++ b/tests/test_stage_cache.py
@@ -6,7 +6,7 @@
 from twisted.internet.task import Clock
 
 from pipitlink.cache.chunks import CHUNK, chunk_key
-from pipitlink.cache.shadow import Shadow
+from pipitlink.cache.log_writer import LogCacheWriter
 from pipitlink.cache.stores import DataStore, LengthStore
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms, secs, spawn
@@ -66,7 +66,7 @@
 class ChunkOrder(unittest.TestCase):
     def setUp(self):
         self.ctx, self.cache, self.held = _Ctx(), _Cache(), _Held()
-        self.shadow = Shadow(self.ctx, self.cache, "log", self.held)
+        self.writer = LogCacheWriter(self.ctx, self.cache, "log", self.held)
 
     def number(self, i):
         chunks, _ = self.cache.waiting[i]
@@ -152,7 +152,7 @@
             h = ctx.replicated_log.leaseholders.get("results/r")
             if h is None:
                 h = await ctx.replicated_log.hold("results/r")
-                ctx.cache.shadow("results/r", h)
+                ctx.cache.start_log_writer("results/r", h)
             for r in records:
                 await h.append([r])
 
@@ -164,8 +164,8 @@
 
         async def go():
             while len(got) < n:
-                if not (more := await tail.more()):
-                    await tail.wait()
+                if not (more := await tail.read_records()):
+                    await tail.wait_for_growth()
                 got.extend(body for _, body in more)
 
         began = self.stage.clock.seconds()
@@ -190,7 +190,7 @@
         self.writer.freeze()
         for a in self.others:
             a.ctx.cache.chunks._chunks.clear()
-            a.ctx.cache.lengths._files.clear()
+            a.ctx.cache.lengths._lengths.clear()
         ctx = self.others[0].ctx
         got, took = self.read(ctx, 40)
         self.assertEqual(got, records)
@@ -214,7 +214,7 @@
         tails = [ctx.cache.tail("results/r") for _ in range(3)]
         self.stage.run(0.5)
         before = ctx.cache.counts["durable_reads"]
-        reads = [spawn(t.read(0, t.seen.cached)) for t in tails]
+        reads = [spawn(t.read(0, t.lengths.cached)) for t in tails]
         got = self.stage.do(defer.gatherResults(reads))
         self.assertEqual((len(set(got)), ctx.cache.counts["durable_reads"] - before), (1, 1), "readers share one span")
 
@@ -226,8 +226,8 @@
         began = self.stage.clock.seconds()
 
         async def go():
-            while not await tail.more():
-                await tail.wait()
+            while not await tail.read_records():
+                await tail.wait_for_growth()
 
         self.stage.do(go(), 3)
         self.assertLess(self.stage.clock.seconds() - began, 0.9)
--- a/tests/test_stage_config.py
+++ b/tests/test_stage_config.py
@@ -178,7 +178,7 @@
         self.assertEqual(self.caller.patch(self.other, {"version": 9, "bounds": {"idle_timeout_ms": 5}}, 8)[0], 200)
         self.assertEqual(self.caller.get(self.controllers[0])[1]["bounds"], {"idle_timeout_ms": 5})
         table = self.stage.role("gateway")[0].ctx.cluster.cluster_state.routes
-        self.assertEqual((table.routes["a"].aim_ms, table.bounds.idle_timeout_ms), (3, 5))
+        self.assertEqual((table.routes["a"].latency_target_ms, table.bounds.idle_timeout_ms), (3, 5))
 
     def test_the_same_edit_again_has_the_same_outcome_at_any_controller_also_under_another_leader(self):
         early = config_of(9, route_of("early"))
@@ -234,7 +234,7 @@
 
         async def many():
             for n in range(2700):
-                await leader.part._propose(Command(nothing=True))
+                await leader.part._propose(Command(no_op=True))
 
         self.stage.do(many(), 600)
         self.stage.until(lambda: leader.part.archive.snapshot.index > 0, 10, "trimmed")
@@ -314,8 +314,8 @@
         self.caller = Caller(self.stage)
 
     def name_storage_node(self):
-        self.storage_node.ctx.membership.me.name = "box-1"
-        self.storage_node.ctx.membership.me.incarnation += 1
+        self.storage_node.ctx.membership.local_member.name = "box-1"
+        self.storage_node.ctx.membership.local_member.incarnation += 1
 
     def ask(self, method, name, controller=None):
         return self.caller.ask(
--- a/tests/test_stage_controllers.py
+++ b/tests/test_stage_controllers.py
@@ -17,7 +17,7 @@
 
 
 def edit_of(name, base, text):
-    return Command(edit=text, table=TableEdit(base=base, puts=[Row(name=name, model=text)]))
+    return Command(edit=text, table=TableEdit(base=base, upserts=[Row(name=name, model=text)]))
 
 
 class _Operators:
@@ -186,7 +186,7 @@
 
     def test_edits_go_on_with_two_of_four_storage_nodes_away_and_no_gateway_misses_one(self):
         cluster_state = self.stage.leader().part.cluster_state
-        self.assertEqual(cluster_state.settled, cluster_state.witnesses_at)
+        self.assertEqual(cluster_state.confirmed_witnesses_at, cluster_state.witnesses_at)
         storage_nodes = self.stage.role("storage")
         for a in storage_nodes[:2]:
             a.kill()
@@ -208,7 +208,7 @@
 
     def test_half_of_the_witnesses_are_not_enough_while_their_set_changes(self):
         leader, timers = self.stage.leader().part, self.stage.timers()
-        leader.cluster_state.settled -= 1
+        leader.cluster_state.confirmed_witnesses_at -= 1
         leader._settle_witnesses = lambda: timers.sleep(ms(0))
         for a in self.stage.role("storage")[:2]:
             a.kill()
@@ -222,7 +222,7 @@
             a.kill()
             a.start()
         for a in (storage_node, controller):
-            self.stage.until(lambda: len(a.ctx.membership.members(status=("alive",))) == 11, 10, "all are met again")
+            self.stage.until(lambda: len(a.ctx.membership.members(statuses=("alive",))) == 11, 10, "all are met again")
         storage_node.freeze()
         self.stage.until(
             lambda: controller.ctx.membership.status(storage_node.node) == "gone", 10, "it is held for gone"
@@ -231,7 +231,7 @@
         self.stage.until(
             lambda: controller.ctx.membership.status(storage_node.node) == "alive", 10, "it has refuted that"
         )
-        self.assertGreater(storage_node.ctx.membership.me.incarnation, 1)
+        self.assertGreater(storage_node.ctx.membership.local_member.incarnation, 1)
 
     def test_a_controller_without_room_refuses_edits_up_front(self):
         part = self.stage.leader().part
@@ -307,7 +307,7 @@
 
         async def many():
             for n in range(2700):
-                await leader.part._propose(Command(nothing=True))
+                await leader.part._propose(Command(no_op=True))
 
         self.stage.do(many(), 600)
         self.stage.until(lambda: leader.part.archive.snapshot.index > 0, 10, "trimmed")
--- a/tests/test_stage_cut_off.py
+++ b/tests/test_stage_cut_off.py
@@ -250,5 +250,5 @@
         self.assertEqual(self.write_on_both_sides(), [False, True])
 
     def test_without_the_guard_two_sides_write_the_same_log(self):
-        with unittest.mock.patch("pipitlink.cluster.Cluster.followed", True):
+        with unittest.mock.patch("pipitlink.cluster.ClusterFollower.caught_up", True):
             self.assertEqual(self.write_on_both_sides(), [True, True])
--- a/tests/test_stage_follow.py
+++ b/tests/test_stage_follow.py
@@ -3,8 +3,9 @@
 import unittest
 from unittest import mock
 
-from pipitlink.cluster import Cluster, ClusterState
-from pipitlink.cluster.follower import HOLD_FOLLOW, MOST_HELD, OWN_SPAN
+from pipitlink.cluster import ClusterFollower, ClusterState
+from pipitlink.cluster.currency import FOLLOWER_LEASE_SPAN
+from pipitlink.cluster.follower import MAX_FOLLOW_WAIT, MIN_FOLLOW_WAIT
 from pipitlink.cluster.state_transfer import StateTransfer
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import ClusterStateData, Delta, FollowResponse, StateChunk
@@ -15,7 +16,7 @@
 
 
 def held_long():
-    return mock.patch("pipitlink.cluster.follower.HOLD_FOLLOW", MOST_HELD)
+    return mock.patch("pipitlink.cluster.follower.MIN_FOLLOW_WAIT", MAX_FOLLOW_WAIT)
 
 
 class FirstState(unittest.TestCase):
@@ -25,10 +26,10 @@
         self.addCleanup(stage.end)
         stage.start()
         founded = ClusterState(ClusterStateData(voters=["a", "b", "c"]))
-        piece = StateTransfer.of(founded, 1).piece_after(StateChunk())
+        piece = StateTransfer.of(founded, 1).chunk_after(StateChunk())
         first = Delta(sequence=1, command=edit_of("r", 0, "m"))
-        follower = Cluster(stage.role("gateway")[0].ctx)
-        self.assertTrue(follower._absorb(FollowResponse(sequence=1, piece=piece, deltas=[first])))
+        follower = ClusterFollower(stage.role("gateway")[0].ctx)
+        self.assertTrue(follower.absorb(FollowResponse(sequence=1, chunk=piece, deltas=[first])))
         self.assertEqual((follower.sequence, follower.cluster_state.voters), (1, ("a", "b", "c")))
 
 
@@ -53,9 +54,9 @@
 
     def test_a_large_cluster_asks_less_often_and_never_without_a_proof(self):
         few = self.asked(self.stage(4), 5)
-        self.assertAlmostEqual(few, 1 / HOLD_FOLLOW.total_seconds(), delta=0.2)
+        self.assertAlmostEqual(few, 1 / MIN_FOLLOW_WAIT.total_seconds(), delta=0.2)
         stage = self.stage(60)
-        self.assertAlmostEqual(self.asked(stage, 5), 1 / MOST_HELD.total_seconds(), delta=0.2)
+        self.assertAlmostEqual(self.asked(stage, 5), 1 / MAX_FOLLOW_WAIT.total_seconds(), delta=0.2)
         for _ in range(40):
             stage.run(0.05)
             self.assertEqual({a.ctx.cluster.ready() and a.ctx.cluster.state for a in stage.role("gateway")}, {"led"})
@@ -78,8 +79,8 @@
             cluster = one.ctx.cluster
             others = [a for a in stage.actors if a != one.name]
             for told in ("a question is held", "it was answered, and its next question is lost"):
-                before = cluster._leased_at
-                stage.until(lambda before=before: cluster._leased_at != before, 2, told)
+                before = cluster.currency.leased_at
+                stage.until(lambda before=before: cluster.currency.leased_at != before, 2, told)
                 stage.run(0.02)
                 stage.cut([one.name], others, one_way=True)
             stage.cut([one.name], others)
@@ -92,7 +93,9 @@
             self.assertEqual(box[0].code, "done")
             self.assertLess(cluster.sequence, leader.part.cluster_state.sequence)
             self.assertFalse(cluster.ready() and cluster.state == "led", "it lacks an edit that was acknowledged")
-            self.assertGreater(led * 0.01, OWN_SPAN.total_seconds() - 0.1, "its lease counts from the answer")
+            self.assertGreater(
+                led * 0.01, FOLLOWER_LEASE_SPAN.total_seconds() - 0.1, "its lease counts from the answer"
+            )
 
     def test_a_leader_that_yields_lets_go_of_the_questions_that_it_holds(self):
         with held_long():
--- a/tests/test_stage_long_logs.py
+++ b/tests/test_stage_long_logs.py
@@ -124,7 +124,7 @@
         if part.cluster_state.table < floor:
             self.judge.fault(f"read {part.cluster_state.table} after {floor} was acknowledged")
         self.n += 1
-        edit = TableEdit(base=part.cluster_state.table, puts=[Row(name=f"row{self.n % 40}", model=f"m{self.n}")])
+        edit = TableEdit(base=part.cluster_state.table, upserts=[Row(name=f"row{self.n % 40}", model=f"m{self.n}")])
         out = await part.edit(Command(edit=f"edit{self.n}", table=edit))
         if out.code == "done":
             self.acked[out.edit] = out.sequence
--- a/tests/test_stage_slow_link.py
+++ b/tests/test_stage_slow_link.py
@@ -33,7 +33,7 @@
         """One agreed change of so many bytes, that no compression makes smaller than half."""
         part = stage.leader().part
         row = Row(name=name, model=self.random.randbytes(size // 2).hex())
-        stage.do(part._propose(Command(table=TableEdit(base=part.cluster_state.table, puts=[row]))), 20)
+        stage.do(part._propose(Command(table=TableEdit(base=part.cluster_state.table, upserts=[row]))), 20)
 
     def current(self, stage, actor) -> bool:
         leader = stage.leader()
@@ -84,7 +84,7 @@
                     leader = stage.leader()
                     if leader is not None:
                         try:
-                            await leader.part._propose(Command(nothing=True))
+                            await leader.part._propose(Command(no_op=True))
                         except PipitlinkError:
                             pass
 
@@ -129,7 +129,7 @@
         other.kill()
         stage.cut([leader.name], [needed.name])
         row = Row(name="large", model="x" * 20 * LARGE_EDIT)
-        lost = leader.part._propose(Command(table=TableEdit(base=leader.part.cluster_state.table, puts=[row])))
+        lost = leader.part._propose(Command(table=TableEdit(base=leader.part.cluster_state.table, upserts=[row])))
         spawn(lost).addErrback(lambda f: f.trap(PipitlinkError))
         stage.run(0.8)
         stage.heal()
@@ -182,7 +182,7 @@
         for module, bound, scene in (
             (snapshots, "PIECE_BYTES", self.leader_needs_a_member_without_its_log),
             (archive, "SEND_BYTES", self.gateway_far_behind),
-            (state_transfer, "PIECE_BYTES", self.gateway_starts),
+            (state_transfer, "CHUNK_BYTES", self.gateway_starts),
         ):
             with self.subTest(bound), mock.patch.object(module, bound, 10**9), self.assertRaises(AssertionError):
                 scene()
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -12,7 +12,7 @@
 from pipitlink.wire.cluster_pb2 import Command, FollowRequest, FollowResponse, Row, TableEdit, WitnessResponse
 from pipitlink.wire.connection import RpcConnection
 from pipitlink.wire.frame_pb2 import Empty
-from pipitlink.wire.membership_pb2 import ProbeFor, ProbeResponse
+from pipitlink.wire.membership_pb2 import IndirectProbeRequest, ProbeResponse
 from pipitlink.wire.replicated_log_pb2 import States, StatesRequest
 from pipitlink.wire.rpc import RpcEndpoint
 from rehearsal.stage import Stage
@@ -33,7 +33,7 @@
         self.timers = Timers(Clock(), seconds=lambda: 0.0)
         self.caller, self.callee = self._endpoint("caller"), self._endpoint("callee")
         self.asked: list[str] = []
-        self.callee.register_handler("probe", ProbeFor, self._probe)
+        self.callee.register_handler("probe", IndirectProbeRequest, self._probe)
         here, there = RpcConnection(self.caller), RpcConnection(self.callee)
         self.pump = iosim.connect(there, iosim.makeFakeServer(there), here, iosim.makeFakeClient(here))
         self.caller._streams[PLACE] = here
@@ -47,7 +47,7 @@
 
     def call(self, endpoint, place, target, **named):
         box = []
-        work = endpoint.call(place, "probe", ProbeFor(target=target), ProbeResponse, secs(1), **named)
+        work = endpoint.call(place, "probe", IndirectProbeRequest(target=target), ProbeResponse, secs(1), **named)
         spawn(work).addBoth(box.append)
         self.pump.flush()
         return box[0]
@@ -109,7 +109,7 @@
         down, emptied = [a for a in self.stage.role("controller") if a is not leader]
         down.kill()
         self.empty(emptied)
-        edit = TableEdit(base=leader.part.cluster_state.table, puts=[Row(name="r", model="m")])
+        edit = TableEdit(base=leader.part.cluster_state.table, upserts=[Row(name="r", model="m")])
         try:
             self.stage.do(leader.part.edit(Command(edit="alone", table=edit)), 10)
         except PipitlinkError:
