--- a/pipitlink/cache/cache.py
+++ b/pipitlink/cache/cache.py
@@ -3,6 +3,7 @@
 from collections import Counter
 from collections.abc import Callable, Collection, Mapping
 from datetime import timedelta
+from functools import partial
 from typing import Any, TypeVar
 
 import attrs
@@ -11,11 +12,10 @@
 
 from ..context import Context
 from ..errors import WireError
-from ..replicated_log.leaseholder import Leaseholder
 from ..timers import SingleFlight, ms, secs
 from ..wire.cache_pb2 import Chunk, ChunkKeys, Chunks, Lengths, LengthsList, Paths
 from ..wire.frame_pb2 import Empty
-from .log_writer import LogCacheWriter
+from .log_writer import CommittedLog, LogCacheWriter
 from .poller import Poller
 from .ring import Ring
 from .stores import DataStore, LengthStore
@@ -75,14 +75,14 @@
         self.poller = Poller(ctx, self)
         self.counts: Counter[str] = Counter()
         self._ring = Ring({})
-        self._durable_reads = SingleFlight()
+        self._durable_reads: SingleFlight[_DurableSpan, bytes] = SingleFlight()
 
     def open(self) -> None:
         """Answers other gateways, and polls lengths of logs that are followed, from now on."""
         rpc = self._ctx.rpc
-        rpc.register_handler("cache.put", Chunks, self.chunks.put_all)
+        rpc.register_handler("cache.put", Chunks, self.chunks.store_all)
         rpc.register_handler("cache.get", ChunkKeys, self.chunks.get_all)
-        rpc.register_handler("cache.lengths_put", LengthsList, self.lengths.put_all)
+        rpc.register_handler("cache.lengths_put", LengthsList, self.lengths.store_all)
         rpc.register_handler("cache.lengths", Paths, self.lengths.get_all)
         self.poller.open()
 
@@ -94,9 +94,9 @@
             self._ring = Ring(nodes)
         return self._ring
 
-    def start_log_writer(self, path: str, leaseholder: Leaseholder) -> LogCacheWriter:
+    def start_log_writer(self, path: str, log: CommittedLog) -> LogCacheWriter:
         """Copies a log into the cache from now on, as long as this process holds its lease."""
-        return LogCacheWriter(self._ctx, self, path, leaseholder)
+        return LogCacheWriter(self._ctx, self, path, log)
 
     def tail(self, path: str, limit: timedelta | None = None) -> Tail:
         """Returns a reader at the start of a log; `limit` is the time that it may lag behind, 1 s by default."""
@@ -104,15 +104,10 @@
 
     async def read_durable(self, path: str, start: int, length: int) -> bytes:
         """Returns bytes of the durable log; readers that want the same bytes meanwhile share the read."""
+        span = _DurableSpan(path, start, length)
+        return await self._durable_reads.run(span, partial(self._read_span, span))
 
-        def read() -> Any:
-            self.counts["durable_reads"] += 1
-            return self._ctx.replicated_log.read(path, start, length)
-
-        data: bytes = await self._durable_reads.run(_DurableSpan(path, start, length), read)
-        return data
-
-    async def put_chunks(self, chunks: dict[bytes, bytes]) -> set[bytes]:
+    async def store_chunks(self, chunks: dict[bytes, bytes]) -> set[bytes]:
         """Writes chunks to their replicas; returns the keys of those that a majority of their replicas stored."""
         requests = {
             node: Chunks(chunks=[Chunk(key=key, data=chunks[key]) for key in keys])
@@ -121,7 +116,7 @@
         responses = await self._call_each(requests, "cache.put", Empty, chunks)
         return self._answered_by_majority(chunks, responses)
 
-    async def put_lengths(self, lengths: dict[str, Lengths]) -> None:
+    async def store_lengths(self, lengths: dict[str, Lengths]) -> None:
         """Writes lengths of logs, by path, to a majority of their replicas, or to as many as answer."""
         requests = {
             node: LengthsList(lengths=[lengths[path] for path in paths])
@@ -157,6 +152,11 @@
                 found[chunk.key] = max(found.get(chunk.key, b""), chunk.data, key=len)
         return found
 
+    async def _read_span(self, span: _DurableSpan) -> bytes:
+        self.counts["durable_reads"] += 1
+        data: bytes = await self._ctx.replicated_log.read(span.path, span.start, span.length)
+        return data
+
     async def _call(self, node: str, method: str, request: Message, kind: type[Response]) -> Response:
         member = self._ctx.membership.find(node)
         if member is None:
@@ -172,11 +172,7 @@
 
         Where that many do not answer, it returns what there is once no response is outstanding.
         """
-
-        def are_enough(by_node: dict[str, Any]) -> bool:
-            return len(self._answered_by_majority(keys, by_node)) == len(keys)
-
-        responses = _Responses(len(requests), are_enough)
+        responses = _Responses(len(requests), partial(self._all_answered_by_majority, keys))
         for node, request in requests.items():
             self._ctx.run_in_background(self._call_one(node, method, request, kind, responses), method)
         if requests:
@@ -201,6 +197,9 @@
                 by_node.setdefault(node, []).append(key)
         return by_node
 
+    def _all_answered_by_majority(self, keys: Collection[Key], responses: Mapping[str, Any]) -> bool:
+        return len(self._answered_by_majority(keys, responses)) == len(keys)
+
     def _answered_by_majority(self, keys: Collection[Key], responses: Mapping[str, Any]) -> set[Key]:
         """The keys for which a majority of the replicas, as they are now, is among the nodes that answered."""
         ring = self.ring()
--- a/pipitlink/cache/log_writer.py
+++ b/pipitlink/cache/log_writer.py
@@ -1,12 +1,12 @@
 """Copies committed bytes of a log from its leaseholder into the cache."""
 
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Protocol
 
 from twisted.internet import defer
 from twisted.python.failure import Failure
 
 from ..context import Context
-from ..replicated_log.leaseholder import Leaseholder
 from ..timers import ms, spawn
 from ..wire.cache_pb2 import Lengths
 from .chunks import CHUNK, chunk_key
@@ -14,38 +14,52 @@
 if TYPE_CHECKING:
     from .cache import Cache
 
-__all__ = ["LogCacheWriter"]
+__all__ = ["CommittedLog", "LogCacheWriter"]
 
 RETRY_INTERVAL = ms(250)
 
 
+class CommittedLog(Protocol):
+    """A log whose lease this process holds, as far as the cache needs it.
+
+    The first `committed` bytes of `data` are committed; `lost` says why the lease was lost, "" while it is held.
+    """
+
+    data: bytearray
+    committed: int
+    lost: str
+
+    def watch(self, callback: "Callable[[CommittedLog], None]") -> None:
+        """Has `callback` called with the log after each change."""
+
+
 class LogCacheWriter:
     """Copies a log's committed bytes into the caches while this process holds its lease.
 
     It works behind the log, and writes a chunk always from its start.
     """
 
-    def __init__(self, ctx: Context, cache: "Cache", path: str, leaseholder: Leaseholder) -> None:
+    def __init__(self, ctx: Context, cache: "Cache", path: str, log: CommittedLog) -> None:
         self._ctx = ctx
         self._cache = cache
         self._path = path
-        self._leaseholder = leaseholder
+        self._log = log
         self._started_to = 0
         self._cached = 0
         self._last_writes: dict[int, defer.Deferred[None]] = {}
         self._written: dict[int, int] = {}
-        leaseholder.watch(self._log_changed)
-        self._log_changed(leaseholder)
+        log.watch(self._log_changed)
+        self._log_changed(log)
 
-    def _log_changed(self, leaseholder: Leaseholder) -> None:
-        if leaseholder.committed > self._started_to and not leaseholder.lost:
-            start, self._started_to = self._started_to, leaseholder.committed
-            spawn(self._copy(start, self._started_to)).addErrback(self._log_failure)
+    def _log_changed(self, log: CommittedLog) -> None:
+        if log.committed > self._started_to and not log.lost:
+            start, self._started_to = self._started_to, log.committed
+            spawn(self._write_range(start, self._started_to)).addErrback(self._log_failure)
 
     def _log_failure(self, failure: Failure) -> None:
         self._ctx.logger.failure("cache_write_failed", failure.value, path=self._path)
 
-    async def _copy(self, start: int, end: int) -> None:
+    async def _write_range(self, start: int, end: int) -> None:
         first, last = start // CHUNK, (end - 1) // CHUNK
         writes = [self._write(number) for number in range(first + 1, last)]
         writes += [self._write_in_turn(number) for number in {first, last}]
@@ -70,13 +84,13 @@
 
     async def _write(self, number: int) -> None:
         """Writes a chunk as far as it is committed, again and again until a majority of its replicas has it."""
-        while not self._leaseholder.lost:
-            end = min((number + 1) * CHUNK, self._leaseholder.committed)
-            data = bytes(self._leaseholder.data[number * CHUNK : end])
+        while not self._log.lost:
+            end = min((number + 1) * CHUNK, self._log.committed)
+            data = bytes(self._log.data[number * CHUNK : end])
             if self._written.get(number, 0) >= len(data):
                 return
             key = chunk_key(self._path, number)
-            if key in await self._cache.put_chunks({key: data}):
+            if key in await self._cache.store_chunks({key: data}):
                 self._written[number] = max(self._written.get(number, 0), len(data))
                 return
             await self._ctx.timers.sleep(RETRY_INTERVAL)
@@ -89,7 +103,7 @@
         self._cached = cached
         for number in [number for number in self._written if (number + 1) * CHUNK <= cached]:
             del self._written[number]
-        durable = self._leaseholder.committed
+        durable = self._log.committed
         await self._publish(Lengths(path=self._path, durable=durable, cached=cached, writer=self._ctx.node))
 
     def _written_length(self) -> int:
@@ -105,4 +119,4 @@
                 return length
 
     async def _publish(self, lengths: Lengths) -> None:
-        await self._cache.put_lengths({self._path: lengths})
+        await self._cache.store_lengths({self._path: lengths})
--- a/pipitlink/cache/poller.py
+++ b/pipitlink/cache/poller.py
@@ -80,9 +80,9 @@
     def open(self) -> None:
         """Polls from now on whenever a log is followed."""
         settings = self._ctx.settings
-        self._repeat(settings.poll_ms, self._poll, "poll", lambda: bool(self._known))
-        self._repeat(settings.hot_poll_ms, self._poll_waiting, "hot_poll", lambda: bool(self._waiting_readers))
-        self._repeat(settings.durable_poll_ms, self._poll_durable, "durable_poll", lambda: bool(self._known))
+        self._repeat(settings.poll_ms, self._poll, "poll", self._run_while_followed)
+        self._repeat(settings.hot_poll_ms, self._poll_waiting, "hot_poll", self._run_while_waited_for)
+        self._repeat(settings.durable_poll_ms, self._poll_durable, "durable_poll", self._run_while_followed)
 
     def join(self, path: str) -> KnownLengths:
         """Follows a log for one more reader; returns its lengths, which the poller updates."""
@@ -136,11 +136,17 @@
             if waiter in self._growth_waiters:
                 self._growth_waiters.remove(waiter)
 
-    def _repeat(self, interval_ms: float, poll: Callable[[], Any], what: str, is_needed: Callable[[], bool]) -> None:
-        def due() -> timedelta | None:
-            return ZERO if is_needed() else None
+    def _repeat(
+        self, interval_ms: float, poll: Callable[[], Any], name: str, next_run: Callable[[], timedelta | None]
+    ) -> None:
+        report = self._ctx.report(name)
+        self._calls.append(self._ctx.timers.call_repeatedly(ms(interval_ms), poll, report, due=next_run))
 
-        self._calls.append(self._ctx.timers.call_repeatedly(ms(interval_ms), poll, self._ctx.report(what), due=due))
+    def _run_while_followed(self) -> timedelta | None:
+        return ZERO if self._known else None
+
+    def _run_while_waited_for(self) -> timedelta | None:
+        return ZERO if self._waiting_readers else None
 
     def _wake(self) -> None:
         for call in self._calls:
--- a/pipitlink/cache/stores.py
+++ b/pipitlink/cache/stores.py
@@ -38,7 +38,7 @@
     def __len__(self) -> int:
         return len(self._chunks)
 
-    def put(self, key: bytes, data: bytes) -> None:
+    def store(self, key: bytes, data: bytes) -> None:
         """Stores a chunk, or keeps what is stored where that is longer; drops the oldest chunks when full."""
         stored = self._chunks.pop(key, None)
         if stored is not None:
@@ -59,10 +59,10 @@
             return b""
         return stored.data
 
-    async def put_all(self, _node: str, request: Chunks) -> None:
+    async def store_all(self, _node: str, request: Chunks) -> None:
         """Answers a request that stores chunks."""
         for chunk in request.chunks:
-            self.put(chunk.key, chunk.data)
+            self.store(chunk.key, chunk.data)
 
     async def get_all(self, _node: str, request: ChunkKeys) -> Chunks:
         """Answers a request for chunks with those that are stored."""
@@ -107,7 +107,7 @@
             return Lengths(path=path)
         return stored.lengths
 
-    async def put_all(self, _node: str, request: LengthsList) -> None:
+    async def store_all(self, _node: str, request: LengthsList) -> None:
         """Answers a request that stores lengths."""
         for new in request.lengths:
             self.merge(new)
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -108,10 +108,10 @@
         """Whether requests may be served: proved, or without proof for as long as the settings allow that."""
         if self.ready():
             return True
-        unproved_s = self._ctx.settings.unproved_s
-        if not unproved_s or not self.sequence:
+        grace_s = self._ctx.settings.unproved_s
+        if not grace_s or not self.sequence:
             return False
-        return self.currency.was_proved_within(secs(unproved_s))
+        return self.currency.was_proved_within(secs(grace_s))
 
     def placement_group(self, number: int) -> PlacementGroup:
         """Returns a placement group; one without storage nodes where it is not placed yet."""
--- a/pipitlink/cluster/witnesses.py
+++ b/pipitlink/cluster/witnesses.py
@@ -50,8 +50,9 @@
         polled_at = self._ctx.timers.now()
         if not witnesses or not self._is_lease_overdue():
             return
-        log = self._ctx.replicated_log
-        responses = await log.ask_each(witnesses, "cluster.witness", Empty(), WitnessResponse, POLL_TIMEOUT)
+        responses = await self._ctx.replicated_log.ask_each(
+            witnesses, "cluster.witness", Empty(), WitnessResponse, POLL_TIMEOUT
+        )
         sequences = {node: response.sequence for node, response in responses.items() if response.caught_up}
         await self._fetch_newer_state(sequences)
         if self._is_proof(sequences, witnesses):
@@ -68,8 +69,8 @@
         """Takes over the state of the witness with the highest sequence, where that is newer than this node's."""
         newest = max(sequences, key=lambda node: sequences[node], default="")
         if newest and sequences[newest] > self._follower.sequence:
-            log = self._ctx.replicated_log
-            self._follower.absorb(await log.ask(newest, "cluster.cluster_state", Empty(), FollowResponse))
+            response = await self._ctx.replicated_log.ask(newest, "cluster.cluster_state", Empty(), FollowResponse)
+            self._follower.absorb(response)
 
     def _is_proof(self, sequences: dict[str, int], witnesses: list[str]) -> bool:
         """Whether a majority answered, none is newer, and the witnesses have not changed meanwhile."""
--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from .cache import Cache
     from .changes import Changes
-    from .cluster import Cluster
+    from .cluster import ClusterFollower
     from .gateway.engines import Engines as GatewayEngines
     from .membership import Membership
     from .reactor_types import Reactor
@@ -55,7 +55,7 @@
     rpc: RpcEndpoint
     rng: Random
     membership: "Membership" = attrs.field(init=False)
-    cluster: "Cluster" = attrs.field(init=False)
+    cluster: "ClusterFollower" = attrs.field(init=False)
     replicated_log: "ReplicatedLog" = attrs.field(init=False)
     cache: "Cache" = attrs.field(init=False)
     engines: "GatewayEngines | RouterEngines" = attrs.field(init=False)
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -109,7 +109,7 @@
         name = name or (member.name if member is not None else "")
         role = member.role if member is not None else None
         others = (other for other in self.members(role, (MemberStatus.ALIVE,)) if other.node != node)
-        return any(_takes_place_of(other, member, name) for other in others)
+        return any(_replaces(other, member, name) for other in others)
 
     async def _probe_seeds(self) -> None:
         """Probes the seeds that are not known yet, always while few peers are known and later only now and then."""
@@ -124,7 +124,7 @@
                 spawn(self._gossiper.probe(address))
 
 
-def _takes_place_of(other: Member, member: Member | None, name: str) -> bool:
+def _replaces(other: Member, member: Member | None, name: str) -> bool:
     if member is not None and (other.host, other.port) == (member.host, member.port):
         return True
     return bool(name) and other.name == name
--- a/pipitlink/membership/peer_store.py
+++ b/pipitlink/membership/peer_store.py
@@ -30,7 +30,7 @@
         self.path: Path | None = None
         self._written: list[tuple[str, int]] | None = None
         self._has_changes = False
-        self._is_write_due = False
+        self._is_write_scheduled = False
 
     def open_in(self, folder: Path) -> None:
         """Reads and writes the file in this folder from now on."""
@@ -52,8 +52,8 @@
         if self.path is None:
             return
         self._has_changes = True
-        if not self._is_write_due:
-            self._is_write_due = True
+        if not self._is_write_scheduled:
+            self._is_write_scheduled = True
             self._ctx.timers.call_later(ZERO, self._start_write, self.path)
 
     def _start_write(self, path: Path) -> None:
@@ -70,7 +70,7 @@
         except OSError as error:
             self._ctx.logger.failure("peers_not_saved", error)
         finally:
-            self._is_write_due = False
+            self._is_write_scheduled = False
 
     def _live_addresses(self) -> list[tuple[str, int]]:
         return sorted({peer.address for peer in self._table.peers.values() if peer.state == MemberStatus.ALIVE})
--- a/tests/test_stage_cache.py
+++ b/tests/test_stage_cache.py
@@ -36,7 +36,7 @@
         self.waiting: list[tuple[dict, defer.Deferred]] = []
         self.cached = self.durable = 0
 
-    def put_chunks(self, chunks):
+    def store_chunks(self, chunks):
         d = defer.Deferred()
         self.waiting.append((chunks, d))
         return d
@@ -45,7 +45,7 @@
         chunks, d = self.waiting.pop(i)
         d.callback(set(chunks) if took else set())
 
-    async def put_lengths(self, lengths):
+    async def store_lengths(self, lengths):
         for one in lengths.values():
             assert one.cached >= self.cached or one.cached == 0, "the cached length went back"
             self.cached = max(self.cached, one.cached)
@@ -122,10 +122,10 @@
 
     def test_chunks_only_grow_and_go_by_age_or_room(self):
         s = DataStore(self.timers, secs(10), 30)
-        s.put(b"a", b"12345")
-        s.put(b"a", b"123")
+        s.store(b"a", b"12345")
+        s.store(b"a", b"123")
         self.assertEqual(s.get(b"a"), b"12345")
-        s.put(b"b", b"x" * 28)
+        s.store(b"b", b"x" * 28)
         self.assertEqual((s.get(b"a"), s.size), (b"", 28))
         self.clock.advance(11)
         self.assertEqual((s.get(b"b"), s.size), (b"", 0))
