--- a/pipitlink/cluster/cluster_state.py
+++ b/pipitlink/cluster/cluster_state.py
@@ -53,14 +53,15 @@
 class ClusterState:
     """Weight table, routes, zones, storage nodes, placement groups and voters, as the agreed commands make them.
 
-    The same commands in the same order give the same state on each node. `table`, `config_at`, `zones_at`,
-    `storage_nodes_at` and `witnesses_at` are the sequences of the last changes of each part.
+    The same commands in the same order give the same state on each node. `table_sequence`, `config_changed_at`,
+    `zones_changed_at`, `storage_nodes_changed_at` and `witnesses_changed_at` are the sequences of the last changes of
+    each part; `confirmed_witness_change` is the last change of the witnesses that more than half of them have.
     """
 
     def __init__(self, data: ClusterStateData | None = None) -> None:
         data = data or ClusterStateData()
         self.sequence = data.sequence
-        self.table = data.table
+        self.table_sequence = data.table_sequence
         self.rows: dict[str, Row] = {row.name: row for row in data.rows}
         self.routes = RouteTable(data.config)
         self.empty_zones: set[str] = set(data.empty_zones)
@@ -70,11 +71,11 @@
         }
         self.placement_groups: dict[int, PlacementGroupRow] = {group.number: group for group in data.placement_groups}
         self.voters: tuple[str, ...] = tuple(data.voters)
-        self.witnesses_at = data.witnesses_at
-        self.confirmed_witnesses_at = data.confirmed_witnesses_at
-        self.config_at = data.config_at
-        self.zones_at = data.zones_at
-        self.storage_nodes_at = data.storage_nodes_at
+        self.witnesses_changed_at = data.witnesses_changed_at
+        self.confirmed_witness_change = data.confirmed_witness_change
+        self.config_changed_at = data.config_changed_at
+        self.zones_changed_at = data.zones_changed_at
+        self.storage_nodes_changed_at = data.storage_nodes_changed_at
         self.outcomes: OrderedDict[str, Outcome] = OrderedDict(
             (outcome.edit, outcome) for outcome in data.outcomes if outcome.code == OutcomeCode.DONE
         )
@@ -84,22 +85,22 @@
         """Returns the whole state as a message, from which the constructor makes the same state."""
         return ClusterStateData(
             sequence=self.sequence,
-            table=self.table,
+            table_sequence=self.table_sequence,
             rows=self.rows.values(),
             empty_zones=sorted(self.empty_zones),
             placement_groups=self.placement_groups.values(),
             voters=self.voters,
-            witnesses_at=self.witnesses_at,
-            confirmed_witnesses_at=self.confirmed_witnesses_at,
+            witnesses_changed_at=self.witnesses_changed_at,
+            confirmed_witness_change=self.confirmed_witness_change,
             storage_nodes=[
                 StorageNodeEdit(storage_node=node, status=status, name=self.storage_node_names.get(node))
                 for node, status in self.storage_nodes.items()
             ],
             outcomes=self.outcomes.values(),
             config=self.routes.config(),
-            config_at=self.config_at,
-            zones_at=self.zones_at,
-            storage_nodes_at=self.storage_nodes_at,
+            config_changed_at=self.config_changed_at,
+            zones_changed_at=self.zones_changed_at,
+            storage_nodes_changed_at=self.storage_nodes_changed_at,
         )
 
     def recorded_outcome(self, command: Command) -> Outcome | None:
@@ -154,17 +155,17 @@
         if not command.HasField("fencing_token"):
             return False
         changed_at = {
-            "config": self.config_at,
-            "table": self.table,
-            "zone": self.zones_at,
-            "storage_node": self.storage_nodes_at,
+            "config": self.config_changed_at,
+            "table": self.table_sequence,
+            "zone": self.zones_changed_at,
+            "storage_node": self.storage_nodes_changed_at,
         }
         return command.fencing_token < changed_at.get(kind or "", 0)
 
     def _version_of(self, kind: str | None, sequence: int) -> int:
         """The version that the outcome of a command states: that of the part which it edits, else its sequence."""
         if kind == "table":
-            return self.table
+            return self.table_sequence
         if kind == "config":
             return self.routes.version
         return sequence
@@ -198,12 +199,12 @@
                 return self._apply_placement(command.placement)
             case "controllers":
                 return self._apply_controllers(command.controllers)
-            case "confirmed_witnesses_at":
-                self.confirmed_witnesses_at = command.confirmed_witnesses_at
+            case "witness_change":
+                self.confirmed_witness_change = command.witness_change
         return OutcomeCode.DONE
 
     def _apply_table(self, edit: TableEdit, sequence: int) -> OutcomeCode:
-        if edit.base != self.table:
+        if edit.base != self.table_sequence:
             return OutcomeCode.WRONG_BASE
         remaining = 0 if edit.replace_all else len(self.rows)
         if remaining + len(edit.upserts) > MAX_ROWS:
@@ -216,7 +217,7 @@
             self.rows.pop(name, None)
         for row in edit.upserts:
             self.rows[row.name] = row
-        self.table = sequence
+        self.table_sequence = sequence
         self._rows_by_target = None
         return OutcomeCode.DONE
 
@@ -229,11 +230,11 @@
         if routes.validation_faults():
             return OutcomeCode.INVALID
         self.routes = routes
-        self.config_at = sequence
+        self.config_changed_at = sequence
         return OutcomeCode.DONE
 
     def _apply_zone(self, edit: ZoneEdit, sequence: int) -> OutcomeCode:
-        self.zones_at = sequence
+        self.zones_changed_at = sequence
         if edit.empty:
             self.empty_zones.add(edit.zone)
         else:
@@ -242,7 +243,7 @@
 
     def _apply_storage_node(self, edit: StorageNodeEdit, sequence: int) -> OutcomeCode:
         before = self.witnesses()
-        self.storage_nodes_at = sequence
+        self.storage_nodes_changed_at = sequence
         if edit.status == "removed":
             self.storage_nodes.pop(edit.storage_node, None)
             self.storage_node_names.pop(edit.storage_node, None)
@@ -251,7 +252,7 @@
             if edit.name:
                 self.storage_node_names[edit.storage_node] = edit.name
         if self.witnesses() != before:
-            self.witnesses_at = sequence
+            self.witnesses_changed_at = sequence
         return OutcomeCode.DONE
 
     def _apply_placement(self, placement: Placement) -> OutcomeCode:
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -138,7 +138,7 @@
             if delta.sequence == self.sequence + 1:
                 self.cluster_state.apply(delta.sequence, delta.command)
         if self.sequence != before:
-            self._ctx.logger.info("cluster", sequence=self.sequence, table=self.cluster_state.table)
+            self._ctx.logger.info("cluster", sequence=self.sequence, table=self.cluster_state.table_sequence)
             for listener in self._listeners:
                 listener()
         return self.sequence >= response.sequence
--- a/pipitlink/controller/announcing.py
+++ b/pipitlink/controller/announcing.py
@@ -85,14 +85,14 @@
         late = have is not None and n.state != "gone" and n.sequence <= have.news.sequence
         if have is not None and have.news.state == "gone" or late:
             return have
-        elsewhere = have is None and n.sequence > 1 and n.state == "ready" and not n.cold_ms
+        elsewhere = have is None and n.sequence > 1 and n.state == "ready" and not n.slow_start_ms
         if have is None:
             have = self._announced[n.engine] = _Announced(EngineUpdate(), self._ctx.timers.now())
         before, have.news = have.news, n
         have.heard_at = self._ctx.timers.now()
         if before.state == "leaving" and n.state != "gone":
             n.state = "leaving"
-        if (n.state, n.address) != (before.state, before.address) or n.cold_ms and not before.cold_ms:
+        if (n.state, n.address) != (before.state, before.address) or n.slow_start_ms and not before.slow_start_ms:
             if n.state != before.state:
                 self._ctx.logger.info("engine", engine=n.engine, state=n.state, address=n.address)
             self._tell_change(have, elsewhere)
--- a/pipitlink/controller/edits.py
+++ b/pipitlink/controller/edits.py
@@ -161,7 +161,7 @@
     async def show_table(self, request):
         s = await self.newest()
         rows = {name: row_dict(r) for name, r in sorted(s.rows.items())}
-        return send_json(request, {"sequence": s.table, "rows": rows}, 200, {"ETag": f'"{s.table}"'})
+        return send_json(request, {"sequence": s.table_sequence, "rows": rows}, 200, {"ETag": f'"{s.table_sequence}"'})
 
     @answered
     async def put_table(self, request):
@@ -176,7 +176,12 @@
         s = await self.newest()
         if name not in s.rows:
             raise NotFound("there is no such row", code="no_such_row", field="row")
-        return send_json(request, {"sequence": s.table, "row": row_dict(s.rows[name])}, 200, {"ETag": f'"{s.table}"'})
+        return send_json(
+            request,
+            {"sequence": s.table_sequence, "row": row_dict(s.rows[name])},
+            200,
+            {"ETag": f'"{s.table_sequence}"'},
+        )
 
     @answered
     async def put_row(self, request, name: str):
--- a/pipitlink/controller/gateways.py
+++ b/pipitlink/controller/gateways.py
@@ -164,7 +164,7 @@
             2 * have > len(witnesses)
             or not witnesses
             or 2 * have == len(witnesses)
-            and self.cluster_state.confirmed_witnesses_at == self.cluster_state.witnesses_at
+            and self.cluster_state.confirmed_witness_change == self.cluster_state.witnesses_changed_at
         )
 
     def _shows(self, storage_node: str, sequence: int) -> bool:
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -57,7 +57,11 @@
     def _witnesses_due(self) -> timedelta | None:
         if self.state != "leader":
             return None
-        return ZERO if self.cluster_state.confirmed_witnesses_at != self.cluster_state.witnesses_at else IDLE_LOOK
+        return (
+            ZERO
+            if self.cluster_state.confirmed_witness_change != self.cluster_state.witnesses_changed_at
+            else IDLE_LOOK
+        )
 
     def _may_place(self) -> bool:
         agreed = self.state == "leader" and self.archive.term_at(self.commit) == self.term
@@ -68,7 +72,7 @@
         if not self._may_place():
             return
         await self._settle_witnesses()
-        if self.cluster_state.confirmed_witnesses_at == self.cluster_state.witnesses_at:
+        if self.cluster_state.confirmed_witness_change == self.cluster_state.witnesses_changed_at:
             await self._admit_storage_node() or await self._let_storage_node_go()
 
     async def _placement_beat(self):
@@ -98,9 +102,9 @@
         """Says in the cluster state that the last change of the witnesses is in effect; only then is half of them
         enough.
         """
-        at = self.cluster_state.witnesses_at
-        if at != self.cluster_state.confirmed_witnesses_at and self._in_effect(at):
-            await self._propose(Command(confirmed_witnesses_at=at))
+        at = self.cluster_state.witnesses_changed_at
+        if at != self.cluster_state.confirmed_witness_change and self._in_effect(at):
+            await self._propose(Command(witness_change=at))
 
     async def _admit_storage_node(self) -> bool:
         for m in self._newcomers(self.cluster_state):
--- a/pipitlink/dialect/control.py
+++ b/pipitlink/dialect/control.py
@@ -64,7 +64,7 @@
         Field("zone", "zone", "text"),
         Field("version", "version", "text"),
         Field("capacity", "capacity"),
-        Field("cold_ms", "cold_ms", "long"),
+        Field("cold_ms", "slow_start_ms", "long"),
         Field("sequence", "sequence", "long", needed=True),
     )
     engine_states = {"ready": "ready", "leaving": "leaving"}
--- a/pipitlink/operator.py
+++ b/pipitlink/operator.py
@@ -74,7 +74,7 @@
             "zone": me.zone,
             "cluster": {
                 "sequence": cluster_state.sequence,
-                "table": cluster_state.table,
+                "table": cluster_state.table_sequence,
                 "voters": ",".join(cluster_state.voters),
                 "empty_zones": ",".join(sorted(cluster_state.empty_zones)),
             },
@@ -123,7 +123,9 @@
         yield GaugeMetricFamily(
             "pipitlink_cluster_sequence", "The cluster state's sequence here", cluster_state.sequence
         )
-        yield GaugeMetricFamily("pipitlink_table_sequence", "The weight table's sequence here", cluster_state.table)
+        yield GaugeMetricFamily(
+            "pipitlink_table_sequence", "The weight table's sequence here", cluster_state.table_sequence
+        )
         seen = GaugeMetricFamily("pipitlink_peers", "Peers by role and status", labels=["role", "status"])
         counts: dict = {}
         for m in self._ctx.membership.all_members():
--- a/pipitlink/router/engines.py
+++ b/pipitlink/router/engines.py
@@ -148,7 +148,7 @@
             kept.CopyFrom(n)
             pool = self._ctx.cluster.cluster_state.routes.pools.get(n.pool)
             room = int(0.8 * pool.cache_tokens) if pool is not None else 0
-            e = self._engines[n.engine] = Engine(kept, heard, heard + ms(n.cold_ms), _KeptParts(room))
+            e = self._engines[n.engine] = Engine(kept, heard, heard + ms(n.slow_start_ms), _KeptParts(room))
             e.bytes_at = now
             for other in list(self._engines.values()):
                 if other is not e and other.address == e.address:
@@ -167,7 +167,7 @@
             return
         e.heard = max(e.heard, heard)
         if n.sequence > e.news.sequence:
-            e.cold_until = heard + ms(n.cold_ms)
+            e.cold_until = heard + ms(n.slow_start_ms)
             e.news.sequence = n.sequence
 
     def _forget(self, e: Engine):
--- a/rehearsal/hollow_work.py
+++ b/rehearsal/hollow_work.py
@@ -127,7 +127,7 @@
 
     async def _edit(self, n, puts) -> bool:
         try:
-            e = TableEdit(base=n.part.cluster_state.table, upserts=puts)
+            e = TableEdit(base=n.part.cluster_state.table_sequence, upserts=puts)
             out = await n.part.edit(Command(edit=f"{n.ctx.node}{n.ctx.timers.now()}", table=e))
         except PipitlinkError as e:
             self._fail(e)
--- a/rehearsal/inner.py
+++ b/rehearsal/inner.py
@@ -124,7 +124,7 @@
         one = Command(edit="one", table=TableEdit(base=1, upserts=puts[:1]))
 
         def change(cluster_state=cluster_state, one=one):
-            one.table.base, one.edit = cluster_state.table, f"e{cluster_state.sequence}"
+            one.table.base, one.edit = cluster_state.table_sequence, f"e{cluster_state.sequence}"
             cluster_state.apply(cluster_state.sequence + 1, one)
             cluster_state.row("model1", "tenant1")
 
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -144,7 +144,7 @@
         Command(
             edit="w",
             table=TableEdit(
-                base=s.stage.leader().part.cluster_state.table, upserts=[Row(name="m", model="m", weight=0)]
+                base=s.stage.leader().part.cluster_state.table_sequence, upserts=[Row(name="m", model="m", weight=0)]
             ),
         )
     )
@@ -190,7 +190,7 @@
 def operators_race(s):
     """Two edits build on one sequence; then the leader is cut off, another takes an edit, and the old one is read."""
     old = s.stage.leader()
-    base = old.part.cluster_state.table
+    base = old.part.cluster_state.table_sequence
 
     def edit(part, name, base):
         asked = s.stage.clock.seconds()
@@ -216,7 +216,7 @@
     s.stage.cut([old.name], [a for a in s.stage.actors if a != old.name])
     new = s.stage.until(lambda: next((a for a in rest if a.part.state == "leader"), None), 20, "another leads")
     s.stage.run(2)
-    edit(new.part, "third", new.part.cluster_state.table)
+    edit(new.part, "third", new.part.cluster_state.table_sequence)
     s.stage.run(0.1)
     for a in (new, old):
         asked = s.stage.clock.seconds()
@@ -226,7 +226,7 @@
             continue
         s.c.note(
             "table_read",
-            sequence=a.part.cluster_state.table,
+            sequence=a.part.cluster_state.table_sequence,
             asked=asked,
             rows={r.name: {"model": r.model} for r in a.part.cluster_state.rows.values()},
         )
@@ -253,7 +253,7 @@
 
 
 def _any_base(self, e, sequence):
-    e.base = self.table
+    e.base = self.table_sequence
     return _apply_table(self, e, sequence)
 
 
--- a/tests/loss_parts.py
+++ b/tests/loss_parts.py
@@ -97,7 +97,9 @@
             n += 1
             edit = Command(
                 edit=f"e{n}",
-                table=TableEdit(base=leader.part.cluster_state.table, upserts=[Row(name=f"r{n % 20}", model=f"m{n}")]),
+                table=TableEdit(
+                    base=leader.part.cluster_state.table_sequence, upserts=[Row(name=f"r{n % 20}", model=f"m{n}")]
+                ),
             )
             try:
                 out = await timers.with_timeout(secs(3), leader.part.edit(edit))
--- a/tests/router_parts.py
+++ b/tests/router_parts.py
@@ -175,7 +175,7 @@
                 state=state,
                 capacity=capacity,
                 sequence=self.sequence,
-                cold_ms=cold_ms,
+                slow_start_ms=cold_ms,
             )
         )
         return self.node.engines._engines.get(name)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -164,7 +164,7 @@
         stage.run(3)
         leader = stage.leader().part
         began = stage.clock.seconds()
-        edit = TableEdit(base=leader.cluster_state.table, upserts=[Row(name="m", model="m", weight=1)])
+        edit = TableEdit(base=leader.cluster_state.table_sequence, upserts=[Row(name="m", model="m", weight=1)])
         stage.do(leader.edit(Command(edit="e", table=edit)))
         self.assertLess(stage.clock.seconds() - began, 0.1)
         self.assertEqual({a.ctx.cluster.sequence for a in stage.role("gateway")}, {leader.cluster_state.sequence})
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -98,7 +98,7 @@
 
 
 def snapshot(index, term):
-    state = ClusterStateData(sequence=index, voters=["a", "b", "c"], table=term)
+    state = ClusterStateData(sequence=index, voters=["a", "b", "c"], table_sequence=term)
     return Snapshot(index=index, term=term, cluster_state=state)
 
 
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -72,7 +72,7 @@
     async def _edit(self, part, who: int):
         self._n += 1
         text = f"edit{self._n}"
-        edit = TableEdit(base=part.cluster_state.table, upserts=[Row(name=f"row{who}", model=text)])
+        edit = TableEdit(base=part.cluster_state.table_sequence, upserts=[Row(name=f"row{who}", model=text)])
         try:
             out = await part.edit(Command(edit=text, table=edit))
         except PipitlinkError:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -236,7 +236,7 @@
         self.stage.cut([self.leader.name], [self.held.name], one_way=True)
         self.stage.run(0.2)
         self.assertEqual(self.zone("PUT"), 200)
-        self.assertLess(self.held.part.cluster_state.zones_at, self.leader.part.cluster_state.zones_at)
+        self.assertLess(self.held.part.cluster_state.zones_changed_at, self.leader.part.cluster_state.zones_changed_at)
         self.stage.heal()
         before = self.stage.clock.seconds()
         self.assertEqual(self.zone("DELETE", self.held), 200)
@@ -274,7 +274,7 @@
         state.apply(5, Command(edit="z", zone=ZoneEdit(zone="a", empty=True)))
         state.apply(7, Command(storage_node=StorageNodeEdit(storage_node="s", status="serving")))
         again = ClusterState(state.data())
-        self.assertEqual((again.config_at, again.zones_at, again.storage_nodes_at), (3, 5, 7))
+        self.assertEqual((again.config_changed_at, again.zones_changed_at, again.storage_nodes_changed_at), (3, 5, 7))
         for late in (
             config_command("n", 4, 9, fencing_token=2),
             Command(edit="n", zone=ZoneEdit(zone="a"), fencing_token=4),
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -179,7 +179,7 @@
                 n.version,
                 n.capacity,
                 n.state,
-                n.cold_ms,
+                n.slow_start_ms,
                 n.sequence,
                 list(n.models),
             ),
--- a/tests/test_snapshot_orders.py
+++ b/tests/test_snapshot_orders.py
@@ -41,7 +41,7 @@
         self.states: dict[int, bytes] = {}
         state = self.first()
         for n in range(1, NEWEST + 1):
-            edit = TableEdit(base=state.table, upserts=[Row(name=f"row{n}", model=f"m{n}")])
+            edit = TableEdit(base=state.table_sequence, upserts=[Row(name=f"row{n}", model=f"m{n}")])
             self.entries[n] = ControllerEntry(index=n, term=term_of(n), command=Command(edit=f"e{n}", table=edit))
             state.apply(n, self.entries[n].command)
             self.states[n] = told(state)
--- a/tests/test_stage_controllers.py
+++ b/tests/test_stage_controllers.py
@@ -46,7 +46,7 @@
             try:
                 floor = self.newest()
                 await part.confirm_leadership()
-                table = part.cluster_state.table
+                table = part.cluster_state.table_sequence
                 self.reads += 1
                 if table < floor:
                     self.faults.append(f"read {table} after {floor} was acknowledged")
@@ -67,8 +67,10 @@
         old = max((seq for at, seq, _ in self.acked if now - at > IN_EFFECT), default=0)
         for a in self.stage.role("gateway", alive=True):
             cluster = a.ctx.cluster
-            if cluster.ready() and cluster.cluster_state.table < old:
-                self.faults.append(f"{a.name} admits at table {cluster.cluster_state.table}, {old} is in effect, {now}")
+            if cluster.ready() and cluster.cluster_state.table_sequence < old:
+                self.faults.append(
+                    f"{a.name} admits at table {cluster.cluster_state.table_sequence}, {old} is in effect, {now}"
+                )
 
 
 class ClusterUnderTrouble(unittest.TestCase):
@@ -99,10 +101,10 @@
         for _, sequence, text in ops.acked:
             self.assertEqual(done.get(text), sequence, f"seed {seed}: {text} was acknowledged and is gone")
         self.assertFalse(ops.refused & set(done))
-        tables = {a.part.cluster_state.table for a in stage.role("controller")} | {
-            a.ctx.cluster.cluster_state.table for a in stage.role("gateway")
+        tables = {a.part.cluster_state.table_sequence for a in stage.role("controller")} | {
+            a.ctx.cluster.cluster_state.table_sequence for a in stage.role("gateway")
         }
-        self.assertEqual(tables, {cluster_state.table}, f"seed {seed}")
+        self.assertEqual(tables, {cluster_state.table_sequence}, f"seed {seed}")
         return len(ops.acked)
 
     def test_edits_hold_while_controllers_fail(self):
@@ -186,13 +188,13 @@
 
     def test_edits_go_on_with_two_of_four_storage_nodes_away_and_no_gateway_misses_one(self):
         cluster_state = self.stage.leader().part.cluster_state
-        self.assertEqual(cluster_state.confirmed_witnesses_at, cluster_state.witnesses_at)
+        self.assertEqual(cluster_state.confirmed_witness_change, cluster_state.witnesses_changed_at)
         storage_nodes = self.stage.role("storage")
         for a in storage_nodes[:2]:
             a.kill()
         leader = self.stage.leader().part
-        self.stage.do(leader.edit(edit_of("r", cluster_state.table, "two away")), 6)
-        newest = leader.cluster_state.table
+        self.stage.do(leader.edit(edit_of("r", cluster_state.table_sequence, "two away")), 6)
+        newest = leader.cluster_state.table_sequence
         self.stage.cut(
             [a.name for a in self.stage.role("controller")],
             [a.name for a in self.stage.actors.values() if a.role != "controller"],
@@ -202,18 +204,18 @@
         for _ in range(100):
             self.stage.run(0.05)
             for g in self.stage.role("gateway"):
-                self.assertFalse(g.ctx.cluster.ready() and g.ctx.cluster.cluster_state.table < newest)
+                self.assertFalse(g.ctx.cluster.ready() and g.ctx.cluster.cluster_state.table_sequence < newest)
         self.stage.heal()
         self.stage.ready()
 
     def test_half_of_the_witnesses_are_not_enough_while_their_set_changes(self):
         leader, timers = self.stage.leader().part, self.stage.timers()
-        leader.cluster_state.confirmed_witnesses_at -= 1
+        leader.cluster_state.confirmed_witness_change -= 1
         leader._settle_witnesses = lambda: timers.sleep(ms(0))
         for a in self.stage.role("storage")[:2]:
             a.kill()
         with self.assertRaises(PipitlinkError):
-            self.stage.do(leader.edit(edit_of("r", leader.cluster_state.table, "unsettled")), 6)
+            self.stage.do(leader.edit(edit_of("r", leader.cluster_state.table_sequence, "unsettled")), 6)
 
     def test_nodes_that_met_need_no_seed_again_and_a_wrong_suspicion_is_refuted(self):
         self.stage.seeds = ("10.0.0.1:9", "10.0.0.1:10", "10.0.0.1:11")
@@ -249,11 +251,14 @@
         for n in range(3):
             part = self.stage.until(self.stage.leader, 10, "a controller leads").part
             self.stage.do(part.confirm_leadership())
-            out = self.stage.do(part.edit(edit_of("s", part.cluster_state.table, f"next{n}")))
+            out = self.stage.do(part.edit(edit_of("s", part.cluster_state.table_sequence, f"next{n}")))
             self.assertEqual(out.code, "done")
         self.stage.run(3)
         cluster_states = {
-            (a.part.cluster_state.table, *sorted((r.name, r.model) for r in a.part.cluster_state.rows.values()))
+            (
+                a.part.cluster_state.table_sequence,
+                *sorted((r.name, r.model) for r in a.part.cluster_state.rows.values()),
+            )
             for a in self.stage.role("controller")
         }
         self.assertEqual(len(cluster_states), 1, cluster_states)
--- a/tests/test_stage_follow.py
+++ b/tests/test_stage_follow.py
@@ -68,7 +68,7 @@
             for n in range(5):
                 stage.run(0.13)
                 began = stage.clock.seconds()
-                stage.do(leader.edit(edit_of("row", leader.cluster_state.table, f"edit{n}")))
+                stage.do(leader.edit(edit_of("row", leader.cluster_state.table_sequence, f"edit{n}")))
                 self.assertLess(stage.clock.seconds() - began, 0.1)
 
     def test_an_edit_waits_for_a_gateway_that_was_answered_last_just_before_it_was_cut_off(self):
@@ -85,7 +85,7 @@
                 stage.cut([one.name], others, one_way=True)
             stage.cut([one.name], others)
             box = []
-            spawn(leader.part.edit(edit_of("row", leader.part.cluster_state.table, "e"))).addBoth(box.append)
+            spawn(leader.part.edit(edit_of("row", leader.part.cluster_state.table_sequence, "e"))).addBoth(box.append)
             led = 0
             while not box:
                 stage.run(0.01)
--- a/tests/test_stage_long_logs.py
+++ b/tests/test_stage_long_logs.py
@@ -31,7 +31,7 @@
     """What two members at one sequence must have alike; of the outcomes their number and the newest few."""
     rows = sorted((r.name, r.model) for r in state.rows.values())
     newest = [(o.edit, o.code, o.sequence) for o, _ in zip(reversed(state.outcomes.values()), range(5), strict=False)]
-    return zlib.crc32(repr((state.table, state.voters, rows, len(state.outcomes), newest)).encode())
+    return zlib.crc32(repr((state.table_sequence, state.voters, rows, len(state.outcomes), newest)).encode())
 
 
 class _Judge:
@@ -121,10 +121,12 @@
     async def _write_at(self, part, who: int):
         floor = self.floor
         await part.confirm_leadership()
-        if part.cluster_state.table < floor:
-            self.judge.fault(f"read {part.cluster_state.table} after {floor} was acknowledged")
+        if part.cluster_state.table_sequence < floor:
+            self.judge.fault(f"read {part.cluster_state.table_sequence} after {floor} was acknowledged")
         self.n += 1
-        edit = TableEdit(base=part.cluster_state.table, upserts=[Row(name=f"row{self.n % 40}", model=f"m{self.n}")])
+        edit = TableEdit(
+            base=part.cluster_state.table_sequence, upserts=[Row(name=f"row{self.n % 40}", model=f"m{self.n}")]
+        )
         out = await part.edit(Command(edit=f"edit{self.n}", table=edit))
         if out.code == "done":
             self.acked[out.edit] = out.sequence
--- a/tests/test_stage_slow_link.py
+++ b/tests/test_stage_slow_link.py
@@ -33,7 +33,7 @@
         """One agreed change of so many bytes, that no compression makes smaller than half."""
         part = stage.leader().part
         row = Row(name=name, model=self.random.randbytes(size // 2).hex())
-        stage.do(part._propose(Command(table=TableEdit(base=part.cluster_state.table, upserts=[row]))), 20)
+        stage.do(part._propose(Command(table=TableEdit(base=part.cluster_state.table_sequence, upserts=[row]))), 20)
 
     def current(self, stage, actor) -> bool:
         leader = stage.leader()
@@ -129,7 +129,9 @@
         other.kill()
         stage.cut([leader.name], [needed.name])
         row = Row(name="large", model="x" * 20 * LARGE_EDIT)
-        lost = leader.part._propose(Command(table=TableEdit(base=leader.part.cluster_state.table, upserts=[row])))
+        lost = leader.part._propose(
+            Command(table=TableEdit(base=leader.part.cluster_state.table_sequence, upserts=[row]))
+        )
         spawn(lost).addErrback(lambda f: f.trap(PipitlinkError))
         stage.run(0.8)
         stage.heal()
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -109,7 +109,7 @@
         down, emptied = [a for a in self.stage.role("controller") if a is not leader]
         down.kill()
         self.empty(emptied)
-        edit = TableEdit(base=leader.part.cluster_state.table, upserts=[Row(name="r", model="m")])
+        edit = TableEdit(base=leader.part.cluster_state.table_sequence, upserts=[Row(name="r", model="m")])
         try:
             self.stage.do(leader.part.edit(Command(edit="alone", table=edit)), 10)
         except PipitlinkError:
