--- a/tests/behaviour_scenes.py
+++ b/tests/behaviour_scenes.py
@@ -104,7 +104,7 @@
         elif isinstance(result.value, defer.CancelledError):
             network.note("cancelled", sender, goal, method)
         else:
-            network.note("error", sender, goal, method, _code(result.value), getattr(result.value, "fault", ""))
+            network.note("error", sender, goal, method, _code(result.value), getattr(result.value, "remote_code", ""))
         return result
 
     return carry
