--- a/pipitlink/cache/poller.py
+++ b/pipitlink/cache/poller.py
@@ -139,8 +139,8 @@
     def _repeat(
         self, interval_ms: float, poll: Callable[[], Any], name: str, next_run: Callable[[], timedelta | None]
     ) -> None:
-        report = self._ctx.report(name)
-        self._calls.append(self._ctx.timers.call_repeatedly(ms(interval_ms), poll, report, due=next_run))
+        report = self._ctx.error_reporter(name)
+        self._calls.append(self._ctx.timers.call_repeatedly(ms(interval_ms), poll, report, idle_time=next_run))
 
     def _run_while_followed(self) -> timedelta | None:
         return ZERO if self._known else None
--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from ..context import Context
-from ..disk import HEAD, frames
+from ..disk import FRAME_HEADER_BYTES, decode_frames
 from ..errors import CorruptData
 from ..timers import ms, secs
 from .chunks import CHUNK, chunk_key
@@ -68,9 +68,9 @@
 
     def missing_bytes(self) -> int:
         """Returns how many bytes the next record lacks, or its frame's header and the first byte of its payload."""
-        if len(self._partial) <= HEAD:
-            return HEAD + 1 - len(self._partial)
-        return max(1, HEAD + self._next_payload_size() - len(self._partial))
+        if len(self._partial) <= FRAME_HEADER_BYTES:
+            return FRAME_HEADER_BYTES + 1 - len(self._partial)
+        return max(1, FRAME_HEADER_BYTES + self._next_payload_size() - len(self._partial))
 
     def at_record_boundary(self) -> bool:
         """Whether all that is durable was read, and ends with a complete record."""
@@ -81,10 +81,12 @@
 
         Returns its start and end in the log, or None where it was not skipped.
         """
-        if len(self._partial) < HEAD + len(prefix) or not self._partial.startswith(prefix, HEAD):
+        if len(self._partial) < FRAME_HEADER_BYTES + len(prefix) or not self._partial.startswith(
+            prefix, FRAME_HEADER_BYTES
+        ):
             return None
         start = self.position - len(self._partial)
-        end = start + HEAD + self._next_payload_size()
+        end = start + FRAME_HEADER_BYTES + self._next_payload_size()
         if not self.position < end <= self.lengths.durable:
             return None
         self._partial.clear()
@@ -94,7 +96,7 @@
     async def read_record(self, start: int, end: int) -> bytes:
         """Returns the payload of a record that was skipped. Raises CorruptData where none is there."""
         await self._keep_rate(end - start)
-        for _, payload, frame_end in frames(await self.read(start, end)):
+        for _, payload, frame_end in decode_frames(await self.read(start, end)):
             if frame_end == end - start:
                 return bytes(payload)
         raise CorruptData(f"{self.path}: no record stands at {start}")
@@ -159,7 +161,7 @@
         base = self.position - len(self._partial)
         records = []
         end = 0
-        for start, payload, end in frames(bytes(self._partial)):
+        for start, payload, end in decode_frames(bytes(self._partial)):
             records.append((base + start, payload))
         del self._partial[:end]
         if self._partial and not records and len(self._partial) > MAX_RECORD_BYTES:
--- a/pipitlink/changes.py
+++ b/pipitlink/changes.py
@@ -73,7 +73,7 @@
         from cloudevents.core.bindings.http import to_structured
         from cloudevents.core.formats.json import JSONFormat
 
-        while not self._ctx.timers.ended:
+        while not self._ctx.timers.stopped:
             if not self._inbox:
                 self._waiter = defer.Deferred(lambda _: None)
                 await self._waiter
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -165,7 +165,7 @@
     async def _follow(self) -> None:
         """Follows the cluster state from a controller, or by way of a peer where no controller answers."""
         failures = 0
-        while not self._ctx.timers.ended:
+        while not self._ctx.timers.stopped:
             try:
                 await self._follow_once(failures)
                 failures = 0
--- a/pipitlink/cluster/witnesses.py
+++ b/pipitlink/cluster/witnesses.py
@@ -36,7 +36,7 @@
 
     def start_polling(self) -> None:
         """Asks the witnesses from now on, at intervals, while there is no lease of a leader."""
-        self._ctx.timers.call_repeatedly(POLL_INTERVAL, self._poll, self._ctx.report("witness_poll"))
+        self._ctx.timers.call_repeatedly(POLL_INTERVAL, self._poll, self._ctx.error_reporter("witness_poll"))
 
     async def _answer_witness(self, _node: str, _request: Empty) -> WitnessResponse:
         return WitnessResponse(caught_up=self._follower.caught_up, sequence=self._follower.sequence)
@@ -50,7 +50,7 @@
         polled_at = self._ctx.timers.now()
         if not witnesses or not self._is_lease_overdue():
             return
-        responses = await self._ctx.replicated_log.ask_each(
+        responses = await self._ctx.replicated_log.call_each(
             witnesses, "cluster.witness", Empty(), WitnessResponse, POLL_TIMEOUT
         )
         sequences = {node: response.sequence for node, response in responses.items() if response.caught_up}
@@ -69,7 +69,7 @@
         """Takes over the state of the witness with the highest sequence, where that is newer than this node's."""
         newest = max(sequences, key=lambda node: sequences[node], default="")
         if newest and sequences[newest] > self._follower.sequence:
-            response = await self._ctx.replicated_log.ask(newest, "cluster.cluster_state", Empty(), FollowResponse)
+            response = await self._ctx.replicated_log.call(newest, "cluster.cluster_state", Empty(), FollowResponse)
             self._follower.absorb(response)
 
     def _is_proof(self, sequences: dict[str, int], witnesses: list[str]) -> bool:
--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from .cache import Cache
-    from .changes import Changes
+    from .changes import ChangePublisher
     from .cluster import ClusterFollower
     from .gateway.engines import Engines as GatewayEngines
     from .membership import Membership
@@ -25,12 +25,12 @@
     from .replicated_log import ReplicatedLog
     from .router.engines import Engines as RouterEngines
 
-__all__ = ["Context", "RunInThread", "fresh_id"]
+__all__ = ["Context", "RunInThread", "random_id"]
 
 ResultT = TypeVar("ResultT")
 
 
-def fresh_id() -> str:
+def random_id() -> str:
     """Returns a random id of 16 hexadecimal digits."""
     return secrets.token_hex(8)
 
@@ -59,7 +59,7 @@
     replicated_log: "ReplicatedLog" = attrs.field(init=False)
     cache: "Cache" = attrs.field(init=False)
     engines: "GatewayEngines | RouterEngines" = attrs.field(init=False)
-    changes: "Changes" = attrs.field(init=False)
+    changes: "ChangePublisher" = attrs.field(init=False)
     run_in_thread: RunInThread = deferToThread
     dialect: Dialect = attrs.field(factory=Dialect)
 
--- a/pipitlink/controller/announcing.py
+++ b/pipitlink/controller/announcing.py
@@ -68,7 +68,9 @@
         self._unreached: set[str] = set()
         self._turn = 0
         self._ctx.membership.add_listener(self._gateway_changed)
-        self._ctx.timers.call_repeatedly(BATCH_INTERVAL, self._tell_renewed, self._ctx.report("renewed_engines"))
+        self._ctx.timers.call_repeatedly(
+            BATCH_INTERVAL, self._tell_renewed, self._ctx.error_reporter("renewed_engines")
+        )
 
     async def announce(self, n: EngineUpdate):
         """Takes an engine's news; returns once it may be acknowledged. The newest sequence wins, leaving is for
--- a/pipitlink/controller/archive.py
+++ b/pipitlink/controller/archive.py
@@ -8,10 +8,10 @@
 
 from twisted.internet import defer
 
-from ..disk import Disk, swap_in
+from ..disk import Disk, replace_file
 from ..errors import CorruptData
+from ..group_commit import GroupCommit
 from ..segments import Segments
-from ..syncing import Syncer
 from ..wire.cluster_pb2 import ClusterStateData, Row
 from ..wire.controller_pb2 import Ballot, ControllerEntry, ControllerRecord, Snapshot
 from .log_replay import LogReplay
@@ -36,7 +36,7 @@
         self._folder = folder
         self._disk = disk
         self._segments = Segments(folder / "agreed", disk)
-        self._syncer = Syncer(ctx, self._segments, self._replayed)
+        self._group_commit = GroupCommit(ctx, self._segments, self._replayed)
         self.ballot = Ballot()
         self.snapshot = Snapshot()
         self.entries: list[ControllerEntry] = []
@@ -83,7 +83,7 @@
 
     def used(self) -> int:
         """Bytes on disk: the log, and the snapshot twice, as it is while one is swapped in."""
-        return self._segments.used() + 2 * self.snapshot.ByteSize()
+        return self._segments.used_bytes() + 2 * self.snapshot.ByteSize()
 
     def last_index(self) -> int:
         return self.snapshot.index + len(self.entries)
@@ -134,11 +134,11 @@
 
     def _put(self, r: ControllerRecord):
         body = r.SerializeToString()
-        return self._syncer.put(lambda ticket: self._segments.put(body, ticket))
+        return self._group_commit.submit(lambda ticket: self._segments.append(body, ticket))
 
     def all_synced(self):
         """Fires once all that was queued before is on disk."""
-        return self._put(ControllerRecord()) if self._syncer.busy else defer.succeed(None)
+        return self._put(ControllerRecord()) if self._group_commit.in_progress else defer.succeed(None)
 
     def keep_snapshot(self, s: Snapshot):
         """Blocking: writes the snapshot aside, syncs it and swaps it in."""
@@ -169,7 +169,7 @@
         os.replace(new, goal)
         self._disk.sync_folder(self._folder)
         if not (self._folder / "founded").exists():
-            swap_in(self._folder / "founded", b"", self._disk)
+            replace_file(self._folder / "founded", b"", self._disk)
         for old in self._folder.glob("setup-*"):
             if old != goal:
                 shutil.rmtree(old, ignore_errors=True)
@@ -197,18 +197,18 @@
     def use_snapshot(self, s: Snapshot):
         """After `keep_snapshot`: drops what it covers from the log, in memory and on disk."""
         rest = [e for e in self.entries if e.index > s.index] if self.term_at(s.index) == s.term else []
-        old = self._segments.numbers()
+        old = self._segments.segment_numbers()
         self.snapshot, self.entries, self._entry_bytes = s, [], 0
         self._votes = []
         for e in rest:
             self._place(e)
         self._segments.roll()
-        first = self._segments.newest()
+        first = self._segments.newest_segment()
         self._put_mark()
         for e in rest:
             self._put(ControllerRecord(entry=e)).addErrback(told_by_the_last)
         done = self._put(ControllerRecord(ballot=self.ballot))
-        done.addCallback(lambda _: [self._segments.drop(n) for n in old if n < first])
+        done.addCallback(lambda _: [self._segments.remove_segment(n) for n in old if n < first])
         return done
 
     def close(self):
--- a/pipitlink/controller/control.py
+++ b/pipitlink/controller/control.py
@@ -6,12 +6,12 @@
 
 from ..cluster.routes import RouteTable
 from ..errors import ApiError, BadRequest, NotFound
-from ..web import Site, answered, listen, send_fault, send_json
+from ..web import Site, http_handler, listen, send_error, send_json
 from ..wire.cluster_pb2 import Command, ZoneEdit
 from ..wire.membership_pb2 import EngineUpdate
 from .edits import edit_base, edit_id
 
-__all__ = ["Control", "ControlFace"]
+__all__ = ["Control", "ControlServer"]
 
 MAX_BODY = 8 * 1024 * 1024
 
@@ -37,27 +37,27 @@
         self._controller = controller
         self._words = words
 
-    def routes(self, add):
+    def add_routes(self, add):
         for method, path, action in self._words.control_paths:
             add(path, methods=[method], endpoint=f"control_{action}")(getattr(self, action))
 
-    @answered
+    @http_handler
     async def show_config(self, request):
         table = (await self._controller.newest()).routes
-        return _send(request, self._words.config_body(table.config()), {b"ETag": b'"%d"' % table.version})
+        return _send(request, self._words.format_config(table.config()), {b"ETag": b'"%d"' % table.version})
 
-    @answered
+    @http_handler
     async def put_config(self, request):
         return await self._edit_config(request, whole=True)
 
-    @answered
+    @http_handler
     async def patch_config(self, request):
         return await self._edit_config(request, whole=False)
 
     async def _edit_config(self, request, whole: bool):
         base = edit_base(request)
         body = request.content.read()
-        edit = self._words.config_edit(body, base, whole)
+        edit = self._words.parse_config_edit(body, base, whole)
         if whole:
             faults = RouteTable().with_edit(edit).validation_faults()
             if faults:
@@ -74,11 +74,11 @@
             raise BadRequest(f"the edit was refused: {out.code}", code=out.code)
         return send_json(request, {"version": out.sequence, "edit": c.edit}, 200, {"ETag": f'"{out.sequence}"'})
 
-    @answered
+    @http_handler
     async def empty_zone(self, request, zone: str):
         return await self._edit_zone(request, zone, True)
 
-    @answered
+    @http_handler
     async def fill_zone(self, request, zone: str):
         return await self._edit_zone(request, zone, False)
 
@@ -89,38 +89,38 @@
             raise ApiError(f"the edit was refused: {out.code}", code=out.code, status=422, outcome="not_run")
         return send_json(request, {"sequence": out.sequence, "edit": c.edit})
 
-    @answered
+    @http_handler
     async def put_engine(self, request, engine: str):
-        await self._controller.announce(self._words.engine_update(engine, request.content.read()))
-        return _send(request, self._words.engine_answer())
+        await self._controller.announce(self._words.parse_engine_update(engine, request.content.read()))
+        return _send(request, self._words.format_engine_response())
 
-    @answered
+    @http_handler
     async def drop_engine(self, request, engine: str):
         await self._controller.announce(EngineUpdate(engine=engine, incarnation=1, state="gone"))
-        return _send(request, self._words.engine_answer())
+        return _send(request, self._words.format_engine_response())
 
-    @answered
+    @http_handler
     async def retire(self, request, storage_node: str):
         edit = edit_id(request)
         sequence = await self._controller.retire(storage_node, edit)
         return send_json(request, {"sequence": sequence, "edit": edit}, 200, {"ETag": f'"{sequence}"'})
 
-    @answered
+    @http_handler
     async def show_retirement(self, request, storage_node: str):
-        return _send(request, self._words.retirement_answer(await self._controller.retirement(storage_node)))
+        return _send(request, self._words.format_retirement(await self._controller.retirement(storage_node)))
 
 
-class ControlFace:
+class ControlServer:
     """The controller's address for operators and engines, in the words of the dialect."""
 
     def __init__(self, ctx, controller):
         self._ctx = ctx
-        self._control = Control(ctx, controller, ctx.dialect)
+        self._control = ControlApi(ctx, controller, ctx.dialect)
         self._port = None
 
     async def listen(self, host: str, port: int) -> int:
         app = Klein()
-        self._control.routes(app.route)
+        self._control.add_routes(app.route)
         app.route("/", defaults={"path": ""})(self._nowhere)
         app.route("/<path:path>")(self._nowhere)
         self._port, port = await listen(self._ctx.reactor, Site(app.resource(), MAX_BODY), host, port)
@@ -131,4 +131,4 @@
             await self._port.stopListening()
 
     def _nowhere(self, request, path):
-        return send_fault(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
+        return send_error(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
--- a/pipitlink/controller/edits.py
+++ b/pipitlink/controller/edits.py
@@ -5,7 +5,7 @@
 from twisted.internet import defer
 
 from ..cluster import ClusterState
-from ..context import fresh_id
+from ..context import random_id
 from ..errors import (
     ApiError,
     BadRequest,
@@ -20,7 +20,7 @@
     WireError,
 )
 from ..timers import ms, secs
-from ..web import answered, send_json
+from ..web import http_handler, send_json
 from ..wire.cluster_pb2 import ClusterStateData, Command, Outcome, TableEdit, ZoneEdit
 from ..wire.controller_pb2 import EditRequest, EditResponse, ReadTableRequest
 from .rows import row_dict, row_from, rows_from
@@ -55,7 +55,7 @@
 
     Raises BadRequest where it has more than 100 characters.
     """
-    edit = request.getHeader("Edit-Id") or otherwise or fresh_id()
+    edit = request.getHeader("Edit-Id") or otherwise or random_id()
     if not 1 <= len(edit) <= 100:
         raise BadRequest("Edit-Id must have 1 to 100 characters", code="bad_field", field="Edit-Id")
     return edit
@@ -157,21 +157,21 @@
             raise ApiError(f"the edit was refused: {out.code}", code=out.code, status=422, outcome="not_run")
         return send_json(request, {"sequence": out.sequence, "edit": c.edit}, 200, {"ETag": f'"{out.sequence}"'})
 
-    @answered
+    @http_handler
     async def show_table(self, request):
         s = await self.newest()
         rows = {name: row_dict(r) for name, r in sorted(s.rows.items())}
         return send_json(request, {"sequence": s.table_sequence, "rows": rows}, 200, {"ETag": f'"{s.table_sequence}"'})
 
-    @answered
+    @http_handler
     async def put_table(self, request):
         raw = _body(request)
         if set(raw) - {"rows", "sequence"} or not isinstance(raw.get("rows"), dict):
             raise BadRequest('the body must be {"rows": {name: row}}', code="bad_field", field="rows")
-        edit = TableEdit(base=edit_base(request), replace_all=True, upserts=rows_from(raw["rows"]))
+        edit = TableEdit(base=edit_base(request), replace_all=True, upserts=parse_rows(raw["rows"]))
         return await self._do_edit(request, Command(edit=edit_id(request), table=edit))
 
-    @answered
+    @http_handler
     async def show_row(self, request, name: str):
         s = await self.newest()
         if name not in s.rows:
@@ -183,30 +183,30 @@
             {"ETag": f'"{s.table_sequence}"'},
         )
 
-    @answered
+    @http_handler
     async def put_row(self, request, name: str):
         edit = TableEdit(base=edit_base(request), upserts=[row_from(name, _body(request))])
         return await self._do_edit(request, Command(edit=edit_id(request), table=edit))
 
-    @answered
+    @http_handler
     async def drop_row(self, request, name: str):
         edit = TableEdit(base=edit_base(request), removed_rows=[name])
         return await self._do_edit(request, Command(edit=edit_id(request), table=edit))
 
-    @answered
+    @http_handler
     async def put_zone(self, request, zone: str):
         empty = _body(request).get("empty")
         if not isinstance(empty, bool):
             raise BadRequest("empty must be true or false", code="bad_field", field="empty")
         return await self._do_edit(request, Command(edit=edit_id(request), zone=ZoneEdit(zone=zone, empty=empty)))
 
-    @answered
+    @http_handler
     async def show_zones(self, request):
         s = await self.newest()
         zones = sorted({m.zone for m in self._ctx.membership.all_members()} | s.empty_zones)
         return send_json(request, {"zones": {z: {"empty": z in s.empty_zones} for z in zones}})
 
-    @answered
+    @http_handler
     async def show_storage_nodes(self, request):
         s = await self.newest()
         out = {}
@@ -223,7 +223,7 @@
             }
         return send_json(request, {"storage_nodes": out})
 
-    def routes(self, add):
+    def add_routes(self, add):
         add("/v1/table", methods=["GET"])(self.show_table)
         add("/v1/table", methods=["PUT"])(self.put_table)
         add("/v1/table/rows/<name>", methods=["GET"])(self.show_row)
--- a/pipitlink/controller/load_hub.py
+++ b/pipitlink/controller/load_hub.py
@@ -27,7 +27,7 @@
         self._fresh_lots: dict[str, Loads] = {}
         self._ctx.rpc.register_handler("engines.loads", Loads, self._take_loads)
         self._totals_timer = self._ctx.timers.call_repeatedly(
-            TOTALS_INTERVAL, self._tell_totals, self._ctx.report("totals"), due=self._totals_due
+            TOTALS_INTERVAL, self._tell_totals, self._ctx.error_reporter("totals"), idle_time=self._totals_due
         )
 
     def _totals_due(self) -> timedelta | None:
--- a/pipitlink/controller/moves.py
+++ b/pipitlink/controller/moves.py
@@ -39,7 +39,7 @@
         away = (
             self._ctx.timers.now() - self._elected_at
             if status == "unknown"
-            else self._ctx.membership.time_in_status(storage_node)
+            else self._ctx.membership.since(storage_node)
         )
         if status == "unknown" and away <= REPAIR_AFTER:
             return self._replaced(storage_node)
@@ -50,17 +50,17 @@
         started.
         """
         name = self.cluster_state.storage_node_names.get(storage_node, "")
-        return self._ctx.membership.is_replaced(storage_node, name)
+        return self._ctx.membership.replaced(storage_node, name)
 
     def _successor_met(self, storage_node: str) -> bool:
         """A storage node was met a while after this one, and lately: it is taken for its successor, and nothing is
         waited for.
         """
-        met = self._ctx.membership.known_for(storage_node) - MET_TOGETHER
+        met = self._ctx.membership.met_ago(storage_node) - MET_TOGETHER
         return any(
-            self._ctx.membership.known_for(m.node) < min(met, SUCCESSOR_SPAN)
+            self._ctx.membership.met_ago(m.node) < min(met, SUCCESSOR_SPAN)
             and self.cluster_state.storage_nodes.get(m.node) == "serving"
-            for m in self._ctx.membership.members("storage", statuses=("alive",))
+            for m in self._ctx.membership.members("storage", status=("alive",))
         )
 
     def _serving(self) -> list[str]:
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from ..cluster import ClusterState
-from ..dialect.control import ControlWords
+from ..dialect.control import ControlFormat
 from ..disk import Disk
 from ..errors import WireError
 from ..state_machines import StateMachineMixin
@@ -88,19 +88,19 @@
         self._ctx.rpc.register_handler("controller.empty", Empty, self._empty)
         if self.archive.snapshot.cluster_state.voters:
             self.trigger("founded")
-        b, report = self._ctx.timers, self._ctx.report
+        b, report = self._ctx.timers, self._ctx.error_reporter
         self._elections = b.call_repeatedly(
-            ELECTION_INTERVAL, self._election_beat, report("election"), due=self._election_due
+            ELECTION_INTERVAL, self._election_beat, report("election"), idle_time=self._election_due
         )
         b.call_repeatedly(
-            ms(300), self._found_beat, report("founding"), due=lambda: ZERO if self.state == "newcomer" else None
+            ms(300), self._found_beat, report("founding"), idle_time=lambda: ZERO if self.state == "newcomer" else None
         )
         for span, do, what in (
             (ms(100), self._lead_beat, "leading"),
             (ms(300), self._voters_beat, "voters"),
         ):
             self.lead_timers.append(
-                b.call_repeatedly(span, do, report(what), due=lambda: ZERO if self.state == "leader" else None)
+                b.call_repeatedly(span, do, report(what), idle_time=lambda: ZERO if self.state == "leader" else None)
             )
 
         self._open_placement_timers()
@@ -108,9 +108,9 @@
     def _say(self):
         self._ctx.logger.info("controller_founded", term=self.term, last=self.archive.last_index())
 
-    def routes(self, add):
-        super().routes(add)
-        Control(self._ctx, self, ControlWords()).routes(add)
+    def add_routes(self, add):
+        super().add_routes(add)
+        ControlApi(self._ctx, self, ControlFormat()).add_routes(add)
 
     def _take_cluster_state(self, s: Snapshot):
         self.cluster_state = ClusterState(s.cluster_state)
--- a/pipitlink/controller/orders.py
+++ b/pipitlink/controller/orders.py
@@ -28,7 +28,7 @@
     def _open_orders(self):
         self._awake_at = self._ctx.timers.now()
         self._woke_at: timedelta | None = None
-        self._ctx.timers.call_repeatedly(AWAKE_INTERVAL, self._note_awake, self._ctx.report("awake"))
+        self._ctx.timers.call_repeatedly(AWAKE_INTERVAL, self._note_awake, self._ctx.error_reporter("awake"))
 
     def _note_awake(self):
         now = self._ctx.timers.now()
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -38,11 +38,11 @@
         self._ctx.rpc.register_handler("controller.caught_up", CaughtUp, self._told_caught_up)
 
     def _open_placement_timers(self):
-        every, report = self._ctx.timers.call_repeatedly, self._ctx.report
+        every, report = self._ctx.timers.call_repeatedly, self._ctx.error_reporter
         self._look_at_placement = every(
-            LOOK_INTERVAL, self._placement_beat, report("placement"), due=self._placement_due
+            LOOK_INTERVAL, self._placement_beat, report("placement"), idle_time=self._placement_due
         )
-        witnesses = every(LOOK_INTERVAL, self._witnesses_beat, report("witnesses"), due=self._witnesses_due)
+        witnesses = every(LOOK_INTERVAL, self._witnesses_beat, report("witnesses"), idle_time=self._witnesses_due)
         self.lead_timers += [self._look_at_placement, witnesses]
 
     async def _told_caught_up(self, node, told: CaughtUp):
@@ -143,7 +143,7 @@
         if self._newcomers(self.cluster_state):
             return
         storage_nodes = self._serving()
-        copies = self._ctx.settings.copies
+        copies = self._ctx.settings.replica_count
         if len(storage_nodes) < copies:
             waited = self._ctx.timers.now() - self._elected_at > FEWER_AFTER
             if not waited or len(storage_nodes) < LEAST_COPIES:
@@ -167,7 +167,7 @@
             for d, s in cluster_state.storage_nodes.items()
             if s == "serving" and d != storage_node and not self._replaced(d)
         ]
-        copies = self._ctx.settings.copies
+        copies = self._ctx.settings.replica_count
         left = len(rest) + len(self._newcomers(cluster_state))
         if left < copies:
             soon = left + self._just_gone(cluster_state) >= copies
--- a/pipitlink/controller/rows.py
+++ b/pipitlink/controller/rows.py
@@ -65,7 +65,7 @@
     return row
 
 
-def rows_from(raw: dict) -> list[Row]:
+def parse_rows(raw: dict) -> list[Row]:
     """Returns the rows of a whole table, from JSON objects by name. Raises InvalidRows with what is wrong with them."""
     rows, faults = [], []
     targets: dict[tuple[str, str], str] = {}
--- a/pipitlink/controller/voters.py
+++ b/pipitlink/controller/voters.py
@@ -55,7 +55,7 @@
 
     def _next_voters(self, voters: tuple[str, ...]) -> tuple[str, ...] | None:
         """The next set of voters, one more or one less, or None where nothing is to be changed or can be now."""
-        want = self._ctx.settings.copies
+        want = self._ctx.settings.replica_count
         lost = [v for v in voters if self._lost_voter(v)]
         live = [v for v in voters if v not in lost]
         if len(voters) > want:
--- a/pipitlink/dialect/control.py
+++ b/pipitlink/dialect/control.py
@@ -7,10 +7,10 @@
 from ..wire.membership_pb2 import EngineUpdate
 from .reading import Field, count_of, items_of, names_of, read_fields, read_json, source_of, text_of
 
-__all__ = ["ControlWords"]
+__all__ = ["ControlFormat"]
 
 
-class ControlWords:
+class ControlFormat:
     """Paths and JSON shapes of configurations, engine announcements, zones and retirements.
 
     Mixin of Dialect: needs and owns nothing. A platform overrides the class attributes, which map its names to ours.
@@ -71,7 +71,7 @@
     models_word = "models"
     retirement_states = {"serving": "serving", "retired": "retired"}
 
-    def config_edit(self, body: bytes, base: int, whole: bool) -> ConfigEdit:
+    def parse_config_edit(self, body: bytes, base: int, whole: bool) -> ConfigEdit:
         raw = read_json(body)
         out = ConfigEdit(base=base, version=count_of(raw, "version", 1), replace_all=whole)
         puts, drops = raw, {}
@@ -119,7 +119,7 @@
             raise BadRequest(f"{self.bounds_word} must be an object", code="bad_field", field=self.bounds_word)
         return read_fields(raw, self.bounds_fields, Bounds(source=source_of(raw)), self.bounds_word)
 
-    def config_body(self, c: Config) -> bytes:
+    def format_config(self, c: Config) -> bytes:
         """The whole configuration, each item as it was sent."""
         parts = [
             (self.routes_word, b"[%b]" % b",".join(r.source for r in c.routes)),
@@ -128,7 +128,7 @@
         ]
         return b'{"version":%d,%b}' % (c.version, b",".join(b'"%b":%b' % (w.encode(), s) for w, s in parts))
 
-    def engine_update(self, engine: str, body: bytes) -> EngineUpdate:
+    def parse_engine_update(self, engine: str, body: bytes) -> EngineUpdate:
         raw = read_json(body)
         n = read_fields(raw, self.engine_fields, EngineUpdate(engine=engine, incarnation=1), "engine")
         state = raw.get("state")
@@ -143,8 +143,8 @@
             raise BadRequest(f"{self.models_word} must be a list of names", code="bad_field", field=self.models_word)
         return raw
 
-    def engine_answer(self) -> bytes:
+    def format_engine_response(self) -> bytes:
         return b"{}"
 
-    def retirement_answer(self, state: str) -> bytes:
+    def format_retirement(self, state: str) -> bytes:
         return json.dumps({"state": self.retirement_states[state]}).encode()
--- a/pipitlink/gateway/dispatch.py
+++ b/pipitlink/gateway/dispatch.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from ..disk import frames
+from ..disk import decode_frames
 from ..errors import DeadlineExceeded, LeaseNotHeld, PipitlinkError, ReplicatedLogError
 from ..rendezvous import rank
 from ..timers import ZERO, ms, secs, spawn, wall_ms
@@ -36,7 +36,7 @@
         for span, do, what in ((TAKE_INTERVAL, self._take_lots, "take_lots"), (FEED_INTERVAL, self._feed, "feed")):
             self._lot_timers.append(
                 self._ctx.timers.call_repeatedly(
-                    span, do, self._ctx.report(what), due=lambda: ZERO if self.open_lots else None
+                    span, do, self._ctx.error_reporter(what), idle_time=lambda: ZERO if self.open_lots else None
                 )
             )
 
@@ -78,7 +78,7 @@
             o.taking = False
         o.results.clear()
         o.started.clear()
-        for _, body, _ in frames(bytes(h.data)):
+        for _, body, _ in decode_frames(bytes(h.data)):
             o.learn(LogRecord.FromString(body))
         if h.final:
             self._ctx.run_in_background(self._ctx.replicated_log.release([h]), "release")
@@ -128,7 +128,7 @@
                 owned, key=lambda o: (self._urgency(o, wall), -self._priority(o), busy[o.lot.customer], o.lot.limit_ms)
             )
             i = next((i for i in o.waiting if o.again_at.get(i, now) <= now and o.lot.items[i].model not in full), None)
-            if i is None or not o.leaseholder.held():
+            if i is None or not o.leaseholder.is_held():
                 owned.remove(o)
                 continue
             item = o.lot.items[i]
@@ -233,7 +233,7 @@
         self._check_owned(o)
 
     def _check_owned(self, o: OpenLot):
-        if o.leaseholder is None or not o.leaseholder.held() or o.leaseholder.final:
+        if o.leaseholder is None or not o.leaseholder.is_held() or o.leaseholder.final:
             raise LeaseNotHeld(f"{o.id}: the lease ended before the item was sent")
 
     async def _list(self, o: OpenLot, r: Result):
@@ -262,7 +262,7 @@
         one.
         """
         if h.final:
-            await h.all_durable()
+            await h.wait_durable()
         else:
             await h.append([LogRecord(ended=Ended(why=why)).SerializeToString()], final=True, reserved=True)
 
--- a/pipitlink/gateway/engines.py
+++ b/pipitlink/gateway/engines.py
@@ -70,7 +70,7 @@
         self._ctx.rpc.register_handler("engines.tell", EngineList, self._told_engines)
         self._ctx.rpc.register_handler("engines.loads", Loads, self._told_loads)
         self._ctx.membership.add_gossip_carrier(self)
-        self._ctx.timers.call_repeatedly(LOADS_INTERVAL, self._tell_loads, self._ctx.report("loads"))
+        self._ctx.timers.call_repeatedly(LOADS_INTERVAL, self._tell_loads, self._ctx.error_reporter("loads"))
 
     def all(self) -> list[Engine]:
         return sorted(self._engines.values(), key=lambda e: e.name)
--- a/pipitlink/gateway/fetching.py
+++ b/pipitlink/gateway/fetching.py
@@ -6,7 +6,7 @@
 
 from ..errors import BadRequest, EngineError, ServiceUnavailable
 from ..timers import ms, spawn
-from ..web import answered, send_fault
+from ..web import http_handler, send_error
 from .requests import RequestRecord
 
 __all__ = ["Fetching"]
@@ -49,7 +49,7 @@
     Owns no attributes.
     """
 
-    @answered
+    @http_handler
     async def fetch(self, request, pool: str, path: str = ""):
         if ".." in path.split("/"):
             raise BadRequest("the path may not climb", code="bad_path", field="path")
@@ -74,7 +74,7 @@
             if ask.size or request.startedWriting:
                 request.transport.abortConnection()
                 return await defer.Deferred(lambda _: None)
-            return send_fault(request, ask.fault)
+            return send_error(request, ask.fault)
         return b""
 
     async def _pass_fetch(self, ask) -> bool:
--- a/pipitlink/gateway/intake.py
+++ b/pipitlink/gateway/intake.py
@@ -2,7 +2,7 @@
 
 from ..errors import BadRequest, ServiceUnavailable
 from ..timers import SingleFlight, ms, secs, wall_ms
-from ..web import answered, send_json
+from ..web import http_handler, send_json
 from ..wire.lots_pb2 import Item, LogRecord, Lot
 from .bodies import LotBody, read_json
 
@@ -53,7 +53,7 @@
         self._lot_log = await self.keep(f"lots/{self._ctx.node}.{self._lot_turn}")
         return self._lot_log
 
-    @answered
+    @http_handler
     async def take_lot(self, request):
         b = read_json(request, LotBody)
         if not self.current():
@@ -93,7 +93,7 @@
             log = await self._ctx.timers.with_timeout(ms(2500), self._own_log())
         except Exception as e:
             raise ServiceUnavailable(f"the store cannot take lots now: {e}", code=getattr(e, "code", "store")) from e
-        if not log.held():
+        if not log.is_held():
             raise ServiceUnavailable("the lot log's lease is not current", code="store")
         start = await log.append([LogRecord(lot=lot).SerializeToString()])
         lot_id = f"{log.log.removeprefix('lots/')}.{start}"
--- a/pipitlink/gateway/keyed.py
+++ b/pipitlink/gateway/keyed.py
@@ -5,7 +5,7 @@
 import attrs
 from twisted.internet import defer
 
-from ..disk import frames
+from ..disk import decode_frames
 from ..errors import (
     ApiError,
     ConnectionFailed,
@@ -40,7 +40,7 @@
 
     def learn(self):
         data = bytes(self.leaseholder.data[self.parsed :])
-        for at, body, end in frames(data):
+        for at, body, end in decode_frames(data):
             lot = LogRecord.FromString(body).lot
             lot_id = f"{self.leaseholder.log.removeprefix('lots/')}.{self.parsed + at}"
             self.keys.setdefault(f"{lot.customer}\0{lot.key}", (lot_id, _digest(lot)))
@@ -109,10 +109,10 @@
                 s.learn()
                 if key in s.keys:
                     lot_id, other = s.keys[key]
-                    await s.leaseholder.all_durable()
+                    await s.leaseholder.wait_durable()
                     return KeyedResponse(lot=lot_id, again=True, same=other == digest)
             h = shards[0].leaseholder
-            if not all(s.leaseholder.held() for s in shards):
+            if not all(s.leaseholder.is_held() for s in shards):
                 raise LeaseNotHeld("the lease of this key's log is not current")
             start = await h.append([LogRecord(lot=lot).SerializeToString()])
             lot_id = f"{h.log.removeprefix('lots/')}.{start}"
--- a/pipitlink/gateway/limits.py
+++ b/pipitlink/gateway/limits.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from ..context import fresh_id
+from ..context import random_id
 from ..errors import RemoteError, ServiceUnavailable, WireError
 from ..rendezvous import rank
 from ..timers import ZERO, ms, secs
@@ -189,7 +189,7 @@
         if row is None or not row.concurrency or ask.permit:
             return
         until = min(ask.limit, self._ctx.timers.now() + LONGEST_WAIT)
-        permit = fresh_id()
+        permit = random_id()
         while True:
             self.engines.stir()
             r = await self._ask_steward(PermitRequest(row=row.name, id=permit))
--- a/pipitlink/gateway/live.py
+++ b/pipitlink/gateway/live.py
@@ -7,7 +7,7 @@
 
 from ..errors import BadRequest, DeadlineExceeded, NotFound, RemoteError, WireError
 from ..timers import ms, secs, spawn
-from ..web import answered, send_fault, send_json
+from ..web import http_handler, send_error, send_json
 from ..wire.membership_pb2 import EngineUpdate
 from .bodies import EngineBody, GenerateBody, read_json
 from .requests import RequestRecord
@@ -47,7 +47,7 @@
     Owns no attributes.
     """
 
-    @answered
+    @http_handler
     async def generate(self, request):
         b = read_json(request, GenerateBody)
         ask = RequestRecord(
@@ -80,7 +80,7 @@
             request, {"id": ask.id, "text": "".join(ask.pieces), "pieces": len(ask.pieces), "engine": ask.engine_name}
         )
 
-    @answered
+    @http_handler
     async def resume(self, request, run: str):
         start = whole_number(request, "from")
         place = None if run in self.asks else self.run_place(run)
@@ -116,7 +116,7 @@
                 await ask.moved()
             if ask.fault is not None and not ask.pieces:
                 self._retire(ask)
-                return send_fault(request, ask.fault)
+                return send_error(request, ask.fault)
             request.setHeader(b"Content-Type", b"text/event-stream")
             request.setHeader(b"Cache-Control", b"no-store")
             request.setHeader(b"X-Run-Id", ask.id.encode())
@@ -176,7 +176,7 @@
         if ask.left_at == left_at and not ask.readers and not ask.settled:
             ask.work.cancel()
 
-    @answered
+    @http_handler
     async def announce(self, request):
         b = read_json(request, EngineBody)
         self.engines.announce(
--- a/pipitlink/gateway/lots.py
+++ b/pipitlink/gateway/lots.py
@@ -59,8 +59,8 @@
         self._closed: set[str] = set()
         self._tails: dict[str, object] = {}
         self._lots_of: dict[str, set[str]] = {}
-        self._ctx.timers.call_repeatedly(LIST_INTERVAL, self._list_logs, self._ctx.report("list_logs"))
-        self._ctx.timers.call_repeatedly(CLOSE_INTERVAL, self._close_logs, self._ctx.report("close_logs"))
+        self._ctx.timers.call_repeatedly(LIST_INTERVAL, self._list_logs, self._ctx.error_reporter("list_logs"))
+        self._ctx.timers.call_repeatedly(CLOSE_INTERVAL, self._close_logs, self._ctx.error_reporter("close_logs"))
 
     def _known(self, lot_id: str, lot: Lot):
         if lot_id not in self._closed and lot_id not in self.open_lots:
@@ -112,7 +112,7 @@
             if not idle or unread or self._lots_of.get(log, set()) - self._closed or self._owner(log) != self._ctx.node:
                 continue
             try:
-                h = self._ctx.replicated_log.leaseholders.get(log) or await self._ctx.replicated_log.hold(log)
+                h = self._ctx.replicated_log.leaseholders.get(log) or await self._ctx.replicated_log.acquire(log)
                 if not h.final:
                     await h.append([LogRecord(ended=Ended(why="done")).SerializeToString()], final=True, reserved=True)
                 await self._ctx.replicated_log.release([h])
@@ -124,7 +124,7 @@
     async def _follow(self, log: str):
         """One task for each lot log, reading it in order."""
         tail = self._tails[log]
-        while not self._ctx.timers.ended and self._tails.get(log) is tail:
+        while not self._ctx.timers.stopped and self._tails.get(log) is tail:
             try:
                 for at, body in await tail.read_records():
                     record = LogRecord.FromString(body)
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -4,7 +4,7 @@
 
 from ..errors import NotFound
 from ..timers import ms, secs
-from ..web import Site, listen, send_fault, send_json
+from ..web import Site, listen, send_error, send_json
 from .dispatch import Dispatch
 from .engines import Engines
 from .fetching import Fetching
@@ -40,7 +40,7 @@
 
     def __init__(self, ctx):
         self._ctx = ctx
-        self.engines = ctx.engines = Engines(ctx)
+        self.engines = Engines(ctx)
         self._retry_budget = RetryBudget()
         self.come_back = ComeBack(ctx.timers)
         self._hold = secs(ctx.settings.resume_hold_s)
@@ -71,7 +71,7 @@
 
     async def keep(self, log: str):
         """Holds a log and shadows it into the caches."""
-        h = await self._ctx.replicated_log.hold(log)
+        h = await self._ctx.replicated_log.acquire(log)
         self._ctx.cache.start_log_writer(log, h)
         return h
 
@@ -98,7 +98,7 @@
         return send_json(request, {"ready": ok, "cluster": self._ctx.cluster.sequence}, 200 if ok else 503)
 
     def _nowhere(self, request, path):
-        return send_fault(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
+        return send_error(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
 
     def readiness(self):
         cluster = self._ctx.cluster
@@ -126,7 +126,7 @@
         out["cache_bytes"] = ("Bytes in the data cache here", self._ctx.cache.chunks.size)
         return out
 
-    def families(self):
+    def metric_families(self):
         return [
             self.first_pieces.family(
                 "pipitlink_first_piece_seconds", "From a live request's arrival to its first piece"
--- a/pipitlink/gateway/relaying.py
+++ b/pipitlink/gateway/relaying.py
@@ -9,9 +9,9 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.web.client import Agent, HTTPConnectionPool, ResponseDone
 
+from ..body_producer import BytesBodyProducer
 from ..errors import ApiError, EngineError, ReplicatedLogError, ServiceUnavailable
 from ..timers import secs, spawn
-from ..whole_body import WholeBody
 
 __all__ = ["Relaying"]
 
@@ -282,7 +282,7 @@
         client, point = self._client(ask, e)
         r = await client.post(
             f"http://{e.news.address}/v1/completions",
-            data=WholeBody(json.dumps(body).encode()),
+            data=BytesBodyProducer(json.dumps(body).encode()),
             unbuffered=True,
             headers={"Content-Type": "application/json", "X-Request-Id": ask.id, "X-Prefix-Key": ask.prefix},
             allow_redirects=False,
--- a/pipitlink/gateway/requests.py
+++ b/pipitlink/gateway/requests.py
@@ -8,7 +8,7 @@
 from prometheus_client.core import HistogramMetricFamily
 from twisted.internet import defer
 
-from ..context import fresh_id
+from ..context import random_id
 from ..errors import ApiError, EngineError, ReplicatedLogError
 from ..state_machines import StateMachineMixin, state_machine_data
 
@@ -32,7 +32,7 @@
     kind: str = "live"
     pool: str = ""
     customer: str = ""
-    id: str = attrs.field(factory=fresh_id)
+    id: str = attrs.field(factory=random_id)
     engine: object = None
     tries: int = 0
     avoid: set = attrs.field(factory=set)
--- a/pipitlink/gateway/results.py
+++ b/pipitlink/gateway/results.py
@@ -7,7 +7,7 @@
 
 from ..errors import NotFound, RemoteError, ServiceUnavailable, WireError
 from ..timers import ms, secs
-from ..web import answered, send_json
+from ..web import http_handler, send_json
 from ..wire.lots_pb2 import EndRequest, EndResponse, LogRecord, Lot
 from .intake import lot_parts
 from .live import whole_number
@@ -52,7 +52,7 @@
     def _open_results(self):
         self._readers: dict[str, _Reader] = {}
         self._lot_cache: dict[str, Lot] = {}
-        self._ctx.timers.call_repeatedly(secs(5), self._drop_readers, self._ctx.report("readers"))
+        self._ctx.timers.call_repeatedly(secs(5), self._drop_readers, self._ctx.error_reporter("readers"))
 
     def _drop_readers(self):
         now = self._ctx.timers.now()
@@ -131,13 +131,13 @@
             "limit": lot.limit_ms,
         }
 
-    @answered
+    @http_handler
     async def show_lot(self, request, lot: str):
         found = await self._find_lot(lot)
         r = await self._ctx.timers.with_timeout(READ_LIMIT, self._read_results(lot))
         return send_json(request, self._shown(lot, found, r))
 
-    @answered
+    @http_handler
     async def show_results(self, request, lot: str):
         start = whole_number(request, "from")
         found = await self._find_lot(lot)
@@ -152,7 +152,7 @@
         ]
         return {**self._shown(lot, found, r), "from": start, "next": start + len(page), "results": listed}
 
-    @answered
+    @http_handler
     async def end_lot(self, request, lot: str):
         return send_json(request, {"lot": lot, "state": await self.end_anywhere(lot)})
 
--- a/pipitlink/gateway/runs.py
+++ b/pipitlink/gateway/runs.py
@@ -2,7 +2,7 @@
 
 from twisted.internet import defer
 
-from ..context import fresh_id
+from ..context import random_id
 from ..errors import ApiError, NotFound, RemoteError, WireError
 from ..timers import ms, secs
 from ..wire.membership_pb2 import RunRequest, RunResponse
@@ -65,7 +65,7 @@
         self._ctx.rpc.register_handler("runs.read", RunRequest, self._read_run)
 
     def new_run(self) -> str:
-        return f"{self._ctx.node}-{fresh_id()}"
+        return f"{self._ctx.node}-{random_id()}"
 
     def held_run(self, run: str):
         ask = self.asks.get(run)
--- a/pipitlink/membership/failure_detector.py
+++ b/pipitlink/membership/failure_detector.py
@@ -44,7 +44,7 @@
 
     def start(self) -> None:
         """Probes the members from now on."""
-        report = self._ctx.report("failure_detector_tick")
+        report = self._ctx.error_reporter("failure_detector_tick")
         self._ctx.timers.call_repeatedly(TICK_INTERVAL, self._tick, report)
 
     def _tick(self) -> None:
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -44,7 +44,7 @@
         for address in self.peer_store.read():
             spawn(self._gossiper.probe(address))
         self._failure_detector.start()
-        self._ctx.timers.call_repeatedly(SEED_INTERVAL, self._probe_seeds, self._ctx.report("seed_probes"))
+        self._ctx.timers.call_repeatedly(SEED_INTERVAL, self._probe_seeds, self._ctx.error_reporter("seed_probes"))
 
     async def leave(self) -> None:
         """Tells all peers that this node ends, so that none has to detect it; waits for their answers."""
--- a/pipitlink/membership/peer_store.py
+++ b/pipitlink/membership/peer_store.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from ..context import Context
-from ..disk import swap_in
+from ..disk import replace_file
 from ..timers import ZERO
 from ..wire.membership_pb2 import Member
 from .member_status import MemberStatus
@@ -65,7 +65,7 @@
                 self._has_changes = False
                 addresses = self._live_addresses()
                 if addresses != self._written:
-                    await self._ctx.run_in_thread(swap_in, path, json.dumps(addresses).encode())
+                    await self._ctx.run_in_thread(replace_file, path, json.dumps(addresses).encode())
                     self._written = addresses
         except OSError as error:
             self._ctx.logger.failure("peers_not_saved", error)
--- a/pipitlink/operator.py
+++ b/pipitlink/operator.py
@@ -67,14 +67,14 @@
 
     def beliefs(self) -> dict:
         cluster_state = self._cluster_state()
-        me = self._ctx.membership.local_member
+        me = self._ctx.membership.me
         out = {
             "node": me.node,
             "role": me.role,
             "zone": me.zone,
             "cluster": {
                 "sequence": cluster_state.sequence,
-                "table": cluster_state.table_sequence,
+                "table": cluster_state.table,
                 "voters": ",".join(cluster_state.voters),
                 "empty_zones": ",".join(sorted(cluster_state.empty_zones)),
             },
@@ -86,7 +86,7 @@
                 for n, s in sorted(cluster_state.placement_groups.items())
             },
         }
-        for m in [*self._ctx.membership.all_members()]:
+        for m in [*self._ctx.membership.everyone()]:
             out["membership"][m.node] = f"{m.role} {m.zone} {m.host}:{m.port} {m.incarnation}"
             out["status"][m.node] = self._ctx.membership.status(m.node)
         out.update(self._node.beliefs())
@@ -104,12 +104,12 @@
                 "operator": m.operator_port,
                 "status": membership.status(m.node),
             }
-            for m in sorted(membership.all_members(), key=lambda m: (m.role, m.zone, m.node))
+            for m in sorted(membership.everyone(), key=lambda m: (m.role, m.zone, m.node))
         ]
         ok, words = self._node.readiness()
         return {
-            "node": membership.local_member.node,
-            "role": membership.local_member.role,
+            "node": membership.me.node,
+            "role": membership.me.role,
             "ready": ok,
             **words,
             "peers": peers,
@@ -123,12 +123,10 @@
         yield GaugeMetricFamily(
             "pipitlink_cluster_sequence", "The cluster state's sequence here", cluster_state.sequence
         )
-        yield GaugeMetricFamily(
-            "pipitlink_table_sequence", "The weight table's sequence here", cluster_state.table_sequence
-        )
+        yield GaugeMetricFamily("pipitlink_table_sequence", "The weight table's sequence here", cluster_state.table)
         seen = GaugeMetricFamily("pipitlink_peers", "Peers by role and status", labels=["role", "status"])
         counts: dict = {}
-        for m in self._ctx.membership.all_members():
+        for m in self._ctx.membership.everyone():
             key = (m.role, self._ctx.membership.status(m.node))
             counts[key] = counts.get(key, 0) + 1
         for key, n in sorted(counts.items()):
--- a/pipitlink/plugs.py
+++ b/pipitlink/plugs.py
@@ -27,7 +27,7 @@
         self._hooks = pluggy.PluginManager("pipitlink")
         self._hooks.add_hookspecs(_Spec)
         module, _, words = plug.partition(":")
-        self._hooks.register(importlib.import_module(module).make_plug(words, ctx))
+        self._hooks.register(importlib.import_module(module).make_fault_plugin(words, ctx))
 
     async def outbound(self, place, method):
         held = self._hooks.hook.outbound(place=place, method=method)
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -9,14 +9,14 @@
 import attrs
 from twisted.internet import reactor
 
-from .changes import Changes
+from .changes import ChangePublisher
 from .cluster import ClusterFollower
-from .context import Context, fresh_id
+from .context import Context, random_id
 from .dialect import Dialect
-from .disk import set_aside
+from .disk import quarantine_data
 from .errors import CorruptData, SettingsError
 from .membership import Membership
-from .operator import OperatorFace
+from .operator import OperatorServer
 from .replicated_log import ReplicatedLog
 from .settings import Settings
 from .structured_log import open_logger
@@ -27,13 +27,13 @@
 __all__ = ["run"]
 
 ENDING = secs(2)
-REREAD_INTERVAL = secs(2)
+RELOAD_INTERVAL = secs(2)
 
 
 def _node_id(role: str, settings: Settings) -> str:
     """A gateway's is new at each start; the others keep theirs in the data folder."""
     if role == "gateway":
-        return fresh_id()
+        return random_id()
     from .storage import node_id
 
     return node_id(Path(settings.data), settings.fleet)
@@ -65,7 +65,7 @@
         if settings.plug:
             from .plugs import Gate
 
-            rpc.gate = Gate(settings.plug, self.ctx)
+            rpc.fault_injector = Gate(settings.plug, self.ctx)
         self._reread = reread
         self._early = early
         self.exit = 0
@@ -91,12 +91,12 @@
             me.http_port = await self.node.listen(p.bind, p.http_port)
             ctx.replicated_log.open()
             ctx.cache.open()
-        self._face = OperatorFace(ctx, self.node)
+        self._face = OperatorServer(ctx, self.node)
         me.operator_port = await self._face.listen(p.bind, p.operator_port)
         if ctx.role == "controller" and p.control_port:
-            from .controller import ControlFace
+            from .controller import ControlServer
 
-            self._control = ControlFace(ctx, self.node)
+            self._control = ControlServer(ctx, self.node)
             await self._control.listen(p.bind, p.control_port)
         ctx.changes = Changes(ctx)
         ctx.changes.open()
@@ -117,14 +117,14 @@
         ctx = self.ctx
         if ctx.role == "gateway":
             return
-        disk = ctx.rpc.gate.disk() if ctx.rpc.gate is not None else None
+        disk = ctx.rpc.fault_injector.disk() if ctx.rpc.fault_injector is not None else None
         self.node = self._kind(ctx, disk)
         try:
             self.node.open()
         except CorruptData as e:
             ctx.logger.failure("set_aside", e)
             folder = Path(ctx.settings.data)
-            set_aside(folder)
+            quarantine_data(folder)
             ctx.node = ctx.rpc.node = _node_id(ctx.role, ctx.settings)
             ctx.logger = ctx.rpc.logger = ctx.logger.bind(node=ctx.node)
             self.node = self._kind(ctx, disk)
@@ -147,8 +147,8 @@
         await self._face.end()
         if self._control is not None:
             await self._control.end()
-        self.ctx.timers.end()
-        await self.ctx.rpc.end()
+        self.ctx.timers.stop()
+        await self.ctx.rpc.close()
 
     def reread(self):
         """Takes new seeds from the settings, where they moved; all else is as it was at the start."""
@@ -188,7 +188,7 @@
         gc.set_threshold(20_000, 20, 20)
         if reread is not None:
             signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(process.reread))
-            process.ctx.timers.call_repeatedly(REREAD_INTERVAL, process.reread, process.ctx.report("reread"))
+            process.ctx.timers.call_repeatedly(RELOAD_INTERVAL, process.reread, process.ctx.error_reporter("reread"))
         for s in (signal.SIGTERM, signal.SIGINT):
             signal.signal(s, lambda *_: reactor.callFromThread(lambda: spawn(process.end())))
         spawn(process.open()).addErrback(process.fail)
--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from ..disk import frame
+from ..disk import encode_frame
 from ..errors import LeaseNotHeld, NoQuorum, RemoteError, StaleEpoch, StorageFull, WireError
 from ..timers import ZERO, ms, secs, spawn, wall_ms
 from ..wire.frame_pb2 import Empty
@@ -19,7 +19,7 @@
     WriteResponse,
 )
 from .placement_group import PlacementGroup
-from .spans import HOLD_SPAN
+from .spans import LEASEHOLDER_VALIDITY
 
 __all__ = ["Leaseholder"]
 
@@ -66,12 +66,12 @@
         asked to renew since.
         """
         now = self._ctx.timers.now()
-        kept = [d for d, at in self._renewals.items() if now - at < HOLD_SPAN]
+        kept = [d for d, at in self._renewals.items() if now - at < LEASEHOLDER_VALIDITY]
         return (
-            self.placement_group.agree(kept)
+            self.placement_group.is_quorum(kept)
             or self._moved is not None
             and now - self._moved_at < MOVED_SPAN
-            and self._moved.agree(kept)
+            and self._moved.is_quorum(kept)
         )
 
     def renewing(self):
@@ -91,7 +91,7 @@
             self.placement_group = placement_group
             self._states.clear()
             if self.data and not self.lost:
-                for n in placement_group.everyone:
+                for n in placement_group.all_nodes:
                     self._send_to(n)
 
     def renewed(self, storage_node: str, asked: timedelta, room: int):
@@ -125,20 +125,22 @@
                 usurp=gone is not None,
                 gone=gone or "",
             )
-            got = await self._replicated_log.ask_each(
-                self.placement_group.everyone,
+            got = await self._replicated_log.call_each(
+                self.placement_group.all_nodes,
                 "replicated_log.lease",
                 ask,
                 LeaseResponse,
-                enough=lambda g: self.placement_group.agree([n for n, r in g.items() if r.granted]),
+                enough=lambda g: self.placement_group.is_quorum([n for n, r in g.items() if r.granted]),
             )
             granted = [n for n, r in got.items() if r.granted]
             self.granted.update((n, epoch) for n in granted)
-            if self.placement_group.agree(granted):
+            if self.placement_group.is_quorum(granted):
                 break
             self._refuse_to_duel(got)
-            if not self.placement_group.agree(got):
-                raise NoQuorum(f"{self.log}: {len(got)} of {len(self.placement_group.everyone)} storage nodes answered")
+            if not self.placement_group.is_quorum(got):
+                raise NoQuorum(
+                    f"{self.log}: {len(got)} of {len(self.placement_group.all_nodes)} storage nodes answered"
+                )
             epoch = max(r.state.epoch for r in got.values()) + 1
         else:
             raise LeaseNotHeld(f"{self.log}: outbid")
@@ -146,7 +148,7 @@
         for n in granted:
             self.renewed(n, asked, got[n].room)
             self._states[n] = got[n].state
-        await self._settle_tail(granted)
+        await self._recover_tail(granted)
 
     def _refuse_to_duel(self, got: dict[str, LeaseResponse]):
         """A live lease is known to a majority, so those that cannot know of one yet count only where they are needed
@@ -156,10 +158,10 @@
             if r.why == "held" and not r.granted:
                 raise LeaseNotHeld(f"{self.log} is held", r.state.leaseholder)
         know = [n for n, r in got.items() if r.why != "just_started"]
-        if not self.placement_group.agree(know) and len(know) < len(got):
+        if not self.placement_group.is_quorum(know) and len(know) < len(got):
             raise LeaseNotHeld(f"{self.log} may be held")
 
-    async def _settle_tail(self, granted):
+    async def _recover_tail(self, granted):
         """Makes the newest-epoch tail that a majority shows durable under the own epoch."""
         best = max(granted, key=lambda n: (self._states[n].tail_epoch, self._states[n].length))
         state = self._states[best]
@@ -181,18 +183,18 @@
         if self.final:
             raise StaleEpoch(f"{self.log} is final")
         size = sum(len(r) + 64 for r in records)
-        if not reserved and not self.placement_group.agree([n for n, room in self._room.items() if room > size]):
+        if not reserved and not self.placement_group.is_quorum([n for n, room in self._room.items() if room > size]):
             raise StorageFull(f"{self.log}: the storage nodes are out of room", sent=False)
         self._reserved = reserved
         self._no_room.clear()
         if final:
             self.final, self.closed_ms = True, wall_ms(self._ctx.timers.utc_now())
         start = len(self.data)
-        self.data += b"".join(frame(r) for r in records)
+        self.data += b"".join(encode_frame(r) for r in records)
         await self._reach(len(self.data))
         return start
 
-    async def all_durable(self):
+    async def wait_durable(self):
         """Returns once everything written so far is durable."""
         await self._reach(len(self.data))
 
@@ -201,7 +203,7 @@
         if not restamp and self.committed >= end:
             return
         self._waiters.append((end, d))
-        for n in self.placement_group.everyone:
+        for n in self.placement_group.all_nodes:
             self._send_to(n)
         await self._ctx.timers.with_timeout(WRITE_LIMIT * 2, d)
 
@@ -220,7 +222,7 @@
 
     async def _send(self, node: str):
         """One task for each replica, while it lacks anything."""
-        while not self.lost and node in self.placement_group.everyone:
+        while not self.lost and node in self.placement_group.all_nodes:
             state = self._states.get(node)
             placement = self.placement_group
             try:
@@ -250,7 +252,7 @@
             self._advance()
 
     async def _ask_state(self, node: str) -> LogState:
-        r = await self._replicated_log.ask(node, "replicated_log.states", StatesRequest(logs=[self.log]), States)
+        r = await self._replicated_log.call(node, "replicated_log.states", StatesRequest(logs=[self.log]), States)
         return r.states[0]
 
     async def _write_to(self, node: str, state: LogState) -> LogState:
@@ -279,16 +281,16 @@
             part = WriteRequest(
                 log=self.log, epoch=self.epoch, staged=True, position=at, data=data[at : at + MAX_WRITE]
             )
-            await self._replicated_log.ask(node, "replicated_log.write", part, WriteResponse, WRITE_LIMIT)
+            await self._replicated_log.call(node, "replicated_log.write", part, WriteResponse, WRITE_LIMIT)
             ask.staged_bytes += len(part.data)
         ask.data = data[ask.staged_bytes :]
-        r = await self._replicated_log.ask(node, "replicated_log.write", ask, WriteResponse, WRITE_LIMIT)
+        r = await self._replicated_log.call(node, "replicated_log.write", ask, WriteResponse, WRITE_LIMIT)
         return r.state
 
     def _full(self, node):
         self._no_room.add(node)
-        rest = [n for n in self.placement_group.everyone if n not in self._no_room]
-        if not self.placement_group.agree(rest):
+        rest = [n for n in self.placement_group.all_nodes if n not in self._no_room]
+        if not self.placement_group.is_quorum(rest):
             waiters, self._waiters = self._waiters, []
             for _, d in waiters:
                 d.errback(StorageFull(f"{self.log}: the storage nodes are out of room"))
@@ -296,9 +298,9 @@
 
     def _advance(self):
         marks = {n: s.length for n, s in self._states.items() if s.tail_epoch == self.epoch}
-        if not self.placement_group.agree(marks):
+        if not self.placement_group.is_quorum(marks):
             return
-        reached = self.placement_group.reached(marks)
+        reached = self.placement_group.quorum_position(marks)
         ready = [w for w in self._waiters if w[0] <= reached]
         self._waiters = [w for w in self._waiters if w[0] > reached]
         if reached > self.committed or ready:
@@ -312,4 +314,4 @@
 
     async def _mark(self):
         ask = MarkRequest(log=self.log, epoch=self.epoch, committed=self.committed)
-        await self._replicated_log.ask_each(self.placement_group.everyone, "replicated_log.mark", ask, Empty)
+        await self._replicated_log.call_each(self.placement_group.all_nodes, "replicated_log.mark", ask, Empty)
--- a/pipitlink/replicated_log/replicated_log.py
+++ b/pipitlink/replicated_log/replicated_log.py
@@ -36,7 +36,7 @@
         self.leaseholders: dict[str, Leaseholder] = {}
 
     def open(self):
-        self._ctx.timers.call_repeatedly(RENEW_INTERVAL, self._renew, self._ctx.report("renew"))
+        self._ctx.timers.call_repeatedly(RENEW_INTERVAL, self._renew, self._ctx.error_reporter("renew"))
 
     def placement_group(self, log: str) -> PlacementGroup:
         return self._ctx.cluster.placement_group(placement_group_of(log, self._ctx.cluster.placement_groups))
@@ -51,7 +51,7 @@
             raise WireError(f"storage node {node} is not on the membership")
         return await self._ctx.rpc.call(place, method, what, kind, limit, node=node)
 
-    async def ask_each(self, nodes, method: str, what, kind, limit=ASK_LIMIT, enough=None) -> dict:
+    async def call_each(self, nodes, method: str, what, kind, limit=ASK_LIMIT, enough=None) -> dict:
         """Asks all at once; returns the responses that came, early once `enough` of them are in."""
         got: dict[str, object] = {}
         done = defer.Deferred()
@@ -69,7 +69,7 @@
                     done.callback(None)
 
         for n in nodes:
-            spawn(one(n)).addErrback(lambda f: self._ctx.logger.failure("ask_each", f.value))
+            spawn(one(n)).addErrback(lambda f: self._ctx.logger.failure("call_each", f.value))
         if nodes:
             await done
         return dict(got)
@@ -98,7 +98,7 @@
         for storage_node, epoch in h.granted.items():
             ask = RenewRequest(leaseholder=self._ctx.node, held=[HeldLease(log=h.log, epoch=epoch)], release=True)
             self._ctx.run_in_background(
-                self.ask_each([storage_node], "replicated_log.renew", ask, RenewResponse, ms(400)), "give_back"
+                self.call_each([storage_node], "replicated_log.renew", ask, RenewResponse, ms(400)), "give_back"
             )
 
     def drop(self, h: Leaseholder):
@@ -109,7 +109,7 @@
         by_storage_node: dict[str, list[Leaseholder]] = {}
         for h in list(self.leaseholders.values()):
             h.renewing()
-            for d in h.placement_group.everyone:
+            for d in h.placement_group.all_nodes:
                 by_storage_node.setdefault(d, []).append(h)
         for storage_node, leaseholders in by_storage_node.items():
             spawn(self._renew_at(storage_node, leaseholders)).addErrback(lambda f: None)
@@ -127,17 +127,17 @@
         by_storage_node: dict[str, list[HeldLease]] = {}
         for h in leaseholders:
             h.lapse("released")
-            for d in h.placement_group.everyone:
+            for d in h.placement_group.all_nodes:
                 by_storage_node.setdefault(d, []).append(HeldLease(log=h.log, epoch=h.epoch))
         for storage_node, held in by_storage_node.items():
             ask = RenewRequest(leaseholder=self._ctx.node, held=held, release=True)
-            await self.ask_each([storage_node], "replicated_log.renew", ask, RenewResponse, ms(400))
+            await self.call_each([storage_node], "replicated_log.renew", ask, RenewResponse, ms(400))
 
     async def states(self, logs: list[str]) -> dict[str, LogState]:
         """What is surely durable of each log, by a majority of its storage nodes; logs without one are left out."""
         by_storage_node: dict[str, list[str]] = {}
         for log in logs:
-            for d in self.placement_group(log).everyone:
+            for d in self.placement_group(log).all_nodes:
                 by_storage_node.setdefault(d, []).append(log)
         heard: dict[str, dict[str, LogState]] = {log: {} for log in logs}
         done = defer.Deferred(lambda _: None)
@@ -149,7 +149,7 @@
 
         async def one(storage_node, names):
             nonlocal left
-            r = (await self.ask_each([storage_node], "replicated_log.states", StatesRequest(logs=names), States)).get(
+            r = (await self.call_each([storage_node], "replicated_log.states", StatesRequest(logs=names), States)).get(
                 storage_node
             )
             for s in r.states if r else ():
@@ -157,7 +157,7 @@
             left -= 1
             if not left:
                 finish()
-            elif all(self.placement_group(log).agree(states) for log, states in heard.items()):
+            elif all(self.placement_group(log).is_quorum(states) for log, states in heard.items()):
                 self._ctx.timers.call_later(GRACE, finish)
 
         for d, n in by_storage_node.items():
@@ -167,7 +167,7 @@
         out = {}
         for log, states in heard.items():
             placement_group = self.placement_group(log)
-            if placement_group.agree(states):
+            if placement_group.is_quorum(states):
                 out[log] = agreed(placement_group, states)
         return out
 
@@ -188,20 +188,20 @@
     async def _list(self, ask: ListRequest) -> tuple[dict[str, LogState], bool]:
         placement_groups = [self._ctx.cluster.placement_group(n) for n in range(self._ctx.cluster.placement_groups)]
         storage_nodes = sorted({d for s in placement_groups for d in s.everyone})
-        enough = (lambda g: all(s.agree(g) for s in placement_groups)) if ask.open_only else None
-        got = await self.ask_each(storage_nodes, "replicated_log.list", ask, States, secs(1), enough=enough)
+        enough = (lambda g: all(s.is_quorum(g) for s in placement_groups)) if ask.open_only else None
+        got = await self.call_each(storage_nodes, "replicated_log.list", ask, States, secs(1), enough=enough)
         heard: dict[str, dict[str, LogState]] = {}
         for storage_node, r in got.items():
             for s in r.states:
                 heard.setdefault(s.log, {})[storage_node] = s
         found = {log: agreed(self.placement_group(log), states) for log, states in heard.items()}
-        return found, all(s.agree(got) for s in placement_groups)
+        return found, all(s.is_quorum(got) for s in placement_groups)
 
     async def read(self, log: str, position: int, length: int) -> bytes:
         """Reads one span from the durable log, whole or not at all; where one storage node is slow, from the next as
         well.
         """
-        nodes = list(self.placement_group(log).everyone)
+        nodes = list(self.placement_group(log).all_nodes)
         self._ctx.rng.shuffle(nodes)
         nodes.sort(key=lambda n: self._ctx.membership.status(n) != "alive")
         got: list[bytes] = []
@@ -246,8 +246,8 @@
     best.committed = max(s.committed for s in states.values())
     for epoch in {s.tail_epoch for s in states.values()}:
         held = {d: s.length for d, s in states.items() if s.tail_epoch == epoch}
-        if placement_group.agree(held):
-            best.committed = max(best.committed, placement_group.reached(held))
+        if placement_group.is_quorum(held):
+            best.committed = max(best.committed, placement_group.quorum_position(held))
     best.epoch = max(s.epoch for s in states.values())
     best.tail_epoch = max(s.tail_epoch for s in states.values())
     best.length = best.committed
--- a/pipitlink/router/batch_intake.py
+++ b/pipitlink/router/batch_intake.py
@@ -29,7 +29,7 @@
     headers = {"Content-Type": "application/json"}
     if e.retry_after:
         headers["Retry-After"] = str(e.retry_after)
-    return e.status, headers, dialect.show_fault(e)
+    return e.status, headers, dialect.format_error(e)
 
 
 def _unknown(text: str, status: int = 504) -> ApiError:
@@ -56,7 +56,7 @@
         try:
             if not good_id(lot_id):
                 raise BadRequest("the batch needs an id of 1 to 64 letters, digits, - and _", code="bad_id", field="id")
-            items = self.dialect.read_lot(raw)
+            items = self.dialect.parse_batch(raw)
             taken = wall_ms(self._ctx.timers.utc_now())
             batch = Batch(id=lot_id, host=host, path=path, route=route.name, taken_ms=taken, items=items.items)
             left = deadline - MARGIN - self._ctx.timers.now()
@@ -69,7 +69,7 @@
                 raise ApiError(
                     "this id was used for another batch", code="id_in_use", field="id", status=409, outcome="not_run"
                 )
-            return 202, {"Content-Type": "application/json"}, self.dialect.show_taken(lot_id, len(batch.items))
+            return 202, {"Content-Type": "application/json"}, self.dialect.format_accepted(lot_id, len(batch.items))
         except ApiError as e:
             return refusal(e, self.dialect)
         except (PipitlinkError, TimeoutError) as e:
--- a/pipitlink/router/batch_read.py
+++ b/pipitlink/router/batch_read.py
@@ -70,7 +70,7 @@
     def _open_batch_reads(self):
         self._batch_readers: dict[str, _Reader] = {}
         self._ctx.rpc.register_handler("batches.end", EndRequest, self._end_batch_for)
-        self._ctx.timers.call_repeatedly(secs(5), self._drop_batch_readers, self._ctx.report("batch_readers"))
+        self._ctx.timers.call_repeatedly(secs(5), self._drop_batch_readers, self._ctx.error_reporter("batch_readers"))
 
     def _drop_batch_readers(self):
         now = self._ctx.timers.now()
@@ -85,7 +85,7 @@
 
     def _owned_listing(self, batch_id: str):
         o = self.batches.get(batch_id)
-        return o if o is not None and o.taken() and o.leaseholder.held() else None
+        return o if o is not None and o.taken() and o.leaseholder.is_held() else None
 
     async def _listing_of(self, batch_id: str) -> Listing:
         """The batch as it surely is by now; an error where it is not known, or nothing is sure."""
@@ -201,7 +201,7 @@
                 if len(listing.outputs) > start or listing.whole() or left <= ZERO or self._closing_batches:
                     break
                 await self._listing_moves(lot_id, left)
-            body = self.dialect.show_outputs(listing.head, listing.outputs, start)
+            body = self.dialect.format_outputs(listing.head, listing.outputs, start)
             return 200, {"Content-Type": "application/json"}, body
         except ApiError as e:
             return refusal(e, self.dialect)
@@ -247,7 +247,7 @@
             while True:
                 state = await self._end_batch_once(lot_id)
                 if state in ("ended", "closed"):
-                    return 200, {"Content-Type": "application/json"}, self.dialect.show_ended(lot_id)
+                    return 200, {"Content-Type": "application/json"}, self.dialect.format_cancelled(lot_id)
                 if self._ctx.timers.now() >= until:
                     raise ServiceUnavailable("the batch's owner could not be asked", code="no_owner", outcome="unknown")
                 await self._ctx.timers.sleep(END_INTERVAL)
@@ -299,7 +299,7 @@
         if not o.taken():
             return "unsure"
         if o.leaseholder.final:
-            await o.leaseholder.all_durable()
+            await o.leaseholder.wait_durable()
             return "closed"
         work = o.leaseholder.append(
             [LogRecord(ended=Ended(why="ended")).SerializeToString()], final=True, reserved=True
--- a/pipitlink/router/batch_run.py
+++ b/pipitlink/router/batch_run.py
@@ -44,7 +44,7 @@
             d.callback(None)
 
     async def _feed_batches(self):
-        while not self._ctx.timers.ended:
+        while not self._ctx.timers.stopped:
             try:
                 waits = self._feed_once()
             except Exception as e:
@@ -200,7 +200,7 @@
             if self._may_linger(o):
                 await self._ctx.timers.sleep(LINGER)
             while not o.leaseholder.lost and not o.leaseholder.final and (o.queue or len(o.done) == len(o.batch.items)):
-                if not o.leaseholder.held():
+                if not o.leaseholder.is_held():
                     await self._ctx.timers.sleep(HELD_INTERVAL)
                     continue
                 group, o.queue = o.queue, []
@@ -216,13 +216,13 @@
             if not isinstance(e, (StaleEpoch, LeaseNotHeld)):
                 self._ctx.logger.failure("outputs_unlisted", e, batch=o.id)
             if not o.leaseholder.lost and not o.leaseholder.final:
-                o.leaseholder.lapse("outputs could not be listed")
+                o.leaseholder.invalidate("outputs could not be listed")
         finally:
             o.flushing = False
 
     async def _await_batch_durable(self, o: OpenBatch):
         while not o.leaseholder.lost:
             try:
-                return await o.leaseholder.all_durable()
+                return await o.leaseholder.wait_durable()
             except DeadlineExceeded:
                 continue
--- a/pipitlink/router/batches.py
+++ b/pipitlink/router/batches.py
@@ -6,7 +6,7 @@
 import attrs
 from twisted.internet import defer
 
-from ..disk import frames
+from ..disk import decode_frames
 from ..errors import PipitlinkError
 from ..rendezvous import rank
 from ..timers import ZERO, RepeatingCall, ms, secs
@@ -124,7 +124,7 @@
         """Takes in what has become durable."""
         data = bytes(self.leaseholder.data[self.position : self.leaseholder.committed])
         at = 0
-        for _, body, end in frames(data):
+        for _, body, end in decode_frames(data):
             self.listing.learn(LogRecord.FromString(body))
             at = end
         self.position += at
@@ -137,7 +137,7 @@
         return self.listing.batch is not None
 
     def current(self) -> bool:
-        return self.leaseholder.held() and not self.leaseholder.final
+        return self.leaseholder.is_held() and not self.leaseholder.final
 
     def idle(self) -> bool:
         return self.taken() and not (self.running or self.queue or self.flushing)
@@ -172,7 +172,7 @@
         self._open_batch_run()
         self._open_batch_reads()
         self._list_timer = self._ctx.timers.call_repeatedly(
-            LIST_INTERVAL, self._list_batches, self._ctx.report("list_batches"), due=self._list_due
+            LIST_INTERVAL, self._list_batches, self._ctx.error_reporter("list_batches"), idle_time=self._list_due
         )
 
     async def _end_batches(self):
@@ -211,7 +211,7 @@
         o = self.batches.get(batch_id)
         if o is not None and not o.leaseholder.lost:
             return o
-        h = await self._ctx.replicated_log.hold(batch_log(batch_id), gone)
+        h = await self._ctx.replicated_log.acquire(batch_log(batch_id), gone)
         o = OpenBatch(batch_id, h)
         o.learn()
         o.batch = o.listing.batch
--- a/pipitlink/router/engines.py
+++ b/pipitlink/router/engines.py
@@ -116,7 +116,7 @@
         self._ctx.rpc.register_handler("engines.totals", LoadTotals, self._told_totals)
         self._ctx.cluster.add_listener(self._zones_moved)
         self._ctx.membership.add_listener(self._gateway_changed)
-        self._ctx.timers.call_repeatedly(LOADS_INTERVAL, self._tell_loads, self._ctx.report("loads"))
+        self._ctx.timers.call_repeatedly(LOADS_INTERVAL, self._tell_loads, self._ctx.error_reporter("loads"))
 
     def carry(self, fill, take):
         """More that goes to all gateways with the loads: fill(Loads) returns whether there is something new to tell."""
--- a/pipitlink/router/front.py
+++ b/pipitlink/router/front.py
@@ -186,11 +186,11 @@
 
     Offers `listen_callers`, `serve`, `end_front`, and `refused`, counts of refusals by code.
     Needs of the node: `_ctx`, `current`; of Relay: `relay`; of BatchIntake: `take_batch`; of BatchRead: the calls that
-    the dialect's `batch_call` names. `early` is set before `listen_callers` where a socket listens already.
+    the dialect's `parse_batch_request` names. `listening_socket` is set before `listen_callers` where a socket listens already.
     Owns `channels`, `refused`, `ending`, `_ports` and `_opened_at`.
     """
 
-    early = None
+    listening_socket = None
 
     def _open_front(self):
         self.channels: set = set()
@@ -207,10 +207,12 @@
         return self._ctx.cluster.cluster_state.routes.bounds.max_body_bytes or MAX_BODY
 
     async def listen_callers(self, host: str, port: int) -> int:
-        if self.early is not None:
+        if self.listening_socket is not None:
             factory = _Factory(self, self._ctx.reactor)
-            opened = self._ctx.reactor.adoptStreamPort(self.early.fileno(), self.early.family, factory)
-            self.early.close()
+            opened = self._ctx.reactor.adoptStreamPort(
+                self.listening_socket.fileno(), self.listening_socket.family, factory
+            )
+            self.listening_socket.close()
             self._ports.append(opened)
             return opened.getHost().port
         point = TCP4ServerEndpoint(self._ctx.reactor, port, backlog=1024, interface=host)
@@ -261,7 +263,7 @@
             value = request.header(name.encode())
             return value.decode("latin-1") if value is not None else None
 
-        meant = words.batch_call(request.method, path, query, header)
+        meant = words.parse_batch_request(request.method, path, query, header)
         if not self.current():
             raise ServiceUnavailable(
                 "this gateway cannot prove its cluster state now", code="not_current", retry_after=self._until_ready()
--- a/pipitlink/router/links.py
+++ b/pipitlink/router/links.py
@@ -8,9 +8,9 @@
 from twisted.web._newclient import HTTP11ClientProtocol, Request
 from twisted.web.http_headers import Headers
 
+from ..body_producer import BytesBodyProducer
 from ..errors import EngineError, ServiceUnavailable
 from ..timers import ms, secs
-from ..whole_body import WholeBody
 
 __all__ = ["Link", "Links"]
 
@@ -94,7 +94,7 @@
         out = Headers()
         for name, value in headers:
             out.addRawHeader(name, value)
-        return self.request(Request(method, target, out, WholeBody(body) if body else None, persistent=True))
+        return self.request(Request(method, target, out, BytesBodyProducer(body) if body else None, persistent=True))
 
 
 class Links:
--- a/pipitlink/router/node.py
+++ b/pipitlink/router/node.py
@@ -47,7 +47,7 @@
 
     def __init__(self, ctx):
         self._ctx = ctx
-        self.engines = ctx.engines = Engines(ctx)
+        self.engines = Engines(ctx)
         self.links = Links(ctx)
         self._ready_port = None
         self._draining = False
--- a/pipitlink/router/relay.py
+++ b/pipitlink/router/relay.py
@@ -90,7 +90,7 @@
         self.calls: set = set()
         self.counts = {"tries": 0, "resumed": 0, "spoilt": 0, "refused": 0}
         self.engines.watch_gone(lambda e: self.links.drop(e.address))
-        self._ctx.timers.call_repeatedly(WATCH_INTERVAL, self._watch_calls, self._ctx.report("watch_calls"))
+        self._ctx.timers.call_repeatedly(WATCH_INTERVAL, self._watch_calls, self._ctx.error_reporter("watch_calls"))
 
     def _watch_calls(self):
         """Ends exchanges past their deadline, and those with engines that are gone or mute, where the call can go on
--- a/pipitlink/storage/copying.py
+++ b/pipitlink/storage/copying.py
@@ -36,7 +36,7 @@
     been away.
 
     Offers nothing to the node but its timers' work.
-    Needs of the node: `_ctx`, `log_store`, `_syncer`.
+    Needs of the node: `_ctx`, `log_store`, `_group_commit`.
     Owns `_mine`, `_behind`, `_told`, `_led`, `_mend_at` and `_joins`.
     Shares `_quiet_groups` with Grants: a placement group that the node gets is added to it.
     """
@@ -48,8 +48,8 @@
         self._mend_at = ZERO
         self._told: dict[int, tuple[int, timedelta]] = {}
         self._ctx.cluster.add_listener(self._placement_groups_moved)
-        every, report = self._ctx.timers.call_repeatedly, self._ctx.report
-        self._joins = every(JOIN_INTERVAL, self._join_placement_groups, report("join"), due=self._join_due)
+        every, report = self._ctx.timers.call_repeatedly, self._ctx.error_reporter
+        self._joins = every(JOIN_INTERVAL, self._join_placement_groups, report("join"), idle_time=self._join_due)
         every(LOOK_INTERVAL, self._look_whether_away, report("away"))
         every(MEND_INTERVAL, self._mend_all, report("mend"))
 
@@ -76,7 +76,7 @@
     async def _join_placement_groups(self):
         """Copies what the own placement groups need: those that move first, then those that may lack something."""
         for placement_group in sorted(self._placement_groups(), key=lambda s: not s.moving):
-            if self._ctx.node in placement_group.copying:
+            if self._ctx.node in placement_group.transfer_targets:
                 if not self._told_lately(placement_group) and await self._copy_placement_group(placement_group, True):
                     await self._tell_caught_up(placement_group)
             elif placement_group.number in self._behind and self._ctx.timers.now() >= self._mend_at:
@@ -106,7 +106,7 @@
         """True once this storage node holds all that a majority of the others, all at this placement, are seen to
         hold.
         """
-        others = [d for d in placement_group.everyone if d != self._ctx.node]
+        others = [d for d in placement_group.all_nodes if d != self._ctx.node]
 
         def at_this_placement(got) -> dict[str, States]:
             return {d: r for d, r in got.items() if r.placement_group_sequence >= placement_group.sequence}
@@ -114,7 +114,7 @@
         def enough(got) -> bool:
             return majority([*at_this_placement(got), self._ctx.node], placement_group.storage_nodes)
 
-        got = await self._ctx.replicated_log.ask_each(
+        got = await self._ctx.replicated_log.call_each(
             others,
             "replicated_log.list",
             ListRequest(placement_group=placement_group.number, one_placement_group=True),
@@ -153,7 +153,7 @@
                     await self._copy_log(log, state, storage_node)
                 epoch = promised.get(log, 0)
                 if epoch > self.log_store.state(log).epoch:
-                    await self._syncer.put(
+                    await self._group_commit.submit(
                         lambda t, log=log, epoch=epoch: self.log_store.promise(log, epoch, t, granted=False)
                     )
             except (ReplicatedLogError, WireError) as e:
@@ -178,7 +178,7 @@
             committed=min(state.committed, state.length),
             closed_ms=state.closed_ms,
         )
-        done = self._syncer.put(lambda t: self.log_store.copy(e, mine.tail_epoch, mine.length, t))
+        done = self._group_commit.submit(lambda t: self.log_store.copy(e, mine.tail_epoch, mine.length, t))
         if done is None:
             raise StaleEpoch(f"{log} moved meanwhile")
         await done
@@ -192,4 +192,4 @@
         )
         self._told[placement_group.number] = placement_group.sequence, self._ctx.timers.now()
         controllers = [m.node for m in self._ctx.membership.members("controller", include_self=False)]
-        await self._ctx.replicated_log.ask_each(controllers, "controller.caught_up", told, Empty, ms(500))
+        await self._ctx.replicated_log.call_each(controllers, "controller.caught_up", told, Empty, ms(500))
--- a/pipitlink/storage/grants.py
+++ b/pipitlink/storage/grants.py
@@ -4,8 +4,8 @@
 
 import attrs
 
+from ..replicated_log.lease_durations import LEASE_SPAN
 from ..replicated_log.placement_group import placement_group_of
-from ..replicated_log.spans import LEASE_SPAN
 from ..timers import ZERO
 from ..wire.replicated_log_pb2 import LeaseRequest, LeaseResponse, RenewRequest, RenewResponse
 
@@ -23,7 +23,7 @@
     """Mixin: short log leases with rising, synced epochs.
 
     Offers `_state`, a log's state with its leaseholder, and answers `replicated_log.lease` and `replicated_log.renew`.
-    Needs of the node: `_ctx`, `log_store`, `_syncer`, `_check_placement_group`.
+    Needs of the node: `_ctx`, `log_store`, `_group_commit`, `_check_placement_group`.
     Owns `_grants` and `_quiet_until`, and `_quiet_groups`, to which Copying adds: until then a free lease is not
     granted at once.
     """
@@ -74,7 +74,7 @@
         if ask.epoch <= state.epoch:
             return LeaseResponse(why="epoch", state=state)
         self._grants[ask.log] = _Grant(ask.leaseholder, ask.epoch, now + LEASE_SPAN)
-        await self._syncer.put(lambda t: self.log_store.promise(ask.log, ask.epoch, t))
+        await self._group_commit.submit(lambda t: self.log_store.promise(ask.log, ask.epoch, t))
         return LeaseResponse(granted=True, state=self._state(ask.log), room=self.log_store.room())
 
     async def _renew(self, node, ask: RenewRequest):
--- a/pipitlink/storage/log_store.py
+++ b/pipitlink/storage/log_store.py
@@ -7,7 +7,7 @@
 
 from ..disk import Disk
 from ..errors import StaleEpoch, StorageFull
-from ..segments import Segments, Spot
+from ..segments import Position, Segments
 from ..wire.replicated_log_pb2 import Entry, LogState
 
 __all__ = ["LogStore", "Kept"]
@@ -25,10 +25,10 @@
     committed: int = 0
     final: bool = False
     closed_ms: int = 0
-    promise_spot: Spot | None = None
-    stamp_spot: Spot | None = None
+    promise_spot: Position | None = None
+    stamp_spot: Position | None = None
     starts: list[int] = attrs.field(factory=list)
-    extents: list[tuple[int, int, Spot]] = attrs.field(factory=list)
+    extents: list[tuple[int, int, Position]] = attrs.field(factory=list)
     synced: tuple[int, int, bool] = (0, 0, False)
 
     def stands_in(self, n: int) -> bool:
@@ -46,7 +46,7 @@
                 self.extents[-1] = (start, position - start, spot)
         self.length = position
 
-    def add(self, length: int, spot: Spot):
+    def add(self, length: int, spot: Position):
         if length:
             self.starts.append(self.length)
             self.extents.append((self.length, length, spot))
@@ -71,7 +71,7 @@
             k.synced = (k.tail_epoch, k.length, k.final)
             k.granted = k.epoch
 
-    def _replay(self, e: Entry, spot: Spot, size: int):
+    def _replay(self, e: Entry, spot: Position, size: int):
         if e.kind == Entry.NOTHING:
             return
         if e.kind == Entry.FORGET:
@@ -88,7 +88,7 @@
             return
         self._apply(k, e, spot, size)
 
-    def _apply(self, k: Kept, e: Entry, spot: Spot, size: int):
+    def _apply(self, k: Kept, e: Entry, spot: Position, size: int):
         if e.position < k.length:
             k.cut(e.position)
         k.add(len(e.data), (spot[0], spot[1] + size - len(e.data)))
@@ -99,7 +99,7 @@
         k.committed = min(max(k.committed, e.committed), k.length)
 
     def used(self) -> int:
-        return self.segments.used()
+        return self.segments.used_bytes()
 
     def state(self, log: str) -> LogState:
         k = self.logs.get(log)
@@ -125,7 +125,7 @@
         if granted:
             k.granted = epoch
         e = Entry(kind=Entry.PROMISE, log=log, epoch=epoch)
-        k.promise_spot = self.segments.put(e.SerializeToString(), ticket)
+        k.promise_spot = self.segments.append(e.SerializeToString(), ticket)
 
     def room(self) -> int:
         """Bytes that may still be taken before the reserve is touched."""
@@ -150,7 +150,7 @@
         self._room(len(e.data) + 128, reserved)
         k.epoch = max(k.epoch, e.epoch)
         body = _packed(e)
-        self._apply(k, e, self.segments.put(body, ticket), len(body))
+        self._apply(k, e, self.segments.append(body, ticket), len(body))
         return True
 
     def copy(self, e: Entry, expect_tail_epoch: int, expect_length: int, ticket) -> bool:
@@ -167,7 +167,7 @@
         if k is not None:
             k.synced = (tail_epoch, length, final)
 
-    def spans(self, log: str, position: int, length: int) -> list[tuple[Spot, int]]:
+    def spans(self, log: str, position: int, length: int) -> list[tuple[Position, int]]:
         """Where the synced bytes of a stretch lie: (place of bytes, count) in order."""
         k = self.logs.get(log)
         if k is None:
@@ -189,17 +189,17 @@
         """Drops a final log's bytes and keeps that it was final."""
         k = self.logs[log]
         e = Entry(kind=Entry.WITHER, log=log, epoch=k.tail_epoch, final=True, closed_ms=k.closed_ms)
-        self._wither(k, e, self.segments.put(e.SerializeToString(), ticket))
+        self._wither(k, e, self.segments.append(e.SerializeToString(), ticket))
         k.synced = (k.tail_epoch, 0, True)
 
-    def _wither(self, k: Kept, e: Entry, spot: Spot):
+    def _wither(self, k: Kept, e: Entry, spot: Position):
         k.cut(0)
         k.tail_epoch, k.final, k.closed_ms, k.committed, k.stamp_spot = e.epoch, True, e.closed_ms, 0, spot
 
     def rewrite(self, k: Kept, data: bytes, ticket):
         """The whole log once more, at the end of the newest file."""
         e = Entry(kind=Entry.PROMISE, log=k.log, epoch=k.epoch)
-        k.promise_spot = self.segments.put(e.SerializeToString(), None)
+        k.promise_spot = self.segments.append(e.SerializeToString(), None)
         e = Entry(
             kind=Entry.WRITE if data or not k.final else Entry.WITHER,
             log=k.log,
@@ -210,7 +210,7 @@
             closed_ms=k.closed_ms,
         )
         body = _packed(e)
-        spot = self.segments.put(body, ticket)
+        spot = self.segments.append(body, ticket)
         if e.kind == Entry.WITHER:
             self._wither(k, e, spot)
         else:
@@ -219,7 +219,7 @@
 
     def forget(self, log: str, ticket):
         self.logs.pop(log, None)
-        n, _ = self.segments.put(Entry(kind=Entry.FORGET, log=log).SerializeToString(), ticket)
+        n, _ = self.segments.append(Entry(kind=Entry.FORGET, log=log).SerializeToString(), ticket)
         self.forgets.add(n)
 
     def close(self):
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -3,11 +3,11 @@
 import json
 from pathlib import Path
 
-from ..context import fresh_id
-from ..disk import Disk, swap_in
+from ..context import random_id
+from ..disk import Disk, replace_file
 from ..errors import SettingsError, StalePlacement, StorageFull
+from ..group_commit import GroupCommit
 from ..replicated_log.placement_group import placement_group_of
-from ..syncing import Syncer
 from ..timers import ms
 from ..wire.replicated_log_pb2 import (
     Entry,
@@ -42,8 +42,8 @@
         if kept["fleet"] != fleet:
             raise SettingsError([f"data: {folder} belongs to fleet {kept['fleet']!r}, not {fleet!r}"])
         return kept["node"]
-    node = fresh_id()
-    swap_in(path, json.dumps({"fleet": fleet, "node": node}).encode())
+    node = random_id()
+    replace_file(path, json.dumps({"fleet": fleet, "node": node}).encode())
     return node
 
 
@@ -65,12 +65,12 @@
         self.log_store = LogStore(
             Path(ctx.settings.data) / "logs", disk or Disk(), budget, max(budget // 10, 1024 * 1024)
         )
-        self._syncer = Syncer(ctx, self.log_store.segments, self.log_store.recover)
+        self._group_commit = GroupCommit(ctx, self.log_store.segments, self.log_store.recover)
         self._staged: dict[tuple[str, int], bytes] = {}
 
     def open(self):
         self.log_store.recover()
-        self._ctx.logger.info("recovered", logs=len(self.log_store.logs), used=self.log_store.used())
+        self._ctx.logger.info("recovered", logs=len(self.log_store.logs), used=self.log_store.used_bytes())
         self._open_grants()
         self._open_copying()
         self._open_keeping()
@@ -99,7 +99,7 @@
             committed=ask.committed,
             closed_ms=ask.closed_ms,
         )
-        ticket = self._syncer.put(
+        ticket = self._group_commit.submit(
             lambda t: self.log_store.write(e, ask.expect_tail_epoch, ask.expect_length, ask.reserved, t)
         )
         if ticket is None:
@@ -123,7 +123,7 @@
             k.committed = max(k.committed, min(ask.committed, k.length))
 
     async def _read(self, node, ask: ReadRequest):
-        spans = self.log_store.spans(ask.log, ask.position, min(ask.length, MAX_READ))
+        spans = self.log_store.extents(ask.log, ask.position, min(ask.length, MAX_READ))
         return ReadResponse(data=await self._ctx.run_in_thread(self._gather, spans))
 
     def _gather(self, spans) -> bytes:
@@ -161,7 +161,7 @@
             )
 
     def readiness(self):
-        used, room = self.log_store.used(), self.log_store.room()
+        used, room = self.log_store.used_bytes(), self.log_store.room()
         return True, {"used": used, "room": room, "budget": self.log_store.budget, "logs": len(self.log_store.logs)}
 
     def beliefs(self) -> dict:
@@ -179,7 +179,7 @@
 
     def metrics(self) -> dict:
         return {
-            "disk_used_bytes": ("Bytes of the data folder in use", self.log_store.used()),
+            "disk_used_bytes": ("Bytes of the data folder in use", self.log_store.used_bytes()),
             "disk_room_bytes": ("Bytes before the reserve is touched", self.log_store.room()),
             "logs": ("Logs kept", len(self.log_store.logs)),
         }
--- a/pipitlink/web.py
+++ b/pipitlink/web.py
@@ -22,7 +22,7 @@
 )
 from .timers import spawn
 
-__all__ = ["Late", "Site", "answered", "send_json", "send_fault", "listen"]
+__all__ = ["Late", "Site", "answered", "send_json", "send_error", "listen"]
 
 
 class _Request(server.Request):
@@ -128,7 +128,7 @@
     return ApiError("the module failed on this request", code="internal", status=500, outcome="unknown")
 
 
-def send_fault(request, e: Exception):
+def send_error(request, e: Exception):
     """Sets up the JSON error response for an exception and returns its body.
 
     An exception that is no ApiError is mapped to one first; what is not known becomes a 500 with outcome unknown.
@@ -161,7 +161,7 @@
             if request.startedWriting:
                 request.transport.abortConnection()
                 return b""
-            return send_fault(request, f.value)
+            return send_error(request, f.value)
 
         return work.addErrback(fault)
 
--- a/rehearsal/disks.py
+++ b/rehearsal/disks.py
@@ -50,8 +50,8 @@
         self._see(fd)
         self._synced[os.fstat(fd).st_ino] = os.fstat(fd).st_size
 
-    def cut(self, fd, length):
-        super().cut(fd, length)
+    def truncate(self, fd, length):
+        super().truncate(fd, length)
         number = os.fstat(fd).st_ino
         self._synced[number] = min(self._synced.get(number, 0), length)
 
@@ -128,8 +128,8 @@
         super().sync(fd)
         self._tell(fd, size)
 
-    def cut(self, fd, length):
-        super().cut(fd, length)
+    def truncate(self, fd, length):
+        super().truncate(fd, length)
         self._tell(fd, length)
 
     def _tell(self, fd, size):
--- a/rehearsal/hollow.py
+++ b/rehearsal/hollow.py
@@ -13,7 +13,7 @@
 
 from pipitlink.cache import Cache
 from pipitlink.cluster import ClusterFollower
-from pipitlink.context import Context, fresh_id
+from pipitlink.context import Context, random_id
 from pipitlink.controller import ControllerNode
 from pipitlink.disk import Disk
 from pipitlink.gateway import GatewayNode
@@ -70,7 +70,7 @@
             self._note("out", f"{method}:response", r.ByteSize() + RESPONSE_FRAME)
         return r
 
-    async def note(self, peer, method, body):
+    async def handle_notification(self, peer, method, body):
         self._note("in", method, len(body) + len(method) + CALL_FRAME)
         await RpcEndpoint.dispatch(self, peer, method, body)
 
@@ -150,7 +150,7 @@
 
     def __init__(self, host, role: str, n: int, spec: dict):
         self.role, self.kind = role, spec["kind"]
-        node = fresh_id()
+        node = random_id()
         settings = Settings(
             zone=f"zone-{n % spec['zones']}",
             data=str(Path(spec["folder"]) / f"{role}{n}"),
@@ -208,7 +208,7 @@
         self.ctx, self.rpc = self._process.ctx, self._process.ctx.rpc
 
     async def listen(self) -> Member:
-        await self._process.open()
+        await self._process.start()
         self.part = self._process.node
         return self.ctx.membership.local_member
 
@@ -291,7 +291,9 @@
 
     async def do_count(self):
         counts = sum((n.rpc.counts for n in self.nodes), Counter())
-        leads = any(n.role == "controller" and n.part is not None and n.part.state == "leader" for n in self.nodes)
+        leads = any(
+            n.role == "controller" and n.part is not None and n.part.consensus.role == "leader" for n in self.nodes
+        )
         return {
             "at": self.now(),
             "counts": counts,
--- a/rehearsal/plug.py
+++ b/rehearsal/plug.py
@@ -8,14 +8,14 @@
 import json
 import os
 
+from pipitlink.fault_injection import hookimpl
 from twisted.internet import defer
 
-from pipitlink.plugs import hookimpl
 from pipitlink.timers import secs
 
 from .disks import TellingDisk
 
-__all__ = ["make_plug"]
+__all__ = ["make_fault_plugin"]
 
 
 class _Plug:
@@ -55,5 +55,5 @@
         return TellingDisk(self, self._ctx.settings.data) if self._ctx.settings.data else None
 
 
-def make_plug(words, ctx):
+def make_fault_plugin(words, ctx):
     return _Plug(words, ctx)
--- a/rehearsal/stage.py
+++ b/rehearsal/stage.py
@@ -176,7 +176,7 @@
 
     def kill(self, power: bool = False):
         self.alive = self.frozen = False
-        self.ctx.timers.ended = True
+        self.ctx.timers.stopped = True
         self.clock.stop()
         if self.part is not None and self.role != "gateway":
             self.part.close()
@@ -349,7 +349,11 @@
         return out
 
     def leader(self):
-        now = [a for a in self.role("controller", alive=True) if a.part.state == "leader" and a.part._fresh()]
+        now = [
+            a
+            for a in self.role("controller", alive=True)
+            if a.part.consensus.role == "leader" and a.part.state_delivery.has_recent_quorum()
+        ]
         return now[0] if len(now) == 1 else None
 
     def ready(self, limit: float = 30):
@@ -367,6 +371,6 @@
             if a.alive:
                 a.kill()
         for timers in self._timers:
-            timers.end()
+            timers.stop()
         self._tokens.stop()
         shutil.rmtree(self.folder, ignore_errors=True)
--- a/tests/answer_scenes.py
+++ b/tests/answer_scenes.py
@@ -14,10 +14,10 @@
 __all__ = ["AnswerScene", "ItemScene", "ROUTES"]
 
 ROUTES = {
-    "mutating": route("o", "/once/", kind="mutating", max_attempts=2),
-    "idempotent": route("f", "/f/", kind="idempotent", max_attempts=2),
-    "resumable": route("s", "/a/", resumable=True, max_attempts=2),
-    "stream": route("n", "/n/", resumable=False, max_attempts=1),
+    "mutating": route("o", "/once/", kind="mutating", max_tries=2),
+    "idempotent": route("f", "/f/", kind="idempotent", max_tries=2),
+    "resumable": route("s", "/a/", resumable=True, max_tries=2),
+    "stream": route("n", "/n/", resumable=False, max_tries=1),
 }
 STREAMS = ("resumable", "stream")
 EVENTS = 2
@@ -63,7 +63,7 @@
         self, kind: str, engines: int = 3, callers: int = 1, slow_connects: bool = False, moments: bool = False
     ):
         self.kind, self.route = kind, ROUTES[kind]
-        pool = Pool(name="models", max_connections=100, slots=4, cache_tokens=100_000)
+        pool = Pool(name="models", max_connections=100, places=4, cache_tokens=100_000)
         self.rig = Rig(list(ROUTES.values()), [pool])
         self.names = [f"e{n}" for n in range(1, engines + 1)]
         self._announce()
@@ -275,7 +275,7 @@
         if self.kind in ("mutating", "stream"):
             assert len(may_have_run) <= 1, f"TWICE: {c.call_id} may have run {len(may_have_run)} times"
         engines = {x.engine for x in may_have_run}
-        assert len(engines) <= self.route.max_attempts, f"BUDGET: {c.call_id} may have run on {sorted(engines)}"
+        assert len(engines) <= self.route.max_tries, f"BUDGET: {c.call_id} may have run on {sorted(engines)}"
         assert not c.left or len(mine) <= c.exchanges_then, f"UNASKED: {c.call_id} was sent after its caller had left"
 
     def _check_told(self, c):
--- a/tests/batch_parts.py
+++ b/tests/batch_parts.py
@@ -49,7 +49,7 @@
 
     def __init__(self, ctx):
         self._ctx = ctx
-        self.engines = ctx.engines = Engines(ctx)
+        self.engines = Engines(ctx)
         self.dialect = Dialect()
         self.busy = 0
         self.places = 6
--- a/tests/behaviour_scenes.py
+++ b/tests/behaviour_scenes.py
@@ -140,7 +140,7 @@
 def _note_control_paths(stage, caller, seen):
     """What each controller answers to every path that is only read and names nothing."""
     for controller in stage.role("controller"):
-        for method, path, _ in caller.words.control_paths:
+        for method, path, _ in caller.control_format.control_paths:
             if method == "GET" and "<" not in path:
                 seen.note(controller.name, path, *_answer(caller.ask(controller, method, path)))
 
--- a/tests/cut_off_scene.py
+++ b/tests/cut_off_scene.py
@@ -63,7 +63,7 @@
         leader = self.stage.leader()
         if role == "leader":
             return leader
-        voters = leader.part.voters()
+        voters = leader.part.consensus.voters()
         return next(
             a for a in self.stage.role("controller") if a is not leader and (a.node in voters) == (role == "voter")
         )
@@ -150,5 +150,5 @@
         """A change on top of what stands: one of the refused orders may have been taken before the cut was known."""
         leader = self.stage.leader()
         if leader is not None:
-            self.version = leader.part.cluster_state.routes.version
+            self.version = leader.part.consensus.cluster_state.routes.version
         return self.change(actor)
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -1,7 +1,8 @@
 """Each line of "What must never happen": the failure is brought about on a stage, and without its guard it shows."""
 
+from pipitlink.controller.log_replication import LogReplication
+
 from pipitlink.cluster import ClusterFollower, ClusterState
-from pipitlink.controller.leading import Leading
 from pipitlink.errors import PipitlinkError
 from pipitlink.gateway.dispatch import Dispatch
 from pipitlink.gateway.engines import Engines
@@ -59,7 +60,7 @@
             self.stage.do(self.c._one_live(f"live{self.c._n}", repeatable), 10)
 
     def edit(self, command):
-        return self.stage.do(self.stage.leader().part.edit(command), 10, "an edit")
+        return self.stage.do(self.stage.leader().part.state_delivery.edit(command), 10, "an edit")
 
     def bad(self):
         zones = {e.name: e.zone for e in self.stage.engines.values()}
@@ -144,7 +145,8 @@
         Command(
             edit="w",
             table=TableEdit(
-                base=s.stage.leader().part.cluster_state.table_sequence, upserts=[Row(name="m", model="m", weight=0)]
+                base=s.stage.leader().part.consensus.cluster_state.table_sequence,
+                upserts=[Row(name="m", model="m", weight=0)],
             ),
         )
     )
@@ -190,12 +192,15 @@
 def operators_race(s):
     """Two edits build on one sequence; then the leader is cut off, another takes an edit, and the old one is read."""
     old = s.stage.leader()
-    base = old.part.cluster_state.table_sequence
+    base = old.part.consensus.cluster_state.table_sequence
 
     def edit(part, name, base):
         asked = s.stage.clock.seconds()
         out = s.stage.do(
-            part.edit(Command(edit=name, table=TableEdit(base=base, upserts=[Row(name="r", model=name)]))), 10
+            part.state_delivery.edit(
+                Command(edit=name, table=TableEdit(base=base, upserts=[Row(name="r", model=name)]))
+            ),
+            10,
         )
         good = out.code == "done"
         s.c.note(
@@ -214,21 +219,21 @@
     edit(old.part, "second", base)
     rest = [a for a in s.stage.role("controller") if a is not old]
     s.stage.cut([old.name], [a for a in s.stage.actors if a != old.name])
-    new = s.stage.until(lambda: next((a for a in rest if a.part.state == "leader"), None), 20, "another leads")
+    new = s.stage.until(lambda: next((a for a in rest if a.part.consensus.role == "leader"), None), 20, "another leads")
     s.stage.run(2)
-    edit(new.part, "third", new.part.cluster_state.table_sequence)
+    edit(new.part, "third", new.part.consensus.cluster_state.table_sequence)
     s.stage.run(0.1)
     for a in (new, old):
         asked = s.stage.clock.seconds()
         try:
-            s.stage.do(a.part.confirm_leadership(), 10)
+            s.stage.do(a.part.log_replication.confirm_leadership(), 10)
         except PipitlinkError:
             continue
         s.c.note(
             "table_read",
-            sequence=a.part.cluster_state.table_sequence,
+            sequence=a.part.consensus.cluster_state.table_sequence,
             asked=asked,
-            rows={r.name: {"model": r.model} for r in a.part.cluster_state.rows.values()},
+            rows={r.name: {"model": r.model} for r in a.part.consensus.cluster_state.rows.values()},
         )
 
 
--- a/tests/loss_parts.py
+++ b/tests/loss_parts.py
@@ -1,6 +1,6 @@
 """A staged fleet with many logs, losses of each kind, and what is whole in it."""
 
-from pipitlink.disk import frames
+from pipitlink.disk import decode_frames
 from pipitlink.errors import PipitlinkError
 from pipitlink.replicated_log.placement_group import placement_group_of
 from pipitlink.timers import ms, secs, spawn
@@ -66,7 +66,7 @@
 
     async def _closed(self, n: int):
         name, log = f"closed/{n}", self.gateway(n).replicated_log
-        h = await log.hold(name)
+        h = await log.acquire(name)
         for i in range(3):
             body = f"{name}/{i}".encode() * 60
             self.acked.setdefault(name, {})[await h.append([body], final=i == 2)] = body
@@ -77,7 +77,7 @@
         mine = self.acked.setdefault(name, {})
         while not self.over:
             try:
-                h = await ctx.replicated_log.hold(name)
+                h = await ctx.replicated_log.acquire(name)
                 while not self.over:
                     n += 1
                     body = f"{name}/{n}".encode()
@@ -98,11 +98,12 @@
             edit = Command(
                 edit=f"e{n}",
                 table=TableEdit(
-                    base=leader.part.cluster_state.table_sequence, upserts=[Row(name=f"r{n % 20}", model=f"m{n}")]
+                    base=leader.part.consensus.cluster_state.table_sequence,
+                    upserts=[Row(name=f"r{n % 20}", model=f"m{n}")],
                 ),
             )
             try:
-                out = await timers.with_timeout(secs(3), leader.part.edit(edit))
+                out = await timers.with_timeout(secs(3), leader.part.state_delivery.edit(edit))
                 if out.code == "done":
                     self.edits[edit.edit] = out.sequence
             except PipitlinkError:
@@ -113,7 +114,7 @@
         leader = self.leader()
         if leader is None:
             return "no leader"
-        groups = leader.part.cluster_state.placement_groups
+        groups = leader.part.consensus.cluster_state.placement_groups
         alive = {a.node: a for a in self.role("storage", alive=True)}
         if not groups:
             return "nothing is placed"
@@ -142,11 +143,11 @@
         leader = self.leader()
         if leader is None:
             return "no leader"
-        voters = set(leader.part.cluster_state.voters)
+        voters = set(leader.part.consensus.cluster_state.voters)
         alive = {a.node: a for a in self.role("controller", alive=True)}
         if len(voters) != 2 * self.losses + 1 or not voters <= set(alive):
             return f"{len(voters)} voters, {len(voters - set(alive))} of them away"
-        behind = [v for v in voters if alive[v].part.commit + 10 < leader.part.commit]
+        behind = [v for v in voters if alive[v].part.consensus.commit_index + 10 < leader.part.consensus.commit_index]
         return f"{behind} lag" if behind else ""
 
     def lose(self, actor, kind: str):
@@ -203,7 +204,7 @@
         for name, acked in self.acked.items():
             found = self._read(name)
             bad += [f"{name} at {at}" for at, body in acked.items() if found.get(at) != body]
-        done = {o.edit: o.sequence for o in self.leader().part.cluster_state.outcomes.values()}
+        done = {o.edit: o.sequence for o in self.leader().part.consensus.cluster_state.outcomes.values()}
         return bad + [e for e, sequence in self.edits.items() if done.get(e) != sequence]
 
     def _read(self, name: str) -> dict[int, bytes]:
@@ -211,10 +212,10 @@
         log = self.gateway().replicated_log
         for _ in range(10):
             try:
-                h = self.do(log.hold(name), 30)
+                h = self.do(log.acquire(name), 30)
             except PipitlinkError:
                 self.run(0.5)
                 continue
             self.do(log.release([h]))
-            return {at: body for at, body, _ in frames(bytes(h.data))}
+            return {at: body for at, body, _ in decode_frames(bytes(h.data))}
         return {}
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -188,7 +188,7 @@
         now = self.stage.clock.seconds()
         for a in self.stage.role("gateway", alive=True):
             if a.ctx.cluster.ready():
-                self.admitted.append(Admitted(now, a.node, a.ctx.cluster.cluster_state.table_sequence))
+                self.admitted.append(Admitted(now, a.node, a.ctx.cluster.cluster_state.table))
         leader = self.stage.leader()
         for g in leader.part.cluster_state.placement_groups.values() if leader else ():
             if not g.joining and self._moved.setdefault(g.number, g.sequence) < g.sequence:
--- a/tests/router_parts.py
+++ b/tests/router_parts.py
@@ -93,7 +93,7 @@
 class _Node(Front, Choosing, Relay, Items):
     def __init__(self, ctx, rig):
         self._ctx = ctx
-        self.engines = ctx.engines = Engines(ctx)
+        self.engines = Engines(ctx)
         self.links = Links(ctx, rig.connect)
         self._open_front()
         self.engines.open()
@@ -144,7 +144,7 @@
             reactor=self.clock,
             settings=Settings(zone="zone-a"),
             logger=StructuredLogger(SimpleNamespace(log=lambda level, shape, line: self.lines.append(line))),
-            report=lambda what: lambda e: self.lines.append(f"{what} {e!r}"),
+            error_reporter=lambda what: lambda e: self.lines.append(f"{what} {e!r}"),
             engines=None,
         )
 
@@ -152,7 +152,7 @@
             return defer.ensureDeferred(work).addErrback(lambda f: self.lines.append(f"{what} {f.value!r}"))
 
         self.ctx.run_in_background = run_in_background
-        self.ctx.dialect.batch_call = lambda method, path, query, headers: None
+        self.ctx.dialect.parse_batch_request = lambda method, path, query, headers: None
         self.connections: dict[str, list] = {}
         self.refusing: set[str] = set()
         self.node = _Node(self.ctx, self)
--- a/tests/rpc_scenes.py
+++ b/tests/rpc_scenes.py
@@ -10,7 +10,7 @@
 
 from pipitlink.errors import ConnectionFailed, DeadlineExceeded
 from pipitlink.timers import Timers, secs, spawn
-from pipitlink.wire.connection import WIRE, RpcConnection
+from pipitlink.wire.connection import PROTOCOL_VERSION, RpcConnection
 from pipitlink.wire.frame_pb2 import Frame, Hello
 from pipitlink.wire.rpc import RpcEndpoint
 
@@ -57,9 +57,9 @@
         transport = _Transport()
         transport.connection = connection
         connection.makeConnection(transport)
-        connection.dataReceived(_framed(Hello(fleet="fleet", wire=WIRE, node="peer")))
+        connection.dataReceived(_framed(Hello(fleet="fleet", protocol_version=PROTOCOL_VERSION, node="peer")))
         await connection.ready
-        self._streams[place] = connection
+        self._connections[place] = connection
         self.opened.append(connection)
         return connection
 
--- a/tests/test_announcing.py
+++ b/tests/test_announcing.py
@@ -237,9 +237,9 @@
         self.beat(1, engine="e1")
         self.drop("e2")
         self.stage.run(35)
-        self.assertEqual(set(self.controller.part._announced), {"e2"})
+        self.assertEqual(set(self.controller.part.announcements.registry.engines), {"e2"})
         self.stage.run(30)
-        self.assertEqual(set(self.controller.part._announced), set())
+        self.assertEqual(set(self.controller.part.announcements.registry.engines), set())
 
     def test_announcements_that_cannot_be_read_are_refused(self):
         good = {"pool": "p", "address": "a:1", "state": "ready", "sequence": 1}
@@ -256,7 +256,7 @@
             *({k: v for k, v in good.items() if k != f} for f in good),
         ):
             self.assertEqual(self.caller.ask(self.controller, "PUT", "/v1/engines/e1", bad)[0], 400, bad)
-        self.assertEqual(self.controller.part._announced, {})
+        self.assertEqual(self.controller.part.announcements.registry.engines, {})
 
 
 class LateCalls(unittest.TestCase):
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -15,7 +15,11 @@
 
     def owner(self, stage, name):
         return next(
-            (a for a in stage.role("gateway", alive=True) if (o := a.part.batches.get(name)) and o.leaseholder.held()),
+            (
+                a
+                for a in stage.role("gateway", alive=True)
+                if (o := a.part.batches.get(name)) and o.leaseholder.is_held()
+            ),
             None,
         )
 
@@ -139,7 +143,7 @@
         gateway = stage.role("gateway")[0]
         name = c.lot(3)
         placement_group = gateway.ctx.replicated_log.placement_group(f"batch/{name}")
-        storage_nodes = [a for a in stage.role("storage") if a.node in placement_group.everyone]
+        storage_nodes = [a for a in stage.role("storage") if a.node in placement_group.all_nodes]
 
         def trip(sender, method):
             if method == "replicated_log.write" and sender is gateway:
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -11,7 +11,7 @@
 from pipitlink.cache.chunks import CHUNK
 from pipitlink.cache.poller import KnownLengths
 from pipitlink.cache.tail import Tail
-from pipitlink.disk import frame
+from pipitlink.disk import encode_frame
 from pipitlink.errors import StorageFull
 from pipitlink.router.batch_read import BatchRead, _Reader
 from pipitlink.router.batches import batch_log, head_of
@@ -80,7 +80,7 @@
         gateway = stage.role("gateway")[0]
         for a in stage.role("gateway"):
             a.part._taking_up_batches.add(name)
-        h = stage.do(gateway.ctx.replicated_log.hold(batch_log(name)))
+        h = stage.do(gateway.ctx.replicated_log.acquire(batch_log(name)))
         for records in groups:
             stage.do(h.append([r.SerializeToString() for r in records]))
         return h
@@ -314,10 +314,10 @@
     def log(self, pad: int, body: int, with_head=True):
         batch = Batch(id="b", items=[BatchItem(id="i" * pad, body=b"b" * body, tokens=3), BatchItem(id="j", tokens=4)])
         records = [LogRecord(head=head_of(batch))] * with_head + [LogRecord(batch=batch)]
-        self.batch_end = sum(len(frame(r.SerializeToString())) for r in records)
+        self.batch_end = sum(len(encode_frame(r.SerializeToString())) for r in records)
         records += [LogRecord(output=Output(item=i, state="done", text=b"t" * 700)) for i in (1, 0)]
         records.append(LogRecord(ended=Ended(why="done")))
-        return batch, b"".join(frame(r.SerializeToString()) for r in records)
+        return batch, b"".join(encode_frame(r.SerializeToString()) for r in records)
 
     def check(self, pad, body, step, behind=0, with_head=True):
         batch, data = self.log(pad, body, with_head)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -154,7 +154,7 @@
             stage.run(SPAN)
             heartbeats = 2 * SPAN * 10
             self.assertLessEqual(len(waits), 1.05 * len(asked) + heartbeats, gateways)
-            self.assertLessEqual(len(leader.part._news), gateways + 3, gateways)
+            self.assertLessEqual(len(leader.part.state_delivery.pending_requests), gateways + 3, gateways)
 
     def test_an_edit_is_still_seen_as_soon_as_the_last_gateway_confirms(self):
         stage = HollowStage(7, controllers=3, storage_nodes=3, gateways=12, placement_groups=2)
@@ -164,10 +164,14 @@
         stage.run(3)
         leader = stage.leader().part
         began = stage.clock.seconds()
-        edit = TableEdit(base=leader.cluster_state.table_sequence, upserts=[Row(name="m", model="m", weight=1)])
-        stage.do(leader.edit(Command(edit="e", table=edit)))
+        edit = TableEdit(
+            base=leader.consensus.cluster_state.table_sequence, upserts=[Row(name="m", model="m", weight=1)]
+        )
+        stage.do(leader.state_delivery.edit(Command(edit="e", table=edit)))
         self.assertLess(stage.clock.seconds() - began, 0.1)
-        self.assertEqual({a.ctx.cluster.sequence for a in stage.role("gateway")}, {leader.cluster_state.sequence})
+        self.assertEqual(
+            {a.ctx.cluster.sequence for a in stage.role("gateway")}, {leader.consensus.cluster_state.sequence}
+        )
 
 
 class Counting(unittest.TestCase):
--- a/tests/test_config_trouble.py
+++ b/tests/test_config_trouble.py
@@ -106,7 +106,7 @@
         self.assertEqual(last, ops.sent[last["version"]], what)
         self.assertGreaterEqual(last["version"], ops.newest(), what)
         self.assertNotIn(last["version"], ops.refused, what)
-        done = {o.sequence for o in stage.leader().part.cluster_state.outcomes.values() if o.code == "done"}
+        done = {o.sequence for o in stage.leader().part.consensus.cluster_state.outcomes.values() if o.code == "done"}
         self.assertLessEqual({v for _, v in ops.acked}, done, what)
         self.assertFalse(ops.refused & done, what)
         self.assertEqual(
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -6,10 +6,10 @@
 from random import Random
 from unittest import mock
 
+from pipitlink.controller.durable_log import DurableLog
 from twisted.internet import defer
 
 from pipitlink import segments
-from pipitlink.controller.archive import Archive
 from pipitlink.controller.log_replay import LogReplay
 from pipitlink.errors import CorruptData, StorageFull
 from pipitlink.segments import Segments
@@ -180,10 +180,10 @@
 
 
 GUARDS = {
-    "a segment is synced before the next one is made": (Segments, "_finish", lambda self, touched: None),
+    "a segment is synced before the next one is made": (Segments, "_sync_before_roll", lambda self, touched: None),
     "the folder of the log is synced in its parent": (
         Segments,
-        "_sync_names",
+        "_sync_folder_names",
         lambda self: self._disk.sync_folder(self._folder),
     ),
     "an entry written again cuts nothing off": (LogReplay, "_add_entry", _always_cut),
@@ -197,7 +197,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        patch = mock.patch.object(segments, "SEGMENT", ROLL_BYTES)
+        patch = mock.patch.object(segments, "MAX_SEGMENT_BYTES", ROLL_BYTES)
         patch.start()
         self.addCleanup(patch.stop)
 
--- a/tests/test_currency_orders.py
+++ b/tests/test_currency_orders.py
@@ -5,9 +5,10 @@
 import unittest.mock
 from datetime import timedelta
 
+from pipitlink.controller.state_delivery import StateDelivery
+
 from pipitlink.cluster.cluster_state import ClusterState
 from pipitlink.cluster.follower import ClusterFollower
-from pipitlink.controller.gateways import Gateways
 from pipitlink.errors import NotLeader
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, spawn
@@ -108,7 +109,7 @@
 
     def acknowledge(self):
         leader = self.leaders[-1]
-        if leader.cluster_state.sequence == 2 and leader._in_effect(2) and leader._fresh():
+        if leader.consensus.cluster_state.sequence == 2 and leader._in_effect(2) and leader._fresh():
             self.acked = True
 
     def broken(self) -> bool:
--- a/tests/test_hanging_connections.py
+++ b/tests/test_hanging_connections.py
@@ -51,7 +51,7 @@
         pump = iosim.connect(there, iosim.makeFakeServer(there), here, iosim.makeFakeClient(here))
         self.pumps.append(pump)
         pump.flush()
-        self.caller._streams[place] = here
+        self.caller._connections[place] = here
         return here
 
     def advance(self, seconds):
@@ -126,6 +126,6 @@
         self.calls(1)
         self.cut = True
         self.calls(4, body="x" * 1024 * 1024)
-        self.assertIn(PLACE, self.caller._streams)
+        self.assertIn(PLACE, self.caller._connections)
         self.calls(30)
-        self.assertNotIn(PLACE, self.caller._streams)
+        self.assertNotIn(PLACE, self.caller._connections)
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -29,7 +29,7 @@
                 engine=f"e{i}", pool="p", address=f"10.9.0.{i}:80", zone="zone-a", state="ready", capacity=8,
                 sequence=s.sequence,
             )  # fmt: skip
-            s.do(s.role("controller", alive=True)[i % 2].part.announce(news))
+            s.do(s.role("controller", alive=True)[i % 2].part.announcements.announce(news))
 
     def engines(self, gateway):
         return gateway.part.engines.all()
@@ -102,7 +102,7 @@
         s = self.fleet(MANY)
         self.put_on(s, 2)
         s.until(lambda: self.all_see_what_runs(s), 0.6, "all see what runs")
-        hubs = [a for a in s.role("controller") if a.part._loads]
+        hubs = [a for a in s.role("controller") if a.part.load_aggregator._reports]
         self.assertEqual(len(hubs), 1)
         hubs[0].kill()
         self.renew(s)
--- a/tests/test_loss_guards.py
+++ b/tests/test_loss_guards.py
@@ -140,7 +140,7 @@
     "a storage node that lost its disk is replaced at once": (
         replaced_in_time,
         {},
-        _out(Membership, "is_replaced", lambda self, node, name="": False) + _NO_SUCCESSOR,
+        _out(Membership, "replaced", lambda self, node, name="": False) + _NO_SUCCESSOR,
     ),
     "a successor with another name is taken for one": (
         successor_in_time,
--- a/tests/test_membership_memory.py
+++ b/tests/test_membership_memory.py
@@ -23,7 +23,7 @@
             if path == membership.peer_store.path:
                 written.append(data)
 
-        with unittest.mock.patch("pipitlink.membership.peer_store.swap_in", write):
+        with unittest.mock.patch("pipitlink.membership.peer_store.replace_file", write):
             for peer in list(membership.table.peers.values()):
                 peer.transition("suspect", self.actor.ctx.timers.now())
                 membership.table.peer_changed(peer)
--- a/tests/test_membership_order.py
+++ b/tests/test_membership_order.py
@@ -36,12 +36,10 @@
             membership = a.ctx.membership
             for role, status, me in product(ROLES, STATUSES, (True, False)):
                 self.assertEqual(
-                    membership.members(role, status, me),
-                    membership.table.select(role, status, me),
-                    (a.name, role, status),
+                    membership.members(role, status, me), membership._sort_out(role, status, me), (a.name, role, status)
                 )
         return " ".join(
-            f"{e.member.node}{e.state}" for a in s.actors.values() for e in a.ctx.membership.table.peers.values()
+            f"{e.member.node}{e.state}" for a in s.actors.values() for e in a.ctx.membership._entries.values()
         )
 
     def test_a_list_that_was_handed_out_is_the_callers_own(self):
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -34,15 +34,15 @@
         leader = self._stage.leader()
         if leader is None:
             return False
-        state = leader.part.cluster_state
+        state = leader.part.consensus.cluster_state
         groups = state.placement_groups.values()
         held = {n for g in groups for n in g.storage_nodes} | set(state.voters)
-        settled = leader.part.voters() == state.voters and not any(g.joining for g in groups)
+        settled = leader.part.consensus.voters() == state.voters and not any(g.joining for g in groups)
         return settled and len(state.voters) == 3 and not held & self._emptied
 
     def _empty_one(self):
         stage, rng = self._stage, self._stage.rng
-        state = stage.leader().part.cluster_state
+        state = stage.leader().part.consensus.cluster_state
         held = {n for g in state.placement_groups.values() for n in g.storage_nodes} | set(state.voters)
         actor = rng.choice([a for a in stage.actors.values() if a.node in held and a.alive and not a.frozen])
         self.told.append(f"{stage.clock.seconds():.3f} emptied {actor.name}")
@@ -72,9 +72,9 @@
     async def _edit(self, part, who: int):
         self._n += 1
         text = f"edit{self._n}"
-        edit = TableEdit(base=part.cluster_state.table_sequence, upserts=[Row(name=f"row{who}", model=text)])
+        edit = TableEdit(base=part.consensus.cluster_state.table_sequence, upserts=[Row(name=f"row{who}", model=text)])
         try:
-            out = await part.edit(Command(edit=text, table=edit))
+            out = await part.state_delivery.edit(Command(edit=text, table=edit))
         except PipitlinkError:
             return
         if out.code == "done":
@@ -91,7 +91,7 @@
     async def _hold(self, ctx, log: str, n: int) -> int:
         gone = self.stage.rng.choice((None, None, ""))
         try:
-            h = await ctx.replicated_log.hold(log, gone)
+            h = await ctx.replicated_log.acquire(log, gone)
             for _ in range(ctx.rng.randrange(1, 10)):
                 n += 1
                 await h.append([f"{ctx.node}/{n}".encode() + b"." * ctx.rng.randrange(60)])
@@ -159,6 +159,6 @@
     """The log's lease, taken by this node as soon as it can be had."""
     while True:
         try:
-            return await ctx.replicated_log.hold(log, "")
+            return await ctx.replicated_log.acquire(log, "")
         except PipitlinkError:
             await ctx.timers.sleep(ms(300))
--- a/tests/test_order_guards.py
+++ b/tests/test_order_guards.py
@@ -157,13 +157,13 @@
 
 GUARDS = {
     "a refusal is judged anew": (early_sent_again, ClusterState, "apply", _apply_and_remember),
-    "an order is fenced": (held_on_its_way_to_the_leader, ClusterState, "_is_fenced", lambda self, c, what: False),
+    "an order is fenced": (held_on_its_way_to_the_leader, ClusterState, "_late", lambda self, c, what: False),
     "a controller that woke takes no order": (held_in_a_frozen_socket, Orders, "check_timely", lambda self, at: None),
     "an order's caller is still there": (arrived_after_its_caller_had_left, orders, "HANG_UP_SPAN", ZERO),
     "a change builds on the version in force": (two_on_one_base, ClusterState, "_apply_config", _apply_on_any_base),
-    "what was taken is remembered": (sent_again, ClusterState, "recorded_outcome", lambda self, c: None),
-    "an id stands for one content": (two_under_one_id, cluster_state, "_content_digest", lambda c: b""),
-    "the newest is not forgotten": (sent_again_after_many_others, ClusterState, "_record_outcome", _remember_the_last),
+    "what was taken is remembered": (sent_again, ClusterState, "known", lambda self, c: None),
+    "an id stands for one content": (two_under_one_id, cluster_state, "_content", lambda c: b""),
+    "the newest is not forgotten": (sent_again_after_many_others, ClusterState, "_remember", _remember_the_last),
 }
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -21,7 +21,7 @@
 
 
 def config_command(edit, base, version, **more):
-    return Command(edit=edit, config=ConfigEdit(base=base, version=version, replace_all=True), **more)
+    return Command(edit=edit, config=ConfigEdit(base=base, version=version, whole=True), **more)
 
 
 class _Orders(unittest.TestCase):
@@ -86,7 +86,7 @@
 
     def test_a_row_edit_that_was_refused_is_taken_under_its_id_when_it_is_proper(self):
         state = ClusterState()
-        early = Command(edit="e", table=TableEdit(base=2, removed_rows=["r"]))
+        early = Command(edit="e", table=TableEdit(base=2, drops=["r"]))
         self.assertEqual(state.apply(1, early).code, "wrong_base")
         state.apply(2, Command(edit="f", table=TableEdit(base=0)))
         self.assertEqual(state.apply(3, early).code, "no_such_row")
@@ -202,7 +202,7 @@
         fenced = self.held.part.cluster_state.sequence
         self.assertEqual(self.zone("PUT"), 200)
         self.assertEqual(self.zone("DELETE"), 200)
-        late = Command(edit="late", zone=ZoneEdit(zone="zone-b", empty=True), fencing_token=fenced)
+        late = Command(edit="late", zone=ZoneEdit(zone="zone-b", empty=True), fence=fenced)
         out = self.stage.do(self.leader.part.edit(late))
         self.assertEqual(out.code, "late")
         self.assertFalse(self.empty())
@@ -217,7 +217,7 @@
     def test_an_order_that_was_refused_as_early_does_not_come_in_force_by_a_copy_that_was_held_up(self):
         early = config_of(9, route_of("early"))
         self.put(config_of(3), 0)
-        held = config_command("early", 5, 9, fencing_token=self.held.part.cluster_state.sequence)
+        held = config_command("early", 5, 9, fence=self.held.part.cluster_state.sequence)
         self.assertEqual(self.put(early, 5)[0], 412)
         self.assertEqual(self.put(config_of(5), 3)[0], 200)
         self.assertEqual(self.stage.do(self.leader.part.edit(held)).code, "late")
@@ -228,7 +228,7 @@
         state.apply(1, Command(storage_node=StorageNodeEdit(storage_node="s", status="serving")))
         for sequence, status in ((2, "retiring"), (3, "retired")):
             state.apply(sequence, Command(storage_node=StorageNodeEdit(storage_node="s", status=status)))
-        late = Command(edit="l", storage_node=StorageNodeEdit(storage_node="s", status="retiring"), fencing_token=1)
+        late = Command(edit="l", storage_node=StorageNodeEdit(storage_node="s", status="retiring"), fence=1)
         self.assertEqual(state.apply(4, late).code, "late")
         self.assertEqual(state.storage_nodes, {"s": "retired"})
 
@@ -236,7 +236,7 @@
         self.stage.cut([self.leader.name], [self.held.name], one_way=True)
         self.stage.run(0.2)
         self.assertEqual(self.zone("PUT"), 200)
-        self.assertLess(self.held.part.cluster_state.zones_changed_at, self.leader.part.cluster_state.zones_changed_at)
+        self.assertLess(self.held.part.cluster_state.zones_at, self.leader.part.cluster_state.zones_at)
         self.stage.heal()
         before = self.stage.clock.seconds()
         self.assertEqual(self.zone("DELETE", self.held), 200)
@@ -274,15 +274,15 @@
         state.apply(5, Command(edit="z", zone=ZoneEdit(zone="a", empty=True)))
         state.apply(7, Command(storage_node=StorageNodeEdit(storage_node="s", status="serving")))
         again = ClusterState(state.data())
-        self.assertEqual((again.config_changed_at, again.zones_changed_at, again.storage_nodes_changed_at), (3, 5, 7))
+        self.assertEqual((again.config_at, again.zones_at, again.storage_nodes_at), (3, 5, 7))
         for late in (
-            config_command("n", 4, 9, fencing_token=2),
-            Command(edit="n", zone=ZoneEdit(zone="a"), fencing_token=4),
-            Command(edit="n", storage_node=StorageNodeEdit(storage_node="s", status="retiring"), fencing_token=6),
+            config_command("n", 4, 9, fence=2),
+            Command(edit="n", zone=ZoneEdit(zone="a"), fence=4),
+            Command(edit="n", storage_node=StorageNodeEdit(storage_node="s", status="retiring"), fence=6),
         ):
             self.assertEqual(again.apply(8, late).code, "late")
-        self.assertEqual(again.apply(9, config_command("c", 0, 4, fencing_token=8)).code, "done")
-        self.assertEqual(again.apply(9, config_command("c", 0, 5, fencing_token=8)).code, "edit_id_used")
+        self.assertEqual(again.apply(9, config_command("c", 0, 4, fence=8)).code, "done")
+        self.assertEqual(again.apply(9, config_command("c", 0, 5, fence=8)).code, "edit_id_used")
         self.assertEqual(again.data().outcomes, state.data().outcomes)
 
 
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -8,13 +8,13 @@
 from pathlib import Path
 
 from klein import Klein
+from pipitlink.controller.control_api import ControlApi
 
 from pipitlink.cluster.routes import RouteTable
-from pipitlink.controller.control import Control
 from pipitlink.errors import BadRequest
 from rehearsal.stage import Stage
 
-from .control_calls import Caller, platform_words
+from .control_calls import Caller, platform_control_format
 
 ROUTES = [
     {
@@ -74,10 +74,10 @@
 
 class Shapes(unittest.TestCase):
     def setUp(self):
-        self.words = platform_words()
+        self.words = platform_control_format()
 
     def read(self, raw, base=5, whole=True):
-        return self.words.config_edit(raw if isinstance(raw, bytes) else json.dumps(raw).encode(), base, whole)
+        return self.words.parse_config_edit(raw if isinstance(raw, bytes) else json.dumps(raw).encode(), base, whole)
 
     def test_a_whole_configuration_in_the_products_terms(self):
         e = self.read(WHOLE)
@@ -115,14 +115,14 @@
 
     def test_it_comes_back_as_it_was_sent_also_after_a_patch(self):
         table = RouteTable().with_edit(self.read(WHOLE))
-        self.assertEqual(json.loads(self.words.config_body(table.config())), WHOLE)
+        self.assertEqual(json.loads(self.words.format_config(table.config())), WHOLE)
         changed = {**ROUTES[0], "deadline_ms": 9000}
         added = {**ROUTES[0], "name": "r-new", "path_prefix": "/new/"}
         e = self.read(
             {"version": 9, "upsert": {"routes": [changed, added]}, "remove": {"routes": ["r-bulk"]}}, 7, whole=False
         )
         self.assertEqual(
-            json.loads(self.words.config_body(table.with_edit(e).config())),
+            json.loads(self.words.format_config(table.with_edit(e).config())),
             {"version": 9, "routes": [changed, added], "backends": BACKENDS, "limits": LIMITS},
         )
 
@@ -168,7 +168,7 @@
             "call_seq": 4,
             "model_list": [{"name": "m", "version": 1, "adapter_list": []}],
         }
-        n = self.words.engine_update("i-7f3a91c2", json.dumps(raw).encode())
+        n = self.words.parse_engine_update("i-7f3a91c2", json.dumps(raw).encode())
         self.assertEqual(
             (
                 n.engine,
@@ -187,7 +187,7 @@
         )
         for bad in ({**raw, "state": "leaving"}, {**raw, "model_list": ["m"]}, {**raw, "call_seq": None}):
             with self.assertRaises(BadRequest):
-                self.words.engine_update("i", json.dumps(bad).encode())
+                self.words.parse_engine_update("i", json.dumps(bad).encode())
 
     def test_the_folder_leaves_the_standard_librarys_module_in_its_place(self):
         self.assertEqual(
@@ -198,7 +198,7 @@
 
     def test_every_path_leads_to_its_handler(self):
         app = Klein()
-        Control(None, None, self.words).routes(app.route)
+        ControlApi(None, None, self.words).add_routes(app.route)
         at = app.url_map.bind("x")
         for method, path, action, named in (
             ("GET", "/config", "show_config", {}),
@@ -221,9 +221,11 @@
         self.stage.start()
         self.stage.ready()
         self.stage.until(
-            lambda: len(self.stage.leader().part.cluster_state.storage_nodes) == 4, 20, "all storage nodes are admitted"
+            lambda: len(self.stage.leader().part.consensus.cluster_state.storage_nodes) == 4,
+            20,
+            "all storage nodes are admitted",
         )
-        self.caller = Caller(self.stage, platform_words())
+        self.caller = Caller(self.stage, platform_control_format())
         self.controller = self.stage.role("controller")[1]
 
     def test_the_operators_day(self):
--- a/tests/test_router_live.py
+++ b/tests/test_router_live.py
@@ -10,7 +10,7 @@
 
 STREAM = route("s", "/a/", resumable=True, sticky=True)
 ONCE = route("o", "/once/", kind="mutating")
-PLAIN = route("n", "/n/", resumable=False, max_attempts=1)
+PLAIN = route("n", "/n/", resumable=False, max_tries=1)
 FETCH = route("f", "/f/", kind="idempotent")
 
 
@@ -237,7 +237,7 @@
 
 class Cold(unittest.TestCase):
     def test_a_cold_engine_gets_this_gateways_part_of_its_rate(self):
-        rig = Rig([FETCH], [Pool(name="models", max_connections=500, slots=50, slow_start_rate=20)], gateways=4)
+        rig = Rig([FETCH], [Pool(name="models", max_connections=500, places=50, cold_rate=20)], gateways=4)
         rig.engine("e1", capacity=50, cold_ms=3000)
         sent = 0
         for k in range(200):
@@ -249,7 +249,7 @@
 
     def test_many_gateways_together_hold_the_rate_of_a_cold_engine(self):
         """Each of them has saved up a request when all begin to use the engine in the same second."""
-        rig = Rig([FETCH], [Pool(name="models", max_connections=500, slots=200, slow_start_rate=20)], gateways=76)
+        rig = Rig([FETCH], [Pool(name="models", max_connections=500, places=200, cold_rate=20)], gateways=76)
         rig.engine("e1", capacity=200, cold_ms=3_600_000)
         (e,) = rig.node.engines.all()
         sent = 0
--- a/tests/test_rpc_notes.py
+++ b/tests/test_rpc_notes.py
@@ -37,7 +37,7 @@
             iosim.FakeTransport(self.connections[1], True, peerAddress=IPv4Address("TCP", "h", 1)),
         )
         self.pump.flush()
-        self.ends[0]._streams["h", 2] = self.connections[0]
+        self.ends[0]._connections["h", 2] = self.connections[0]
         self.told = []
         self.ends[1].register_handler("engines.loads", Loads, self.take)
 
@@ -108,10 +108,10 @@
             s, t = RpcConnection(self.ends[1]), RpcConnection(peer)
             self.ends[1].met(s)
             iosim.connect(t, iosim.FakeTransport(t, False), s, iosim.FakeTransport(s, True)).flush()
-            self.assertEqual(self.ends[1]._streams[place] is s, expected)
+            self.assertEqual(self.ends[1]._connections[place] is s, expected)
         first.transport.loseConnection()
         self.pump.flush()
-        self.assertIs(self.ends[1]._streams[place], s)
+        self.assertIs(self.ends[1]._connections[place], s)
 
     def test_a_note_where_no_connection_is_open_opens_one(self):
         self.ends[0].notify([("h", 9)], "engines.loads", Loads(gateway="one"))
@@ -124,7 +124,7 @@
         self.connections[0].notify(Frame(method="engines.loads").SerializeToString())
         self.pump.flush()
         self.assertEqual(self.told, [])
-        self.assertNotIn(("h", 2), self.ends[0]._streams)
+        self.assertNotIn(("h", 2), self.ends[0]._connections)
 
 
 if __name__ == "__main__":
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -123,7 +123,7 @@
         self.timers.call_repeatedly(ms(10), self.ran_now, self.faults.append)
         self.timers.call_repeatedly(ms(10), lambda: hung, self.faults.append)
         self.advance(25)
-        self.timers.end()
+        self.timers.stop()
         self.advance(100)
         self.assertEqual((self.ran, self.faults), ([0, 10, 20], []))
         self.assertTrue(hung.called)
@@ -144,7 +144,7 @@
 
     def test_timers_without_work_are_left_out_and_the_phase_is_kept(self):
         due = [None]
-        r = self.timers.call_repeatedly(ms(10), self.ran_now, self.faults.append, due=lambda: due[0])
+        r = self.timers.call_repeatedly(ms(10), self.ran_now, self.faults.append, idle_time=lambda: due[0])
         self.advance(33)
         self.assertEqual((self.ran, self.clock.getDelayedCalls()), ([0], []))
         r.wake()
--- a/tests/test_snapshot_orders.py
+++ b/tests/test_snapshot_orders.py
@@ -4,11 +4,11 @@
 import zlib
 from unittest import mock
 
+from pipitlink.controller.snapshot_transfer import SnapshotManager
 from twisted.internet import defer
 
 from pipitlink.cluster import ClusterState
-from pipitlink.controller import archive
-from pipitlink.controller.snapshots import Snapshots
+from pipitlink.controller import durable_log
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from pipitlink.wire.controller_pb2 import AppendRequest, ControllerEntry, Snapshot, SnapshotChunk
@@ -98,12 +98,12 @@
         self.actor = self.stage.role("controller")[0]
         self.stage.start()
         self.part = self.actor.part
-        self.stage.until(lambda: self.part.state != "newcomer", 5, "it is founded")
+        self.stage.until(lambda: self.part.consensus.role != "newcomer", 5, "it is founded")
         self.history = _History((self.actor.node, LEADER, "third"))
         self._begin()
         self.choices = choices
         if other_branch:
-            self.stage.do(self.part._append(LEADER, self.history.other_branch(NEWEST)))
+            self.stage.do(self.part.log_receiver.append(LEADER, self.history.other_branch(NEWEST)))
         self._jobs: list = []
         self.actor.ctx.run_in_thread = self._hold
         self.results: list = []
@@ -114,16 +114,16 @@
         """Three voters, none of whom it hears, and the first three entries."""
         part = self.part
         s = Snapshot(index=0, term=0, cluster_state=self.history.first().data())
-        part.archive.ballot.CopyFrom(type(part.archive.ballot)())
-        part.trigger("yield")
-        part.archive.entries.clear()
-        part.archive._entry_bytes = 0
-        part.commit = 0
-        part.archive.snapshot = s
-        part._take_cluster_state(s)
+        part.durable_log.ballot.CopyFrom(type(part.durable_log.ballot)())
+        part.consensus.step_down()
+        part.durable_log.entries.clear()
+        part.durable_log.entry_bytes = 0
+        part.consensus.commit_index = 0
+        part.durable_log.snapshot = s
+        part.consensus.restore(s)
         first = self.history.append(0, OLD_LAST)
         first.term = OLD_TERM
-        self.stage.do(part._append(LEADER, first))
+        self.stage.do(part.log_receiver.append(LEADER, first))
 
     def _hold(self, do, *words):
         d = defer.Deferred()
@@ -139,7 +139,7 @@
             chosen = options[self.choices.pick(len(options)) if len(options) > 1 else 0]
             if chosen in messages:
                 messages.remove(chosen)
-                spawn(self.part._append(LEADER, chosen)).addBoth(self.results.append)
+                spawn(self.part.log_receiver.append(LEADER, chosen)).addBoth(self.results.append)
             else:
                 self._jobs.remove(chosen)
                 self._end(*chosen)
@@ -158,12 +158,14 @@
         return [line for line in self.stage.sink.lines if "event=snapshot " in line or "event=trim " in line]
 
     def check(self):
-        part, kept = self.part, self.part.archive
-        sequence = part.cluster_state.sequence
+        part, kept = self.part, self.part.durable_log
+        sequence = part.consensus.cluster_state.sequence
         assert sequence >= self.sequence, f"back from {self.sequence} to {sequence}"
         self.sequence = sequence
-        assert told(part.cluster_state) == self.history.states[sequence], f"another state at {sequence}"
-        assert part.commit <= kept.last_index(), f"commit {part.commit} beyond {kept.last_index()}"
+        assert told(part.consensus.cluster_state) == self.history.states[sequence], f"another state at {sequence}"
+        assert part.consensus.commit_index <= kept.last_index(), (
+            f"commit {part.consensus.commit_index} beyond {kept.last_index()}"
+        )
         assert kept.snapshot.index <= sequence, f"snapshot {kept.snapshot.index} beyond the state {sequence}"
         indexes = [e.index for e in kept.entries]
         first = kept.snapshot.index + 1
@@ -177,9 +179,9 @@
         told_last = max((r.last for r in self.results if r.done), default=0)
         self.actor.kill(power=True)
         self.actor.start()
-        kept = self.actor.part.archive
+        kept = self.actor.part.durable_log
         assert kept.last_index() >= told_last, f"{told_last} was answered, {kept.last_index()} is kept"
-        state = self.actor.part.cluster_state
+        state = self.actor.part.consensus.cluster_state
         assert state.sequence == 0 or told(state) == self.history.states[state.sequence]
 
 
@@ -250,7 +252,7 @@
     def test_a_disk_that_refuses_a_snapshot_is_tried_again_without_sending_it_again(self):
         follower = _Follower(self, Choices([]))
         follower.refusals = 2
-        keep = follower.part.archive.keep_snapshot
+        keep = follower.part.durable_log.save_snapshot
         tries = []
 
         def refusing(s):
@@ -259,14 +261,14 @@
                 raise OSError(28, "No space left on device")
             keep(s)
 
-        with mock.patch.object(follower.part.archive, "keep_snapshot", refusing):
+        with mock.patch.object(follower.part.durable_log, "save_snapshot", refusing):
             for ask in (follower.history.whole(), follower.history.poll(), follower.history.poll()):
                 follower.play([ask])
         self.assertEqual(len(follower.faults()), follower.refusals)
         self.assertEqual(tries, [SNAPSHOT_AT] * 3)
-        self.assertEqual(follower.part.cluster_state.sequence, SNAPSHOT_AT)
+        self.assertEqual(follower.part.consensus.cluster_state.sequence, SNAPSHOT_AT)
         follower.restart()
-        self.assertEqual(follower.part.archive.snapshot.index, SNAPSHOT_AT)
+        self.assertEqual(follower.part.durable_log.snapshot.index, SNAPSHOT_AT)
 
     def test_without_a_guard_some_order_breaks_it(self):
         for name, (part, instead) in GUARDS.items():
--- a/tests/test_stage_cache.py
+++ b/tests/test_stage_cache.py
@@ -151,7 +151,7 @@
         async def go():
             h = ctx.replicated_log.leaseholders.get("results/r")
             if h is None:
-                h = await ctx.replicated_log.hold("results/r")
+                h = await ctx.replicated_log.acquire("results/r")
                 ctx.cache.start_log_writer("results/r", h)
             for r in records:
                 await h.append([r])
--- a/tests/test_stage_config.py
+++ b/tests/test_stage_config.py
@@ -4,7 +4,7 @@
 import unittest
 from unittest import mock
 
-from pipitlink.controller import archive
+from pipitlink.controller import durable_log
 from pipitlink.wire.cluster_pb2 import Command
 from rehearsal.stage import Stage
 
@@ -83,7 +83,7 @@
 
     def test_nothing_is_proposed_for_what_cannot_be_read_or_is_invalid(self):
         self.caller.put(self.other, config_of(5), 0)
-        agreed = self.stage.leader().part.commit
+        agreed = self.stage.leader().part.consensus.commit_index
         whole = json.dumps(config_of(6)).encode()
 
         def with_route(**more):
@@ -132,7 +132,7 @@
         for what, body in bad.items():
             with self.subTest(what):
                 self.assertEqual(self.caller.put(self.other, body, 5)[0], 400)
-        self.assertEqual(self.stage.leader().part.commit, agreed)
+        self.assertEqual(self.stage.leader().part.consensus.commit_index, agreed)
         self.assertEqual(self.caller.get(self.controllers[0])[1], config_of(5))
 
     def test_a_patch_that_would_leave_an_invalid_whole_is_refused(self):
@@ -195,13 +195,15 @@
             self.assertEqual(self.versions("gateway"), {8})
             self.new_leader().start()
             self.stage.until(
-                lambda: {a.part.leader for a in self.controllers} == {self.stage.leader().node}, 5, "all follow"
+                lambda: {a.part.consensus.leader_id for a in self.controllers} == {self.stage.leader().node},
+                5,
+                "all follow",
             )
 
     def test_a_call_that_was_cut_off_and_sent_again_elsewhere_is_taken_once(self):
         leader = self.stage.leader()
         lost = self.caller.begin(leader, "PUT", "/v1/config", config_of(4), {"If-Match": "0"})
-        self.stage.until(lambda: leader.part.cluster_state.routes.version == 4, 5, "it is agreed")
+        self.stage.until(lambda: leader.part.consensus.cluster_state.routes.version == 4, 5, "it is agreed")
         leader.kill()
         self.assertEqual(lost, [])
         self.stage.until(lambda: self.stage.leader(), 15, "another leads")
@@ -210,10 +212,10 @@
 
     def test_the_same_edit_sent_over_and_over_grows_the_log_once(self):
         self.caller.put(self.other, config_of(4), 0)
-        agreed = self.stage.leader().part.commit
+        agreed = self.stage.leader().part.consensus.commit_index
         for _ in range(20):
             self.assertEqual(self.caller.put(self.other, config_of(4), 0)[0], 200)
-        self.assertEqual(self.stage.leader().part.commit, agreed)
+        self.assertEqual(self.stage.leader().part.consensus.commit_index, agreed)
 
     def test_the_configuration_outlives_a_loss_of_power_at_every_controller(self):
         self.caller.put(self.other, config_of(4), 0)
@@ -234,42 +236,47 @@
 
         async def many():
             for n in range(2700):
-                await leader.part._propose(Command(no_op=True))
+                await leader.part.log_replication.propose(Command(no_op=True))
 
         self.stage.do(many(), 600)
-        self.stage.until(lambda: leader.part.archive.snapshot.index > 0, 10, "trimmed")
+        self.stage.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "trimmed")
         late = self.stage.add("controller", "controller9", "zone-a", 1900)
         late.start()
         self.stage.until(
-            lambda: late.part.cluster_state.sequence == leader.part.cluster_state.sequence, 10, "the newcomer follows"
+            lambda: late.part.consensus.cluster_state.sequence == leader.part.consensus.cluster_state.sequence,
+            10,
+            "the newcomer follows",
         )
         for a in self.stage.role("controller"):
             a.kill(power=True)
             a.start()
         self.stage.ready()
         for a in (leader, late):
-            self.stage.until(lambda: a.part.leader, 2, "it hears who leads")
+            self.stage.until(lambda: a.part.consensus.leader_id, 2, "it hears who leads")
             self.assertEqual(self.caller.get(a)[1], config_of(4))
             self.assertEqual(self.caller.put(a, config_of(4), 0)[0], 200)
 
     def test_a_log_of_large_edits_is_trimmed_by_its_size(self):
         with (
-            mock.patch.object(archive, "TRIM_BYTES", 300_000),
-            mock.patch.object(archive, "KEEP_BYTES", 60_000),
-            mock.patch.object(archive, "SEND_BYTES", 50_000),
+            mock.patch.object(durable_log, "COMPACTION_BYTES", 300_000),
+            mock.patch.object(durable_log, "RETAINED_BYTES", 60_000),
+            mock.patch.object(durable_log, "MAX_BATCH_BYTES", 50_000),
         ):
             big = [route_of(f"r{n}", note="x" * 300) for n in range(50)]
             for n in range(1, 31):
                 self.assertEqual(self.caller.put(self.other, config_of(n, *big), n - 1)[0], 200)
             self.stage.run(1)
             for a in self.controllers:
-                held = sum(e.ByteSize() for e in a.part.archive.entries)
+                held = sum(e.ByteSize() for e in a.part.durable_log.entries)
                 self.assertLess(held, 400_000)
-                self.assertEqual(held, a.part.archive._entry_bytes)
+                self.assertEqual(held, a.part.durable_log.entry_bytes)
             late = self.stage.add("controller", "controller9", "zone-a", 1900)
             late.start()
             self.stage.until(
-                lambda: late.part.cluster_state.sequence == self.stage.leader().part.cluster_state.sequence,
+                lambda: (
+                    late.part.consensus.cluster_state.sequence
+                    == self.stage.leader().part.consensus.cluster_state.sequence
+                ),
                 10,
                 "the newcomer follows",
             )
@@ -277,7 +284,7 @@
                 a.kill(power=True)
                 a.start()
             self.stage.ready()
-            self.stage.until(lambda: late.part.leader, 2, "the newcomer hears who leads")
+            self.stage.until(lambda: late.part.consensus.leader_id, 2, "the newcomer hears who leads")
             self.assertEqual(self.caller.get(late)[1], config_of(30, *big))
 
     def test_a_controller_without_a_leader_says_so_at_once(self):
@@ -308,7 +315,9 @@
         self.name_storage_node()
         self.stage.ready()
         self.stage.until(
-            lambda: len(self.stage.leader().part.cluster_state.storage_nodes) == 4, 20, "all storage nodes are admitted"
+            lambda: len(self.stage.leader().part.consensus.cluster_state.storage_nodes) == 4,
+            20,
+            "all storage nodes are admitted",
         )
         self.stage.run(3)
         self.caller = Caller(self.stage)
@@ -327,7 +336,7 @@
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
         self.stage.until(lambda: self.ask("GET", "box-1")[1] == {"state": "retired"}, 60, "it is emptied")
-        placement_groups = self.stage.leader().part.cluster_state.placement_groups.values()
+        placement_groups = self.stage.leader().part.consensus.cluster_state.placement_groups.values()
         self.assertFalse([s for s in placement_groups if self.storage_node.node in (*s.storage_nodes, s.joining)])
         self.storage_node.kill(power=True)
         self.storage_node.wipe()
@@ -348,7 +357,7 @@
         self.name_storage_node()
         self.assertNotEqual(self.storage_node.node, old)
         self.stage.run(8)
-        self.assertNotIn(self.storage_node.node, self.stage.leader().part.cluster_state.storage_nodes)
+        self.assertNotIn(self.storage_node.node, self.stage.leader().part.consensus.cluster_state.storage_nodes)
         self.stage.until(lambda: self.ask("GET", "box-1")[1] == {"state": "retired"}, 60, "it is emptied")
 
     def test_unknown_names_and_too_few_storage_nodes_are_refused_and_a_repeat_is_not(self):
--- a/tests/test_stage_controllers.py
+++ b/tests/test_stage_controllers.py
@@ -45,14 +45,14 @@
             part = controller.part
             try:
                 floor = self.newest()
-                await part.confirm_leadership()
-                table = part.cluster_state.table_sequence
+                await part.log_replication.confirm_leadership()
+                table = part.consensus.cluster_state.table_sequence
                 self.reads += 1
                 if table < floor:
                     self.faults.append(f"read {table} after {floor} was acknowledged")
                 self.n += 1
                 text = f"edit{self.n}"
-                out = await part.edit(edit_of(f"row{who}", table, text))
+                out = await part.state_delivery.edit(edit_of(f"row{who}", table, text))
                 if out.code == "done":
                     self.acked.append((self.stage.clock.seconds(), out.sequence, text))
                     self.acked.sort(key=lambda a: a[1])
@@ -96,12 +96,12 @@
         stage.run(8)
         stage.ready()
         self.assertEqual(ops.faults, [], f"seed {seed}: {trouble.told}")
-        cluster_state = stage.leader().part.cluster_state
+        cluster_state = stage.leader().part.consensus.cluster_state
         done = {o.edit: o.sequence for o in cluster_state.outcomes.values() if o.code == "done"}
         for _, sequence, text in ops.acked:
             self.assertEqual(done.get(text), sequence, f"seed {seed}: {text} was acknowledged and is gone")
         self.assertFalse(ops.refused & set(done))
-        tables = {a.part.cluster_state.table_sequence for a in stage.role("controller")} | {
+        tables = {a.part.consensus.cluster_state.table_sequence for a in stage.role("controller")} | {
             a.ctx.cluster.cluster_state.table_sequence for a in stage.role("gateway")
         }
         self.assertEqual(tables, {cluster_state.table_sequence}, f"seed {seed}")
@@ -124,25 +124,29 @@
         self.stage.ready()
 
     def test_an_empty_disk_is_a_newcomer_and_the_standby_takes_the_lost_vote(self):
-        voters = self.stage.leader().part.voters()
+        voters = self.stage.leader().part.consensus.voters()
         lost = next(a for a in self.stage.role("controller") if a.node in voters and a is not self.stage.leader())
         old = lost.node
         lost.kill(power=True)
         lost.wipe()
         lost.start()
         self.assertNotEqual(lost.node, old)
-        self.assertEqual(lost.part.state, "newcomer")
+        self.assertEqual(lost.part.consensus.role, "newcomer")
         self.stage.until(
             lambda: (
                 self.stage.leader()
-                and old not in self.stage.leader().part.cluster_state.voters
-                and len(self.stage.leader().part.cluster_state.voters) == 3
+                and old not in self.stage.leader().part.consensus.cluster_state.voters
+                and len(self.stage.leader().part.consensus.cluster_state.voters) == 3
             ),
             12,
             "the standby votes",
         )
         self.stage.until(
-            lambda: lost.part.cluster_state.sequence == self.stage.leader().part.cluster_state.sequence, 5, "it follows"
+            lambda: (
+                lost.part.consensus.cluster_state.sequence == self.stage.leader().part.consensus.cluster_state.sequence
+            ),
+            5,
+            "it follows",
         )
 
     def test_a_lone_side_refuses_edits_and_reads(self):
@@ -150,23 +154,25 @@
         rest = [a.name for a in self.stage.actors.values() if a is not leader]
         self.stage.cut([leader.name], rest)
         with self.assertRaises(PipitlinkError):
-            self.stage.do(leader.part.edit(edit_of("r", 0, "lone")), 10)
+            self.stage.do(leader.part.state_delivery.edit(edit_of("r", 0, "lone")), 10)
         with self.assertRaises(PipitlinkError):
-            self.stage.do(leader.part.confirm_leadership(), 10)
+            self.stage.do(leader.part.log_replication.confirm_leadership(), 10)
         self.stage.until(lambda: self.stage.leader() is not None, 10, "the others lead")
         self.assertIsNot(self.stage.leader(), leader)
-        self.stage.do(self.stage.leader().part.edit(edit_of("r", 0, "theirs")), 10)
+        self.stage.do(self.stage.leader().part.state_delivery.edit(edit_of("r", 0, "theirs")), 10)
         self.stage.heal()
         self.stage.run(3)
-        self.assertEqual(leader.part.cluster_state.rows["r"].model, "theirs")
+        self.assertEqual(leader.part.consensus.cluster_state.rows["r"].model, "theirs")
 
     def test_an_edit_passed_on_to_a_leader_that_was_cut_off_is_unknown_as_soon_as_that_is_known(self):
         leader = self.stage.leader()
-        other = next(a for a in self.stage.role("controller") if a is not leader and a.part.leader == leader.node)
+        other = next(
+            a for a in self.stage.role("controller") if a is not leader and a.part.consensus.leader_id == leader.node
+        )
         self.stage.cut([leader.name], [a for a in self.stage.actors if a != leader.name])
         with self.assertRaises(Unconfirmed):
             self.stage.do(
-                other.part._ask_leader(
+                other.part.submission._call_leader(
                     "controller.edit", EditRequest(command=edit_of("r", 0, "passed on")), EditResponse
                 ),
                 3,
@@ -184,17 +190,17 @@
                     ["witnessed"] * 3,
                 )
         with self.assertRaises(PipitlinkError):
-            self.stage.do(self.stage.leader().part.edit(edit_of("r", 0, "unheard")), 20)
+            self.stage.do(self.stage.leader().part.state_delivery.edit(edit_of("r", 0, "unheard")), 20)
 
     def test_edits_go_on_with_two_of_four_storage_nodes_away_and_no_gateway_misses_one(self):
-        cluster_state = self.stage.leader().part.cluster_state
+        cluster_state = self.stage.leader().part.consensus.cluster_state
         self.assertEqual(cluster_state.confirmed_witness_change, cluster_state.witnesses_changed_at)
         storage_nodes = self.stage.role("storage")
         for a in storage_nodes[:2]:
             a.kill()
         leader = self.stage.leader().part
-        self.stage.do(leader.edit(edit_of("r", cluster_state.table_sequence, "two away")), 6)
-        newest = leader.cluster_state.table_sequence
+        self.stage.do(leader.state_delivery.edit(edit_of("r", cluster_state.table_sequence, "two away")), 6)
+        newest = leader.consensus.cluster_state.table_sequence
         self.stage.cut(
             [a.name for a in self.stage.role("controller")],
             [a.name for a in self.stage.actors.values() if a.role != "controller"],
@@ -210,12 +216,14 @@
 
     def test_half_of_the_witnesses_are_not_enough_while_their_set_changes(self):
         leader, timers = self.stage.leader().part, self.stage.timers()
-        leader.cluster_state.confirmed_witness_change -= 1
-        leader._settle_witnesses = lambda: timers.sleep(ms(0))
+        leader.consensus.cluster_state.confirmed_witness_change -= 1
+        leader.witnesses._confirm_change = lambda: timers.sleep(ms(0))
         for a in self.stage.role("storage")[:2]:
             a.kill()
         with self.assertRaises(PipitlinkError):
-            self.stage.do(leader.edit(edit_of("r", leader.cluster_state.table_sequence, "unsettled")), 6)
+            self.stage.do(
+                leader.state_delivery.edit(edit_of("r", leader.consensus.cluster_state.table_sequence, "unsettled")), 6
+            )
 
     def test_nodes_that_met_need_no_seed_again_and_a_wrong_suspicion_is_refuted(self):
         self.stage.seeds = ("10.0.0.1:9", "10.0.0.1:10", "10.0.0.1:11")
@@ -237,27 +245,32 @@
 
     def test_a_controller_without_room_refuses_edits_up_front(self):
         part = self.stage.leader().part
-        with unittest.mock.patch.object(part.archive, "used", lambda: 10**12), self.assertRaises(StorageFull) as no:
-            self.stage.do(part.edit(edit_of("r", 0, "no room")))
+        with (
+            unittest.mock.patch.object(part.durable_log, "used_bytes", lambda: 10**12),
+            self.assertRaises(StorageFull) as no,
+        ):
+            self.stage.do(part.state_delivery.edit(edit_of("r", 0, "no room")))
         self.assertFalse(no.exception.sent)
-        self.assertEqual(self.stage.do(part.edit(edit_of("r", 0, "room"))).code, "done")
+        self.assertEqual(self.stage.do(part.state_delivery.edit(edit_of("r", 0, "room"))).code, "done")
 
     def test_a_leader_whose_disk_refuses_an_entry_yields_and_never_puts_another_in_its_place(self):
         leader = self.stage.leader()
         leader.disk.full = True
         with self.assertRaises(PipitlinkError) as no:
-            self.stage.do(leader.part.edit(edit_of("r", 0, "refused by its disk")))
+            self.stage.do(leader.part.state_delivery.edit(edit_of("r", 0, "refused by its disk")))
         leader.disk.full = False
         for n in range(3):
             part = self.stage.until(self.stage.leader, 10, "a controller leads").part
-            self.stage.do(part.confirm_leadership())
-            out = self.stage.do(part.edit(edit_of("s", part.cluster_state.table_sequence, f"next{n}")))
+            self.stage.do(part.log_replication.confirm_leadership())
+            out = self.stage.do(
+                part.state_delivery.edit(edit_of("s", part.consensus.cluster_state.table_sequence, f"next{n}"))
+            )
             self.assertEqual(out.code, "done")
         self.stage.run(3)
         cluster_states = {
             (
-                a.part.cluster_state.table_sequence,
-                *sorted((r.name, r.model) for r in a.part.cluster_state.rows.values()),
+                a.part.consensus.cluster_state.table_sequence,
+                *sorted((r.name, r.model) for r in a.part.consensus.cluster_state.rows.values()),
             )
             for a in self.stage.role("controller")
         }
@@ -267,25 +280,32 @@
     def test_a_leader_does_not_count_what_its_own_disk_has_not_synced_in_this_term(self):
         """Its mark from an earlier term may lie beyond a log that was cut back since."""
         for a in self.stage.role("controller"):
-            a.part._synced = 10**6
-        self.stage.leader().part.step_down()
+            a.part.log_replication.synced_index = 10**6
+        self.stage.leader().part.consensus.step_down()
         leader = self.stage.until(self.stage.leader, 10, "a controller leads")
         self.stage.run(2)
-        others = [a for a in self.stage.role("controller") if a is not leader and a.node in leader.part.voters()]
+        others = [
+            a for a in self.stage.role("controller") if a is not leader and a.node in leader.part.consensus.voters()
+        ]
         others[0].kill()
         leader.ctx.run_in_thread = lambda do, *words: defer.Deferred()
         with self.assertRaises(PipitlinkError):
-            self.stage.do(leader.part.edit(edit_of("r", 0, "not on two disks")), 12)
-        self.assertEqual([a.name for a in self.stage.role("controller") if "r" in a.part.cluster_state.rows], [])
+            self.stage.do(leader.part.state_delivery.edit(edit_of("r", 0, "not on two disks")), 12)
+        self.assertEqual(
+            [a.name for a in self.stage.role("controller") if "r" in a.part.consensus.cluster_state.rows], []
+        )
 
     def test_an_agreed_edit_whose_leader_yields_is_unproven_and_not_refused(self):
         part = self.stage.leader().part
-        self.stage.clock.callLater(1, part.step_down)
-        with unittest.mock.patch.object(part, "_in_effect", lambda sequence: False), self.assertRaises(Unconfirmed):
-            self.stage.do(part.edit(edit_of("r", 0, "agreed")))
+        self.stage.clock.callLater(1, part.consensus.step_down)
+        with (
+            unittest.mock.patch.object(part.state_delivery, "is_in_effect", lambda sequence: False),
+            self.assertRaises(Unconfirmed),
+        ):
+            self.stage.do(part.state_delivery.edit(edit_of("r", 0, "agreed")))
         self.stage.until(lambda: self.stage.leader() is not None, 10, "a controller leads")
         self.stage.run(2)
-        again = self.stage.do(self.stage.leader().part.edit(edit_of("r", 0, "agreed")))
+        again = self.stage.do(self.stage.leader().part.state_delivery.edit(edit_of("r", 0, "agreed")))
         self.assertEqual(again.code, "done")
 
     def test_a_controller_that_lost_its_ballot_or_its_snapshot_does_not_start_as_itself(self):
@@ -300,29 +320,31 @@
 
     def test_the_same_edit_id_gives_its_true_outcome(self):
         part = self.stage.leader().part
-        first = self.stage.do(part.edit(edit_of("r", 0, "once")))
-        again = self.stage.do(part.edit(edit_of("r", 0, "once")))
+        first = self.stage.do(part.state_delivery.edit(edit_of("r", 0, "once")))
+        again = self.stage.do(part.state_delivery.edit(edit_of("r", 0, "once")))
         self.assertEqual((first.code, first.sequence), (again.code, again.sequence))
-        lost = self.stage.do(part.edit(edit_of("r", 0, "second")))
+        lost = self.stage.do(part.state_delivery.edit(edit_of("r", 0, "second")))
         self.assertEqual(lost.code, "wrong_base")
-        self.assertEqual(part.cluster_state.rows["r"].model, "once")
+        self.assertEqual(part.consensus.cluster_state.rows["r"].model, "once")
 
     def test_a_long_log_is_trimmed_and_a_newcomer_takes_the_snapshot(self):
         leader = self.stage.leader()
 
         async def many():
             for n in range(2700):
-                await leader.part._propose(Command(no_op=True))
+                await leader.part.log_replication.propose(Command(no_op=True))
 
         self.stage.do(many(), 600)
-        self.stage.until(lambda: leader.part.archive.snapshot.index > 0, 10, "trimmed")
+        self.stage.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "trimmed")
         late = self.stage.add("controller", "controller9", "zone-a", 1900)
         late.start()
         self.stage.until(
-            lambda: late.part.cluster_state.sequence == leader.part.cluster_state.sequence, 10, "the newcomer follows"
+            lambda: late.part.consensus.cluster_state.sequence == leader.part.consensus.cluster_state.sequence,
+            10,
+            "the newcomer follows",
         )
         for a in (leader, late):
             a.kill(power=True)
             a.start()
         self.stage.ready()
-        self.assertGreater(late.part.archive.snapshot.index, 0)
+        self.assertGreater(late.part.durable_log.snapshot.index, 0)
--- a/tests/test_stage_cut_off.py
+++ b/tests/test_stage_cut_off.py
@@ -4,8 +4,9 @@
 import unittest.mock
 from datetime import UTC, datetime
 
-from pipitlink.controller import announcing, gateways
-from pipitlink.controller.leading import Leading
+from pipitlink.controller.log_replication import LogReplication
+
+from pipitlink.controller import announcing, state_delivery
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import secs
 from rehearsal.stage import Stage
@@ -22,13 +23,15 @@
         self.assertEqual(s.slow(), [])
         self.assertEqual(s.wrong(), [])
         self.assertIsNot(s.stage.leader(), None)
-        led, term = s.stage.leader(), s.stage.leader().part.term
+        led, term = s.stage.leader(), s.stage.leader().part.consensus.term
         self.assertIsNot(led, actor)
         self.assertEqual(s.change_newest(led), 200)
         self.assertLess(s.back(actor), BACK_WITHIN)
         self.assertEqual(s.caller.get(actor)[1]["version"], s.version)
         s.stage.run(3)
-        self.assertEqual((s.stage.leader(), s.stage.leader().part.term), (led, term), "the heal disturbed the leader")
+        self.assertEqual(
+            (s.stage.leader(), s.stage.leader().part.consensus.term), (led, term), "the heal disturbed the leader"
+        )
         self.assertEqual(s.caller.ask(actor, "PUT", "/v1/engines/e9", {**ENGINE, "sequence": 1})[0], 200)
         self.assertEqual(s.caller.ask(actor, "DELETE", "/v1/engines/e9")[0], 200)
 
@@ -62,9 +65,9 @@
             with self.subTest(way):
                 s = Scene(self)
                 leader, voter = s.controller("leader"), s.controller("voter")
-                term = leader.part.term
+                term = leader.part.consensus.term
                 s.play(voter, way, [leader.name])
-                self.assertEqual((s.stage.leader(), leader.part.term), (leader, term))
+                self.assertEqual((s.stage.leader(), leader.part.consensus.term), (leader, term))
                 orders = [c for c in s.calls if c.what in ("GET config", "PUT config", "PUT empty")]
                 self.assertEqual([str(c) for c in orders if c.span is None or c.span > LONGEST_ANSWER], [])
                 self.assertEqual([str(c) for c in orders if c.at > SETTLED_AFTER and c.box[0][0] != 503], [])
@@ -141,15 +144,15 @@
         return s.slow()
 
     def test_orders_are_held_where_contact_is_not_asked_for(self):
-        found = self.slow("voter", "both", Leading, "in_touch", lambda self: bool(self.leader))
+        found = self.slow("voter", "both", LogReplication, "has_contact", lambda self: bool(self.leader))
         self.assertTrue(any("PUT config" in line for line in found), found)
 
     def test_orders_are_held_where_only_one_way_counts_as_contact(self):
-        found = self.slow("voter", "out", Leading, "_silent_ms", lambda self, node: 0)
+        found = self.slow("voter", "out", LogReplication, "_last_response_age_ms", lambda self, node: 0)
         self.assertTrue(any("PUT config" in line for line in found), found)
 
     def test_orders_are_held_for_seconds_without_a_bound(self):
-        with unittest.mock.patch.object(gateways, "ORDER_LIMIT", secs(5)):
+        with unittest.mock.patch.object(state_delivery, "ORDER_TIME_LIMIT", secs(5)):
             s = Scene(self)
             leader = s.controller("leader")
             s.stage.cut([leader.name], [a.name for a in s.stage.actors.values() if a.role != "controller"])
@@ -215,14 +218,14 @@
         stage.start()
         stage.ready()
         stage.run(6)
-        group = stage.leader().part.cluster_state.placement_group(0)
+        group = stage.leader().part.consensus.cluster_state.placement_group(0)
         kept = {a.node: a for a in stage.role("storage")}
         first, _, behind = (kept[n] for n in group.storage_nodes)
         old, new = stage.role("gateway")
         side = [behind.name, old.name]
         stage.cut(side, [a for a in stage.actors if a not in side])
         stage.until(
-            lambda: behind.node not in stage.leader().part.cluster_state.placement_group(0).everyone,
+            lambda: behind.node not in stage.leader().part.consensus.cluster_state.placement_group(0).all_nodes,
             40,
             "its copy is moved",
         )
@@ -237,7 +240,7 @@
 
     def written(self, stage, gateway) -> bool:
         async def write():
-            h = await gateway.ctx.replicated_log.hold("log", gone="")
+            h = await gateway.ctx.replicated_log.acquire("log", lost_leaseholder="")
             return await h.append([gateway.name.encode()])
 
         try:
--- a/tests/test_stage_follow.py
+++ b/tests/test_stage_follow.py
@@ -68,7 +68,11 @@
             for n in range(5):
                 stage.run(0.13)
                 began = stage.clock.seconds()
-                stage.do(leader.edit(edit_of("row", leader.cluster_state.table_sequence, f"edit{n}")))
+                stage.do(
+                    leader.state_delivery.edit(
+                        edit_of("row", leader.consensus.cluster_state.table_sequence, f"edit{n}")
+                    )
+                )
                 self.assertLess(stage.clock.seconds() - began, 0.1)
 
     def test_an_edit_waits_for_a_gateway_that_was_answered_last_just_before_it_was_cut_off(self):
@@ -85,13 +89,15 @@
                 stage.cut([one.name], others, one_way=True)
             stage.cut([one.name], others)
             box = []
-            spawn(leader.part.edit(edit_of("row", leader.part.cluster_state.table_sequence, "e"))).addBoth(box.append)
+            spawn(
+                leader.part.state_delivery.edit(edit_of("row", leader.part.consensus.cluster_state.table_sequence, "e"))
+            ).addBoth(box.append)
             led = 0
             while not box:
                 stage.run(0.01)
                 led += cluster.ready() and cluster.state == "led"
             self.assertEqual(box[0].code, "done")
-            self.assertLess(cluster.sequence, leader.part.cluster_state.sequence)
+            self.assertLess(cluster.sequence, leader.part.consensus.cluster_state.sequence)
             self.assertFalse(cluster.ready() and cluster.state == "led", "it lacks an edit that was acknowledged")
             self.assertGreater(
                 led * 0.01, FOLLOWER_LEASE_SPAN.total_seconds() - 0.1, "its lease counts from the answer"
@@ -101,10 +107,10 @@
         with held_long():
             stage = self.stage()
             leader = stage.leader()
-            stage.until(lambda: len(leader.part._news) >= 5, 2, "questions are held")
-            leader.part.step_down()
+            stage.until(lambda: len(leader.part.state_delivery.pending_requests) >= 5, 2, "questions are held")
+            leader.part.consensus.step_down()
             stage.run(0.01)
-            self.assertEqual(len(leader.part._news), 0)
+            self.assertEqual(len(leader.part.state_delivery.pending_requests), 0)
 
 
 class LongHeldUnderTrouble(under_trouble.ClusterUnderTrouble):
--- a/tests/test_stage_keeping.py
+++ b/tests/test_stage_keeping.py
@@ -4,14 +4,14 @@
 from unittest import mock
 
 from pipitlink import segments
-from pipitlink.disk import frames
+from pipitlink.disk import decode_frames
 from pipitlink.errors import CorruptData, PipitlinkError
 from rehearsal.stage import Stage
 
 
 class Keeping(unittest.TestCase):
     def setUp(self):
-        p = mock.patch.object(segments, "SEGMENT", 20_000)
+        p = mock.patch.object(segments, "MAX_SEGMENT_BYTES", 20_000)
         p.start()
         self.addCleanup(p.stop)
         self.stage = Stage(
@@ -33,7 +33,7 @@
 
     def write(self, log, n, final):
         async def go():
-            h = await self.gateway.replicated_log.hold(log)
+            h = await self.gateway.replicated_log.acquire(log)
             for i in range(n):
                 await h.append([f"{log}/{i}".encode() * 100], final=final and i == n - 1)
             return h
@@ -41,7 +41,7 @@
         return self.stage.do(go(), 60)
 
     def used(self):
-        return [a.part.log_store.used() for a in self.stage.role("storage")]
+        return [a.part.log_store.used_bytes() for a in self.stage.role("storage")]
 
     def test_old_logs_wither_their_room_comes_back_and_the_rest_stays(self):
         kept = self.write("lots/kept", 10, False)
@@ -95,5 +95,5 @@
             a.disk.full = False
         self.stage.run(5)
         h = self.write("lots/full", 1, False)
-        bodies = [b for _, b, _ in frames(bytes(h.data))]
+        bodies = [b for _, b, _ in decode_frames(bytes(h.data))]
         self.assertEqual(bodies[:3], [f"lots/full/{i}".encode() * 100 for i in range(3)])
--- a/tests/test_stage_logs.py
+++ b/tests/test_stage_logs.py
@@ -3,7 +3,7 @@
 import contextlib
 import unittest
 
-from pipitlink.disk import frames
+from pipitlink.disk import decode_frames
 from pipitlink.errors import LeaseNotHeld, PipitlinkError, StaleEpoch
 from pipitlink.timers import ms
 from rehearsal.stage import Stage
@@ -30,7 +30,7 @@
                 return
             ctx = actor.ctx
             try:
-                h = await ctx.replicated_log.hold(self.log)
+                h = await ctx.replicated_log.acquire(self.log)
                 self.holds += 1
                 for _ in range(ctx.rng.randrange(1, 12)):
                     n += 1
@@ -83,14 +83,14 @@
         async def final():
             while True:
                 try:
-                    return await last.replicated_log.hold(w.log)
+                    return await last.replicated_log.acquire(w.log)
                 except LeaseNotHeld:
                     await last.timers.sleep(ms(500))
 
         data = bytes(stage.do(final(), 30).data)
         w.check(data)
         self.assertEqual(w.faults, [], trouble.told)
-        found = {at: body for at, body, _ in frames(data)}
+        found = {at: body for at, body, _ in decode_frames(data)}
         for at, body in w.acked.items():
             self.assertEqual(found.get(at), body, f"seed {seed}: acknowledged at {at} and gone; {trouble.told}")
         return len(w.acked), w.holds
@@ -114,26 +114,26 @@
         self.one, self.two = self.stage.role("gateway")
 
     def test_a_leaseholder_that_slept_past_its_lease_is_fenced_and_stops_by_its_own_clock(self):
-        h = self.stage.do(self.one.ctx.replicated_log.hold("results/a"))
+        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/a"))
         self.stage.do(h.append([b"one"]))
         with self.assertRaises(LeaseNotHeld):
-            self.stage.do(self.two.ctx.replicated_log.hold("results/a"))
+            self.stage.do(self.two.ctx.replicated_log.acquire("results/a"))
         self.one.freeze()
         self.stage.run(4)
-        h2 = self.stage.do(self.two.ctx.replicated_log.hold("results/a"))
+        h2 = self.stage.do(self.two.ctx.replicated_log.acquire("results/a"))
         self.assertGreater(h2.epoch, h.epoch)
         self.stage.do(h2.append([b"two"]))
         self.one.thaw()
-        self.assertFalse(h.held())
+        self.assertFalse(h.is_held())
         with self.assertRaises((LeaseNotHeld, StaleEpoch)):
             self.stage.do(h.append([b"late"]))
         self.stage.run(3)
         state = self.stage.do(self.two.ctx.replicated_log.states(["results/a"]))["results/a"]
         data = self.stage.do(self.two.ctx.replicated_log.read("results/a", 0, state.committed))
-        self.assertEqual([b for _, b, _ in frames(data)], [b"one", b"two"])
+        self.assertEqual([b for _, b, _ in decode_frames(data)], [b"one", b"two"])
 
     def test_a_new_leaseholder_keeps_a_tail_that_only_one_storage_node_was_sent(self):
-        h = self.stage.do(self.one.ctx.replicated_log.hold("results/b"))
+        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/b"))
         self.stage.do(h.append([b"first"]))
         storage_nodes = [a.name for a in self.stage.role("storage")]
         self.stage.cut([self.one.name], storage_nodes[1:])
@@ -142,8 +142,8 @@
         self.one.kill()
         self.stage.heal()
         self.stage.run(4)
-        h2 = self.stage.do(self.two.ctx.replicated_log.hold("results/b"))
-        bodies = [b for _, b, _ in frames(bytes(h2.data))]
+        h2 = self.stage.do(self.two.ctx.replicated_log.acquire("results/b"))
+        bodies = [b for _, b, _ in decode_frames(bytes(h2.data))]
         self.assertEqual(bodies[0], b"first")
         self.stage.do(h2.append([b"next"]))
         states = [a.part.log_store.state("results/b") for a in self.stage.role("storage")]
@@ -151,7 +151,7 @@
         self.assertEqual(len({(s.tail_epoch) for s in states if s.length == max(x.length for x in states)}), 1)
 
     def test_an_append_whose_responses_were_lost_is_known_to_be_durable_once_storage_nodes_are_heard(self):
-        h = self.stage.do(self.one.ctx.replicated_log.hold("results/d"))
+        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/d"))
         self.stage.do(h.append([b"first"]))
         storage_nodes = [a.name for a in self.stage.role("storage")]
         self.stage.clock.callLater(0.002, lambda: self.stage.cut(storage_nodes, [self.one.name], one_way=True))
@@ -159,13 +159,13 @@
         with contextlib.suppress(PipitlinkError):
             self.stage.do(h.append([b"last"]), 10)
         self.stage.until(lambda: h.committed == len(h.data), 5, "the append is known to be durable")
-        self.assertTrue(h.held())
+        self.assertTrue(h.is_held())
 
     def test_a_full_disk_refuses_lots_but_keeps_room_for_ends(self):
-        h = self.stage.do(self.one.ctx.replicated_log.hold("results/c"))
+        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/c"))
         for a in self.stage.role("storage"):
             log_store = a.part.log_store
-            log_store.budget = log_store.used() + log_store.reserve + 2000
+            log_store.budget = log_store.used_bytes() + log_store.reserve + 2000
         self.stage.run(1.5)
         with self.assertRaises(PipitlinkError) as no:
             self.stage.do(h.append([b"x" * 8000]))
--- a/tests/test_stage_long_logs.py
+++ b/tests/test_stage_long_logs.py
@@ -7,7 +7,7 @@
 
 import rehearsal.stage
 from pipitlink.cluster.cluster_state import MAX_OUTCOMES
-from pipitlink.controller import archive, snapshots
+from pipitlink.controller import durable_log, snapshot_transfer
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import ms, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
@@ -65,7 +65,7 @@
         part._vote = judged
 
     def _voted(self, node, part, ask):
-        if part.state == "newcomer":
+        if part.consensus.role == "newcomer":
             self.fault(f"{node} is empty and votes")
         before = self.votes.setdefault((node, ask.term), ask.candidate)
         if before != ask.candidate:
@@ -76,11 +76,11 @@
             self._look_at(actor)
         leader = self.stage.leader()
         if leader is not None:
-            self.agreed.append((self.stage.clock.seconds(), leader.part.commit))
+            self.agreed.append((self.stage.clock.seconds(), leader.part.consensus.commit_index))
 
     def _look_at(self, actor):
         part = actor.part
-        state = part.cluster_state
+        state = part.consensus.cluster_state
         if state.sequence < self.sequences[actor.name]:
             self.fault(f"{actor.name} goes back from {self.sequences[actor.name]} to {state.sequence}")
         if state.sequence == self.sequences[actor.name]:
@@ -89,8 +89,8 @@
         sum_of = digest(state)
         if self.states.setdefault(state.sequence, sum_of) != sum_of:
             self.fault(f"{actor.name} has another state at {state.sequence}")
-        if part.state == "leader" and self.leaders.setdefault(part.term, actor.node) != actor.node:
-            self.fault(f"{actor.node} and {self.leaders[part.term]} lead in {part.term}")
+        if part.consensus.role == "leader" and self.leaders.setdefault(part.consensus.term, actor.node) != actor.node:
+            self.fault(f"{actor.node} and {self.leaders[part.consensus.term]} lead in {part.consensus.term}")
 
     def agreed_at(self, at: float) -> int:
         return max((commit for when, commit in self.agreed if when <= at), default=0)
@@ -110,7 +110,7 @@
     async def write(self, who: int):
         while not self.over:
             await self.timers.sleep(ms(40 + self.stage.rng.randrange(80)))
-            leaders = [a for a in self.stage.role("controller", alive=True) if a.part.state == "leader"]
+            leaders = [a for a in self.stage.role("controller", alive=True) if a.part.consensus.role == "leader"]
             if leaders:
                 try:
                     work = self._write_at(self.stage.rng.choice(leaders).part, who)
@@ -120,14 +120,15 @@
 
     async def _write_at(self, part, who: int):
         floor = self.floor
-        await part.confirm_leadership()
-        if part.cluster_state.table_sequence < floor:
-            self.judge.fault(f"read {part.cluster_state.table_sequence} after {floor} was acknowledged")
+        await part.log_replication.confirm_leadership()
+        if part.consensus.cluster_state.table_sequence < floor:
+            self.judge.fault(f"read {part.consensus.cluster_state.table_sequence} after {floor} was acknowledged")
         self.n += 1
         edit = TableEdit(
-            base=part.cluster_state.table_sequence, upserts=[Row(name=f"row{self.n % 40}", model=f"m{self.n}")]
+            base=part.consensus.cluster_state.table_sequence,
+            upserts=[Row(name=f"row{self.n % 40}", model=f"m{self.n}")],
         )
-        out = await part.edit(Command(edit=f"edit{self.n}", table=edit))
+        out = await part.state_delivery.edit(Command(edit=f"edit{self.n}", table=edit))
         if out.code == "done":
             self.acked[out.edit] = out.sequence
             self.floor = max(self.floor, out.sequence)
@@ -136,10 +137,10 @@
 class LongLogs(unittest.TestCase):
     def setUp(self):
         for module, name, value in (
-            (archive, "TRIM_EVERY", 25),
-            (archive, "KEEP_ENTRIES", 6),
-            (archive, "SEND_BYTES", 600),
-            (snapshots, "PIECE_BYTES", 700),
+            (durable_log, "COMPACTION_ENTRIES", 25),
+            (durable_log, "RETAINED_ENTRIES", 6),
+            (durable_log, "MAX_BATCH_BYTES", 600),
+            (snapshot_transfer, "CHUNK_BYTES", 700),
             (rehearsal.stage, "LosingDisk", partial(LosingDisk, names=True)),
         ):
             patch = mock.patch.object(module, name, value)
@@ -202,8 +203,8 @@
             leader = stage.leader()
             if (
                 leader is not None
-                and len(leader.part.voters()) == leader.ctx.settings.copies
-                and nodes.issuperset(leader.part.voters())
+                and len(leader.part.consensus.voters()) == leader.ctx.settings.replica_count
+                and nodes.issuperset(leader.part.consensus.voters())
             ):
                 return
             self.run_for(stage, judge, LOOK_S)
@@ -220,17 +221,17 @@
             back = self.trouble(stage, judge, kind, actor, away)
             self.run_for(stage, judge, CATCH_UP_S)
             expected = judge.agreed_at(stage.clock.seconds() - SETTLE_S)
-            if back.part.cluster_state.sequence < expected:
-                judge.fault(f"{back.name} is at {back.part.cluster_state.sequence}, {expected} was agreed")
+            if back.part.consensus.cluster_state.sequence < expected:
+                judge.fault(f"{back.name} is at {back.part.consensus.cluster_state.sequence}, {expected} was agreed")
             self.until_voters_are_whole(stage, judge)
         writers.over = True
         self.run_for(stage, judge, 2)
         self.assertEqual(judge.faults, [], f"seed {seed}: {told}")
-        done = stage.leader().part.cluster_state.outcomes
+        done = stage.leader().part.consensus.cluster_state.outcomes
         kept = {e: sequence for e, sequence in writers.acked.items() if e in done or len(done) < MAX_OUTCOMES}
         lost = [e for e, sequence in kept.items() if e not in done or done[e].sequence != sequence]
         self.assertEqual(lost, [], f"seed {seed}: {told}")
-        return len(writers.acked), stage.leader().part.archive.snapshot.index
+        return len(writers.acked), stage.leader().part.durable_log.snapshot.index
 
     def test_each_member_is_current_in_time_and_none_acts_on_old_state(self):
         for seed in SEEDS:
--- a/tests/test_stage_loss_steps.py
+++ b/tests/test_stage_loss_steps.py
@@ -6,8 +6,8 @@
 import unittest.mock
 
 import attrs
+from pipitlink.controller.log_replication import LogReplication
 
-from pipitlink.controller.leading import Leading
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import ms, secs, spawn
 
@@ -25,7 +25,7 @@
         self._stage, self._kind, self._left, self._pick = stage, kind, step, pick
         self.victim = None
         self.armed = False
-        strike, plain = self, Leading._propose
+        strike, plain = self, LogReplication.propose
 
         async def propose(node, command):
             lost = strike._lost_at(command)
@@ -36,7 +36,7 @@
                 strike._hit(lost)
             return out
 
-        self.patched = unittest.mock.patch.object(Leading, "_propose", propose)
+        self.patched = unittest.mock.patch.object(LogReplication, "propose", propose)
 
     def _lost_at(self, command) -> str:
         """Who is lost at this step, if it is the one. A step at which nobody has the part in question is none."""
@@ -75,7 +75,7 @@
 
 def _changed(stage, command, gone: bool) -> str:
     """The controller that this change adds or takes off, or none."""
-    before = set(stage.leader().part.voters()) if stage.leader() else set()
+    before = set(stage.leader().part.consensus.voters()) if stage.leader() else set()
     after = set(command.controllers.voters)
     return next(iter(sorted(before - after if gone else after - before)), "")
 
@@ -123,7 +123,7 @@
         timers = stage.timers()
         for _ in range(20):
             try:
-                return await timers.with_timeout(secs(2), stage.leader().part.retire(node, "retire"))
+                return await timers.with_timeout(secs(2), stage.leader().part.retirement.retire(node, "retire"))
             except (PipitlinkError, AttributeError):
                 await timers.sleep(ms(200))
 
@@ -147,7 +147,9 @@
     def test_a_replaced_voter_whose_machine_is_lost_again(self):
         def begin(stage):
             lost = next(
-                a for a in stage.role("controller") if a.node in stage.leader().part.voters() and a != stage.leader()
+                a
+                for a in stage.role("controller")
+                if a.node in stage.leader().part.consensus.voters() and a != stage.leader()
             )
             lost.kill(power=True)
             lost.wipe()
--- a/tests/test_stage_lots.py
+++ b/tests/test_stage_lots.py
@@ -79,7 +79,7 @@
                         o.again_at,
                         o.taking,
                         o.try_at,
-                        h and (h.epoch, h.lost, h.final, h.committed, len(h.data), h.held()),
+                        h and (h.epoch, h.lost, h.final, h.committed, len(h.data), h.is_held()),
                     ),
                 )
             )
