--- a/tests/test_stage_placement.py
+++ b/tests/test_stage_placement.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from pipitlink.disk import frames
+from pipitlink.disk import decode_frames
 from pipitlink.errors import ApiError, PipitlinkError
 from pipitlink.timers import ms
 from pipitlink.wire.cluster_pb2 import Command, StorageNodeEdit
@@ -21,7 +21,7 @@
         ctx = actor.ctx
         while not self.over:
             try:
-                h = await ctx.replicated_log.hold(self.log)
+                h = await ctx.replicated_log.acquire(self.log)
                 while not self.over:
                     n += 1
                     body = f"{self.log}/{n}".encode()
@@ -51,8 +51,8 @@
         stage.run(4)
         for log in logs:
             self.assertGreater(len(log.acked), 20)
-            h = stage.do(stage.role("gateway")[0].ctx.replicated_log.hold(log.log), 30)
-            found = {at: body for at, body, _ in frames(bytes(h.data))}
+            h = stage.do(stage.role("gateway")[0].ctx.replicated_log.acquire(log.log), 30)
+            found = {at: body for at, body, _ in decode_frames(bytes(h.data))}
             for at, body in log.acked.items():
                 self.assertEqual(found.get(at), body, f"seed {stage.seed} {log.log}")
 
@@ -60,7 +60,7 @@
         leader = stage.leader()
         if leader is None:
             return False
-        rows = leader.part.cluster_state.placement_groups.values()
+        rows = leader.part.consensus.cluster_state.placement_groups.values()
         return all(not s.joining and without not in s.storage_nodes and len(s.storage_nodes) == 3 for s in rows)
 
     def test_two_losses_in_turn_with_repair_between_lose_nothing(self):
@@ -85,7 +85,7 @@
         lost.start()
         stage.until(lambda: self.placed(stage, node), 6, "the placement groups have moved, and nothing was waited for")
         stage.until(
-            lambda: stage.leader() and node not in stage.leader().part.cluster_state.storage_nodes,
+            lambda: stage.leader() and node not in stage.leader().part.consensus.cluster_state.storage_nodes,
             10,
             "it is off the cluster state",
         )
@@ -95,15 +95,21 @@
         stage, logs = self.stage(8, storage_nodes=4)
         gone = stage.role("storage")[2]
         part = stage.leader().part
-        part.check_retirement(part.cluster_state, gone.node)
-        stage.do(part.edit(Command(storage_node=StorageNodeEdit(storage_node=gone.node, status="retiring"))))
+        part.retirement.check_capacity(part.consensus.cluster_state, gone.node)
+        stage.do(
+            part.state_delivery.edit(Command(storage_node=StorageNodeEdit(storage_node=gone.node, status="retiring")))
+        )
         stage.until(
-            lambda: stage.leader() and stage.leader().part.cluster_state.storage_nodes.get(gone.node) == "retired",
+            lambda: (
+                stage.leader() and stage.leader().part.consensus.cluster_state.storage_nodes.get(gone.node) == "retired"
+            ),
             60,
             "it may be switched off",
         )
         with self.assertRaises(ApiError) as no:
-            stage.leader().part.check_retirement(stage.leader().part.cluster_state, stage.role("storage")[0].node)
+            stage.leader().part.retirement.check_capacity(
+                stage.leader().part.consensus.cluster_state, stage.role("storage")[0].node
+            )
         self.assertEqual(no.exception.code, "too_few_copies")
         gone.kill()
         stage.run(3)
@@ -114,7 +120,10 @@
         new = stage.add("storage", "storage7", "zone-d", 1700)
         new.start()
         stage.until(
-            lambda: stage.leader() and stage.leader().part._holds(stage.leader().part.cluster_state)[new.node] >= 2,
+            lambda: (
+                stage.leader()
+                and stage.leader().part._holds(stage.leader().part.consensus.cluster_state)[new.node] >= 2
+            ),
             60,
             "it has placement groups",
         )
--- a/tests/test_stage_second_loss.py
+++ b/tests/test_stage_second_loss.py
@@ -23,7 +23,7 @@
 def _voters(stage):
     """The controllers that vote, the leader first."""
     leader = stage.until(stage.leader, 10, "a controller leads")
-    voters = leader.part.cluster_state.voters
+    voters = leader.part.consensus.cluster_state.voters
     return [leader] + [a for a in stage.role("controller", alive=True) if a.node in voters and a is not leader]
 
 
@@ -51,13 +51,13 @@
     if leader is None:
         return False
     try:
-        stage.do(leader.part.retire(actor.node, "retire"), 10)
+        stage.do(leader.part.retirement.retire(actor.node, "retire"), 10)
     except ApiError as e:
         if e.status != 503:
             raise
         stage.run(1)
         return False
-    return leader.part.cluster_state.storage_nodes.get(actor.node) == "retired"
+    return leader.part.consensus.cluster_state.storage_nodes.get(actor.node) == "retired"
 
 
 class SecondLoss(unittest.TestCase):
--- a/tests/test_stage_slow_link.py
+++ b/tests/test_stage_slow_link.py
@@ -4,9 +4,10 @@
 from random import Random
 from unittest import mock
 
+from pipitlink.controller.log_replication import LogReplication
+
 from pipitlink.cluster import state_transfer
-from pipitlink.controller import archive, snapshots
-from pipitlink.controller.leading import Leading
+from pipitlink.controller import durable_log, snapshot_transfer
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import ms, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
@@ -33,11 +34,16 @@
         """One agreed change of so many bytes, that no compression makes smaller than half."""
         part = stage.leader().part
         row = Row(name=name, model=self.random.randbytes(size // 2).hex())
-        stage.do(part._propose(Command(table=TableEdit(base=part.cluster_state.table_sequence, upserts=[row]))), 20)
+        stage.do(
+            part.log_replication.propose(
+                Command(table=TableEdit(base=part.consensus.cluster_state.table_sequence, upserts=[row]))
+            ),
+            20,
+        )
 
     def current(self, stage, actor) -> bool:
         leader = stage.leader()
-        return leader is not None and actor.part.commit == leader.part.commit
+        return leader is not None and actor.part.consensus.commit_index == leader.part.consensus.commit_index
 
     def test_a_log_of_large_edits_reaches_a_member_that_the_leader_needs(self):
         stage = self.fleet()
@@ -54,7 +60,10 @@
         self.leader_needs_a_member_without_its_log()
 
     def leader_needs_a_member_without_its_log(self):
-        with mock.patch.object(archive, "TRIM_EVERY", 20), mock.patch.object(archive, "KEEP_ENTRIES", 4):
+        with (
+            mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
+            mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
+        ):
             stage = self.fleet()
             leader = stage.leader()
             late, other = (a for a in stage.role("controller") if a is not leader)
@@ -62,15 +71,18 @@
             for n in range(80):
                 self.change(stage, f"row{n}", 2 * LARGE_EDIT)
             stage.run(1)
-            self.assertGreater(stage.leader().part.archive.snapshot.ByteSize(), 4_000_000)
-            term = stage.leader().part.term
+            self.assertGreater(stage.leader().part.durable_log.snapshot.ByteSize(), 4_000_000)
+            term = stage.leader().part.consensus.term
             other.kill()
             late.start()
             stage.until(lambda: self.current(stage, late), CATCH_UP_S, "the member is current")
-            self.assertEqual(stage.leader().part.term, term, "the leader had to be elected again")
+            self.assertEqual(stage.leader().part.consensus.term, term, "the leader had to be elected again")
 
     def test_a_snapshot_arrives_while_changes_go_on(self):
-        with mock.patch.object(archive, "TRIM_EVERY", 20), mock.patch.object(archive, "KEEP_ENTRIES", 8):
+        with (
+            mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
+            mock.patch.object(durable_log, "RETAINED_ENTRIES", 8),
+        ):
             stage = self.fleet()
             late = next(a for a in stage.role("controller") if a is not stage.leader())
             late.kill()
@@ -84,21 +96,24 @@
                     leader = stage.leader()
                     if leader is not None:
                         try:
-                            await leader.part._propose(Command(no_op=True))
+                            await leader.part.log_replication.propose(Command(no_op=True))
                         except PipitlinkError:
                             pass
 
             spawn(on())
             late.start()
             stage.run(CATCH_UP_S)
-            behind = stage.leader().part.commit - late.part.commit
+            behind = stage.leader().part.consensus.commit_index - late.part.consensus.commit_index
             over.append(True)
             stage.run(1)
             self.assertLess(behind, 3)
-            self.assertGreater(late.part.archive.snapshot.index, 0)
+            self.assertGreater(late.part.durable_log.snapshot.index, 0)
 
     def test_a_broken_transfer_goes_on_where_it_was(self):
-        with mock.patch.object(archive, "TRIM_EVERY", 20), mock.patch.object(archive, "KEEP_ENTRIES", 4):
+        with (
+            mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
+            mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
+        ):
             stage = self.fleet()
             leader = stage.leader()
             late = next(a for a in stage.role("controller") if a is not leader)
@@ -107,14 +122,18 @@
                 self.change(stage, f"row{n}", 2 * LARGE_EDIT)
             stage.run(1)
             late.start()
-            stage.until(lambda: late.part._incoming and len(late.part._incoming.data) > 10**6, 5, "a part arrives")
+            stage.until(
+                lambda: late.part.snapshots.incoming and len(late.part.snapshots.incoming.data) > 10**6,
+                5,
+                "a part arrives",
+            )
             stage.cut([leader.name], [late.name])
             stage.run(0.3)
-            before = len(late.part._incoming.data)
+            before = len(late.part.snapshots.incoming.data)
             stage.heal()
             sizes = []
-            while late.part._incoming:
-                sizes.append(len(late.part._incoming.data))
+            while late.part.snapshots.incoming:
+                sizes.append(len(late.part.snapshots.incoming.data))
                 stage.run(0.02)
             self.assertGreaterEqual(min(sizes), before)
             stage.until(lambda: self.current(stage, late), CATCH_UP_S, "the member is current")
@@ -129,20 +148,20 @@
         other.kill()
         stage.cut([leader.name], [needed.name])
         row = Row(name="large", model="x" * 20 * LARGE_EDIT)
-        lost = leader.part._propose(
-            Command(table=TableEdit(base=leader.part.cluster_state.table_sequence, upserts=[row]))
+        lost = leader.part.log_replication.propose(
+            Command(table=TableEdit(base=leader.part.consensus.cluster_state.table_sequence, upserts=[row]))
         )
         spawn(lost).addErrback(lambda f: f.trap(PipitlinkError))
         stage.run(0.8)
         stage.heal()
-        leader.part.step_down()
-        needed.part._patience = secs(60)
+        leader.part.consensus.step_down()
+        needed.part.elections.election_timeout = secs(60)
         stage.until(lambda: stage.leader() is leader, LEAD_AGAIN_S, "the same one leads again")
         self.change(stage, "row", 100)
 
     def test_senders_by_node_alone_would_be_held_up(self):
         with (
-            mock.patch.object(Leading, "_sender_key", lambda self, node: (node, 0)),
+            mock.patch.object(LogReplication, "_sender_key", lambda self, node: (node, 0)),
             self.assertRaises(AssertionError),
         ):
             self.elected_again_while_a_call_hangs()
@@ -150,7 +169,7 @@
     def gateway_is_current(self, stage, gateway):
         cluster = gateway.ctx.cluster
         stage.until(
-            lambda: cluster.ready() and cluster.sequence == stage.leader().part.commit,
+            lambda: cluster.ready() and cluster.sequence == stage.leader().part.consensus.commit_index,
             CATCH_UP_S,
             "the gateway is current",
         )
@@ -171,7 +190,10 @@
         self.gateway_starts()
 
     def gateway_starts(self):
-        with mock.patch.object(archive, "TRIM_EVERY", 20), mock.patch.object(archive, "KEEP_ENTRIES", 4):
+        with (
+            mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
+            mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
+        ):
             stage = self.fleet(controllers=3, gateways=2, storage_nodes=3)
             for n in range(60):
                 self.change(stage, f"row{n}", 2 * LARGE_EDIT)
@@ -182,8 +204,8 @@
 
     def test_without_a_bound_on_one_message_they_do_not_arrive(self):
         for module, bound, scene in (
-            (snapshots, "PIECE_BYTES", self.leader_needs_a_member_without_its_log),
-            (archive, "SEND_BYTES", self.gateway_far_behind),
+            (snapshot_transfer, "CHUNK_BYTES", self.leader_needs_a_member_without_its_log),
+            (durable_log, "MAX_BATCH_BYTES", self.gateway_far_behind),
             (state_transfer, "CHUNK_BYTES", self.gateway_starts),
         ):
             with self.subTest(bound), mock.patch.object(module, bound, 10**9), self.assertRaises(AssertionError):
@@ -193,11 +215,11 @@
 class Pieces(unittest.TestCase):
     def test_the_pieces_make_the_snapshot_and_none_is_larger_than_its_bound(self):
         data = Random(2).randbytes(300_000)
-        out = snapshots.OutgoingSnapshot(7, 2, data)
+        out = snapshot_transfer.OutgoingSnapshot(7, 2, data)
         got = b""
         while out.offset < len(data):
             piece = out.piece()
-            self.assertLessEqual(len(piece.data), snapshots.PIECE_BYTES)
+            self.assertLessEqual(len(piece.data), snapshot_transfer.CHUNK_BYTES)
             got += piece.data
             out.offset += len(piece.data)
         self.assertEqual(got, data)
--- a/tests/test_who_answered.py
+++ b/tests/test_who_answered.py
@@ -33,7 +33,7 @@
         lost.wipe()
         lost.start()
         with self.assertRaises(PipitlinkError):
-            stage.do(leader.part.edit(Command(edit="lone", table=TableEdit(upserts=[Row(name="r", model="lone")]))), 10)
+            stage.do(leader.part.edit(Command(edit="lone", table=TableEdit(puts=[Row(name="r", model="lone")]))), 10)
         stage.heal()
         stage.run(6)
         self.assertEqual(recorder.found(IN_EFFECT), [])
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -13,7 +13,7 @@
 from pipitlink.wire.connection import RpcConnection
 from pipitlink.wire.frame_pb2 import Empty
 from pipitlink.wire.membership_pb2 import IndirectProbeRequest, ProbeResponse
-from pipitlink.wire.replicated_log_pb2 import States, StatesRequest
+from pipitlink.wire.replicated_log_pb2 import StatesRequest, StatesResponse
 from pipitlink.wire.rpc import RpcEndpoint
 from rehearsal.stage import Stage
 
@@ -36,7 +36,7 @@
         self.callee.register_handler("probe", IndirectProbeRequest, self._probe)
         here, there = RpcConnection(self.caller), RpcConnection(self.callee)
         self.pump = iosim.connect(there, iosim.makeFakeServer(there), here, iosim.makeFakeClient(here))
-        self.caller._streams[PLACE] = here
+        self.caller._connections[PLACE] = here
 
     def _endpoint(self, node):
         return RpcEndpoint(None, self.timers, StructuredLogger(_Quiet()), "pipit", node)
@@ -109,9 +109,9 @@
         down, emptied = [a for a in self.stage.role("controller") if a is not leader]
         down.kill()
         self.empty(emptied)
-        edit = TableEdit(base=leader.part.cluster_state.table_sequence, upserts=[Row(name="r", model="m")])
+        edit = TableEdit(base=leader.part.consensus.cluster_state.table_sequence, upserts=[Row(name="r", model="m")])
         try:
-            self.stage.do(leader.part.edit(Command(edit="alone", table=edit)), 10)
+            self.stage.do(leader.part.state_delivery.edit(Command(edit="alone", table=edit)), 10)
         except PipitlinkError:
             return False
         return True
@@ -128,14 +128,14 @@
         first, second = self.stage.role("gateway")
         behind, emptied, down = self.stage.role("storage")
         behind.kill()
-        h = self.stage.do(first.ctx.replicated_log.hold(LOG), 10)
+        h = self.stage.do(first.ctx.replicated_log.acquire(LOG), 10)
         self.stage.do(h.append([b"acknowledged"]), 10)
         first.kill()
         down.kill()
         behind.start()
         self.empty(emptied)
         self.stage.until(lambda: emptied.ctx.cluster.sequence and behind.ctx.cluster.sequence, 10, "they follow")
-        return self.stage.do(second.ctx.replicated_log.hold(LOG, gone=first.node), 10).data
+        return self.stage.do(second.ctx.replicated_log.acquire(LOG, lost_leaseholder=first.node), 10).data
 
     def test_an_emptied_storage_node_grants_no_lease_in_the_name_of_the_lost_one(self):
         with self.assertRaises(NoQuorum):
@@ -152,11 +152,11 @@
         replicated_log = gateway.ctx.replicated_log
         for method, ask, kind in (
             ("cluster.witness", Empty(), WitnessResponse),
-            ("replicated_log.states", StatesRequest(logs=[LOG]), States),
+            ("replicated_log.states", StatesRequest(logs=[LOG]), StatesResponse),
         ):
             self.assertIsNotNone(gateway.ctx.membership.find(lost))
             with self.assertRaises(WrongPeer):
-                self.stage.do(replicated_log.ask(lost, method, ask, kind), 3)
+                self.stage.do(replicated_log.call(lost, method, ask, kind), 3)
 
     def test_followers_name_the_controller_that_they_follow(self):
         named = []
