--- /dev/null
+++ b/pipitlink/cache/log_writer.py
@@ -0,0 +1,122 @@
+"""Copies committed bytes of a log from its leaseholder into the cache."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Protocol
+
+from twisted.internet import defer
+from twisted.python.failure import Failure
+
+from ..context import Context
+from ..timers import ms, spawn
+from ..wire.cache_pb2 import Lengths
+from .chunks import CHUNK, chunk_key
+
+if TYPE_CHECKING:
+    from .cache import Cache
+
+__all__ = ["CommittedLog", "LogCacheWriter"]
+
+RETRY_INTERVAL = ms(250)
+
+
+class CommittedLog(Protocol):
+    """A log whose lease this process holds, as far as the cache needs it.
+
+    The first `committed` bytes of `data` are committed; `lost` says why the lease was lost, "" while it is held.
+    """
+
+    data: bytearray
+    committed: int
+    lost: str
+
+    def watch(self, callback: "Callable[[CommittedLog], None]") -> None:
+        """Has `callback` called with the log after each change."""
+
+
+class LogCacheWriter:
+    """Copies a log's committed bytes into the caches while this process holds its lease.
+
+    It works behind the log, and writes a chunk always from its start.
+    """
+
+    def __init__(self, ctx: Context, cache: "Cache", path: str, log: CommittedLog) -> None:
+        self._ctx = ctx
+        self._cache = cache
+        self._path = path
+        self._log = log
+        self._started_to = 0
+        self._cached = 0
+        self._last_writes: dict[int, defer.Deferred[None]] = {}
+        self._written: dict[int, int] = {}
+        log.watch(self._log_changed)
+        self._log_changed(log)
+
+    def _log_changed(self, log: CommittedLog) -> None:
+        if log.committed > self._started_to and not log.lost:
+            start, self._started_to = self._started_to, log.committed
+            spawn(self._write_range(start, self._started_to)).addErrback(self._log_failure)
+
+    def _log_failure(self, failure: Failure) -> None:
+        self._ctx.logger.failure("cache_write_failed", failure.value, path=self._path)
+
+    async def _write_range(self, start: int, end: int) -> None:
+        first, last = start // CHUNK, (end - 1) // CHUNK
+        writes = [self._write(number) for number in range(first + 1, last)]
+        writes += [self._write_in_turn(number) for number in {first, last}]
+        durable = Lengths(path=self._path, durable=end, writer=self._ctx.node)
+        spawn(self._publish(durable)).addErrback(self._log_failure)
+        await defer.gatherResults([spawn(write) for write in writes])
+        await self._raise_cached_length()
+
+    async def _write_in_turn(self, number: int) -> None:
+        """Writes a chunk that is not complete after the writes before, so that its prefix is always right."""
+        done: defer.Deferred[None] = defer.Deferred()
+        before = self._last_writes.get(number)
+        self._last_writes[number] = done
+        try:
+            if before is not None:
+                await before
+            await self._write(number)
+        finally:
+            if self._last_writes.get(number) is done:
+                del self._last_writes[number]
+            done.callback(None)
+
+    async def _write(self, number: int) -> None:
+        """Writes a chunk as far as it is committed, again and again until a majority of its replicas has it."""
+        while not self._log.lost:
+            end = min((number + 1) * CHUNK, self._log.committed)
+            data = bytes(self._log.data[number * CHUNK : end])
+            if self._written.get(number, 0) >= len(data):
+                return
+            key = chunk_key(self._path, number)
+            if key in await self._cache.store_chunks({key: data}):
+                self._written[number] = max(self._written.get(number, 0), len(data))
+                return
+            await self._ctx.timers.sleep(RETRY_INTERVAL)
+
+    async def _raise_cached_length(self) -> None:
+        """Publishes the length up to which every chunk is written, where that has grown."""
+        cached = self._written_length()
+        if cached <= self._cached:
+            return
+        self._cached = cached
+        for number in [number for number in self._written if (number + 1) * CHUNK <= cached]:
+            del self._written[number]
+        durable = self._log.committed
+        await self._publish(Lengths(path=self._path, durable=durable, cached=cached, writer=self._ctx.node))
+
+    def _written_length(self) -> int:
+        """The length up to which every chunk is written."""
+        length = self._cached
+        while True:
+            number = length // CHUNK
+            written_to = number * CHUNK + self._written.get(number, 0)
+            if written_to <= length:
+                return length
+            length = written_to
+            if length < (number + 1) * CHUNK:
+                return length
+
+    async def _publish(self, lengths: Lengths) -> None:
+        await self._cache.store_lengths({self._path: lengths})
--- a/tests/test_membership_memory.py
+++ b/tests/test_membership_memory.py
@@ -23,10 +23,10 @@
             if path == membership.peer_store.path:
                 written.append(data)
 
-        with unittest.mock.patch("pipitlink.membership.memory.replace_file", write):
-            for entry in list(membership.table.peers.values()):
-                entry.turn("missed", self.actor.ctx.timers.now())
-                membership._changed(entry)
+        with unittest.mock.patch("pipitlink.membership.peer_store.replace_file", write):
+            for peer in list(membership.table.peers.values()):
+                peer.transition("suspect", self.actor.ctx.timers.now())
+                membership.table.peer_changed(peer)
             self.assertEqual(written, [])
             self.stage.run(0.001, step=0.001)
         self.assertEqual(written, [b"[]"])
--- a/tests/test_stage_cache.py
+++ b/tests/test_stage_cache.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from pipitlink.cache.log_writer import LogCacheWriter
 from twisted.internet import defer
 from twisted.internet.task import Clock
 
 from pipitlink.cache.chunks import CHUNK, chunk_key
+from pipitlink.cache.log_writer import LogCacheWriter
 from pipitlink.cache.stores import DataStore, LengthStore
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms, secs, spawn
@@ -66,7 +66,7 @@
 class ChunkOrder(unittest.TestCase):
     def setUp(self):
         self.ctx, self.cache, self.held = _Ctx(), _Cache(), _Held()
-        self.shadow = LogCacheWriter(self.ctx, self.cache, "log", self.held)
+        self.writer = LogCacheWriter(self.ctx, self.cache, "log", self.held)
 
     def number(self, i):
         chunks, _ = self.cache.waiting[i]
--- a/tests/test_stage_follow.py
+++ b/tests/test_stage_follow.py
@@ -3,9 +3,8 @@
 import unittest
 from unittest import mock
 
-from pipitlink.cluster.currency import FOLLOWER_LEASE_SPAN
-
 from pipitlink.cluster import ClusterFollower, ClusterState
+from pipitlink.cluster.currency import FOLLOWER_LEASE_SPAN
 from pipitlink.cluster.follower import MAX_FOLLOW_WAIT, MIN_FOLLOW_WAIT
 from pipitlink.cluster.state_transfer import StateTransfer
 from pipitlink.timers import spawn
