--- a/pipitlink/gateway/dispatch.py
+++ b/pipitlink/gateway/dispatch.py
@@ -264,7 +264,7 @@
         if h.final:
             await h.wait_durable()
         else:
-            await h.append([LogRecord(ended=Ended(why=why)).SerializeToString()], final=True, reserved=True)
+            await h.append([LogRecord(ended=Ended(reason=why)).SerializeToString()], final=True, reserved=True)
 
     async def _let_go(self, o: OpenLot):
         h, o.leaseholder = o.leaseholder, None
--- a/pipitlink/gateway/fetching.py
+++ b/pipitlink/gateway/fetching.py
@@ -27,7 +27,7 @@
         self._request.registerProducer(self.transport, True)
 
     def dataReceived(self, data):
-        self._ask.trigger("piece")
+        self._ask.trigger("receive")
         self._ask.size += len(data)
         self._request.write(data)
 
--- a/pipitlink/gateway/keyed.py
+++ b/pipitlink/gateway/keyed.py
@@ -16,7 +16,7 @@
     WireError,
 )
 from ..timers import secs, wall_ms
-from ..wire.lots_pb2 import KeyedLot, KeyedResponse, LogRecord, Lot
+from ..wire.lots_pb2 import KeyedLotRequest, KeyedLotResponse, LogRecord, Lot
 
 __all__ = ["Keyed"]
 
@@ -58,9 +58,9 @@
     def _open_keyed(self):
         self._shards: dict[str, _Shard] = {}
         self._turns = [defer.DeferredLock() for _ in range(SHARDS)]
-        self._ctx.rpc.register_handler("lots.keyed", KeyedLot, self._keyed_for)
+        self._ctx.rpc.register_handler("lots.keyed", KeyedLotRequest, self._keyed_for)
 
-    async def _keyed_for(self, node, ask: KeyedLot) -> KeyedResponse:
+    async def _keyed_for(self, node, ask: KeyedLotRequest) -> KeyedLotResponse:
         return await self._keyed_here(ask.lot)
 
     async def _store_keyed(self, lot: Lot) -> tuple[str, bool]:
@@ -72,7 +72,7 @@
             m = self._ctx.membership.find(owner)
             try:
                 r = await self._ctx.rpc.call(
-                    (m.host, m.port), "lots.keyed", KeyedLot(lot=lot), KeyedResponse, FORWARD_LIMIT
+                    (m.host, m.port), "lots.keyed", KeyedLotRequest(lot=lot), KeyedLotResponse, FORWARD_LIMIT
                 )
             except (WireError, RemoteError) as e:
                 unsent = (
@@ -99,7 +99,7 @@
     def _shard_of(self, lot: Lot) -> int:
         return blake2b(f"{lot.customer}\0{lot.key}".encode(), digest_size=1).digest()[0] % SHARDS
 
-    async def _keyed_here(self, lot: Lot) -> KeyedResponse:
+    async def _keyed_here(self, lot: Lot) -> KeyedLotResponse:
         n = self._shard_of(lot)
         key, digest = f"{lot.customer}\0{lot.key}", _digest(lot)
         async with self._turns[n]:
@@ -110,14 +110,14 @@
                 if key in s.keys:
                     lot_id, other = s.keys[key]
                     await s.leaseholder.wait_durable()
-                    return KeyedResponse(lot=lot_id, again=True, same=other == digest)
+                    return KeyedLotResponse(lot=lot_id, again=True, same=other == digest)
             h = shards[0].leaseholder
             if not all(s.leaseholder.is_held() for s in shards):
                 raise LeaseNotHeld("the lease of this key's log is not current")
             start = await h.append([LogRecord(lot=lot).SerializeToString()])
             lot_id = f"{h.log.removeprefix('lots/')}.{start}"
             self._known(lot_id, lot)
-            return KeyedResponse(lot=lot_id, same=True)
+            return KeyedLotResponse(lot=lot_id, same=True)
 
     async def _shard(self, log: str) -> _Shard:
         s = self._shards.get(log)
--- a/pipitlink/gateway/lots.py
+++ b/pipitlink/gateway/lots.py
@@ -114,7 +114,9 @@
             try:
                 h = self._ctx.replicated_log.leaseholders.get(log) or await self._ctx.replicated_log.acquire(log)
                 if not h.final:
-                    await h.append([LogRecord(ended=Ended(why="done")).SerializeToString()], final=True, reserved=True)
+                    await h.append(
+                        [LogRecord(ended=Ended(reason="done")).SerializeToString()], final=True, reserved=True
+                    )
                 await self._ctx.replicated_log.release([h])
                 self._ctx.logger.info("lot_log_ended", log=log, lots=len(self._lots_of.get(log, ())))
                 self._leave_log(log)
--- a/pipitlink/gateway/picking.py
+++ b/pipitlink/gateway/picking.py
@@ -124,7 +124,7 @@
         place = self.engines.take(e, ask.lot)
         ask.give_back = lambda: (place(), self.come_back.freed())
         ask.tries += 1
-        ask.trigger("pick")
+        ask.trigger("choose_engine")
         return False
 
     def _may_yet_come(self, ask) -> bool:
@@ -147,11 +147,11 @@
             return False
         if not self._retry_budget.take():
             return False
-        if ask.state == "taken":
+        if ask.state == "waiting":
             return True
         if ask.state == "lost" and ask.repeatable:
             ask.reached = True
-            ask.trigger("again")
+            ask.trigger("retry")
             return True
         return False
 
--- a/pipitlink/gateway/relaying.py
+++ b/pipitlink/gateway/relaying.py
@@ -221,7 +221,7 @@
         except defer.CancelledError:
             raise
         except Exception as f:
-            fault = self._unsent(ask, e, f) if ask.state == "picked" else self._sent_badly(ask, e, f)
+            fault = self._unsent(ask, e, f) if ask.state == "engine_chosen" else self._sent_badly(ask, e, f)
         finally:
             ask.give()
         if self._may_go_again(ask):
@@ -231,7 +231,7 @@
 
     def _unsent(self, ask, e, f) -> Exception:
         """No byte left this gateway."""
-        ask.trigger("unreached")
+        ask.trigger("connect_failed")
         if isinstance(f, ConnectError):
             self.engines.failed(e)
             return ServiceUnavailable(f"engine {e.name} could not be reached: {f}", code="unreached")
@@ -245,7 +245,7 @@
 
     def _sent_badly(self, ask, e, f) -> Exception:
         if isinstance(f, ServiceUnavailable):
-            ask.trigger("refuse")
+            ask.trigger("reject")
             self.engines.refused(e)
             return f
         ask.trigger("lose")
--- a/pipitlink/gateway/requests.py
+++ b/pipitlink/gateway/requests.py
@@ -64,7 +64,7 @@
             give_back, self.give_back = self.give_back, None
             give_back()
 
-    def _unpick(self):
+    def _release_engine(self):
         self.give()
         if self.engine is not None:
             self.avoid.add(self.engine.name)
@@ -88,7 +88,7 @@
         return self.fault is not None or self.state == "done"
 
     def show(self, text: str):
-        self.trigger("piece")
+        self.trigger("receive")
         if not self.pieces and self.on_first is not None:
             self.on_first()
         self.pieces.append(text)
--- a/pipitlink/gateway/results.py
+++ b/pipitlink/gateway/results.py
@@ -38,7 +38,7 @@
             self.listed.add(record.result.item)
             self.results.append(record.result)
         elif what == "ended":
-            self.ended = self.ended or record.ended.why
+            self.ended = self.ended or record.ended.reason
 
 
 class Results:
--- a/rehearsal/staged.py
+++ b/rehearsal/staged.py
@@ -2,11 +2,11 @@
 byte.
 """
 
+from pipitlink.gateway.request_record import RequestRecord
 from twisted.internet import defer
 
 from pipitlink.errors import ApiError, EngineError, PipitlinkError, ServiceUnavailable
 from pipitlink.gateway import GatewayNode
-from pipitlink.gateway.requests import RequestRecord
 from pipitlink.timers import ms, secs, spawn, wall_ms
 from pipitlink.wire.lots_pb2 import Item, Lot
 from pipitlink.wire.membership_pb2 import EngineUpdate
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -1,13 +1,14 @@
 """Each line of "What must never happen": the failure is brought about on a stage, and without its guard it shows."""
 
+from pipitlink.gateway.engine_registry import EngineRegistry
+from pipitlink.gateway.request_record import RequestRecord
+
 from pipitlink.cluster import ClusterFollower, ClusterState
 from pipitlink.controller.log_replication import LogReplication
 from pipitlink.errors import PipitlinkError
 from pipitlink.gateway.dispatch import Dispatch
-from pipitlink.gateway.engines import Engines
 from pipitlink.gateway.lots import OpenLot, result_log
 from pipitlink.gateway.picking import Picking
-from pipitlink.gateway.requests import RequestRecord
 from pipitlink.gateway.results import Results
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit, ZoneEdit
@@ -328,7 +329,7 @@
         {},
         Picking,
         "_may_go_again",
-        lambda self, ask: ask.state == "lost" and (ask.trigger("again") or True),
+        lambda self, ask: ask.state == "lost" and (ask.trigger("retry") or True),
         "not the engine's own",
     ),
     "what was sent is unknown until the end": (
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -3,14 +3,14 @@
 from datetime import UTC, datetime
 from random import Random
 
+from pipitlink.gateway.engine_registry import EngineRegistry
+from pipitlink.gateway.request_record import RequestRecord
 from twisted.internet.task import Clock
 
 from pipitlink.cluster import ClusterState
 from pipitlink.errors import ConnectionFailed
-from pipitlink.gateway.engines import Engines
 from pipitlink.gateway.limits import ComeBack, Limits
 from pipitlink.gateway.picking import Picking, RetryBudget
-from pipitlink.gateway.requests import RequestRecord
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, secs, spawn
 from pipitlink.wire.membership_pb2 import EngineUpdate, Loads, Member
--- a/tests/test_fetch_answers.py
+++ b/tests/test_fetch_answers.py
@@ -3,10 +3,10 @@
 import unittest
 from types import SimpleNamespace
 
+from pipitlink.gateway.request_record import RequestRecord
 from twisted.web.http_headers import Headers
 
 from pipitlink.gateway.fetching import Fetching
-from pipitlink.gateway.requests import RequestRecord
 from pipitlink.timers import secs, spawn
 
 from .test_first_byte import _Relayer
