--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -19,7 +19,7 @@
     from .cache import Cache
     from .changes import Changes
     from .cluster import Cluster
-    from .gateway.engines import Engines as GatewayEngines
+    from .gateway.engine_registry import EngineRegistry as GatewayEngines
     from .membership import Membership
     from .reactor_types import Reactor
     from .replicated_log import ReplicatedLog
--- /dev/null
+++ b/pipitlink/gateway/checked_connection.py
@@ -0,0 +1,78 @@
+"""Connections to engines that carry a request only if it may still be sent."""
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from twisted.internet import defer
+from twisted.internet.endpoints import TCP4ClientEndpoint, TCP6ClientEndpoint
+from twisted.internet.interfaces import IProtocolFactory
+from twisted.web.client import HTTPConnectionPool
+
+from ..reactor_types import TcpTransport
+from ..timers import secs
+
+__all__ = ["CheckedConnectionPool", "CheckedEndpoint", "HttpConnection"]
+
+CONNECT_TIMEOUT = secs(1)
+
+
+class HttpConnection(Protocol):
+    """A connection as Twisted's HTTP client has it."""
+
+    transport: TcpTransport
+
+
+class CheckedEndpoint:
+    """Where one request goes, the check that it may still go there, and the connection that it went on.
+
+    It is its own endpoint factory, for an Agent that sends just this request.
+    """
+
+    def __init__(self, reactor: Any, check: Callable[[], None]) -> None:
+        self._reactor = reactor
+        self._endpoint: TCP4ClientEndpoint | TCP6ClientEndpoint | None = None
+        self.check = check
+        self.connection: HttpConnection | None = None
+
+    def endpointForURI(self, uri: Any) -> "CheckedEndpoint":  # noqa: N802 - twisted's interface
+        """Takes the address of a URI, and returns itself."""
+        endpoint_type = TCP6ClientEndpoint if b":" in uri.host else TCP4ClientEndpoint
+        self._endpoint = endpoint_type(self._reactor, uri.host.decode(), uri.port, CONNECT_TIMEOUT.total_seconds())
+        return self
+
+    def connect(self, factory: IProtocolFactory) -> defer.Deferred[Any]:
+        """Opens the connection."""
+        assert self._endpoint is not None
+        return self._endpoint.connect(factory)
+
+    def abort(self) -> None:
+        """Closes the connection at once, which the transport that a body's reader gets cannot."""
+        assert self.connection is not None
+        self.connection.transport.abortConnection()
+
+
+class CheckedConnectionPool(HTTPConnectionPool):
+    """Hands a connection over only if the request may still be sent, in the very step that writes its first byte.
+
+    Each request has a connection of its own: engines give no ids, and nothing else tells a late or second response from
+    the next one.
+    """
+
+    retryAutomatically = False  # noqa: N815 - twisted's interface
+
+    def getConnection(  # noqa: N802 - twisted's interface
+        self, key: Any, endpoint: CheckedEndpoint
+    ) -> defer.Deferred[Any]:
+        """Opens a connection, and fires with it if the check of the endpoint passes."""
+        twisted_endpoint: Any = endpoint
+        opening: defer.Deferred[Any] = super().getConnection(key, twisted_endpoint)
+        return opening.addCallback(self._check, endpoint)
+
+    def _check(self, connection: HttpConnection, endpoint: CheckedEndpoint) -> HttpConnection:
+        try:
+            endpoint.check()
+        except Exception:
+            connection.transport.abortConnection()
+            raise
+        endpoint.connection = connection
+        return connection
--- /dev/null
+++ b/pipitlink/gateway/engine.py
@@ -0,0 +1,61 @@
+"""An engine as one gateway knows it."""
+
+from datetime import timedelta
+from enum import StrEnum
+
+import attrs
+
+from ..wire.membership_pb2 import EngineUpdate
+
+__all__ = ["Engine", "EngineStatus", "PeerLoad"]
+
+
+class EngineStatus(StrEnum):
+    """Whether an engine may get new requests; operators see the values."""
+
+    READY = "ready"
+    SUSPECT = "suspect"
+    GONE = "gone"
+    DRAINING = "leaving"
+
+
+@attrs.frozen
+class PeerLoad:
+    """How many requests another gateway reported to run on an engine, and when the report came."""
+
+    running: int
+    reported_at: timedelta
+
+
+@attrs.define(eq=False)
+class Engine:
+    """One incarnation of an engine. Times are on the timers' clock.
+
+    `live_requests` and `lot_items` count what this gateway runs on it; `peer_loads` has the last report of each other
+    gateway.
+    """
+
+    update: EngineUpdate
+    renewed_at: timedelta
+    ready_since: timedelta
+    live_requests: int = 0
+    lot_items: int = 0
+    failed_at: timedelta | None = None
+    peer_loads: dict[str, PeerLoad] = attrs.field(factory=dict)
+
+    @property
+    def name(self) -> str:
+        """The engine's name, which is the same in all its incarnations."""
+        return self.update.engine
+
+    @property
+    def local_requests(self) -> int:
+        """The number of requests that this gateway runs on it."""
+        return self.live_requests + self.lot_items
+
+    def change_local_requests(self, change: int, *, lot_item: bool) -> None:
+        """Adds to this gateway's count of one kind, which never falls below zero."""
+        if lot_item:
+            self.lot_items = max(0, self.lot_items + change)
+        else:
+            self.live_requests = max(0, self.live_requests + change)
--- /dev/null
+++ b/pipitlink/gateway/engine_api.py
@@ -0,0 +1,44 @@
+"""The HTTP handler of engines that announce themselves."""
+
+from twisted.web.server import Request
+
+from ..context import Context
+from ..web import answered, send_json
+from ..wire.membership_pb2 import EngineUpdate
+from .engine_registry import EngineRegistry
+from .request_bodies import EngineBody, read_json
+
+__all__ = ["EngineApi"]
+
+RENEW_INTERVAL_MS = 1000
+
+
+class EngineApi:
+    """Takes announcements of engines, and tells them the gateways at which they may renew them."""
+
+    def __init__(self, ctx: Context, registry: EngineRegistry) -> None:
+        self._ctx = ctx
+        self._registry = registry
+
+    @answered
+    async def announce(self, request: Request) -> bytes:
+        """Takes one announcement; responds with the interval to renew it and the gateways' addresses."""
+        body = read_json(request, EngineBody)
+        self._registry.announce(
+            EngineUpdate(
+                engine=body.engine,
+                incarnation=body.incarnation,
+                address=body.address,
+                pool=body.pool,
+                models=body.models,
+                capacity=body.capacity,
+                zone=body.zone,
+                state=body.state,
+            )
+        )
+        response: bytes = send_json(request, {"renew_ms": RENEW_INTERVAL_MS, "gateways": self._gateway_addresses()})
+        return response
+
+    def _gateway_addresses(self) -> list[str]:
+        gateways = self._ctx.membership.members("gateway", status=("alive",))
+        return [f"{member.host}:{member.http_port}" for member in gateways]
--- /dev/null
+++ b/pipitlink/gateway/engine_candidates.py
@@ -0,0 +1,73 @@
+"""Which engines may serve a request, by the table of the cluster state."""
+
+import attrs
+
+from ..context import Context
+from ..wire.cluster_pb2 import Row
+from .engine import Engine, EngineStatus
+from .engine_registry import EngineRegistry
+
+__all__ = ["Candidate", "EngineCandidates"]
+
+DEFAULT_WEIGHT = 1.0
+
+
+@attrs.frozen(eq=False)
+class Candidate:
+    """An engine that may serve a request, and the weight of its row."""
+
+    engine: Engine
+    weight: float
+
+
+class EngineCandidates:
+    """Matches requests with engines: by model or pool, the rows' weights, and zones that are emptied."""
+
+    def __init__(self, ctx: Context, registry: EngineRegistry) -> None:
+        self._ctx = ctx
+        self._registry = registry
+
+    def find(self, model: str, pool: str = "") -> list[Candidate]:
+        """Returns the engines that serve a pool, or where none is given a model, by name."""
+        candidates = []
+        for engine in self._registry.all():
+            if not _serves(engine, model, pool):
+                continue
+            row = self._row(model, engine.update.pool)
+            weight = row.weight if row is not None else DEFAULT_WEIGHT
+            if weight > 0 and not self._ctx.cluster.zone_empty(engine.update.zone):
+                candidates.append(Candidate(engine, weight))
+        return candidates
+
+    def find_ready(self, model: str, pool: str = "") -> list[Candidate]:
+        """Returns the candidates that may get new requests now."""
+        return [
+            candidate
+            for candidate in self.find(model, pool)
+            if self._registry.status(candidate.engine) == EngineStatus.READY
+        ]
+
+    def row_of(self, model: str, pool: str) -> Row | None:
+        """Returns the first row that applies to the model at an engine that may serve it, None where none does."""
+        for candidate in self.find(model, pool):
+            row = self._row(model, candidate.engine.update.pool)
+            if row is not None:
+                return row
+        return None
+
+    def lot_reserve(self, model: str, engine: Engine) -> float:
+        """Returns the share of an engine's capacity that lots leave to live requests."""
+        row = self._row(model, engine.update.pool)
+        if row is not None and row.lot_share > 0:
+            return 1 - row.lot_share
+        return self._ctx.settings.lot_reserve
+
+    def _row(self, model: str, pool: str) -> Row | None:
+        row: Row | None = self._ctx.cluster.row(model, pool)
+        return row
+
+
+def _serves(engine: Engine, model: str, pool: str) -> bool:
+    if pool:
+        return engine.update.pool == pool
+    return model in engine.update.models
--- /dev/null
+++ b/pipitlink/gateway/engine_registry.py
@@ -0,0 +1,168 @@
+"""The engines that gateways have heard of, and whether they may get requests."""
+
+from collections.abc import Callable
+from datetime import timedelta
+
+from ..context import Context
+from ..timers import ZERO, ms, secs, spawn, to_ms
+from ..wire.frame_pb2 import Empty
+from ..wire.membership_pb2 import EngineList, EngineUpdate, Gossip
+from ..wire.rpc import Address
+from .engine import Engine, EngineStatus
+
+__all__ = ["EngineRegistry"]
+
+ENGINE_TIMEOUT = secs(3)
+FORGET_AFTER = secs(60)
+FAILURE_BACKOFF = secs(1)
+SUSPENSION_THRESHOLD = secs(1.5)
+STALE_MESSAGE_SPAN = ms(500)
+PUSH_TIMEOUT = ms(500)
+MAX_GOSSIPED_ENGINES = 1024
+
+
+class EngineRegistry:
+    """The engines as this gateway believes them to be, spread among gateways by pushes and gossip.
+
+    An engine announces itself at any gateway about once a second. A gateway that was suspended, as a stopped process or
+    a sleeping machine is, trusts no engine until it is heard again.
+    """
+
+    def __init__(self, ctx: Context) -> None:
+        self._ctx = ctx
+        self._engines: dict[str, Engine] = {}
+        self._new_engine_listeners: list[Callable[[], None]] = []
+        self._checked_at = ctx.timers.now()
+        self._resumed_at = ZERO
+
+    def start(self) -> None:
+        """Registers the handler of pushes, and has the engines carried by the gossip of the membership."""
+        self._ctx.rpc.register_handler("engines.tell", EngineList, self._handle_update)
+        self._ctx.membership.carry(self._fill, self._take)
+
+    def add_new_engine_listener(self, listener: Callable[[], None]) -> None:
+        """Has a function called for each incarnation of an engine that is heard of first."""
+        self._new_engine_listeners.append(listener)
+
+    def all(self) -> list[Engine]:
+        """Returns the known engines by name."""
+        return sorted(self._engines.values(), key=lambda engine: engine.name)
+
+    def unordered(self) -> list[Engine]:
+        """Returns the known engines in the order in which they were heard of."""
+        return list(self._engines.values())
+
+    def get(self, name: str) -> Engine | None:
+        """Returns the engine of a name, None where it is not known."""
+        return self._engines.get(name)
+
+    def announce(self, update: EngineUpdate) -> None:
+        """Takes an engine's announcement of itself, and pushes it to the other gateways."""
+        update.age_ms = 0
+        self.merge(update)
+        self._push(EngineList(engines=[self._engines[update.engine].update]))
+
+    def merge(self, update: EngineUpdate) -> None:
+        """Takes what an engine said of itself `update.age_ms` ago, where that is newer than what is known."""
+        now = self._ctx.timers.now()
+        renewed_at = now - ms(update.age_ms)
+        if now - renewed_at > FORGET_AFTER or not update.engine:
+            return
+        engine = self._engines.get(update.engine)
+        if engine is None or update.incarnation > engine.update.incarnation:
+            self._add_incarnation(update, renewed_at, engine)
+        elif update.incarnation == engine.update.incarnation:
+            self._renew(engine, update, renewed_at)
+
+    def status(self, engine: Engine) -> EngineStatus:
+        """Returns whether the engine may get new requests, as far as is known here."""
+        now = self.check_for_suspension()
+        if engine.update.state == EngineStatus.DRAINING:
+            return EngineStatus.DRAINING
+        if now - engine.renewed_at > ENGINE_TIMEOUT:
+            return EngineStatus.GONE
+        if engine.renewed_at < self._resumed_at or self._failed_recently(engine, now):
+            return EngineStatus.SUSPECT
+        return EngineStatus.READY
+
+    def record_failure(self, engine: Engine) -> None:
+        """Has the engine avoided for a short while, since it could not be reached or failed."""
+        engine.failed_at = self._ctx.timers.now()
+
+    def check_for_suspension(self) -> timedelta:
+        """Notes whether this process was suspended since the last call, and returns the present time.
+
+        What engines said meanwhile is not known until they are heard again.
+        """
+        now = self._ctx.timers.now()
+        if now - self._checked_at > SUSPENSION_THRESHOLD:
+            self._resumed_at = now
+        self._checked_at = now
+        return now
+
+    def forget_silent_engines(self, now: timedelta) -> None:
+        """Drops engines that were not heard of for long and run nothing of this gateway's."""
+        for name, engine in list(self._engines.items()):
+            if now - engine.renewed_at > FORGET_AFTER and not engine.local_requests:
+                del self._engines[name]
+
+    def _push(self, engines: EngineList) -> None:
+        for member in self._ctx.membership.members("gateway", me=False):
+            address: Address = (member.host, member.port)
+            call = spawn(self._ctx.rpc.call(address, "engines.tell", engines, Empty, PUSH_TIMEOUT))
+            call.addErrback(lambda _: None)
+
+    async def _handle_update(self, _: str, engines: EngineList) -> None:
+        if not self._just_resumed():
+            for update in engines.engines:
+                self.merge(update)
+
+    def _fill(self, gossip: Gossip) -> None:
+        """Adds all known engines to outgoing gossip."""
+        now = self._ctx.timers.now()
+        for engine in self._engines.values():
+            update = gossip.engines.add()
+            update.CopyFrom(engine.update)
+            update.age_ms = to_ms(now - engine.renewed_at)
+
+    def _take(self, gossip: Gossip) -> None:
+        """Merges the engines of received gossip."""
+        if not self._just_resumed():
+            for update in gossip.engines[:MAX_GOSSIPED_ENGINES]:
+                self.merge(update)
+
+    def _just_resumed(self) -> bool:
+        """Returns whether a message may have waited while this process was suspended, so that its ages are too low."""
+        now = self.check_for_suspension()
+        return self._resumed_at > ZERO and now - self._resumed_at < STALE_MESSAGE_SPAN
+
+    def _add_incarnation(self, update: EngineUpdate, renewed_at: timedelta, previous: Engine | None) -> None:
+        own_copy = EngineUpdate()
+        own_copy.CopyFrom(update)
+        engine = Engine(own_copy, renewed_at, self._ctx.timers.now())
+        if previous is not None:
+            engine.live_requests = previous.live_requests
+            engine.lot_items = previous.lot_items
+            engine.peer_loads = previous.peer_loads
+        self._engines[update.engine] = engine
+        self._ctx.logger.info(
+            "engine",
+            engine=update.engine,
+            state=update.state,
+            incarnation=update.incarnation,
+            address=update.address,
+        )
+        for listener in self._new_engine_listeners:
+            listener()
+
+    def _renew(self, engine: Engine, update: EngineUpdate, renewed_at: timedelta) -> None:
+        now = self._ctx.timers.now()
+        if now - engine.renewed_at > ENGINE_TIMEOUT and now - renewed_at < ENGINE_TIMEOUT:
+            engine.ready_since = now
+        engine.renewed_at = max(engine.renewed_at, renewed_at)
+        if update.state == EngineStatus.DRAINING and engine.update.state != EngineStatus.DRAINING:
+            engine.update.state = update.state
+            self._ctx.logger.info("engine", engine=update.engine, state=update.state, incarnation=update.incarnation)
+
+    def _failed_recently(self, engine: Engine, now: timedelta) -> bool:
+        return engine.failed_at is not None and now - engine.failed_at < FAILURE_BACKOFF
--- /dev/null
+++ b/pipitlink/gateway/engine_relay.py
@@ -0,0 +1,137 @@
+"""The stage that sends a prompt to an engine and reads the streamed completion."""
+
+import json
+from collections.abc import Callable
+from typing import Any
+
+from twisted.internet import defer
+
+from ..context import Context
+from ..errors import EngineError, ServiceUnavailable
+from ..timers import secs, spawn
+from ..whole_body import WholeBody
+from .engine import Engine, EngineStatus
+from .engine_registry import EngineRegistry
+from .request_record import RequestRecord
+from .request_sender import REJECTED_CODES, RequestSender
+from .token_stream import TokenStreamReader
+
+__all__ = ["EngineRelay"]
+
+SILENCE_CHECK_INTERVAL = secs(1)
+GONE_ENGINE_SILENCE = secs(3)
+SILENT_CHECKS = 2
+MAX_ERROR_LENGTH = 200
+OK = 200
+
+
+class _SilenceWatch:
+    """Cancels an exchange in which nothing is received for too long.
+
+    It takes two checks in a row, so that a process that was suspended reads first what came meanwhile.
+    """
+
+    def __init__(self, ctx: Context, is_engine_gone: Callable[[], bool]) -> None:
+        self._ctx = ctx
+        self._is_engine_gone = is_engine_gone
+        self._received_at = ctx.timers.now()
+        self._next_check: Any = None
+        self._exchange: defer.Deferred[None] | None = None
+        self._silent_checks = 0
+        self.timed_out = False
+
+    def start(self, exchange: defer.Deferred[None]) -> None:
+        """Watches an exchange from now on."""
+        self._exchange = exchange
+        self._next_check = self._ctx.timers.call_later(SILENCE_CHECK_INTERVAL, self._check)
+
+    def record_data(self) -> None:
+        """Notes that something was received."""
+        self._received_at = self._ctx.timers.now()
+
+    def stop(self) -> None:
+        """Watches no more."""
+        if self._next_check is not None and self._next_check.active():
+            self._next_check.cancel()
+
+    def _check(self) -> None:
+        self._silent_checks = self._silent_checks + 1 if self._is_silent() else 0
+        if self._silent_checks >= SILENT_CHECKS:
+            self.timed_out = True
+            assert self._exchange is not None
+            self._exchange.cancel()
+        else:
+            self._next_check = self._ctx.timers.call_later(SILENCE_CHECK_INTERVAL, self._check)
+
+    def _is_silent(self) -> bool:
+        silence = self._ctx.timers.now() - self._received_at
+        if silence > secs(self._ctx.settings.engine_silence_s):
+            return True
+        return silence > GONE_ENGINE_SILENCE and self._is_engine_gone()
+
+
+class EngineRelay:
+    """Exchanges prompts and completions with engines, over their OpenAI-style HTTP interface."""
+
+    def __init__(self, ctx: Context, registry: EngineRegistry, sender: RequestSender) -> None:
+        self._ctx = ctx
+        self._registry = registry
+        self._sender = sender
+
+    async def relay(self, request: RequestRecord) -> bool:
+        """Stage: sends the request to its engine and reads the response; returns whether it is to be retried."""
+        return await self._sender.send(request, self.exchange)
+
+    async def exchange(self, request: RequestRecord, engine: Engine) -> None:
+        """Runs one exchange, and gives it up where the engine falls silent, sooner where it is gone as well."""
+        watch = _SilenceWatch(self._ctx, lambda: self._registry.status(engine) == EngineStatus.GONE)
+        work = spawn(self._send_and_read(request, engine, watch))
+        watch.start(work)
+        try:
+            await work
+        except Exception:
+            work.cancel()
+            if watch.timed_out:
+                raise EngineError(f"engine {engine.name} fell silent", code="silent") from None
+            raise
+        finally:
+            watch.stop()
+
+    async def _send_and_read(self, request: RequestRecord, engine: Engine, watch: _SilenceWatch) -> None:
+        headers: dict[str | bytes, str | bytes] = {
+            "Content-Type": "application/json",
+            "X-Request-Id": request.id,
+            "X-Prefix-Key": request.prefix_key,
+        }
+        body: Any = WholeBody(_completion_request(request))
+        client = self._sender.client_for(request, engine)
+        response = await client.http.post(
+            f"http://{engine.update.address}/v1/completions",
+            data=body,
+            unbuffered=True,
+            headers=headers,
+            allow_redirects=False,
+        )
+        if response.code in REJECTED_CODES:
+            await self._sender.discard(response)
+            raise ServiceUnavailable(f"engine {engine.name} refused with {response.code}", code="engine_crowded")
+        if response.code != OK:
+            text = await self._sender.discard(response)
+            raise EngineError(
+                f"engine {engine.name} answered {response.code}: {text[:MAX_ERROR_LENGTH]}",
+                code="engine_refused",
+                outcome="failed",
+            )
+        reader = TokenStreamReader(request, client.endpoint.abort, watch.record_data)
+        response.deliverBody(reader)
+        await reader.finished
+
+
+def _completion_request(request: RequestRecord) -> bytes:
+    content = {
+        "model": request.model,
+        "prompt": request.prompt,
+        "max_tokens": request.max_tokens,
+        "stream": True,
+    }
+    return json.dumps(content).encode()
--- /dev/null
+++ b/pipitlink/gateway/engine_selector.py
@@ -0,0 +1,149 @@
+"""The stage that chooses an engine: weights, status, zone, prefix affinity and bounded load."""
+
+import math
+from collections.abc import Callable
+from datetime import timedelta
+from functools import partial
+
+from twisted.internet import defer
+
+from ..context import Context
+from ..errors import NotFound, ServiceUnavailable
+from ..rendezvous import rank
+from ..timers import ZERO, ms, secs
+from .engine import Engine
+from .engine_candidates import Candidate, EngineCandidates
+from .engine_slots import EngineSlots
+from .rate_limits import RateLimits
+from .request_record import RequestRecord
+from .retry_after import RetryAfterEstimator
+from .serving_state import ServingState
+
+__all__ = ["EngineSelector"]
+
+SLOT_WAIT = ms(500)
+SLOT_POLL_INTERVAL = ms(100)
+MAX_WAITING = 128
+STARTUP_SPAN = secs(4)
+UNHEARD_RETRY_AFTER_S = 2
+LOAD_BOUND = 1.25
+RANK_VALUES = 2**64
+
+
+def _affinity_score(key: str, candidate: Candidate) -> float:
+    """Returns a candidate's score for a prefix key by weighted rendezvous hashing; the highest one wins."""
+    value = int.from_bytes(rank(key, candidate.engine.name), "big")
+    return -candidate.weight / math.log((value + 1) / (RANK_VALUES + 1))
+
+
+class EngineSelector:
+    """Chooses an engine for each attempt, and lets some requests wait a short while for a free slot."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        serving: ServingState,
+        slots: EngineSlots,
+        candidates: EngineCandidates,
+        rate_limits: RateLimits,
+        retry_after: RetryAfterEstimator,
+    ) -> None:
+        self._ctx = ctx
+        self._serving = serving
+        self._slots = slots
+        self._candidates = candidates
+        self._rate_limits = rate_limits
+        self._retry_after = retry_after
+        self._waiting = 0
+
+    async def choose_engine(self, request: RequestRecord) -> bool:
+        """Stage: takes a slot of an engine, and a permit where the request's row bounds the concurrency.
+
+        Raises ApiError where no engine serves the request, none is left, or none has a free slot in time.
+        """
+        await self._rate_limits.acquire_permit(request)
+        engine = await self._wait_for_engine(request)
+        request.engine = engine
+        release_slot = self._slots.acquire(engine, lot_item=request.is_lot_item)
+        request.release_slot = partial(self._release_slot, release_slot)
+        request.attempts += 1
+        request.trigger("choose_engine")
+        return False
+
+    def select(self, request: RequestRecord) -> Engine | None:
+        """Returns the best engine with a free slot, None where there is none now."""
+        ready = [
+            candidate
+            for candidate in self._candidates.find_ready(request.model, request.pool)
+            if candidate.engine.name not in request.excluded_engines
+        ]
+        free = [candidate for candidate in ready if self._has_free_slot(request, candidate.engine)]
+        if not free:
+            return None
+        loads = {candidate.engine.name: self._load(candidate.engine) for candidate in ready}
+        if request.prefix_key:
+            return self._select_by_prefix(request.prefix_key, free, loads)
+        return min(
+            free,
+            key=lambda candidate: (loads[candidate.engine.name] / candidate.weight, self._ctx.rng.random()),
+        ).engine
+
+    async def _wait_for_engine(self, request: RequestRecord) -> Engine:
+        give_up_at = min(request.deadline, self._ctx.timers.now() + SLOT_WAIT)
+        while True:
+            engine = self.select(request)
+            if engine is not None:
+                return engine
+            self._check_candidates(request)
+            left = give_up_at - self._ctx.timers.now()
+            if left <= ZERO or self._waiting >= MAX_WAITING:
+                raise ServiceUnavailable("no back end has room", retry_after=self._retry_after.seconds())
+            await self._wait_for_free_slot(left)
+
+    def _check_candidates(self, request: RequestRecord) -> None:
+        """Raises ApiError where waiting for a free slot is in vain."""
+        candidates = self._candidates.find(request.model, request.pool)
+        wanted = request.pool or request.model
+        if not candidates and self._may_be_announced_soon(request):
+            raise ServiceUnavailable(
+                f"nothing that serves {wanted!r} is heard now", code="none_heard", retry_after=UNHEARD_RETRY_AFTER_S
+            )
+        if not candidates:
+            raise NotFound(f"nothing serves {wanted!r}", field="pool" if request.pool else "model")
+        if all(candidate.engine.name in request.excluded_engines for candidate in candidates):
+            raise request.last_rejection or ServiceUnavailable("no other back end is left to try")
+
+    def _has_free_slot(self, request: RequestRecord, engine: Engine) -> bool:
+        reserve = self._candidates.lot_reserve(request.model, engine) if request.is_lot_item else 0.0
+        return self._slots.free_slots(engine, reserve) > 0
+
+    def _load(self, engine: Engine) -> float:
+        return self._slots.running(engine) / max(1, self._slots.capacity(engine))
+
+    def _select_by_prefix(self, prefix_key: str, free: list[Candidate], loads: dict[str, float]) -> Engine:
+        """Returns the engine that the key belongs to, or the next one while that is loaded above the others."""
+        bound = LOAD_BOUND * sum(loads.values()) / len(loads)
+        free.sort(key=lambda candidate: -_affinity_score(prefix_key, candidate))
+        for candidate in free:
+            one_request = 1 / max(1, self._slots.capacity(candidate.engine))
+            if loads[candidate.engine.name] <= bound + one_request:
+                return candidate.engine
+        return free[0].engine
+
+    def _may_be_announced_soon(self, request: RequestRecord) -> bool:
+        """A gateway that just started has not heard all engines yet, and those that the table names may come back."""
+        starting = self._ctx.timers.now() - self._serving.started_at < STARTUP_SPAN
+        return starting or self._ctx.cluster.row(request.model, request.pool) is not None
+
+    async def _wait_for_free_slot(self, left: timedelta) -> None:
+        waiter: defer.Deferred[None] = defer.Deferred()
+        self._slots.add_waiter(waiter)
+        self._waiting += 1
+        try:
+            await self._ctx.timers.wait_at_most(waiter, min(left, SLOT_POLL_INTERVAL))
+        finally:
+            self._waiting -= 1
+
+    def _release_slot(self, release_slot: Callable[[], None]) -> None:
+        release_slot()
+        self._retry_after.record_release()
--- /dev/null
+++ b/pipitlink/gateway/engine_slots.py
@@ -0,0 +1,199 @@
+"""This gateway's share of the engines' capacity."""
+
+from collections.abc import Callable
+from functools import partial
+from hashlib import blake2b
+from typing import Protocol
+
+import attrs
+from twisted.internet import defer
+
+from ..context import Context
+from ..timers import ms, secs, spawn, wall_ms
+from ..wire.frame_pb2 import Empty
+from ..wire.membership_pb2 import Load, Loads
+from ..wire.rpc import Address
+from .engine import Engine, PeerLoad
+from .engine_registry import EngineRegistry
+
+__all__ = ["CapacityShare", "EngineSlots", "LoadsCarrier"]
+
+REPORT_INTERVAL = ms(200)
+REPORT_TIMEOUT = ms(400)
+PEER_LOAD_SPAN = secs(2)
+ACTIVE_SPAN = secs(6)
+SLOW_START_SPAN = secs(8)
+SLOW_START_MIN_SHARE = 0.1
+ROTATION_MS = 100
+PROMPT_REPORT_DELAY = ms(5)
+RANK_BYTES = 8
+
+
+class LoadsCarrier(Protocol):
+    """A part that sends more to all gateways with their loads."""
+
+    def fill_loads(self, loads: Loads) -> None:
+        """Adds what the other gateways are to know to this gateway's report."""
+
+    def absorb_loads(self, loads: Loads) -> None:
+        """Takes the report of another gateway."""
+
+
+@attrs.frozen
+class CapacityShare:
+    """A gateway's share of an engine's slots. The shares of all gateways add up; the odd slots rotate among them."""
+
+    gateways: int
+    turn: int
+
+    def of(self, slots: int) -> int:
+        """Returns how many of so many slots are this gateway's."""
+        return slots // self.gateways + (self.turn < slots % self.gateways)
+
+
+class EngineSlots:
+    """Counts what runs on each engine, here and by the reports of other gateways, and says what may be added.
+
+    Gateways report their loads several times a second, and at once where an engine in slow start got work, since its
+    slots rotate faster than that.
+    """
+
+    def __init__(self, ctx: Context, registry: EngineRegistry) -> None:
+        self._ctx = ctx
+        self._registry = registry
+        self._waiters: list[defer.Deferred[None]] = []
+        self._reported: dict[str, int] = {}
+        self._carriers: list[LoadsCarrier] = []
+        self._report_scheduled = False
+        self._active_at = ctx.timers.now()
+        registry.add_new_engine_listener(self.wake_waiters)
+
+    def start(self) -> None:
+        """Registers the handler of reports, and starts this gateway's own."""
+        self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
+        self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self.report_loads, self._ctx.report("loads"))
+
+    def add_loads_carrier(self, carrier: LoadsCarrier) -> None:
+        """Has a part fill and read the reports too."""
+        self._carriers.append(carrier)
+
+    def record_rejection(self, engine: Engine) -> None:
+        """Has an engine avoided and slow-started anew that rejects requests far below its capacity."""
+        if 2 * (self.running(engine) - 1) < self.capacity(engine):
+            engine.failed_at = engine.ready_since = self._ctx.timers.now()
+
+    def capacity(self, engine: Engine) -> int:
+        """Returns how many requests may run on the engine now, which grows with its age in slow start."""
+        age = (self._ctx.timers.now() - engine.ready_since) / SLOW_START_SPAN
+        share = min(1.0, SLOW_START_MIN_SHARE + (1 - SLOW_START_MIN_SHARE) * age)
+        return max(1, int(engine.update.capacity * share))
+
+    def running(self, engine: Engine) -> int:
+        """Returns how many requests run on the engine, from here and by recent reports of the other gateways."""
+        now = self._ctx.timers.now()
+        return engine.local_requests + sum(
+            load.running for load in engine.peer_loads.values() if now - load.reported_at < PEER_LOAD_SPAN
+        )
+
+    def free_slots(self, engine: Engine, reserve: float = 0.0) -> int:
+        """Returns how many requests this gateway may add, with a share `reserve` of the capacity left free.
+
+        That is its guaranteed share, or its part of what the shared counts leave between two reports. In slow start
+        there is no guaranteed share: other gateways may hold the few slots, which rotate.
+        """
+        capacity = int(self.capacity(engine) * (1 - reserve))
+        free = capacity - self.running(engine)
+        unreported = max(0, engine.local_requests - self._reported.get(engine.name, 0))
+        share = self._share(engine)
+        part_of_free = share.of(max(0, free + unreported)) - unreported
+        guaranteed = 0 if self._in_slow_start(engine) else share.of(capacity) - engine.local_requests
+        return max(0, min(free, max(guaranteed, part_of_free)))
+
+    def acquire(self, engine: Engine, *, lot_item: bool) -> Callable[[], None]:
+        """Takes a slot of the engine; returns the function that releases it, to be called once."""
+        engine.change_local_requests(1, lot_item=lot_item)
+        if self._in_slow_start(engine) and not self._report_scheduled:
+            self._report_scheduled = True
+            self._ctx.timers.call_later(PROMPT_REPORT_DELAY, self.report_loads)
+        return partial(self._release, engine.name, lot_item)
+
+    def add_waiter(self, waiter: defer.Deferred[None]) -> None:
+        """Has a Deferred fired as soon as some engine may have more free slots."""
+        self._waiters.append(waiter)
+
+    def wake_waiters(self) -> None:
+        """Fires the Deferreds of all who wait for a free slot."""
+        waiters, self._waiters = self._waiters, []
+        for waiter in waiters:
+            if not waiter.called:
+                waiter.callback(None)
+
+    def keep_reporting(self) -> None:
+        """Has reports sent for some seconds more, since something may be held in this gateway's name."""
+        self._active_at = self._ctx.timers.now()
+
+    def report_loads(self) -> None:
+        """Sends this gateway's loads to the others, while there is something to report and shortly after."""
+        self._report_scheduled = False
+        now = self._registry.check_for_suspension()
+        self._registry.forget_silent_engines(now)
+        running = {engine.name: engine.local_requests for engine in self._registry.unordered()}
+        self._reported = running
+        loads = Loads(gateway=self._ctx.node, loads=[Load(engine=name, running=n) for name, n in running.items()])
+        for carrier in self._carriers:
+            carrier.fill_loads(loads)
+        if loads.permits or loads.lots or any(running.values()):
+            self._active_at = now
+        if now - self._active_at < ACTIVE_SPAN:
+            self._send(loads)
+        self.wake_waiters()
+
+    async def handle_loads(self, _: str, loads: Loads) -> None:
+        """Takes the report of another gateway."""
+        for carrier in self._carriers:
+            carrier.absorb_loads(loads)
+        now = self._ctx.timers.now()
+        for load in loads.loads:
+            engine = self._registry.get(load.engine)
+            if engine is not None:
+                engine.peer_loads[loads.gateway] = PeerLoad(load.running, now)
+
+    def _send(self, loads: Loads) -> None:
+        for member in self._ctx.membership.members("gateway", me=False):
+            address: Address = (member.host, member.port)
+            call = spawn(self._ctx.rpc.call(address, "engines.loads", loads, Empty, REPORT_TIMEOUT))
+            call.addErrback(lambda _: None)
+
+    def _in_slow_start(self, engine: Engine) -> bool:
+        return self._ctx.timers.now() - engine.ready_since < SLOW_START_SPAN
+
+    def _share(self, engine: Engine) -> CapacityShare:
+        """Returns this gateway's share of the engine now.
+
+        In slow start, gateways that were heard a short while ago keep their shares: they may only be partitioned off.
+        """
+        membership = self._ctx.membership
+        gateways = {member.node for member in membership.members("gateway", status=("alive",))} | {self._ctx.node}
+        if self._in_slow_start(engine):
+            gateways |= self._recently_alive_gateways()
+        ranked = sorted(gateways, key=lambda gateway: _share_rank(engine.name, gateway))
+        rotation = wall_ms(self._ctx.timers.utc_now()) // ROTATION_MS
+        return CapacityShare(len(ranked), (ranked.index(self._ctx.node) + rotation) % len(ranked))
+
+    def _recently_alive_gateways(self) -> set[str]:
+        membership = self._ctx.membership
+        return {
+            member.node
+            for member in membership.members("gateway", status=("suspect", "gone"))
+            if membership.since(member.node) < SLOW_START_SPAN
+        }
+
+    def _release(self, name: str, lot_item: bool) -> None:
+        engine = self._registry.get(name)
+        if engine is not None:
+            engine.change_local_requests(-1, lot_item=lot_item)
+        self.wake_waiters()
+
+
+def _share_rank(engine: str, gateway: str) -> bytes:
+    return blake2b(f"{engine}/{gateway}".encode(), digest_size=RANK_BYTES).digest()
--- /dev/null
+++ b/pipitlink/gateway/fetch_api.py
@@ -0,0 +1,60 @@
+"""The HTTP handler of plain fetches."""
+
+from typing import Any
+
+from twisted.internet import defer
+from twisted.web.server import Request
+
+from ..context import Context
+from ..errors import BadRequest
+from ..timers import secs, spawn
+from ..web import answered, send_fault
+from .request_pipeline import RequestPipeline
+from .request_record import RequestKind, RequestRecord
+
+__all__ = ["FetchApi"]
+
+FETCH_TIMEOUT = secs(10)
+
+
+class FetchApi:
+    """Passes GET requests through to back ends other than engines, unchanged."""
+
+    def __init__(self, ctx: Context, pipeline: RequestPipeline) -> None:
+        self._ctx = ctx
+        self._pipeline = pipeline
+
+    @answered
+    async def fetch(self, request: Request, pool: str, path: str = "") -> bytes:
+        """Fetches a path from a back end of a pool, and passes the response on as it comes."""
+        if ".." in path.split("/"):
+            raise BadRequest("the path may not climb", code="bad_path", field="path")
+        record = self._record_of(request, pool, path)
+        record.task = task = spawn(self._pipeline.run(record))
+        try:
+            while not record.settled:
+                await record.wait_for_change()
+        except defer.CancelledError:
+            task.cancel()
+            raise
+        if record.error is None:
+            return b""
+        if record.size or request.startedWriting:
+            transport: Any = request.transport
+            transport.abortConnection()
+            closed: defer.Deferred[bytes] = defer.Deferred(lambda _: None)
+            return await closed
+        body: bytes = send_fault(request, record.error)
+        return body
+
+    def _record_of(self, request: Request, pool: str, path: str) -> RequestRecord:
+        query = request.uri.partition(b"?")[2].decode("ascii", "replace")
+        return RequestRecord(
+            kind=RequestKind.FETCH,
+            model=path + ("?" + query if query else ""),
+            prompt="",
+            pool=pool,
+            idempotent=True,
+            deadline=self._ctx.timers.now() + FETCH_TIMEOUT,
+            caller=request,
+        )
--- /dev/null
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -0,0 +1,226 @@
+"""Runs the items of the lots that this gateway owns."""
+
+from datetime import timedelta
+from functools import partial
+from typing import Any
+
+import attrs
+from twisted.internet import defer
+from twisted.python.failure import Failure
+
+from ..context import Context
+from ..errors import LeaseNotHeld, ReplicatedLogError
+from ..timers import ms, secs, spawn, wall_ms
+from ..wire.lots_pb2 import Item, LogRecord, Result, Started
+from .lot_capacity import LotCapacity
+from .lot_ownership import ACQUIRE_BACKOFF, LotOwnership
+from .open_lots import OpenLot, OpenLots
+from .request_bodies import DEFAULT_MAX_TOKENS
+from .request_pipeline import RequestPipeline
+from .request_record import RequestKind, RequestRecord
+from .request_table import RequestTable
+from .serving_state import ServingState
+
+__all__ = ["ItemDispatcher"]
+
+DISPATCH_INTERVAL = ms(50)
+ITEM_TIMEOUT = secs(120)
+MIN_RETRY_DELAY = ms(100)
+MAX_ATTEMPTS = 8
+URGENCY_STEPS_MS = (5_000, 30_000, 300_000, 3_600_000, 21_600_000)
+
+
+@attrs.define(eq=False)
+class _DispatchRound:
+    """What one round of dispatching works with: lots with pending items, items under way, and free slots."""
+
+    now: timedelta
+    wall_ms: int
+    lots: list[OpenLot]
+    running_by_customer: dict[str, int]
+    full_models: set[str] = attrs.field(factory=set)
+    free_slots: dict[str, int] = attrs.field(factory=dict)
+
+
+class ItemDispatcher:
+    """Starts items in the capacity that is left, by their lot's deadline and priority and by turns among customers."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        serving: ServingState,
+        open_lots: OpenLots,
+        ownership: LotOwnership,
+        capacity: LotCapacity,
+        table: RequestTable,
+        pipeline: RequestPipeline,
+    ) -> None:
+        self._ctx = ctx
+        self._serving = serving
+        self._open_lots = open_lots
+        self._ownership = ownership
+        self._capacity = capacity
+        self._table = table
+        self._pipeline = pipeline
+
+    def start(self) -> None:
+        """Starts to look for items that may run."""
+        timer = self._ctx.timers.call_repeatedly(
+            DISPATCH_INTERVAL, self.dispatch, self._ctx.report("feed"), due=self._open_lots.idle_wait
+        )
+        self._open_lots.add_timer(timer)
+
+    def dispatch(self) -> None:
+        """Starts items while there are free slots."""
+        if not self._serving.is_current() or self._ctx.cluster.zone_empty(self._ctx.settings.zone):
+            return
+        current = self._begin_round()
+        while current.lots:
+            lot = min(current.lots, key=lambda lot: self._order_key(lot, current))
+            index = self._next_item(lot, current)
+            if index is None or lot.leaseholder is None or not lot.leaseholder.held():
+                current.lots.remove(lot)
+                continue
+            overdue = lot.lot.limit_ms <= current.wall_ms
+            if not overdue and not self._reserve_slot(lot.lot.items[index].model, current):
+                continue
+            self._start_item(lot, index, overdue, current)
+
+    def _begin_round(self) -> _DispatchRound:
+        running_by_customer: dict[str, int] = {}
+        lots = self._open_lots.all()
+        for lot in lots:
+            customer = lot.lot.customer
+            running_by_customer[customer] = running_by_customer.get(customer, 0) + len(lot.running)
+        owned = [lot for lot in lots if lot.leaseholder is not None and lot.pending and not lot.leaseholder.final]
+        return _DispatchRound(self._ctx.timers.now(), wall_ms(self._ctx.timers.utc_now()), owned, running_by_customer)
+
+    def _order_key(self, lot: OpenLot, current: _DispatchRound) -> tuple[int, int, int, int]:
+        return (
+            _urgency(lot, current.wall_ms),
+            -self._priority(lot),
+            current.running_by_customer[lot.lot.customer],
+            lot.lot.limit_ms,
+        )
+
+    def _priority(self, lot: OpenLot) -> int:
+        """Returns the lot's own priority, and what the table adds for the model that it waits for first."""
+        row = self._ctx.cluster.row(lot.lot.items[lot.pending[0]].model, "") if lot.pending else None
+        return lot.lot.priority + (row.priority if row is not None else 0)
+
+    def _next_item(self, lot: OpenLot, current: _DispatchRound) -> int | None:
+        """Returns the first pending item that may be tried now and whose model is not known to be full."""
+        for index in lot.pending:
+            due = lot.retry_at.get(index, current.now) <= current.now
+            if due and lot.lot.items[index].model not in current.full_models:
+                return index
+        return None
+
+    def _reserve_slot(self, model: str, current: _DispatchRound) -> bool:
+        if model not in current.free_slots:
+            current.free_slots[model] = self._capacity.free_slots(model) - self._table.unassigned_items(model)
+        if current.free_slots[model] <= 0:
+            current.full_models.add(model)
+            return False
+        current.free_slots[model] -= 1
+        return True
+
+    def _start_item(self, lot: OpenLot, index: int, overdue: bool, current: _DispatchRound) -> None:
+        lot.pending.remove(index)
+        current.running_by_customer[lot.lot.customer] += 1
+        lot.running[index] = work = spawn(self._run_item(lot, index, lot.lot.items[index], overdue))
+        work.addBoth(self._item_ended, lot, index)
+        if not lot.pending:
+            current.lots.remove(lot)
+
+    def _item_ended(self, result: Any, lot: OpenLot, index: int) -> None:
+        lot.running.pop(index, None)
+        if isinstance(result, Failure) and not result.check(defer.CancelledError, ReplicatedLogError):
+            self._ctx.logger.failure("item_failed", result.value, lot=lot.id, item=index)
+        if lot.leaseholder is None or lot.leaseholder.lost or lot.leaseholder.final:
+            return
+        if index not in lot.results and index not in lot.pending:
+            lot.pending.append(index)
+            lot.retry_at[index] = self._ctx.timers.now() + ACQUIRE_BACKOFF
+
+    async def _run_item(self, lot: OpenLot, index: int, item: Item, overdue: bool) -> None:
+        if overdue:
+            outcome = lot.provable_outcome(index, "not_run")
+            await self._ownership.record_result(lot, Result(item=index, outcome=outcome, code="limit_passed"))
+            await self._ownership.finish_if_done(lot)
+            return
+        request = self._request_for(lot, index, item)
+        work = spawn(self._pipeline.run(request))
+        try:
+            await work
+        except defer.CancelledError:
+            work.cancel()
+            raise
+        if request.error is None:
+            text = "".join(request.chunks)
+            result = Result(item=index, outcome="done", text=text, engine=request.engine_name, run=request.id)
+        else:
+            lot.attempts[index] = lot.attempts.get(index, 0) + (request.outcome != "not_run")
+            if self._schedule_retry(lot, index, request):
+                return
+            result = self._failed_result(lot, index, request)
+        await self._ownership.record_result(lot, result)
+        await self._ownership.finish_if_done(lot)
+
+    def _request_for(self, lot: OpenLot, index: int, item: Item) -> RequestRecord:
+        now = self._ctx.timers.now()
+        left = ms(lot.lot.limit_ms) - ms(wall_ms(self._ctx.timers.utc_now()))
+        return RequestRecord(
+            kind=RequestKind.ITEM,
+            model=item.model,
+            prompt=item.prompt,
+            prefix_key=item.prefix,
+            idempotent=item.repeatable,
+            max_tokens=item.max_tokens or DEFAULT_MAX_TOKENS,
+            deadline=now + min(ITEM_TIMEOUT, left),
+            customer=lot.lot.customer,
+            before_send=partial(self._record_start, lot, index, item),
+            check_before_send=partial(self._check_owned, lot),
+        )
+
+    def _schedule_retry(self, lot: OpenLot, index: int, request: RequestRecord) -> bool:
+        """Makes a failed item pending again where that is safe; returns whether it did."""
+        error = request.error
+        assert error is not None
+        outcome = request.outcome
+        safe = outcome == "not_run" or (request.idempotent and outcome == "unknown")
+        if not safe or lot.attempts[index] >= MAX_ATTEMPTS or error.code == "limit_passed":
+            return False
+        delay = max(MIN_RETRY_DELAY, secs(error.retry_after) / 4)
+        lot.retry_at[index] = self._ctx.timers.now() + delay
+        lot.pending.append(index)
+        return True
+
+    def _failed_result(self, lot: OpenLot, index: int, request: RequestRecord) -> Result:
+        error = request.error
+        assert error is not None
+        outcome = "failed" if error.outcome == "failed" else request.outcome
+        return Result(item=index, outcome=lot.provable_outcome(index, outcome), code=error.code, run=request.id)
+
+    async def _record_start(self, lot: OpenLot, index: int, item: Item) -> None:
+        """Records durably that an item that is not idempotent was started; then the lease must still be held."""
+        if not item.repeatable and index not in lot.started:
+            assert lot.leaseholder is not None
+            record = LogRecord(started=Started(item=index))
+            await lot.leaseholder.append([record.SerializeToString()], reserved=True)
+            lot.started.add(index)
+        self._check_owned(lot)
+
+    def _check_owned(self, lot: OpenLot) -> None:
+        """Raises LeaseNotHeld where this gateway does not own the lot any more."""
+        if lot.leaseholder is None or not lot.leaseholder.held() or lot.leaseholder.final:
+            raise LeaseNotHeld(f"{lot.id}: the lease ended before the item was sent")
+
+
+def _urgency(lot: OpenLot, now_ms: int) -> int:
+    """Returns steps of time left: lots due within seconds go before those due within minutes, hours, days."""
+    left_ms = max(0, lot.lot.limit_ms - now_ms)
+    for step, bound_ms in enumerate(URGENCY_STEPS_MS):
+        if left_ms < bound_ms:
+            return step
+    return len(URGENCY_STEPS_MS)
--- /dev/null
+++ b/pipitlink/gateway/lot_log.py
@@ -0,0 +1,41 @@
+"""The lot log that a gateway writes."""
+
+from ..context import Context
+from ..replicated_log import Leaseholder
+from ..timers import SingleFlight, secs
+from .lot_ids import LOT_LOG_PREFIX
+from .lot_placement import acquire_log
+
+__all__ = ["LotLog"]
+
+MAX_LOG_BYTES = 4 * 1024 * 1024
+MAX_LOG_AGE = secs(43_200)
+
+
+class LotLog:
+    """This gateway's own lot log: a new one is begun when it has grown long or old, or its lease is lost."""
+
+    def __init__(self, ctx: Context) -> None:
+        self._ctx = ctx
+        self._leaseholder: Leaseholder | None = None
+        self._opened_at = ctx.timers.now()
+        self._opening: SingleFlight[str, Leaseholder] = SingleFlight()
+        self.number = 0
+
+    async def leaseholder(self) -> Leaseholder:
+        """Returns the leaseholder of the log to write to now. Raises PipitlinkError where none can be had."""
+        leaseholder = self._leaseholder
+        if leaseholder is None or self._is_used_up(leaseholder):
+            leaseholder = await self._opening.run("lots", self._open)
+        return leaseholder
+
+    def _is_used_up(self, leaseholder: Leaseholder) -> bool:
+        if leaseholder.lost or len(leaseholder.data) >= MAX_LOG_BYTES:
+            return True
+        return self._ctx.timers.now() - self._opened_at > MAX_LOG_AGE
+
+    async def _open(self) -> Leaseholder:
+        self.number += 1
+        self._opened_at = self._ctx.timers.now()
+        self._leaseholder = await acquire_log(self._ctx, f"{LOT_LOG_PREFIX}{self._ctx.node}.{self.number}")
+        return self._leaseholder
--- /dev/null
+++ b/pipitlink/gateway/lot_log_follower.py
@@ -0,0 +1,126 @@
+"""Follows the lot logs of all gateways, so that each of them knows the open lots."""
+
+import attrs
+
+from ..cache.tail import Tail
+from ..context import Context
+from ..errors import PipitlinkError
+from ..timers import secs, wall_ms
+from ..wire.lots_pb2 import Ended, LogRecord
+from .lot_ids import LOT_LOG_PREFIX, lot_id_at, lot_of_result_log, result_log
+from .lot_log import LotLog
+from .lot_placement import choose_owner
+from .open_lots import OpenLots
+
+__all__ = ["LotLogFollower"]
+
+LIST_INTERVAL = secs(1)
+CLOSE_INTERVAL = secs(10)
+READ_BACKOFF = secs(1)
+DAY_MS = 86_400_000
+MAX_LOGS_PER_CALL = 2000
+KEYED_LOG_PREFIX = "keyed"
+
+
+@attrs.define(eq=False)
+class _FollowedLog:
+    """A lot log that is read on, and the lots that were found in it."""
+
+    tail: Tail
+    lot_ids: set[str] = attrs.field(factory=set)
+
+
+class LotLogFollower:
+    """Reads all lot logs, so that any gateway can take a lot over, and ends those that nobody writes any more."""
+
+    def __init__(self, ctx: Context, open_lots: OpenLots, own_log: LotLog) -> None:
+        self._ctx = ctx
+        self._open_lots = open_lots
+        self._own_log = own_log
+        self._followed: dict[str, _FollowedLog] = {}
+
+    def start(self) -> None:
+        """Starts to look for lot logs, and for those that may be ended."""
+        timers = self._ctx.timers
+        timers.call_repeatedly(LIST_INTERVAL, self._list_logs, self._ctx.report("list_logs"))
+        timers.call_repeatedly(CLOSE_INTERVAL, self._end_idle_logs, self._ctx.report("close_logs"))
+
+    async def _list_logs(self) -> None:
+        if not self._ctx.cluster.ready():
+            return
+        await self._close_finished_lots()
+        for log, state in (await self._ctx.replicated_log.list(LOT_LOG_PREFIX)).items():
+            followed = self._followed.get(log)
+            if followed is None and not state.final:
+                self._followed[log] = _FollowedLog(self._ctx.cache.tail(log))
+                self._ctx.run_in_background(self._follow(log), "follow")
+            elif followed is not None and state.final and followed.tail.position >= state.committed:
+                self._stop_following(log)
+
+    async def _close_finished_lots(self) -> None:
+        """Closes lots that another gateway finished or ended."""
+        foreign = [lot.id for lot in self._open_lots.all() if lot.leaseholder is None and not lot.acquiring]
+        for start in range(0, len(foreign), MAX_LOGS_PER_CALL):
+            logs = [result_log(lot_id) for lot_id in foreign[start : start + MAX_LOGS_PER_CALL]]
+            for log, state in (await self._ctx.replicated_log.states(logs)).items():
+                if state.final:
+                    self._open_lots.close(lot_of_result_log(log))
+
+    def _stop_following(self, log: str) -> None:
+        followed = self._followed.pop(log)
+        followed.tail.close()
+        self._open_lots.forget_closed(followed.lot_ids)
+
+    async def _end_idle_logs(self) -> None:
+        """Ends lot logs that nobody writes to any more, once every lot in them is closed."""
+        for log, followed in list(self._followed.items()):
+            idle = self._is_idle(log)
+            tail = followed.tail
+            unread = tail.seen.proved is None or tail.position < tail.seen.durable
+            if not idle or unread or not self._open_lots.all_closed(followed.lot_ids):
+                continue
+            if choose_owner(self._ctx, log) != self._ctx.node:
+                continue
+            try:
+                await self._end_log(log)
+                self._ctx.logger.info("lot_log_ended", log=log, lots=len(followed.lot_ids))
+                self._stop_following(log)
+            except PipitlinkError as error:
+                self._ctx.logger.debug("lot_log_not_ended", log=log, text=error)
+
+    def _is_idle(self, log: str) -> bool:
+        """Returns whether nobody writes to a lot log any more."""
+        writer, _, number = log.removeprefix(LOT_LOG_PREFIX).partition(".")
+        if writer.startswith(KEYED_LOG_PREFIX):
+            return int(number) < wall_ms(self._ctx.timers.utc_now()) // DAY_MS - 1
+        if writer == self._ctx.node:
+            return int(number) < self._own_log.number
+        return self._ctx.membership.status(writer) in ("gone", "unknown")
+
+    async def _end_log(self, log: str) -> None:
+        replicated_log = self._ctx.replicated_log
+        leaseholder = replicated_log.leaseholders.get(log) or await replicated_log.hold(log)
+        if not leaseholder.final:
+            record = LogRecord(ended=Ended(reason="done"))
+            await leaseholder.append([record.SerializeToString()], final=True, reserved=True)
+        await replicated_log.release([leaseholder])
+
+    async def _follow(self, log: str) -> None:
+        """Reads one lot log in order while it is followed."""
+        followed = self._followed[log]
+        tail = followed.tail
+        while not self._ctx.timers.ended and self._followed.get(log) is followed:
+            try:
+                for offset, body in await tail.more():
+                    self._take_record(log, followed, offset, body)
+            except PipitlinkError as error:
+                self._ctx.logger.failure("lot_log_unreadable", error, log=log)
+                await self._ctx.timers.sleep(READ_BACKOFF)
+            await tail.wait()
+
+    def _take_record(self, log: str, followed: _FollowedLog, offset: int, body: bytes) -> None:
+        record = LogRecord.FromString(body)
+        if record.WhichOneof("of") == "lot":
+            lot_id = lot_id_at(log, offset)
+            followed.lot_ids.add(lot_id)
+            self._open_lots.add(lot_id, record.lot)
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -1,147 +1,216 @@
-"""The gateway node of the models interface, put together from its mixins."""
+"""The gateway node of the models interface, composed of its parts."""
+
+from collections.abc import Iterable
+from typing import Any
 
 from klein import Klein
+from prometheus_client.core import HistogramMetricFamily
+from twisted.web.server import Request
 
+from ..context import Context
 from ..errors import NotFound
+from ..reactor_types import ListeningPort
 from ..timers import ms, secs
 from ..web import Site, listen, send_fault, send_json
-from .dispatch import Dispatch
-from .engines import Engines
-from .fetching import Fetching
-from .intake import Intake
-from .keyed import Keyed
-from .limits import ComeBack, Limits
-from .live import Live
-from .lots import Lots
-from .picking import Admitting, Picking, RetryBudget
-from .relaying import Relaying
-from .requests import RequestTable
-from .results import Results
-from .runs import Runs
+from .admission import Admission
+from .engine_api import EngineApi
+from .engine_candidates import EngineCandidates
+from .engine_registry import EngineRegistry
+from .engine_relay import EngineRelay
+from .engine_selector import EngineSelector
+from .engine_slots import EngineSlots
+from .fetch_api import FetchApi
+from .fetch_relay import FetchRelay
+from .idempotency_keys import IdempotencyKeys
+from .item_dispatcher import ItemDispatcher
+from .live_api import LiveApi
+from .lot_api import LotApi
+from .lot_capacity import LotCapacity
+from .lot_intake import LotIntake
+from .lot_log import LotLog
+from .lot_log_follower import LotLogFollower
+from .lot_ownership import LotOwnership
+from .open_lots import OpenLots
+from .rate_limits import RateLimits
+from .request_pipeline import RequestPipeline, Stage, prepare_send
+from .request_record import RequestKind
+from .request_sender import RequestSender
+from .request_table import RequestTable
+from .result_reader import ResultReader
+from .retry_after import RetryAfterEstimator
+from .retry_policy import RetryPolicy
+from .run_registry import RunRegistry
+from .serving_state import ServingState
 
 __all__ = ["GatewayNode"]
 
-DRAIN = secs(6)
+DRAIN_TIMEOUT = secs(6)
+DRAIN_POLL_INTERVAL = ms(50)
+OK = 200
+UNAVAILABLE = 503
+CACHE_COUNTS = ("relaxed", "consistent", "durable", "durable_reads", "hedged", "unheard")
 
 
-class GatewayNode(
-    Admitting, Picking, Limits, Relaying, Live, Runs, Fetching, Intake, Keyed, Lots, Dispatch, Results, RequestTable
-):
+class GatewayNode:
     """A gateway of the models interface: live requests, fetches and lots on the same engines.
 
-    RequestTable runs each request through named passes, and the mixins supply them:
-
-    - Admitting, Picking (with Limits for rates and concurrency), then Relaying or Fetching are a request's way out.
-    - Live and Runs are the callers' side of a live request: start, stream, resume here or through another gateway.
-    - Intake and Keyed make lots durable, Lots knows the open ones, Dispatch owns and runs them, Results shows them.
-
-    This class owns the engines, the retry budget and the HTTP server, and opens the mixins in the order they need.
+    - `engines` and `slots` know the engines and this gateway's share of their capacity.
+    - `pipeline` takes each request of `table` through its stages: admission, choice of an engine, relay.
+    - `runs` finds live requests by id, here and at other gateways.
+    - `lot_intake` stores lots, `open_lots` are kept up to date from the lot logs, `lot_ownership` and
+      `item_dispatcher` run them, and `results` reads what became of them.
+    - The `..._api` parts serve callers over HTTP.
     """
 
-    def __init__(self, ctx):
+    def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
-        self.engines = ctx.engines = Engines(ctx)
-        self._retry_budget = RetryBudget()
-        self.come_back = ComeBack(ctx.timers)
-        self._hold = secs(ctx.settings.resume_hold_s)
-        self._waiting = 0
-        self._port = None
-        self._draining = False
-        self._opened_at = ctx.timers.now()
-
-    def open(self):
-        self._open_table()
-        self._open_relaying()
-        self.engines.open()
-        self._open_limits()
-        self._open_runs()
-        self._open_intake()
-        self._open_keyed()
-        self._open_lots()
-        self._open_results()
-        self._open_dispatch()
+        self._port: ListeningPort | None = None
+        self.serving = ServingState(ctx)
+        self.engines = EngineRegistry(ctx)
+        self.slots = EngineSlots(ctx, self.engines)
+        self.candidates = EngineCandidates(ctx, self.engines)
+        self._compose_requests()
+        self._compose_lots()
+        self.live_api = LiveApi(ctx, self.table, self.pipeline, self.runs)
+        self.engine_api = EngineApi(ctx, self.engines)
+        self.fetch_api = FetchApi(ctx, self.pipeline)
+        self.lot_api = LotApi(ctx, self.lot_intake, self.open_lots, self.results, self.lot_ownership)
+
+    def _compose_requests(self) -> None:
+        ctx = self._ctx
+        retry_after = RetryAfterEstimator(ctx.timers)
+        self.table = RequestTable(ctx)
+        self.runs = RunRegistry(ctx, self.table)
+        self.rate_limits = RateLimits(ctx, self.slots, self.candidates, retry_after)
+        admission = Admission(ctx, self.serving, self.table, self.rate_limits, retry_after)
+        selector = EngineSelector(ctx, self.serving, self.slots, self.candidates, self.rate_limits, retry_after)
+        sender = RequestSender(ctx, self.engines, self.slots, self.candidates, RetryPolicy(ctx.timers))
+        relay = self._make_engine_relay(sender)
+        fetch_relay = FetchRelay(sender)
+        stages: dict[RequestKind, tuple[Stage, ...]] = {
+            RequestKind.LIVE: (admission.admit, selector.choose_engine, relay.relay),
+            RequestKind.ITEM: (admission.admit, selector.choose_engine, prepare_send, relay.relay),
+            RequestKind.FETCH: (admission.admit, selector.choose_engine, fetch_relay.relay),
+        }
+        self.pipeline = RequestPipeline(ctx, self.table, stages)
+
+    def _make_engine_relay(self, sender: RequestSender) -> EngineRelay:
+        """Makes the relay to engines; a staged gateway overrides this."""
+        return EngineRelay(self._ctx, self.engines, sender)
+
+    def _compose_lots(self) -> None:
+        ctx = self._ctx
+        own_log = LotLog(ctx)
+        self.open_lots = OpenLots()
+        self.idempotency_keys = IdempotencyKeys(ctx, self.open_lots)
+        self.lot_intake = LotIntake(ctx, self.serving, self.open_lots, own_log, self.idempotency_keys)
+        self.lot_log_follower = LotLogFollower(ctx, self.open_lots, own_log)
+        self.results = ResultReader(ctx, self.open_lots)
+        self.lot_ownership = LotOwnership(ctx, self.serving, self.open_lots)
+        capacity = LotCapacity(self.slots, self.candidates)
+        self.item_dispatcher = ItemDispatcher(
+            ctx, self.serving, self.open_lots, self.lot_ownership, capacity, self.table, self.pipeline
+        )
+
+    def open(self) -> None:
+        """Registers RPC handlers and starts timers, of each part after those that it relies on."""
+        self.engines.start()
+        self.slots.start()
+        self.rate_limits.start()
+        self.runs.start()
+        self.idempotency_keys.start()
+        self.lot_log_follower.start()
+        self.results.start()
+        self.lot_ownership.start()
+        self.item_dispatcher.start()
 
     async def listen(self, host: str, port: int) -> int:
+        """Binds the callers' address and returns the port's number."""
         site = Site(self._routes().resource(), self._ctx.settings.max_body_kb * 1024)
-        self._port, port = await listen(self._ctx.reactor, site, host, port)
-        return port
-
-    def current(self) -> bool:
-        return not self._draining and self._ctx.cluster.ready()
-
-    async def keep(self, log: str):
-        """Holds a log and shadows it into the caches."""
-        h = await self._ctx.replicated_log.hold(log)
-        self._ctx.cache.shadow(log, h)
-        return h
+        self._port, bound_port = await listen(self._ctx.reactor, site, host, port)
+        return int(bound_port)
 
     def _routes(self) -> Klein:
         app = Klein()
-        add = app.route
-        add("/v1/generate", methods=["POST"])(self.generate)
-        add("/v1/generate/<run>", methods=["GET"])(self.resume)
-        add("/v1/engines", methods=["POST"])(self.announce)
-        add("/v1/fetch/<pool>/", methods=["GET"])(self.fetch)
-        add("/v1/fetch/<pool>/<path:path>", methods=["GET"])(self.fetch)
-        add("/v1/lots", methods=["POST"])(self.take_lot)
-        add("/v1/lots/<lot>", methods=["GET"])(self.show_lot)
-        add("/v1/lots/<lot>/results", methods=["GET"])(self.show_results)
-        add("/v1/lots/<lot>", methods=["DELETE"])(self.end_lot)
-        add("/v1/ready", methods=["GET"])(self.ready)
-        add("/v1/live", methods=["GET"])(lambda request: send_json(request, {"live": True}))
-        add("/", defaults={"path": ""})(self._nowhere)
-        add("/<path:path>")(self._nowhere)
+        route = app.route
+        route("/v1/generate", methods=["POST"])(self.live_api.generate)
+        route("/v1/generate/<run>", methods=["GET"])(self.live_api.resume)
+        route("/v1/engines", methods=["POST"])(self.engine_api.announce)
+        route("/v1/fetch/<pool>/", methods=["GET"])(self.fetch_api.fetch)
+        route("/v1/fetch/<pool>/<path:path>", methods=["GET"])(self.fetch_api.fetch)
+        route("/v1/lots", methods=["POST"])(self.lot_api.take_lot)
+        route("/v1/lots/<lot>", methods=["GET"])(self.lot_api.show_lot)
+        route("/v1/lots/<lot>/results", methods=["GET"])(self.lot_api.show_results)
+        route("/v1/lots/<lot>", methods=["DELETE"])(self.lot_api.end_lot)
+        route("/v1/ready", methods=["GET"])(self.show_ready)
+        route("/v1/live", methods=["GET"])(self.show_live)
+        route("/", defaults={"path": ""})(self._not_found)
+        route("/<path:path>")(self._not_found)
         return app
 
-    def ready(self, request):
-        ok = self.current()
-        return send_json(request, {"ready": ok, "cluster": self._ctx.cluster.sequence}, 200 if ok else 503)
+    def show_ready(self, request: Request) -> bytes:
+        """Responds with whether this gateway takes requests."""
+        ready = self.serving.is_current()
+        content = {"ready": ready, "cluster": self._ctx.cluster.sequence}
+        body: bytes = send_json(request, content, OK if ready else UNAVAILABLE)
+        return body
+
+    def show_live(self, request: Request) -> bytes:
+        """Responds that the process answers."""
+        body: bytes = send_json(request, {"live": True})
+        return body
 
-    def _nowhere(self, request, path):
-        return send_fault(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
+    def _not_found(self, request: Request, path: str) -> bytes:
+        body: bytes = send_fault(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
+        return body
 
-    def readiness(self):
+    def readiness(self) -> tuple[bool, dict[str, Any]]:
+        """Returns whether the node is ready, and the fields that say why."""
         cluster = self._ctx.cluster
-        return self.current(), {"cluster": cluster.sequence, "currency": cluster.state}
+        return self.serving.is_current(), {"cluster": cluster.sequence, "currency": cluster.state}
 
-    def beliefs(self) -> dict:
+    def beliefs(self) -> dict[str, Any]:
+        """Returns the engines and leases as this node knows them, for comparison with other nodes."""
         engines = {
-            e.name: f"{self.engines.status(e)} {e.news.address} {e.news.incarnation}" for e in self.engines.all()
+            engine.name: f"{self.engines.status(engine)} {engine.update.address} {engine.update.incarnation}"
+            for engine in self.engines.all()
         }
         leases = {
-            log: f"{self._ctx.node}@{h.epoch}" for log, h in sorted(self._ctx.replicated_log.leaseholders.items())
+            log: f"{self._ctx.node}@{leaseholder.epoch}"
+            for log, leaseholder in sorted(self._ctx.replicated_log.leaseholders.items())
         }
         return {"engines": engines, "leases": leases}
 
-    def metrics(self) -> dict:
-        counts = self._ctx.cache.counts
-        out = {
-            f"cache_{name}": (f"Chunks or reads: {name}", counts[name])
-            for name in ("relaxed", "consistent", "durable", "durable_reads", "hedged", "unheard")
+    def metrics(self) -> dict[str, tuple[str, float]]:
+        """Returns gauges by name without prefix: help text and value."""
+        cache = self._ctx.cache
+        gauges: dict[str, tuple[str, float]] = {
+            f"cache_{name}": (f"Chunks or reads: {name}", cache.counts[name]) for name in CACHE_COUNTS
         }
-        out["asks"] = ("Requests in the table", len(self.asks))
-        out["open_lots"] = ("Lots known to be open", len(self.open_lots))
-        out["owned_lots"] = ("Lots this gateway owns", sum(o.leaseholder is not None for o in self.open_lots.values()))
-        out["running"] = ("Requests on engines from here", sum(e.mine for e in self.engines.all()))
-        out["cache_bytes"] = ("Bytes in the data cache here", self._ctx.cache.chunks.size)
-        return out
-
-    def families(self):
-        return [
-            self.first_pieces.family(
-                "pipitlink_first_piece_seconds", "From a live request's arrival to its first piece"
-            )
-        ]
-
-    async def end(self):
-        """Drains: nothing new is admitted, what runs may end, and the leases are handed over."""
-        self._draining = True
+        owned_lots = sum(lot.leaseholder is not None for lot in self.open_lots.all())
+        running = sum(engine.local_requests for engine in self.engines.all())
+        gauges["asks"] = ("Requests in the table", len(self.table.requests))
+        gauges["open_lots"] = ("Lots known to be open", len(self.open_lots))
+        gauges["owned_lots"] = ("Lots this gateway owns", owned_lots)
+        gauges["running"] = ("Requests on engines from here", running)
+        gauges["cache_bytes"] = ("Bytes in the data cache here", cache.chunks.size)
+        return gauges
+
+    def families(self) -> Iterable[HistogramMetricFamily]:
+        """Returns metrics that are no plain gauges, with their full names."""
+        name = "pipitlink_first_piece_seconds"
+        return [self.table.first_chunk_latency.family(name, "From a live request's arrival to its first piece")]
+
+    async def end(self) -> None:
+        """Shuts down gracefully: admits nothing new, lets requests end for a while, and hands the leases over."""
+        self.serving.draining = True
         if self._port is not None:
             await self._port.stopListening()
-        until = self._ctx.timers.now() + DRAIN
-        while any(not a.settled for a in self.asks.values()) and self._ctx.timers.now() < until:
-            await self._ctx.timers.sleep(ms(50))
-        for o in self.open_lots.values():
-            self._lose(o)
-        await self._ctx.replicated_log.release(list(self._ctx.replicated_log.leaseholders.values()))
+        timers = self._ctx.timers
+        give_up_at = timers.now() + DRAIN_TIMEOUT
+        while self.table.has_unsettled() and timers.now() < give_up_at:
+            await timers.sleep(DRAIN_POLL_INTERVAL)
+        self.lot_ownership.give_up_all()
+        replicated_log = self._ctx.replicated_log
+        await replicated_log.release(list(replicated_log.leaseholders.values()))
         await self._ctx.membership.leave()
--- /dev/null
+++ b/pipitlink/gateway/rate_limits.py
@@ -0,0 +1,192 @@
+"""Rate and concurrency limits that hold over all gateways."""
+
+import math
+from functools import partial
+
+from ..context import Context, fresh_id
+from ..errors import RemoteError, ServiceUnavailable, WireError
+from ..rendezvous import rank
+from ..timers import ZERO, ms, secs
+from ..wire.cluster_pb2 import Row
+from ..wire.membership_pb2 import Loads, Permit, PermitRequest, PermitResponse
+from .engine_candidates import EngineCandidates
+from .engine_slots import EngineSlots
+from .request_record import RequestRecord
+from .retry_after import RetryAfterEstimator
+from .row_limits import RowLimits
+
+__all__ = ["RateLimits"]
+
+SETTLE_SPAN = ms(600)
+REPORT_DELAY_SPAN = secs(1)
+KNOWN_GATEWAY_SPAN = secs(60)
+SUSPENSION_THRESHOLD = secs(1)
+CALL_TIMEOUT = ms(400)
+PERMIT_POLL_INTERVAL = ms(60)
+MAX_PERMIT_WAIT = secs(1)
+UNKNOWN_WAIT_MS = 1000
+TOO_MANY_REQUESTS = 429
+
+
+class RateLimits:
+    """The limits of rows, which hold over the whole fleet: one gateway coordinates each row and hands out all of it.
+
+    The coordinator is the highest by rendezvous hashing among the gateways that are alive. Every gateway reports with
+    its loads which permits it holds, so that a new coordinator knows them at once.
+    """
+
+    def __init__(
+        self, ctx: Context, slots: EngineSlots, candidates: EngineCandidates, retry_after: RetryAfterEstimator
+    ) -> None:
+        self._ctx = ctx
+        self._slots = slots
+        self._candidates = candidates
+        self._retry_after = retry_after
+        self._rows: dict[str, RowLimits] = {}
+        self._held_permits: dict[str, str] = {}
+        self._known_gateways: frozenset[str] = frozenset()
+        self._fleet_changed_at = self._checked_at = ctx.timers.now()
+
+    def start(self) -> None:
+        """Registers the coordinator's handler, and has permits reported with the loads."""
+        self._ctx.rpc.register_handler("limits.take", PermitRequest, self._handle_permit_request)
+        self._slots.add_loads_carrier(self)
+
+    def coordinator(self, row: str) -> str:
+        """Returns the node that hands out the permits of a row, as far as is known here."""
+        gateways = {member.node for member in self._ctx.membership.members("gateway", status=("alive",))}
+        gateways.add(self._ctx.node)
+        return max(gateways, key=lambda gateway: rank(row, gateway))
+
+    async def check_rate(self, request: RequestRecord) -> None:
+        """Takes a token of the request's row. Raises ServiceUnavailable with the time to retry where there is none."""
+        row = self._candidates.row_of(request.model, request.pool)
+        if row is None or not row.rate:
+            return
+        response = await self._call_coordinator(PermitRequest(row=row.name))
+        if not response.granted:
+            raise ServiceUnavailable(
+                f"row {row.name} allows {row.rate:g} a second",
+                code="rate_limited",
+                status=TOO_MANY_REQUESTS,
+                retry_after=max(1, math.ceil(response.wait_ms / 1000)),
+            )
+
+    async def acquire_permit(self, request: RequestRecord) -> None:
+        """Takes a permit of the request's row, if that has a concurrency limit, to be held until the request ends.
+
+        Waits a short while for one. Raises ServiceUnavailable with the time to retry where none falls free.
+        """
+        row = self._candidates.row_of(request.model, request.pool)
+        if row is None or not row.concurrency or request.release_permit:
+            return
+        permit_id = fresh_id()
+        await self._wait_for_permit(request, row, permit_id)
+        self._held_permits[permit_id] = row.name
+        request.release_permit = partial(self._release_permit, permit_id)
+
+    def fill_loads(self, loads: Loads) -> None:
+        """Adds the permits that this gateway holds to its report."""
+        self._check_fleet()
+        loads.permits.extend(Permit(row=row, id=permit_id) for permit_id, row in self._held_permits.items())
+
+    def absorb_loads(self, loads: Loads) -> None:
+        """Takes the permits that another gateway reports; those that it no longer names it has released."""
+        now = self._ctx.timers.now()
+        reported = {permit.id for permit in loads.permits}
+        for permit in loads.permits:
+            self._limits_of(permit.row).record_permit(permit.id, loads.gateway, now)
+        for row in self._rows.values():
+            for permit_id, granted in list(row.permits.items()):
+                if (
+                    granted.gateway == loads.gateway
+                    and permit_id not in reported
+                    and now - granted.granted_at > REPORT_DELAY_SPAN
+                ):
+                    del row.permits[permit_id]
+
+    def _limits_of(self, row: str) -> RowLimits:
+        return self._rows.setdefault(row, RowLimits())
+
+    async def _wait_for_permit(self, request: RequestRecord, row: Row, permit_id: str) -> None:
+        give_up_at = min(request.deadline, self._ctx.timers.now() + MAX_PERMIT_WAIT)
+        while True:
+            self._slots.keep_reporting()
+            response = await self._call_coordinator(PermitRequest(row=row.name, id=permit_id))
+            if response.granted:
+                return
+            if self._ctx.timers.now() + PERMIT_POLL_INTERVAL >= give_up_at:
+                raise ServiceUnavailable(
+                    f"row {row.name} allows {row.concurrency} at once",
+                    code="concurrency_limited",
+                    status=TOO_MANY_REQUESTS,
+                    retry_after=self._retry_after.seconds(),
+                )
+            await self._ctx.timers.sleep(PERMIT_POLL_INTERVAL)
+
+    def _release_permit(self, permit_id: str) -> None:
+        row = self._held_permits.pop(permit_id)
+        release = self._call_coordinator(PermitRequest(row=row, id=permit_id, give=True))
+        self._ctx.run_in_background(release, "release_permit")
+
+    async def _call_coordinator(self, request: PermitRequest) -> PermitResponse:
+        coordinator = self.coordinator(request.row)
+        if coordinator == self._ctx.node:
+            return self._answer(coordinator, request)
+        member = self._ctx.membership.find(coordinator)
+        assert member is not None
+        address = (member.host, member.port)
+        try:
+            return await self._ctx.rpc.call(address, "limits.take", request, PermitResponse, CALL_TIMEOUT)
+        except (WireError, RemoteError):
+            return PermitResponse(wait_ms=UNKNOWN_WAIT_MS)
+
+    async def _handle_permit_request(self, node: str, request: PermitRequest) -> PermitResponse:
+        return self._answer(node, request)
+
+    def _answer(self, node: str, request: PermitRequest) -> PermitResponse:
+        """Grants, rejects or releases as the coordinator of the row."""
+        limits = self._limits_of(request.row)
+        if request.give:
+            limits.permits.pop(request.id, None)
+            return PermitResponse()
+        row = self._ctx.cluster.cluster_state.rows.get(request.row)
+        if row is None:
+            return PermitResponse(granted=True)
+        now = self._ctx.timers.now()
+        if not self._may_grant():
+            return PermitResponse(wait_ms=UNKNOWN_WAIT_MS)
+        if request.id:
+            granted = not row.concurrency or limits.grant_permit(row.concurrency, request.id, node, now)
+            return PermitResponse(granted=granted, wait_ms=UNKNOWN_WAIT_MS)
+        wait = limits.take_token(row.rate, now, self._fleet_changed_at) if row.rate else ZERO
+        return PermitResponse(granted=not wait, wait_ms=math.ceil(wait / ms(1)))
+
+    def _check_fleet(self) -> None:
+        """Notes whether the gateways changed, or this one was suspended, since the last call.
+
+        A new coordinator may not have heard of all permits that are out.
+        """
+        now = self._ctx.timers.now()
+        gateways = frozenset(member.node for member in self._ctx.membership.members("gateway", status=("alive",)))
+        if gateways != self._known_gateways or now - self._checked_at > SUSPENSION_THRESHOLD:
+            self._known_gateways = gateways
+            self._fleet_changed_at = now
+        self._checked_at = now
+
+    def _may_grant(self) -> bool:
+        """Not while gateways change, nor on the smaller side of a partition, nor with a stale cluster state."""
+        self._check_fleet()
+        membership = self._ctx.membership
+        alive = membership.members("gateway", status=("alive",))
+        addresses = {(member.host, member.port) for member in alive}
+        missing = [
+            member
+            for member in membership.members("gateway", status=("suspect", "gone"), me=False)
+            if (member.host, member.port) not in addresses and membership.since(member.node) < KNOWN_GATEWAY_SPAN
+        ]
+        return (
+            self._ctx.cluster.ready()
+            and len(alive) >= len(missing)
+            and self._ctx.timers.now() - self._fleet_changed_at >= SETTLE_SPAN
+        )
--- /dev/null
+++ b/pipitlink/gateway/request_pipeline.py
@@ -0,0 +1,68 @@
+"""Takes each request through its stages."""
+
+from collections.abc import Awaitable, Callable, Mapping
+
+from twisted.internet import defer
+
+from ..context import Context
+from ..errors import ApiError, ReplicatedLogError
+from .request_record import RequestKind, RequestRecord
+from .request_table import RequestTable
+
+__all__ = ["RequestPipeline", "Stage", "prepare_send"]
+
+Stage = Callable[[RequestRecord], Awaitable[bool]]
+"""Does one step for a request; returns whether the stages begin again. An error settles the request."""
+
+
+async def prepare_send(request: RequestRecord) -> bool:
+    """Stage: makes durable what must be before the request's first byte may leave."""
+    if request.before_send is not None:
+        await request.before_send()
+    return False
+
+
+class RequestPipeline:
+    """Runs the stages of a request's kind, in order and again for a retry, until it is settled."""
+
+    def __init__(self, ctx: Context, table: RequestTable, stages: Mapping[RequestKind, tuple[Stage, ...]]) -> None:
+        self._ctx = ctx
+        self._table = table
+        self._stages = stages
+
+    async def run(self, request: RequestRecord) -> None:
+        """Runs one request until it is settled. Errors end up in its record."""
+        self._table.add(request)
+        try:
+            while not request.settled:
+                await self._run_stages(request)
+        except defer.CancelledError:
+            request.trigger("lose")
+            request.fail(ApiError("the request was ended", code="ended", outcome=request.outcome))
+        except Exception as error:
+            if not isinstance(error, (ApiError, ReplicatedLogError)):
+                self._ctx.logger.failure("request_aborted", error, request=request.id)
+            request.trigger("lose")
+            request.fail(error)
+        finally:
+            request.release()
+            if request.kind != RequestKind.LIVE or not request.readers:
+                self._table.retire(request)
+        self._log_end(request)
+
+    async def _run_stages(self, request: RequestRecord) -> None:
+        for stage in self._stages[request.kind]:
+            begin_again = await stage(request)
+            if begin_again:
+                return
+
+    def _log_end(self, request: RequestRecord) -> None:
+        self._ctx.logger.debug(
+            "request",
+            request=request.id,
+            model=request.model,
+            state=request.state,
+            attempts=request.attempts,
+            chunks=len(request.chunks),
+            code=request.error.code if request.error else "ok",
+        )
--- /dev/null
+++ b/pipitlink/gateway/request_record.py
@@ -0,0 +1,176 @@
+"""The record of one running request."""
+
+from collections.abc import Awaitable, Callable
+from datetime import timedelta
+from enum import StrEnum
+from typing import Any, Protocol
+
+import attrs
+from twisted.internet import defer
+from twisted.web.server import Request
+
+from ..context import fresh_id
+from ..errors import ApiError, EngineError
+from ..state_machines import StateMachineMixin, state_machine_data
+from .engine import Engine
+
+__all__ = ["PausableStream", "RequestKind", "RequestRecord", "RequestState"]
+
+DEFAULT_MAX_TOKENS = 256
+
+_OUTCOMES: dict[str, str] = state_machine_data("request")["outcome"]
+
+
+class RequestKind(StrEnum):
+    """What a request is for, which decides on the stages that it goes through."""
+
+    LIVE = "live"
+    ITEM = "item"
+    FETCH = "fetch"
+
+
+class RequestState(StrEnum):
+    """The states of the state machine `request`."""
+
+    WAITING = "waiting"
+    ENGINE_CHOSEN = "engine_chosen"
+    SENT = "sent"
+    RESPONDING = "responding"
+    DONE = "done"
+    LOST = "lost"
+
+
+class PausableStream(Protocol):
+    """The connection to an engine, as far as backpressure needs it."""
+
+    def pauseProducing(self) -> None:  # noqa: N802 - twisted's interface
+        """Reads no more for now."""
+
+    def resumeProducing(self) -> None:  # noqa: N802 - twisted's interface
+        """Reads on."""
+
+
+@attrs.define(eq=False, slots=False)
+class RequestRecord(StateMachineMixin):
+    """The record of one request in this process, for its submitter, the stages and those who read its response.
+
+    `before_send` is awaited before the request goes to an engine, and `check_before_send` is called in the step that
+    writes its first byte; either may raise. `may_have_run` says that an attempt was lost whose outcome is not known.
+    """
+
+    state_machine = "request"
+
+    model: str
+    prompt: str
+    deadline: timedelta
+    prefix_key: str = ""
+    idempotent: bool = False
+    max_tokens: int = DEFAULT_MAX_TOKENS
+    kind: RequestKind = RequestKind.LIVE
+    pool: str = ""
+    customer: str = ""
+    id: str = attrs.field(factory=fresh_id)
+    engine: Engine | None = None
+    attempts: int = 0
+    excluded_engines: set[str] = attrs.field(factory=set)
+    chunks: list[str] = attrs.field(factory=list)
+    size: int = 0
+    error: ApiError | None = None
+    last_rejection: Exception | None = None
+    may_have_run: bool = False
+    abandoned_at: timedelta | None = None
+    readers: int = 0
+    task: defer.Deferred[Any] | None = None
+    before_send: Callable[[], Awaitable[None]] | None = None
+    check_before_send: Callable[[], None] | None = None
+    release_permit: Callable[[], None] | None = None
+    release_slot: Callable[[], None] | None = None
+    engine_stream: PausableStream | None = None
+    caller: Request | None = None
+    on_first_chunk: Callable[[], None] | None = None
+    _waiters: list[defer.Deferred[None]] = attrs.field(factory=list)
+
+    def __attrs_post_init__(self) -> None:
+        self._init_state_machine()
+
+    @property
+    def is_lot_item(self) -> bool:
+        """Whether it is an item of a lot."""
+        return self.kind == RequestKind.ITEM
+
+    @property
+    def outcome(self) -> str:
+        """What may be told of it if it fails now: `not_run`, `unknown` or `failed`."""
+        outcome = _OUTCOMES[self.state]
+        return "unknown" if outcome == "not_run" and self.may_have_run else outcome
+
+    @property
+    def engine_name(self) -> str:
+        """The name of the engine that it was sent to last, empty where there is none."""
+        return self.engine.name if self.engine is not None else ""
+
+    @property
+    def settled(self) -> bool:
+        """Whether nothing more will happen to it."""
+        return self.error is not None or self.state == RequestState.DONE
+
+    def release(self) -> None:
+        """Releases the permit of its row and the slot of its engine, each once."""
+        if self.release_permit is not None:
+            release_permit, self.release_permit = self.release_permit, None
+            release_permit()
+        if self.release_slot is not None:
+            release_slot, self.release_slot = self.release_slot, None
+            release_slot()
+
+    def append_chunk(self, text: str) -> None:
+        """Adds the next chunk of the response."""
+        self.trigger("receive")
+        if not self.chunks and self.on_first_chunk is not None:
+            self.on_first_chunk()
+        self.chunks.append(text)
+        self.size += len(text)
+        self.notify_waiters()
+
+    def fail(self, error: Exception) -> None:
+        """Settles it with an error, whose outcome never says `not_run` where it may have run."""
+        if isinstance(error, ApiError):
+            api_error = error
+        else:
+            api_error = EngineError(str(error) or type(error).__name__, outcome=self.outcome)
+        if self.may_have_run and api_error.outcome == "not_run":
+            api_error.outcome = "unknown"
+        self.error = api_error
+        self.notify_waiters()
+
+    def notify_waiters(self) -> None:
+        """Wakes all who wait for a change."""
+        waiters, self._waiters = self._waiters, []
+        for waiter in waiters:
+            if not waiter.called:
+                waiter.callback(None)
+
+    def wait_for_change(self) -> defer.Deferred[None]:
+        """Returns a Deferred that fires when a chunk is added or the request is settled."""
+        waiter: defer.Deferred[None] = defer.Deferred(self._remove_waiter)
+        self._waiters.append(waiter)
+        return waiter
+
+    def set_paused(self, paused: bool) -> None:
+        """Applies backpressure: stops or resumes reading from the engine."""
+        if self.engine_stream is None:
+            return
+        if paused:
+            self.engine_stream.pauseProducing()
+        else:
+            self.engine_stream.resumeProducing()
+
+    def _remove_waiter(self, waiter: defer.Deferred[None]) -> None:
+        if waiter in self._waiters:
+            self._waiters.remove(waiter)
+
+    def _release_engine(self) -> None:
+        self.release()
+        if self.engine is not None:
+            self.excluded_engines.add(self.engine.name)
+        self.engine = None
--- /dev/null
+++ b/pipitlink/gateway/request_sender.py
@@ -0,0 +1,164 @@
+"""Sends a request to its engine, and says what became of it."""
+
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+import attrs
+import treq
+from treq.client import HTTPClient
+from treq.response import _Response as Response
+from twisted.internet import defer
+from twisted.internet.error import ConnectError
+from twisted.web.client import Agent
+
+from ..context import Context
+from ..errors import ApiError, EngineError, ReplicatedLogError, ServiceUnavailable
+from ..timers import secs
+from .checked_connection import CheckedConnectionPool, CheckedEndpoint
+from .engine import Engine, EngineStatus
+from .engine_candidates import EngineCandidates
+from .engine_registry import EngineRegistry
+from .engine_slots import EngineSlots
+from .request_record import RequestRecord, RequestState
+from .retry_policy import RetryPolicy
+
+__all__ = ["EngineClient", "Exchange", "RequestSender"]
+
+REJECTED_CODES = (429, 503)
+GATEWAY_TIMEOUT = 504
+BAD_GATEWAY = 502
+DISCARD_TIMEOUT = secs(1)
+MAX_DISCARDED_TEXT = 4096
+
+Exchange = Callable[[RequestRecord, Engine], Coroutine[Any, Any, None]]
+"""Sends the request to the engine and reads the response; raises where that is not complete."""
+
+
+@attrs.frozen
+class EngineClient:
+    """An HTTP client for one request, and the endpoint of its connection."""
+
+    http: HTTPClient
+    endpoint: CheckedEndpoint
+
+
+class RequestSender:
+    """Runs exchanges with engines, and turns what goes wrong into the request's state, an error or a retry."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        registry: EngineRegistry,
+        slots: EngineSlots,
+        candidates: EngineCandidates,
+        retry_policy: RetryPolicy,
+    ) -> None:
+        self._ctx = ctx
+        self._registry = registry
+        self._slots = slots
+        self._candidates = candidates
+        self._retry_policy = retry_policy
+        pool_type: Any = CheckedConnectionPool  # twisted's constructor has no annotations
+        self._pool: CheckedConnectionPool = pool_type(ctx.reactor, persistent=False)
+
+    async def send(self, request: RequestRecord, exchange: Exchange) -> bool:
+        """Runs an exchange with the request's engine; returns whether the request is to be retried.
+
+        Raises the error of the exchange where it is not, and CancelledError where the request is cancelled.
+        """
+        engine = request.engine
+        assert engine is not None
+        self._retry_policy.record_attempt()
+        try:
+            left = request.deadline - self._ctx.timers.now()
+            await self._ctx.timers.with_timeout(left, exchange(request, engine))
+            request.trigger("finish")
+            request.notify_waiters()
+            return False
+        except defer.CancelledError:
+            raise
+        except Exception as cause:
+            error = self._record_error(request, engine, cause)
+        finally:
+            request.release()
+        if self._retry_policy.begin_retry(request):
+            request.last_rejection = error
+            return True
+        raise error
+
+    def client_for(self, request: RequestRecord, engine: Engine) -> EngineClient:
+        """Returns a client for one request, which is marked as sent in the step that writes it or is not sent."""
+
+        def check() -> None:
+            self.check_still_valid(request, engine)
+            request.trigger("send")
+
+        endpoint = CheckedEndpoint(self._ctx.reactor, check)
+        agent = Agent.usingEndpointFactory(self._ctx.reactor, endpoint, self._pool)
+        return EngineClient(HTTPClient(agent), endpoint)
+
+    def check_still_valid(self, request: RequestRecord, engine: Engine) -> None:
+        """Checks that what held when the request was admitted still holds as its first byte leaves; raises if not."""
+        if request.settled or request.engine is not engine:
+            raise ApiError("the request was ended", code="ended", outcome="not_run")
+        if request.deadline <= self._ctx.timers.now():
+            raise _deadline_passed()
+        if not self._ctx.cluster.ready():
+            raise ServiceUnavailable("this gateway cannot prove its cluster state now", code="not_current")
+        if not self._may_serve(engine, request):
+            raise ServiceUnavailable(f"{engine.name} may not get new work any more", code="engine_moved_on")
+        if request.check_before_send is not None:
+            request.check_before_send()
+
+    async def discard(self, response: Response) -> str:
+        """Reads the response to the end for a short while; returns the beginning of its text, empty on any error."""
+        try:
+            content: bytes = await self._ctx.timers.with_timeout(DISCARD_TIMEOUT, treq.content(response))
+        except Exception:
+            return ""
+        return content[:MAX_DISCARDED_TEXT].decode("utf-8", "replace")
+
+    def _may_serve(self, engine: Engine, request: RequestRecord) -> bool:
+        if self._registry.status(engine) != EngineStatus.READY:
+            return False
+        candidates = self._candidates.find(request.model, request.pool)
+        return any(candidate.engine is engine for candidate in candidates)
+
+    def _record_error(self, request: RequestRecord, engine: Engine, cause: Exception) -> Exception:
+        if request.state == RequestState.ENGINE_CHOSEN:
+            return self._record_unsent(request, engine, cause)
+        return self._record_lost(request, engine, cause)
+
+    def _record_unsent(self, request: RequestRecord, engine: Engine, cause: Exception) -> Exception:
+        """No byte left this gateway."""
+        request.trigger("connect_failed")
+        if isinstance(cause, ConnectError):
+            self._registry.record_failure(engine)
+            return ServiceUnavailable(f"engine {engine.name} could not be reached: {cause}", code="unreached")
+        if isinstance(cause, ServiceUnavailable) and cause.code == "not_current":
+            request.excluded_engines.discard(engine.name)
+        if isinstance(cause, ReplicatedLogError) or (isinstance(cause, ApiError) and cause.outcome == "not_run"):
+            return cause
+        if self._ctx.timers.now() >= request.deadline:
+            return _deadline_passed()
+        return ServiceUnavailable(f"engine {engine.name} could not be asked: {cause}", code="unreached")
+
+    def _record_lost(self, request: RequestRecord, engine: Engine, cause: Exception) -> Exception:
+        """The request was sent, at least in part."""
+        if isinstance(cause, ServiceUnavailable):
+            request.trigger("reject")
+            self._slots.record_rejection(engine)
+            return cause
+        request.trigger("lose")
+        if isinstance(cause, ApiError):
+            cause.outcome = "failed" if cause.code == "engine_refused" else request.outcome
+            return cause
+        text = str(cause) or type(cause).__name__
+        if self._ctx.timers.now() >= request.deadline:
+            return EngineError(text, code="limit_passed", status=GATEWAY_TIMEOUT, outcome=request.outcome)
+        self._registry.record_failure(engine)
+        return EngineError(text, code="lost", status=BAD_GATEWAY, outcome=request.outcome)
+
+
+def _deadline_passed() -> ApiError:
+    return ApiError("the limit has passed", code="limit_passed", status=GATEWAY_TIMEOUT, outcome="not_run")
--- /dev/null
+++ b/pipitlink/gateway/request_table.py
@@ -0,0 +1,81 @@
+"""The table of the requests that run here."""
+
+from datetime import timedelta
+
+from ..context import Context
+from ..errors import NotFound
+from ..timers import secs
+from .latency_histogram import LatencyHistogram
+from .request_record import RequestKind, RequestRecord
+from .run import Run
+
+__all__ = ["RequestTable"]
+
+
+class RequestTable:
+    """All requests of this gateway by id.
+
+    Live requests are kept for a while after their end and after their last reader left, so that a caller who lost the
+    connection can resume; one that nobody comes back for is cancelled.
+    """
+
+    def __init__(self, ctx: Context) -> None:
+        self._ctx = ctx
+        self._resume_window = secs(ctx.settings.resume_hold_s)
+        self.requests: dict[str, RequestRecord] = {}
+        self.first_chunk_latency = LatencyHistogram()
+
+    def add(self, request: RequestRecord) -> None:
+        """Enters a request, and has the latency of a live one's first chunk counted."""
+        self.requests[request.id] = request
+        if request.kind == RequestKind.LIVE:
+            arrived_at = self._ctx.timers.now()
+            request.on_first_chunk = lambda: self.first_chunk_latency.add(self._ctx.timers.now() - arrived_at)
+
+    def find_run(self, run_id: str) -> RequestRecord:
+        """Returns the live request of an id. Raises NotFound where it is not, or no longer, kept here."""
+        request = self.requests.get(run_id)
+        if request is None or request.kind != RequestKind.LIVE:
+            raise NotFound(
+                "that run is not held any more; what it did is not known here", code="run_not_held", outcome="unknown"
+            )
+        return request
+
+    def unsettled_live_requests(self) -> int:
+        """Returns how many requests run that are no items of lots."""
+        return sum(not request.settled and not request.is_lot_item for request in self.requests.values())
+
+    def has_unsettled(self) -> bool:
+        """Returns whether any request is still running."""
+        return any(not request.settled for request in self.requests.values())
+
+    def unassigned_items(self, model: str) -> int:
+        """Returns how many started items for a model have no engine yet."""
+        return sum(
+            request.is_lot_item and request.model == model and request.engine is None
+            for request in self.requests.values()
+        )
+
+    def retire(self, run: Run) -> None:
+        """Drops a settled request: a live one after the time in which it may be resumed, others at once."""
+        request = self.requests.get(run.id)
+        if request is None:
+            return
+        if request.kind == RequestKind.LIVE:
+            self._ctx.timers.call_later(self._resume_window, self.requests.pop, run.id, None)
+        else:
+            self.requests.pop(run.id, None)
+
+    def reader_left(self, run: Run) -> None:
+        """Has a run cancelled whose last reader left, unless one comes back for it in time."""
+        request = self.requests.get(run.id)
+        if run.settled or run.readers or request is None:
+            return
+        request.abandoned_at = self._ctx.timers.now()
+        self._ctx.timers.call_later(self._resume_window, _cancel_if_abandoned, request, request.abandoned_at)
+
+
+def _cancel_if_abandoned(request: RequestRecord, abandoned_at: timedelta) -> None:
+    if request.abandoned_at == abandoned_at and not request.readers and not request.settled:
+        assert request.task is not None
+        request.task.cancel()
--- /dev/null
+++ b/pipitlink/gateway/result_reader.py
@@ -0,0 +1,143 @@
+"""Reads lots and their results, whichever gateway took or owns them."""
+
+from datetime import timedelta
+
+import attrs
+from twisted.internet import defer
+
+from ..cache.tail import Tail
+from ..context import Context
+from ..errors import NotFound, ServiceUnavailable
+from ..timers import ms, secs
+from ..wire.lots_pb2 import LogRecord, Lot, Result
+from .lot_ids import LotLocation, parse_lot_id, result_log
+from .open_lots import OpenLots
+
+__all__ = ["LotResults", "ResultReader"]
+
+KEEP_SPAN = secs(30)
+EXPIRY_INTERVAL = secs(5)
+FRESH_SPAN = ms(400)
+MAX_STALENESS = secs(1)
+TAIL_LIMIT = secs(1)
+MAX_CACHED_LOTS = 256
+MAX_LOT_READS = 20
+GONE = 410
+
+
+@attrs.define(eq=False)
+class LotResults:
+    """The results of one lot, read in order and kept while callers ask for them."""
+
+    tail: Tail
+    used_at: timedelta
+    results: list[Result] = attrs.field(factory=list)
+    recorded_items: set[int] = attrs.field(factory=set)
+    end_reason: str = ""
+    lock: defer.DeferredLock = attrs.field(factory=defer.DeferredLock)
+
+    def apply(self, record: LogRecord) -> None:
+        """Takes the next record of the result log: an item's first result counts, and none after the end."""
+        kind = record.WhichOneof("of")
+        if kind == "result" and record.result.item not in self.recorded_items and not self.end_reason:
+            self.recorded_items.add(record.result.item)
+            self.results.append(record.result)
+        elif kind == "ended":
+            self.end_reason = self.end_reason or record.ended.reason
+
+
+class ResultReader:
+    """Reads lots from lot logs and results from result logs, through the caches."""
+
+    def __init__(self, ctx: Context, open_lots: OpenLots) -> None:
+        self._ctx = ctx
+        self._open_lots = open_lots
+        self._results: dict[str, LotResults] = {}
+        self._lot_cache: dict[str, Lot] = {}
+
+    def start(self) -> None:
+        """Starts to drop results that nobody asks for any more."""
+        self._ctx.timers.call_repeatedly(EXPIRY_INTERVAL, self._drop_unused, self._ctx.report("readers"))
+
+    async def find_lot(self, lot_id: str) -> Lot:
+        """Returns a lot by its id.
+
+        Raises BadRequest or NotFound where there is none, ServiceUnavailable where that cannot be known.
+        """
+        open_lot = self._open_lots.get(lot_id)
+        if open_lot is not None:
+            return open_lot.lot
+        if lot_id in self._lot_cache:
+            return self._lot_cache[lot_id]
+        location = parse_lot_id(lot_id)
+        tail = self._ctx.cache.tail(location.log)
+        try:
+            lot = await self._read_lot(tail, location)
+        finally:
+            tail.close()
+        if len(self._lot_cache) > MAX_CACHED_LOTS:
+            self._lot_cache.clear()
+        self._lot_cache[lot_id] = lot
+        return lot
+
+    async def read_results(self, lot_id: str) -> LotResults:
+        """Reads a lot's results at least to the end that their log surely had when this was called.
+
+        Raises ServiceUnavailable where that end cannot be known, NotFound where the results were removed.
+        """
+        now = self._ctx.timers.now()
+        results = self._results.get(lot_id)
+        if results is None:
+            tail = self._ctx.cache.tail(result_log(lot_id), TAIL_LIMIT)
+            results = self._results[lot_id] = LotResults(tail, now)
+        results.used_at = now
+        lengths = results.tail.seen
+        if lengths.proved is None or now - lengths.proved > FRESH_SPAN:
+            await self._ctx.cache.poller.prove([results.tail.path])
+        if lengths.proved is None or self._ctx.timers.now() - lengths.proved > MAX_STALENESS:
+            raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
+        if lengths.final and not lengths.durable:
+            raise NotFound("the lot's results were removed after their retention", code="results_removed", status=GONE)
+        async with results.lock:
+            await self.read_to(results, lengths.durable)
+        return results
+
+    async def read_to(self, results: LotResults, end: int) -> None:
+        """Reads results at least to an offset of their log, and what is cached beyond it."""
+        tail = results.tail
+        lengths = tail.seen
+        while tail.position < end or lengths.cached > tail.position:
+            before = tail.position
+            for _, body in await tail.more():
+                results.apply(LogRecord.FromString(body))
+            if tail.position == before:
+                await tail.wait()
+
+    async def _read_lot(self, tail: Tail, location: LotLocation) -> Lot:
+        await self._ctx.cache.poller.prove([location.log])
+        if tail.seen.proved is None:
+            raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
+        if tail.seen.durable <= location.offset:
+            raise _no_such_lot()
+        tail.position = location.offset
+        for _ in range(MAX_LOT_READS):
+            for offset, body in await tail.more():
+                record = LogRecord.FromString(body)
+                if offset == location.offset and record.WhichOneof("of") == "lot":
+                    return record.lot
+            if tail.position >= tail.seen.durable:
+                break
+            if tail.goal() <= tail.position:
+                await tail.wait()
+        raise _no_such_lot()
+
+    def _drop_unused(self) -> None:
+        now = self._ctx.timers.now()
+        for lot_id, results in list(self._results.items()):
+            if now - results.used_at > KEEP_SPAN:
+                results.tail.close()
+                del self._results[lot_id]
+
+
+def _no_such_lot() -> NotFound:
+    return NotFound("there is no such lot", code="no_such_lot", field="lot")
--- /dev/null
+++ b/pipitlink/gateway/retry_policy.py
@@ -0,0 +1,61 @@
+"""When a failed request may be retried on another engine."""
+
+from ..timers import Timers
+from .request_record import RequestRecord, RequestState
+
+__all__ = ["RetryBudget", "RetryPolicy"]
+
+MAX_ATTEMPTS = 3
+RETRY_SHARE = 0.2
+MAX_RETRIES_SAVED = 20.0
+
+
+class RetryBudget:
+    """Bounds retries to a share of first attempts, so that they do not multiply the load of a fault."""
+
+    def __init__(self, share: float = RETRY_SHARE, max_saved: float = MAX_RETRIES_SAVED) -> None:
+        self._share = share
+        self._max_saved = max_saved
+        self._left = max_saved
+
+    def earn(self) -> None:
+        """Adds the share of one attempt."""
+        self._left = min(self._max_saved, self._left + self._share)
+
+    def take(self) -> bool:
+        """Spends one retry; returns False where none is left."""
+        if self._left < 1:
+            return False
+        self._left -= 1
+        return True
+
+
+class RetryPolicy:
+    """Decides on retries by the request's state, its attempts and the gateway's budget."""
+
+    def __init__(self, timers: Timers) -> None:
+        self._timers = timers
+        self._budget = RetryBudget()
+
+    def record_attempt(self) -> None:
+        """Notes that a request goes to an engine, which earns budget."""
+        self._budget.earn()
+
+    def begin_retry(self, request: RequestRecord) -> bool:
+        """Returns whether the request may go to another engine now, and prepares it for that.
+
+        It may where it surely did not run, or where it is idempotent and none of its response was passed on.
+        """
+        if request.attempts >= MAX_ATTEMPTS or request.chunks or request.size:
+            return False
+        if self._timers.now() >= request.deadline:
+            return False
+        if not self._budget.take():
+            return False
+        if request.state == RequestState.WAITING:
+            return True
+        if request.state == RequestState.LOST and request.idempotent:
+            request.may_have_run = True
+            request.trigger("retry")
+            return True
+        return False
--- /dev/null
+++ b/pipitlink/gateway/run_registry.py
@@ -0,0 +1,94 @@
+"""Finds runs by id, and reads those of other gateways."""
+
+from ..context import Context, fresh_id
+from ..errors import ApiError, RemoteError, WireError
+from ..timers import ms, secs
+from ..wire.membership_pb2 import RunRequest, RunResponse
+from ..wire.rpc import Address
+from .remote_run import RemoteRun
+from .request_record import RequestRecord
+from .request_table import RequestTable
+
+__all__ = ["RunRegistry"]
+
+LONG_POLL_WAIT = ms(250)
+CALL_TIMEOUT = secs(1)
+MAX_CHUNKS = 256
+RANGE_NOT_SATISFIABLE = 416
+
+
+class RunRegistry:
+    """Names runs so that an id says which gateway has the run, and any gateway can read it there."""
+
+    def __init__(self, ctx: Context, table: RequestTable) -> None:
+        self._ctx = ctx
+        self._table = table
+
+    def start(self) -> None:
+        """Registers the handler of reads by other gateways."""
+        self._ctx.rpc.register_handler("runs.read", RunRequest, self._handle_read)
+
+    def new_run_id(self) -> str:
+        """Returns an id for a run of this gateway."""
+        return f"{self._ctx.node}-{fresh_id()}"
+
+    def remote_address(self, run_id: str) -> Address | None:
+        """Returns the address of the gateway that may have a run, None where that is this one or gone."""
+        node = run_id.partition("-")[0]
+        member = self._ctx.membership.find(node)
+        if member is None or node == self._ctx.node or self._ctx.membership.status(node) == "gone":
+            return None
+        return member.host, member.port
+
+    async def read_remote(self, run: RemoteRun, address: Address) -> RunResponse:
+        """Returns what comes after the chunks that were read. Raises WireError or RemoteError."""
+        request = RunRequest(run=run.id, **{"from": len(run.chunks)})
+        return await self._ctx.rpc.call(address, "runs.read", request, RunResponse, CALL_TIMEOUT)
+
+    async def follow_remote(self, run: RemoteRun, address: Address, first: RunResponse) -> None:
+        """Reads a run on, after its first response, while it has readers here."""
+        run.take(first)
+        try:
+            while not run.settled and run.readers:
+                run.take(await self.read_remote(run, address))
+        except (WireError, RemoteError) as error:
+            lost = ApiError(f"the gateway that holds the run was lost: {error}", code="run_lost", outcome="unknown")
+            run.settle(lost)
+
+    async def _handle_read(self, _: str, request: RunRequest) -> RunResponse:
+        """Returns the chunks from a position on, or waits a short while for one.
+
+        The reader keeps the run alive like a caller of this gateway's own.
+        """
+        record = self._table.find_run(request.run)
+        position: int = getattr(request, "from")
+        if position > len(record.chunks):
+            raise ApiError(
+                f"the run has {len(record.chunks)} pieces",
+                code="bad_field",
+                status=RANGE_NOT_SATISFIABLE,
+                outcome="not_run",
+            )
+        record.readers += 1
+        record.abandoned_at = None
+        try:
+            if not record.settled and len(record.chunks) <= position:
+                await self._ctx.timers.wait_at_most(record.wait_for_change(), LONG_POLL_WAIT)
+        finally:
+            record.readers -= 1
+            self._table.reader_left(record)
+        return _response_from(record, position)
+
+
+def _response_from(record: RequestRecord, position: int) -> RunResponse:
+    response = RunResponse(pieces=record.chunks[position : position + MAX_CHUNKS])
+    if not record.settled or position + len(response.pieces) < len(record.chunks):
+        return response
+    response.settled = True
+    if record.error is not None:
+        response.code = record.error.code
+        response.note = str(record.error)
+        response.outcome = record.outcome
+    else:
+        response.engine = record.engine_name
+    return response
--- /dev/null
+++ b/pipitlink/gateway/run_stream.py
@@ -0,0 +1,163 @@
+"""Streams a run to a caller as server-sent events."""
+
+import json
+from typing import Any, cast
+
+from twisted.internet import defer
+from twisted.web.server import Request
+
+from ..context import Context
+from ..errors import ApiError, DeadlineExceeded
+from ..reactor_types import TcpTransport
+from ..timers import secs
+from ..web import send_fault
+from .request_table import RequestTable
+from .run import Run
+
+__all__ = ["RunStream"]
+
+STUCK_CALLER_TIMEOUT = secs(20)
+
+
+def _event(name: str, event_id: int | None, data: dict[str, Any]) -> bytes:
+    head = f"id: {event_id}\n" if event_id is not None else ""
+    return f"{head}event: {name}\ndata: {json.dumps(data)}\n\n".encode()
+
+
+class _StreamPacer:
+    """Lets a writer wait while the caller's connection takes no more; a producer of the caller's request."""
+
+    def __init__(self, request: Request) -> None:
+        self._request = request
+        self.full = False
+        self._waiter: defer.Deferred[None] | None = None
+        self._registered = False
+
+    def start(self) -> None:
+        """Registers itself with the connection."""
+        self._registered = True
+        self._request.registerProducer(self, True)
+
+    def stop(self) -> None:
+        """Unregisters itself, if it is registered and the connection still open."""
+        if self._registered:
+            self._registered = False
+            if self._request.channel is not None:
+                self._request.unregisterProducer()
+
+    def pauseProducing(self) -> None:  # noqa: N802 - twisted's interface
+        """The connection takes no more for now."""
+        self.full = True
+
+    def resumeProducing(self) -> None:  # noqa: N802 - twisted's interface
+        """The connection takes more again."""
+        self.full = False
+        if self._waiter is not None:
+            waiter, self._waiter = self._waiter, None
+            waiter.callback(None)
+
+    def stopProducing(self) -> None:  # noqa: N802 - twisted's interface
+        """The connection is closed: the writer need not wait any more."""
+        self.resumeProducing()
+
+    async def wait_until_writable(self) -> None:
+        """Waits while the connection takes no more."""
+        if self.full:
+            self._waiter = defer.Deferred()
+            await self._waiter
+
+
+class RunStream:
+    """The stream of one run to one caller, from a position on.
+
+    The caller counts as a reader of the run already; it stops being one when the stream ends.
+    """
+
+    def __init__(self, ctx: Context, table: RequestTable, request: Request, run: Run, position: int) -> None:
+        self._ctx = ctx
+        self._table = table
+        self._request = request
+        self._run = run
+        self._position = position
+        self._pacer = _StreamPacer(request)
+
+    async def write(self) -> bytes:
+        """Writes the run's chunks in order with a record of its end, and returns the rest of the response's body.
+
+        Where the run failed before its first chunk, that is a JSON error. A caller that takes nothing for long is
+        disconnected.
+        """
+        try:
+            return await self._write()
+        except defer.CancelledError:
+            self._pacer.stop()
+            raise
+        except DeadlineExceeded:
+            self._ctx.logger.info("stuck_caller_disconnected", request=self._run.id, position=self._position)
+            self._pacer.stop()
+            self._transport().abortConnection()
+            return await self._wait_for_disconnect()
+        finally:
+            self._run.readers -= 1
+            self._table.reader_left(self._run)
+
+    async def _write(self) -> bytes:
+        run = self._run
+        while not run.settled and len(run.chunks) <= self._position:
+            await run.wait_for_change()
+        if run.error is not None and not run.chunks:
+            self._table.retire(run)
+            body: bytes = send_fault(self._request, run.error)
+            return body
+        self._start()
+        await self._write_chunks()
+        self._table.retire(run)
+        self._pacer.stop()
+        if run.error is not None:
+            return await self._end_with_error(run.error)
+        self._request.write(_event("end", None, {"pieces": len(run.chunks), "engine": run.engine_name}))
+        return b""
+
+    def _start(self) -> None:
+        self._request.setHeader(b"Content-Type", b"text/event-stream")
+        self._request.setHeader(b"Cache-Control", b"no-store")
+        self._request.setHeader(b"X-Run-Id", self._run.id.encode())
+        self._pacer.start()
+        if self._position == 0:
+            self._request.write(_event("run", None, {"id": self._run.id}))
+
+    async def _write_chunks(self) -> None:
+        """Writes chunks until the run is settled, and pauses the engine's stream while the caller's is full."""
+        run = self._run
+        while True:
+            while self._position < len(run.chunks):
+                if self._pacer.full:
+                    run.set_paused(True)
+                    await self._ctx.timers.with_timeout(STUCK_CALLER_TIMEOUT, self._pacer.wait_until_writable())
+                chunk = {"n": self._position, "text": run.chunks[self._position]}
+                self._request.write(_event("piece", self._position, chunk))
+                self._position += 1
+            run.set_paused(False)
+            if run.settled:
+                return
+            await run.wait_for_change()
+
+    async def _end_with_error(self, error: ApiError) -> bytes:
+        fault = {
+            "code": error.code,
+            "message": str(error),
+            "outcome": self._run.outcome,
+            "pieces": len(self._run.chunks),
+        }
+        self._request.write(_event("fault", None, fault))
+        self._transport().loseConnection()
+        return await self._wait_for_disconnect()
+
+    def _transport(self) -> TcpTransport:
+        transport: Any = self._request.transport
+        return cast(TcpTransport, transport)
+
+    async def _wait_for_disconnect(self) -> bytes:
+        """Never returns: the handler is cancelled once the connection is closed."""
+        closed: defer.Deferred[bytes] = defer.Deferred(lambda _: None)
+        return await closed
--- a/rehearsal/hollow_work.py
+++ b/rehearsal/hollow_work.py
@@ -1,6 +1,7 @@
 """What hollow nodes are given to do: engines that announce, edits, logs that are read and logs that are written."""
 
 from pipitlink.errors import PipitlinkError
+from pipitlink.gateway.lot_placement import acquire_log
 from pipitlink.timers import secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from pipitlink.wire.lots_pb2 import LogRecord, Result
@@ -77,7 +78,7 @@
             while h is None:
                 await n.ctx.timers.sleep(HOLD_SPREAD * n.ctx.rng.random())
                 try:
-                    h = await n.part.keep(log)
+                    h = await acquire_log(n.ctx, log)
                     self._held += 1
                 except PipitlinkError as e:
                     self._fail(e)
@@ -92,7 +93,7 @@
     async def _burst(self, n, size: int):
         """One lot's results, as fast as they get durable."""
         try:
-            h = await n.part.keep("results/lot")
+            h = await acquire_log(n.ctx, "results/lot")
             for at in range(0, size, BURST_STEP):
                 await h.append([_result(k) for k in range(at, min(size, at + BURST_STEP))])
         except PipitlinkError as e:
--- a/rehearsal/inner.py
+++ b/rehearsal/inner.py
@@ -59,7 +59,7 @@
         told = Gossip(sender="g1", members=everyone[at : at + TOLD_AT_ONCE])
         spawn(rpc.dispatch(rpc.hello(), "membership.tell", told.SerializeToString()))
     for i in range(int(gateways * ENGINES_A_GATEWAY)):
-        part.engines._merge(
+        part.engines.merge(
             EngineUpdate(
                 engine=f"engine{i}",
                 incarnation=1,
@@ -87,11 +87,11 @@
 
 
 def _step_room(ctx, part):
-    part.engines.room(next(iter(part.engines._engines.values())))
+    part.slots.free_slots(next(iter(part.engines.unordered())))
 
 
 def _step_loads(ctx, part):
-    part.engines._tell_loads()
+    part.slots.report_loads()
 
 
 STEPS = {
--- a/rehearsal/staged.py
+++ b/rehearsal/staged.py
@@ -6,7 +6,9 @@
 
 from pipitlink.errors import ApiError, EngineError, PipitlinkError, ServiceUnavailable
 from pipitlink.gateway import GatewayNode
-from pipitlink.gateway.requests import RequestRecord
+from pipitlink.gateway.engine_relay import EngineRelay
+from pipitlink.gateway.lot_api import results_page
+from pipitlink.gateway.request_record import RequestRecord
 from pipitlink.timers import ms, secs, spawn, wall_ms
 from pipitlink.wire.lots_pb2 import Item, Lot
 from pipitlink.wire.membership_pb2 import EngineUpdate
@@ -23,14 +25,25 @@
 
     stage = None
 
-    async def _relay(self, ask, e):
-        engine = self.stage.engines[e.name]
+    def _make_engine_relay(self, sender):
+        return StagedRelay(self.stage, self._ctx, self.engines, sender)
+
+
+class StagedRelay(EngineRelay):
+    """Exchanges requests with the engines of a stage."""
+
+    def __init__(self, stage, *parts):
+        super().__init__(*parts)
+        self.stage = stage
+
+    async def exchange(self, request, engine):
+        staged_engine = self.stage.engines[engine.name]
         await self._ctx.timers.sleep(secs(self.stage.rng.choice((0.001, 0.001, 0.02, 0.6))))
-        if not engine.alive:
-            raise ServiceUnavailable(f"{e.name} could not be reached", code="unreached")
-        self._check_still(ask, e)
-        ask.trigger("send")
-        await engine.serve(self, ask)
+        if not staged_engine.alive:
+            raise ServiceUnavailable(f"{engine.name} could not be reached", code="unreached")
+        self._sender.check_still_valid(request, engine)
+        request.trigger("send")
+        await staged_engine.serve(self._ctx.reactor, request)
 
 
 class StagedEngine:
@@ -99,11 +112,11 @@
             return
         d.clock_of.callLater(0, lambda: d.called or (d.errback(fault) if fault else d.callback(None)))
 
-    def serve(self, gateway, ask) -> defer.Deferred:
+    def serve(self, reactor, ask) -> defer.Deferred:
         """The request is on its way from now on, whatever becomes of the gateway."""
         d = defer.Deferred(lambda _: None)
-        d.clock_of = _Clocked(gateway)
-        run = f"{ask.id}.{ask.tries}"
+        d.clock_of = _Clocked(reactor)
+        run = f"{ask.id}.{ask.attempts}"
         self.stage.clock.callLater(0.002, self._begin, run, ask, d, answer_pieces(ask.prompt, 256))
         return d
 
@@ -128,15 +141,15 @@
         elif n == len(pieces):
             self._end(run, "done", d)
         else:
-            d.clock_of.callLater(0, lambda: d.called or ask.show(pieces[n]))
+            d.clock_of.callLater(0, lambda: d.called or ask.append_chunk(pieces[n]))
             self.stage.clock.callLater(self.step, self._piece, run, ask, d, pieces, n + 1)
 
 
 class _Clocked:
     """The clock of the gateway's life that sent the request: held while it is frozen, over when it is killed."""
 
-    def __init__(self, gateway):
-        self._watch = gateway._ctx.reactor
+    def __init__(self, reactor):
+        self._watch = reactor
 
     @property
     def active(self) -> bool:
@@ -195,7 +208,7 @@
             items=[Item(model="m", prompt=p, repeatable=repeatable) for p in prompts],
         )
         asked = self.stage.clock.seconds()
-        got, fault = await self._ask(lambda part: part._store_lot(lot))
+        got, fault = await self._ask(lambda part: part.lot_intake.store(lot))
         e = self.note(
             "lot",
             name=name,
@@ -221,9 +234,9 @@
         asked = self.stage.clock.seconds()
 
         async def do(part):
-            found = await part._find_lot(lot)
-            r = await part._read_results(lot)
-            return part.shown_results(lot, found, r, 0)
+            found = await part.results.find_lot(lot)
+            results = await part.results.read_results(lot)
+            return results_page(lot, found, results, 0)
 
         got, fault = await self._ask(do, gateway=gateway)
         return self.note(
@@ -244,7 +257,7 @@
             await self.timers.sleep(ms(2000 + self.stage.rng.randrange(4000)))
             if self.lots:
                 lot = self.stage.rng.choice(list(self.lots))
-                got, fault = await self._ask(lambda part: part.end_anywhere(lot), 9.0)
+                got, fault = await self._ask(lambda part: part.lot_api.end_anywhere(lot), 9.0)
                 self.note("lot_ended", lot=lot, status=200 if got else 503, said={"state": got})
 
     async def live(self):
@@ -258,21 +271,21 @@
 
         async def do(part):
             a = RequestRecord(
-                id=part.new_run(),
+                id=part.runs.new_run_id(),
                 model="m",
                 prompt=prompt,
-                repeatable=repeatable,
-                limit=part._ctx.timers.now() + secs(4),
+                idempotent=repeatable,
+                deadline=part._ctx.timers.now() + secs(4),
             )
             a.readers = 1
             box.append(a)
-            await part.run(a)
+            await part.pipeline.run(a)
 
         await self._ask(do, 5.5)
         if not box or not box[0].settled:
             fault = {"code": "dropped", "outcome": "unknown"}
         else:
-            fault = box[0].fault and {"code": box[0].fault.code, "outcome": box[0].outcome}
+            fault = box[0].error and {"code": box[0].error.code, "outcome": box[0].outcome}
         self.note(
             "told",
             prompt=prompt,
@@ -282,7 +295,7 @@
             limit=4,
             slow=1,
             status=200,
-            pieces=list(enumerate(box[0].pieces)) if box else [],
+            pieces=list(enumerate(box[0].chunks)) if box else [],
             end=fault is None,
             fault=fault,
         )
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -3,12 +3,15 @@
 from pipitlink.cluster import Cluster, ClusterState
 from pipitlink.controller.leading import Leading
 from pipitlink.errors import PipitlinkError
-from pipitlink.gateway.dispatch import Dispatch
-from pipitlink.gateway.engines import Engines
-from pipitlink.gateway.lots import OpenLot, result_log
-from pipitlink.gateway.picking import Picking
-from pipitlink.gateway.requests import RequestRecord
-from pipitlink.gateway.results import Results
+from pipitlink.gateway.engine_registry import EngineRegistry
+from pipitlink.gateway.engine_slots import EngineSlots
+from pipitlink.gateway.item_dispatcher import ItemDispatcher
+from pipitlink.gateway.lot_ids import result_log
+from pipitlink.gateway.lot_ownership import EndStatus, LotOwnership
+from pipitlink.gateway.open_lots import OpenLot
+from pipitlink.gateway.request_record import RequestRecord
+from pipitlink.gateway.result_reader import ResultReader
+from pipitlink.gateway.retry_policy import RetryPolicy
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit, ZoneEdit
 from rehearsal.checker import check
@@ -88,7 +91,7 @@
 def lot_ended(s):
     lot = s.lot(6)
     s.stage.until(lambda: len(s.runs("lot")) >= 2, 20, "items run")
-    got, _ = s.stage.do(s.c._ask(lambda part: part.end_anywhere(lot), 9.0), 10)
+    got, _ = s.stage.do(s.c._ask(lambda part: part.lot_api.end_anywhere(lot), 9.0), 10)
     s.c.note("lot_ended", lot=lot, status=200, said={"state": got})
     s.stage.run(34)
     s.close(lot)
@@ -240,14 +243,14 @@
 
 async def _read_on(self, lot_id):
     """Reads what is here, and asks no storage node first."""
-    r = self._readers.get(lot_id)
+    r = self._results.get(lot_id)
     if r is None:
         return await _read_results(self, lot_id)
-    await self._read_to(r, r.tail.seen.durable)
+    await self.read_to(r, r.tail.seen.durable)
     return r
 
 
-_read_results = Results._read_results
+_read_results = ResultReader.read_results
 
 
 def _any_base(self, e, sequence):
@@ -259,44 +262,44 @@
 
 
 async def _end_and_run_on(self, lot_id):
-    o = self.open_lots.get(lot_id)
+    o = self._open_lots.get(lot_id)
     if o is None or o.leaseholder is None:
-        return "closed" if lot_id in self._closed else "not_owned"
+        return EndStatus.CLOSED if self._open_lots.is_closed(lot_id) else EndStatus.NOT_OWNED
     h = o.leaseholder
     await self._end_log(h, "ended")
-    o.waiting, self.kept = [], o
-    return "ended"
+    o.pending, self.kept = [], o
+    return EndStatus.ENDED
 
 
 GUARDS = {
     "an item's start is durable before its call": (
         owner_killed,
         {},
-        Dispatch,
-        "_mark_started",
+        ItemDispatcher,
+        "_record_start",
         _no_record,
         "may not be repeated",
     ),
     "a new owner lists what was started as unknown": (
         owner_frozen,
         {},
-        Dispatch,
-        "_mark_started",
+        ItemDispatcher,
+        "_record_start",
         _no_record,
         "may not be repeated",
     ),
     "an ended lot's running items are stopped": (
         lot_ended,
         {"step": 2.0},
-        Dispatch,
-        "end_here",
+        LotOwnership,
+        "end_local_lot",
         _end_and_run_on,
         "an item ran on",
     ),
     "a leaving engine is not picked": (
         engine_leaves,
         {},
-        Engines,
+        EngineRegistry,
         "status",
         lambda self, e: "ready",
         "after it said it leaves",
@@ -312,17 +315,17 @@
     "a cold engine is filled step by step": (
         cold_engine,
         {"capacity": 16},
-        Engines,
+        EngineSlots,
         "capacity",
-        lambda self, e: e.news.capacity,
+        lambda self, e: e.update.capacity,
         "was cold and flooded",
     ),
     "no second try once a piece was shown": (
         cut_after_the_first_piece,
         {},
-        Picking,
-        "_may_go_again",
-        lambda self, ask: ask.state == "lost" and (ask.trigger("again") or True),
+        RetryPolicy,
+        "begin_retry",
+        lambda self, ask: ask.state == "lost" and (ask.trigger("retry") or True),
         "not the engine's own",
     ),
     "what was sent is unknown until the end": (
@@ -353,15 +356,15 @@
         owner_killed,
         {},
         OpenLot,
-        "learn",
+        "apply",
         lambda self, record: None,
         "may not be repeated",
     ),
     "a reader asks the storage nodes how far the list is": (
         gateway_cut_off,
         {"step": 0.1},
-        Results,
-        "_read_results",
+        ResultReader,
+        "read_results",
         _read_on,
         "results were shown",
     ),
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -7,10 +7,14 @@
 
 from pipitlink.cluster import ClusterState
 from pipitlink.errors import ConnectionFailed
-from pipitlink.gateway.engines import Engines
-from pipitlink.gateway.limits import ComeBack, Limits
-from pipitlink.gateway.picking import Picking, RetryBudget
-from pipitlink.gateway.requests import RequestRecord
+from pipitlink.gateway.engine_candidates import EngineCandidates
+from pipitlink.gateway.engine_registry import EngineRegistry
+from pipitlink.gateway.engine_selector import EngineSelector
+from pipitlink.gateway.engine_slots import EngineSlots
+from pipitlink.gateway.rate_limits import RateLimits
+from pipitlink.gateway.request_record import RequestKind, RequestRecord
+from pipitlink.gateway.retry_after import RetryAfterEstimator
+from pipitlink.gateway.serving_state import ServingState
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, secs, spawn
 from pipitlink.wire.membership_pb2 import EngineUpdate, Loads, Member
@@ -68,10 +72,11 @@
         return zone in self.cluster_state.empty_zones
 
 
-class Gateway(Picking, Limits):
+class Gateway:
+    """The parts of a gateway that choose engines and keep to limits; the context of its parts as well."""
+
     def __init__(self, gateways=1, n=0, clock=None, bus=None):
         self.clock = clock or Clock()
-        self._ctx = self
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
         self.timers.utc_now = lambda: datetime.fromtimestamp(self.clock.seconds(), UTC)
         self.logger = StructuredLogger(self)
@@ -79,12 +84,17 @@
         self.rpc = _Rpc(self.node, {} if bus is None else bus)
         self.membership, self.cluster = _Membership(self.node, gateways), _Cluster()
         self.settings = type("Settings", (), {"lot_reserve": 0.25})
-        self.engines = Engines(self)
-        self.rpc.register_handler("engines.loads", Loads, self.engines._told_loads)
-        self._retry_budget = RetryBudget()
-        self.come_back = ComeBack(self.timers)
-        self.asks = {}
-        self._open_limits()
+        self.engines = EngineRegistry(self)
+        self.slots = EngineSlots(self, self.engines)
+        self.rpc.register_handler("engines.loads", Loads, self.slots.handle_loads)
+        self.candidates = EngineCandidates(self, self.engines)
+        self.retry_after = RetryAfterEstimator(self.timers)
+        self.serving = ServingState(self)
+        self.rate_limits = RateLimits(self, self.slots, self.candidates, self.retry_after)
+        self.rate_limits.start()
+        self.selector = EngineSelector(
+            self, self.serving, self.slots, self.candidates, self.rate_limits, self.retry_after
+        )
 
     def run_in_background(self, work, what):
         return spawn(work)
@@ -93,7 +103,7 @@
         pass
 
     def news(self, name, state="ready", incarnation=1, capacity=10, zone="z", age_ms=0):
-        self.engines._merge(
+        self.engines.merge(
             EngineUpdate(
                 engine=name,
                 incarnation=incarnation,
@@ -107,8 +117,8 @@
             )
         )
 
-    def ask(self, prefix="", kind="live"):
-        return RequestRecord(model="m", prompt="", prefix=prefix, kind=kind, limit=self.timers.now())
+    def ask(self, prefix="", kind=RequestKind.LIVE):
+        return RequestRecord(model="m", prompt="", prefix_key=prefix, kind=kind, deadline=self.timers.now())
 
     def later(self, seconds, *names, **more):
         for _ in range(seconds):
@@ -118,7 +128,7 @@
 
     def fill(self, ask):
         n = 0
-        while (e := self._pick(ask)) is not None:
-            self.engines.take(e, ask.lot)
+        while (e := self.selector.select(ask)) is not None:
+            self.slots.acquire(e, lot_item=ask.is_lot_item)
             n += 1
         return n
--- a/tests/test_fetch_answers.py
+++ b/tests/test_fetch_answers.py
@@ -5,11 +5,10 @@
 
 from twisted.web.http_headers import Headers
 
-from pipitlink.gateway.fetching import Fetching
-from pipitlink.gateway.requests import RequestRecord
+from pipitlink.gateway.request_record import RequestKind, RequestRecord
 from pipitlink.timers import secs, spawn
 
-from .test_first_byte import _Relayer
+from .test_first_byte import Relayer
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n%s"
 
@@ -36,12 +35,14 @@
         self.written += data
 
 
-class _Fetcher(_Relayer, Fetching):
+class _Fetcher(Relayer):
     def fetch_card(self, name):
         limit = self.timers.now() + secs(10)
-        ask = RequestRecord(kind="fetch", model=name, prompt="", pool="models", repeatable=True, limit=limit)
-        ask.feed = _Request()
-        ask.work = spawn(self.run(ask))
+        ask = RequestRecord(
+            kind=RequestKind.FETCH, model=name, prompt="", pool="models", idempotent=True, deadline=limit
+        )
+        ask.caller = _Request()
+        ask.task = spawn(self.pipeline.run(ask))
         return ask
 
 
@@ -51,13 +52,13 @@
         first = g.fetch_card("one")
         wire = g.connect()
         wire.protocol.dataReceived(ANSWER % b"first")
-        self.assertEqual((first.feed.written, first.state), (b"first", "done"))
+        self.assertEqual((first.caller.written, first.state), (b"first", "done"))
         second = g.fetch_card("two")
         if not wire.disconnecting:
             wire.protocol.dataReceived(ANSWER % b"first")
-        self.assertEqual(second.feed.written, b"", "the answer of the first came to the second")
+        self.assertEqual(second.caller.written, b"", "the answer of the first came to the second")
         g.connect().protocol.dataReceived(ANSWER % b"other")
-        self.assertEqual(second.feed.written, b"other")
+        self.assertEqual(second.caller.written, b"other")
 
 
 if __name__ == "__main__":
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -8,9 +8,14 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from pipitlink.errors import LeaseNotHeld
-from pipitlink.gateway.picking import Admitting
-from pipitlink.gateway.relaying import Relaying
-from pipitlink.gateway.requests import RequestTable
+from pipitlink.gateway.admission import Admission
+from pipitlink.gateway.engine_relay import EngineRelay
+from pipitlink.gateway.fetch_relay import FetchRelay
+from pipitlink.gateway.request_pipeline import RequestPipeline, prepare_send
+from pipitlink.gateway.request_record import RequestKind
+from pipitlink.gateway.request_sender import RequestSender
+from pipitlink.gateway.request_table import RequestTable
+from pipitlink.gateway.retry_policy import RetryPolicy
 from pipitlink.timers import secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from tests.parts import Gateway
@@ -21,27 +26,31 @@
         self.disconnected = True
 
 
-class _Relayer(Gateway, Admitting, Relaying, RequestTable):
+class Relayer(Gateway):
+    """All parts that a request goes through."""
+
     def __init__(self):
         self.reactor = MemoryReactorClock()
         super().__init__(clock=self.reactor)
-        self._opened_at = self.timers.now()
-        self._hold = secs(5)
-        self.asks = {}
-        self.settings.max_running, self.settings.engine_silence_s = 10, 30
-        self._open_table()
-        self._open_relaying()
+        self.settings.max_running, self.settings.engine_silence_s, self.settings.resume_hold_s = 10, 30, 5
+        table = RequestTable(self)
+        admission = Admission(self, self.serving, table, self.rate_limits, self.retry_after)
+        sender = RequestSender(self, self.engines, self.slots, self.candidates, RetryPolicy(self.timers))
+        relay = EngineRelay(self, self.engines, sender)
+        stages = {
+            RequestKind.LIVE: (admission.admit, self.selector.choose_engine, relay.relay),
+            RequestKind.ITEM: (admission.admit, self.selector.choose_engine, prepare_send, relay.relay),
+            RequestKind.FETCH: (admission.admit, self.selector.choose_engine, FetchRelay(sender).relay),
+        }
+        self.pipeline = RequestPipeline(self, table, stages)
         self.held = True
         self.later(10, "e")
 
-    def current(self):
-        return self.cluster.ready()
-
-    def begin(self, kind="live", limit=20):
+    def begin(self, kind=RequestKind.LIVE, limit=20):
         ask = self.ask(kind=kind)
-        ask.limit = self.timers.now() + secs(limit)
-        ask.still = self.still if kind == "item" else None
-        ask.work = spawn(self.run(ask))
+        ask.deadline = self.timers.now() + secs(limit)
+        ask.check_before_send = self.still if kind == RequestKind.ITEM else None
+        ask.task = spawn(self.pipeline.run(ask))
         return ask
 
     def edit(self, row):
@@ -74,8 +83,8 @@
 
 class FirstByte(unittest.TestCase):
     def sent(self, change) -> tuple:
-        g = _Relayer()
-        ask = g.begin("item")
+        g = Relayer()
+        ask = g.begin(RequestKind.ITEM)
         self.assertEqual(len(g.reactor.tcpClients), 1)
         change(g)
         return g, ask, g.connect()
@@ -88,12 +97,12 @@
                 self.assertTrue(wire.disconnected)
                 for _ in range(40):
                     g.reactor.advance(0.05)
-                if ask.fault is not None:
+                if ask.error is not None:
                     self.assertEqual(ask.outcome, "not_run")
-                self.assertEqual(ask.tries, 1)
+                self.assertEqual(ask.attempts, 1)
 
     def test_without_the_check_each_would_be_written(self):
-        with unittest.mock.patch.object(Relaying, "_check_still", lambda *_: None):
+        with unittest.mock.patch.object(RequestSender, "check_still_valid", lambda *_: None):
             for name, change in CHANGES.items():
                 with self.subTest(name):
                     self.assertIn(b"POST /v1/completions", self.sent(change)[2].value())
@@ -104,7 +113,7 @@
         self.assertIn(b'"max_tokens": 256', wire.value())
 
     def test_a_second_try_is_admitted_anew(self):
-        g = _Relayer()
+        g = Relayer()
         g.later(1, "e", "f")
         ask = g.begin()
         first = ask.engine.name
@@ -123,39 +132,39 @@
         """Sooner where it does not announce itself either; a gateway that slept reads first what came meanwhile."""
         for heard, span in ((True, 30), (False, 5)):
             for answer in (b"", b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"):
-                g = _Relayer()
+                g = Relayer()
                 ask = g.begin(limit=100)
                 wire = g.connect()
                 wire.protocol.dataReceived(answer)
                 for n in range(span):
-                    self.assertIsNone(ask.fault)
+                    self.assertIsNone(ask.error)
                     g.later(1, *(["e"] if heard else []))
                 g.later(3)
-                self.assertEqual((ask.fault.code, ask.fault.status, ask.outcome), ("silent", 502, "unknown"))
+                self.assertEqual((ask.error.code, ask.error.status, ask.outcome), ("silent", 502, "unknown"))
                 self.assertTrue(wire.disconnected)
-        g = _Relayer()
+        g = Relayer()
         ask = g.begin(limit=100)
         wire = g.connect()
         g.reactor.advance(9)
         wire.protocol.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         g.later(3, "e")
-        self.assertIsNone(ask.fault)
+        self.assertIsNone(ask.error)
 
     def test_a_request_that_is_ended_ends_its_stream(self):
-        g = _Relayer()
+        g = Relayer()
         ask = g.begin()
         wire = g.connect()
         wire.protocol.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
-        ask.work.cancel()
+        ask.task.cancel()
         self.assertTrue(wire.disconnected)
-        self.assertEqual((ask.fault.code, ask.outcome), ("ended", "unknown"))
+        self.assertEqual((ask.error.code, ask.outcome), ("ended", "unknown"))
 
     def test_a_connect_that_outlasts_the_limit_is_given_up_and_never_sent(self):
-        g = _Relayer()
+        g = Relayer()
         ask = g.begin()
         connector = g.reactor.connectors[-1]
         self.assertFalse(connector.stoppedConnecting)
         for _ in range(30):
             g.reactor.advance(1)
         self.assertTrue(connector.stoppedConnecting)
-        self.assertEqual((ask.fault.outcome, ask.outcome), ("not_run", "not_run"))
+        self.assertEqual((ask.error.outcome, ask.outcome), ("not_run", "not_run"))
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -16,10 +16,13 @@
 from pipitlink.command import main
 from pipitlink.controller.rows import rows_from
 from pipitlink.errors import InvalidRows, ServiceUnavailable, SettingsError
-from pipitlink.gateway.dispatch import Dispatch
-from pipitlink.gateway.limits import ComeBack
-from pipitlink.gateway.lots import OpenLot
-from pipitlink.gateway.picking import RetryBudget
+from pipitlink.gateway.item_dispatcher import ItemDispatcher
+from pipitlink.gateway.lot_capacity import LotCapacity
+from pipitlink.gateway.open_lots import OpenLot, OpenLots
+from pipitlink.gateway.request_record import RequestKind
+from pipitlink.gateway.request_table import RequestTable
+from pipitlink.gateway.retry_after import RetryAfterEstimator
+from pipitlink.gateway.retry_policy import RetryBudget
 from pipitlink.settings import ROLES, Settings, read_settings
 from pipitlink.timers import Timers, secs, spawn, wall_ms
 from pipitlink.wire.cluster_pb2 import Row
@@ -39,7 +42,7 @@
         self.assertEqual(g.fill(g.ask()), 5)
         g.later(1, "e", incarnation=2)
         e = g.engines.all()[0]
-        e.live = 0
+        e.live_requests = 0
         self.assertEqual(g.fill(g.ask()), 1)
 
     def test_a_leaving_or_silent_engine_and_an_emptied_zone_get_nothing(self):
@@ -47,24 +50,24 @@
         g.later(10, "e")
         g.news("e", state="leaving")
         g.news("e", state="ready")
-        self.assertIsNone(g._pick(g.ask()))
+        self.assertIsNone(g.selector.select(g.ask()))
         g.later(10, "f")
-        self.assertIsNotNone(g._pick(g.ask()))
+        self.assertIsNotNone(g.selector.select(g.ask()))
         g.clock.advance(3.5)
-        self.assertIsNone(g._pick(g.ask()))
+        self.assertIsNone(g.selector.select(g.ask()))
         g.news("f")
         g.cluster.cluster_state.empty_zones.add("z")
-        self.assertIsNone(g._pick(g.ask()))
+        self.assertIsNone(g.selector.select(g.ask()))
 
     def test_lots_leave_the_reserve_and_a_rows_share_goes_before_it(self):
         g = Gateway()
         g.later(10, "e", capacity=20)
-        self.assertEqual(g.fill(g.ask(kind="item")), 15)
+        self.assertEqual(g.fill(g.ask(kind=RequestKind.ITEM)), 15)
         self.assertEqual(g.fill(g.ask()), 5)
         g = Gateway()
         g.later(10, "e", capacity=20)
         g.cluster.cluster_state.rows["r"] = Row(name="r", model="m", weight=1, lot_share=0.5)
-        self.assertEqual(g.fill(g.ask(kind="item")), 10)
+        self.assertEqual(g.fill(g.ask(kind=RequestKind.ITEM)), 10)
 
     def test_gateways_with_late_news_together_fill_an_engine_and_do_not_pass_its_limit(self):
         for capacity in (3, 8, 10, 41):
@@ -88,7 +91,7 @@
         g.later(10, "e", capacity=1)
         turns = []
         for _ in range(8):
-            turns.append(g.engines.room(g.engines.all()[0]))
+            turns.append(g.slots.free_slots(g.engines.all()[0]))
             g.clock.advance(0.1)
         self.assertEqual((sum(turns), turns[:4]), (2, turns[4:]))
 
@@ -98,7 +101,7 @@
         self.assertEqual(g.fill(g.ask()), 10)
         told = []
         for _ in range(12):
-            g.engines._tell_loads()
+            g.slots.report_loads()
             told.append(g.fill(g.ask()))
         self.assertIn(told[0], (7, 8))
         self.assertGreater(10 + sum(told), 34)
@@ -106,13 +109,13 @@
     def test_one_prefix_keeps_to_one_engine_until_that_is_loaded(self):
         g = Gateway()
         g.later(10, "a", "b", "c", capacity=8)
-        first = g._pick(g.ask("tour")).name
-        self.assertEqual({g._pick(g.ask("tour")).name for _ in range(20)}, {first})
+        first = g.selector.select(g.ask("tour")).name
+        self.assertEqual({g.selector.select(g.ask("tour")).name for _ in range(20)}, {first})
         picked = []
         for _ in range(9):
-            e = g._pick(g.ask("tour"))
+            e = g.selector.select(g.ask("tour"))
             picked.append(e.name)
-            g.engines.take(e, False)
+            g.slots.acquire(e, lot_item=False)
         self.assertEqual(picked[0], first)
         self.assertGreater(len(set(picked)), 1)
 
@@ -120,10 +123,10 @@
         g = Gateway()
         g.later(10, "a")
         g.cluster.cluster_state.rows["r"] = Row(name="r", model="m", pool="models", weight=0)
-        self.assertEqual(g.candidates("m"), [])
+        self.assertEqual(g.candidates.find("m"), [])
 
     def test_second_tries_have_a_budget(self):
-        b = RetryBudget(share=0.5, most=2)
+        b = RetryBudget(share=0.5, max_saved=2)
         self.assertEqual([b.take() for _ in range(3)], [True, True, False])
         b.earn()
         b.earn()
@@ -146,7 +149,7 @@
             for g in self.up():
                 if round(self.clock.seconds() / 0.05) % 4 == 0:
                     g.news("e", capacity=100)
-                    g.engines._tell_loads()
+                    g.slots.report_loads()
             each()
 
     def up(self):
@@ -159,7 +162,7 @@
 
     def passed(self, g) -> bool:
         box = []
-        spawn(g._keep_rate(g.ask())).addBoth(box.append)
+        spawn(g.rate_limits.check_rate(g.ask())).addBoth(box.append)
         return not isinstance(getattr(box[0], "value", None), ServiceUnavailable)
 
 
@@ -179,10 +182,10 @@
             for g in f.up():
                 g.news("cold", capacity=8)
                 e = next(e for e in g.engines.all() if e.name == "cold")
-                if g.engines.room(e) > 0:
-                    g.engines.take(e, False)
+                if g.slots.free_slots(e) > 0:
+                    g.slots.acquire(e, lot_item=False)
             ramp = max(1, int(8 * min(1.0, 0.1 + 0.9 * (f.clock.seconds() - came) / 8)))
-            over.append(sum(e.mine for g in f.up() for e in g.engines.all() if e.name == "cold") - ramp)
+            over.append(sum(e.local_requests for g in f.up() for e in g.engines.all() if e.name == "cold") - ramp)
 
         f.run(7, each)
         self.assertLessEqual(max(over), 1)
@@ -190,7 +193,7 @@
 
     def test_a_new_or_lost_gateway_brings_no_burst(self):
         f, passed = _Fleet(4, rate=2), []
-        steward = next(g for g in f.gateways if g._steward("r") == g.node)
+        steward = next(g for g in f.gateways if g.rate_limits.coordinator("r") == g.node)
         f.run(3, lambda: passed.extend(g for g in f.up() if f.passed(g)))
         f.lose(steward)
         f.run(7, lambda: passed.extend(g for g in f.up() if f.passed(g)))
@@ -205,18 +208,18 @@
             for g in f.up():
                 if f.rng.random() < 0.1:
                     a = g.ask()
-                    a.limit = g.timers.now() + secs(5)
-                    spawn(g._keep_concurrency(a)).addCallbacks(
+                    a.deadline = g.timers.now() + secs(5)
+                    spawn(g.rate_limits.acquire_permit(a)).addCallbacks(
                         lambda _, a=a: (out.append(a), began.append(a)), lambda f: f.trap(ServiceUnavailable) and None
                     )
             for a in [a for a in out if f.rng.random() < 0.05]:
                 out.remove(a)
-                a.give()
+                a.release()
             most.append(len(out))
 
         f.run(8, each)
         before = len(began)
-        f.lose(next(g for g in f.gateways if g._steward("r") == g.node))
+        f.lose(next(g for g in f.gateways if g.rate_limits.coordinator("r") == g.node))
         f.run(10, each)
         self.assertEqual(max(most), 3)
         self.assertGreater(before, 12)
@@ -224,7 +227,7 @@
 
     def test_the_smaller_side_of_a_cut_and_a_gateway_that_slept_grant_nothing(self):
         f = _Fleet(8, rate=100)
-        g = next(g for g in f.gateways if g._steward("r") == g.node)
+        g = next(g for g in f.gateways if g.rate_limits.coordinator("r") == g.node)
         self.assertTrue(f.passed(g))
         g.membership.away = tuple(o.node for o in f.gateways if o is not g)[:6]
         f.run(1)
@@ -240,7 +243,7 @@
 
         def tries(derived):
             clock = Clock()
-            back = ComeBack(Timers(clock, seconds=clock.seconds))
+            back = RetryAfterEstimator(Timers(clock, seconds=clock.seconds))
             due, vain, served = {0.0: 600}, 0, 0
             while served < 600:
                 now = round(clock.seconds(), 3)
@@ -248,7 +251,7 @@
                 for _ in range(due.pop(now, 0)):
                     if free:
                         free, served = free - 1, served + 1
-                        back.freed()
+                        back.record_release()
                     else:
                         vain += 1
                         at = round(now + (back.seconds() if derived else 1), 3)
@@ -259,55 +262,62 @@
         self.assertLess(tries(True), tries(False) / 3)
 
 
-class _Dispatcher(Gateway, Dispatch):
+class _Dispatcher(ItemDispatcher):
+    """Notes which items are started, each of which takes a slot for good."""
+
+    def __init__(self, gateway, *parts):
+        super().__init__(gateway, gateway.serving, gateway.open_lots, None, *parts)
+        self._gateway = gateway
+
+    async def _run_item(self, lot, index, item, overdue):
+        self._gateway.began.append("late" if overdue else lot.id)
+        self._gateway.slots.acquire(self._gateway.engines.all()[0], lot_item=True)
+        await defer.Deferred()
+
+
+class _LotOwner(Gateway):
     def __init__(self):
         super().__init__()
-        self.settings = type("Settings", (), {"lot_reserve": 0.25, "zone": "z"})
-        self.open_lots, self.began = {}, []
-
-    def current(self):
-        return True
+        self.settings = type("Settings", (), {"lot_reserve": 0.25, "zone": "z", "resume_hold_s": 5})
+        self.open_lots, self.began = OpenLots(), []
+        capacity = LotCapacity(self.slots, self.candidates)
+        self.dispatcher = _Dispatcher(self, capacity, RequestTable(self), None)
 
     def lot(self, name, customer, items, due_s, priority=0):
         wall = wall_ms(self.timers.utc_now())
-        o = OpenLot(
+        self.open_lots.add(
             name,
             Lot(customer=customer, priority=priority, limit_ms=wall + due_s * 1000, items=[Item(model="m")] * items),
         )
+        o = self.open_lots.get(name)
         o.leaseholder = type("Leaseholder", (), {"held": lambda self: True, "lost": "", "epoch": 1, "final": False})()
-        o.waiting = list(range(items))
-        self.open_lots[name] = o
+        o.pending = list(range(items))
         return o
 
-    async def _run_item(self, o, i, item, late):
-        self.began.append("late" if late else o.id)
-        self.engines.take(self.engines.all()[0], True)
-        await defer.Deferred()
-
 
 class OrderOfLots(unittest.TestCase):
     def test_soon_due_first_then_priority_then_customers_by_turns_and_only_into_the_room(self):
-        g = _Dispatcher()
+        g = _LotOwner()
         g.later(10, "e", capacity=16)
         g.lot("night-a", "a", 20, 30_000)
         g.lot("night-b", "b", 20, 30_000)
         g.lot("raised", "a", 2, 30_000, priority=3)
         g.lot("due", "c", 2, 4)
-        g._feed()
+        g.dispatcher.dispatch()
         self.assertEqual(g.began[:4], ["due", "due", "raised", "raised"])
         self.assertEqual(sorted(g.began[4:]), ["night-a"] * 3 + ["night-b"] * 5)
-        g._feed()
+        g.dispatcher.dispatch()
         self.assertEqual(len(g.began), 12)
-        g.engines.all()[0].lots = 0
-        g.engines.all()[0].live = 14
-        g._feed()
+        g.engines.all()[0].lot_items = 0
+        g.engines.all()[0].live_requests = 14
+        g.dispatcher.dispatch()
         self.assertEqual(len(g.began), 12)
 
     def test_what_is_past_its_limit_is_listed_and_takes_no_room(self):
-        g = _Dispatcher()
+        g = _LotOwner()
         g.later(10, "e", capacity=4)
         g.lot("past", "a", 2, -1)
-        g._feed()
+        g.dispatcher.dispatch()
         self.assertEqual(g.began, ["late", "late"])
 
 
@@ -315,9 +325,9 @@
     def test_an_item_that_may_have_run_is_never_listed_as_not_run(self):
         def listed(repeatable, tries, epoch, outcome="not_run"):
             o = OpenLot("x", Lot(items=[Item(model="m", repeatable=repeatable)]))
-            o.tries[0] = tries
+            o.attempts[0] = tries
             o.leaseholder = type("Leaseholder", (), {"epoch": epoch})
-            return Dispatch()._proved(o, 0, outcome)
+            return o.provable_outcome(0, outcome)
 
         self.assertEqual(listed(False, 0, 1), "not_run")
         self.assertEqual(listed(False, 0, 5), "not_run")
--- a/tests/test_lot_end_told_once.py
+++ b/tests/test_lot_end_told_once.py
@@ -5,7 +5,8 @@
 
 from twisted.internet import defer
 
-from pipitlink.gateway.dispatch import Dispatch
+from pipitlink.gateway.lot_ownership import LotOwnership
+from pipitlink.gateway.open_lots import OpenLots
 from pipitlink.timers import spawn
 
 
@@ -28,27 +29,23 @@
     all_durable = _wait
 
 
-class _Node(Dispatch):
+class _Context(SimpleNamespace):
     def __init__(self):
         self.told: list[str] = []
         timers = SimpleNamespace(sleep=lambda span: defer.Deferred())
-        self._ctx = SimpleNamespace(
-            timers=timers, logger=SimpleNamespace(info=lambda event, **_: self.told.append(event))
-        )
-
-    def _close(self, lot_id):
-        pass
+        super().__init__(timers=timers, logger=SimpleNamespace(info=lambda event, **_: self.told.append(event)))
 
 
 class LotEnd(unittest.TestCase):
     def test_it_is_told_once(self):
-        node, leaseholder = _Node(), _Leaseholder()
+        ctx, leaseholder = _Context(), _Leaseholder()
+        ownership = LotOwnership(ctx, None, OpenLots())
         lot = SimpleNamespace(id="l", leaseholder=leaseholder, results={}, running={}, lot=SimpleNamespace(items=[]))
         for _ in range(2):
-            spawn(node._finish_if_done(lot))
+            spawn(ownership.finish_if_done(lot))
         for durable in leaseholder.durable:
             durable.callback(None)
-        self.assertEqual(node.told, ["lot_done"])
+        self.assertEqual(ctx.told, ["lot_done"])
 
 
 if __name__ == "__main__":
--- a/tests/test_stage_lots.py
+++ b/tests/test_stage_lots.py
@@ -4,6 +4,7 @@
 
 import unittest
 
+from pipitlink.gateway.lot_placement import choose_owner
 from rehearsal.checker import check
 from rehearsal.stage import Stage
 from rehearsal.staged import Customers, StagedEngine, StagedGateway
@@ -68,17 +69,17 @@
                 (
                     a.name,
                     a.node,
-                    "closed" if lot in a.part._closed else "",
+                    "closed" if a.part.open_lots.is_closed(lot) else "",
                     o
                     and (
-                        a.part._owner(lot),
+                        choose_owner(a.ctx, lot),
                         sorted(o.results),
                         sorted(o.started),
-                        o.waiting,
+                        o.pending,
                         list(o.running),
-                        o.again_at,
-                        o.taking,
-                        o.try_at,
+                        o.retry_at,
+                        o.acquiring,
+                        o.next_acquire_at,
                         h and (h.epoch, h.lost, h.final, h.committed, len(h.data), h.held()),
                     ),
                 )
