--- a/pipitlink/gateway/__init__.py
+++ b/pipitlink/gateway/__init__.py
@@ -1,7 +1,7 @@
-"""Gateways of the models interface: live requests, fetches and lots.
+"""Gateways of the models interface: live requests, fetches and batch jobs.
 
-A lot is a batch job of this interface: items that run within hours in the capacity that live requests leave. The
-interface, the stored records and this package call it a lot, since a batch is what the routes interface has
+A batch job holds items that run within hours, in the capacity that live requests leave. Callers, settings, metrics,
+log events and stored records call it a lot; this package says job, since a batch is what the routes interface has
 (`pipitlink.router`).
 """
 
--- a/pipitlink/gateway/admission.py
+++ b/pipitlink/gateway/admission.py
@@ -1,4 +1,4 @@
-"""The stage that admits a request or rejects it early."""
+"""The step that admits a request or rejects it early."""
 
 from ..context import Context
 from ..errors import ApiError, ServiceUnavailable
@@ -33,13 +33,16 @@
         self._retry_after = retry_after
 
     async def admit(self, request: RequestRecord) -> bool:
-        """Stage: raises ApiError where the request may not run now; retries are only checked against their deadline."""
+        """Pipeline step: raises ApiError where the request may not run now.
+
+        A retry is only checked against its deadline.
+        """
         await self._wait_until_current()
         if request.deadline <= self._ctx.timers.now():
             raise ApiError("the limit has passed", code="limit_passed", status=504, outcome="not_run")
         if request.attempts:
             return False
-        if not request.is_lot_item and self._table.unsettled_live_requests() > self._ctx.settings.max_running:
+        if not request.is_job_item and self._table.unsettled_live_requests() > self._ctx.settings.max_running:
             raise ServiceUnavailable("too many requests are running here", retry_after=self._retry_after.seconds())
         await self._rate_limits.check_rate(request)
         return False
--- a/pipitlink/gateway/engine_candidates.py
+++ b/pipitlink/gateway/engine_candidates.py
@@ -55,8 +55,8 @@
                 return row
         return None
 
-    def lot_reserve(self, model: str, engine: Engine) -> float:
-        """Returns the share of an engine's capacity that lots leave to live requests."""
+    def job_reserve(self, model: str, engine: Engine) -> float:
+        """Returns the share of an engine's capacity that jobs leave to live requests."""
         row = self._row(model, engine.update.pool)
         if row is not None and row.lot_share > 0:
             return 1 - row.lot_share
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -137,12 +137,12 @@
         return self._resumed_at > ZERO and now - self._resumed_at < STALE_MESSAGE_SPAN
 
     def _add_incarnation(self, update: EngineUpdate, renewed_at: timedelta, previous: Engine | None) -> None:
-        own_copy = EngineUpdate()
-        own_copy.CopyFrom(update)
-        engine = Engine(own_copy, renewed_at, self._ctx.timers.now())
+        stored = EngineUpdate()
+        stored.CopyFrom(update)
+        engine = Engine(stored, renewed_at, self._ctx.timers.now())
         if previous is not None:
             engine.live_requests = previous.live_requests
-            engine.lot_items = previous.lot_items
+            engine.job_items = previous.job_items
             engine.peer_loads = previous.peer_loads
         self._engines[update.engine] = engine
         self._ctx.logger.info(
--- a/pipitlink/gateway/engine_relay.py
+++ b/pipitlink/gateway/engine_relay.py
@@ -1,4 +1,4 @@
-"""The stage that sends a prompt to an engine and reads the streamed completion."""
+"""The step that sends a prompt to an engine and reads the streamed completion."""
 
 import json
 from collections.abc import Callable
@@ -18,14 +18,14 @@
 
 __all__ = ["EngineRelay"]
 
-SILENCE_CHECK_INTERVAL = secs(1)
-GONE_ENGINE_SILENCE = secs(3)
-SILENT_CHECKS = 2
+IDLE_CHECK_INTERVAL = secs(1)
+GONE_ENGINE_TIMEOUT = secs(3)
+IDLE_CHECKS = 2
 MAX_ERROR_LENGTH = 200
 OK = 200
 
 
-class _SilenceWatch:
+class _IdleTimeout:
     """Cancels an exchange in which nothing is received for too long.
 
     It takes two checks in a row, so that a process that was suspended reads first what came meanwhile.
@@ -37,13 +37,13 @@
         self._received_at = ctx.timers.now()
         self._next_check: Any = None
         self._exchange: defer.Deferred[None] | None = None
-        self._silent_checks = 0
+        self._idle_checks = 0
         self.timed_out = False
 
     def start(self, exchange: defer.Deferred[None]) -> None:
         """Watches an exchange from now on."""
         self._exchange = exchange
-        self._next_check = self._ctx.timers.call_later(SILENCE_CHECK_INTERVAL, self._check)
+        self._next_check = self._ctx.timers.call_later(IDLE_CHECK_INTERVAL, self._check)
 
     def record_data(self) -> None:
         """Notes that something was received."""
@@ -55,19 +55,19 @@
             self._next_check.cancel()
 
     def _check(self) -> None:
-        self._silent_checks = self._silent_checks + 1 if self._is_silent() else 0
-        if self._silent_checks >= SILENT_CHECKS:
+        self._idle_checks = self._idle_checks + 1 if self._is_idle() else 0
+        if self._idle_checks >= IDLE_CHECKS:
             self.timed_out = True
             assert self._exchange is not None
             self._exchange.cancel()
         else:
-            self._next_check = self._ctx.timers.call_later(SILENCE_CHECK_INTERVAL, self._check)
+            self._next_check = self._ctx.timers.call_later(IDLE_CHECK_INTERVAL, self._check)
 
-    def _is_silent(self) -> bool:
-        silence = self._ctx.timers.now() - self._received_at
-        if silence > secs(self._ctx.settings.engine_silence_s):
+    def _is_idle(self) -> bool:
+        idle_time = self._ctx.timers.now() - self._received_at
+        if idle_time > secs(self._ctx.settings.engine_silence_s):
             return True
-        return silence > GONE_ENGINE_SILENCE and self._is_engine_gone()
+        return idle_time > GONE_ENGINE_TIMEOUT and self._is_engine_gone()
 
 
 class EngineRelay:
@@ -79,25 +79,25 @@
         self._sender = sender
 
     async def relay(self, request: RequestRecord) -> bool:
-        """Stage: sends the request to its engine and reads the response; returns whether it is to be retried."""
+        """Pipeline step: sends the request to its engine and reads the response; returns whether to retry it."""
         return await self._sender.send(request, self.exchange)
 
     async def exchange(self, request: RequestRecord, engine: Engine) -> None:
         """Runs one exchange, and gives it up where the engine falls silent, sooner where it is gone as well."""
-        watch = _SilenceWatch(self._ctx, lambda: self._registry.status(engine) == EngineStatus.GONE)
-        work = spawn(self._send_and_read(request, engine, watch))
-        watch.start(work)
+        timeout = _IdleTimeout(self._ctx, lambda: self._registry.status(engine) == EngineStatus.GONE)
+        work = spawn(self._send_and_read(request, engine, timeout))
+        timeout.start(work)
         try:
             await work
         except Exception:
             work.cancel()
-            if watch.timed_out:
+            if timeout.timed_out:
                 raise EngineError(f"engine {engine.name} fell silent", code="silent") from None
             raise
         finally:
-            watch.stop()
+            timeout.stop()
 
-    async def _send_and_read(self, request: RequestRecord, engine: Engine, watch: _SilenceWatch) -> None:
+    async def _send_and_read(self, request: RequestRecord, engine: Engine, timeout: _IdleTimeout) -> None:
         headers: dict[str | bytes, str | bytes] = {
             "Content-Type": "application/json",
             "X-Request-Id": request.id,
@@ -122,7 +122,7 @@
                 code="engine_refused",
                 outcome="failed",
             )
-        reader = TokenStreamReader(request, client.endpoint.abort, watch.record_data)
+        reader = TokenStreamReader(request, client.endpoint.abort, timeout.record_data)
         response.deliverBody(reader)
         await reader.finished
 
--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -1,4 +1,4 @@
-"""The stage that chooses an engine: weights, status, zone, prefix affinity and bounded load."""
+"""The step that chooses an engine: weights, status, zone, prefix affinity and bounded load."""
 
 import math
 from collections.abc import Callable
@@ -57,14 +57,14 @@
         self._waiting = 0
 
     async def choose_engine(self, request: RequestRecord) -> bool:
-        """Stage: takes a slot of an engine, and a permit where the request's row bounds the concurrency.
+        """Pipeline step: takes a slot of an engine, and a permit where the request's row bounds the concurrency.
 
         Raises ApiError where no engine serves the request, none is left, or none has a free slot in time.
         """
         await self._rate_limits.acquire_permit(request)
         engine = await self._wait_for_engine(request)
         request.engine = engine
-        release_slot = self._slots.acquire(engine, lot_item=request.is_lot_item)
+        release_slot = self._slots.acquire(engine, job_item=request.is_job_item)
         request.release_slot = partial(self._release_slot, release_slot)
         request.attempts += 1
         request.trigger("choose_engine")
@@ -114,7 +114,7 @@
             raise request.last_rejection or ServiceUnavailable("no other back end is left to try")
 
     def _has_free_slot(self, request: RequestRecord, engine: Engine) -> bool:
-        reserve = self._candidates.lot_reserve(request.model, engine) if request.is_lot_item else 0.0
+        reserve = self._candidates.job_reserve(request.model, engine) if request.is_job_item else 0.0
         return self._slots.free_slots(engine, reserve) > 0
 
     def _load(self, engine: Engine) -> float:
--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -16,14 +16,14 @@
 from .engine import Engine, PeerLoad
 from .engine_registry import EngineRegistry
 
-__all__ = ["CapacityShare", "EngineSlots", "LoadsCarrier"]
+__all__ = ["CapacityQuota", "EngineSlots", "LoadsCarrier"]
 
 REPORT_INTERVAL = ms(200)
 REPORT_TIMEOUT = ms(400)
 PEER_LOAD_SPAN = secs(2)
 ACTIVE_SPAN = secs(6)
 SLOW_START_SPAN = secs(8)
-SLOW_START_MIN_SHARE = 0.1
+SLOW_START_MIN_FRACTION = 0.1
 ROTATION_MS = 100
 PROMPT_REPORT_DELAY = ms(5)
 RANK_BYTES = 8
@@ -40,8 +40,8 @@
 
 
 @attrs.frozen
-class CapacityShare:
-    """A gateway's share of an engine's slots. The shares of all gateways add up; the odd slots rotate among them."""
+class CapacityQuota:
+    """A gateway's quota of an engine's slots. The quotas of all gateways add up; the odd slots rotate among them."""
 
     gateways: int
     turn: int
@@ -85,8 +85,8 @@
     def capacity(self, engine: Engine) -> int:
         """Returns how many requests may run on the engine now, which grows with its age in slow start."""
         age = (self._ctx.timers.now() - engine.ready_since) / SLOW_START_SPAN
-        share = min(1.0, SLOW_START_MIN_SHARE + (1 - SLOW_START_MIN_SHARE) * age)
-        return max(1, int(engine.update.capacity * share))
+        fraction = min(1.0, SLOW_START_MIN_FRACTION + (1 - SLOW_START_MIN_FRACTION) * age)
+        return max(1, int(engine.update.capacity * fraction))
 
     def running(self, engine: Engine) -> int:
         """Returns how many requests run on the engine, from here and by recent reports of the other gateways."""
@@ -104,18 +104,18 @@
         capacity = int(self.capacity(engine) * (1 - reserve))
         free = capacity - self.running(engine)
         unreported = max(0, engine.local_requests - self._reported.get(engine.name, 0))
-        share = self._share(engine)
-        part_of_free = share.of(max(0, free + unreported)) - unreported
-        guaranteed = 0 if self._in_slow_start(engine) else share.of(capacity) - engine.local_requests
+        quota = self._quota(engine)
+        part_of_free = quota.of(max(0, free + unreported)) - unreported
+        guaranteed = 0 if self._in_slow_start(engine) else quota.of(capacity) - engine.local_requests
         return max(0, min(free, max(guaranteed, part_of_free)))
 
-    def acquire(self, engine: Engine, *, lot_item: bool) -> Callable[[], None]:
+    def acquire(self, engine: Engine, *, job_item: bool) -> Callable[[], None]:
         """Takes a slot of the engine; returns the function that releases it, to be called once."""
-        engine.change_local_requests(1, lot_item=lot_item)
+        engine.change_local_requests(1, job_item=job_item)
         if self._in_slow_start(engine) and not self._report_scheduled:
             self._report_scheduled = True
             self._ctx.timers.call_later(PROMPT_REPORT_DELAY, self.report_loads)
-        return partial(self._release, engine.name, lot_item)
+        return partial(self._release, engine.name, job_item)
 
     def add_waiter(self, waiter: defer.Deferred[None]) -> None:
         """Has a Deferred fired as soon as some engine may have more free slots."""
@@ -167,7 +167,7 @@
     def _in_slow_start(self, engine: Engine) -> bool:
         return self._ctx.timers.now() - engine.ready_since < SLOW_START_SPAN
 
-    def _share(self, engine: Engine) -> CapacityShare:
+    def _quota(self, engine: Engine) -> CapacityQuota:
         """Returns this gateway's share of the engine now.
 
         In slow start, gateways that were heard a short while ago keep their shares: they may only be partitioned off.
@@ -176,9 +176,9 @@
         gateways = {member.node for member in membership.members("gateway", status=("alive",))} | {self._ctx.node}
         if self._in_slow_start(engine):
             gateways |= self._recently_alive_gateways()
-        ranked = sorted(gateways, key=lambda gateway: _share_rank(engine.name, gateway))
+        ranked = sorted(gateways, key=lambda gateway: _quota_rank(engine.name, gateway))
         rotation = wall_ms(self._ctx.timers.utc_now()) // ROTATION_MS
-        return CapacityShare(len(ranked), (ranked.index(self._ctx.node) + rotation) % len(ranked))
+        return CapacityQuota(len(ranked), (ranked.index(self._ctx.node) + rotation) % len(ranked))
 
     def _recently_alive_gateways(self) -> set[str]:
         membership = self._ctx.membership
@@ -188,12 +188,12 @@
             if membership.since(member.node) < SLOW_START_SPAN
         }
 
-    def _release(self, name: str, lot_item: bool) -> None:
+    def _release(self, name: str, job_item: bool) -> None:
         engine = self._registry.get(name)
         if engine is not None:
-            engine.change_local_requests(-1, lot_item=lot_item)
+            engine.change_local_requests(-1, job_item=job_item)
         self.wake_waiters()
 
 
-def _share_rank(engine: str, gateway: str) -> bytes:
+def _quota_rank(engine: str, gateway: str) -> bytes:
     return blake2b(f"{engine}/{gateway}".encode(), digest_size=RANK_BYTES).digest()
--- a/pipitlink/gateway/fetch_relay.py
+++ b/pipitlink/gateway/fetch_relay.py
@@ -62,7 +62,7 @@
         self._sender = sender
 
     async def relay(self, record: RequestRecord) -> bool:
-        """Stage: sends the fetch and passes the response on; returns whether it is to be retried."""
+        """Pipeline step: sends the fetch and passes the response on; returns whether it is to be retried."""
         return await self._sender.send(record, self._exchange)
 
     async def _exchange(self, record: RequestRecord, engine: Engine) -> None:
--- a/pipitlink/gateway/idempotency_keys.py
+++ b/pipitlink/gateway/idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Takes in lots with an idempotency key, each key at most once."""
+"""Takes in batch jobs with an idempotency key, each key at most once."""
 
 from hashlib import blake2b
 
@@ -19,11 +19,11 @@
 from ..replicated_log import Leaseholder
 from ..timers import secs, wall_ms
 from ..wire.lots_pb2 import KeyedLotRequest, KeyedLotResponse, LogRecord, Lot
-from .lot_ids import lot_id_at
-from .lot_placement import acquire_log, choose_owner
-from .open_lots import OpenLots
+from .job_ids import job_id_at
+from .open_jobs import OpenJobs
+from .owner_selection import acquire_log, choose_owner
 
-__all__ = ["IdempotencyKeys", "StoredLot"]
+__all__ = ["IdempotencyKeys", "StoredJob"]
 
 SHARDS = 16
 DAY_MS = 86_400_000
@@ -33,39 +33,39 @@
 
 
 @attrs.frozen
-class StoredLot:
-    """The id of a stored lot, and whether it was stored by an earlier request with the same key."""
+class StoredJob:
+    """The id of a stored job, and whether it was stored by an earlier request with the same key."""
 
-    lot_id: str
+    job_id: str
     duplicate: bool
 
 
 @attrs.frozen
 class _KeyEntry:
-    """The lot that a key stands for."""
+    """The job that a key stands for."""
 
-    lot_id: str
+    job_id: str
     digest: bytes
 
 
-def _digest(lot: Lot) -> bytes:
+def _digest(spec: Lot) -> bytes:
     """Returns a digest of what a caller submitted, without what the gateway added."""
-    submitted = Lot(customer=lot.customer, priority=lot.priority, key=lot.key, items=lot.items)
+    submitted = Lot(customer=spec.customer, priority=spec.priority, key=spec.key, items=spec.items)
     return blake2b(submitted.SerializeToString(deterministic=True), digest_size=DIGEST_BYTES).digest()
 
 
-def _full_key(lot: Lot) -> str:
-    """Returns a lot's key together with its customer, since each customer has keys of their own."""
-    return f"{lot.customer}\0{lot.key}"
+def _full_key(spec: Lot) -> str:
+    """Returns a job's key together with its customer, since each customer has keys of their own."""
+    return f"{spec.customer}\0{spec.key}"
 
 
-def _shard_of(lot: Lot) -> int:
-    return blake2b(_full_key(lot).encode(), digest_size=1).digest()[0] % SHARDS
+def _shard_of(spec: Lot) -> int:
+    return blake2b(_full_key(spec).encode(), digest_size=1).digest()[0] % SHARDS
 
 
 @attrs.define(eq=False)
 class _ShardLog:
-    """One shard's log of a day, and the lot that each key in it stands for."""
+    """One shard's log of a day, and the job that each key in it stands for."""
 
     leaseholder: Leaseholder
     parsed_bytes: int = 0
@@ -75,21 +75,21 @@
         """Enters the keys of what was appended since the last call."""
         data = bytes(self.leaseholder.data[self.parsed_bytes :])
         for offset, body, _ in frames(data):
-            lot = LogRecord.FromString(body).lot
-            lot_id = lot_id_at(self.leaseholder.log, self.parsed_bytes + offset)
-            self.keys.setdefault(_full_key(lot), _KeyEntry(lot_id, _digest(lot)))
+            spec = LogRecord.FromString(body).lot
+            job_id = job_id_at(self.leaseholder.log, self.parsed_bytes + offset)
+            self.keys.setdefault(_full_key(spec), _KeyEntry(job_id, _digest(spec)))
         self.parsed_bytes = len(self.leaseholder.data)
 
 
 class IdempotencyKeys:
-    """Stores lots with an idempotency key; each shard of keys has one owner, so that no lot is stored twice.
+    """Stores jobs with an idempotency key; each shard of keys has one owner, so that no job is stored twice.
 
     A key is remembered for the day and the one before.
     """
 
-    def __init__(self, ctx: Context, open_lots: OpenLots) -> None:
+    def __init__(self, ctx: Context, open_jobs: OpenJobs) -> None:
         self._ctx = ctx
-        self._open_lots = open_lots
+        self._open_jobs = open_jobs
         self._shard_logs: dict[str, _ShardLog] = {}
         self._locks = [defer.DeferredLock() for _ in range(SHARDS)]
 
@@ -97,16 +97,16 @@
         """Registers the owner's handler."""
         self._ctx.rpc.register_handler("lots.keyed", KeyedLotRequest, self._handle_store)
 
-    async def store(self, lot: Lot) -> StoredLot:
-        """Stores a lot through the owner of its key, or finds the one that was stored with the key before.
+    async def store(self, spec: Lot) -> StoredJob:
+        """Stores a job through the owner of its key, or finds the one that was stored with the key before.
 
-        Raises ServiceUnavailable where the owner cannot be reached, ApiError where the key was used for another lot.
+        Raises ServiceUnavailable where the owner cannot be reached, ApiError where the key was used for another job.
         """
-        owner = choose_owner(self._ctx, f"keyed{_shard_of(lot)}")
+        owner = choose_owner(self._ctx, f"keyed{_shard_of(spec)}")
         if owner == self._ctx.node:
-            response = await self._store_here(lot)
+            response = await self._store_here(spec)
         else:
-            response = await self._forward(owner, lot)
+            response = await self._forward(owner, spec)
         if not response.same_lot:
             raise ApiError(
                 "this key was used for another lot",
@@ -115,16 +115,16 @@
                 status=CONFLICT,
                 outcome="not_run",
             )
-        return StoredLot(response.lot, response.duplicate)
+        return StoredJob(response.lot, response.duplicate)
 
     async def _handle_store(self, _: str, request: KeyedLotRequest) -> KeyedLotResponse:
         return await self._store_here(request.lot)
 
-    async def _forward(self, owner: str, lot: Lot) -> KeyedLotResponse:
+    async def _forward(self, owner: str, spec: Lot) -> KeyedLotResponse:
         member = self._ctx.membership.find(owner)
         assert member is not None
         address = (member.host, member.port)
-        request = KeyedLotRequest(lot=lot)
+        request = KeyedLotRequest(lot=spec)
         try:
             return await self._ctx.rpc.call(address, "lots.keyed", request, KeyedLotResponse, FORWARD_TIMEOUT)
         except (WireError, RemoteError) as error:
@@ -134,10 +134,10 @@
                 outcome="not_run" if _surely_not_stored(error) else "unknown",
             ) from error
 
-    async def _store_here(self, lot: Lot) -> KeyedLotResponse:
-        shard = _shard_of(lot)
-        key = _full_key(lot)
-        digest = _digest(lot)
+    async def _store_here(self, spec: Lot) -> KeyedLotResponse:
+        shard = _shard_of(spec)
+        key = _full_key(spec)
+        digest = _digest(spec)
         async with self._locks[shard]:
             today = wall_ms(self._ctx.timers.utc_now()) // DAY_MS
             shard_logs = [await self._shard_log(f"lots/keyed{shard}.{day}") for day in (today, today - 1)]
@@ -146,17 +146,17 @@
                 entry = shard_log.keys.get(key)
                 if entry is not None:
                     await shard_log.leaseholder.all_durable()
-                    return KeyedLotResponse(lot=entry.lot_id, duplicate=True, same_lot=entry.digest == digest)
-            return await self._append(lot, shard_logs)
+                    return KeyedLotResponse(lot=entry.job_id, duplicate=True, same_lot=entry.digest == digest)
+            return await self._append(spec, shard_logs)
 
-    async def _append(self, lot: Lot, shard_logs: list[_ShardLog]) -> KeyedLotResponse:
+    async def _append(self, spec: Lot, shard_logs: list[_ShardLog]) -> KeyedLotResponse:
         if not all(shard_log.leaseholder.held() for shard_log in shard_logs):
             raise LeaseNotHeld("the lease of this key's log is not current")
         leaseholder = shard_logs[0].leaseholder
-        offset = await leaseholder.append([LogRecord(lot=lot).SerializeToString()])
-        lot_id = lot_id_at(leaseholder.log, offset)
-        self._open_lots.add(lot_id, lot)
-        return KeyedLotResponse(lot=lot_id, same_lot=True)
+        offset = await leaseholder.append([LogRecord(lot=spec).SerializeToString()])
+        job_id = job_id_at(leaseholder.log, offset)
+        self._open_jobs.add(job_id, spec)
+        return KeyedLotResponse(lot=job_id, same_lot=True)
 
     async def _shard_log(self, log: str) -> _ShardLog:
         shard_log = self._shard_logs.get(log)
--- a/pipitlink/gateway/item_dispatcher.py
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs the items of the lots that this gateway owns."""
+"""Runs the items of the batch jobs that this gateway owns."""
 
 from datetime import timedelta
 from functools import partial
@@ -12,9 +12,9 @@
 from ..errors import LeaseNotHeld, ReplicatedLogError
 from ..timers import ms, secs, spawn, wall_ms
 from ..wire.lots_pb2 import Item, LogRecord, Result, Started
-from .lot_capacity import LotCapacity
-from .lot_ownership import ACQUIRE_BACKOFF, LotOwnership
-from .open_lots import OpenLot, OpenLots
+from .job_capacity import JobCapacity
+from .job_ownership import ACQUIRE_BACKOFF, JobOwnership
+from .open_jobs import OpenJob, OpenJobs
 from .request_bodies import DEFAULT_MAX_TOKENS
 from .request_pipeline import RequestPipeline
 from .request_record import RequestKind, RequestRecord
@@ -32,32 +32,32 @@
 
 @attrs.define(eq=False)
 class _DispatchRound:
-    """What one round of dispatching works with: lots with pending items, items under way, and free slots."""
+    """What one round of dispatching works with: jobs with pending items, items under way, and free slots."""
 
     now: timedelta
     wall_ms: int
-    lots: list[OpenLot]
+    jobs: list[OpenJob]
     running_by_customer: dict[str, int]
     full_models: set[str] = attrs.field(factory=set)
     free_slots: dict[str, int] = attrs.field(factory=dict)
 
 
 class ItemDispatcher:
-    """Starts items in the capacity that is left, by their lot's deadline and priority and by turns among customers."""
+    """Starts items in the capacity that is left, by their job's deadline and priority and by turns among customers."""
 
     def __init__(
         self,
         ctx: Context,
         serving: ServingState,
-        open_lots: OpenLots,
-        ownership: LotOwnership,
-        capacity: LotCapacity,
+        open_jobs: OpenJobs,
+        ownership: JobOwnership,
+        capacity: JobCapacity,
         table: RequestTable,
         pipeline: RequestPipeline,
     ) -> None:
         self._ctx = ctx
         self._serving = serving
-        self._open_lots = open_lots
+        self._open_jobs = open_jobs
         self._ownership = ownership
         self._capacity = capacity
         self._table = table
@@ -66,53 +66,53 @@
     def start(self) -> None:
         """Starts to look for items that may run."""
         timer = self._ctx.timers.call_repeatedly(
-            DISPATCH_INTERVAL, self.dispatch, self._ctx.report("feed"), due=self._open_lots.idle_wait
+            DISPATCH_INTERVAL, self.dispatch, self._ctx.report("feed"), due=self._open_jobs.idle_wait
         )
-        self._open_lots.add_timer(timer)
+        self._open_jobs.add_timer(timer)
 
     def dispatch(self) -> None:
         """Starts items while there are free slots."""
         if not self._serving.is_current() or self._ctx.cluster.zone_empty(self._ctx.settings.zone):
             return
         current = self._begin_round()
-        while current.lots:
-            lot = min(current.lots, key=lambda lot: self._order_key(lot, current))
-            index = self._next_item(lot, current)
-            if index is None or lot.leaseholder is None or not lot.leaseholder.held():
-                current.lots.remove(lot)
+        while current.jobs:
+            job = min(current.jobs, key=lambda job: self._order_key(job, current))
+            index = self._next_item(job, current)
+            if index is None or job.leaseholder is None or not job.leaseholder.held():
+                current.jobs.remove(job)
                 continue
-            overdue = lot.lot.limit_ms <= current.wall_ms
-            if not overdue and not self._reserve_slot(lot.lot.items[index].model, current):
+            overdue = job.spec.limit_ms <= current.wall_ms
+            if not overdue and not self._reserve_slot(job.spec.items[index].model, current):
                 continue
-            self._start_item(lot, index, overdue, current)
+            self._start_item(job, index, overdue, current)
 
     def _begin_round(self) -> _DispatchRound:
         running_by_customer: dict[str, int] = {}
-        lots = self._open_lots.all()
-        for lot in lots:
-            customer = lot.lot.customer
-            running_by_customer[customer] = running_by_customer.get(customer, 0) + len(lot.running)
-        owned = [lot for lot in lots if lot.leaseholder is not None and lot.pending and not lot.leaseholder.final]
+        jobs = self._open_jobs.all()
+        for job in jobs:
+            customer = job.spec.customer
+            running_by_customer[customer] = running_by_customer.get(customer, 0) + len(job.running)
+        owned = [job for job in jobs if job.leaseholder is not None and job.pending and not job.leaseholder.final]
         return _DispatchRound(self._ctx.timers.now(), wall_ms(self._ctx.timers.utc_now()), owned, running_by_customer)
 
-    def _order_key(self, lot: OpenLot, current: _DispatchRound) -> tuple[int, int, int, int]:
+    def _order_key(self, job: OpenJob, current: _DispatchRound) -> tuple[int, int, int, int]:
         return (
-            _urgency(lot, current.wall_ms),
-            -self._priority(lot),
-            current.running_by_customer[lot.lot.customer],
-            lot.lot.limit_ms,
+            _urgency(job, current.wall_ms),
+            -self._priority(job),
+            current.running_by_customer[job.spec.customer],
+            job.spec.limit_ms,
         )
 
-    def _priority(self, lot: OpenLot) -> int:
-        """Returns the lot's own priority, and what the table adds for the model that it waits for first."""
-        row = self._ctx.cluster.row(lot.lot.items[lot.pending[0]].model, "") if lot.pending else None
-        return lot.lot.priority + (row.priority if row is not None else 0)
+    def _priority(self, job: OpenJob) -> int:
+        """Returns the job's own priority, and what the table adds for the model that it waits for first."""
+        row = self._ctx.cluster.row(job.spec.items[job.pending[0]].model, "") if job.pending else None
+        return job.spec.priority + (row.priority if row is not None else 0)
 
-    def _next_item(self, lot: OpenLot, current: _DispatchRound) -> int | None:
+    def _next_item(self, job: OpenJob, current: _DispatchRound) -> int | None:
         """Returns the first pending item that may be tried now and whose model is not known to be full."""
-        for index in lot.pending:
-            due = lot.retry_at.get(index, current.now) <= current.now
-            if due and lot.lot.items[index].model not in current.full_models:
+        for index in job.pending:
+            may_run = job.retry_at.get(index, current.now) <= current.now
+            if may_run and job.spec.items[index].model not in current.full_models:
                 return index
         return None
 
@@ -125,31 +125,31 @@
         current.free_slots[model] -= 1
         return True
 
-    def _start_item(self, lot: OpenLot, index: int, overdue: bool, current: _DispatchRound) -> None:
-        lot.pending.remove(index)
-        current.running_by_customer[lot.lot.customer] += 1
-        lot.running[index] = work = spawn(self._run_item(lot, index, lot.lot.items[index], overdue))
-        work.addBoth(self._item_ended, lot, index)
-        if not lot.pending:
-            current.lots.remove(lot)
+    def _start_item(self, job: OpenJob, index: int, overdue: bool, current: _DispatchRound) -> None:
+        job.pending.remove(index)
+        current.running_by_customer[job.spec.customer] += 1
+        job.running[index] = work = spawn(self._run_item(job, index, job.spec.items[index], overdue))
+        work.addBoth(self._item_ended, job, index)
+        if not job.pending:
+            current.jobs.remove(job)
 
-    def _item_ended(self, result: Any, lot: OpenLot, index: int) -> None:
-        lot.running.pop(index, None)
+    def _item_ended(self, result: Any, job: OpenJob, index: int) -> None:
+        job.running.pop(index, None)
         if isinstance(result, Failure) and not result.check(defer.CancelledError, ReplicatedLogError):
-            self._ctx.logger.failure("item_failed", result.value, lot=lot.id, item=index)
-        if lot.leaseholder is None or lot.leaseholder.lost or lot.leaseholder.final:
+            self._ctx.logger.failure("item_failed", result.value, lot=job.id, item=index)
+        if job.leaseholder is None or job.leaseholder.lost or job.leaseholder.final:
             return
-        if index not in lot.results and index not in lot.pending:
-            lot.pending.append(index)
-            lot.retry_at[index] = self._ctx.timers.now() + ACQUIRE_BACKOFF
+        if index not in job.results and index not in job.pending:
+            job.pending.append(index)
+            job.retry_at[index] = self._ctx.timers.now() + ACQUIRE_BACKOFF
 
-    async def _run_item(self, lot: OpenLot, index: int, item: Item, overdue: bool) -> None:
+    async def _run_item(self, job: OpenJob, index: int, item: Item, overdue: bool) -> None:
         if overdue:
-            outcome = lot.provable_outcome(index, "not_run")
-            await self._ownership.record_result(lot, Result(item=index, outcome=outcome, code="limit_passed"))
-            await self._ownership.finish_if_done(lot)
+            outcome = job.provable_outcome(index, "not_run")
+            await self._ownership.record_result(job, Result(item=index, outcome=outcome, code="limit_passed"))
+            await self._ownership.finish_if_done(job)
             return
-        request = self._request_for(lot, index, item)
+        request = self._request_for(job, index, item)
         work = spawn(self._pipeline.run(request))
         try:
             await work
@@ -160,16 +160,16 @@
             text = "".join(request.chunks)
             result = Result(item=index, outcome="done", text=text, engine=request.engine_name, run=request.id)
         else:
-            lot.attempts[index] = lot.attempts.get(index, 0) + (request.outcome != "not_run")
-            if self._schedule_retry(lot, index, request):
+            job.attempts[index] = job.attempts.get(index, 0) + (request.outcome != "not_run")
+            if self._schedule_retry(job, index, request):
                 return
-            result = self._failed_result(lot, index, request)
-        await self._ownership.record_result(lot, result)
-        await self._ownership.finish_if_done(lot)
+            result = self._failed_result(job, index, request)
+        await self._ownership.record_result(job, result)
+        await self._ownership.finish_if_done(job)
 
-    def _request_for(self, lot: OpenLot, index: int, item: Item) -> RequestRecord:
+    def _request_for(self, job: OpenJob, index: int, item: Item) -> RequestRecord:
         now = self._ctx.timers.now()
-        left = ms(lot.lot.limit_ms) - ms(wall_ms(self._ctx.timers.utc_now()))
+        left = ms(job.spec.limit_ms) - ms(wall_ms(self._ctx.timers.utc_now()))
         return RequestRecord(
             kind=RequestKind.ITEM,
             model=item.model,
@@ -178,48 +178,48 @@
             idempotent=item.repeatable,
             max_tokens=item.max_tokens or DEFAULT_MAX_TOKENS,
             deadline=now + min(ITEM_TIMEOUT, left),
-            customer=lot.lot.customer,
-            before_send=partial(self._record_start, lot, index, item),
-            check_before_send=partial(self._check_owned, lot),
+            customer=job.spec.customer,
+            before_send=partial(self._record_start, job, index, item),
+            check_before_send=partial(self._check_owned, job),
         )
 
-    def _schedule_retry(self, lot: OpenLot, index: int, request: RequestRecord) -> bool:
+    def _schedule_retry(self, job: OpenJob, index: int, request: RequestRecord) -> bool:
         """Makes a failed item pending again where that is safe; returns whether it did."""
         error = request.error
         assert error is not None
         outcome = request.outcome
         safe = outcome == "not_run" or (request.idempotent and outcome == "unknown")
-        if not safe or lot.attempts[index] >= MAX_ATTEMPTS or error.code == "limit_passed":
+        if not safe or job.attempts[index] >= MAX_ATTEMPTS or error.code == "limit_passed":
             return False
         delay = max(MIN_RETRY_DELAY, secs(error.retry_after) / 4)
-        lot.retry_at[index] = self._ctx.timers.now() + delay
-        lot.pending.append(index)
+        job.retry_at[index] = self._ctx.timers.now() + delay
+        job.pending.append(index)
         return True
 
-    def _failed_result(self, lot: OpenLot, index: int, request: RequestRecord) -> Result:
+    def _failed_result(self, job: OpenJob, index: int, request: RequestRecord) -> Result:
         error = request.error
         assert error is not None
         outcome = "failed" if error.outcome == "failed" else request.outcome
-        return Result(item=index, outcome=lot.provable_outcome(index, outcome), code=error.code, run=request.id)
+        return Result(item=index, outcome=job.provable_outcome(index, outcome), code=error.code, run=request.id)
 
-    async def _record_start(self, lot: OpenLot, index: int, item: Item) -> None:
+    async def _record_start(self, job: OpenJob, index: int, item: Item) -> None:
         """Records durably that an item that is not idempotent was started; then the lease must still be held."""
-        if not item.repeatable and index not in lot.started:
-            assert lot.leaseholder is not None
+        if not item.repeatable and index not in job.started:
+            assert job.leaseholder is not None
             record = LogRecord(started=Started(item=index))
-            await lot.leaseholder.append([record.SerializeToString()], reserved=True)
-            lot.started.add(index)
-        self._check_owned(lot)
+            await job.leaseholder.append([record.SerializeToString()], reserved=True)
+            job.started.add(index)
+        self._check_owned(job)
 
-    def _check_owned(self, lot: OpenLot) -> None:
-        """Raises LeaseNotHeld where this gateway does not own the lot any more."""
-        if lot.leaseholder is None or not lot.leaseholder.held() or lot.leaseholder.final:
-            raise LeaseNotHeld(f"{lot.id}: the lease ended before the item was sent")
+    def _check_owned(self, job: OpenJob) -> None:
+        """Raises LeaseNotHeld where this gateway does not own the job any more."""
+        if job.leaseholder is None or not job.leaseholder.held() or job.leaseholder.final:
+            raise LeaseNotHeld(f"{job.id}: the lease ended before the item was sent")
 
 
-def _urgency(lot: OpenLot, now_ms: int) -> int:
-    """Returns steps of time left: lots due within seconds go before those due within minutes, hours, days."""
-    left_ms = max(0, lot.lot.limit_ms - now_ms)
+def _urgency(job: OpenJob, now_ms: int) -> int:
+    """Returns steps of time left: jobs due within seconds go before those due within minutes, hours, days."""
+    left_ms = max(0, job.spec.limit_ms - now_ms)
     for step, bound_ms in enumerate(URGENCY_STEPS_MS):
         if left_ms < bound_ms:
             return step
--- a/pipitlink/gateway/lot_capacity.py
+++ b/pipitlink/gateway/job_capacity.py
@@ -1,13 +1,13 @@
-"""The engines' capacity as lots may use it."""
+"""The engines' capacity as jobs may use it."""
 
 from .engine_candidates import EngineCandidates
 from .engine_slots import EngineSlots
 
-__all__ = ["LotCapacity"]
+__all__ = ["JobCapacity"]
 
 
-class LotCapacity:
-    """Counts the slots that lots may take, which leave a reserve to live requests."""
+class JobCapacity:
+    """Counts the slots that jobs may take, which leave a reserve to live requests."""
 
     def __init__(self, slots: EngineSlots, candidates: EngineCandidates) -> None:
         self._slots = slots
@@ -16,6 +16,6 @@
     def free_slots(self, model: str) -> int:
         """Returns how many items for a model could be sent to engines now."""
         return sum(
-            self._slots.free_slots(candidate.engine, self._candidates.lot_reserve(model, candidate.engine))
+            self._slots.free_slots(candidate.engine, self._candidates.job_reserve(model, candidate.engine))
             for candidate in self._candidates.find_ready(model)
         )
--- a/pipitlink/gateway/lot_intake.py
+++ b/pipitlink/gateway/job_intake.py
@@ -1,47 +1,47 @@
-"""Takes submitted lots in and makes them durable."""
+"""Takes submitted batch jobs in and makes them durable."""
 
 from ..context import Context
 from ..errors import BadRequest, ServiceUnavailable
 from ..timers import ms, wall_ms
 from ..wire.lots_pb2 import Item, LogRecord, Lot
-from .idempotency_keys import IdempotencyKeys, StoredLot
-from .lot_ids import lot_id_at
-from .lot_log import LotLog
-from .open_lots import OpenLots
-from .request_bodies import ItemBody, LotBody
+from .idempotency_keys import IdempotencyKeys, StoredJob
+from .job_ids import job_id_at
+from .job_log import JobLog
+from .open_jobs import OpenJobs
+from .request_bodies import ItemBody, JobBody
 from .serving_state import ServingState
 
-__all__ = ["LotIntake"]
+__all__ = ["JobIntake"]
 
 OPEN_LOG_TIMEOUT = ms(2500)
 
 
-class LotIntake:
-    """Stores each lot by one append, to this gateway's own lot log or to that of its idempotency key."""
+class JobIntake:
+    """Stores each job by one append, to this gateway's own job log or to that of its idempotency key."""
 
     def __init__(
-        self, ctx: Context, serving: ServingState, open_lots: OpenLots, own_log: LotLog, keys: IdempotencyKeys
+        self, ctx: Context, serving: ServingState, open_jobs: OpenJobs, own_log: JobLog, keys: IdempotencyKeys
     ) -> None:
         self._ctx = ctx
         self._serving = serving
-        self._open_lots = open_lots
+        self._open_jobs = open_jobs
         self._own_log = own_log
         self._keys = keys
 
-    async def submit(self, body: LotBody) -> StoredLot:
-        """Stores a submitted lot. Raises ApiError where it may not or cannot be stored."""
+    async def submit(self, body: JobBody) -> StoredJob:
+        """Stores a submitted job. Raises ApiError where it may not or cannot be stored."""
         if not self._serving.is_current():
             raise ServiceUnavailable("this gateway is not current", code="not_current")
         max_items = self._ctx.settings.max_items
         if len(body.items) > max_items:
             raise BadRequest(f"items: a lot may have {max_items} items", code="bad_field", field="items")
-        lot = self._lot_from(body)
-        if lot.key:
-            return await self._keys.store(lot)
-        return StoredLot(await self.store(lot), duplicate=False)
+        spec = self._spec_from(body)
+        if spec.key:
+            return await self._keys.store(spec)
+        return StoredJob(await self.store(spec), duplicate=False)
 
-    async def store(self, lot: Lot) -> str:
-        """Appends a lot to this gateway's log; returns its id. Raises ServiceUnavailable or ReplicatedLogError."""
+    async def store(self, spec: Lot) -> str:
+        """Appends a job to this gateway's log; returns its id. Raises ServiceUnavailable or ReplicatedLogError."""
         try:
             leaseholder = await self._ctx.timers.with_timeout(OPEN_LOG_TIMEOUT, self._own_log.leaseholder())
         except Exception as error:
@@ -49,12 +49,12 @@
             raise ServiceUnavailable(f"the store cannot take lots now: {error}", code=code) from error
         if not leaseholder.held():
             raise ServiceUnavailable("the lot log's lease is not current", code="store")
-        offset = await leaseholder.append([LogRecord(lot=lot).SerializeToString()])
-        lot_id = lot_id_at(leaseholder.log, offset)
-        self._open_lots.add(lot_id, lot)
-        return lot_id
+        offset = await leaseholder.append([LogRecord(lot=spec).SerializeToString()])
+        job_id = job_id_at(leaseholder.log, offset)
+        self._open_jobs.add(job_id, spec)
+        return job_id
 
-    def _lot_from(self, body: LotBody) -> Lot:
+    def _spec_from(self, body: JobBody) -> Lot:
         accepted_ms = wall_ms(self._ctx.timers.utc_now())
         return Lot(
             customer=body.customer,
--- a/pipitlink/gateway/lot_log.py
+++ b/pipitlink/gateway/job_log.py
@@ -1,19 +1,19 @@
-"""The lot log that a gateway writes."""
+"""The log of batch jobs that a gateway writes."""
 
 from ..context import Context
 from ..replicated_log import Leaseholder
 from ..timers import SingleFlight, secs
-from .lot_ids import LOT_LOG_PREFIX
-from .lot_placement import acquire_log
+from .job_ids import JOB_LOG_PREFIX
+from .owner_selection import acquire_log
 
-__all__ = ["LotLog"]
+__all__ = ["JobLog"]
 
 MAX_LOG_BYTES = 4 * 1024 * 1024
 MAX_LOG_AGE = secs(43_200)
 
 
-class LotLog:
-    """This gateway's own lot log: a new one is begun when it has grown long or old, or its lease is lost."""
+class JobLog:
+    """This gateway's own job log: a new one is begun when it has grown long or old, or its lease is lost."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
@@ -37,5 +37,5 @@
     async def _open(self) -> Leaseholder:
         self.number += 1
         self._opened_at = self._ctx.timers.now()
-        self._leaseholder = await acquire_log(self._ctx, f"{LOT_LOG_PREFIX}{self._ctx.node}.{self.number}")
+        self._leaseholder = await acquire_log(self._ctx, f"{JOB_LOG_PREFIX}{self._ctx.node}.{self.number}")
         return self._leaseholder
--- a/pipitlink/gateway/lot_log_follower.py
+++ b/pipitlink/gateway/job_log_follower.py
@@ -1,4 +1,4 @@
-"""Follows the lot logs of all gateways, so that each of them knows the open lots."""
+"""Follows the job logs of all gateways, so that each of them knows the open jobs."""
 
 import attrs
 
@@ -7,12 +7,12 @@
 from ..errors import PipitlinkError
 from ..timers import secs, wall_ms
 from ..wire.lots_pb2 import Ended, LogRecord
-from .lot_ids import LOT_LOG_PREFIX, lot_id_at, lot_of_result_log, result_log
-from .lot_log import LotLog
-from .lot_placement import choose_owner
-from .open_lots import OpenLots
+from .job_ids import JOB_LOG_PREFIX, job_id_at, job_of_result_log, result_log
+from .job_log import JobLog
+from .open_jobs import OpenJobs
+from .owner_selection import choose_owner
 
-__all__ = ["LotLogFollower"]
+__all__ = ["JobLogFollower"]
 
 LIST_INTERVAL = secs(1)
 CLOSE_INTERVAL = secs(10)
@@ -24,23 +24,23 @@
 
 @attrs.define(eq=False)
 class _FollowedLog:
-    """A lot log that is read on, and the lots that were found in it."""
+    """A job log that is read on, and the jobs that were found in it."""
 
     tail: Tail
-    lot_ids: set[str] = attrs.field(factory=set)
+    job_ids: set[str] = attrs.field(factory=set)
 
 
-class LotLogFollower:
-    """Reads all lot logs, so that any gateway can take a lot over, and ends those that nobody writes any more."""
+class JobLogFollower:
+    """Reads all job logs, so that any gateway can take a job over, and ends those that nobody writes any more."""
 
-    def __init__(self, ctx: Context, open_lots: OpenLots, own_log: LotLog) -> None:
+    def __init__(self, ctx: Context, open_jobs: OpenJobs, own_log: JobLog) -> None:
         self._ctx = ctx
-        self._open_lots = open_lots
+        self._open_jobs = open_jobs
         self._own_log = own_log
         self._followed: dict[str, _FollowedLog] = {}
 
     def start(self) -> None:
-        """Starts to look for lot logs, and for those that may be ended."""
+        """Starts to look for job logs, and for those that may be ended."""
         timers = self._ctx.timers
         timers.call_repeatedly(LIST_INTERVAL, self._list_logs, self._ctx.report("list_logs"))
         timers.call_repeatedly(CLOSE_INTERVAL, self._end_idle_logs, self._ctx.report("close_logs"))
@@ -48,8 +48,8 @@
     async def _list_logs(self) -> None:
         if not self._ctx.cluster.ready():
             return
-        await self._close_finished_lots()
-        for log, state in (await self._ctx.replicated_log.list(LOT_LOG_PREFIX)).items():
+        await self._close_finished_jobs()
+        for log, state in (await self._ctx.replicated_log.list(JOB_LOG_PREFIX)).items():
             followed = self._followed.get(log)
             if followed is None and not state.final:
                 self._followed[log] = _FollowedLog(self._ctx.cache.tail(log))
@@ -57,40 +57,40 @@
             elif followed is not None and state.final and followed.tail.position >= state.committed:
                 self._stop_following(log)
 
-    async def _close_finished_lots(self) -> None:
-        """Closes lots that another gateway finished or ended."""
-        foreign = [lot.id for lot in self._open_lots.all() if lot.leaseholder is None and not lot.acquiring]
+    async def _close_finished_jobs(self) -> None:
+        """Closes jobs that another gateway finished or ended."""
+        foreign = [job.id for job in self._open_jobs.all() if job.leaseholder is None and not job.acquiring]
         for start in range(0, len(foreign), MAX_LOGS_PER_CALL):
-            logs = [result_log(lot_id) for lot_id in foreign[start : start + MAX_LOGS_PER_CALL]]
+            logs = [result_log(job_id) for job_id in foreign[start : start + MAX_LOGS_PER_CALL]]
             for log, state in (await self._ctx.replicated_log.states(logs)).items():
                 if state.final:
-                    self._open_lots.close(lot_of_result_log(log))
+                    self._open_jobs.close(job_of_result_log(log))
 
     def _stop_following(self, log: str) -> None:
         followed = self._followed.pop(log)
         followed.tail.close()
-        self._open_lots.forget_closed(followed.lot_ids)
+        self._open_jobs.forget_closed(followed.job_ids)
 
     async def _end_idle_logs(self) -> None:
-        """Ends lot logs that nobody writes to any more, once every lot in them is closed."""
+        """Ends job logs that nobody writes to any more, once every job in them is closed."""
         for log, followed in list(self._followed.items()):
             idle = self._is_idle(log)
             tail = followed.tail
             unread = tail.seen.proved is None or tail.position < tail.seen.durable
-            if not idle or unread or not self._open_lots.all_closed(followed.lot_ids):
+            if not idle or unread or not self._open_jobs.all_closed(followed.job_ids):
                 continue
             if choose_owner(self._ctx, log) != self._ctx.node:
                 continue
             try:
                 await self._end_log(log)
-                self._ctx.logger.info("lot_log_ended", log=log, lots=len(followed.lot_ids))
+                self._ctx.logger.info("lot_log_ended", log=log, lots=len(followed.job_ids))
                 self._stop_following(log)
             except PipitlinkError as error:
                 self._ctx.logger.debug("lot_log_not_ended", log=log, text=error)
 
     def _is_idle(self, log: str) -> bool:
-        """Returns whether nobody writes to a lot log any more."""
-        writer, _, number = log.removeprefix(LOT_LOG_PREFIX).partition(".")
+        """Returns whether nobody writes to a job log any more."""
+        writer, _, number = log.removeprefix(JOB_LOG_PREFIX).partition(".")
         if writer.startswith(KEYED_LOG_PREFIX):
             return int(number) < wall_ms(self._ctx.timers.utc_now()) // DAY_MS - 1
         if writer == self._ctx.node:
@@ -106,7 +106,7 @@
         await replicated_log.release([leaseholder])
 
     async def _follow(self, log: str) -> None:
-        """Reads one lot log in order while it is followed."""
+        """Reads one job log in order while it is followed."""
         followed = self._followed[log]
         tail = followed.tail
         while not self._ctx.timers.ended and self._followed.get(log) is followed:
@@ -121,6 +121,6 @@
     def _take_record(self, log: str, followed: _FollowedLog, offset: int, body: bytes) -> None:
         record = LogRecord.FromString(body)
         if record.WhichOneof("of") == "lot":
-            lot_id = lot_id_at(log, offset)
-            followed.lot_ids.add(lot_id)
-            self._open_lots.add(lot_id, record.lot)
+            job_id = job_id_at(log, offset)
+            followed.job_ids.add(job_id)
+            self._open_jobs.add(job_id, record.lot)
--- a/pipitlink/gateway/live_api.py
+++ b/pipitlink/gateway/live_api.py
@@ -8,7 +8,7 @@
 from ..timers import ms, spawn
 from ..web import answered, send_json
 from ..wire.rpc import Address
-from .query_parameters import whole_number
+from .query_parameters import non_negative_number
 from .remote_run import RemoteRun
 from .request_bodies import GenerateBody, read_json
 from .request_pipeline import RequestPipeline
@@ -51,7 +51,7 @@
     @answered
     async def resume(self, request: Request, run: str) -> bytes:
         """Streams a run from a position on, wherever it is."""
-        position = whole_number(request, "from")
+        position = non_negative_number(request, "from")
         address = None if run in self._table.requests else self._runs.remote_address(run)
         if address is not None:
             return await self._resume_remote(request, run, position, address)
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -23,16 +23,16 @@
 from .fetch_relay import FetchRelay
 from .idempotency_keys import IdempotencyKeys
 from .item_dispatcher import ItemDispatcher
+from .job_api import JobApi
+from .job_capacity import JobCapacity
+from .job_intake import JobIntake
+from .job_log import JobLog
+from .job_log_follower import JobLogFollower
+from .job_ownership import JobOwnership
 from .live_api import LiveApi
-from .lot_api import LotApi
-from .lot_capacity import LotCapacity
-from .lot_intake import LotIntake
-from .lot_log import LotLog
-from .lot_log_follower import LotLogFollower
-from .lot_ownership import LotOwnership
-from .open_lots import OpenLots
+from .open_jobs import OpenJobs
 from .rate_limits import RateLimits
-from .request_pipeline import RequestPipeline, Stage, prepare_send
+from .request_pipeline import PipelineStep, RequestPipeline, prepare_send
 from .request_record import RequestKind
 from .request_sender import RequestSender
 from .request_table import RequestTable
@@ -52,12 +52,12 @@
 
 
 class GatewayNode:
-    """A gateway of the models interface: live requests, fetches and lots on the same engines.
+    """A gateway of the models interface: live requests, fetches and batch jobs on the same engines.
 
     - `engines` and `slots` know the engines and this gateway's share of their capacity.
-    - `pipeline` takes each request of `table` through its stages: admission, choice of an engine, relay.
+    - `pipeline` takes each request of `table` through its steps: admission, choice of an engine, relay.
     - `runs` finds live requests by id, here and at other gateways.
-    - `lot_intake` stores lots, `open_lots` are kept up to date from the lot logs, `lot_ownership` and
+    - `job_intake` stores jobs, `open_jobs` are kept up to date from the job logs, `job_ownership` and
       `item_dispatcher` run them, and `results` reads what became of them.
     - The `..._api` parts serve callers over HTTP.
     """
@@ -70,11 +70,11 @@
         self.slots = EngineSlots(ctx, self.engines)
         self.candidates = EngineCandidates(ctx, self.engines)
         self._compose_requests()
-        self._compose_lots()
+        self._compose_jobs()
         self.live_api = LiveApi(ctx, self.table, self.pipeline, self.runs)
         self.engine_api = EngineApi(ctx, self.engines)
         self.fetch_api = FetchApi(ctx, self.pipeline)
-        self.lot_api = LotApi(ctx, self.lot_intake, self.open_lots, self.results, self.lot_ownership)
+        self.job_api = JobApi(ctx, self.job_intake, self.open_jobs, self.results, self.job_ownership)
 
     def _compose_requests(self) -> None:
         ctx = self._ctx
@@ -87,29 +87,29 @@
         sender = RequestSender(ctx, self.engines, self.slots, self.candidates, RetryPolicy(ctx.timers))
         relay = self._make_engine_relay(sender)
         fetch_relay = FetchRelay(sender)
-        stages: dict[RequestKind, tuple[Stage, ...]] = {
+        steps: dict[RequestKind, tuple[PipelineStep, ...]] = {
             RequestKind.LIVE: (admission.admit, selector.choose_engine, relay.relay),
             RequestKind.ITEM: (admission.admit, selector.choose_engine, prepare_send, relay.relay),
             RequestKind.FETCH: (admission.admit, selector.choose_engine, fetch_relay.relay),
         }
-        self.pipeline = RequestPipeline(ctx, self.table, stages)
+        self.pipeline = RequestPipeline(ctx, self.table, steps)
 
     def _make_engine_relay(self, sender: RequestSender) -> EngineRelay:
         """Makes the relay to engines; a staged gateway overrides this."""
         return EngineRelay(self._ctx, self.engines, sender)
 
-    def _compose_lots(self) -> None:
+    def _compose_jobs(self) -> None:
         ctx = self._ctx
-        own_log = LotLog(ctx)
-        self.open_lots = OpenLots()
-        self.idempotency_keys = IdempotencyKeys(ctx, self.open_lots)
-        self.lot_intake = LotIntake(ctx, self.serving, self.open_lots, own_log, self.idempotency_keys)
-        self.lot_log_follower = LotLogFollower(ctx, self.open_lots, own_log)
-        self.results = ResultReader(ctx, self.open_lots)
-        self.lot_ownership = LotOwnership(ctx, self.serving, self.open_lots)
-        capacity = LotCapacity(self.slots, self.candidates)
+        own_log = JobLog(ctx)
+        self.open_jobs = OpenJobs()
+        self.idempotency_keys = IdempotencyKeys(ctx, self.open_jobs)
+        self.job_intake = JobIntake(ctx, self.serving, self.open_jobs, own_log, self.idempotency_keys)
+        self.job_log_follower = JobLogFollower(ctx, self.open_jobs, own_log)
+        self.results = ResultReader(ctx, self.open_jobs)
+        self.job_ownership = JobOwnership(ctx, self.serving, self.open_jobs)
+        capacity = JobCapacity(self.slots, self.candidates)
         self.item_dispatcher = ItemDispatcher(
-            ctx, self.serving, self.open_lots, self.lot_ownership, capacity, self.table, self.pipeline
+            ctx, self.serving, self.open_jobs, self.job_ownership, capacity, self.table, self.pipeline
         )
 
     def open(self) -> None:
@@ -119,9 +119,9 @@
         self.rate_limits.start()
         self.runs.start()
         self.idempotency_keys.start()
-        self.lot_log_follower.start()
+        self.job_log_follower.start()
         self.results.start()
-        self.lot_ownership.start()
+        self.job_ownership.start()
         self.item_dispatcher.start()
 
     async def listen(self, host: str, port: int) -> int:
@@ -138,10 +138,10 @@
         route("/v1/engines", methods=["POST"])(self.engine_api.announce)
         route("/v1/fetch/<pool>/", methods=["GET"])(self.fetch_api.fetch)
         route("/v1/fetch/<pool>/<path:path>", methods=["GET"])(self.fetch_api.fetch)
-        route("/v1/lots", methods=["POST"])(self.lot_api.take_lot)
-        route("/v1/lots/<lot>", methods=["GET"])(self.lot_api.show_lot)
-        route("/v1/lots/<lot>/results", methods=["GET"])(self.lot_api.show_results)
-        route("/v1/lots/<lot>", methods=["DELETE"])(self.lot_api.end_lot)
+        route("/v1/lots", methods=["POST"])(self.job_api.submit_job)
+        route("/v1/lots/<job_id>", methods=["GET"])(self.job_api.show_job)
+        route("/v1/lots/<job_id>/results", methods=["GET"])(self.job_api.show_results)
+        route("/v1/lots/<job_id>", methods=["DELETE"])(self.job_api.cancel_job)
         route("/v1/ready", methods=["GET"])(self.show_ready)
         route("/v1/live", methods=["GET"])(self.show_live)
         route("/", defaults={"path": ""})(self._not_found)
@@ -187,11 +187,11 @@
         gauges: dict[str, tuple[str, float]] = {
             f"cache_{name}": (f"Chunks or reads: {name}", cache.counts[name]) for name in CACHE_COUNTS
         }
-        owned_lots = sum(lot.leaseholder is not None for lot in self.open_lots.all())
+        owned_jobs = sum(job.leaseholder is not None for job in self.open_jobs.all())
         running = sum(engine.local_requests for engine in self.engines.all())
         gauges["asks"] = ("Requests in the table", len(self.table.requests))
-        gauges["open_lots"] = ("Lots known to be open", len(self.open_lots))
-        gauges["owned_lots"] = ("Lots this gateway owns", owned_lots)
+        gauges["open_lots"] = ("Lots known to be open", len(self.open_jobs))
+        gauges["owned_lots"] = ("Lots this gateway owns", owned_jobs)
         gauges["running"] = ("Requests on engines from here", running)
         gauges["cache_bytes"] = ("Bytes in the data cache here", cache.chunks.size)
         return gauges
@@ -210,7 +210,7 @@
         give_up_at = timers.now() + DRAIN_TIMEOUT
         while self.table.has_unsettled() and timers.now() < give_up_at:
             await timers.sleep(DRAIN_POLL_INTERVAL)
-        self.lot_ownership.give_up_all()
+        self.job_ownership.give_up_all()
         replicated_log = self._ctx.replicated_log
         await replicated_log.release(list(replicated_log.leaseholders.values()))
         await self._ctx.membership.leave()
--- a/pipitlink/gateway/open_lots.py
+++ b/pipitlink/gateway/open_jobs.py
@@ -1,4 +1,4 @@
-"""The lots that are open."""
+"""The batch jobs that are open."""
 
 from datetime import timedelta
 from typing import Any
@@ -10,18 +10,18 @@
 from ..timers import ZERO, RepeatingCall
 from ..wire.lots_pb2 import LogRecord, Lot, Result
 
-__all__ = ["OpenLot", "OpenLots"]
+__all__ = ["OpenJob", "OpenJobs"]
 
 
 @attrs.define(eq=False)
-class OpenLot:
-    """A lot as a gateway knows it: its items and, where this gateway owns it, what has become of each.
+class OpenJob:
+    """A job as a gateway knows it: its items and, where this gateway owns it, what has become of each.
 
-    Items are numbered by their place in the lot. `attempts` counts those of this owner that may have run.
+    Items are numbered by their place in the job. `attempts` counts those of this owner that may have run.
     """
 
     id: str
-    lot: Lot
+    spec: Lot
     leaseholder: Leaseholder | None = None
     acquiring: bool = False
     next_acquire_at: timedelta = ZERO
@@ -47,69 +47,69 @@
         """
         if outcome != "not_run":
             return outcome
-        if self.attempts.get(item, 0) or (self.lot.items[item].repeatable and self._had_other_owner()):
+        if self.attempts.get(item, 0) or (self.spec.items[item].repeatable and self._had_other_owner()):
             return "unknown"
         return outcome
 
     def is_finished(self) -> bool:
         """Returns whether all items have a result and none is running."""
-        return len(self.results) == len(self.lot.items) and not self.running
+        return len(self.results) == len(self.spec.items) and not self.running
 
     def _had_other_owner(self) -> bool:
         return self.leaseholder is not None and self.leaseholder.epoch > 1
 
 
-class OpenLots:
-    """The lots that are known here to be open, and which ones were closed.
+class OpenJobs:
+    """The jobs that are known here to be open, and which ones were closed.
 
-    Timers that have nothing to do without open lots are woken when one is added.
+    Timers that have nothing to do without open jobs are woken when one is added.
     """
 
     def __init__(self) -> None:
-        self._lots: dict[str, OpenLot] = {}
+        self._jobs: dict[str, OpenJob] = {}
         self._closed: set[str] = set()
         self._timers: list[RepeatingCall] = []
 
     def add_timer(self, timer: RepeatingCall) -> None:
-        """Has a timer woken for each lot that is added."""
+        """Has a timer woken for each job that is added."""
         self._timers.append(timer)
 
-    def add(self, lot_id: str, lot: Lot) -> None:
-        """Enters a lot, unless it is known already or closed."""
-        if lot_id in self._closed or lot_id in self._lots:
+    def add(self, job_id: str, spec: Lot) -> None:
+        """Enters a job, unless it is known already or closed."""
+        if job_id in self._closed or job_id in self._jobs:
             return
-        self._lots[lot_id] = OpenLot(lot_id, lot)
+        self._jobs[job_id] = OpenJob(job_id, spec)
         for timer in self._timers:
             timer.wake()
 
-    def close(self, lot_id: str) -> None:
-        """Removes a lot that is done or ended."""
-        self._closed.add(lot_id)
-        self._lots.pop(lot_id, None)
+    def close(self, job_id: str) -> None:
+        """Removes a job that is done or ended."""
+        self._closed.add(job_id)
+        self._jobs.pop(job_id, None)
 
-    def forget_closed(self, lot_ids: set[str]) -> None:
-        """Forgets closed lots that no log names any more."""
-        self._closed -= lot_ids
+    def forget_closed(self, job_ids: set[str]) -> None:
+        """Forgets closed jobs that no log names any more."""
+        self._closed -= job_ids
 
-    def get(self, lot_id: str) -> OpenLot | None:
-        """Returns an open lot, None where it is not known to be open."""
-        return self._lots.get(lot_id)
+    def get(self, job_id: str) -> OpenJob | None:
+        """Returns an open job, None where it is not known to be open."""
+        return self._jobs.get(job_id)
 
-    def is_closed(self, lot_id: str) -> bool:
-        """Returns whether a lot is known to be closed."""
-        return lot_id in self._closed
+    def is_closed(self, job_id: str) -> bool:
+        """Returns whether a job is known to be closed."""
+        return job_id in self._closed
 
-    def all_closed(self, lot_ids: set[str]) -> bool:
-        """Returns whether all of some lots are known to be closed."""
-        return not lot_ids - self._closed
+    def all_closed(self, job_ids: set[str]) -> bool:
+        """Returns whether all of some jobs are known to be closed."""
+        return not job_ids - self._closed
 
-    def all(self) -> list[OpenLot]:
-        """Returns the open lots in the order in which they were added."""
-        return list(self._lots.values())
+    def all(self) -> list[OpenJob]:
+        """Returns the open jobs in the order in which they were added."""
+        return list(self._jobs.values())
 
     def idle_wait(self) -> timedelta | None:
-        """Returns for how long timers that serve open lots have nothing to do: until woken where there is none."""
-        return ZERO if self._lots else None
+        """Returns for how long timers that serve open jobs have nothing to do: until woken where there is none."""
+        return ZERO if self._jobs else None
 
     def __len__(self) -> int:
-        return len(self._lots)
+        return len(self._jobs)
--- a/pipitlink/gateway/query_parameters.py
+++ b/pipitlink/gateway/query_parameters.py
@@ -4,10 +4,10 @@
 
 from ..errors import BadRequest
 
-__all__ = ["whole_number"]
+__all__ = ["non_negative_number"]
 
 
-def whole_number(request: Request, name: str, default: int = 0) -> int:
+def non_negative_number(request: Request, name: str, default: int = 0) -> int:
     """Returns a query parameter as a number from 0 up, `default` where it is missing.
 
     Raises BadRequest where it is anything else.
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -43,7 +43,7 @@
         self._candidates = candidates
         self._retry_after = retry_after
         self._rows: dict[str, RowLimits] = {}
-        self._held_permits: dict[str, str] = {}
+        self._permits: dict[str, str] = {}
         self._known_gateways: frozenset[str] = frozenset()
         self._fleet_changed_at = self._checked_at = ctx.timers.now()
 
@@ -82,13 +82,13 @@
             return
         permit_id = fresh_id()
         await self._wait_for_permit(request, row, permit_id)
-        self._held_permits[permit_id] = row.name
+        self._permits[permit_id] = row.name
         request.release_permit = partial(self._release_permit, permit_id)
 
     def fill_loads(self, loads: Loads) -> None:
         """Adds the permits that this gateway holds to its report."""
         self._check_fleet()
-        loads.permits.extend(Permit(row=row, id=permit_id) for permit_id, row in self._held_permits.items())
+        loads.permits.extend(Permit(row=row, id=permit_id) for permit_id, row in self._permits.items())
 
     def absorb_loads(self, loads: Loads) -> None:
         """Takes the permits that another gateway reports; those that it no longer names it has released."""
@@ -125,7 +125,7 @@
             await self._ctx.timers.sleep(PERMIT_POLL_INTERVAL)
 
     def _release_permit(self, permit_id: str) -> None:
-        row = self._held_permits.pop(permit_id)
+        row = self._permits.pop(permit_id)
         release = self._call_coordinator(PermitRequest(row=row, id=permit_id, give=True))
         self._ctx.run_in_background(release, "release_permit")
 
--- a/pipitlink/gateway/remote_run.py
+++ b/pipitlink/gateway/remote_run.py
@@ -30,10 +30,10 @@
         self.chunks += response.pieces
         if response.settled:
             error = ApiError(response.note, code=response.code, outcome=response.outcome) if response.code else None
-            self.settle(error, response.engine)
+            self.finish(error, response.engine)
         self._wake()
 
-    def settle(self, error: ApiError | None, engine: str = "") -> None:
+    def finish(self, error: ApiError | None, engine: str = "") -> None:
         """Ends it, with an error or without."""
         self.error = error
         self.engine_name = engine
--- a/pipitlink/gateway/request_bodies.py
+++ b/pipitlink/gateway/request_bodies.py
@@ -11,7 +11,7 @@
 
 from ..errors import BadRequest
 
-__all__ = ["read_json", "GenerateBody", "LotBody", "ItemBody", "EngineBody", "structure"]
+__all__ = ["read_json", "GenerateBody", "JobBody", "ItemBody", "EngineBody", "structure"]
 
 MAX_NAME_LENGTH = 200
 MAX_ZONE_LENGTH = 64
@@ -19,15 +19,15 @@
 MAX_ITEM_PROMPT_LENGTH = 256 * 1024
 MAX_TOKENS = 32_768
 DEFAULT_MAX_TOKENS = 256
-MAX_LOT_ITEMS = 100_000
+MAX_JOB_ITEMS = 100_000
 MAX_PRIORITY = 100
 MAX_ENGINE_MODELS = 256
 MAX_ENGINE_CAPACITY = 10_000
 MAX_INCARNATION = 2**63
 DEFAULT_LIVE_LIMIT_MS = 30_000
 MAX_LIVE_LIMIT_MS = 3_600_000
-DEFAULT_LOT_LIMIT_MS = 86_400_000
-MAX_LOT_LIMIT_MS = 30 * 86_400_000
+DEFAULT_JOB_LIMIT_MS = 86_400_000
+MAX_JOB_LIMIT_MS = 30 * 86_400_000
 MAX_PORT = 65_535
 
 BodyT = TypeVar("BodyT")
@@ -37,12 +37,12 @@
 def _exact_type_hook(expected: type) -> Callable[[Any, Any], Any]:
     """Returns a structure hook that takes values of just one type, where cattrs would convert others."""
 
-    def hook(value: Any, _: Any) -> Any:
+    def _structure(value: Any, _: Any) -> Any:
         if type(value) is not expected:
             raise TypeError(f"must be {expected.__name__}, not {type(value).__name__}")
         return value
 
-    return hook
+    return _structure
 
 
 _converter = cattrs.Converter(forbid_extra_keys=True)
@@ -51,20 +51,20 @@
 
 
 def _between(low: int, high: int) -> Validator:
-    def check(_: Any, __: "attrs.Attribute[Any]", value: int) -> None:
+    def _check(_: Any, __: "attrs.Attribute[Any]", value: int) -> None:
         if not low <= value <= high:
             raise ValueError(f"must be between {low} and {high}")
 
-    return check
+    return _check
 
 
 def _sized(max_length: int, min_length: int = 0) -> Validator:
-    def check(_: Any, __: "attrs.Attribute[Any]", value: str | list[Any]) -> None:
+    def _check(_: Any, __: "attrs.Attribute[Any]", value: str | list[Any]) -> None:
         if not min_length <= len(value) <= max_length:
             unit = "characters" if isinstance(value, str) else "entries"
             raise ValueError(f"must have {min_length} to {max_length} {unit}")
 
-    return check
+    return _check
 
 
 @attrs.frozen(kw_only=True)
@@ -82,7 +82,7 @@
 
 @attrs.frozen(kw_only=True)
 class ItemBody:
-    """One item of a lot."""
+    """One item of a job."""
 
     model: str = attrs.field(validator=_sized(MAX_NAME_LENGTH, 1))
     prompt: str = attrs.field(validator=_sized(MAX_ITEM_PROMPT_LENGTH))
@@ -92,13 +92,13 @@
 
 
 @attrs.frozen(kw_only=True)
-class LotBody:
-    """A submitted lot; `limit_ms` is how long after its arrival items may still be started, in milliseconds."""
+class JobBody:
+    """A submitted job; `limit_ms` is how long after its arrival items may still be started, in milliseconds."""
 
-    items: list[ItemBody] = attrs.field(validator=_sized(MAX_LOT_ITEMS, 1))
+    items: list[ItemBody] = attrs.field(validator=_sized(MAX_JOB_ITEMS, 1))
     customer: str = attrs.field(default="", validator=_sized(MAX_NAME_LENGTH))
     priority: int = attrs.field(default=0, validator=_between(-MAX_PRIORITY, MAX_PRIORITY))
-    limit_ms: int = attrs.field(default=DEFAULT_LOT_LIMIT_MS, validator=_between(1, MAX_LOT_LIMIT_MS))
+    limit_ms: int = attrs.field(default=DEFAULT_JOB_LIMIT_MS, validator=_between(1, MAX_JOB_LIMIT_MS))
     idempotency_key: str = attrs.field(default="", validator=_sized(MAX_NAME_LENGTH))
 
 
@@ -151,11 +151,11 @@
 def _path_of(error: BaseException, path: str) -> str:
     """Returns where an error arose below `path`, from the notes that cattrs attaches to it."""
     name = path
-    for note in getattr(error, "__notes__", ()):
-        if hasattr(note, "name"):
-            name = f"{path}.{note.name}".strip(".")
-        elif hasattr(note, "index"):
-            name = f"{path}[{note.index}]"
+    for location in getattr(error, "__notes__", ()):
+        if hasattr(location, "name"):
+            name = f"{path}.{location.name}".strip(".")
+        elif hasattr(location, "index"):
+            name = f"{path}[{location.index}]"
     return name
 
 
--- a/pipitlink/gateway/request_pipeline.py
+++ b/pipitlink/gateway/request_pipeline.py
@@ -1,4 +1,4 @@
-"""Takes each request through its stages."""
+"""Takes each request through its steps."""
 
 from collections.abc import Awaitable, Callable, Mapping
 
@@ -9,33 +9,35 @@
 from .request_record import RequestKind, RequestRecord
 from .request_table import RequestTable
 
-__all__ = ["RequestPipeline", "Stage", "prepare_send"]
+__all__ = ["RequestPipeline", "PipelineStep", "prepare_send"]
 
-Stage = Callable[[RequestRecord], Awaitable[bool]]
-"""Does one step for a request; returns whether the stages begin again. An error settles the request."""
+PipelineStep = Callable[[RequestRecord], Awaitable[bool]]
+"""Does one step for a request; returns whether the steps begin again. An error settles the request."""
 
 
 async def prepare_send(request: RequestRecord) -> bool:
-    """Stage: makes durable what must be before the request's first byte may leave."""
+    """Pipeline step: makes durable what must be before the request's first byte may leave."""
     if request.before_send is not None:
         await request.before_send()
     return False
 
 
 class RequestPipeline:
-    """Runs the stages of a request's kind, in order and again for a retry, until it is settled."""
+    """Runs the steps of a request's kind, in order and again for a retry, until it is settled."""
 
-    def __init__(self, ctx: Context, table: RequestTable, stages: Mapping[RequestKind, tuple[Stage, ...]]) -> None:
+    def __init__(
+        self, ctx: Context, table: RequestTable, steps: Mapping[RequestKind, tuple[PipelineStep, ...]]
+    ) -> None:
         self._ctx = ctx
         self._table = table
-        self._stages = stages
+        self._steps = steps
 
     async def run(self, request: RequestRecord) -> None:
         """Runs one request until it is settled. Errors end up in its record."""
         self._table.add(request)
         try:
             while not request.settled:
-                await self._run_stages(request)
+                await self._run_steps(request)
         except defer.CancelledError:
             request.trigger("lose")
             request.fail(ApiError("the request was ended", code="ended", outcome=request.outcome))
@@ -50,9 +52,9 @@
                 self._table.retire(request)
         self._log_end(request)
 
-    async def _run_stages(self, request: RequestRecord) -> None:
-        for stage in self._stages[request.kind]:
-            begin_again = await stage(request)
+    async def _run_steps(self, request: RequestRecord) -> None:
+        for step in self._steps[request.kind]:
+            begin_again = await step(request)
             if begin_again:
                 return
 
--- a/pipitlink/gateway/request_record.py
+++ b/pipitlink/gateway/request_record.py
@@ -22,7 +22,7 @@
 
 
 class RequestKind(StrEnum):
-    """What a request is for, which decides on the stages that it goes through."""
+    """What a request is for, which decides on the steps that it goes through."""
 
     LIVE = "live"
     ITEM = "item"
@@ -52,7 +52,7 @@
 
 @attrs.define(eq=False, slots=False)
 class RequestRecord(StateMachineMixin):
-    """The record of one request in this process, for its submitter, the stages and those who read its response.
+    """The record of one request in this process, for its submitter, the steps and those who read its response.
 
     `before_send` is awaited before the request goes to an engine, and `check_before_send` is called in the step that
     writes its first byte; either may raise. `may_have_run` says that an attempt was lost whose outcome is not known.
@@ -94,8 +94,8 @@
         self._init_state_machine()
 
     @property
-    def is_lot_item(self) -> bool:
-        """Whether it is an item of a lot."""
+    def is_job_item(self) -> bool:
+        """Whether it is an item of a job."""
         return self.kind == RequestKind.ITEM
 
     @property
--- a/pipitlink/gateway/request_sender.py
+++ b/pipitlink/gateway/request_sender.py
@@ -1,6 +1,7 @@
 """Sends a request to its engine, and says what became of it."""
 
 from collections.abc import Callable, Coroutine
+from functools import partial
 from typing import Any
 
 import attrs
@@ -88,12 +89,7 @@
 
     def client_for(self, request: RequestRecord, engine: Engine) -> EngineClient:
         """Returns a client for one request, which is marked as sent in the step that writes it or is not sent."""
-
-        def check() -> None:
-            self.check_still_valid(request, engine)
-            request.trigger("send")
-
-        endpoint = CheckedEndpoint(self._ctx.reactor, check)
+        endpoint = CheckedEndpoint(self._ctx.reactor, partial(self._begin_sending, request, engine))
         agent = Agent.usingEndpointFactory(self._ctx.reactor, endpoint, self._pool)
         return EngineClient(HTTPClient(agent), endpoint)
 
@@ -110,6 +106,10 @@
         if request.check_before_send is not None:
             request.check_before_send()
 
+    def _begin_sending(self, request: RequestRecord, engine: Engine) -> None:
+        self.check_still_valid(request, engine)
+        request.trigger("send")
+
     async def discard(self, response: Response) -> str:
         """Reads the response to the end for a short while; returns the beginning of its text, empty on any error."""
         try:
--- a/pipitlink/gateway/request_table.py
+++ b/pipitlink/gateway/request_table.py
@@ -42,8 +42,8 @@
         return request
 
     def unsettled_live_requests(self) -> int:
-        """Returns how many requests run that are no items of lots."""
-        return sum(not request.settled and not request.is_lot_item for request in self.requests.values())
+        """Returns how many requests run that are no items of jobs."""
+        return sum(not request.settled and not request.is_job_item for request in self.requests.values())
 
     def has_unsettled(self) -> bool:
         """Returns whether any request is still running."""
@@ -52,7 +52,7 @@
     def unassigned_items(self, model: str) -> int:
         """Returns how many started items for a model have no engine yet."""
         return sum(
-            request.is_lot_item and request.model == model and request.engine is None
+            request.is_job_item and request.model == model and request.engine is None
             for request in self.requests.values()
         )
 
--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -1,4 +1,4 @@
-"""Reads lots and their results, whichever gateway took or owns them."""
+"""Reads batch jobs and their results, whichever gateway took or owns them."""
 
 from datetime import timedelta
 
@@ -10,24 +10,24 @@
 from ..errors import NotFound, ServiceUnavailable
 from ..timers import ms, secs
 from ..wire.lots_pb2 import LogRecord, Lot, Result
-from .lot_ids import LotLocation, parse_lot_id, result_log
-from .open_lots import OpenLots
+from .job_ids import JobLocation, parse_job_id, result_log
+from .open_jobs import OpenJobs
 
-__all__ = ["LotResults", "ResultReader"]
+__all__ = ["JobResults", "ResultReader"]
 
 KEEP_SPAN = secs(30)
 EXPIRY_INTERVAL = secs(5)
 FRESH_SPAN = ms(400)
 MAX_STALENESS = secs(1)
 TAIL_LIMIT = secs(1)
-MAX_CACHED_LOTS = 256
-MAX_LOT_READS = 20
+MAX_CACHED_SPECS = 256
+MAX_SPEC_READS = 20
 GONE = 410
 
 
 @attrs.define(eq=False)
-class LotResults:
-    """The results of one lot, read in order and kept while callers ask for them."""
+class JobResults:
+    """The results of one job, read in order and kept while callers ask for them."""
 
     tail: Tail
     used_at: timedelta
@@ -47,49 +47,49 @@
 
 
 class ResultReader:
-    """Reads lots from lot logs and results from result logs, through the caches."""
+    """Reads jobs from job logs and results from result logs, through the caches."""
 
-    def __init__(self, ctx: Context, open_lots: OpenLots) -> None:
+    def __init__(self, ctx: Context, open_jobs: OpenJobs) -> None:
         self._ctx = ctx
-        self._open_lots = open_lots
-        self._results: dict[str, LotResults] = {}
-        self._lot_cache: dict[str, Lot] = {}
+        self._open_jobs = open_jobs
+        self._results: dict[str, JobResults] = {}
+        self._spec_cache: dict[str, Lot] = {}
 
     def start(self) -> None:
         """Starts to drop results that nobody asks for any more."""
         self._ctx.timers.call_repeatedly(EXPIRY_INTERVAL, self._drop_unused, self._ctx.report("readers"))
 
-    async def find_lot(self, lot_id: str) -> Lot:
-        """Returns a lot by its id.
+    async def find_job(self, job_id: str) -> Lot:
+        """Returns a job by its id.
 
         Raises BadRequest or NotFound where there is none, ServiceUnavailable where that cannot be known.
         """
-        open_lot = self._open_lots.get(lot_id)
-        if open_lot is not None:
-            return open_lot.lot
-        if lot_id in self._lot_cache:
-            return self._lot_cache[lot_id]
-        location = parse_lot_id(lot_id)
+        open_job = self._open_jobs.get(job_id)
+        if open_job is not None:
+            return open_job.spec
+        if job_id in self._spec_cache:
+            return self._spec_cache[job_id]
+        location = parse_job_id(job_id)
         tail = self._ctx.cache.tail(location.log)
         try:
-            lot = await self._read_lot(tail, location)
+            spec = await self._read_spec(tail, location)
         finally:
             tail.close()
-        if len(self._lot_cache) > MAX_CACHED_LOTS:
-            self._lot_cache.clear()
-        self._lot_cache[lot_id] = lot
-        return lot
+        if len(self._spec_cache) > MAX_CACHED_SPECS:
+            self._spec_cache.clear()
+        self._spec_cache[job_id] = spec
+        return spec
 
-    async def read_results(self, lot_id: str) -> LotResults:
-        """Reads a lot's results at least to the end that their log surely had when this was called.
+    async def read_results(self, job_id: str) -> JobResults:
+        """Reads a job's results at least to the end that their log surely had when this was called.
 
         Raises ServiceUnavailable where that end cannot be known, NotFound where the results were removed.
         """
         now = self._ctx.timers.now()
-        results = self._results.get(lot_id)
+        results = self._results.get(job_id)
         if results is None:
-            tail = self._ctx.cache.tail(result_log(lot_id), TAIL_LIMIT)
-            results = self._results[lot_id] = LotResults(tail, now)
+            tail = self._ctx.cache.tail(result_log(job_id), TAIL_LIMIT)
+            results = self._results[job_id] = JobResults(tail, now)
         results.used_at = now
         lengths = results.tail.seen
         if lengths.proved is None or now - lengths.proved > FRESH_SPAN:
@@ -102,7 +102,7 @@
             await self.read_to(results, lengths.durable)
         return results
 
-    async def read_to(self, results: LotResults, end: int) -> None:
+    async def read_to(self, results: JobResults, end: int) -> None:
         """Reads results at least to an offset of their log, and what is cached beyond it."""
         tail = results.tail
         lengths = tail.seen
@@ -113,14 +113,14 @@
             if tail.position == before:
                 await tail.wait()
 
-    async def _read_lot(self, tail: Tail, location: LotLocation) -> Lot:
+    async def _read_spec(self, tail: Tail, location: JobLocation) -> Lot:
         await self._ctx.cache.poller.prove([location.log])
         if tail.seen.proved is None:
             raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
         if tail.seen.durable <= location.offset:
-            raise _no_such_lot()
+            raise _no_such_job()
         tail.position = location.offset
-        for _ in range(MAX_LOT_READS):
+        for _ in range(MAX_SPEC_READS):
             for offset, body in await tail.more():
                 record = LogRecord.FromString(body)
                 if offset == location.offset and record.WhichOneof("of") == "lot":
@@ -129,15 +129,15 @@
                 break
             if tail.goal() <= tail.position:
                 await tail.wait()
-        raise _no_such_lot()
+        raise _no_such_job()
 
     def _drop_unused(self) -> None:
         now = self._ctx.timers.now()
-        for lot_id, results in list(self._results.items()):
+        for job_id, results in list(self._results.items()):
             if now - results.used_at > KEEP_SPAN:
                 results.tail.close()
-                del self._results[lot_id]
+                del self._results[job_id]
 
 
-def _no_such_lot() -> NotFound:
+def _no_such_job() -> NotFound:
     return NotFound("there is no such lot", code="no_such_lot", field="lot")
--- a/pipitlink/gateway/retry_policy.py
+++ b/pipitlink/gateway/retry_policy.py
@@ -6,21 +6,21 @@
 __all__ = ["RetryBudget", "RetryPolicy"]
 
 MAX_ATTEMPTS = 3
-RETRY_SHARE = 0.2
+RETRY_RATIO = 0.2
 MAX_RETRIES_SAVED = 20.0
 
 
 class RetryBudget:
-    """Bounds retries to a share of first attempts, so that they do not multiply the load of a fault."""
+    """Bounds retries to a ratio of first attempts, so that they do not multiply the load of a fault."""
 
-    def __init__(self, share: float = RETRY_SHARE, max_saved: float = MAX_RETRIES_SAVED) -> None:
-        self._share = share
+    def __init__(self, ratio: float = RETRY_RATIO, max_saved: float = MAX_RETRIES_SAVED) -> None:
+        self._ratio = ratio
         self._max_saved = max_saved
         self._left = max_saved
 
     def earn(self) -> None:
-        """Adds the share of one attempt."""
-        self._left = min(self._max_saved, self._left + self._share)
+        """Adds what one attempt earns."""
+        self._left = min(self._max_saved, self._left + self._ratio)
 
     def take(self) -> bool:
         """Spends one retry; returns False where none is left."""
--- a/pipitlink/gateway/run_registry.py
+++ b/pipitlink/gateway/run_registry.py
@@ -53,7 +53,7 @@
                 run.take(await self.read_remote(run, address))
         except (WireError, RemoteError) as error:
             lost = ApiError(f"the gateway that holds the run was lost: {error}", code="run_lost", outcome="unknown")
-            run.settle(lost)
+            run.finish(lost)
 
     async def _handle_read(self, _: str, request: RunRequest) -> RunResponse:
         """Returns the chunks from a position on, or waits a short while for one.
--- a/rehearsal/hollow_work.py
+++ b/rehearsal/hollow_work.py
@@ -1,7 +1,7 @@
 """What hollow nodes are given to do: engines that announce, edits, logs that are read and logs that are written."""
 
 from pipitlink.errors import PipitlinkError
-from pipitlink.gateway.lot_placement import acquire_log
+from pipitlink.gateway.owner_selection import acquire_log
 from pipitlink.timers import secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from pipitlink.wire.lots_pb2 import LogRecord, Result
--- a/rehearsal/staged.py
+++ b/rehearsal/staged.py
@@ -7,7 +7,7 @@
 from pipitlink.errors import ApiError, EngineError, PipitlinkError, ServiceUnavailable
 from pipitlink.gateway import GatewayNode
 from pipitlink.gateway.engine_relay import EngineRelay
-from pipitlink.gateway.lot_api import results_page
+from pipitlink.gateway.job_api import results_page
 from pipitlink.gateway.request_record import RequestRecord
 from pipitlink.timers import ms, secs, spawn, wall_ms
 from pipitlink.wire.lots_pb2 import Item, Lot
@@ -208,7 +208,7 @@
             items=[Item(model="m", prompt=p, repeatable=repeatable) for p in prompts],
         )
         asked = self.stage.clock.seconds()
-        got, fault = await self._ask(lambda part: part.lot_intake.store(lot))
+        got, fault = await self._ask(lambda part: part.job_intake.store(lot))
         e = self.note(
             "lot",
             name=name,
@@ -234,7 +234,7 @@
         asked = self.stage.clock.seconds()
 
         async def do(part):
-            found = await part.results.find_lot(lot)
+            found = await part.results.find_job(lot)
             results = await part.results.read_results(lot)
             return results_page(lot, found, results, 0)
 
@@ -257,7 +257,7 @@
             await self.timers.sleep(ms(2000 + self.stage.rng.randrange(4000)))
             if self.lots:
                 lot = self.stage.rng.choice(list(self.lots))
-                got, fault = await self._ask(lambda part: part.lot_api.end_anywhere(lot), 9.0)
+                got, fault = await self._ask(lambda part: part.job_api.cancel_anywhere(lot), 9.0)
                 self.note("lot_ended", lot=lot, status=200 if got else 503, said={"state": got})
 
     async def live(self):
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -6,9 +6,9 @@
 from pipitlink.gateway.engine_registry import EngineRegistry
 from pipitlink.gateway.engine_slots import EngineSlots
 from pipitlink.gateway.item_dispatcher import ItemDispatcher
-from pipitlink.gateway.lot_ids import result_log
-from pipitlink.gateway.lot_ownership import EndStatus, LotOwnership
-from pipitlink.gateway.open_lots import OpenLot
+from pipitlink.gateway.job_ids import result_log
+from pipitlink.gateway.job_ownership import CancelStatus, JobOwnership
+from pipitlink.gateway.open_jobs import OpenJob
 from pipitlink.gateway.request_record import RequestRecord
 from pipitlink.gateway.result_reader import ResultReader
 from pipitlink.gateway.retry_policy import RetryPolicy
@@ -46,7 +46,7 @@
             (
                 a
                 for a in self.stage.role("gateway", alive=True)
-                if result_log(lot) in a.ctx.replicated_log.leaseholders and a.part.open_lots.get(lot)
+                if result_log(lot) in a.ctx.replicated_log.leaseholders and a.part.open_jobs.get(lot)
             ),
             None,
         )
@@ -91,7 +91,7 @@
 def lot_ended(s):
     lot = s.lot(6)
     s.stage.until(lambda: len(s.runs("lot")) >= 2, 20, "items run")
-    got, _ = s.stage.do(s.c._ask(lambda part: part.lot_api.end_anywhere(lot), 9.0), 10)
+    got, _ = s.stage.do(s.c._ask(lambda part: part.job_api.cancel_anywhere(lot), 9.0), 10)
     s.c.note("lot_ended", lot=lot, status=200, said={"state": got})
     s.stage.run(34)
     s.close(lot)
@@ -262,13 +262,13 @@
 
 
 async def _end_and_run_on(self, lot_id):
-    o = self._open_lots.get(lot_id)
+    o = self._open_jobs.get(lot_id)
     if o is None or o.leaseholder is None:
-        return EndStatus.CLOSED if self._open_lots.is_closed(lot_id) else EndStatus.NOT_OWNED
+        return CancelStatus.CLOSED if self._open_jobs.is_closed(lot_id) else CancelStatus.NOT_OWNED
     h = o.leaseholder
     await self._end_log(h, "ended")
     o.pending, self.kept = [], o
-    return EndStatus.ENDED
+    return CancelStatus.CANCELLED
 
 
 GUARDS = {
@@ -291,8 +291,8 @@
     "an ended lot's running items are stopped": (
         lot_ended,
         {"step": 2.0},
-        LotOwnership,
-        "end_local_lot",
+        JobOwnership,
+        "cancel_local_job",
         _end_and_run_on,
         "an item ran on",
     ),
@@ -355,7 +355,7 @@
     "a new owner learns what is in the log": (
         owner_killed,
         {},
-        OpenLot,
+        OpenJob,
         "apply",
         lambda self, record: None,
         "may not be repeated",
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -37,12 +37,12 @@
         admission = Admission(self, self.serving, table, self.rate_limits, self.retry_after)
         sender = RequestSender(self, self.engines, self.slots, self.candidates, RetryPolicy(self.timers))
         relay = EngineRelay(self, self.engines, sender)
-        stages = {
+        steps = {
             RequestKind.LIVE: (admission.admit, self.selector.choose_engine, relay.relay),
             RequestKind.ITEM: (admission.admit, self.selector.choose_engine, prepare_send, relay.relay),
             RequestKind.FETCH: (admission.admit, self.selector.choose_engine, FetchRelay(sender).relay),
         }
-        self.pipeline = RequestPipeline(self, table, stages)
+        self.pipeline = RequestPipeline(self, table, steps)
         self.held = True
         self.later(10, "e")
 
--- a/tests/test_lot_end_told_once.py
+++ b/tests/test_lot_end_told_once.py
@@ -5,8 +5,8 @@
 
 from twisted.internet import defer
 
-from pipitlink.gateway.lot_ownership import LotOwnership
-from pipitlink.gateway.open_lots import OpenLots
+from pipitlink.gateway.job_ownership import JobOwnership
+from pipitlink.gateway.open_jobs import OpenJobs
 from pipitlink.timers import spawn
 
 
@@ -39,8 +39,8 @@
 class LotEnd(unittest.TestCase):
     def test_it_is_told_once(self):
         ctx, leaseholder = _Context(), _Leaseholder()
-        ownership = LotOwnership(ctx, None, OpenLots())
-        lot = SimpleNamespace(id="l", leaseholder=leaseholder, results={}, running={}, lot=SimpleNamespace(items=[]))
+        ownership = JobOwnership(ctx, None, OpenJobs())
+        lot = SimpleNamespace(id="l", leaseholder=leaseholder, results={}, running={}, spec=SimpleNamespace(items=[]))
         for _ in range(2):
             spawn(ownership.finish_if_done(lot))
         for durable in leaseholder.durable:
--- a/tests/test_stage_lots.py
+++ b/tests/test_stage_lots.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from pipitlink.gateway.lot_placement import choose_owner
+from pipitlink.gateway.owner_selection import choose_owner
 from rehearsal.checker import check
 from rehearsal.stage import Stage
 from rehearsal.staged import Customers, StagedEngine, StagedGateway
@@ -63,13 +63,13 @@
         """What each gateway knows of a lot that does not get done."""
         out = []
         for a in stage.role("gateway"):
-            o = a.part.open_lots.get(lot)
+            o = a.part.open_jobs.get(lot)
             h = o and o.leaseholder
             out.append(
                 (
                     a.name,
                     a.node,
-                    "closed" if a.part.open_lots.is_closed(lot) else "",
+                    "closed" if a.part.open_jobs.is_closed(lot) else "",
                     o
                     and (
                         choose_owner(a.ctx, lot),
@@ -103,7 +103,7 @@
 
         def owner():
             return next(
-                (a for a in stage.role("gateway", alive=True) if (o := a.part.open_lots.get(lot)) and o.leaseholder),
+                (a for a in stage.role("gateway", alive=True) if (o := a.part.open_jobs.get(lot)) and o.leaseholder),
                 None,
             )
 
@@ -124,14 +124,14 @@
         lot = stage.until(lambda: stage.do(c.one_lot(12)), 20, "a lot is taken")
         owner = stage.until(
             lambda: next(
-                (a for a in stage.role("gateway") if (o := a.part.open_lots.get(lot)) and o.leaseholder), None
+                (a for a in stage.role("gateway") if (o := a.part.open_jobs.get(lot)) and o.leaseholder), None
             ),
             30,
             "a gateway owns it",
         )
         storage_nodes = [a.name for a in stage.role("storage")]
         stage.cut([owner.name], storage_nodes)
-        got, fault = stage.do(c._ask(lambda part: part.end_here(lot), 9.0, owner), 12)
+        got, fault = stage.do(c._ask(lambda part: part.job_ownership.cancel_local_job(lot), 9.0, owner), 12)
         self.assertIsNone(got)
         stage.heal()
         stage.until(lambda: stage.do(c.one_read(lot), 10)["state"] in ("done", "ended"), 60, "it is done or ended")
