--- a/pipitlink/gateway/engine_candidates.py
+++ b/pipitlink/gateway/engine_candidates.py
@@ -1,6 +1,6 @@
 """Which engines may serve a request, by the table of the cluster state."""
 
-import attrs
+from typing import NamedTuple
 
 from ..context import Context
 from ..wire.cluster_pb2 import Row
@@ -12,9 +12,8 @@
 DEFAULT_WEIGHT = 1.0
 
 
-@attrs.frozen(eq=False)
-class Candidate:
-    """An engine that may serve a request, and the weight of its row."""
+class Candidate(NamedTuple):
+    """An engine that may serve a request, and the weight of its row; a tuple, since many are made for each pick."""
 
     engine: Engine
     weight: float
--- a/pipitlink/gateway/job_ownership.py
+++ b/pipitlink/gateway/job_ownership.py
@@ -153,7 +153,7 @@
             epoch=leaseholder.epoch,
             items=len(items),
             done=len(job.results),
-            unknown=len(unknown),
+            doubtful=len(unknown),
         )
         job.pending = [item for item in range(len(items)) if item not in job.results and item not in unknown]
         for item in unknown:
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -9,6 +9,7 @@
 from ..timers import ZERO, ms, secs
 from ..wire.cluster_pb2 import Row
 from ..wire.membership_pb2 import Loads, Permit, PermitRequest, PermitResponse
+from ..wire.rpc import Address
 from .engine_candidates import EngineCandidates
 from .engine_slots import EngineSlots
 from .request_record import RequestRecord
@@ -177,16 +178,20 @@
     def _may_grant(self) -> bool:
         """Not while gateways change, nor on the smaller side of a partition, nor with a stale cluster state."""
         self._check_fleet()
-        membership = self._ctx.membership
-        alive = membership.members("gateway", status=("alive",))
-        addresses = {(member.host, member.port) for member in alive}
-        missing = [
-            member
-            for member in membership.members("gateway", status=("suspect", "gone"), me=False)
-            if (member.host, member.port) not in addresses and membership.since(member.node) < KNOWN_GATEWAY_SPAN
-        ]
+        alive = self._ctx.membership.members("gateway", status=("alive",))
+        missing = self._missing_gateways({(member.host, member.port) for member in alive})
         return (
             self._ctx.cluster.ready()
-            and len(alive) >= len(missing)
+            and len(alive) >= missing
             and self._ctx.timers.now() - self._fleet_changed_at >= SETTLE_SPAN
         )
+
+    def _missing_gateways(self, alive_addresses: set[Address]) -> int:
+        """Returns how many gateways were lost lately whose address no other gateway has taken over."""
+        membership = self._ctx.membership
+        missing = 0
+        for member in membership.members("gateway", status=("suspect", "gone"), me=False):
+            replaced = (member.host, member.port) in alive_addresses
+            if not replaced and membership.since(member.node) < KNOWN_GATEWAY_SPAN:
+                missing += 1
+        return missing
