--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -17,20 +17,20 @@
 
 if TYPE_CHECKING:
     from .cache import Cache
-    from .changes import Changes
-    from .cluster import Cluster
+    from .changes import ChangePublisher
+    from .cluster import ClusterFollower
     from .gateway.engine_registry import EngineRegistry as GatewayEngines
     from .membership import Membership
     from .reactor_types import Reactor
     from .replicated_log import ReplicatedLog
     from .router.engines import Engines as RouterEngines
 
-__all__ = ["Context", "RunInThread", "fresh_id"]
+__all__ = ["Context", "RunInThread", "random_id"]
 
 ResultT = TypeVar("ResultT")
 
 
-def fresh_id() -> str:
+def random_id() -> str:
     """Returns a random id of 16 hexadecimal digits."""
     return secrets.token_hex(8)
 
@@ -55,11 +55,11 @@
     rpc: RpcEndpoint
     rng: Random
     membership: "Membership" = attrs.field(init=False)
-    cluster: "Cluster" = attrs.field(init=False)
+    cluster: "ClusterFollower" = attrs.field(init=False)
     replicated_log: "ReplicatedLog" = attrs.field(init=False)
     cache: "Cache" = attrs.field(init=False)
     engines: "GatewayEngines | RouterEngines" = attrs.field(init=False)
-    changes: "Changes" = attrs.field(init=False)
+    changes: "ChangePublisher" = attrs.field(init=False)
     run_in_thread: RunInThread = deferToThread
     dialect: Dialect = attrs.field(factory=Dialect)
 
--- a/pipitlink/disk.py
+++ b/pipitlink/disk.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-__all__ = ["Disk", "swap_in", "set_aside", "frame", "frames", "HEAD"]
+__all__ = ["Disk", "replace_file", "set_aside", "frame", "frames", "HEAD"]
 
 HEAD = 8
 
@@ -21,7 +21,7 @@
     def sync(self, fd: int) -> None:
         os.fdatasync(fd)
 
-    def cut(self, fd: int, length: int) -> None:
+    def truncate(self, fd: int, length: int) -> None:
         os.ftruncate(fd, length)
 
     def sync_folder(self, folder: Path) -> None:
@@ -32,7 +32,7 @@
             os.close(fd)
 
 
-def swap_in(path: Path, data: bytes, disk: Disk | None = None) -> None:
+def replace_file(path: Path, data: bytes, disk: Disk | None = None) -> None:
     """Replaces a file atomically: writes `data` beside it, syncs, renames it over `path` and syncs the folder.
 
     Blocks until it is durable. Raises OSError; either the old file or the new one then stands whole.
@@ -49,7 +49,7 @@
     disk.sync_folder(path.parent)
 
 
-def set_aside(folder: Path) -> None:
+def quarantine_data(folder: Path) -> None:
     """Moves all that a data folder holds into its `damaged` folder, in place of what was there before."""
     aside = folder / "damaged"
     shutil.rmtree(aside, ignore_errors=True)
@@ -59,21 +59,21 @@
             os.replace(p, aside / p.name)
 
 
-def frame(data: bytes) -> bytes:
+def encode_frame(data: bytes) -> bytes:
     """Returns one frame: the size and a CRC-32 over size and data, 4 bytes each and big-endian, then the data."""
     size = len(data).to_bytes(4, "big")
     return size + zlib.crc32(data, zlib.crc32(size)).to_bytes(4, "big") + data
 
 
-def frames(data: bytes, start: int = 0) -> Iterator[tuple[int, bytes, int]]:
+def decode_frames(data: bytes, start: int = 0) -> Iterator[tuple[int, bytes, int]]:
     """Yields (position, payload, end) for each whole good frame, and stops at the first that is not."""
     at = start
-    while at + HEAD <= len(data):
+    while at + FRAME_HEADER_BYTES <= len(data):
         size = int.from_bytes(data[at : at + 4], "big")
-        end = at + HEAD + size
+        end = at + FRAME_HEADER_BYTES + size
         if end > len(data):
             return
-        body = data[at + HEAD : end]
+        body = data[at + FRAME_HEADER_BYTES : end]
         if zlib.crc32(body, zlib.crc32(data[at : at + 4])) != int.from_bytes(data[at + 4 : at + 8], "big"):
             return
         yield at, bytes(body), end
--- a/pipitlink/errors.py
+++ b/pipitlink/errors.py
@@ -12,7 +12,7 @@
 - ApiError: what callers and operators get over HTTP, with status, outcome and the time after which to retry.
 - ControllerError: the consensus on the cluster state, and edits of it.
 
-An error that a handler raises reaches the calling node as a RemoteError with its `code`. `web.send_fault` maps errors
+An error that a handler raises reaches the calling node as a RemoteError with its `code`. `web.send_error` maps errors
 of the lower layers to an ApiError.
 """
 
--- a/pipitlink/gateway/engine_api.py
+++ b/pipitlink/gateway/engine_api.py
@@ -3,7 +3,7 @@
 from twisted.web.server import Request
 
 from ..context import Context
-from ..web import answered, send_json
+from ..web import http_handler, send_json
 from ..wire.membership_pb2 import EngineUpdate
 from .engine_registry import EngineRegistry
 from .request_bodies import EngineBody, read_json
@@ -20,7 +20,7 @@
         self._ctx = ctx
         self._registry = registry
 
-    @answered
+    @http_handler
     async def announce(self, request: Request) -> bytes:
         """Takes one announcement; responds with the interval to renew it and the gateways' addresses."""
         body = read_json(request, EngineBody)
@@ -40,5 +40,5 @@
         return response
 
     def _gateway_addresses(self) -> list[str]:
-        gateways = self._ctx.membership.members("gateway", status=("alive",))
+        gateways = self._ctx.membership.members("gateway", statuses=("alive",))
         return [f"{member.host}:{member.http_port}" for member in gateways]
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -38,7 +38,7 @@
     def start(self) -> None:
         """Registers the handler of pushes, and has the engines carried by the gossip of the membership."""
         self._ctx.rpc.register_handler("engines.tell", EngineList, self._handle_update)
-        self._ctx.membership.carry(self._fill, self._take)
+        self._ctx.membership.add_gossip_carrier(self)
 
     def add_new_engine_listener(self, listener: Callable[[], None]) -> None:
         """Has a function called for each incarnation of an engine that is heard of first."""
@@ -107,7 +107,7 @@
                 del self._engines[name]
 
     def _push(self, engines: EngineList) -> None:
-        for member in self._ctx.membership.members("gateway", me=False):
+        for member in self._ctx.membership.members("gateway", include_self=False):
             address: Address = (member.host, member.port)
             call = spawn(self._ctx.rpc.call(address, "engines.tell", engines, Empty, PUSH_TIMEOUT))
             call.addErrback(lambda _: None)
@@ -117,7 +117,7 @@
             for update in engines.engines:
                 self.merge(update)
 
-    def _fill(self, gossip: Gossip) -> None:
+    def fill_gossip(self, gossip: Gossip) -> None:
         """Adds all known engines to outgoing gossip."""
         now = self._ctx.timers.now()
         for engine in self._engines.values():
@@ -125,7 +125,7 @@
             update.CopyFrom(engine.update)
             update.age_ms = to_ms(now - engine.renewed_at)
 
-    def _take(self, gossip: Gossip) -> None:
+    def absorb_gossip(self, gossip: Gossip) -> None:
         """Merges the engines of received gossip."""
         if not self._just_resumed():
             for update in gossip.engines[:MAX_GOSSIPED_ENGINES]:
--- a/pipitlink/gateway/engine_relay.py
+++ b/pipitlink/gateway/engine_relay.py
@@ -6,10 +6,10 @@
 
 from twisted.internet import defer
 
+from ..body_producer import BytesBodyProducer
 from ..context import Context
 from ..errors import EngineError, ServiceUnavailable
 from ..timers import secs, spawn
-from ..whole_body import WholeBody
 from .engine import Engine, EngineStatus
 from .engine_registry import EngineRegistry
 from .request_record import RequestRecord
@@ -103,7 +103,7 @@
             "X-Request-Id": request.id,
             "X-Prefix-Key": request.prefix_key,
         }
-        body: Any = WholeBody(_completion_request(request))
+        body: Any = BytesBodyProducer(_completion_request(request))
         client = self._sender.client_for(request, engine)
         response = await client.http.post(
             f"http://{engine.update.address}/v1/completions",
--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -71,7 +71,7 @@
     def start(self) -> None:
         """Registers the handler of reports, and starts this gateway's own."""
         self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
-        self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self.report_loads, self._ctx.report("loads"))
+        self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self.report_loads, self._ctx.error_reporter("loads"))
 
     def add_loads_carrier(self, carrier: LoadsCarrier) -> None:
         """Has a part fill and read the reports too."""
@@ -159,7 +159,7 @@
                 engine.peer_loads[loads.gateway] = PeerLoad(load.running, now)
 
     def _send(self, loads: Loads) -> None:
-        for member in self._ctx.membership.members("gateway", me=False):
+        for member in self._ctx.membership.members("gateway", include_self=False):
             address: Address = (member.host, member.port)
             call = spawn(self._ctx.rpc.call(address, "engines.loads", loads, Empty, REPORT_TIMEOUT))
             call.addErrback(lambda _: None)
@@ -173,7 +173,7 @@
         In slow start, gateways that were heard a short while ago keep their shares: they may only be partitioned off.
         """
         membership = self._ctx.membership
-        gateways = {member.node for member in membership.members("gateway", status=("alive",))} | {self._ctx.node}
+        gateways = {member.node for member in membership.members("gateway", statuses=("alive",))} | {self._ctx.node}
         if self._in_slow_start(engine):
             gateways |= self._recently_alive_gateways()
         ranked = sorted(gateways, key=lambda gateway: _quota_rank(engine.name, gateway))
@@ -184,8 +184,8 @@
         membership = self._ctx.membership
         return {
             member.node
-            for member in membership.members("gateway", status=("suspect", "gone"))
-            if membership.since(member.node) < SLOW_START_SPAN
+            for member in membership.members("gateway", statuses=("suspect", "gone"))
+            if membership.time_in_status(member.node) < SLOW_START_SPAN
         }
 
     def _release(self, name: str, job_item: bool) -> None:
--- a/pipitlink/gateway/fetch_api.py
+++ b/pipitlink/gateway/fetch_api.py
@@ -8,7 +8,7 @@
 from ..context import Context
 from ..errors import BadRequest
 from ..timers import secs, spawn
-from ..web import answered, send_fault
+from ..web import http_handler, send_error
 from .request_pipeline import RequestPipeline
 from .request_record import RequestKind, RequestRecord
 
@@ -24,7 +24,7 @@
         self._ctx = ctx
         self._pipeline = pipeline
 
-    @answered
+    @http_handler
     async def fetch(self, request: Request, pool: str, path: str = "") -> bytes:
         """Fetches a path from a back end of a pool, and passes the response on as it comes."""
         if ".." in path.split("/"):
@@ -44,7 +44,7 @@
             transport.abortConnection()
             closed: defer.Deferred[bytes] = defer.Deferred(lambda _: None)
             return await closed
-        body: bytes = send_fault(request, record.error)
+        body: bytes = send_error(request, record.error)
         return body
 
     def _record_of(self, request: Request, pool: str, path: str) -> RequestRecord:
--- a/pipitlink/gateway/idempotency_keys.py
+++ b/pipitlink/gateway/idempotency_keys.py
@@ -6,7 +6,7 @@
 from twisted.internet import defer
 
 from ..context import Context
-from ..disk import frames
+from ..disk import decode_frames
 from ..errors import (
     ApiError,
     ConnectionFailed,
@@ -74,7 +74,7 @@
     def parse_new_records(self) -> None:
         """Enters the keys of what was appended since the last call."""
         data = bytes(self.leaseholder.data[self.parsed_bytes :])
-        for offset, body, _ in frames(data):
+        for offset, body, _ in decode_frames(data):
             spec = LogRecord.FromString(body).lot
             job_id = job_id_at(self.leaseholder.log, self.parsed_bytes + offset)
             self.keys.setdefault(_full_key(spec), _KeyEntry(job_id, _digest(spec)))
@@ -145,12 +145,12 @@
                 shard_log.parse_new_records()
                 entry = shard_log.keys.get(key)
                 if entry is not None:
-                    await shard_log.leaseholder.all_durable()
+                    await shard_log.leaseholder.wait_durable()
                     return KeyedLotResponse(lot=entry.job_id, duplicate=True, same_lot=entry.digest == digest)
             return await self._append(spec, shard_logs)
 
     async def _append(self, spec: Lot, shard_logs: list[_ShardLog]) -> KeyedLotResponse:
-        if not all(shard_log.leaseholder.held() for shard_log in shard_logs):
+        if not all(shard_log.leaseholder.is_held() for shard_log in shard_logs):
             raise LeaseNotHeld("the lease of this key's log is not current")
         leaseholder = shard_logs[0].leaseholder
         offset = await leaseholder.append([LogRecord(lot=spec).SerializeToString()])
--- a/pipitlink/gateway/item_dispatcher.py
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -66,7 +66,7 @@
     def start(self) -> None:
         """Starts to look for items that may run."""
         timer = self._ctx.timers.call_repeatedly(
-            DISPATCH_INTERVAL, self.dispatch, self._ctx.report("feed"), due=self._open_jobs.idle_wait
+            DISPATCH_INTERVAL, self.dispatch, self._ctx.error_reporter("feed"), idle_time=self._open_jobs.idle_wait
         )
         self._open_jobs.add_timer(timer)
 
@@ -78,7 +78,7 @@
         while current.jobs:
             job = min(current.jobs, key=lambda job: self._order_key(job, current))
             index = self._next_item(job, current)
-            if index is None or job.leaseholder is None or not job.leaseholder.held():
+            if index is None or job.leaseholder is None or not job.leaseholder.is_held():
                 current.jobs.remove(job)
                 continue
             overdue = job.spec.limit_ms <= current.wall_ms
@@ -213,7 +213,7 @@
 
     def _check_owned(self, job: OpenJob) -> None:
         """Raises LeaseNotHeld where this gateway does not own the job any more."""
-        if job.leaseholder is None or not job.leaseholder.held() or job.leaseholder.final:
+        if job.leaseholder is None or not job.leaseholder.is_held() or job.leaseholder.final:
             raise LeaseNotHeld(f"{job.id}: the lease ended before the item was sent")
 
 
--- a/pipitlink/gateway/job_api.py
+++ b/pipitlink/gateway/job_api.py
@@ -7,7 +7,7 @@
 from ..context import Context
 from ..errors import RemoteError, ServiceUnavailable, WireError
 from ..timers import ms, secs
-from ..web import answered, send_json
+from ..web import http_handler, send_json
 from ..wire.lots_pb2 import EndRequest, EndResponse, Lot, Result
 from .job_ids import result_log
 from .job_intake import JobIntake
@@ -40,7 +40,7 @@
         self._reader = reader
         self._ownership = ownership
 
-    @answered
+    @http_handler
     async def submit_job(self, request: Request) -> bytes:
         """Stores a submitted job; responds with its id."""
         body = read_json(request, JobBody)
@@ -53,7 +53,7 @@
         )
         return response
 
-    @answered
+    @http_handler
     async def show_job(self, request: Request, job_id: str) -> bytes:
         """Responds with a job's state."""
         found = await self._reader.find_job(job_id)
@@ -61,7 +61,7 @@
         response: bytes = send_json(request, _summary(job_id, found, results))
         return response
 
-    @answered
+    @http_handler
     async def show_results(self, request: Request, job_id: str) -> bytes:
         """Responds with a job's results from a number on."""
         start = non_negative_number(request, "from")
@@ -70,7 +70,7 @@
         response: bytes = send_json(request, results_page(job_id, found, results, start))
         return response
 
-    @answered
+    @http_handler
     async def cancel_job(self, request: Request, job_id: str) -> bytes:
         """Cancels a job for good; responds with its state."""
         response: bytes = send_json(request, {"lot": job_id, "state": await self.cancel_anywhere(job_id)})
--- a/pipitlink/gateway/job_intake.py
+++ b/pipitlink/gateway/job_intake.py
@@ -47,7 +47,7 @@
         except Exception as error:
             code = getattr(error, "code", "store")
             raise ServiceUnavailable(f"the store cannot take lots now: {error}", code=code) from error
-        if not leaseholder.held():
+        if not leaseholder.is_held():
             raise ServiceUnavailable("the lot log's lease is not current", code="store")
         offset = await leaseholder.append([LogRecord(lot=spec).SerializeToString()])
         job_id = job_id_at(leaseholder.log, offset)
--- a/pipitlink/gateway/job_log_follower.py
+++ b/pipitlink/gateway/job_log_follower.py
@@ -42,8 +42,8 @@
     def start(self) -> None:
         """Starts to look for job logs, and for those that may be ended."""
         timers = self._ctx.timers
-        timers.call_repeatedly(LIST_INTERVAL, self._list_logs, self._ctx.report("list_logs"))
-        timers.call_repeatedly(CLOSE_INTERVAL, self._end_idle_logs, self._ctx.report("close_logs"))
+        timers.call_repeatedly(LIST_INTERVAL, self._list_logs, self._ctx.error_reporter("list_logs"))
+        timers.call_repeatedly(CLOSE_INTERVAL, self._end_idle_logs, self._ctx.error_reporter("close_logs"))
 
     async def _list_logs(self) -> None:
         if not self._ctx.cluster.ready():
@@ -76,7 +76,7 @@
         for log, followed in list(self._followed.items()):
             idle = self._is_idle(log)
             tail = followed.tail
-            unread = tail.seen.proved is None or tail.position < tail.seen.durable
+            unread = tail.lengths.confirmed_at is None or tail.position < tail.lengths.durable
             if not idle or unread or not self._open_jobs.all_closed(followed.job_ids):
                 continue
             if choose_owner(self._ctx, log) != self._ctx.node:
@@ -99,7 +99,7 @@
 
     async def _end_log(self, log: str) -> None:
         replicated_log = self._ctx.replicated_log
-        leaseholder = replicated_log.leaseholders.get(log) or await replicated_log.hold(log)
+        leaseholder = replicated_log.leaseholders.get(log) or await replicated_log.acquire(log)
         if not leaseholder.final:
             record = LogRecord(ended=Ended(reason="done"))
             await leaseholder.append([record.SerializeToString()], final=True, reserved=True)
@@ -109,14 +109,14 @@
         """Reads one job log in order while it is followed."""
         followed = self._followed[log]
         tail = followed.tail
-        while not self._ctx.timers.ended and self._followed.get(log) is followed:
+        while not self._ctx.timers.stopped and self._followed.get(log) is followed:
             try:
-                for offset, body in await tail.more():
+                for offset, body in await tail.read_records():
                     self._take_record(log, followed, offset, body)
             except PipitlinkError as error:
                 self._ctx.logger.failure("lot_log_unreadable", error, log=log)
                 await self._ctx.timers.sleep(READ_BACKOFF)
-            await tail.wait()
+            await tail.wait_for_growth()
 
     def _take_record(self, log: str, followed: _FollowedLog, offset: int, body: bytes) -> None:
         record = LogRecord.FromString(body)
--- a/pipitlink/gateway/job_ownership.py
+++ b/pipitlink/gateway/job_ownership.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 
 from ..context import Context
-from ..disk import frames
+from ..disk import decode_frames
 from ..errors import DeadlineExceeded, PipitlinkError
 from ..replicated_log import Leaseholder
 from ..timers import ms, secs, spawn
@@ -46,7 +46,7 @@
         """Registers the handler of cancellations, and starts to look for jobs to take up or to close."""
         self._ctx.rpc.register_handler("lots.end", EndRequest, self._handle_cancel)
         timer = self._ctx.timers.call_repeatedly(
-            CHECK_INTERVAL, self._check_jobs, self._ctx.report("take_lots"), due=self._open_jobs.idle_wait
+            CHECK_INTERVAL, self._check_jobs, self._ctx.error_reporter("take_lots"), idle_time=self._open_jobs.idle_wait
         )
         self._open_jobs.add_timer(timer)
 
@@ -183,7 +183,7 @@
     async def _end_log(self, leaseholder: Leaseholder, reason: str) -> None:
         """Writes the end record; where that does not get durable, the job is still open for the next owner."""
         if leaseholder.final:
-            await leaseholder.all_durable()
+            await leaseholder.wait_durable()
         else:
             record = LogRecord(ended=Ended(reason=reason))
             await leaseholder.append([record.SerializeToString()], final=True, reserved=True)
@@ -200,7 +200,7 @@
     """Rebuilds what is known of the items from the result log."""
     job.results.clear()
     job.started.clear()
-    for _, body, _ in frames(bytes(leaseholder.data)):
+    for _, body, _ in decode_frames(bytes(leaseholder.data)):
         job.apply(LogRecord.FromString(body))
 
 
--- a/pipitlink/gateway/live_api.py
+++ b/pipitlink/gateway/live_api.py
@@ -6,7 +6,7 @@
 from ..context import Context
 from ..errors import BadRequest, NotFound, RemoteError, WireError
 from ..timers import ms, spawn
-from ..web import answered, send_json
+from ..web import http_handler, send_json
 from ..wire.rpc import Address
 from .query_parameters import non_negative_number
 from .remote_run import RemoteRun
@@ -29,7 +29,7 @@
         self._pipeline = pipeline
         self._runs = runs
 
-    @answered
+    @http_handler
     async def generate(self, request: Request) -> bytes:
         """Starts a live request, and responds with a stream or with one JSON object."""
         body = read_json(request, GenerateBody)
@@ -48,7 +48,7 @@
             return await RunStream(self._ctx, self._table, request, record, 0).write()
         return await self._respond_when_settled(request, record)
 
-    @answered
+    @http_handler
     async def resume(self, request: Request, run: str) -> bytes:
         """Streams a run from a position on, wherever it is."""
         position = non_negative_number(request, "from")
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -11,7 +11,7 @@
 from ..errors import NotFound
 from ..reactor_types import ListeningPort
 from ..timers import ms, secs
-from ..web import Site, listen, send_fault, send_json
+from ..web import Site, listen, send_error, send_json
 from .admission import Admission
 from .engine_api import EngineApi
 from .engine_candidates import EngineCandidates
@@ -161,7 +161,7 @@
         return body
 
     def _not_found(self, request: Request, path: str) -> bytes:
-        body: bytes = send_fault(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
+        body: bytes = send_error(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
         return body
 
     def readiness(self) -> tuple[bool, dict[str, Any]]:
@@ -196,7 +196,7 @@
         gauges["cache_bytes"] = ("Bytes in the data cache here", cache.chunks.size)
         return gauges
 
-    def families(self) -> Iterable[HistogramMetricFamily]:
+    def metric_families(self) -> Iterable[HistogramMetricFamily]:
         """Returns metrics that are no plain gauges, with their full names."""
         name = "pipitlink_first_piece_seconds"
         return [self.table.first_chunk_latency.family(name, "From a live request's arrival to its first piece")]
--- a/pipitlink/gateway/owner_selection.py
+++ b/pipitlink/gateway/owner_selection.py
@@ -12,7 +12,7 @@
 
     Gateways in emptied zones own nothing while there are others.
     """
-    alive = ctx.membership.members("gateway", status=("alive",))
+    alive = ctx.membership.members("gateway", statuses=("alive",))
     eligible = [member for member in alive if not ctx.cluster.zone_empty(member.zone)] or alive
     owner = max(eligible, key=lambda member: rank(key, member.node))
     return str(owner.node)
@@ -20,6 +20,6 @@
 
 async def acquire_log(ctx: Context, log: str) -> Leaseholder:
     """Takes the lease of a log, and has its contents written to the caches. Raises PipitlinkError."""
-    leaseholder: Leaseholder = await ctx.replicated_log.hold(log)
-    ctx.cache.shadow(log, leaseholder)
+    leaseholder: Leaseholder = await ctx.replicated_log.acquire(log)
+    ctx.cache.start_log_writer(log, leaseholder)
     return leaseholder
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -3,7 +3,7 @@
 import math
 from functools import partial
 
-from ..context import Context, fresh_id
+from ..context import Context, random_id
 from ..errors import RemoteError, ServiceUnavailable, WireError
 from ..rendezvous import rank
 from ..timers import ZERO, ms, secs
@@ -55,7 +55,7 @@
 
     def coordinator(self, row: str) -> str:
         """Returns the node that hands out the permits of a row, as far as is known here."""
-        gateways = {member.node for member in self._ctx.membership.members("gateway", status=("alive",))}
+        gateways = {member.node for member in self._ctx.membership.members("gateway", statuses=("alive",))}
         gateways.add(self._ctx.node)
         return max(gateways, key=lambda gateway: rank(row, gateway))
 
@@ -81,7 +81,7 @@
         row = self._candidates.row_of(request.model, request.pool)
         if row is None or not row.concurrency or request.release_permit:
             return
-        permit_id = fresh_id()
+        permit_id = random_id()
         await self._wait_for_permit(request, row, permit_id)
         self._permits[permit_id] = row.name
         request.release_permit = partial(self._release_permit, permit_id)
@@ -127,7 +127,7 @@
 
     def _release_permit(self, permit_id: str) -> None:
         row = self._permits.pop(permit_id)
-        release = self._call_coordinator(PermitRequest(row=row, id=permit_id, give=True))
+        release = self._call_coordinator(PermitRequest(row=row, id=permit_id, release=True))
         self._ctx.run_in_background(release, "release_permit")
 
     async def _call_coordinator(self, request: PermitRequest) -> PermitResponse:
@@ -148,7 +148,7 @@
     def _answer(self, node: str, request: PermitRequest) -> PermitResponse:
         """Grants, rejects or releases as the coordinator of the row."""
         limits = self._limits_of(request.row)
-        if request.give:
+        if request.release:
             limits.permits.pop(request.id, None)
             return PermitResponse()
         row = self._ctx.cluster.cluster_state.rows.get(request.row)
@@ -169,7 +169,7 @@
         A new coordinator may not have heard of all permits that are out.
         """
         now = self._ctx.timers.now()
-        gateways = frozenset(member.node for member in self._ctx.membership.members("gateway", status=("alive",)))
+        gateways = frozenset(member.node for member in self._ctx.membership.members("gateway", statuses=("alive",)))
         if gateways != self._known_gateways or now - self._checked_at > SUSPENSION_THRESHOLD:
             self._known_gateways = gateways
             self._fleet_changed_at = now
@@ -178,7 +178,7 @@
     def _may_grant(self) -> bool:
         """Not while gateways change, nor on the smaller side of a partition, nor with a stale cluster state."""
         self._check_fleet()
-        alive = self._ctx.membership.members("gateway", status=("alive",))
+        alive = self._ctx.membership.members("gateway", statuses=("alive",))
         missing = self._missing_gateways({(member.host, member.port) for member in alive})
         return (
             self._ctx.cluster.ready()
@@ -190,8 +190,8 @@
         """Returns how many gateways were lost lately whose address no other gateway has taken over."""
         membership = self._ctx.membership
         missing = 0
-        for member in membership.members("gateway", status=("suspect", "gone"), me=False):
+        for member in membership.members("gateway", statuses=("suspect", "gone"), include_self=False):
             replaced = (member.host, member.port) in alive_addresses
-            if not replaced and membership.since(member.node) < KNOWN_GATEWAY_SPAN:
+            if not replaced and membership.time_in_status(member.node) < KNOWN_GATEWAY_SPAN:
                 missing += 1
         return missing
--- a/pipitlink/gateway/request_record.py
+++ b/pipitlink/gateway/request_record.py
@@ -9,7 +9,7 @@
 from twisted.internet import defer
 from twisted.web.server import Request
 
-from ..context import fresh_id
+from ..context import random_id
 from ..errors import ApiError, EngineError
 from ..state_machines import StateMachineMixin, state_machine_data
 from .engine import Engine
@@ -69,7 +69,7 @@
     kind: RequestKind = RequestKind.LIVE
     pool: str = ""
     customer: str = ""
-    id: str = attrs.field(factory=fresh_id)
+    id: str = attrs.field(factory=random_id)
     engine: Engine | None = None
     attempts: int = 0
     excluded_engines: set[str] = attrs.field(factory=set)
--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -57,7 +57,7 @@
 
     def start(self) -> None:
         """Starts to drop results that nobody asks for any more."""
-        self._ctx.timers.call_repeatedly(EXPIRY_INTERVAL, self._drop_unused, self._ctx.report("readers"))
+        self._ctx.timers.call_repeatedly(EXPIRY_INTERVAL, self._drop_unused, self._ctx.error_reporter("readers"))
 
     async def find_job(self, job_id: str) -> Lot:
         """Returns a job by its id.
@@ -91,10 +91,10 @@
             tail = self._ctx.cache.tail(result_log(job_id), TAIL_LIMIT)
             results = self._results[job_id] = JobResults(tail, now)
         results.used_at = now
-        lengths = results.tail.seen
-        if lengths.proved is None or now - lengths.proved > FRESH_SPAN:
-            await self._ctx.cache.poller.prove([results.tail.path])
-        if lengths.proved is None or self._ctx.timers.now() - lengths.proved > MAX_STALENESS:
+        lengths = results.tail.lengths
+        if lengths.confirmed_at is None or now - lengths.confirmed_at > FRESH_SPAN:
+            await self._ctx.cache.poller.confirm_durable([results.tail.path])
+        if lengths.confirmed_at is None or self._ctx.timers.now() - lengths.confirmed_at > MAX_STALENESS:
             raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
         if lengths.final and not lengths.durable:
             raise NotFound("the lot's results were removed after their retention", code="results_removed", status=GONE)
@@ -105,30 +105,30 @@
     async def read_to(self, results: JobResults, end: int) -> None:
         """Reads results at least to an offset of their log, and what is cached beyond it."""
         tail = results.tail
-        lengths = tail.seen
+        lengths = tail.lengths
         while tail.position < end or lengths.cached > tail.position:
             before = tail.position
-            for _, body in await tail.more():
+            for _, body in await tail.read_records():
                 results.apply(LogRecord.FromString(body))
             if tail.position == before:
-                await tail.wait()
+                await tail.wait_for_growth()
 
     async def _read_spec(self, tail: Tail, location: JobLocation) -> Lot:
-        await self._ctx.cache.poller.prove([location.log])
-        if tail.seen.proved is None:
+        await self._ctx.cache.poller.confirm_durable([location.log])
+        if tail.lengths.confirmed_at is None:
             raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
-        if tail.seen.durable <= location.offset:
+        if tail.lengths.durable <= location.offset:
             raise _no_such_job()
         tail.position = location.offset
         for _ in range(MAX_SPEC_READS):
-            for offset, body in await tail.more():
+            for offset, body in await tail.read_records():
                 record = LogRecord.FromString(body)
                 if offset == location.offset and record.WhichOneof("of") == "lot":
                     return record.lot
-            if tail.position >= tail.seen.durable:
+            if tail.position >= tail.lengths.durable:
                 break
-            if tail.goal() <= tail.position:
-                await tail.wait()
+            if tail.readable_end() <= tail.position:
+                await tail.wait_for_growth()
         raise _no_such_job()
 
     def _drop_unused(self) -> None:
--- a/pipitlink/gateway/run_registry.py
+++ b/pipitlink/gateway/run_registry.py
@@ -1,6 +1,6 @@
 """Finds runs by id, and reads those of other gateways."""
 
-from ..context import Context, fresh_id
+from ..context import Context, random_id
 from ..errors import ApiError, RemoteError, WireError
 from ..timers import ms, secs
 from ..wire.membership_pb2 import RunRequest, RunResponse
@@ -30,7 +30,7 @@
 
     def new_run_id(self) -> str:
         """Returns an id for a run of this gateway."""
-        return f"{self._ctx.node}-{fresh_id()}"
+        return f"{self._ctx.node}-{random_id()}"
 
     def remote_address(self, run_id: str) -> Address | None:
         """Returns the address of the gateway that may have a run, None where that is this one or gone."""
--- a/pipitlink/gateway/run_stream.py
+++ b/pipitlink/gateway/run_stream.py
@@ -10,7 +10,7 @@
 from ..errors import ApiError, DeadlineExceeded
 from ..reactor_types import TcpTransport
 from ..timers import secs
-from ..web import send_fault
+from ..web import send_error
 from .request_table import RequestTable
 from .run import Run
 
@@ -107,7 +107,7 @@
             await run.wait_for_change()
         if run.error is not None and not run.chunks:
             self._table.retire(run)
-            body: bytes = send_fault(self._request, run.error)
+            body: bytes = send_error(self._request, run.error)
             return body
         self._start()
         await self._write_chunks()
--- a/pipitlink/router/batch_read.py
+++ b/pipitlink/router/batch_read.py
@@ -302,7 +302,7 @@
             await o.leaseholder.all_durable()
             return "closed"
         work = o.leaseholder.append(
-            [LogRecord(ended=Ended(reason="ended")).SerializeToString()], final=True, reserved=True
+            [LogRecord(ended=Ended(why="ended")).SerializeToString()], final=True, reserved=True
         )
         try:
             await work
--- a/pipitlink/router/batch_run.py
+++ b/pipitlink/router/batch_run.py
@@ -207,7 +207,7 @@
                 records = [LogRecord(output=x).SerializeToString() for x in group]
                 final = len(o.done) == len(o.batch.items)
                 if final:
-                    records.append(LogRecord(ended=Ended(reason="done")).SerializeToString())
+                    records.append(LogRecord(ended=Ended(why="done")).SerializeToString())
                 try:
                     await o.leaseholder.append(records, final=final, reserved=True)
                 except DeadlineExceeded:
--- a/pipitlink/router/batches.py
+++ b/pipitlink/router/batches.py
@@ -86,7 +86,7 @@
             self.listed.add(record.output.item)
             self.outputs.append(record.output)
         elif what == "ended":
-            self.ended = self.ended or record.ended.reason
+            self.ended = self.ended or record.ended.why
 
     def pass_over(self):
         """The batch stands in its log right after what was announced of it, and is not read."""
--- a/pipitlink/router/call.py
+++ b/pipitlink/router/call.py
@@ -79,7 +79,7 @@
     def __attrs_post_init__(self):
         self._init_state_machine()
 
-    def _release_engine(self):
+    def _unpick(self):
         if self.engine is not None:
             self.avoid.add(self.engine.name)
         self.engine = self.link = None
--- a/pipitlink/router/relay.py
+++ b/pipitlink/router/relay.py
@@ -55,8 +55,8 @@
         if not call.headed:
             call.headed = True
             call.sink.head(self._response)
-        if call.state != "responding":
-            call.trigger("receive")
+        if call.state != "shown":
+            call.trigger("piece")
         call.sink.data(data)
 
     def _fail(self, e):
@@ -123,7 +123,7 @@
                 call.engine = e
                 call.tries += 1
                 self.counts["tries"] += 1
-                call.trigger("choose_engine")
+                call.trigger("pick")
                 try:
                     await self._try(call, e)
                     call.trigger("finish")
@@ -136,7 +136,7 @@
                         raise
                 if call.state == "lost":
                     call.reached = True
-                    call.trigger("retry")
+                    call.trigger("again")
                 if call.tries > 2:
                     await self._ctx.timers.sleep(RETRY_PAUSE * call.tries)
         except defer.CancelledError:
@@ -155,7 +155,7 @@
             return False
         if call.batch:
             return False
-        if call.state == "waiting":
+        if call.state == "taken":
             return fault.code != "no_room"
         if call.state != "lost" or call.runs.total() > max(2, call.route.max_tries):
             return False
@@ -208,10 +208,10 @@
             await self._exchange(call, e, link, read)
             self.engines.served(e)
         except ApiError as f:
-            if call.state == "engine_chosen":
-                call.trigger("connect_failed")
+            if call.state == "picked":
+                call.trigger("unreached")
                 f.outcome = call.outcome
-            elif call.state in ("sent", "responding"):
+            elif call.state in ("sent", "shown"):
                 call.trigger("lose")
             raise
         finally:
@@ -319,7 +319,7 @@
         """The engine says that nothing ran."""
         self.counts["refused"] += 1
         call.runs[e.name] -= 1
-        call.trigger("reject")
+        call.trigger("refuse")
         code = response.code
         await self._drain(link, response)
         if code == 421:
--- a/pipitlink/segments.py
+++ b/pipitlink/segments.py
@@ -9,13 +9,13 @@
 
 from twisted.internet.defer import Deferred
 
-from .disk import HEAD, Disk, frame, frames
+from .disk import FRAME_HEADER_BYTES, Disk, decode_frames, encode_frame
 from .errors import CorruptData
 
-__all__ = ["Segments", "Spot"]
+__all__ = ["Segments", "Position"]
 
 SEGMENT = 16 * 1024 * 1024
-Spot = tuple[int, int]
+Position = tuple[int, int]
 Ticket = Deferred[None] | None
 
 
@@ -29,17 +29,17 @@
         self._flushing: AbstractContextManager[Any] = (
             lock.twin() if lock is not None and hasattr(lock, "twin") else threading.Lock()
         )
-        self._pending: list[tuple[bytes, tuple[Spot, Ticket]]] = []
-        self._taken: list[tuple[bytes, tuple[Spot, Ticket]]] = []
+        self._pending: list[tuple[bytes, tuple[Position, Ticket]]] = []
+        self._taken: list[tuple[bytes, tuple[Position, Ticket]]] = []
         self._fds: dict[int, int] = {}
         self._sizes: dict[int, int] = {}
-        self._next: Spot = (1, 0)
+        self._next: Position = (1, 0)
         folder.mkdir(parents=True, exist_ok=True)
 
     def _path(self, n: int) -> Path:
         return self._folder / f"seg-{n:08d}.log"
 
-    def recover(self) -> Iterator[tuple[Spot, bytes]]:
+    def recover(self) -> Iterator[tuple[Position, bytes]]:
         """Yields every good entry; a torn end of the newest file is cut off, damage elsewhere is told."""
         for fd in self._fds.values():
             os.close(fd)
@@ -48,14 +48,14 @@
         for n in numbers:
             data = self._path(n).read_bytes()
             end = 0
-            for at, body, end in frames(data):
+            for at, body, end in decode_frames(data):
                 yield (n, at), body
             self._open(n)
             self._sizes[n] = end
             if end < len(data):
                 if n != numbers[-1]:
                     raise CorruptData(f"{self._path(n).name} is damaged at {end}")
-                self._disk.cut(self._fds[n], end)
+                self._disk.truncate(self._fds[n], end)
             if n == numbers[-1]:
                 self._disk.sync(self._fds[n])
         last = numbers[-1] if numbers else 1
@@ -79,9 +79,9 @@
         with self._lock:
             return sum(self._sizes.values()) + sum(len(d) for d, _ in self._pending)
 
-    def put(self, body: bytes, ticket: Ticket) -> Spot:
+    def put(self, body: bytes, ticket: Ticket) -> Position:
         """Queues an entry and says where it will stand."""
-        data = frame(body)
+        data = encode_frame(body)
         with self._lock:
             n, at = self._next
             if at and at + len(data) > SEGMENT:
@@ -134,9 +134,9 @@
             self._taken, self._pending = [], []
         return [ticket for _, (_, ticket) in batch]
 
-    def read_bytes(self, spot: Spot, length: int) -> bytes:
+    def read_bytes(self, spot: Position, length: int) -> bytes:
         n, at = spot
-        data = os.pread(self._fds[n], length, at + HEAD)
+        data = os.pread(self._fds[n], length, at + FRAME_HEADER_BYTES)
         if len(data) != length:
             raise CorruptData(f"{self._path(n).name} ends early at {at}")
         return data
--- a/pipitlink/syncing.py
+++ b/pipitlink/syncing.py
@@ -12,10 +12,10 @@
 if TYPE_CHECKING:
     from .context import Context
 
-__all__ = ["Syncer"]
+__all__ = ["GroupCommit"]
 
 
-class Syncer:
+class GroupCommit:
     """Group sync: whatever is queued while the disk is busy goes to it together."""
 
     def __init__(self, ctx: "Context", segments: Segments, recover: Callable[[], object]) -> None:
@@ -39,7 +39,7 @@
 
     async def _flush(self) -> None:
         try:
-            while self._segments.waiting():
+            while self._segments.has_pending():
                 for ticket in await self._ctx.run_in_thread(self._segments.flush):
                     if ticket is not None:
                         ticket.callback(None)
@@ -48,11 +48,11 @@
             self._ctx.reactor.stop()
         except Exception as e:
             self._ctx.logger.failure("disk_failed", e)
-            lost = self._segments.abandon()
+            lost = self._segments.discard_pending()
             self._recover()
             for ticket in filter(None, lost):
                 ticket.errback(StorageFull(f"the disk refused: {e}"))
         finally:
             self.busy = False
-            if self._segments.waiting():
+            if self._segments.has_pending():
                 self._start()
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -18,7 +18,7 @@
     WrongPeer,
 )
 from ..timers import SingleFlight, Timers, ms, spawn
-from .connection import WIRE, RpcConnection, RpcConnectionFactory
+from .connection import PROTOCOL_VERSION, RpcConnection, RpcConnectionFactory
 from .frame_pb2 import Empty, Frame, Hello
 
 if TYPE_CHECKING:
@@ -67,12 +67,19 @@
         self._opening: SingleFlight[Address, RpcConnection] = SingleFlight()
         self._met: set[RpcConnection] = set()
         self._port: ListeningPort | None = None
-        self.gate: FaultInjection | None = None
+        self.fault_injector: FaultInjection | None = None
         self.address: Address = ("", 0)
 
     def hello(self) -> Hello:
         host, port = self.address
-        return Hello(fleet=self._fleet, wire=WIRE, node=self.node, incarnation=self.incarnation, host=host, port=port)
+        return Hello(
+            fleet=self._fleet,
+            protocol_version=PROTOCOL_VERSION,
+            node=self.node,
+            incarnation=self.incarnation,
+            host=host,
+            port=port,
+        )
 
     def check(self, hello: Hello) -> None:
         if hello.fleet != self._fleet:
@@ -178,15 +185,15 @@
         frame = Frame(method=method, body=what.SerializeToString()).SerializeToString()
         for place in places:
             stream = self._streams.get(place)
-            if stream is not None and self.gate is None:
+            if stream is not None and self.fault_injector is None:
                 stream.notify(frame)
             else:
                 self.run_in_background(self._post(place, method, frame), method)
 
     async def _post(self, place: Address, method: str, frame: bytes) -> None:
         try:
-            if self.gate is not None:
-                await self.gate.outbound(place, method)
+            if self.fault_injector is not None:
+                await self.fault_injector.outbound(place, method)
             (await self._timers.with_timeout(_CONNECT, self._stream(place))).notify(frame)
         except WireError as e:
             self.logger.debug("note_not_sent", place=f"{place[0]}:{place[1]}", method=method, text=e)
@@ -204,8 +211,8 @@
                 return cast(ResponseT, await self.dispatch(self.hello(), method, ask.SerializeToString()))
             except PipitlinkError as e:
                 raise RemoteError(e.code, str(e)) from e
-        if self.gate is not None:
-            await self.gate.outbound(place, method)
+        if self.fault_injector is not None:
+            await self.fault_injector.outbound(place, method)
         s = await self._stream(place)
         require_peer(node, s.peer.node)
         f = await s.call(method, ask.SerializeToString())
--- a/rehearsal/hollow_work.py
+++ b/rehearsal/hollow_work.py
@@ -108,7 +108,7 @@
         timers, done, due = n.ctx.timers, 0, None
         while True:
             await timers.sleep(secs(0.05))
-            if n.part.state != "leader" or not n.part.cluster_state.placement_groups:
+            if n.part.consensus.role != "leader" or not n.part.consensus.cluster_state.placement_groups:
                 continue
             if done < rows:
                 end = min(rows, done + ROWS_AT_ONCE)
@@ -128,8 +128,8 @@
 
     async def _edit(self, n, puts) -> bool:
         try:
-            e = TableEdit(base=n.part.cluster_state.table, puts=puts)
-            out = await n.part.edit(Command(edit=f"{n.ctx.node}{n.ctx.timers.now()}", table=e))
+            e = TableEdit(base=n.part.consensus.cluster_state.table_sequence, upserts=puts)
+            out = await n.part.state_delivery.edit(Command(edit=f"{n.ctx.node}{n.ctx.timers.now()}", table=e))
         except PipitlinkError as e:
             self._fail(e)
             return False
--- a/rehearsal/inner.py
+++ b/rehearsal/inner.py
@@ -83,7 +83,7 @@
 
 
 def _step_members(ctx, part):
-    ctx.membership.members("gateway", me=False)
+    ctx.membership.members("gateway", include_self=False)
 
 
 def _step_room(ctx, part):
@@ -120,11 +120,11 @@
     for rows in (1000, 4000, 23180):
         cluster_state = ClusterState()
         puts = [Row(name=f"row{i}", model=f"model{i % 38}", pool=f"tenant{i}", weight=1) for i in range(rows)]
-        cluster_state.apply(1, Command(edit="all", table=TableEdit(whole=True, puts=puts)))
-        one = Command(edit="one", table=TableEdit(base=1, puts=puts[:1]))
+        cluster_state.apply(1, Command(edit="all", table=TableEdit(replace_all=True, upserts=puts)))
+        one = Command(edit="one", table=TableEdit(base=1, upserts=puts[:1]))
 
         def change(cluster_state=cluster_state, one=one):
-            one.table.base, one.edit = cluster_state.table, f"e{cluster_state.sequence}"
+            one.table.base, one.edit = cluster_state.table_sequence, f"e{cluster_state.sequence}"
             cluster_state.apply(cluster_state.sequence + 1, one)
             cluster_state.row("model1", "tenant1")
 
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -1,7 +1,8 @@
 """Each line of "What must never happen": the failure is brought about on a stage, and without its guard it shows."""
 
-from pipitlink.cluster import Cluster, ClusterState
-from pipitlink.controller.leading import Leading
+from pipitlink.controller.log_replication import LogReplication
+
+from pipitlink.cluster import ClusterFollower, ClusterState
 from pipitlink.errors import PipitlinkError
 from pipitlink.gateway.engine_registry import EngineRegistry
 from pipitlink.gateway.engine_slots import EngineSlots
@@ -62,7 +63,7 @@
             self.stage.do(self.c._one_live(f"live{self.c._n}", repeatable), 10)
 
     def edit(self, command):
-        return self.stage.do(self.stage.leader().part.edit(command), 10, "an edit")
+        return self.stage.do(self.stage.leader().part.state_delivery.edit(command), 10, "an edit")
 
     def bad(self):
         zones = {e.name: e.zone for e in self.stage.engines.values()}
@@ -146,7 +147,10 @@
     s.edit(
         Command(
             edit="w",
-            table=TableEdit(base=s.stage.leader().part.cluster_state.table, puts=[Row(name="m", model="m", weight=0)]),
+            table=TableEdit(
+                base=s.stage.leader().part.consensus.cluster_state.table_sequence,
+                upserts=[Row(name="m", model="m", weight=0)],
+            ),
         )
     )
     s.c.note("gate", model="m", open=False, done=True)
@@ -191,12 +195,15 @@
 def operators_race(s):
     """Two edits build on one sequence; then the leader is cut off, another takes an edit, and the old one is read."""
     old = s.stage.leader()
-    base = old.part.cluster_state.table
+    base = old.part.consensus.cluster_state.table_sequence
 
     def edit(part, name, base):
         asked = s.stage.clock.seconds()
         out = s.stage.do(
-            part.edit(Command(edit=name, table=TableEdit(base=base, puts=[Row(name="r", model=name)]))), 10
+            part.state_delivery.edit(
+                Command(edit=name, table=TableEdit(base=base, upserts=[Row(name="r", model=name)]))
+            ),
+            10,
         )
         good = out.code == "done"
         s.c.note(
@@ -215,21 +222,21 @@
     edit(old.part, "second", base)
     rest = [a for a in s.stage.role("controller") if a is not old]
     s.stage.cut([old.name], [a for a in s.stage.actors if a != old.name])
-    new = s.stage.until(lambda: next((a for a in rest if a.part.state == "leader"), None), 20, "another leads")
+    new = s.stage.until(lambda: next((a for a in rest if a.part.consensus.role == "leader"), None), 20, "another leads")
     s.stage.run(2)
-    edit(new.part, "third", new.part.cluster_state.table)
+    edit(new.part, "third", new.part.consensus.cluster_state.table_sequence)
     s.stage.run(0.1)
     for a in (new, old):
         asked = s.stage.clock.seconds()
         try:
-            s.stage.do(a.part.confirm_leadership(), 10)
+            s.stage.do(a.part.log_replication.confirm_leadership(), 10)
         except PipitlinkError:
             continue
         s.c.note(
             "table_read",
-            sequence=a.part.cluster_state.table,
+            sequence=a.part.consensus.cluster_state.table_sequence,
             asked=asked,
-            rows={r.name: {"model": r.model} for r in a.part.cluster_state.rows.values()},
+            rows={r.name: {"model": r.model} for r in a.part.consensus.cluster_state.rows.values()},
         )
 
 
@@ -246,7 +253,7 @@
     r = self._results.get(lot_id)
     if r is None:
         return await _read_results(self, lot_id)
-    await self.read_to(r, r.tail.seen.durable)
+    await self.read_to(r, r.tail.lengths.durable)
     return r
 
 
@@ -254,7 +261,7 @@
 
 
 def _any_base(self, e, sequence):
-    e.base = self.table
+    e.base = self.table_sequence
     return _apply_table(self, e, sequence)
 
 
@@ -307,7 +314,7 @@
     "an emptied zone's engines are no candidates": (
         zone_emptied,
         {},
-        Cluster,
+        ClusterFollower,
         "zone_empty",
         lambda self, zone: False,
         "was emptied",
@@ -339,7 +346,7 @@
     "a gateway that cannot prove its cluster state admits nothing": (
         weight_zero,
         {},
-        Cluster,
+        ClusterFollower,
         "ready",
         lambda self: True,
         "after its weight was 0",
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -42,18 +42,18 @@
     def __init__(self, me, gateways):
         self.me, self.gateways, self.away = me, gateways, ()
 
-    def members(self, role=None, status=("alive",), me=True):
+    def members(self, role=None, statuses=("alive",), include_self=True):
         names = [f"g{i}" for i in range(self.gateways)]
         return [
             Member(node=n, host="h", port=int(n[1:]))
             for n in names
-            if ("gone" if n in self.away else "alive") in status and (me or n != self.me)
+            if ("gone" if n in self.away else "alive") in statuses and (include_self or n != self.me)
         ]
 
     def find(self, node):
         return Member(node=node, host="h", port=int(node[1:]))
 
-    def since(self, node):
+    def time_in_status(self, node):
         return secs(1)
 
 
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -236,7 +236,7 @@
             stage,
             name,
             [LogRecord(batch=self.batch(c, name))],
-            [LogRecord(output=Output(item=4, state="abandoned")), LogRecord(ended=Ended(reason="ended"))],
+            [LogRecord(output=Output(item=4, state="abandoned")), LogRecord(ended=Ended(why="ended"))],
         )
         c.ended[name] = 0
         for a in stage.role("gateway"):
@@ -316,7 +316,7 @@
         records = [LogRecord(head=head_of(batch))] * with_head + [LogRecord(batch=batch)]
         self.batch_end = sum(len(frame(r.SerializeToString())) for r in records)
         records += [LogRecord(output=Output(item=i, state="done", text=b"t" * 700)) for i in (1, 0)]
-        records.append(LogRecord(ended=Ended(reason="done")))
+        records.append(LogRecord(ended=Ended(why="done")))
         return batch, b"".join(frame(r.SerializeToString()) for r in records)
 
     def check(self, pad, body, step, behind=0, with_head=True):
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -54,7 +54,7 @@
         return ask
 
     def edit(self, row):
-        self.cluster.cluster_state.apply(1, Command(table=TableEdit(puts=[row])))
+        self.cluster.cluster_state.apply(1, Command(table=TableEdit(upserts=[row])))
 
     def still(self):
         if not self.held:
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -10,11 +10,11 @@
 from random import Random
 
 import attrs
+from pipitlink.controller.table_rows import parse_rows
 from twisted.internet import defer
 from twisted.internet.task import Clock
 
 from pipitlink.command import main
-from pipitlink.controller.rows import rows_from
 from pipitlink.errors import InvalidRows, ServiceUnavailable, SettingsError
 from pipitlink.gateway.item_dispatcher import ItemDispatcher
 from pipitlink.gateway.job_capacity import JobCapacity
@@ -290,7 +290,9 @@
             Lot(customer=customer, priority=priority, limit_ms=wall + due_s * 1000, items=[Item(model="m")] * items),
         )
         o = self.open_jobs.get(name)
-        o.leaseholder = type("Leaseholder", (), {"held": lambda self: True, "lost": "", "epoch": 1, "final": False})()
+        o.leaseholder = type(
+            "Leaseholder", (), {"is_held": lambda self: True, "lost": "", "epoch": 1, "final": False}
+        )()
         o.pending = list(range(items))
         return o
 
@@ -373,7 +375,7 @@
 
     def test_a_bad_cluster_state_names_each_row_and_field(self):
         with self.assertRaises(InvalidRows) as no:
-            rows_from(
+            parse_rows(
                 {
                     "a": {"model": "m", "weight": -1},
                     "b": {},
--- a/tests/test_lot_end_told_once.py
+++ b/tests/test_lot_end_told_once.py
@@ -26,7 +26,7 @@
         self.final = final
         return self._wait()
 
-    all_durable = _wait
+    wait_durable = _wait
 
 
 class _Context(SimpleNamespace):
--- a/tests/test_stage_lots.py
+++ b/tests/test_stage_lots.py
@@ -80,7 +80,7 @@
                         o.retry_at,
                         o.acquiring,
                         o.next_acquire_at,
-                        h and (h.epoch, h.lost, h.final, h.committed, len(h.data), h.held()),
+                        h and (h.epoch, h.lost, h.final, h.committed, len(h.data), h.is_held()),
                     ),
                 )
             )
