--- /dev/null
+++ b/pipitlink/gateway/job_log_follower.py
@@ -0,0 +1,126 @@
+"""Follows the job logs of all gateways, so that each of them knows the open jobs."""
+
+import attrs
+
+from ..cache.tail import Tail
+from ..context import Context
+from ..errors import PipitlinkError
+from ..timers import secs, wall_ms
+from ..wire.lots_pb2 import Ended, LogRecord
+from .job_ids import JOB_LOG_PREFIX, job_id_at, job_of_result_log, result_log
+from .job_log import JobLog
+from .open_jobs import OpenJobs
+from .owner_selection import choose_owner
+
+__all__ = ["JobLogFollower"]
+
+LIST_INTERVAL = secs(1)
+CLOSE_INTERVAL = secs(10)
+READ_BACKOFF = secs(1)
+DAY_MS = 86_400_000
+MAX_LOGS_PER_CALL = 2000
+KEYED_LOG_PREFIX = "keyed"
+
+
+@attrs.define(eq=False)
+class _FollowedLog:
+    """A job log that is read on, and the jobs that were found in it."""
+
+    tail: Tail
+    job_ids: set[str] = attrs.field(factory=set)
+
+
+class JobLogFollower:
+    """Reads all job logs, so that any gateway can take a job over, and ends those that nobody writes any more."""
+
+    def __init__(self, ctx: Context, open_jobs: OpenJobs, own_log: JobLog) -> None:
+        self._ctx = ctx
+        self._open_jobs = open_jobs
+        self._own_log = own_log
+        self._followed: dict[str, _FollowedLog] = {}
+
+    def start(self) -> None:
+        """Starts to look for job logs, and for those that may be ended."""
+        timers = self._ctx.timers
+        timers.call_repeatedly(LIST_INTERVAL, self._list_logs, self._ctx.error_reporter("list_logs"))
+        timers.call_repeatedly(CLOSE_INTERVAL, self._end_idle_logs, self._ctx.error_reporter("close_logs"))
+
+    async def _list_logs(self) -> None:
+        if not self._ctx.cluster.ready():
+            return
+        await self._close_finished_jobs()
+        for log, state in (await self._ctx.replicated_log.list(JOB_LOG_PREFIX)).items():
+            followed = self._followed.get(log)
+            if followed is None and not state.final:
+                self._followed[log] = _FollowedLog(self._ctx.cache.tail(log))
+                self._ctx.run_in_background(self._follow(log), "follow")
+            elif followed is not None and state.final and followed.tail.position >= state.committed:
+                self._stop_following(log)
+
+    async def _close_finished_jobs(self) -> None:
+        """Closes jobs that another gateway finished or ended."""
+        foreign = [job.id for job in self._open_jobs.all() if job.leaseholder is None and not job.acquiring]
+        for start in range(0, len(foreign), MAX_LOGS_PER_CALL):
+            logs = [result_log(job_id) for job_id in foreign[start : start + MAX_LOGS_PER_CALL]]
+            for log, state in (await self._ctx.replicated_log.states(logs)).items():
+                if state.final:
+                    self._open_jobs.close(job_of_result_log(log))
+
+    def _stop_following(self, log: str) -> None:
+        followed = self._followed.pop(log)
+        followed.tail.close()
+        self._open_jobs.forget_closed(followed.job_ids)
+
+    async def _end_idle_logs(self) -> None:
+        """Ends job logs that nobody writes to any more, once every job in them is closed."""
+        for log, followed in list(self._followed.items()):
+            idle = self._is_idle(log)
+            tail = followed.tail
+            unread = tail.lengths.confirmed_at is None or tail.position < tail.lengths.durable
+            if not idle or unread or not self._open_jobs.all_closed(followed.job_ids):
+                continue
+            if choose_owner(self._ctx, log) != self._ctx.node:
+                continue
+            try:
+                await self._end_log(log)
+                self._ctx.logger.info("lot_log_ended", log=log, lots=len(followed.job_ids))
+                self._stop_following(log)
+            except PipitlinkError as error:
+                self._ctx.logger.debug("lot_log_not_ended", log=log, text=error)
+
+    def _is_idle(self, log: str) -> bool:
+        """Returns whether nobody writes to a job log any more."""
+        writer, _, number = log.removeprefix(JOB_LOG_PREFIX).partition(".")
+        if writer.startswith(KEYED_LOG_PREFIX):
+            return int(number) < wall_ms(self._ctx.timers.utc_now()) // DAY_MS - 1
+        if writer == self._ctx.node:
+            return int(number) < self._own_log.number
+        return self._ctx.membership.status(writer) in ("gone", "unknown")
+
+    async def _end_log(self, log: str) -> None:
+        replicated_log = self._ctx.replicated_log
+        leaseholder = replicated_log.leaseholders.get(log) or await replicated_log.acquire(log)
+        if not leaseholder.final:
+            record = LogRecord(ended=Ended(reason="done"))
+            await leaseholder.append([record.SerializeToString()], final=True, reserved=True)
+        await replicated_log.release([leaseholder])
+
+    async def _follow(self, log: str) -> None:
+        """Reads one job log in order while it is followed."""
+        followed = self._followed[log]
+        tail = followed.tail
+        while not self._ctx.timers.stopped and self._followed.get(log) is followed:
+            try:
+                for offset, body in await tail.read_records():
+                    self._take_record(log, followed, offset, body)
+            except PipitlinkError as error:
+                self._ctx.logger.failure("lot_log_unreadable", error, log=log)
+                await self._ctx.timers.sleep(READ_BACKOFF)
+            await tail.wait_for_growth()
+
+    def _take_record(self, log: str, followed: _FollowedLog, offset: int, body: bytes) -> None:
+        record = LogRecord.FromString(body)
+        if record.WhichOneof("of") == "lot":
+            job_id = job_id_at(log, offset)
+            followed.job_ids.add(job_id)
+            self._open_jobs.add(job_id, record.lot)
--- /dev/null
+++ b/pipitlink/gateway/open_jobs.py
@@ -0,0 +1,115 @@
+"""The batch jobs that are open."""
+
+from datetime import timedelta
+from typing import Any
+
+import attrs
+from twisted.internet import defer
+
+from ..replicated_log import Leaseholder
+from ..timers import ZERO, RepeatingCall
+from ..wire.lots_pb2 import LogRecord, Lot, Result
+
+__all__ = ["OpenJob", "OpenJobs"]
+
+
+@attrs.define(eq=False)
+class OpenJob:
+    """A job as a gateway knows it: its items and, where this gateway owns it, what has become of each.
+
+    Items are numbered by their place in the job. `attempts` counts those of this owner that may have run.
+    """
+
+    id: str
+    spec: Lot
+    leaseholder: Leaseholder | None = None
+    acquiring: bool = False
+    next_acquire_at: timedelta = ZERO
+    pending: list[int] = attrs.field(factory=list)
+    retry_at: dict[int, timedelta] = attrs.field(factory=dict)
+    attempts: dict[int, int] = attrs.field(factory=dict)
+    running: dict[int, defer.Deferred[Any]] = attrs.field(factory=dict)
+    started: set[int] = attrs.field(factory=set)
+    results: dict[int, Result] = attrs.field(factory=dict)
+
+    def apply(self, record: LogRecord) -> None:
+        """Takes one record of the result log."""
+        kind = record.WhichOneof("of")
+        if kind == "started":
+            self.started.add(record.started.item)
+        elif kind == "result":
+            self.results.setdefault(record.result.item, record.result)
+
+    def provable_outcome(self, item: int, outcome: str) -> str:
+        """Returns an item's outcome, `unknown` in place of `not_run` where it may have run.
+
+        It may have where an attempt of this owner did, or where an earlier owner need not have recorded its start.
+        """
+        if outcome != "not_run":
+            return outcome
+        if self.attempts.get(item, 0) or (self.spec.items[item].repeatable and self._had_other_owner()):
+            return "unknown"
+        return outcome
+
+    def is_finished(self) -> bool:
+        """Returns whether all items have a result and none is running."""
+        return len(self.results) == len(self.spec.items) and not self.running
+
+    def _had_other_owner(self) -> bool:
+        return self.leaseholder is not None and self.leaseholder.epoch > 1
+
+
+class OpenJobs:
+    """The jobs that are known here to be open, and which ones were closed.
+
+    Timers that have nothing to do without open jobs are woken when one is added.
+    """
+
+    def __init__(self) -> None:
+        self._jobs: dict[str, OpenJob] = {}
+        self._closed: set[str] = set()
+        self._timers: list[RepeatingCall] = []
+
+    def add_timer(self, timer: RepeatingCall) -> None:
+        """Has a timer woken for each job that is added."""
+        self._timers.append(timer)
+
+    def add(self, job_id: str, spec: Lot) -> None:
+        """Enters a job, unless it is known already or closed."""
+        if job_id in self._closed or job_id in self._jobs:
+            return
+        self._jobs[job_id] = OpenJob(job_id, spec)
+        for timer in self._timers:
+            timer.wake()
+
+    def close(self, job_id: str) -> None:
+        """Removes a job that is done or ended."""
+        self._closed.add(job_id)
+        self._jobs.pop(job_id, None)
+
+    def forget_closed(self, job_ids: set[str]) -> None:
+        """Forgets closed jobs that no log names any more."""
+        self._closed -= job_ids
+
+    def get(self, job_id: str) -> OpenJob | None:
+        """Returns an open job, None where it is not known to be open."""
+        return self._jobs.get(job_id)
+
+    def is_closed(self, job_id: str) -> bool:
+        """Returns whether a job is known to be closed."""
+        return job_id in self._closed
+
+    def all_closed(self, job_ids: set[str]) -> bool:
+        """Returns whether all of some jobs are known to be closed."""
+        return not job_ids - self._closed
+
+    def all(self) -> list[OpenJob]:
+        """Returns the open jobs in the order in which they were added."""
+        return list(self._jobs.values())
+
+    def idle_wait(self) -> timedelta | None:
+        """Returns for how long timers that serve open jobs have nothing to do: until woken where there is none."""
+        return ZERO if self._jobs else None
+
+    def __len__(self) -> int:
+        return len(self._jobs)
--- /dev/null
+++ b/pipitlink/gateway/result_reader.py
@@ -0,0 +1,143 @@
+"""Reads batch jobs and their results, whichever gateway took or owns them."""
+
+from datetime import timedelta
+
+import attrs
+from twisted.internet import defer
+
+from ..cache.tail import Tail
+from ..context import Context
+from ..errors import NotFound, ServiceUnavailable
+from ..timers import ms, secs
+from ..wire.lots_pb2 import LogRecord, Lot, Result
+from .job_ids import JobLocation, parse_job_id, result_log
+from .open_jobs import OpenJobs
+
+__all__ = ["JobResults", "ResultReader"]
+
+KEEP_SPAN = secs(30)
+EXPIRY_INTERVAL = secs(5)
+FRESH_SPAN = ms(400)
+MAX_STALENESS = secs(1)
+TAIL_LIMIT = secs(1)
+MAX_CACHED_SPECS = 256
+MAX_SPEC_READS = 20
+GONE = 410
+
+
+@attrs.define(eq=False)
+class JobResults:
+    """The results of one job, read in order and kept while callers ask for them."""
+
+    tail: Tail
+    used_at: timedelta
+    results: list[Result] = attrs.field(factory=list)
+    recorded_items: set[int] = attrs.field(factory=set)
+    end_reason: str = ""
+    lock: defer.DeferredLock = attrs.field(factory=defer.DeferredLock)
+
+    def apply(self, record: LogRecord) -> None:
+        """Takes the next record of the result log: an item's first result counts, and none after the end."""
+        kind = record.WhichOneof("of")
+        if kind == "result" and record.result.item not in self.recorded_items and not self.end_reason:
+            self.recorded_items.add(record.result.item)
+            self.results.append(record.result)
+        elif kind == "ended":
+            self.end_reason = self.end_reason or record.ended.reason
+
+
+class ResultReader:
+    """Reads jobs from job logs and results from result logs, through the caches."""
+
+    def __init__(self, ctx: Context, open_jobs: OpenJobs) -> None:
+        self._ctx = ctx
+        self._open_jobs = open_jobs
+        self._results: dict[str, JobResults] = {}
+        self._spec_cache: dict[str, Lot] = {}
+
+    def start(self) -> None:
+        """Starts to drop results that nobody asks for any more."""
+        self._ctx.timers.call_repeatedly(EXPIRY_INTERVAL, self._drop_unused, self._ctx.error_reporter("readers"))
+
+    async def find_job(self, job_id: str) -> Lot:
+        """Returns a job by its id.
+
+        Raises BadRequest or NotFound where there is none, ServiceUnavailable where that cannot be known.
+        """
+        open_job = self._open_jobs.get(job_id)
+        if open_job is not None:
+            return open_job.spec
+        if job_id in self._spec_cache:
+            return self._spec_cache[job_id]
+        location = parse_job_id(job_id)
+        tail = self._ctx.cache.tail(location.log)
+        try:
+            spec = await self._read_spec(tail, location)
+        finally:
+            tail.close()
+        if len(self._spec_cache) > MAX_CACHED_SPECS:
+            self._spec_cache.clear()
+        self._spec_cache[job_id] = spec
+        return spec
+
+    async def read_results(self, job_id: str) -> JobResults:
+        """Reads a job's results at least to the end that their log surely had when this was called.
+
+        Raises ServiceUnavailable where that end cannot be known, NotFound where the results were removed.
+        """
+        now = self._ctx.timers.now()
+        results = self._results.get(job_id)
+        if results is None:
+            tail = self._ctx.cache.tail(result_log(job_id), TAIL_LIMIT)
+            results = self._results[job_id] = JobResults(tail, now)
+        results.used_at = now
+        lengths = results.tail.lengths
+        if lengths.confirmed_at is None or now - lengths.confirmed_at > FRESH_SPAN:
+            await self._ctx.cache.poller.confirm_durable([results.tail.path])
+        if lengths.confirmed_at is None or self._ctx.timers.now() - lengths.confirmed_at > MAX_STALENESS:
+            raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
+        if lengths.final and not lengths.durable:
+            raise NotFound("the lot's results were removed after their retention", code="results_removed", status=GONE)
+        async with results.lock:
+            await self.read_to(results, lengths.durable)
+        return results
+
+    async def read_to(self, results: JobResults, end: int) -> None:
+        """Reads results at least to an offset of their log, and what is cached beyond it."""
+        tail = results.tail
+        lengths = tail.lengths
+        while tail.position < end or lengths.cached > tail.position:
+            before = tail.position
+            for _, body in await tail.read_records():
+                results.apply(LogRecord.FromString(body))
+            if tail.position == before:
+                await tail.wait_for_growth()
+
+    async def _read_spec(self, tail: Tail, location: JobLocation) -> Lot:
+        await self._ctx.cache.poller.confirm_durable([location.log])
+        if tail.lengths.confirmed_at is None:
+            raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
+        if tail.lengths.durable <= location.offset:
+            raise _no_such_job()
+        tail.position = location.offset
+        for _ in range(MAX_SPEC_READS):
+            for offset, body in await tail.read_records():
+                record = LogRecord.FromString(body)
+                if offset == location.offset and record.WhichOneof("of") == "lot":
+                    return record.lot
+            if tail.position >= tail.lengths.durable:
+                break
+            if tail.readable_end() <= tail.position:
+                await tail.wait_for_growth()
+        raise _no_such_job()
+
+    def _drop_unused(self) -> None:
+        now = self._ctx.timers.now()
+        for job_id, results in list(self._results.items()):
+            if now - results.used_at > KEEP_SPAN:
+                results.tail.close()
+                del self._results[job_id]
+
+
+def _no_such_job() -> NotFound:
+    return NotFound("there is no such lot", code="no_such_lot", field="lot")
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -190,8 +190,9 @@
         settings = self.ctx.settings
         if self.ctx.role != "controller" or not settings.control_port:
             return
-        from .controller import ControlServer
+        from .controller import ControllerNode, ControlServer
 
+        assert isinstance(self.node, ControllerNode)  # the node of this role
         self._control_server = ControlServer(self.ctx, self.node)
         await self._control_server.listen(settings.bind, settings.control_port)
 
--- a/tests/test_stage_lots.py
+++ b/tests/test_stage_lots.py
@@ -4,6 +4,7 @@
 
 import unittest
 
+from pipitlink.gateway.owner_selection import choose_owner
 from rehearsal.checker import check
 from rehearsal.stage import Stage
 from rehearsal.staged import Customers, StagedEngine, StagedGateway
@@ -62,23 +63,23 @@
         """What each gateway knows of a lot that does not get done."""
         out = []
         for a in stage.role("gateway"):
-            o = a.part.open_lots.get(lot)
+            o = a.part.open_jobs.get(lot)
             h = o and o.leaseholder
             out.append(
                 (
                     a.name,
                     a.node,
-                    "closed" if lot in a.part._closed else "",
+                    "closed" if a.part.open_jobs.is_closed(lot) else "",
                     o
                     and (
-                        a.part._owner(lot),
+                        choose_owner(a.ctx, lot),
                         sorted(o.results),
                         sorted(o.started),
-                        o.waiting,
+                        o.pending,
                         list(o.running),
-                        o.again_at,
-                        o.taking,
-                        o.try_at,
+                        o.retry_at,
+                        o.acquiring,
+                        o.next_acquire_at,
                         h and (h.epoch, h.lost, h.final, h.committed, len(h.data), h.is_held()),
                     ),
                 )
@@ -102,7 +103,7 @@
 
         def owner():
             return next(
-                (a for a in stage.role("gateway", alive=True) if (o := a.part.open_lots.get(lot)) and o.leaseholder),
+                (a for a in stage.role("gateway", alive=True) if (o := a.part.open_jobs.get(lot)) and o.leaseholder),
                 None,
             )
 
@@ -123,14 +124,14 @@
         lot = stage.until(lambda: stage.do(c.one_lot(12)), 20, "a lot is taken")
         owner = stage.until(
             lambda: next(
-                (a for a in stage.role("gateway") if (o := a.part.open_lots.get(lot)) and o.leaseholder), None
+                (a for a in stage.role("gateway") if (o := a.part.open_jobs.get(lot)) and o.leaseholder), None
             ),
             30,
             "a gateway owns it",
         )
         storage_nodes = [a.name for a in stage.role("storage")]
         stage.cut([owner.name], storage_nodes)
-        got, fault = stage.do(c._ask(lambda part: part.end_here(lot), 9.0, owner), 12)
+        got, fault = stage.do(c._ask(lambda part: part.job_ownership.cancel_local_job(lot), 9.0, owner), 12)
         self.assertIsNone(got)
         stage.heal()
         stage.until(lambda: stage.do(c.one_read(lot), 10)["state"] in ("done", "ended"), 60, "it is done or ended")
