--- a/pipitlink/errors.py
+++ b/pipitlink/errors.py
@@ -183,7 +183,7 @@
     outcome: str = ExecutionOutcome.FAILED
 
     def __init__(
-        self, text: str, *, code: str = "", field: str = "", status: int = 0, outcome: str = "", retry_after: int = 0
+        self, text: str, *, code: str = "", field: str = "", status: int = 0, outcome: str = "", retry_after: float = 0
     ) -> None:
         super().__init__(text)
         self.code = code or type(self).code
@@ -216,7 +216,7 @@
     status = 503
     outcome = ExecutionOutcome.NOT_RUN
 
-    def __init__(self, text: str, *, retry_after: int = 1, **fields: Any) -> None:
+    def __init__(self, text: str, *, retry_after: float = 1, **fields: Any) -> None:
         super().__init__(text, retry_after=retry_after, **fields)
 
 
--- a/pipitlink/web.py
+++ b/pipitlink/web.py
@@ -150,7 +150,7 @@
     classes: tuple[type[PipitlinkError], ...]
     status: int
     outcome: str
-    retry_after: int = 0
+    retry_after: float = 0
 
 
 _UNKNOWN_OUTCOME = (
--- a/tests/behaviour_scenes.py
+++ b/tests/behaviour_scenes.py
@@ -483,7 +483,7 @@
 
 def router(seed):
     """Live requests by routes through one gateway, whose callers and engines act at random; without other nodes."""
-    with mock.patch("pipitlink.router.relay.set", _OrderedSet, create=True):
+    with mock.patch("pipitlink.router.call_relay.set", _OrderedSet, create=True):
         return _RouterScene(seed).play(), []
 
 
