--- /dev/null
+++ b/pipitlink/router/batch_adopter.py
@@ -0,0 +1,123 @@
+"""Takes over batches that no gateway owns any more."""
+
+from collections.abc import Mapping
+from datetime import timedelta
+
+from twisted.internet import defer
+
+from ..context import Context
+from ..errors import PipitlinkError
+from ..rendezvous import rank
+from ..timers import ZERO, RepeatingCall, secs
+from ..wire.replicated_log_pb2 import LogState
+from .batch_progress import LOG_PREFIX, batch_log
+from .batch_table import BatchTable
+from .gateway_watch import GatewayWatch
+from .waiting_tokens import WaitingTokens
+
+__all__ = ["BatchAdopter"]
+
+LIST_INTERVAL = secs(1)
+MAX_LIST_INTERVAL = secs(4)
+MAX_LIST_INTERVAL_UNSETTLED = secs(2)
+# With so many gateways each lists once in LIST_INTERVAL; with more of them less often, since all of them look.
+GATEWAYS_PER_INTERVAL = 16
+SETTLED_AFTER = secs(10)
+# How much longer than the one before it each gateway waits with an adoption, in the order of their ranks.
+ADOPTION_STAGGER = secs(1.5)
+MAX_CONCURRENT_ADOPTIONS = 16
+
+
+class BatchAdopter:
+    """Lists the open batches now and then, and acquires the leases of those that nobody holds.
+
+    Owns `adopting`, the batches that are being acquired, and since when each batch has been an orphan.
+    """
+
+    def __init__(self, ctx: Context, table: BatchTable, waiting: WaitingTokens, gateway_watch: GatewayWatch) -> None:
+        self._ctx = ctx
+        self._table = table
+        self._waiting = waiting
+        self._gateway_watch = gateway_watch
+        self._slots = defer.DeferredSemaphore(MAX_CONCURRENT_ADOPTIONS)
+        self._orphaned_at: dict[str, timedelta] = {}
+        self.adopting: set[str] = set()
+        self._list_timer: RepeatingCall | None = None
+
+    def open(self) -> None:
+        """Begins to list, now and from then on."""
+        self._gateway_watch.add_listener(self._list_soon)
+        self._list_timer = self._ctx.timers.call_repeatedly(
+            LIST_INTERVAL, self.list_batches, self._ctx.error_reporter("list_batches"), idle_time=self._list_delay
+        )
+
+    def _list_soon(self) -> None:
+        if self._list_timer is not None:
+            self._list_timer.wake()
+
+    def _list_delay(self) -> timedelta:
+        """Returns how long not to list: longer where nobody reports open batches and no gateway changed of late."""
+        has_batches = bool(self._table.batches or self._waiting.reported or self._waiting.uncounted)
+        is_quiet = not (has_batches or self._orphaned_at)
+        is_settled = self._ctx.timers.now() - self._gateway_watch.changed_at > SETTLED_AFTER
+        if is_quiet and is_settled:
+            return MAX_LIST_INTERVAL
+        intervals = len(self._gateway_watch.gateways) / GATEWAYS_PER_INTERVAL
+        maximum = MAX_LIST_INTERVAL if is_settled else MAX_LIST_INTERVAL_UNSETTLED
+        return max(ZERO, min(maximum, LIST_INTERVAL * intervals))
+
+    async def list_batches(self) -> None:
+        """Lists the open batches, and begins to adopt orphans whose turn at this gateway has come."""
+        started_at = self._ctx.timers.now()
+        states, is_complete = await self._ctx.replicated_log.list_open(LOG_PREFIX)
+        self._waiting.apply_listing({log.removeprefix(LOG_PREFIX) for log in states}, started_at, is_complete)
+        now = self._ctx.timers.now()
+        orphans = self._orphans(states)
+        self._orphaned_at = {batch_id: self._orphaned_at.get(batch_id, now) for batch_id in orphans}
+        if self._table.is_closing or not self._ctx.cluster.usable():
+            return
+        alive = self._ctx.membership.members("gateway", statuses=("alive",))
+        gateways = [member.node for member in alive]
+        for batch_id in sorted(orphans):
+            position = self._position(batch_id, gateways)
+            if now - self._orphaned_at[batch_id] >= position * ADOPTION_STAGGER:
+                self._orphaned_at[batch_id] = now
+                self._ctx.run_in_background(self._adopt(batch_id), "take_up")
+
+    def _orphans(self, states: Mapping[str, LogState]) -> set[str]:
+        owned = set(self._table.batches) | self.adopting
+        orphans = {log.removeprefix(LOG_PREFIX) for log, state in states.items() if not self._has_owner(state)}
+        return orphans - owned
+
+    def _has_owner(self, state: LogState) -> bool:
+        """Returns whether another gateway that is not gone holds the lease of a log."""
+        if state.leaseholder in ("", self._ctx.node):
+            return False
+        return bool(self._ctx.membership.status(state.leaseholder) != "gone")
+
+    def _position(self, batch_id: str, gateways: list[str]) -> int:
+        """Returns this gateway's place in the order in which gateways try to adopt a batch."""
+        ranked = sorted(gateways, key=lambda gateway: rank(batch_id, gateway), reverse=True)
+        return ranked.index(self._ctx.node)
+
+    async def _adopt(self, batch_id: str) -> None:
+        self.adopting.add(batch_id)
+        try:
+            async with self._slots:
+                await self._table.run_exclusively(batch_id, lambda: self._acquire(batch_id))
+        finally:
+            self.adopting.discard(batch_id)
+
+    async def _acquire(self, batch_id: str) -> None:
+        log = batch_log(batch_id)
+        state = (await self._ctx.replicated_log.states([log])).get(log)
+        if state is not None and (state.final or self._has_owner(state)):
+            return
+        lost_leaseholder = state.leaseholder if state is not None else None
+        try:
+            batch = await self._table.acquire(batch_id, lost_leaseholder)
+        except PipitlinkError as error:
+            self._ctx.logger.debug("batch_not_adopted", batch=batch_id, text=error)
+            return
+        if batch.batch is None:
+            await self._ctx.replicated_log.release([batch.leaseholder])
--- /dev/null
+++ b/pipitlink/router/batch_calls.py
@@ -0,0 +1,31 @@
+"""The HTTP calls on batches, as the frontend makes them."""
+
+from datetime import timedelta
+from typing import NamedTuple, Protocol
+
+from ..dialect.batches import BatchRequest
+from ..wire.cluster_pb2 import Route
+from .http_response import HttpResponse
+
+__all__ = ["BatchCalls", "Submission"]
+
+
+class Submission(NamedTuple):
+    """A batch as a caller submits it; `deadline` is on the timers' clock."""
+
+    route: Route
+    host: str
+    path: str
+    batch_id: str
+    body: bytes
+    deadline: timedelta
+
+
+class BatchCalls(Protocol):
+    """Makes the calls on batches."""
+
+    async def submit(self, submission: Submission) -> HttpResponse:
+        """Takes a batch in."""
+
+    async def call(self, request: BatchRequest) -> HttpResponse:
+        """Makes the call on a batch that the dialect has read from a request."""
--- /dev/null
+++ b/pipitlink/router/batch_follower.py
@@ -0,0 +1,97 @@
+"""A batch that is read from its log, at a gateway that does not own it."""
+
+from collections.abc import Iterable, Iterator
+from contextlib import contextmanager
+from datetime import timedelta
+
+from twisted.internet import defer
+
+from ..cache.chunks import CHUNK
+from ..cache.poller import KnownLengths
+from ..cache.tail import Tail
+from ..wire.lots_pb2 import Batch, LogRecord
+from .batch_progress import BatchProgress
+
+__all__ = ["BatchFollower"]
+
+# With what the payload of a record begins that is a batch.
+BATCH_RECORD_PREFIX = LogRecord(batch=Batch()).SerializeToString()[:1]
+
+
+class BatchFollower:
+    """A batch that another gateway owns, or nobody any more, read in order from its log.
+
+    Bodies of items are only read when somebody asks for them. `last_used` is when somebody asked for the batch last.
+    """
+
+    def __init__(self, tail: Tail, last_used: timedelta) -> None:
+        self.tail = tail
+        self.last_used = last_used
+        self.progress = BatchProgress()
+        self.is_closed = False
+        self._batch_extent: tuple[int, int] | None = None
+        self._lock = defer.DeferredLock()
+        self._users = 0
+
+    def close(self) -> None:
+        """Reads no more."""
+        self.is_closed = True
+        self.tail.close()
+
+    @contextmanager
+    def in_use(self) -> Iterator[None]:
+        """Has the lengths of the log polled, which are not while nobody waits for more."""
+        self._users += 1
+        if not self.is_closed:
+            self.tail.resume()
+        try:
+            yield
+        finally:
+            self._users -= 1
+            if not self._users:
+                self.tail.pause()
+
+    def has_ended(self) -> bool:
+        """Returns whether all of it is known, but for the bodies of its items."""
+        return bool(self.progress.end_reason) and self.progress.head is not None
+
+    def is_head_alone(self) -> bool:
+        """Returns whether all that is durable is a head, whose batch was never appended as far as is known."""
+        return self.progress.announced is not None and self.tail.at_record_boundary()
+
+    async def catch_up(self, seen: KnownLengths) -> None:
+        """Reads all that is known to be durable once it is this reader's turn, and what else is cached."""
+        async with self._lock:
+            await self._read_up_to(seen.durable)
+
+    async def _read_up_to(self, goal: int) -> None:
+        seen = self.tail.lengths
+        while not self.is_closed and (self.tail.position < goal or seen.cached > self.tail.position):
+            before = self.tail.position
+            if self.progress.head is None:
+                await self._read_head()
+            else:
+                self._apply(await self.tail.read_records())
+            if self.tail.position == before:
+                await self.tail.wait_for_growth()
+
+    def _apply(self, records: Iterable[tuple[int, bytes]]) -> None:
+        for _, body in records:
+            self.progress.apply(LogRecord.FromString(body))
+
+    async def _read_head(self) -> None:
+        """Reads as little as it takes to know the batch's items, and skips their bodies."""
+        missing = self.tail.missing_bytes()
+        max_bytes = missing if self.progress.announced is not None else max(CHUNK, missing)
+        self._apply(await self.tail.read_records(max_bytes))
+        if self.progress.head is None and self.progress.announced is not None:
+            self._batch_extent = self.tail.skip_record(BATCH_RECORD_PREFIX)
+            if self._batch_extent is not None:
+                self.progress.skip_batch()
+
+    async def read_bodies(self) -> None:
+        """Reads the bodies of the items, which were skipped."""
+        async with self._lock:
+            if self.progress.batch is None and self._batch_extent is not None:
+                start, end = self._batch_extent
+                self.progress.batch = LogRecord.FromString(await self.tail.read_record(start, end)).batch
--- /dev/null
+++ b/pipitlink/router/batch_followers.py
@@ -0,0 +1,151 @@
+"""The batches that a gateway reads, whoever owns them."""
+
+from datetime import timedelta
+
+from ..cache.poller import KnownLengths
+from ..context import Context
+from ..errors import ApiError, NotFound, PipitlinkError, ServiceUnavailable
+from ..timers import ms, secs
+from ..wire.lots_pb2 import Batch
+from .batch_follower import BatchFollower
+from .batch_progress import BatchProgress, batch_log, is_valid_batch_id
+from .batch_table import BatchTable
+
+__all__ = ["BatchFollowers", "HEAD_ALONE"]
+
+HEAD_ALONE = "head_alone"
+# A follower that nobody has used for so long is dropped.
+KEEP_UNUSED = secs(30)
+DROP_INTERVAL = secs(5)
+READ_TIMEOUT = ms(1200)
+TAIL_TIMEOUT = secs(1)
+# Lengths that storage nodes confirmed a shorter time ago are not asked for again.
+FRESHNESS = ms(400)
+# An owned batch is looked at so often, since its lease may be lost.
+MAX_WAIT_OWNED = secs(1)
+# Lengths that were confirmed longer ago than this prove nothing.
+MAX_STALENESS = secs(1)
+
+
+class BatchFollowers:
+    """Tells the progress of any batch: of owned ones from the table, of others from followers of their logs.
+
+    Followers are kept while callers ask for them.
+    """
+
+    def __init__(self, ctx: Context, table: BatchTable) -> None:
+        self._ctx = ctx
+        self._table = table
+        self.followers: dict[str, BatchFollower] = {}
+
+    def open(self) -> None:
+        """Begins to drop followers that nobody uses."""
+        self._ctx.timers.call_repeatedly(DROP_INTERVAL, self._drop_unused, self._ctx.error_reporter("batch_readers"))
+
+    def _drop_unused(self) -> None:
+        now = self._ctx.timers.now()
+        for batch_id, follower in list(self.followers.items()):
+            if now - follower.last_used > KEEP_UNUSED:
+                self.drop(batch_id, follower)
+
+    def drop(self, batch_id: str, follower: BatchFollower) -> None:
+        """Closes a follower; the batch is read anew when somebody asks for it."""
+        follower.close()
+        if self.followers.get(batch_id) is follower:
+            del self.followers[batch_id]
+
+    async def progress_of(self, batch_id: str) -> BatchProgress:
+        """Returns a batch as it surely is by now, with its head set.
+
+        Raises NotFound where it surely does not exist, another PipitlinkError where nothing is sure.
+        """
+        owned = self._table.get_valid(batch_id)
+        if owned is not None:
+            return owned.progress
+        return (await self._follow(batch_id)).progress
+
+    async def batch_of(self, batch_id: str) -> Batch:
+        """Returns a batch with its items' bodies. Raises as `progress_of` does."""
+        owned = self._table.get_valid(batch_id)
+        if owned is not None:
+            return owned.progress.complete_batch
+        follower = await self._follow(batch_id)
+        if follower.progress.batch is None:
+            try:
+                await self._ctx.timers.with_timeout(READ_TIMEOUT, follower.read_bodies())
+            except PipitlinkError:
+                if follower.has_ended():
+                    self.drop(batch_id, follower)
+                raise
+        return follower.progress.complete_batch
+
+    async def _follow(self, batch_id: str) -> BatchFollower:
+        """Returns the follower of a batch, after it has read all that is durable."""
+        if not is_valid_batch_id(batch_id):
+            raise NotFound("there is no such batch", code="no_such_batch", field="id")
+        follower = self.followers.get(batch_id)
+        if follower is None:
+            tail = self._ctx.cache.tail(batch_log(batch_id), TAIL_TIMEOUT)
+            follower = self.followers[batch_id] = BatchFollower(tail, self._ctx.timers.now())
+        follower.last_used = self._ctx.timers.now()
+        if not follower.has_ended():
+            try:
+                with follower.in_use():
+                    await self._ctx.timers.with_timeout(READ_TIMEOUT, self._read(batch_id, follower))
+            except ApiError:
+                if follower.progress.head is None:
+                    self.drop(batch_id, follower)
+                raise
+        return follower
+
+    async def _read(self, batch_id: str, follower: BatchFollower) -> None:
+        seen = follower.tail.lengths
+        await self._confirm_lengths(follower, seen)
+        if not seen.durable:
+            await self._raise_absent(batch_id, seen)
+        await follower.catch_up(seen)
+        if follower.progress.head is None:
+            raise ServiceUnavailable(
+                "the batch cannot be read now",
+                code=HEAD_ALONE if follower.is_head_alone() else "unread",
+                outcome="unknown",
+            )
+        if follower.has_ended():
+            follower.close()
+
+    async def _confirm_lengths(self, follower: BatchFollower, seen: KnownLengths) -> None:
+        """Has storage nodes confirm the lengths of the log. Raises ServiceUnavailable where too few answer."""
+        if seen.confirmed_at is None or self._ctx.timers.now() - seen.confirmed_at > FRESHNESS:
+            await self._ctx.cache.poller.confirm_durable([follower.tail.path])
+        if seen.confirmed_at is None or self._ctx.timers.now() - seen.confirmed_at > MAX_STALENESS:
+            raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
+
+    async def _raise_absent(self, batch_id: str, seen: KnownLengths) -> None:
+        """Raises NotFound, or ServiceUnavailable where a batch may yet be durable.
+
+        It surely is absent only where a majority of the storage nodes has not one byte of it.
+        """
+        if seen.final:
+            raise NotFound("the batch was removed after its retention", code="batch_removed", status=410)
+        log = batch_log(batch_id)
+        state = (await self._ctx.replicated_log.states([log])).get(log)
+        if state is None or state.tail_epoch:
+            raise ServiceUnavailable("the store is not sure of this batch now", code="not_sure", outcome="unknown")
+        raise NotFound("there is no such batch", code="no_such_batch", field="id")
+
+    async def wait_for_progress(self, batch_id: str, timeout: timedelta) -> None:
+        """Returns when there may be more of a batch to read, or after the timeout."""
+        owned = self._table.get_valid(batch_id)
+        if owned is not None:
+            await owned.wait_for_progress(self._ctx.timers, min(timeout, MAX_WAIT_OWNED))
+            return
+        follower = self.followers.get(batch_id)
+        if follower is not None and not follower.is_closed:
+            await self._wait_for_growth(follower, timeout)
+
+    async def _wait_for_growth(self, follower: BatchFollower, timeout: timedelta) -> None:
+        deadline = self._ctx.timers.now() + timeout
+        tail = follower.tail
+        with follower.in_use():
+            while tail.readable_end() <= tail.position and self._ctx.timers.now() < deadline and not follower.is_closed:
+                await self._ctx.cache.poller.wait_for_growth(min(deadline - self._ctx.timers.now(), FRESHNESS))
--- a/pipitlink/router/batch_intake.py
+++ b/pipitlink/router/batch_intake.py
@@ -1,7 +1,9 @@
 """Takes batches in, each at most once."""
 
 from datetime import timedelta
+from typing import NamedTuple
 
+from ..context import Context
 from ..errors import (
     ApiError,
     BadRequest,
@@ -12,170 +14,212 @@
     WireError,
 )
 from ..timers import ZERO, SingleFlight, ms, secs, wall_ms
+from ..wire.cluster_pb2 import Route
 from ..wire.lots_pb2 import Batch, LogRecord
-from .batches import HEAD_ALONE, OpenBatch, batch_log, good_id, head_of
+from .batch_calls import Submission
+from .batch_followers import HEAD_ALONE, BatchFollowers
+from .batch_progress import batch_head, batch_log, is_valid_batch_id
+from .batch_table import BatchTable
+from .http_response import HttpResponse, json_error, json_response
+from .owned_batch import OwnedBatch
+from .quota import QuotaCoordinator
 
-__all__ = ["BatchIntake", "refusal"]
+__all__ = ["BatchIntake"]
 
-MARGIN = ms(30)
-LOOK_AGAIN = ms(40)
-QUOTA_WAIT = secs(1.5)
-COMPARE_SPAN = ms(400)
-COME_BACK = 0.2
+# What is left of a caller's deadline for the response.
+RESPONSE_MARGIN = ms(30)
+RETRY_INTERVAL = ms(40)
+QUOTA_TIMEOUT = secs(1.5)
+COMPARE_TIMEOUT = ms(400)
+RETRY_AFTER_S = 0.2
 
 
-def refusal(e: ApiError, dialect) -> tuple[int, dict, bytes]:
-    """Returns the HTTP response to a refused batch call: status, headers and body."""
-    headers = {"Content-Type": "application/json"}
-    if e.retry_after:
-        headers["Retry-After"] = str(e.retry_after)
-    return e.status, headers, dialect.format_error(e)
+class _TakenBatch(NamedTuple):
+    """A batch that surely is durable; `batch` is None where it could not be read."""
 
+    batch: Batch | None = None
 
-def _unknown(text: str, status: int = 504) -> ApiError:
+
+def _unavailable(text: str, code: str) -> ServiceUnavailable:
+    return ServiceUnavailable(text, code=code, retry_after=RETRY_AFTER_S)
+
+
+def _unknown_outcome(text: str, status: int = 504) -> ApiError:
     return ApiError(text, code="unknown_outcome", status=status, outcome="unknown")
 
 
-class BatchIntake:
-    """Mixin: takes batches in. Whoever takes the lease of a batch's empty log writes the batch there, and owns it.
+def _is_same(taken: Batch, submitted: Batch) -> bool:
+    is_same_route = (taken.host, taken.path) == (submitted.host, submitted.path)
+    return is_same_route and list(taken.items) == list(submitted.items)
 
-    429 and 503 are only said where this try wrote nothing; once a write has left, the answer is 202 or unknown.
 
-    Offers `take_batch`.
-    Needs of the node: `_ctx`, `dialect`; of Batches: `batches`, `_closing_batches`, `_hold_batch`, `_in_batch_turn`,
-    `_adopt_batch`, `_lose_batch`; of BatchRun: `_await_batch_durable`; of BatchRead: `_batch_of`; of Quota:
-    `_await_quota`, `_drop_grant`.
-    Owns `_batches_taking`.
+class BatchIntake:
+    """Takes batches in. Whoever acquires the lease of a batch's empty log writes the batch there, and owns it.
+
+    Only answers 429 or 503 where this attempt wrote nothing; once a write has left, it is 202 or an unknown outcome.
     """
 
-    def _open_batch_intake(self):
-        self._batches_taking = SingleFlight()
+    def __init__(self, ctx: Context, table: BatchTable, quota: QuotaCoordinator, followers: BatchFollowers) -> None:
+        self._ctx = ctx
+        self._table = table
+        self._quota = quota
+        self._followers = followers
+        self._submissions: SingleFlight[str, _TakenBatch] = SingleFlight()
 
-    async def take_batch(self, route, host: str, path: str, lot_id: str, raw: bytes, deadline: timedelta):
-        """`deadline` is a point on the timers' time."""
+    async def submit(self, submission: Submission) -> HttpResponse:
+        """Takes a batch in, or answers for one that was taken under its id before."""
+        dialect = self._ctx.dialect
         try:
-            if not good_id(lot_id):
-                raise BadRequest("the batch needs an id of 1 to 64 letters, digits, - and _", code="bad_id", field="id")
-            items = self.dialect.parse_batch(raw)
-            taken = wall_ms(self._ctx.timers.utc_now())
-            batch = Batch(id=lot_id, host=host, path=path, route=route.name, taken_ms=taken, items=items.items)
-            left = deadline - MARGIN - self._ctx.timers.now()
-            if left <= ZERO:
-                raise ServiceUnavailable("the deadline has passed", code="deadline_passed", retry_after=COME_BACK)
-            same = await self._ctx.timers.with_timeout(
-                left, self._batches_taking.run(lot_id, lambda: self._take_once(batch, route, deadline - MARGIN))
-            )
-            if not self._same_batch(same, batch):
+            batch = self._parse(submission)
+            taken = await self._take_in_time(batch, submission)
+            if taken.batch is not None and not _is_same(taken.batch, batch):
                 raise ApiError(
                     "this id was used for another batch", code="id_in_use", field="id", status=409, outcome="not_run"
                 )
-            return 202, {"Content-Type": "application/json"}, self.dialect.format_accepted(lot_id, len(batch.items))
-        except ApiError as e:
-            return refusal(e, self.dialect)
-        except (PipitlinkError, TimeoutError) as e:
-            return refusal(_unknown(f"the batch may yet be taken: {e}"), self.dialect)
-
-    def _same_batch(self, one: Batch | None, other: Batch) -> bool:
-        return one is None or (one.host, one.path, list(one.items)) == (other.host, other.path, list(other.items))
-
-    async def _take_once(self, batch: Batch, route, until: timedelta) -> Batch | None:
-        """The batch as it is durable now; None where it surely is but could not be read again."""
-        o = self.batches.get(batch.id)
-        if o is None or o.leaseholder.lost:
+            return json_response(202, dialect.format_accepted(batch.id, len(batch.items)))
+        except ApiError as error:
+            return json_error(error, dialect.format_error(error))
+        except (PipitlinkError, TimeoutError) as error:
+            unknown = _unknown_outcome(f"the batch may yet be taken: {error}")
+            return json_error(unknown, dialect.format_error(unknown))
+
+    def _parse(self, submission: Submission) -> Batch:
+        batch_id = submission.batch_id
+        if not is_valid_batch_id(batch_id):
+            raise BadRequest("the batch needs an id of 1 to 64 letters, digits, - and _", code="bad_id", field="id")
+        parsed = self._ctx.dialect.parse_batch(submission.body)
+        return Batch(
+            id=batch_id,
+            host=submission.host,
+            path=submission.path,
+            route=submission.route.name,
+            taken_ms=wall_ms(self._ctx.timers.utc_now()),
+            items=parsed.items,
+        )
+
+    async def _take_in_time(self, batch: Batch, submission: Submission) -> _TakenBatch:
+        deadline = submission.deadline - RESPONSE_MARGIN
+        remaining = deadline - self._ctx.timers.now()
+        if remaining <= ZERO:
+            raise _unavailable("the deadline has passed", "deadline_passed")
+        work = self._submissions.run(batch.id, lambda: self._take(batch, submission.route, deadline))
+        return await self._ctx.timers.with_timeout(remaining, work)
+
+    async def _take(self, batch: Batch, route: Route, deadline: timedelta) -> _TakenBatch:
+        """Returns the batch as it is durable under its id now."""
+        owned = self._table.get(batch.id)
+        if owned is None or owned.leaseholder.lost:
             try:
-                if not self._ctx.cluster.usable():
-                    raise ServiceUnavailable(
-                        "this gateway takes no batches now", code="not_current", retry_after=COME_BACK
-                    )
-                await self._await_quota(route, batch, min(until, self._ctx.timers.now() + QUOTA_WAIT))
-            except ApiError as e:
-                return await self._batch_taken_already(batch.id, e)
+                await self._admit(batch, route, deadline)
+            except ApiError as error:
+                return await self._taken_before(batch.id, error)
         try:
-            return await self._in_batch_turn(batch.id, lambda: self._write_batch(batch, until))
+            return await self._table.run_exclusively(batch.id, lambda: self._write(batch, deadline))
         finally:
-            self._drop_grant(batch.id)
-            o = self.batches.get(batch.id)
-            if self._closing_batches and o is not None and o.idle():
-                self._ctx.run_in_background(self._ctx.replicated_log.release([o.leaseholder]), "hand_over")
+            self._quota.release(batch.id)
+            self._hand_over_if_closing(batch.id)
+
+    async def _admit(self, batch: Batch, route: Route, deadline: timedelta) -> None:
+        if not self._ctx.cluster.usable():
+            raise _unavailable("this gateway takes no batches now", "not_current")
+        await self._quota.reserve(route, batch, min(deadline, self._ctx.timers.now() + QUOTA_TIMEOUT))
 
-    async def _batch_taken_already(self, batch_id: str, refused: ApiError) -> Batch | None:
-        """What an earlier try has taken is not refused."""
+    def _hand_over_if_closing(self, batch_id: str) -> None:
+        owned = self._table.get(batch_id)
+        if self._table.is_closing and owned is not None and owned.is_idle():
+            self._ctx.run_in_background(self._ctx.replicated_log.release([owned.leaseholder]), "hand_over")
+
+    async def _taken_before(self, batch_id: str, refusal: ApiError) -> _TakenBatch:
+        """Returns what an earlier attempt has taken, and raises the refusal of this one where none has."""
         try:
-            known = await self._known_batch(batch_id)
+            taken = await self._find_taken(batch_id)
         except ServiceUnavailable:
-            raise refused from None
-        if known is None:
-            raise refused
-        return known or None
-
-    async def _known_batch(self, batch_id: str) -> Batch | bool | None:
-        """None where nothing is durable of it but a head; False where it is but cannot be read at once."""
-        state = (await self._ctx.replicated_log.states([batch_log(batch_id)])).get(batch_log(batch_id))
+            raise refusal from None
+        if taken is None:
+            raise refusal
+        return taken
+
+    async def _find_taken(self, batch_id: str) -> _TakenBatch | None:
+        """Returns what is durable under an id; None where that is nothing but a head.
+
+        Raises ServiceUnavailable where too few storage nodes answer.
+        """
+        log = batch_log(batch_id)
+        state = (await self._ctx.replicated_log.states([log])).get(log)
         if state is None:
-            raise ServiceUnavailable("the store cannot be read now", code="no_majority", retry_after=COME_BACK)
+            raise _unavailable("the store cannot be read now", "no_majority")
         if not state.committed and not state.final:
             return None
         try:
-            return await self._ctx.timers.with_timeout(COMPARE_SPAN, self._batch_of(batch_id))
-        except PipitlinkError as e:
-            return None if isinstance(e, ApiError) and e.code == HEAD_ALONE else False
-
-    async def _write_batch(self, batch: Batch, until: timedelta) -> Batch | None:
-        o = await self._hold_for_intake(batch.id, until)
-        if not isinstance(o, OpenBatch):
-            return o or None
-        if o.batch is None:
-            if o.leaseholder.final:
-                await self._ctx.replicated_log.release([o.leaseholder])
-                return None
-            await self._append_batch(o, batch)
-        elif not o.taken():
-            await self._batch_durable(o)
-        return o.batch
-
-    async def _hold_for_intake(self, batch_id: str, until: timedelta) -> OpenBatch | Batch | bool:
-        """The batch held here, or as another gateway has taken it; waits while one may be about to."""
+            batch = await self._ctx.timers.with_timeout(COMPARE_TIMEOUT, self._followers.batch_of(batch_id))
+        except PipitlinkError as error:
+            is_head_alone = isinstance(error, ApiError) and error.code == HEAD_ALONE
+            return None if is_head_alone else _TakenBatch()
+        return _TakenBatch(batch)
+
+    async def _write(self, batch: Batch, deadline: timedelta) -> _TakenBatch:
+        owned = await self._acquire(batch.id, deadline)
+        if isinstance(owned, _TakenBatch):
+            return owned
+        if owned.batch is None:
+            if owned.leaseholder.final:
+                await self._ctx.replicated_log.release([owned.leaseholder])
+                return _TakenBatch()
+            await self._append(owned, batch)
+        elif not owned.is_durable():
+            await self._wait_durable(owned)
+        return _TakenBatch(owned.batch)
+
+    async def _acquire(self, batch_id: str, deadline: timedelta) -> OwnedBatch | _TakenBatch:
+        """Returns the batch with its lease held here, or as another gateway has taken it.
+
+        Waits while another gateway may be about to. Raises ServiceUnavailable.
+        """
         while True:
+            fault: PipitlinkError
             try:
-                return await self._hold_batch(batch_id)
-            except (ReplicatedLogError, WireError) as e:
-                fault = e
+                return await self._table.acquire(batch_id)
+            except (ReplicatedLogError, WireError) as error:
+                fault = error
             try:
-                known = await self._known_batch(batch_id)
-                if known is not None:
-                    return known
-            except ServiceUnavailable as e:
-                fault = e
-            if not isinstance(fault, LeaseNotHeld) or self._ctx.timers.now() + 2 * LOOK_AGAIN >= until:
-                raise ServiceUnavailable(
-                    f"the batch cannot be taken here now: {fault}", code="store", retry_after=COME_BACK
-                )
-            await self._ctx.timers.sleep(LOOK_AGAIN)
-
-    async def _append_batch(self, o: OpenBatch, batch: Batch):
-        h = o.leaseholder
-        before = len(h.data)
-        o.batch = batch
-        o.prepare()
-        self._adopt_batch(o)
+                taken = await self._find_taken(batch_id)
+                if taken is not None:
+                    return taken
+            except ServiceUnavailable as error:
+                fault = error
+            has_time = self._ctx.timers.now() + 2 * RETRY_INTERVAL < deadline
+            if not isinstance(fault, LeaseNotHeld) or not has_time:
+                raise _unavailable(f"the batch cannot be taken here now: {fault}", "store")
+            await self._ctx.timers.sleep(RETRY_INTERVAL)
+
+    async def _append(self, owned: OwnedBatch, batch: Batch) -> None:
+        """Writes a batch to its empty log, and returns once it is durable."""
+        leaseholder = owned.leaseholder
+        length_before = len(leaseholder.data)
+        owned.batch = batch
+        owned.prepare()
+        self._table.add(owned)
+        records = [LogRecord(head=batch_head(batch)), LogRecord(batch=batch)]
         try:
-            await h.append(
-                [LogRecord(head=head_of(batch)).SerializeToString(), LogRecord(batch=batch).SerializeToString()]
-            )
-        except PipitlinkError as e:
-            if len(h.data) > before:
-                if not h.lost:
-                    await self._batch_durable(o)
-                    return
-                raise _unknown(f"the batch may yet be taken: {e}", 500) from e
-            self._lose_batch(o)
-            await self._ctx.replicated_log.release([h])
-            raise ServiceUnavailable(f"the store takes no batches now: {e}", code="store", retry_after=COME_BACK) from e
-
-    async def _batch_durable(self, o: OpenBatch):
+            await leaseholder.append([record.SerializeToString() for record in records])
+        except PipitlinkError as error:
+            await self._append_failed(owned, length_before, error)
+
+    async def _append_failed(self, owned: OwnedBatch, length_before: int, error: PipitlinkError) -> None:
+        """Waits on where a write has left; raises ApiError where none has, or the outcome is unknown."""
+        leaseholder = owned.leaseholder
+        if len(leaseholder.data) <= length_before:
+            self._table.remove(owned)
+            await self._ctx.replicated_log.release([leaseholder])
+            raise _unavailable(f"the store takes no batches now: {error}", "store") from error
+        if leaseholder.lost:
+            raise _unknown_outcome(f"the batch may yet be taken: {error}", 500) from error
+        await self._wait_durable(owned)
+
+    async def _wait_durable(self, owned: OwnedBatch) -> None:
         try:
-            await self._await_batch_durable(o)
-        except PipitlinkError as e:
-            raise _unknown(f"the batch may yet be taken: {e}", 500) from e
-        if o.leaseholder.lost:
-            raise _unknown("the lease ended before the batch was durable", 500)
+            await owned.wait_durable()
+        except PipitlinkError as error:
+            raise _unknown_outcome(f"the batch may yet be taken: {error}", 500) from error
+        if owned.leaseholder.lost:
+            raise _unknown_outcome("the lease ended before the batch was durable", 500)
--- /dev/null
+++ b/pipitlink/router/batch_scheduler.py
@@ -0,0 +1,170 @@
+"""Starts the items of owned batches, the most urgent first."""
+
+from datetime import timedelta
+from heapq import heapify, heappop, heappush
+from typing import NamedTuple
+
+from twisted.internet import defer
+
+from ..context import Context
+from ..timers import ms, secs, wall_ms
+from ..wire.cluster_pb2 import Route
+from .batch_table import BatchListener, BatchTable
+from .engine_registry import EngineRegistry
+from .interfaces import ItemCapacity, RoutesView
+from .item_attempts import ItemAttempts
+from .owned_batch import OwnedBatch
+from .waiting_tokens import WaitingTokens
+
+__all__ = ["BatchScheduler"]
+
+INTERVAL = ms(25)
+IDLE_INTERVAL = secs(1)
+IDLE_INTERVAL_WITHOUT_BATCHES = secs(60)
+# Batches whose deadlines lie in the same interval of this length are equally urgent, and take turns.
+DEADLINE_CLASS_MS = 2000
+# By how much the clocks of gateways may differ.
+MAX_CLOCK_SKEW_MS = 1500
+# A route that is missing for so long is gone for good.
+ROUTE_GONE_AFTER = secs(3)
+
+
+class _Urgency(NamedTuple):
+    """Orders batches: what can still be in time goes before what is late, then by deadline, then by turns."""
+
+    is_late: bool
+    deadline_class: int
+    last_turn: int
+    taken_ms: int
+
+
+class _ReadyBatch(NamedTuple):
+    """A batch with waiting items, in the heap of those whose items may be started; ids are never equal."""
+
+    urgency: _Urgency
+    batch_id: str
+    batch: OwnedBatch
+    route: Route
+
+
+class _Moment(NamedTuple):
+    """One moment on the timers' clock, and on the wall clock in ms since the Unix epoch."""
+
+    now: timedelta
+    wall_ms: int
+
+
+def _urgency(batch: OwnedBatch, route: Route, wall_clock_ms: int) -> _Urgency:
+    deadline_ms = batch.content.taken_ms + route.due_ms
+    is_late = deadline_ms < wall_clock_ms
+    return _Urgency(
+        is_late, 0 if is_late else deadline_ms // DEADLINE_CLASS_MS, batch.last_turn, batch.content.taken_ms
+    )
+
+
+class BatchScheduler(BatchListener):
+    """Starts items of the batches that this gateway owns while there is capacity, the most urgent first."""
+
+    def __init__(
+        self,
+        ctx: Context,
+        engines: EngineRegistry,
+        table: BatchTable,
+        waiting: WaitingTokens,
+        capacity: ItemCapacity,
+        attempts: ItemAttempts,
+        routes: RoutesView,
+    ) -> None:
+        self._ctx = ctx
+        self._engines = engines
+        self._table = table
+        self._waiting = waiting
+        self._capacity = capacity
+        self._attempts = attempts
+        self._routes = routes
+        self._wake: defer.Deferred[None] | None = None
+        self._turn = 0
+
+    def open(self) -> None:
+        """Begins to start items."""
+        self._ctx.run_in_background(self._run(), "feed_batches")
+
+    def work_changed(self) -> None:
+        """Looks for items to start, without waiting for the next interval."""
+        wake, self._wake = self._wake, None
+        if wake is not None and not wake.called:
+            wake.callback(None)
+
+    async def _run(self) -> None:
+        while not self._ctx.timers.stopped:
+            has_waiting = self._start_items_safely()
+            wake: defer.Deferred[None] = defer.Deferred()
+            self._wake = wake
+            if has_waiting:
+                self._engines.wait_for_capacity(wake)
+                await self._ctx.timers.wait_at_most(wake, INTERVAL)
+            else:
+                interval = IDLE_INTERVAL if self._table.batches else IDLE_INTERVAL_WITHOUT_BATCHES
+                await self._ctx.timers.wait_at_most(wake, interval)
+
+    def _start_items_safely(self) -> bool:
+        try:
+            return self._start_items()
+        except Exception as error:
+            self._ctx.logger.failure("feed_batches", error)
+            return True
+
+    def _start_items(self) -> bool:
+        """Starts items while there is capacity; returns whether some may be waiting."""
+        if self._table.is_closing or not self._ctx.cluster.usable():
+            return bool(self._table.batches)
+        moment = _Moment(self._ctx.timers.now(), wall_ms(self._ctx.timers.utc_now()))
+        routes = self._routes()
+        slots: dict[str, int] = {}
+        ready: list[_ReadyBatch] = []
+        has_waiting = False
+        for batch in list(self._table.batches.values()):
+            if not batch.is_durable() or not batch.is_current() or batch.all_finished():
+                continue
+            route = routes.get(batch.content.route)
+            self._abandon_expired(batch, route, moment)
+            if route is None or not batch.waiting:
+                continue
+            has_waiting = True
+            if route.name not in slots:
+                slots[route.name] = self._capacity.available(route, self._waiting.backlog(route.name))
+            if slots[route.name] > 0:
+                ready.append(_ReadyBatch(_urgency(batch, route, moment.wall_ms), batch.id, batch, route))
+        self._fill_slots(ready, slots, moment)
+        return has_waiting
+
+    def _fill_slots(self, ready: list[_ReadyBatch], slots: dict[str, int], moment: _Moment) -> None:
+        """Starts one item after the other, of the most urgent batch whose route has slots left."""
+        heapify(ready)
+        while ready:
+            _, _, batch, route = heappop(ready)
+            index = self._next_item(batch, moment.now) if slots[route.name] > 0 else None
+            if index is None:
+                continue
+            slots[route.name] -= 1
+            batch.waiting.remove(index)
+            self._turn += 1
+            batch.last_turn = self._turn
+            self._attempts.start(batch, index, route)
+            heappush(ready, _ReadyBatch(_urgency(batch, route, moment.wall_ms), batch.id, batch, route))
+
+    def _next_item(self, batch: OwnedBatch, now: timedelta) -> int | None:
+        """Returns the index of the first waiting item whose backoff is over, or None."""
+        return next((index for index in batch.waiting if batch.retry_at.get(index, now) <= now), None)
+
+    def _abandon_expired(self, batch: OwnedBatch, route: Route | None, moment: _Moment) -> None:
+        """Abandons all unfinished items once the route is gone for good, or the batch's retention has passed."""
+        if route is not None:
+            batch.route_missing_since = None
+            expires_ms = batch.content.taken_ms + route.retain_ms + MAX_CLOCK_SKEW_MS
+            is_expired = bool(route.retain_ms) and moment.wall_ms > expires_ms
+        else:
+            batch.route_missing_since = batch.route_missing_since or moment.now
+            is_expired = moment.now - batch.route_missing_since >= ROUTE_GONE_AFTER
+        if is_expired:
+            self._attempts.abandon_unfinished(batch)
--- /dev/null
+++ b/pipitlink/router/batch_table.py
@@ -0,0 +1,174 @@
+"""The batches that a gateway owns by the leases of their logs."""
+
+from collections.abc import Awaitable, Callable
+from typing import TypeVar
+
+from twisted.internet import defer
+
+from ..context import Context
+from ..timers import ms, secs
+from .batch_progress import batch_log
+from .owned_batch import OwnedBatch
+
+__all__ = ["BatchListener", "BatchTable"]
+
+ResultT = TypeVar("ResultT")
+
+DRAIN_TIMEOUT = secs(3)
+DRAIN_CHECK_INTERVAL = ms(25)
+# How long the last replica is given to catch up before the lease of an ended batch is released.
+RELEASE_DELAY = secs(1)
+
+
+class BatchListener:
+    """Is told what becomes of owned batches; by default it ignores it."""
+
+    def batch_adopted(self, batch: OwnedBatch) -> None:
+        """Is called when a batch with items was found in a log whose lease was acquired, and the log has not ended."""
+
+    def work_changed(self) -> None:
+        """Is called when there may be items to start."""
+
+    def batch_closed(self, batch: OwnedBatch) -> None:
+        """Is called once the end of a batch is durable."""
+
+
+class BatchTable:
+    """The batches that this gateway owns: each has a log of its own, and the holder of its lease owns it.
+
+    `is_closing` is set once the gateway shuts down: nothing new is begun then.
+    """
+
+    def __init__(self, ctx: Context) -> None:
+        self._ctx = ctx
+        self.batches: dict[str, OwnedBatch] = {}
+        self.is_closing = False
+        self._locks: dict[str, defer.DeferredLock] = {}
+        self._listeners: list[BatchListener] = []
+
+    def add_listener(self, listener: BatchListener) -> None:
+        """Has a part told what becomes of the batches."""
+        self._listeners.append(listener)
+
+    def get(self, batch_id: str) -> OwnedBatch | None:
+        """Returns a batch that is owned here, with its lease valid or not, or None."""
+        return self.batches.get(batch_id)
+
+    def get_valid(self, batch_id: str) -> OwnedBatch | None:
+        """Returns a batch that is durable and whose lease is valid here, or None."""
+        batch = self.batches.get(batch_id)
+        if batch is not None and batch.is_durable() and batch.leaseholder.is_held():
+            return batch
+        return None
+
+    def owns(self, batch: OwnedBatch) -> bool:
+        """Returns whether a batch is still owned under this lease."""
+        return self.batches.get(batch.id) is batch
+
+    async def run_exclusively(self, batch_id: str, work: Callable[[], Awaitable[ResultT]]) -> ResultT:
+        """Runs work on the lease of one batch, after all that came before; returns its result."""
+        lock = self._locks.setdefault(batch_id, defer.DeferredLock())
+        try:
+            async with lock:
+                return await work()
+        finally:
+            if not lock.locked and not lock.waiting and self._locks.get(batch_id) is lock:
+                del self._locks[batch_id]
+
+    async def acquire(self, batch_id: str, lost_leaseholder: str | None = None) -> OwnedBatch:
+        """Returns a batch with its lease held here, as it was or acquired anew; empty where its log is.
+
+        `lost_leaseholder` is the node that held the lease and is surely gone. Raises ReplicatedLogError or WireError.
+        """
+        batch = self.batches.get(batch_id)
+        if batch is not None and not batch.leaseholder.lost:
+            return batch
+        leaseholder = await self._ctx.replicated_log.acquire(batch_log(batch_id), lost_leaseholder)
+        batch = OwnedBatch(batch_id, leaseholder)
+        batch.read_durable()
+        batch.batch = batch.progress.batch
+        if batch.batch is not None:
+            batch.prepare()
+            self.add(batch)
+            self._log_adoption(batch)
+            self._announce_adoption(batch)
+        return batch
+
+    def _log_adoption(self, batch: OwnedBatch) -> None:
+        self._ctx.logger.info(
+            "batch_adopted",
+            batch=batch.id,
+            epoch=batch.leaseholder.epoch,
+            items=len(batch.content.items),
+            finished=len(batch.finished),
+            final=batch.leaseholder.final,
+        )
+
+    def _announce_adoption(self, batch: OwnedBatch) -> None:
+        if batch.leaseholder.final:
+            self._on_progress(batch)
+            return
+        for listener in self._listeners:
+            listener.batch_adopted(batch)
+
+    def add(self, batch: OwnedBatch) -> None:
+        """Adds a batch whose lease is held here, and follows its log."""
+        self.batches[batch.id] = batch
+        self._ctx.cache.start_log_writer(batch.leaseholder.log, batch.leaseholder)
+        batch.leaseholder.watch(lambda _: self._on_progress(batch))
+        self.announce_work()
+
+    def announce_work(self) -> None:
+        """Tells the listeners that there may be items to start."""
+        for listener in self._listeners:
+            listener.work_changed()
+
+    def _on_progress(self, batch: OwnedBatch) -> None:
+        was_durable = batch.is_durable()
+        batch.read_durable()
+        if batch.leaseholder.lost:
+            self.remove(batch)
+        elif batch.leaseholder.final and batch.progress.end_reason and not batch.is_closing:
+            batch.is_closing = True
+            self._ctx.run_in_background(self._close(batch), "close_batch")
+        elif not was_durable:
+            self.announce_work()
+
+    def remove(self, batch: OwnedBatch) -> None:
+        """Removes a batch whose lease is not held any more, and cancels its items."""
+        if self.owns(batch):
+            del self.batches[batch.id]
+        batch.waiting.clear()
+        batch.cancel_running()
+
+    async def _close(self, batch: OwnedBatch) -> None:
+        """Releases the lease of a batch that has ended."""
+        for listener in self._listeners:
+            listener.batch_closed(batch)
+        progress = batch.progress
+        self._ctx.logger.info(
+            "batch_closed", batch=batch.id, reason=progress.end_reason, finished=len(progress.outputs)
+        )
+        await self._ctx.timers.sleep(RELEASE_DELAY)
+        await self._ctx.replicated_log.release([batch.leaseholder])
+
+    async def drain(self) -> None:
+        """Begins nothing new, lets attempts under way end for a short while, and releases all leases."""
+        self.is_closing = True
+        deadline = self._ctx.timers.now() + DRAIN_TIMEOUT
+        while self.batches and self._ctx.timers.now() < deadline:
+            idle = [batch.leaseholder for batch in self.batches.values() if batch.is_idle()]
+            self._ctx.run_in_background(self._ctx.replicated_log.release(idle), "hand_over")
+            await self._ctx.timers.sleep(DRAIN_CHECK_INTERVAL)
+        await self._ctx.replicated_log.release([batch.leaseholder for batch in list(self.batches.values())])
+
+    def metrics(self) -> dict[str, tuple[str, float]]:
+        """Returns description and value of each metric of the batches, by name."""
+        unfinished = [batch for batch in self.batches.values() if not batch.leaseholder.final]
+        waiting = sum(len(batch.waiting) for batch in unfinished)
+        running = sum(len(batch.running) for batch in unfinished)
+        return {
+            "batches_owned": ("Batches this gateway owns", len(unfinished)),
+            "batch_items_waiting": ("Items that wait for an engine here", waiting),
+            "batch_items_running": ("Items on engines from here", running),
+        }
--- a/pipitlink/router/call.py
+++ b/pipitlink/router/call.py
@@ -1,17 +1,35 @@
-"""The record of one request by route."""
+"""The record of one request by route on its way to an engine."""
 
 from collections import Counter
+from collections.abc import Callable
 from datetime import timedelta
+from enum import StrEnum
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 import attrs
 
 from ..errors import ApiError
 from ..state_machines import StateMachineMixin, state_machine_data
-from ..wire.cluster_pb2 import Route
-
-__all__ = ["Call", "HOP_HEADERS", "prompt_parts"]
-
-_OUTCOMES = state_machine_data("request")["outcome"]
+from ..wire.cluster_pb2 import PoolShare, Route
+
+if TYPE_CHECKING:
+    from .engine import Engine
+    from .engine_connection import EngineConnection, Response
+
+__all__ = [
+    "HOP_HEADERS",
+    "Call",
+    "CallState",
+    "Header",
+    "PromptPart",
+    "ResponseSink",
+    "parse_prompt_parts",
+    "weighted_pools",
+]
+
+Header = tuple[bytes, bytes]
+
+_OUTCOMES: dict[str, str] = state_machine_data("request")["outcome"]
 HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -29,22 +47,50 @@
 )
 
 
-def prompt_parts(value: bytes | None) -> list[tuple[str, int]]:
-    """The parts of a prompt in order, as (id, tokens), from ID:TOKENS split by commas; what cannot be read is left
-    out.
-    """
-    out = []
-    for part in (value or b"").decode("ascii", "replace").split(","):
-        name, _, tokens = part.strip().rpartition(":")
-        if name and tokens.isdigit():
-            out.append((name, int(tokens)))
-    return out
+class CallState(StrEnum):
+    """The states of the state machine `request`."""
+
+    WAITING = "waiting"
+    ENGINE_CHOSEN = "engine_chosen"
+    SENT = "sent"
+    RESPONDING = "responding"
+    DONE = "done"
+    LOST = "lost"
+
+
+class PromptPart(NamedTuple):
+    """A part of a prompt: equal ids mean equal text, of which an engine may have computed the prefix already."""
+
+    part_id: str
+    tokens: int
+
+
+class ResponseSink(Protocol):
+    """Where the response to a call goes, as it comes."""
+
+    def head(self, response: "Response") -> None:
+        """Takes status and headers; called once, before any data."""
+
+    def data(self, data: bytes) -> None:
+        """Takes a piece of the body."""
+
+
+def parse_prompt_parts(value: bytes | None) -> list[PromptPart]:
+    """Returns the parts of a prompt in order, from ID:TOKENS separated by commas; what cannot be read is left out."""
+    parts = []
+    for item in (value or b"").decode("ascii", "replace").split(","):
+        part_id, _, tokens = item.strip().rpartition(":")
+        if part_id and tokens.isdigit():
+            parts.append(PromptPart(part_id, int(tokens)))
+    return parts
 
 
 @attrs.define(eq=False, slots=False)
 class Call(StateMachineMixin):
-    """The record of one request by route on its way to an engine. Head and body are opaque; what is known stands
-    here.
+    """The record of one request by route on its way to an engine; its head and body are opaque.
+
+    `precondition` is checked right before each attempt is sent, and raises where the call must not be sent any more.
+    `executions` counts by engine the attempts that may have run there, and `reached_engine` says that one was lost.
     """
 
     state_machine = "request"
@@ -52,67 +98,83 @@
     id: bytes
     method: bytes
     target: bytes
-    headers: list[tuple[bytes, bytes]]
+    headers: list[Header]
     body: bytes
     route: Route
-    limit: timedelta
-    sink: object
-    began: timedelta
-    repeatable: bool = False
-    resumable: bool = False
-    batch: bool = False
-    parts: list[tuple[str, int]] = attrs.field(factory=list)
-    tokens: int = 0
+    deadline: timedelta
+    sink: ResponseSink
+    is_idempotent: bool = False
+    is_resumable: bool = False
+    is_batch_item: bool = False
+    prompt_parts: list[PromptPart] = attrs.field(factory=list)
+    token_count: int = 0
     last_event: int = 0
-    still: object = None
+    precondition: Callable[[], None] | None = None
     pool: str = ""
-    engine: object = None
-    link: object = None
-    tries: int = 0
-    runs: Counter = attrs.field(factory=Counter)
+    engine: "Engine | None" = None
+    connection: "EngineConnection | None" = None
+    attempts: int = 0
+    executions: Counter[str] = attrs.field(factory=Counter)
     sent_at: timedelta | None = None
-    avoid: set = attrs.field(factory=set)
-    headed: bool = False
-    reached: bool = False
-    ended: str = ""
+    avoided_engines: set[str] = attrs.field(factory=set)
+    head_passed: bool = False
+    reached_engine: bool = False
+    abort_reason: str = ""
 
-    def __attrs_post_init__(self):
+    def __attrs_post_init__(self) -> None:
         self._init_state_machine()
 
-    def _release_engine(self):
+    def _release_engine(self) -> None:
+        """Is the action of the transitions that end an attempt."""
         if self.engine is not None:
-            self.avoid.add(self.engine.name)
-        self.engine = self.link = None
+            self.avoided_engines.add(self.engine.name)
+        self.engine = self.connection = None
 
     @property
     def outcome(self) -> str:
-        said = _OUTCOMES[self.state]
-        return "unknown" if said == "not_run" and self.reached else said
+        """What may be said of its execution: `not_run`, `unknown` or `failed`."""
+        outcome = _OUTCOMES[self.state]
+        return "unknown" if outcome == "not_run" and self.reached_engine else outcome
 
     @property
-    def shared(self) -> list[tuple[str, int]]:
+    def shared_parts(self) -> list[PromptPart]:
         """The parts that other requests may share: all but the last, which is the request's or its session's own."""
-        return self.parts[:-1]
+        return self.prompt_parts[:-1]
+
+    @property
+    def own_part_tokens(self) -> int:
+        """The tokens of the last part, which no engine has cached."""
+        return self.prompt_parts[-1].tokens if self.prompt_parts else 0
 
     @property
     def engines_run(self) -> set[str]:
         """The engines on which it may have run: those that were sent it and did not say that they did not run it."""
-        return {name for name, exchanges in self.runs.items() if exchanges}
+        return {name for name, executions in self.executions.items() if executions}
 
     @property
     def budget_spent(self) -> bool:
         """Whether it may run on no engine but those on which it may have run; items of batches may run anywhere."""
-        return not self.batch and len(self.engines_run) >= max(1, self.route.max_attempts)
+        return not self.is_batch_item and len(self.engines_run) >= max(1, self.route.max_attempts)
 
-    def forget_body(self):
+    def forget_body(self) -> None:
         """Frees the body of a call that will not be sent again."""
         self.body = b""
 
-    def stop(self, why: str):
-        """Ends the exchange that is under way, if there is one; its engine sees the connection close."""
-        self.ended = self.ended or why
-        if self.link is not None:
-            self.link.discard()
+    def discard_connection(self) -> None:
+        """Closes the connection of the attempt that is under way, if there is one."""
+        if self.connection is not None:
+            self.connection.discard()
+
+    def abort(self, reason: str) -> None:
+        """Ends the call, and the attempt that is under way; its engine sees the connection close."""
+        self.abort_reason = self.abort_reason or reason
+        self.discard_connection()
+
+    def error(self, text: str, code: str, status: int = 0) -> ApiError:
+        """Returns an error that tells the outcome of this call; without a status it is answered with 500."""
+        return ApiError(text, outcome=self.outcome, code=code, status=status)
+
 
-    def fault(self, text: str, **words) -> ApiError:
-        return ApiError(text, outcome=self.outcome, **words)
+def weighted_pools(route: Route) -> list[PoolShare]:
+    """Returns the pools of a route whose weight is above zero, with their weights."""
+    return [candidate for candidate in route.shares if candidate.share > 0]
--- /dev/null
+++ b/pipitlink/router/call_relay.py
@@ -0,0 +1,201 @@
+"""Runs calls on engines, with retries that double nothing."""
+
+from datetime import timedelta
+
+from twisted.internet import defer
+
+from ..context import Context
+from ..errors import ApiError, ServiceUnavailable
+from ..timers import ms
+from .call import Call, CallState, weighted_pools
+from .connection_pool import ConnectionPool
+from .engine import Engine, EngineStatus
+from .engine_connection import EngineConnection
+from .engine_exchange import CallCounters, EngineExchange
+from .engine_registry import EngineRegistry, EngineSlot
+from .engine_selector import EngineSelector
+
+__all__ = ["CallRelay"]
+
+WATCH_INTERVAL = ms(200)
+# How long an engine may send nothing before a call that may go on elsewhere leaves it.
+NO_BYTES_TIMEOUT = ms(900)
+# How long an engine that ends a request at its deadline itself is waited for.
+DEADLINE_GRACE = ms(30)
+MAX_ATTEMPTS = 6
+MIN_ALLOWED_EXECUTIONS = 2
+# A request that must not be repeated only goes on a connection that was used so short a time ago.
+MAX_IDLE_TIME_UNREPEATABLE = ms(3000)
+RETRY_BACKOFF = ms(15)
+IMMEDIATE_ATTEMPTS = 2
+
+
+class CallRelay:
+    """Sends each call to an engine, and retries elsewhere only where nothing is executed twice that must not be.
+
+    Owns `calls`, those under way, and the `counters` of attempts.
+    """
+
+    def __init__(
+        self, ctx: Context, engines: EngineRegistry, selector: EngineSelector, connections: ConnectionPool
+    ) -> None:
+        self._ctx = ctx
+        self._engines = engines
+        self._selector = selector
+        self._connections = connections
+        self.counters = CallCounters()
+        self._exchange = EngineExchange(ctx, engines, selector, self.counters)
+        self.calls: set[Call] = set()
+
+    def open(self) -> None:
+        """Begins to watch the calls under way and the idle connections."""
+        self._engines.add_gone_listener(lambda engine: self._connections.close_idle(engine.address))
+        self._ctx.timers.call_repeatedly(WATCH_INTERVAL, self._watch, self._ctx.error_reporter("watch_calls"))
+
+    def _watch(self) -> None:
+        """Ends attempts past their deadline, and those at engines that are gone or send nothing.
+
+        The latter only where the call can go on, or be repeated, elsewhere.
+        """
+        self._connections.close_expired()
+        now = self._ctx.timers.now()
+        for call in list(self.calls):
+            if call.engine is not None and call.sent_at is not None:
+                self._watch_attempt(call, call.engine, call.sent_at, now)
+
+    def _watch_attempt(self, call: Call, engine: Engine, sent_at: timedelta, now: timedelta) -> None:
+        if now >= call.deadline + DEADLINE_GRACE:
+            call.discard_connection()
+            return
+        if not (call.is_idempotent or call.is_resumable):
+            return
+        is_gone = self._engines.status(engine) in (EngineStatus.SILENT, EngineStatus.GONE)
+        is_lost = is_gone and now - engine.last_bytes_at > NO_BYTES_TIMEOUT
+        has_sent_nothing = engine.last_bytes_at < sent_at and now - sent_at > NO_BYTES_TIMEOUT
+        is_unresponsive = not call.budget_spent and has_sent_nothing
+        if is_unresponsive:
+            self._engines.record_unreachable(engine)
+        if is_lost or is_unresponsive:
+            call.discard_connection()
+
+    def abort_all(self, reason: str) -> None:
+        """Ends all calls under way."""
+        for call in list(self.calls):
+            call.abort(reason)
+
+    async def relay(self, call: Call) -> None:
+        """Returns once the response to a call is complete at its sink.
+
+        Raises ApiError, whose `outcome` says what is known of the execution.
+        """
+        self.calls.add(call)
+        try:
+            await self._run(call)
+        except defer.CancelledError:
+            call.trigger("lose")
+            raise
+        except ApiError as error:
+            if call.reached_engine and error.outcome == "not_run":
+                error.outcome = "unknown"
+            raise
+        finally:
+            self.calls.discard(call)
+
+    async def _run(self, call: Call) -> None:
+        while True:
+            engine = await self._selector.choose(call)
+            call.engine = engine
+            call.attempts += 1
+            self.counters.attempts += 1
+            call.trigger("choose_engine")
+            try:
+                await self._attempt(call, engine)
+                break
+            except ApiError as error:
+                if not self._may_retry(call, error):
+                    raise
+            await self._prepare_retry(call)
+        call.trigger("finish")
+        self._ctx.logger.debug("call", id=call.id.decode("latin-1"), route=call.route.name, attempts=call.attempts)
+
+    def _may_retry(self, call: Call, error: ApiError) -> bool:
+        """Returns whether nothing ran, or running again, or from the last event on, does no harm."""
+        if call.abort_reason or call.attempts >= MAX_ATTEMPTS or self._ctx.timers.now() >= call.deadline:
+            return False
+        if call.is_batch_item:
+            return False
+        if call.state == CallState.WAITING:
+            return error.code != "no_room"
+        max_executions = max(MIN_ALLOWED_EXECUTIONS, call.route.max_attempts)
+        if call.state != CallState.LOST or call.executions.total() > max_executions:
+            return False
+        return call.is_resumable or (call.is_idempotent and not call.head_passed)
+
+    async def _prepare_retry(self, call: Call) -> None:
+        if call.state == CallState.LOST:
+            call.reached_engine = True
+            call.trigger("retry")
+        if call.attempts > IMMEDIATE_ATTEMPTS:
+            await self._ctx.timers.sleep(RETRY_BACKOFF * call.attempts)
+
+    async def _attempt(self, call: Call, engine: Engine) -> None:
+        prefill_tokens = call.own_part_tokens + engine.prefix_cache.missing_tokens(call.shared_parts)
+        slot = self._engines.acquire_slot(engine, prefill_tokens, call.is_batch_item)
+        try:
+            connection = await self._connect(call, engine)
+            await self._send(call, engine, connection, slot)
+        except ApiError as error:
+            if call.state == CallState.ENGINE_CHOSEN:
+                call.trigger("connect_failed")
+                error.outcome = call.outcome
+            elif call.state in (CallState.SENT, CallState.RESPONDING):
+                call.trigger("lose")
+            raise
+        finally:
+            call.sent_at = None
+            call.connection = None
+            slot.release()
+
+    async def _connect(self, call: Call, engine: Engine) -> EngineConnection:
+        may_repeat = call.is_idempotent or call.is_resumable
+        max_idle_time = None if may_repeat else MAX_IDLE_TIME_UNREPEATABLE
+        connection = self._connections.take_idle(engine.address, call.id, max_idle_time)
+        if connection is not None:
+            return connection
+        try:
+            return await self._connections.open(engine.address, self._selector.max_connections(engine))
+        except ApiError as error:
+            if error.code == "unreached":
+                self._engines.record_unreachable(engine)
+            raise
+
+    async def _send(self, call: Call, engine: Engine, connection: EngineConnection, slot: EngineSlot) -> None:
+        try:
+            self._check_before_send(call, engine)
+        except Exception:
+            self._connections.give_back_unused(connection)
+            raise
+        call.connection = connection
+        call.trigger("send")
+        call.sent_at = self._ctx.timers.now()
+        engine.prefix_cache.add(call.prompt_parts)
+        await self._exchange.run(call, engine, connection, slot)
+        self._engines.record_success(engine)
+
+    def _check_before_send(self, call: Call, engine: Engine) -> None:
+        """Raises an error where what held when the engine was chosen holds no more as the first byte leaves."""
+        if call.abort_reason:
+            raise call.error("the request was ended", code="ended")
+        if call.deadline <= self._ctx.timers.now():
+            raise call.error("the deadline has passed", code="limit_passed", status=504)
+        cluster_state = self._ctx.cluster.cluster_state
+        is_available = self._engines.status(engine) in (EngineStatus.READY, EngineStatus.SUSPECT)
+        if not is_available or engine.update.zone in cluster_state.empty_zones:
+            raise ServiceUnavailable(f"{engine.name} may not get new work any more", code="engine_moved_on")
+        route = cluster_state.routes.routes.get(call.route.name)
+        has_changed = route is not call.route
+        if has_changed and (route is None or all(candidate.pool != call.pool for candidate in weighted_pools(route))):
+            call.pool = ""
+            raise ServiceUnavailable("the route has moved", code="route_moved")
+        if call.precondition is not None:
+            call.precondition()
--- /dev/null
+++ b/pipitlink/router/engine.py
@@ -0,0 +1,121 @@
+"""One incarnation of an engine, as this gateway knows it."""
+
+from collections import OrderedDict
+from collections.abc import Sequence
+from datetime import timedelta
+from enum import StrEnum
+from typing import NamedTuple
+
+import attrs
+
+from ..timers import ZERO, secs
+from ..wire.membership_pb2 import EngineUpdate
+from .call import PromptPart
+
+__all__ = ["Engine", "EngineLoad", "EngineStatus", "PeerLoad", "PrefixCache"]
+
+PEER_LOAD_VALIDITY = secs(3)
+
+
+class EngineStatus(StrEnum):
+    """What this gateway makes of an engine; other states that the control plane announces are passed on as they are."""
+
+    READY = "ready"
+    SUSPECT = "suspect"
+    SILENT = "silent"
+    DRAINING = "leaving"
+    GONE = "gone"
+
+
+class EngineLoad(NamedTuple):
+    """Requests that run on an engine, and how many of them are items of batches.
+
+    A plain tuple, since it is made for each candidate of each choice.
+    """
+
+    running: int
+    batch_items: int
+
+
+class PeerLoad(NamedTuple):
+    """What another gateway, or the controller for all of them, has last reported to run on an engine."""
+
+    running: int
+    batch_items: int
+    reported_at: timedelta
+
+
+class PrefixCache:
+    """Which prompt parts an engine has likely cached, as far as the requests of this gateway tell.
+
+    Parts are dropped in the order of their last use once they exceed `max_tokens`.
+    """
+
+    def __init__(self, max_tokens: int) -> None:
+        self._max_tokens = max_tokens
+        self._parts: OrderedDict[str, int] = OrderedDict()
+        self._tokens = 0
+
+    def missing_tokens(self, parts: Sequence[PromptPart]) -> int:
+        """Returns how many tokens of a prompt need prefill: all from its first part that is not cached."""
+        for position, (part_id, _) in enumerate(parts):
+            if part_id not in self._parts:
+                return sum(tokens for _, tokens in parts[position:])
+        return 0
+
+    def add(self, parts: Sequence[PromptPart]) -> None:
+        """Records that the engine gets a prompt of these parts."""
+        for part_id, tokens in parts:
+            if part_id in self._parts:
+                self._parts.move_to_end(part_id)
+            else:
+                self._parts[part_id] = tokens
+                self._tokens += tokens
+        while self._tokens > self._max_tokens and self._parts:
+            _, tokens = self._parts.popitem(last=False)
+            self._tokens -= tokens
+
+
+@attrs.define(eq=False)
+class Engine:
+    """One incarnation of an engine as this gateway knows it; times are on the timers' clock."""
+
+    update: EngineUpdate
+    updated_at: timedelta
+    warming_until: timedelta
+    prefix_cache: PrefixCache
+    running: int = 0
+    batch_items: int = 0
+    prefill_tokens: int = 0
+    last_bytes_at: timedelta = ZERO
+    suspect_until: timedelta = ZERO
+    failures: int = 0
+    slow_start_tokens: float = 0.0
+    slow_start_refilled_at: timedelta = ZERO
+    peer_loads: dict[str, PeerLoad] = attrs.field(factory=dict)
+    slow_start_candidates: tuple[str, ...] = ()
+    slow_start_gateways: frozenset[str] = frozenset()
+
+    @property
+    def name(self) -> str:
+        """The id of the engine, new with each of its incarnations."""
+        return self.update.engine
+
+    @property
+    def address(self) -> str:
+        """Host and port of its HTTP server."""
+        return self.update.address
+
+    @property
+    def slots(self) -> int:
+        """How many requests it runs at once; at least 1."""
+        return max(1, self.update.capacity)
+
+    def load(self, now: timedelta) -> EngineLoad:
+        """Returns what runs on it: from this gateway, and from its peers as they have last reported."""
+        running, batch_items = self.running, self.batch_items
+        for peer_running, peer_batch_items, reported_at in self.peer_loads.values():
+            if now - reported_at < PEER_LOAD_VALIDITY:
+                running += peer_running
+                batch_items += peer_batch_items
+        return EngineLoad(running, batch_items)
--- /dev/null
+++ b/pipitlink/router/engine_registry.py
@@ -0,0 +1,226 @@
+"""The engines that the control plane announces, their health, and what this gateway runs on them."""
+
+from collections.abc import Callable
+from datetime import timedelta
+
+from twisted.internet import defer
+
+from ..context import Context
+from ..timers import ZERO, ms, secs
+from ..wire.membership_pb2 import EngineList, EngineUpdate
+from .engine import Engine, EngineStatus, PrefixCache
+
+__all__ = ["EngineRegistry", "EngineSlot"]
+
+SILENCE_TIMEOUT = secs(3.6)
+REMOVE_AFTER = secs(30)
+REMEMBER_GONE = secs(60)
+# A gap between two looks at the clock from which on this process, or its machine, counts as having been suspended.
+SUSPENDED_AFTER = secs(1.5)
+# After a suspension, updates that were buffered are no proof that an engine lives now.
+RESUME_GRACE = ms(500)
+MIN_EJECTION = ms(700)
+MAX_EJECTION = secs(6)
+MAX_COUNTED_FAILURES = 6
+# The part of an engine's cache that is counted on: it also holds what it decodes.
+PREFIX_CACHE_FRACTION = 0.8
+
+
+class EngineSlot:
+    """A slot of an engine that one attempt of a call holds, with the prefill that it still waits for."""
+
+    def __init__(self, registry: "EngineRegistry", engine: Engine, prefill_tokens: int, is_batch_item: bool) -> None:
+        self._registry = registry
+        self._engine = engine
+        self._prefill_tokens = prefill_tokens
+        self._is_batch_item = is_batch_item
+        engine.running += 1
+        engine.batch_items += is_batch_item
+        engine.prefill_tokens += prefill_tokens
+        engine.slow_start_tokens = max(0.0, engine.slow_start_tokens - 1.0)
+
+    def prefill_done(self) -> None:
+        """Notes that the engine has begun to answer; may be called more than once."""
+        self._engine.prefill_tokens -= self._prefill_tokens
+        self._prefill_tokens = 0
+
+    def release(self) -> None:
+        """Frees the slot; to be called once."""
+        self.prefill_done()
+        self._engine.running -= 1
+        self._engine.batch_items -= self._is_batch_item
+        self._registry.notify_capacity()
+
+
+class EngineRegistry:
+    """The engines that the control plane has announced to this gateway, by name and by pool, and their health.
+
+    Owns them and what this gateway has running on them. Waiters for capacity are woken on every release.
+    """
+
+    def __init__(self, ctx: Context) -> None:
+        self._ctx = ctx
+        self._engines: dict[str, Engine] = {}
+        self._pools: dict[str, list[Engine]] = {}
+        self._capacity_waiters: list[defer.Deferred[None]] = []
+        self._gone_listeners: list[Callable[[Engine], None]] = []
+        self._gone_at: dict[str, timedelta] = {}
+        self._clock_checked_at = ctx.timers.now()
+        self._resumed_at = ZERO
+
+    def open(self) -> None:
+        """Begins to take updates of engines."""
+        self._ctx.rpc.register_handler("engines.tell", EngineList, self._on_updates)
+
+    def add_gone_listener(self, listener: Callable[[Engine], None]) -> None:
+        """Has a function called with each engine that is removed."""
+        self._gone_listeners.append(listener)
+
+    def all(self) -> list[Engine]:
+        """Returns all engines, by name."""
+        return sorted(self._engines.values(), key=lambda engine: engine.name)
+
+    def unordered(self) -> list[Engine]:
+        """Returns all engines in the order in which they came."""
+        return list(self._engines.values())
+
+    def get(self, name: str) -> Engine | None:
+        """Returns an engine by its name, None where it is not known or gone."""
+        return self._engines.get(name)
+
+    def is_gone(self, name: str) -> bool:
+        """Returns whether an engine of that name was removed, and will not be taken in again."""
+        return name in self._gone_at
+
+    def pool(self, name: str) -> list[Engine]:
+        """Returns the engines of a pool, in the order in which they came."""
+        return self._pools.get(name, [])
+
+    def gateway_count(self) -> int:
+        """Returns how many gateways there are, with this one."""
+        return len(self._ctx.membership.members("gateway"))
+
+    async def _on_updates(self, _node: str, message: EngineList) -> None:
+        for update in message.engines:
+            self.merge(update)
+
+    def merge(self, update: EngineUpdate) -> None:
+        """Takes in what the control plane says of one engine; an old update changes nothing."""
+        now = self.check_clock()
+        updated_at = now - ms(update.age_ms)
+        engine = self._engines.get(update.engine)
+        if engine is None:
+            self._add(update, updated_at, now)
+        elif update.state == EngineStatus.GONE:
+            self.remove(engine)
+        else:
+            self._refresh(engine, update, updated_at, now)
+
+    def _add(self, update: EngineUpdate, updated_at: timedelta, now: timedelta) -> None:
+        name = update.engine
+        if update.state == EngineStatus.GONE:
+            self._gone_at[name] = now
+        if name in self._gone_at or now - updated_at > SILENCE_TIMEOUT or not name:
+            return
+        own_update = EngineUpdate()
+        own_update.CopyFrom(update)
+        prefix_cache = PrefixCache(self._prefix_cache_tokens(update.pool))
+        engine = Engine(own_update, updated_at, updated_at + ms(update.slow_start_ms), prefix_cache)
+        engine.last_bytes_at = now
+        self._engines[name] = engine
+        for other in self.unordered():
+            if other is not engine and other.address == engine.address:
+                self.remove(other)
+        self._pools.setdefault(update.pool, []).append(engine)
+        self._ctx.logger.info("engine", engine=name, state=update.state, address=update.address, pool=update.pool)
+        self.notify_capacity()
+
+    def _prefix_cache_tokens(self, pool_name: str) -> int:
+        pool = self._ctx.cluster.cluster_state.routes.pools.get(pool_name)
+        return int(PREFIX_CACHE_FRACTION * pool.cache_tokens) if pool is not None else 0
+
+    def _refresh(self, engine: Engine, update: EngineUpdate, updated_at: timedelta, now: timedelta) -> None:
+        if update.state == EngineStatus.DRAINING and engine.update.state != EngineStatus.DRAINING:
+            engine.update.state = EngineStatus.DRAINING.value
+            self._ctx.logger.info("engine", engine=engine.name, state=engine.update.state)
+        just_resumed = self._resumed_at and now - self._resumed_at < RESUME_GRACE
+        if update.sequence < engine.update.sequence or just_resumed:
+            return
+        engine.updated_at = max(engine.updated_at, updated_at)
+        if update.sequence > engine.update.sequence:
+            engine.warming_until = updated_at + ms(update.slow_start_ms)
+            engine.update.sequence = update.sequence
+
+    def remove(self, engine: Engine) -> None:
+        """Removes an engine that is gone, or at whose address another one answers."""
+        if self._engines.pop(engine.name, None) is None:
+            return
+        self._pools[engine.update.pool].remove(engine)
+        self._ctx.logger.info("engine", engine=engine.name, state=EngineStatus.GONE.value)
+        engine.update.state = EngineStatus.GONE.value
+        self._gone_at[engine.name] = self._ctx.timers.now()
+        for listener in self._gone_listeners:
+            listener(engine)
+
+    def remove_silent(self, now: timedelta) -> None:
+        """Removes engines that nobody announces any more; they are taken in again once somebody does."""
+        for engine in self.unordered():
+            if now - engine.updated_at > REMOVE_AFTER and not engine.running:
+                self.remove(engine)
+                del self._gone_at[engine.name]
+        for name, gone_at in list(self._gone_at.items()):
+            if now - gone_at > REMEMBER_GONE:
+                del self._gone_at[name]
+
+    def check_clock(self) -> timedelta:
+        """Returns the time, and notes where this process was suspended since the last check."""
+        now = self._ctx.timers.now()
+        if now - self._clock_checked_at > SUSPENDED_AFTER:
+            self._resumed_at = now
+        self._clock_checked_at = now
+        return now
+
+    def status(self, engine: Engine) -> str:
+        """Returns the status of an engine: an EngineStatus, or another state that the control plane announces."""
+        now = self.check_clock()
+        if engine.update.state != EngineStatus.READY:
+            return engine.update.state
+        if now - engine.updated_at > SILENCE_TIMEOUT:
+            return EngineStatus.SILENT
+        if engine.updated_at < self._resumed_at - SILENCE_TIMEOUT or engine.suspect_until > now:
+            return EngineStatus.SUSPECT
+        return EngineStatus.READY
+
+    def record_failure(self, engine: Engine) -> None:
+        """Counts a failed request; from the second in a row on, the engine is ejected for a time that doubles."""
+        engine.failures = min(engine.failures + 1, MAX_COUNTED_FAILURES)
+        if engine.failures > 1:
+            self._eject(engine)
+
+    def record_unreachable(self, engine: Engine) -> None:
+        """Ejects an engine that could not be connected to, or that sends nothing at all."""
+        engine.failures = min(max(2, engine.failures + 1), MAX_COUNTED_FAILURES)
+        self._eject(engine)
+
+    def _eject(self, engine: Engine) -> None:
+        ejection = min(MIN_EJECTION * 2 ** (engine.failures - 2), MAX_EJECTION)
+        engine.suspect_until = self._ctx.timers.now() + ejection
+
+    def record_success(self, engine: Engine) -> None:
+        """Forgets the failures of an engine that has served a request."""
+        engine.failures = 0
+
+    def acquire_slot(self, engine: Engine, prefill_tokens: int, is_batch_item: bool) -> EngineSlot:
+        """Takes a slot of an engine, which the caller has to release."""
+        return EngineSlot(self, engine, prefill_tokens, is_batch_item)
+
+    def wait_for_capacity(self, waiter: "defer.Deferred[None]") -> None:
+        """Fires a Deferred once an engine may have capacity; one that was fired since is left alone."""
+        self._capacity_waiters.append(waiter)
+
+    def notify_capacity(self) -> None:
+        """Wakes all who wait for capacity."""
+        waiters, self._capacity_waiters = self._capacity_waiters, []
+        for waiter in waiters:
+            if not waiter.called:
+                waiter.callback(None)
--- /dev/null
+++ b/pipitlink/router/http_frontend.py
@@ -0,0 +1,204 @@
+"""The callers' HTTP server: matches routes and passes requests on."""
+
+import socket
+from datetime import timedelta
+from enum import StrEnum
+from typing import Any
+from urllib.parse import parse_qsl
+
+from twisted.internet import defer
+from twisted.internet.endpoints import TCP4ServerEndpoint
+
+from ..context import Context
+from ..dialect.batches import BatchRequest
+from ..errors import ApiError, BadRequest, NotFound, ServiceUnavailable
+from ..timers import ms
+from ..wire.cluster_pb2 import Route
+from .batch_calls import BatchCalls, Submission
+from .call import HOP_HEADERS, Call, parse_prompt_parts
+from .call_relay import CallRelay
+from .http_response import HttpResponse
+from .inbound_request import CallerChannel, CallerFactory, InboundRequest
+
+__all__ = ["HttpFrontend", "RouteKind"]
+
+LISTEN_BACKLOG = 1024
+DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
+# A gateway that has just started has its cluster state after about this time.
+STARTUP_TIME = ms(600)
+MIN_RETRY_AFTER_S = 0.2
+RETRY_AFTER_SPREAD_S = 0.2
+DRAIN_CHECK_INTERVAL = ms(50)
+# Statuses by which a response would promise that nothing ran.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+
+
+class RouteKind(StrEnum):
+    """What may be done with the requests of a route."""
+
+    STREAMING = "streaming"
+    IDEMPOTENT = "idempotent"
+    MUTATING = "mutating"
+    BATCH = "bulk"
+
+
+class HttpFrontend:
+    """The callers' HTTP server. Heads and bodies pass through; its own responses have only a code as their body.
+
+    Owns `channels`, the connections of callers, and `refused`, counts of refusals by code.
+    """
+
+    def __init__(self, ctx: Context, relay: CallRelay, batch_calls: BatchCalls) -> None:
+        self._ctx = ctx
+        self._relay = relay
+        self._batch_calls = batch_calls
+        self._opened_at = ctx.timers.now()
+        self._ports: list[Any] = []
+        self.channels: set[CallerChannel] = set()
+        self.is_draining = False
+        self.refused: dict[str, int] = {}
+
+    def max_body_bytes(self) -> int:
+        """Returns how long the body of a request may be."""
+        return self._ctx.cluster.cluster_state.routes.bounds.max_body_bytes or DEFAULT_MAX_BODY_BYTES
+
+    async def listen(self, host: str, port: int, listening_socket: socket.socket | None = None) -> int:
+        """Begins to accept connections, and returns the port. A socket that listens already is used, and closed."""
+        factory: Any = CallerFactory(self, self._ctx.reactor)
+        if listening_socket is not None:
+            opened = self._ctx.reactor.adoptStreamPort(listening_socket.fileno(), listening_socket.family, factory)
+            listening_socket.close()
+        else:
+            endpoint = TCP4ServerEndpoint(self._ctx.reactor, port, backlog=LISTEN_BACKLOG, interface=host)
+            opened = await endpoint.listen(factory)
+        self._ports.append(opened)
+        return int(opened.getHost().port)
+
+    def start_serving(self, request: InboundRequest) -> None:
+        """Serves a request that was read to its end, in the background."""
+        self._ctx.run_in_background(self._serve(request), "serve")
+
+    async def _serve(self, request: InboundRequest) -> None:
+        """Serves one request, from its last byte read to the last byte of its response."""
+        try:
+            if request.is_too_long:
+                raise BadRequest("the body is too long", code="body_too_long", status=413)
+            await self._handle(request)
+        except ApiError as error:
+            self._respond_error(request, error)
+        except Exception as error:
+            self._ctx.logger.failure("request_failed", error, path=request.path.decode("utf-8", "replace"))
+            if request.startedWriting:
+                request.abort_response()
+            else:
+                request.respond(HttpResponse(500, {}, b""))
+
+    def _respond_error(self, request: InboundRequest, error: ApiError) -> None:
+        self.refused[error.code] = self.refused.get(error.code, 0) + 1
+        if request.startedWriting:
+            request.abort_response()
+            return
+        status, headers = error.status, {}
+        if error.outcome == "not_run" and status >= 500:
+            status = 503
+        elif error.outcome == "unknown" and status in NOT_RUN_STATUSES:
+            status = 502
+        if status in (429, 503):
+            headers["Retry-After"] = str(error.retry_after or MIN_RETRY_AFTER_S)
+        request.respond(HttpResponse(status, headers, error.code.encode()))
+
+    async def _handle(self, request: InboundRequest) -> None:
+        started_at = self._ctx.timers.now()
+        path = request.path.decode("latin-1")
+        batch_call = self._parse_batch_call(request, path)
+        if not self._ctx.cluster.usable():
+            raise ServiceUnavailable(
+                "this gateway cannot prove its cluster state now", code="not_current", retry_after=self._retry_after()
+            )
+        if batch_call is not None:
+            request.respond(await self._batch_calls.call(batch_call))
+            return
+        host = (request.header(b"host") or b"").decode("latin-1").partition(":")[0]
+        route = self._match_route(host, path)
+        deadline = self._deadline(request, route, started_at)
+        call_id = request.header(self._ctx.dialect.request_id) or b""
+        body = request.take_body()
+        if route.kind == RouteKind.BATCH:
+            submission = Submission(route, host, path, call_id.decode("latin-1"), body, deadline)
+            request.respond(await self._batch_calls.submit(submission))
+            return
+        request.call = self._make_call(request, route, call_id, body, deadline)
+        await self._relay.relay(request.call)
+        request.complete()
+
+    def _parse_batch_call(self, request: InboundRequest, path: str) -> BatchRequest | None:
+        """Returns the call on a batch that a request makes, as the dialect reads it, or None."""
+        query = dict(parse_qsl(request.query.decode("latin-1")))
+        return self._ctx.dialect.parse_batch_request(request.method, path, query, request.text_header)
+
+    def _match_route(self, host: str, path: str) -> Route:
+        """Returns the route of a request. Raises NotFound, or ServiceUnavailable before a configuration has come."""
+        routes = self._ctx.cluster.cluster_state.routes
+        route: Route | None = routes.match(host, path)
+        if route is not None:
+            return route
+        if not routes.version:
+            raise ServiceUnavailable("no configuration has come yet", code="no_config", retry_after=self._retry_after())
+        raise NotFound(f"no route for {host}{path[:80]}", code="no_route")
+
+    def _retry_after(self) -> float:
+        """Returns in how many seconds a retry is worth while: after the start, and spread."""
+        remaining = (STARTUP_TIME - (self._ctx.timers.now() - self._opened_at)).total_seconds()
+        return round(max(MIN_RETRY_AFTER_S, remaining) + RETRY_AFTER_SPREAD_S * self._ctx.rng.random(), 3)
+
+    def _deadline(self, request: InboundRequest, route: Route, started_at: timedelta) -> timedelta:
+        """Returns the deadline of a request by its route and its header; submissions of batches may ask for more."""
+        deadline = started_at + ms(route.deadline_ms)
+        requested_ms = request.header(self._ctx.dialect.deadline_ms)
+        if requested_ms is None or not requested_ms.strip().isdigit():
+            return deadline
+        requested = started_at + ms(int(requested_ms))
+        return requested if route.kind == RouteKind.BATCH else min(deadline, requested)
+
+    def _make_call(
+        self, request: InboundRequest, route: Route, call_id: bytes, body: bytes, deadline: timedelta
+    ) -> Call:
+        dialect = self._ctx.dialect
+        headers = [
+            (name.lower(), value)
+            for name, values in request.requestHeaders.getAllRawHeaders()
+            for value in values
+            if name.lower() not in HOP_HEADERS
+        ]
+        last_event = (request.header(dialect.event_id) or b"").strip()
+        token_counts = (request.header(dialect.token_counts) or b"").split(b",")
+        return Call(
+            id=call_id,
+            method=request.method,
+            target=request.uri,
+            headers=headers,
+            body=body,
+            route=route,
+            deadline=deadline,
+            sink=request,
+            is_idempotent=route.kind == RouteKind.IDEMPOTENT,
+            is_resumable=route.kind == RouteKind.STREAMING and route.resumable,
+            prompt_parts=parse_prompt_parts(request.header(dialect.prompt_parts)),
+            token_count=sum(int(count) for count in token_counts if count.strip().isdigit()),
+            last_event=int(last_event) if last_event.isdigit() else 0,
+        )
+
+    async def drain(self, accept_time: timedelta, deadline: timedelta) -> None:
+        """Accepts requests for a while, then closes idle connections, and returns once all requests have ended.
+
+        Returns at the deadline even though some have not.
+        """
+        self.is_draining = True
+        await self._ctx.timers.sleep(accept_time)
+        for port in self._ports:
+            await defer.maybeDeferred(port.stopListening)
+        for channel in list(self.channels):
+            if channel.is_idle():
+                channel.close_connection()
+        while any(not channel.is_idle() for channel in self.channels) and self._ctx.timers.now() < deadline:
+            await self._ctx.timers.sleep(DRAIN_CHECK_INTERVAL)
--- /dev/null
+++ b/pipitlink/router/inbound_request.py
@@ -0,0 +1,233 @@
+"""The callers' side of the HTTP server: connections, requests, and their backpressure."""
+
+from collections.abc import Iterator
+from datetime import timedelta
+from io import BytesIO
+from typing import Any, Protocol
+
+from twisted.internet.protocol import connectionDone
+from twisted.python.failure import Failure
+from twisted.web import http
+from twisted.web.http_headers import Headers
+from twisted.web.iweb import UNKNOWN_LENGTH
+
+from ..timers import secs
+from .call import HOP_HEADERS, Call, Header
+from .engine_connection import Response
+from .http_response import HttpResponse
+
+__all__ = ["CallerChannel", "CallerFactory", "Frontend", "InboundRequest", "passed_headers"]
+
+IDLE_TIMEOUT: timedelta = secs(15)
+MAX_HEADERS_BYTES = 32768
+
+
+class Frontend(Protocol):
+    """The server that the connections and requests of callers belong to."""
+
+    channels: "set[CallerChannel]"
+    is_draining: bool
+
+    def max_body_bytes(self) -> int:
+        """Returns how long the body of a request may be."""
+
+    def start_serving(self, request: "InboundRequest") -> None:
+        """Serves a request that was read to its end."""
+
+
+class _CallerBackpressure:
+    """Stops reading from the engine of a call while its caller does not read."""
+
+    def __init__(self, call: Call) -> None:
+        self._call = call
+
+    def _transport(self) -> Any:
+        connection = self._call.connection
+        return connection.transport if connection is not None and not connection.is_unusable else None
+
+    def pauseProducing(self) -> None:  # noqa: N802 - twisted's interface
+        """Stops reading."""
+        transport = self._transport()
+        if transport is not None:
+            transport.pauseProducing()
+
+    def resumeProducing(self) -> None:  # noqa: N802 - twisted's interface
+        """Reads again."""
+        transport = self._transport()
+        if transport is not None:
+            transport.resumeProducing()
+
+    def stopProducing(self) -> None:  # noqa: N802 - twisted's interface
+        """Ends the call of a caller that has left."""
+        self._call.abort("caller left")
+
+
+class InboundRequest(http.Request):
+    """One request of a caller; as the sink of its call it writes the engine's response out as it comes."""
+
+    channel: "CallerChannel"
+    content: BytesIO
+    call: Call | None = None
+    is_too_long = False
+
+    def gotLength(self, length: int | None) -> None:  # noqa: N802 - twisted's interface
+        """Takes the length of the body, where the caller states one."""
+        self.content = BytesIO()
+        if length is not None and length > self.channel.frontend.max_body_bytes():
+            self.is_too_long = True
+
+    def handleContentChunk(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
+        """Takes the next bytes of the body, as long as it may be taken at all."""
+        if self.is_too_long:
+            return
+        if self.content.tell() + len(data) > self.channel.frontend.max_body_bytes():
+            self.is_too_long = True
+        else:
+            self.content.write(data)
+
+    def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:  # noqa: N802 - twisted's interface
+        """Has the request served, once it was read to its end."""
+        self.method, self.uri, self.clientproto = command, path, version
+        self.path, _, self.query = path.partition(b"?")
+        self.notifyFinish().addErrback(self._on_disconnect)
+        self.channel.frontend.start_serving(self)
+
+    def _on_disconnect(self, _: Failure) -> None:
+        if self.call is not None:
+            self.call.abort("caller left")
+
+    def take_body(self) -> bytes:
+        """Returns the body that was read; it is not kept here any longer."""
+        body, self.content = self.content.getvalue(), BytesIO()
+        return body
+
+    def header(self, name: bytes) -> bytes | None:
+        """Returns the first value of a header, or None."""
+        values = self.requestHeaders.getRawHeaders(name)
+        return values[0] if values else None
+
+    def text_header(self, name: str) -> str | None:
+        """Returns the first value of a header as text, or None."""
+        value = self.header(name.encode())
+        return value.decode("latin-1") if value is not None else None
+
+    @property
+    def is_over(self) -> bool:
+        """Whether the caller has left, or has its whole response."""
+        return self._disconnected or bool(self.finished)
+
+    def head(self, response: Response) -> None:
+        """Writes the head of an engine's response."""
+        if self.is_over or self.call is None:
+            return
+        self.setResponseCode(response.code, response.phrase)
+        for name, value in passed_headers(response):
+            self.responseHeaders.addRawHeader(name, value)
+        if response.length is not UNKNOWN_LENGTH and not self.call.is_resumable:
+            self.responseHeaders.setRawHeaders(b"Content-Length", [b"%d" % int(response.length)])
+        self._close_if_draining()
+        self.registerProducer(_CallerBackpressure(self.call), True)
+
+    def data(self, data: bytes) -> None:
+        """Writes a piece of the body of an engine's response."""
+        if not self.is_over:
+            self.write(data)
+
+    def _close_if_draining(self) -> None:
+        if self.channel.frontend.is_draining:
+            self.channel.persistent = 0
+            self.responseHeaders.setRawHeaders(b"Connection", [b"close"])
+
+    def complete(self) -> None:
+        """Ends the response that was written."""
+        if self.is_over:
+            return
+        if self.producer is not None:
+            self.unregisterProducer()
+        if not self.startedWriting:
+            self.write(b"")
+        self.finish()
+
+    def abort_response(self) -> None:
+        """Closes the connection, so that a response that has begun and cannot be completed does not look complete."""
+        if not self.is_over:
+            if self.producer is not None:
+                self.unregisterProducer()
+            self.channel.forceAbortClient()
+
+    def respond(self, response: HttpResponse) -> None:
+        """Writes a response of this gateway's own, without anything of an engine's response."""
+        if self.is_over:
+            return
+        if self.producer is not None:
+            self.unregisterProducer()
+        self.responseHeaders = Headers()
+        self.setResponseCode(response.status)
+        for name, value in response.headers.items():
+            self.responseHeaders.setRawHeaders(name.encode(), [value.encode()])
+        self.responseHeaders.setRawHeaders(b"Content-Length", [b"%d" % len(response.body)])
+        self._close_if_draining()
+        self.write(response.body)
+        self.finish()
+
+
+class CallerChannel(http.HTTPChannel):
+    """One connection of a caller."""
+
+    requestFactory = InboundRequest  # noqa: N815 - twisted's interface
+    totalHeadersSize = MAX_HEADERS_BYTES  # noqa: N815 - twisted's interface
+    frontend: Frontend
+    transport: Any
+
+    def connectionMade(self) -> None:  # noqa: N802 - twisted's interface
+        """Begins to read requests."""
+        self.frontend.channels.add(self)
+        self.transport.setTcpNoDelay(True)
+        super().connectionMade()
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802 - twisted's interface
+        """Tells the requests under way that the caller has left."""
+        self.frontend.channels.discard(self)
+        super().connectionLost(reason)
+
+    def is_idle(self) -> bool:
+        """Returns whether no request is under way."""
+        return not self.requests and not self._handlingRequest
+
+    def close_connection(self) -> None:
+        """Closes the connection after what was written has left."""
+        self.loseConnection()
+
+
+class CallerFactory(http.HTTPFactory):
+    """Makes the connections of one frontend; writes no access log."""
+
+    protocol = CallerChannel  # type: ignore[assignment]  # Twisted declares a private wrapper of HTTPChannel
+    noisy = False
+
+    def __init__(self, frontend: Frontend, reactor: Any) -> None:
+        super().__init__(timeout=IDLE_TIMEOUT.total_seconds(), reactor=reactor)
+        self._frontend = frontend
+
+    def buildProtocol(self, addr: Any) -> Any:  # noqa: N802 - twisted's interface
+        """Returns the protocol of a new connection."""
+        channel: Any = super().buildProtocol(addr)
+        channel.frontend = self._frontend
+        return channel
+
+    def log(self, request: http.Request) -> None:
+        """Writes nothing."""
+
+    def startFactory(self) -> None:  # noqa: N802 - twisted's interface
+        """Opens no log file."""
+
+    def stopFactory(self) -> None:  # noqa: N802 - twisted's interface
+        """Closes no log file."""
+
+
+def passed_headers(response: Response) -> Iterator[Header]:
+    """Yields the headers of an engine that a caller gets: all but those that concern one connection."""
+    for name, values in response.headers.getAllRawHeaders():
+        if name.lower() not in HOP_HEADERS:
+            for value in values:
+                yield name, value
--- /dev/null
+++ b/pipitlink/router/item_runner.py
@@ -0,0 +1,126 @@
+"""Items of batches as calls to engines."""
+
+from collections.abc import Callable
+from datetime import timedelta
+from http import HTTPStatus
+from typing import NamedTuple
+
+import attrs
+from twisted.internet import defer
+
+from ..context import Context
+from ..errors import ApiError, ReplicatedLogError
+from ..timers import ZERO, ms, secs
+from ..wire.cluster_pb2 import Route
+from .call import Call, Header, parse_prompt_parts
+from .call_relay import CallRelay
+from .engine_connection import Response
+from .server_sent_events import event_data
+
+__all__ = ["ItemCall", "ItemResult", "ItemRunner"]
+
+ATTEMPT_TIMEOUT = secs(120)
+DEFAULT_BACKOFF = ms(50)
+
+
+@attrs.define(eq=False)
+class ItemCall:
+    """One item of a batch, and what of its output has come so far.
+
+    `texts` are the data of the complete events 1 to `last_event`. `precondition` is checked before each attempt is
+    sent, and raises where the item must not be sent any more.
+    """
+
+    id: str
+    route: Route
+    path: str
+    headers: list[tuple[str, str]]
+    body: bytes
+    token_count: int
+    precondition: Callable[[], None] | None = None
+    texts: list[bytes] = attrs.field(factory=list)
+    last_event: int = 0
+
+
+class ItemResult(NamedTuple):
+    """What one attempt came to.
+
+    `status` is the engine's, or 0 without one; `is_complete` says that the output is; `not_run` that surely nothing
+    ran; `backoff` is how long not to retry.
+    """
+
+    status: int = 0
+    is_complete: bool = False
+    not_run: bool = False
+    backoff: timedelta = ZERO
+
+
+class _ItemSink:
+    """Collects the output of an item."""
+
+    def __init__(self, item: ItemCall) -> None:
+        self._item = item
+        self.status = 0
+
+    def head(self, response: Response) -> None:
+        """Takes the status."""
+        self.status = response.code
+
+    def data(self, data: bytes) -> None:
+        """Takes the next event of the output."""
+        if self.status == HTTPStatus.OK:
+            self._item.texts.append(event_data(data))
+
+
+class ItemRunner:
+    """Runs items of batches as calls to engines, one attempt at a time."""
+
+    def __init__(self, ctx: Context, relay: CallRelay) -> None:
+        self._ctx = ctx
+        self._relay = relay
+
+    async def run(self, item: ItemCall) -> ItemResult:
+        """Makes one attempt, which goes on after the last event that earlier ones brought; returns its result.
+
+        Raises ReplicatedLogError where the precondition of the item does.
+        """
+        sink = _ItemSink(item)
+        call = self._make_call(item, sink)
+        try:
+            await self._relay.relay(call)
+            return ItemResult(status=sink.status, is_complete=sink.status == HTTPStatus.OK)
+        except defer.CancelledError:
+            call.abort("cancelled")
+            raise
+        except ReplicatedLogError:
+            raise
+        except ApiError as error:
+            backoff = ms(1000 * error.retry_after) if error.retry_after else DEFAULT_BACKOFF
+            return ItemResult(not_run=error.outcome == "not_run", backoff=backoff)
+        finally:
+            item.last_event = call.last_event
+
+    def _make_call(self, item: ItemCall, sink: _ItemSink) -> Call:
+        dialect = self._ctx.dialect
+        headers: list[Header] = [(name.lower().encode(), value.encode("utf-8")) for name, value in item.headers]
+        replaced = (b"host", b"content-length", dialect.request_id)
+        headers = [(name, value) for name, value in headers if name not in replaced]
+        headers += [(b"host", item.route.host.encode()), (dialect.request_id, item.id.encode())]
+        prompt_parts = next((value for name, value in headers if name == dialect.prompt_parts), None)
+        return Call(
+            id=item.id.encode(),
+            method=b"POST",
+            target=item.path.encode(),
+            headers=headers,
+            body=item.body,
+            route=item.route,
+            deadline=self._ctx.timers.now() + ATTEMPT_TIMEOUT,
+            sink=sink,
+            is_idempotent=True,
+            is_resumable=True,
+            is_batch_item=True,
+            prompt_parts=parse_prompt_parts(prompt_parts),
+            token_count=item.token_count,
+            last_event=item.last_event,
+            precondition=item.precondition,
+        )
--- a/pipitlink/router/node.py
+++ b/pipitlink/router/node.py
@@ -1,113 +1,128 @@
-"""The gateway node of the routes interface, put together from its mixins."""
+"""The gateway node of the routes interface: puts its parts together."""
 
-from twisted.web import resource
+import socket
+from collections.abc import Mapping
+from typing import Any
 
+from ..context import Context
 from ..timers import ms
-from ..web import Site, listen, send_json
-from .batch_intake import BatchIntake
-from .batch_read import BatchRead
-from .batch_run import BatchRun
-from .batches import Batches
-from .choosing import Choosing
-from .engines import Engines
-from .front import Front
-from .items import Items
-from .links import Links
-from .quota import Quota
-from .relay import Relay
+from ..web import Site, listen
+from ..wire.cluster_pb2 import Route
+from .batch_capacity import BatchCapacity
+from .batch_service import BatchService
+from .call_relay import CallRelay
+from .connection_pool import ConnectionPool
+from .engine_registry import EngineRegistry
+from .engine_selector import EngineSelector
+from .http_frontend import HttpFrontend
+from .item_runner import ItemRunner
+from .load_exchange import LoadExchange
+from .readiness import ReadinessResource
+from .slow_start import SlowStart
 
 __all__ = ["RouterNode"]
 
+MAX_READINESS_BODY_BYTES = 1024
 
-class _Readiness(resource.Resource):
-    """Says at every path whether the gateway takes requests."""
 
-    isLeaf = True
-
-    def __init__(self, node):
-        super().__init__()
-        self._node = node
-
-    def render(self, request):
-        ok, words = self._node.readiness()
-        return send_json(request, {"ready": ok, **words}, 200 if ok else 503)
-
-
-class RouterNode(Front, Choosing, Relay, Items, Batches, BatchIntake, BatchRun, BatchRead, Quota):
+class RouterNode:
     """A gateway that serves by routes: opaque requests to engines of pools, and batches on the same engines.
 
-    The mixins form two paths that meet in Relay:
-
-    - Front takes callers' requests; Relay sends each as a Call to the engine that Choosing picks.
-    - BatchIntake makes batches durable, admitted by Quota; Batches owns them by leases; BatchRun feeds their items
-      through Items to Relay; BatchRead shows and ends them at any gateway.
-
-    This class owns the engines, the connections to them and the readiness server; Batches opens the other batch mixins.
+    Callers' requests come in by the frontend, items of batches by the item runner; the relay sends both as calls to the
+    engines that the selector chooses. `listening_socket` is set before
+    `listen` where a socket already accepts callers.
     """
 
-    def __init__(self, ctx):
+    listening_socket: socket.socket | None = None
+
+    def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
-        self.engines = Engines(ctx)
-        self.links = Links(ctx)
-        self._ready_port = None
-        self._draining = False
+        self.engines = EngineRegistry(ctx)
+        self.slow_start = SlowStart(ctx)
+        self.loads = LoadExchange(ctx, self.engines)
+        self.connections = ConnectionPool(ctx)
+        self.selector = EngineSelector(ctx, self.engines, self.slow_start, self.connections)
+        self.relay = CallRelay(ctx, self.engines, self.selector, self.connections)
+        self.batches = BatchService(
+            ctx,
+            self.engines,
+            self.loads,
+            BatchCapacity(ctx, self.engines, self.selector, self.slow_start),
+            ItemRunner(ctx, self.relay),
+            self._routes,
+        )
+        self.frontend = HttpFrontend(ctx, self.relay, self.batches)
+        self._readiness_port: Any = None
+        self._is_draining = False
+
+    def _routes(self) -> Mapping[str, Route]:
+        routes: Mapping[str, Route] = self._ctx.cluster.cluster_state.routes.routes
+        return routes
 
-    def open(self):
-        self._open_front()
+    def open(self) -> None:
+        """Begins to follow engines and batches."""
         self.engines.open()
-        self._open_choosing()
-        self._open_relay()
-        self._open_batches()
+        self.slow_start.open()
+        self.loads.open()
+        self.relay.open()
+        self.batches.open()
 
     async def listen(self, host: str, port: int) -> int:
+        """Begins to accept callers, and returns the port."""
         if self._ctx.settings.ready_port:
-            site = Site(_Readiness(self), 1024)
-            self._ready_port, _ = await listen(self._ctx.reactor, site, host, self._ctx.settings.ready_port)
-        return await self.listen_callers(host, port)
-
-    @property
-    def dialect(self):
-        return self._ctx.dialect
-
-    def current(self) -> bool:
-        return self._ctx.cluster.usable()
+            site = Site(ReadinessResource(self.readiness), MAX_READINESS_BODY_BYTES)
+            self._readiness_port, _ = await listen(self._ctx.reactor, site, host, self._ctx.settings.ready_port)
+        return await self.frontend.listen(host, port, self.listening_socket)
 
-    def readiness(self):
+    def readiness(self) -> tuple[bool, dict[str, Any]]:
+        """Returns whether the gateway takes requests, and the details that operators are shown."""
         cluster = self._ctx.cluster
-        ok = (
-            not self._draining
-            and self.current()
+        is_ready = (
+            not self._is_draining
+            and cluster.usable()
             and cluster.cluster_state.routes.version > 0
             and bool(self.engines.all())
         )
-        return ok, {"cluster": cluster.sequence, "currency": cluster.state}
+        return is_ready, {"cluster": cluster.sequence, "currency": cluster.state}
 
-    def beliefs(self) -> dict:
-        engines = {e.name: f"{self.engines.status(e)} {e.address}" for e in self.engines.all()}
+    def beliefs(self) -> dict[str, Any]:
+        """Returns what this gateway believes of engines and leases, by name."""
+        engines = {engine.name: f"{self.engines.status(engine)} {engine.address}" for engine in self.engines.all()}
         leases = {
-            log: f"{self._ctx.node}@{h.epoch}" for log, h in sorted(self._ctx.replicated_log.leaseholders.items())
+            log: f"{self._ctx.node}@{leaseholder.epoch}"
+            for log, leaseholder in sorted(self._ctx.replicated_log.leaseholders.items())
         }
         return {"engines": engines, "leases": leases}
 
-    def metrics(self) -> dict:
-        out = {f"calls_{name}": (f"Calls to engines: {name}", n) for name, n in self.counts.items()}
-        out["calls"] = ("Calls under way", len(self.calls))
-        out["links_opened"] = ("Connections opened to engines", self.links.opened)
-        out.update({f"refused_{code}": (f"Requests refused: {code}", n) for code, n in self.refused.items()})
-        out.update(self.batch_metrics())
-        return out
-
-    async def end(self):
+    def metrics(self) -> dict[str, tuple[str, float]]:
+        """Returns description and value of each metric, by name."""
+        counters = self.relay.counters
+        calls = {
+            "tries": counters.attempts,
+            "resumed": counters.resumed,
+            "spoilt": counters.mismatched,
+            "refused": counters.refused,
+        }
+        metrics: dict[str, tuple[str, float]] = {
+            f"calls_{name}": (f"Calls to engines: {name}", count) for name, count in calls.items()
+        }
+        metrics["calls"] = ("Calls under way", len(self.relay.calls))
+        metrics["links_opened"] = ("Connections opened to engines", self.connections.opened)
+        for code, count in self.frontend.refused.items():
+            metrics[f"refused_{code}"] = (f"Requests refused: {code}", count)
+        metrics.update(self.batches.table.metrics())
+        return metrics
+
+    async def end(self) -> None:
         """Drains: not ready at once, new requests are served a while, what runs may end, leases are handed over."""
-        self._draining = True
-        p = self._ctx.settings
-        until = self._ctx.timers.now() + ms(p.drain_ms)
-        batches = self._ctx.run_in_background(self._end_batches(), "end_batches")
-        await self.end_front(ms(p.accept_ms), until)
+        self._is_draining = True
+        settings = self._ctx.settings
+        deadline = self._ctx.timers.now() + ms(settings.drain_ms)
+        batches = self._ctx.run_in_background(self.batches.table.drain(), "end_batches")
+        await self.frontend.drain(ms(settings.accept_ms), deadline)
         await batches
-        for call in list(self.calls):
-            call.stop("ending")
-        self.links.close()
-        if self._ready_port is not None:
-            await self._ready_port.stopListening()
+        self.relay.abort_all("ending")
+        self.connections.close_all_idle()
+        if self._readiness_port is not None:
+            await self._readiness_port.stopListening()
         await self._ctx.membership.leave()
--- /dev/null
+++ b/pipitlink/router/output_writer.py
@@ -0,0 +1,101 @@
+"""Appends the outputs of items to the logs of their batches."""
+
+from enum import StrEnum
+
+from ..context import Context
+from ..errors import DeadlineExceeded, LeaseNotHeld, ReplicatedLogError, StaleEpoch
+from ..timers import ms, wall_ms
+from ..wire.lots_pb2 import Ended, LogRecord, Output
+from .batch_table import BatchListener, BatchTable
+from .interfaces import RoutesView
+from .owned_batch import OwnedBatch
+
+__all__ = ["ItemState", "OutputWriter"]
+
+# How long outputs wait for others to share their write, unless the batch is due within MIN_TIME_LEFT_MS.
+BATCHING_DELAY = ms(100)
+MIN_TIME_LEFT_MS = 2000
+LEASE_CHECK_INTERVAL = ms(100)
+
+
+class ItemState(StrEnum):
+    """How an item has ended, as it stands in the log."""
+
+    DONE = "done"
+    ABANDONED = "abandoned"
+
+
+class OutputWriter(BatchListener):
+    """Decides on the output of each item, and appends outputs to the log with all that have come by then."""
+
+    def __init__(self, ctx: Context, routes: RoutesView, table: BatchTable) -> None:
+        self._ctx = ctx
+        self._routes = routes
+        self._table = table
+
+    def batch_adopted(self, batch: OwnedBatch) -> None:
+        """Ends a batch whose items are all finished."""
+        if batch.all_finished():
+            self._start_writing(batch)
+
+    def finish_item(self, batch: OwnedBatch, index: int, state: ItemState, text: bytes = b"") -> None:
+        """Takes the output of an item; the first one of each item stands."""
+        if index in batch.finished:
+            return
+        batch.finished.add(index)
+        batch.unfinished_tokens -= batch.content.items[index].tokens
+        if index in batch.waiting:
+            batch.waiting.remove(index)
+        batch.calls.pop(index, None)
+        batch.pending_outputs.append(Output(item=index, state=state.value, text=text))
+        if state == ItemState.ABANDONED and index in batch.running:
+            batch.running[index].cancel()
+        self._start_writing(batch)
+
+    def _start_writing(self, batch: OwnedBatch) -> None:
+        if not batch.is_writing:
+            batch.is_writing = True
+            self._ctx.run_in_background(self._write(batch), "flush_batch")
+
+    def _may_delay(self, batch: OwnedBatch) -> bool:
+        """Returns whether outputs may wait for others: not if none comes soon, nor if time is short."""
+        content = batch.content
+        route = self._routes().get(content.route)
+        if route is None or not batch.running or self._table.is_closing:
+            return False
+        time_left_ms = content.taken_ms + route.due_ms - wall_ms(self._ctx.timers.utc_now())
+        return time_left_ms > MIN_TIME_LEFT_MS
+
+    async def _write(self, batch: OwnedBatch) -> None:
+        try:
+            if self._may_delay(batch):
+                await self._ctx.timers.sleep(BATCHING_DELAY)
+            await self._write_pending(batch)
+        except ReplicatedLogError as error:
+            self._give_up(batch, error)
+        finally:
+            batch.is_writing = False
+
+    async def _write_pending(self, batch: OwnedBatch) -> None:
+        leaseholder = batch.leaseholder
+        while not leaseholder.lost and not leaseholder.final and (batch.pending_outputs or batch.all_finished()):
+            if not leaseholder.is_held():
+                await self._ctx.timers.sleep(LEASE_CHECK_INTERVAL)
+                continue
+            outputs, batch.pending_outputs = batch.pending_outputs, []
+            records = [LogRecord(output=output).SerializeToString() for output in outputs]
+            is_final = batch.all_finished()
+            if is_final:
+                records.append(LogRecord(ended=Ended(reason="done")).SerializeToString())
+            try:
+                await leaseholder.append(records, final=is_final, reserved=True)
+            except DeadlineExceeded:
+                await batch.wait_durable()
+
+    def _give_up(self, batch: OwnedBatch, error: ReplicatedLogError) -> None:
+        """Gives up the lease after outputs could not be appended; the next owner finishes the batch."""
+        leaseholder = batch.leaseholder
+        if not isinstance(error, (StaleEpoch, LeaseNotHeld)):
+            self._ctx.logger.failure("output_write_failed", error, batch=batch.id)
+        if not leaseholder.lost and not leaseholder.final:
+            leaseholder.invalidate("outputs could not be listed")
--- /dev/null
+++ b/pipitlink/router/readiness.py
@@ -0,0 +1,26 @@
+"""The HTTP resource by which load balancers see whether a gateway takes requests."""
+
+from collections.abc import Callable
+from typing import Any
+
+from twisted.web import resource
+from twisted.web.server import Request
+
+from ..web import send_json
+
+__all__ = ["ReadinessResource"]
+
+
+class ReadinessResource(resource.Resource):
+    """Tells at every path whether the gateway takes requests, and the details that `readiness` returns."""
+
+    isLeaf = True  # noqa: N815 - twisted's interface
+
+    def __init__(self, readiness: Callable[[], tuple[bool, dict[str, Any]]]) -> None:
+        super().__init__()
+        self._readiness = readiness
+
+    def render(self, request: Request) -> Any:
+        """Answers 200 where the gateway is ready, 503 where it is not."""
+        is_ready, details = self._readiness()
+        return send_json(request, {"ready": is_ready, **details}, 200 if is_ready else 503)
--- /dev/null
+++ b/pipitlink/router/response_stream.py
@@ -0,0 +1,89 @@
+"""The body of an engine's response on its way to the sink of its call."""
+
+from http import HTTPStatus
+
+from twisted.internet import defer, protocol
+from twisted.python.failure import Failure
+
+from ..errors import EngineError
+from .call import Call, CallState
+from .engine_connection import EngineConnection, Response, ResponseDone
+from .engine_registry import EngineSlot
+from .server_sent_events import EventStream
+
+__all__ = ["DiscardedBody", "ResponseStream"]
+
+
+class ResponseStream(protocol.Protocol):
+    """Passes the body of a response to the sink of its call, as it comes; of a resumable stream only whole events.
+
+    `finished` fires with None once the body is complete, or with the error that ended it.
+    """
+
+    def __init__(self, call: Call, connection: EngineConnection, response: Response, slot: EngineSlot) -> None:
+        self._call = call
+        self._connection = connection
+        self._response = response
+        self._slot = slot
+        self._is_failing = False
+        has_events = call.is_resumable and response.code == HTTPStatus.OK
+        self._events = EventStream(call.last_event) if has_events else None
+        self.finished: defer.Deferred[None] = defer.Deferred()
+
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
+        """Takes the next bytes of the body."""
+        if self.finished.called or self._is_failing:
+            return
+        try:
+            self._slot.prefill_done()
+            if self._events is None:
+                self._pass_on(data)
+            else:
+                self._pass_on_events(self._events, data)
+        except Exception as error:
+            self._fail(error)
+
+    def _pass_on_events(self, events: EventStream, data: bytes) -> None:
+        for event in events.feed(data):
+            self._pass_on(event)
+            self._call.last_event = events.last_id
+
+    def _pass_on(self, data: bytes) -> None:
+        self._pass_on_head()
+        if self._call.state != CallState.RESPONDING:
+            self._call.trigger("receive")
+        self._call.sink.data(data)
+
+    def _pass_on_head(self) -> None:
+        if not self._call.head_passed:
+            self._call.head_passed = True
+            self._call.sink.head(self._response)
+
+    def _fail(self, error: Exception) -> None:
+        self._is_failing = True
+        self._connection.discard()
+        self.finished.errback(error)
+
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - twisted's interface
+        """Takes the end of the body, which is only complete where `reason` is ResponseDone."""
+        if self.finished.called or self._is_failing:
+            return
+        if not reason.check(ResponseDone):
+            self.finished.errback(EngineError("the engine's answer was cut short", code="cut_short"))
+        elif self._events is not None and not self._events.is_complete:
+            self.finished.errback(EngineError("the engine's answer ended inside an event", code="cut_short"))
+        else:
+            self._pass_on_head()
+            self.finished.callback(None)
+
+
+class DiscardedBody(protocol.Protocol):
+    """Takes a body that nobody is shown; `finished` fires at its end, if it was not fired before."""
+
+    def __init__(self) -> None:
+        self.finished: defer.Deferred[None] = defer.Deferred()
+
+    def connectionLost(self, _reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - twisted's interface
+        """Takes the end of the body."""
+        if not self.finished.called:
+            self.finished.callback(None)
--- /dev/null
+++ b/pipitlink/router/server_sent_events.py
@@ -0,0 +1,61 @@
+"""Parsing of server-sent events."""
+
+from ..errors import EngineError
+
+__all__ = ["EventStream", "MAX_EVENT_BYTES", "event_data", "event_id"]
+
+MAX_EVENT_BYTES = 1024 * 1024
+
+
+class EventStream:
+    """Splits a stream of server-sent events into complete events.
+
+    `last_id` is the id of the last event that was taken, or 0; ids have to follow on each other.
+    """
+
+    def __init__(self, last_id: int = 0) -> None:
+        self._rest = b""
+        self.last_id = last_id
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """Returns the events that are complete with these bytes, each with its closing blank line.
+
+        Raises EngineError where an event is missing or too long.
+        """
+        self._rest += data
+        events = []
+        while (end := self._rest.find(b"\n\n")) >= 0:
+            event, self._rest = self._rest[: end + 2], self._rest[end + 2 :]
+            self._check_id(event)
+            events.append(event)
+        if len(self._rest) > MAX_EVENT_BYTES:
+            raise EngineError("an event is too long", code="bad_answer")
+        return events
+
+    def _check_id(self, event: bytes) -> None:
+        number = event_id(event)
+        if number is None:
+            return
+        if number != self.last_id + 1:
+            raise EngineError(f"event {number} came after event {self.last_id}", code="bad_answer")
+        self.last_id = number
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether the stream so far ends with a complete event."""
+        return not self._rest
+
+
+def event_id(event: bytes) -> int | None:
+    """Returns the number of an event, from its id line; None where it has none that is a number."""
+    for line in event.split(b"\n"):
+        if line.startswith(b"id:"):
+            value = line[3:].strip()
+            return int(value) if value.isdigit() else None
+    return None
+
+
+def event_data(event: bytes) -> bytes:
+    """Returns the data of one event: its data lines, joined by line feeds."""
+    lines = [line[5:] for line in event.split(b"\n") if line.startswith(b"data:")]
+    return b"\n".join(line[1:] if line.startswith(b" ") else line for line in lines)
--- /dev/null
+++ b/pipitlink/router/slow_start.py
@@ -0,0 +1,72 @@
+"""Slow start: limits the rate at which engines that are warming up get requests."""
+
+from datetime import timedelta
+
+from ..context import Context
+from ..rendezvous import rank
+from ..timers import ms
+from .engine import Engine
+
+__all__ = ["SlowStart"]
+
+# Each gateway may have saved up one request, so the most that an engine gets at once grows with their number.
+MAX_GATEWAYS = 8
+# Left unused, since the gateways' clocks and the engine's differ a little.
+RATE_FRACTION = 0.9
+
+
+class SlowStart:
+    """Admits requests to engines that are warming up, by a token bucket for each of them.
+
+    An engine warms up for a while after its start, and after its zone was put back into service. Its rate is divided
+    among a few gateways; all who know the same gateways agree on which.
+    """
+
+    def __init__(self, ctx: Context) -> None:
+        self._ctx = ctx
+        self._restored_zones: dict[str, timedelta] = {}
+        self._empty_zones: frozenset[str] = frozenset()
+
+    def open(self) -> None:
+        """Begins to follow which zones are in service."""
+        self._ctx.cluster.add_listener(self._on_cluster_state)
+
+    def _on_cluster_state(self) -> None:
+        now = self._ctx.timers.now()
+        empty_zones = frozenset(self._ctx.cluster.cluster_state.empty_zones)
+        for zone in self._empty_zones - empty_zones:
+            self._restored_zones[zone] = now
+        self._empty_zones = empty_zones
+
+    def is_warming_up(self, engine: Engine) -> bool:
+        """Returns whether an engine is warming up."""
+        now = self._ctx.timers.now()
+        if engine.warming_until > now:
+            return True
+        restored_at = self._restored_zones.get(engine.update.zone)
+        pool = self._ctx.cluster.cluster_state.routes.pools.get(engine.update.pool)
+        return restored_at is not None and pool is not None and now - restored_at < ms(pool.warmup_ms)
+
+    def admits(self, engine: Engine) -> bool:
+        """Returns whether an engine may be sent one more request now, which an EngineSlot then counts."""
+        pool = self._ctx.cluster.cluster_state.routes.pools.get(engine.update.pool)
+        if pool is None or not pool.slow_start_rate or not self.is_warming_up(engine):
+            return True
+        gateways = self._gateways_of(engine)
+        if self._ctx.node not in gateways:
+            return False
+        now = self._ctx.timers.now()
+        rate = RATE_FRACTION * pool.slow_start_rate / len(gateways)
+        elapsed = now - engine.slow_start_refilled_at
+        engine.slow_start_tokens = min(1.0, engine.slow_start_tokens + rate * elapsed.total_seconds())
+        engine.slow_start_refilled_at = now
+        return engine.slow_start_tokens >= 1.0
+
+    def _gateways_of(self, engine: Engine) -> frozenset[str]:
+        """Returns the gateways that may send to an engine while it warms up."""
+        candidates = tuple(member.node for member in self._ctx.membership.members("gateway"))
+        if engine.slow_start_candidates != candidates:
+            ranked = sorted(candidates, key=lambda node: rank(engine.name, node), reverse=True)
+            engine.slow_start_candidates = candidates
+            engine.slow_start_gateways = frozenset(ranked[:MAX_GATEWAYS])
+        return engine.slow_start_gateways
--- /dev/null
+++ b/pipitlink/router/waiting_tokens.py
@@ -0,0 +1,196 @@
+"""The tokens of all unfinished batches, as the gateways report them."""
+
+from collections.abc import Iterable
+from datetime import timedelta
+from typing import NamedTuple
+
+import attrs
+
+from ..context import Context
+from ..timers import secs
+from ..wire.membership_pb2 import Loads, WaitingLot
+from .batch_table import BatchListener, BatchTable
+from .gateway_watch import GatewayWatch
+from .owned_batch import OwnedBatch
+
+__all__ = ["ReportedBatch", "RouteBacklog", "TokenGrant", "TokenReservation", "WaitingTokens"]
+
+# How long a list of the open logs may lack a batch that was reported, since it was asked for before.
+LISTING_DELAY = secs(1)
+# How long the end of a batch is reported, so that each gateway hears of it.
+REPORT_FINISHED_FOR = secs(3)
+
+
+@attrs.define
+class ReportedBatch:
+    """The unfinished tokens of a batch, as its owner last reported; without a gateway where nobody does now."""
+
+    route: str
+    tokens: int
+    gateway: str
+    reported_at: timedelta
+
+
+class TokenReservation(NamedTuple):
+    """Tokens of a route that were granted for a batch which this gateway takes in."""
+
+    route: str
+    tokens: int
+
+
+class TokenGrant(NamedTuple):
+    """Tokens of a route that this gateway, as its coordinator, has granted for a batch."""
+
+    route: str
+    tokens: int
+    valid_until: timedelta
+
+
+class RouteBacklog(NamedTuple):
+    """The unfinished tokens of a route: of this gateway's batches, and of all that are reported."""
+
+    own_tokens: int
+    total_tokens: int
+
+
+class _FinishedBatch(NamedTuple):
+    route: str
+    report_until: timedelta
+
+
+class _ReportContent(NamedTuple):
+    """To whom this gateway reported last, and the tokens of each batch in the report."""
+
+    gateways: frozenset[str]
+    tokens: dict[str, int]
+
+
+class WaitingTokens(BatchListener):
+    """The unfinished tokens of each batch, of this gateway and of its peers.
+
+    Owners report theirs along with their loads, so that every gateway has the count. `reservations` are this gateway's
+    own grants for batches that it is taking in, `grants` those that it gave out and that are not reported yet.
+    `uncounted` are open batches that nobody has reported, and since when they are known.
+    """
+
+    def __init__(self, ctx: Context, table: BatchTable, gateway_watch: GatewayWatch) -> None:
+        self._ctx = ctx
+        self._table = table
+        self._gateway_watch = gateway_watch
+        self.reported: dict[str, ReportedBatch] = {}
+        self.uncounted: dict[str, timedelta] = {}
+        self.grants: dict[str, TokenGrant] = {}
+        self.reservations: dict[str, TokenReservation] = {}
+        self._finished: dict[str, _FinishedBatch] = {}
+        self._last_report = _ReportContent(frozenset(), {})
+        self.listed_at: timedelta | None = None
+
+    def batch_closed(self, batch: OwnedBatch) -> None:
+        """Reports for a while that nothing waits of a batch."""
+        report_until = self._ctx.timers.now() + REPORT_FINISHED_FOR
+        self._finished[batch.id] = _FinishedBatch(batch.content.route, report_until)
+
+    def own_report(self) -> list[WaitingLot]:
+        """Returns what this gateway reports: its reservations, batches that have ended, and its batches."""
+        now = self._ctx.timers.now()
+        entries = {
+            batch_id: WaitingLot(lot=batch_id, route=reservation.route, tokens=reservation.tokens)
+            for batch_id, reservation in self.reservations.items()
+        }
+        for batch_id, finished in list(self._finished.items()):
+            if finished.report_until <= now:
+                del self._finished[batch_id]
+            else:
+                entries[batch_id] = WaitingLot(lot=batch_id, route=finished.route)
+        for batch_id, batch in self._table.batches.items():
+            if not batch.leaseholder.lost:
+                tokens = 0 if batch.leaseholder.final else batch.unfinished_tokens
+                entries[batch_id] = WaitingLot(lot=batch_id, route=batch.content.route, tokens=tokens)
+        return list(entries.values())
+
+    def fill_report(self, report: Loads) -> bool:
+        """Adds the own report; returns whether any of it is new, or there are gateways that did not get the last."""
+        self._gateway_watch.check()
+        entries = self.own_report()
+        report.lots.extend(entries)
+        content = _ReportContent(self._gateway_watch.gateways, {entry.lot: entry.tokens for entry in entries})
+        last, self._last_report = self._last_report, content
+        return bool(entries or last.tokens) and content != last
+
+    def absorb_report(self, report: Loads) -> None:
+        """Takes in the report of another gateway."""
+        self.record(report.gateway, report.lots)
+
+    def record(self, gateway: str, entries: Iterable[WaitingLot]) -> None:
+        """Takes in all that a gateway reports; what it reported before and does now not has no owner that reports."""
+        now = self._ctx.timers.now()
+        names = set()
+        for entry in entries:
+            names.add(entry.lot)
+            self.reported[entry.lot] = ReportedBatch(entry.route, entry.tokens, gateway, now)
+            self.grants.pop(entry.lot, None)
+            self.uncounted.pop(entry.lot, None)
+        for batch_id, reported in self.reported.items():
+            if reported.gateway == gateway and batch_id not in names:
+                reported.gateway, reported.reported_at = "", now
+
+    def count(self, batch_id: str, route: str, tokens: int) -> None:
+        """Counts a batch that nobody reports."""
+        self.reported[batch_id] = ReportedBatch(route, tokens, "", self._ctx.timers.now())
+        del self.uncounted[batch_id]
+
+    def apply_listing(self, names: set[str], started_at: timedelta, is_complete: bool) -> None:
+        """Takes in a list of the open batches: which nobody has reported yet and, where it is complete, which ended."""
+        now = self._ctx.timers.now()
+        self.uncounted = {
+            batch_id: self.uncounted.get(batch_id, now)
+            for batch_id in names
+            if batch_id not in self.reported and batch_id not in self._table.batches
+        }
+        if not is_complete:
+            return
+        self.listed_at = started_at
+        for batch_id, reported in list(self.reported.items()):
+            if self._has_lost_reporter(reported):
+                reported.gateway, reported.reported_at = "", now
+            is_unreported = not reported.gateway or not reported.tokens
+            if batch_id not in names and is_unreported and started_at - reported.reported_at >= LISTING_DELAY:
+                del self.reported[batch_id]
+
+    def _has_lost_reporter(self, reported: ReportedBatch) -> bool:
+        gateway = reported.gateway
+        if not gateway or gateway == self._ctx.node:
+            return False
+        return self._ctx.membership.status(gateway) in ("gone", "unknown")
+
+    def drop_expired_grants(self) -> None:
+        """Drops the grants that are not valid any more."""
+        now = self._ctx.timers.now()
+        for batch_id in [batch_id for batch_id, grant in self.grants.items() if grant.valid_until <= now]:
+            del self.grants[batch_id]
+
+    def committed_tokens(self, route: str, except_batch: str) -> int:
+        """Returns the tokens of a route that are reported or granted, but for one batch."""
+        reported = sum(
+            batch.tokens
+            for batch_id, batch in self.reported.items()
+            if batch.route == route and batch_id != except_batch
+        )
+        granted = sum(
+            grant.tokens for batch_id, grant in self.grants.items() if grant.route == route and batch_id != except_batch
+        )
+        return reported + granted
+
+    def backlog(self, route: str) -> RouteBacklog:
+        """Returns the unfinished tokens of a route."""
+        own = sum(
+            batch.unfinished_tokens
+            for batch in self._table.batches.values()
+            if not batch.leaseholder.lost and batch.content.route == route
+        )
+        others = sum(
+            reported.tokens
+            for batch_id, reported in self.reported.items()
+            if reported.route == route and batch_id not in self._table.batches
+        )
+        return RouteBacklog(own, own + others)
--- a/tests/answer_scenes.py
+++ b/tests/answer_scenes.py
@@ -5,7 +5,7 @@
 import attrs
 from twisted.internet import defer
 
-from pipitlink.router.items import ItemCall
+from pipitlink.router.item_runner import ItemCall
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Pool
 
@@ -74,13 +74,13 @@
         self._to_come = callers
         self._moments = moments
         if slow_connects:
-            self.rig.node.links._connect = self._connect_later
+            self.rig.node.connections._connect = self._connect_later
         self.rig.pass_time(10)
         self._ask()
 
     def _announce(self):
         for name in self.names:
-            if self.rig.node.engines._engines.get(name) or name not in self.rig.node.engines._ended:
+            if self.rig.node.engines.get(name) or not self.rig.node.engines.is_gone(name):
                 self.rig.engine(name)
 
     def _connect_later(self, link):
@@ -172,7 +172,7 @@
 
     def _idle_events(self) -> list:
         out = []
-        for link in [link for links in self.rig.node.links._idle.values() for link in links]:
+        for link in self.rig.node.connections.idle_connections():
             x = self._earlier(link)
             if x is not None and "idle" not in self._once:
                 out.append((f"{x.n} extra", lambda x=x: self._extra(x)))
@@ -187,7 +187,7 @@
         ]
 
     def _served(self, c) -> bool:
-        return any(call.id == c.call_id.encode() for call in self.rig.node.calls)
+        return any(call.id == c.call_id.encode() for call in self.rig.node.relay.calls)
 
     def _leave(self, c):
         c.left = True
@@ -322,7 +322,7 @@
     """An item of a batch, tried until it is whole or a few tries were made; it may run more than once."""
 
     def __init__(self, engines: int = 2):
-        self.item = ItemCall(id="c1", route=ROUTES["resumable"], path="/a/x", headers=[], body=b"b", tokens=1)
+        self.item = ItemCall(id="c1", route=ROUTES["resumable"], path="/a/x", headers=[], body=b"b", token_count=1)
         self.answers: list = []
         self.tries = 0
         self._not_run: list[Exchange] = []
@@ -334,14 +334,14 @@
         self.tries += 1
         self._collect()
         self._tried_from = len(self.exchanges)
-        spawn(self.rig.node.run_item(self.item)).addCallback(self._answered)
+        spawn(self.rig.node.items.run(self.item)).addCallback(self._answered)
 
     def _answered(self, answer):
         self.answers.append(answer)
         self._collect()
         if answer.not_run:
             self._not_run += self.exchanges[self._tried_from :]
-        if not answer.complete and answer.status != 500 and self.tries < 4:
+        if not answer.is_complete and answer.status != 500 and self.tries < 4:
             self.rig.clock.callLater(0.01, self._ask)
 
     def check(self):
@@ -349,6 +349,6 @@
         texts = [f"<c1.{n}>".encode() for n in range(1, EVENTS + 1)]
         assert self.item.texts == texts[: len(self.item.texts)], f"ORDER: {self.item.texts}"
         for answer in self.answers:
-            assert not answer.complete or self.item.texts == texts, f"MIXED: whole after {self.item.texts}"
+            assert not answer.is_complete or self.item.texts == texts, f"MIXED: whole after {self.item.texts}"
             assert answer.status in (0, 200, 500), f"MIXED: {answer}"
         assert all(x.refused for x in self._not_run), "REFUSED: a try that may have run was told as not run"
--- a/tests/batch_parts.py
+++ b/tests/batch_parts.py
@@ -5,15 +5,12 @@
 
 from twisted.internet import defer
 
-from pipitlink.dialect import Dialect
 from pipitlink.errors import PipitlinkError
-from pipitlink.router.batch_intake import BatchIntake
-from pipitlink.router.batch_read import BatchRead
-from pipitlink.router.batch_run import BatchRun
-from pipitlink.router.batches import Batches
-from pipitlink.router.engines import Engines
-from pipitlink.router.items import ItemAnswer
-from pipitlink.router.quota import Quota
+from pipitlink.router.batch_calls import Submission
+from pipitlink.router.batch_service import BatchService
+from pipitlink.router.engine_registry import EngineRegistry
+from pipitlink.router.item_runner import ItemResult
+from pipitlink.router.load_exchange import LoadExchange
 from pipitlink.timers import ms, secs
 from pipitlink.wire.cluster_pb2 import Route
 from rehearsal.stage import Stage
@@ -42,34 +39,41 @@
     return "\n".join(f"{item} event {n}" for n in range(1, EVENTS + 1))
 
 
-class BatchGateway(Quota, BatchIntake, BatchRun, BatchRead, Batches):
+class BatchGateway:
     """What a gateway does for batches; an item's path says how engines answer it."""
 
     stage = None
 
     def __init__(self, ctx):
         self._ctx = ctx
-        self.engines = Engines(ctx)
-        self.dialect = Dialect()
+        self.engines = EngineRegistry(ctx)
+        self.loads = LoadExchange(ctx, self.engines)
+        self.service = BatchService(ctx, self.engines, self.loads, self, self, lambda: self.stage.routes)
         self.busy = 0
         self.places = 6
 
     def open(self):
         self.engines.open()
-        self._open_batches()
+        self.loads.open()
+        self.service.open()
 
-    def _batch_routes(self):
-        return self.stage.routes
+    @property
+    def batches(self):
+        return self.service.table.batches
 
-    def batch_room(self, route):
+    def available(self, route, backlog):
         return self.places - self.busy
 
-    async def run_item(self, call):
+    def submit(self, route, path, name, raw, span):
+        """Hands a batch in, `span` before its deadline."""
+        return self.service.submit(Submission(route, "h", path, name, raw, self._ctx.timers.now() + span))
+
+    async def run(self, call):
         self.busy += 1
         stage = self.stage
         try:
             await self._ctx.timers.sleep(ms(stage.rng.choice((1, 5, 40, 300))))
-            call.still()
+            call.precondition()
             stage.runs.append(
                 {
                     "at": stage.clock.seconds(),
@@ -84,15 +88,15 @@
             for word, status in (("/422", 422), ("/500", 500), ("/503", 503)):
                 if call.path.endswith(word):
                     await self._ctx.timers.sleep(ms(20))
-                    return ItemAnswer(status=status, not_run=status == 503)
+                    return ItemResult(status=status, not_run=status == 503)
             for n in range(call.last_event + 1, EVENTS + 1):
                 await self._ctx.timers.sleep(stage.step)
                 if stage.rng.random() < stage.breaks:
-                    return ItemAnswer(status=200)
+                    return ItemResult(status=200)
                 call.texts.append(f"{call.id} event {n}".encode())
                 call.last_event = n
             stage.finished.append({"at": stage.clock.seconds(), "item": call.id})
-            return ItemAnswer(status=200, complete=True)
+            return ItemResult(status=200, is_complete=True)
         finally:
             self.busy -= 1
 
@@ -148,7 +152,8 @@
             return 0, {}, b""
         life = g.lives
         try:
-            return await self.timers.with_timeout(secs(limit), do(g.part))
+            response = await self.timers.with_timeout(secs(limit), do(g.part))
+            return response.status, response.headers, response.body
         except (PipitlinkError, defer.CancelledError):
             return 0, {}, b""
         except RuntimeError:
@@ -159,16 +164,16 @@
     async def hand_in(self, name, gateway=None, limit=3.0, row="bulk"):
         raw = json.dumps({"items": self.items[name]}).encode()
         r = self.stage.routes[row]
-        status, headers, _ = await self.ask(
-            lambda p: p.take_batch(r, "h", f"/{row}/", name, raw, p._ctx.timers.now() + secs(limit)), gateway, limit + 1
-        )
+        status, _, _ = await self.ask(lambda p: p.submit(r, f"/{row}/", name, raw, secs(limit)), gateway, limit + 1)
         if status == 202:
             self.taken.setdefault(name, self.stage.clock.seconds())
         return status
 
     async def read(self, name, start=0, wait=0, gateway=None):
         asked = self.stage.clock.seconds()
-        status, _, body = await self.ask(lambda p: p.read_batch(name, start, ms(wait)), gateway, 6 + wait / 1000)
+        status, _, body = await self.ask(
+            lambda p: p.service.reader.read_outputs(name, start, ms(wait)), gateway, 6 + wait / 1000
+        )
         if status != 200:
             if status in (404, 410) and asked - self.taken.get(name, asked) > 0:
                 self.wrong.append(f"{asked:.3f} {name}: {status} though it was taken")
@@ -195,14 +200,14 @@
 
     async def body(self, name, n, gateway=None):
         item = self.items[name][n]
-        status, _, body = await self.ask(lambda p: p.read_item(name, item["id"]), gateway)
+        status, _, body = await self.ask(lambda p: p.service.reader.read_item(name, item["id"]), gateway)
         if status == 200 and body != base64.b64decode(item["body"]):
             self.wrong.append(f"{name}: the body of {item['id']} came back wrong")
         return status
 
     async def end(self, name, gateway=None):
         self.ended.setdefault(name, float("inf"))
-        status, _, _ = await self.ask(lambda p: p.end_batch(name), gateway, 10)
+        status, _, _ = await self.ask(lambda p: p.service.canceller.cancel(name), gateway, 10)
         if status == 200:
             self.ended[name] = min(self.ended[name], self.stage.clock.seconds())
         return status
--- a/tests/router_parts.py
+++ b/tests/router_parts.py
@@ -12,12 +12,15 @@
 
 from pipitlink.cluster.routes import RouteTable
 from pipitlink.dialect import Dialect
-from pipitlink.router.choosing import Choosing
-from pipitlink.router.engines import Engines
-from pipitlink.router.front import Front, _Factory
-from pipitlink.router.items import Items
-from pipitlink.router.links import Links
-from pipitlink.router.relay import Relay
+from pipitlink.router.call_relay import CallRelay
+from pipitlink.router.connection_pool import ConnectionPool
+from pipitlink.router.engine_registry import EngineRegistry
+from pipitlink.router.engine_selector import EngineSelector
+from pipitlink.router.http_frontend import HttpFrontend
+from pipitlink.router.inbound_request import CallerFactory
+from pipitlink.router.item_runner import ItemRunner
+from pipitlink.router.load_exchange import LoadExchange
+from pipitlink.router.slow_start import SlowStart
 from pipitlink.settings import Settings
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms
@@ -90,18 +93,22 @@
             self.protocol.connectionLost(Failure(ConnectionDone()))
 
 
-class _Node(Front, Choosing, Relay, Items):
+class _Node:
+    """The live path of a gateway, without batches."""
+
     def __init__(self, ctx, rig):
-        self._ctx = ctx
-        self.engines = Engines(ctx)
-        self.links = Links(ctx, rig.connect)
-        self._open_front()
+        self.engines = EngineRegistry(ctx)
+        self.slow_start = SlowStart(ctx)
+        self.loads = LoadExchange(ctx, self.engines)
+        self.connections = ConnectionPool(ctx, rig.connect)
+        self.selector = EngineSelector(ctx, self.engines, self.slow_start, self.connections)
+        self.relay = CallRelay(ctx, self.engines, self.selector, self.connections)
+        self.items = ItemRunner(ctx, self.relay)
+        self.frontend = HttpFrontend(ctx, self.relay, None)
         self.engines.open()
-        self._open_choosing()
-        self._open_relay()
-
-    def current(self):
-        return True
+        self.slow_start.open()
+        self.loads.open()
+        self.relay.open()
 
 
 class Rig:
@@ -145,7 +152,6 @@
             settings=Settings(zone="zone-a"),
             logger=StructuredLogger(SimpleNamespace(log=lambda level, shape, line: self.lines.append(line))),
             error_reporter=lambda what: lambda e: self.lines.append(f"{what} {e!r}"),
-            engines=None,
         )
 
         def run_in_background(work, what):
@@ -178,7 +184,7 @@
                 slow_start_ms=cold_ms,
             )
         )
-        return self.node.engines._engines.get(name)
+        return self.node.engines.get(name)
 
     def connect(self, link):
         if link.address in self.refusing:
@@ -210,7 +216,7 @@
         return got[0]
 
     def caller(self):
-        channel = _Factory(self.node, self.clock).buildProtocol(None)
+        channel = CallerFactory(self.node.frontend, self.clock).buildProtocol(None)
         t = _Transport()
         t.protocol = channel
         channel.makeConnection(t)
--- a/tests/test_announcing.py
+++ b/tests/test_announcing.py
@@ -2,7 +2,8 @@
 
 import unittest
 
-from pipitlink.router.engines import Engines
+from pipitlink.router.engine_registry import EngineRegistry
+from pipitlink.router.load_exchange import LoadExchange
 from pipitlink.wire.membership_pb2 import EngineList
 from rehearsal.stage import Stage
 
@@ -274,8 +275,9 @@
         self.stage.run(1)
 
     def list_of(self, gateway):
-        engines = Engines(gateway.ctx)
+        engines = EngineRegistry(gateway.ctx)
         engines.open()
+        LoadExchange(gateway.ctx, engines).open()
         return engines
 
     def tell(self, sequence, state="ready", controller=None):
--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -6,16 +6,17 @@
 
 import attrs
 
-from pipitlink.router import relay
+from pipitlink.router import engine_exchange, response_stream
 from pipitlink.router.call import Call
-from pipitlink.router.front import Inbound
-from pipitlink.router.links import Links
-from pipitlink.router.relay import Relay
+from pipitlink.router.call_relay import CallRelay
+from pipitlink.router.connection_pool import ConnectionPool
+from pipitlink.router.engine_exchange import EngineExchange
+from pipitlink.router.inbound_request import InboundRequest
 from rehearsal.interleave import explore_events, walk_events
 
 from .answer_scenes import ROUTES, AnswerScene, ItemScene
 
-_take = Links.take
+_take_idle = ConnectionPool.take_idle
 
 
 @attrs.frozen
@@ -34,39 +35,54 @@
 
 
 def _stop_without_mark(call, why):
-    if call.link is not None:
-        call.link.discard()
+    call.discard_connection()
 
 
 GUARDS = {
     "an answer counts by its id": Guard(
-        Relay, "_belongs", lambda *_: True, "MIXED", _live("mutating", engines=1, callers=2)
+        EngineExchange, "_belongs_to", lambda *_: True, "MIXED", _live("mutating", engines=1, callers=2)
     ),
     "an answer without an id counts only on a fresh connection": Guard(
-        Relay,
-        "_belongs",
+        EngineExchange,
+        "_belongs_to",
         lambda self, call, link, r: r.headers.getRawHeaders(b"x-request-id", (call.id,))[0] == call.id,
         "TWICE",
         _live("mutating", engines=2, callers=2),
     ),
     "a call goes once on a connection": Guard(
-        Links, "take", lambda self, address, _, fresh: _take(self, address, b"", fresh), "TWICE", _live("mutating")
+        ConnectionPool,
+        "take_idle",
+        lambda self, address, _, max_idle_time: _take_idle(self, address, b"", max_idle_time),
+        "TWICE",
+        _live("mutating"),
     ),
     "what may not repeat stays lost": Guard(
-        Relay, "_may_go_on", lambda self, call, f: call.tries < 4 and f.code != "no_room", "TWICE", _live("mutating")
+        CallRelay,
+        "_may_retry",
+        lambda self, call, f: call.attempts < 4 and f.code != "no_room",
+        "TWICE",
+        _live("mutating"),
     ),
     "a stream that may not resume stays lost": Guard(
-        Relay, "_may_go_on", lambda self, call, f: call.tries < 4 and f.code != "no_room", "TWICE", _live("stream")
+        CallRelay,
+        "_may_retry",
+        lambda self, call, f: call.attempts < 4 and f.code != "no_room",
+        "TWICE",
+        _live("stream"),
     ),
     "engines are counted, repeatable": Guard(Call, "budget_spent", False, "BUDGET", _live("idempotent")),
     "engines are counted, resumable": Guard(Call, "budget_spent", False, "BUDGET", _live("resumable")),
-    "a promise needs the engine's word": Guard(relay, "PROMISES", (), "REFUSED", _live("mutating")),
+    "a promise needs the engine's word": Guard(engine_exchange, "RETRYABLE_STATUSES", (), "REFUSED", _live("mutating")),
     "what may have run is told so": Guard(
-        Call, "reached", property(lambda _: False, lambda *_: None), "REFUSED", _live("idempotent", engines=1)
+        Call, "reached_engine", property(lambda _: False, lambda *_: None), "REFUSED", _live("idempotent", engines=1)
+    ),
+    "a cut answer is seen as cut": Guard(
+        response_stream, "ResponseDone", Exception, "MIXED", _live("mutating", engines=1)
+    ),
+    "a cut answer is passed on as cut": Guard(
+        InboundRequest, "abort_response", InboundRequest.complete, "ORDER", _live("stream", engines=1)
     ),
-    "a cut answer is seen as cut": Guard(relay, "ResponseDone", Exception, "MIXED", _live("mutating", engines=1)),
-    "a cut answer is passed on as cut": Guard(Inbound, "cut", Inbound.done, "ORDER", _live("stream", engines=1)),
-    "a caller that left ends its call": Guard(Call, "stop", _stop_without_mark, "UNASKED", _live("idempotent")),
+    "a caller that left ends its call": Guard(Call, "abort", _stop_without_mark, "UNASKED", _live("idempotent")),
 }
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -3,7 +3,7 @@
 import unittest
 
 from pipitlink.errors import LeaseNotHeld
-from pipitlink.router.items import ItemCall
+from pipitlink.router.item_runner import ItemCall
 from pipitlink.timers import spawn
 
 from .router_parts import END, Rig, chunk, event, head, route
@@ -66,8 +66,8 @@
     def test_a_connection_given_back_unused_has_rested_since_its_last_use(self):
         link = self.served()
         self.rig.clock.advance(2.9)
-        taken = self.rig.node.links.take(link.address)
-        self.rig.node._release(taken)
+        taken = self.rig.node.connections.take_idle(link.address)
+        self.rig.node.connections.give_back_unused(taken)
         self.rig.clock.advance(0.2)
         self.rig.ask("/once/x", call_id="c1")
         self.assertIsNot(self.rig.one()[1], link)
@@ -77,11 +77,13 @@
             raise LeaseNotHeld("the lease is gone")
 
         for n in range(3):
-            item = ItemCall(id=f"i{n}", route=RESUMABLE, path="/a/x", headers=[], body=b"b", tokens=1, still=still)
-            spawn(self.rig.node.run_item(item)).addErrback(lambda f: f.trap(LeaseNotHeld))
+            item = ItemCall(
+                id=f"i{n}", route=RESUMABLE, path="/a/x", headers=[], body=b"b", token_count=1, precondition=still
+            )
+            spawn(self.rig.node.items.run(item)).addErrback(lambda f: f.trap(LeaseNotHeld))
         self.assertEqual(self.rig.asked(), [])
-        links = self.rig.node.links
-        self.assertEqual(links.count("10.0.0.1:80"), links.idle("10.0.0.1:80"))
+        connections = self.rig.node.connections
+        self.assertEqual(connections.open_count("10.0.0.1:80"), connections.idle_count("10.0.0.1:80"))
 
 
 class UnmarkedAnswers(_Answers):
@@ -215,7 +217,7 @@
             self.rig.pass_time(450)
             self.rig.engine({"e1": "e2", "e2": "e1"}[name])
             link.dataReceived(chunk(event(n, "a")))
-        self.assertEqual(self.rig.node.engines.status(self.rig.node.engines._engines[name]), "silent")
+        self.assertEqual(self.rig.node.engines.status(self.rig.node.engines.get(name)), "silent")
         self.assertFalse(link.transport.gone)
         self.assertEqual(self.rig.asked(), [])
         self.rig.pass_time(1200)
@@ -335,7 +337,7 @@
     def test_a_body_is_kept_no_longer_than_it_may_be_sent_again(self):
         self.rig.ask("/once/x", body=b"b" * 1000)
         _, link, _ = self.rig.one()
-        (call,) = self.rig.node.calls
+        (call,) = self.rig.node.relay.calls
         self.assertEqual(len(call.body), 1000)
         link.dataReceived(head("c1", length=4) + b"an")
         self.assertEqual(call.body, b"")
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -208,7 +208,7 @@
         self.assertEqual(stage.do(c.hand_in(name, owner)), 202)
         stage.run(2)
         other = c.lot(2)
-        stage.do(owner.part._end_batches())
+        stage.do(owner.part.service.table.drain())
         self.assertEqual(stage.do(c.hand_in(other, owner)), 202)
         left = stage.clock.seconds()
         owner.kill()
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -13,8 +13,8 @@
 from pipitlink.cache.tail import Tail
 from pipitlink.disk import encode_frame
 from pipitlink.errors import StorageFull
-from pipitlink.router.batch_read import BatchRead, _Reader
-from pipitlink.router.batches import batch_log, head_of
+from pipitlink.router.batch_follower import BatchFollower
+from pipitlink.router.batch_progress import batch_head, batch_log
 from pipitlink.timers import Timers, ms, spawn
 from pipitlink.wire.lots_pb2 import Batch, BatchItem, Ended, LogRecord, Output
 
@@ -79,7 +79,7 @@
         """A log that the first gateway holds and does nothing with."""
         gateway = stage.role("gateway")[0]
         for a in stage.role("gateway"):
-            a.part._taking_up_batches.add(name)
+            a.part.service.adopter.adopting.add(name)
         h = stage.do(gateway.ctx.replicated_log.acquire(batch_log(name)))
         for records in groups:
             stage.do(h.append([r.SerializeToString() for r in records]))
@@ -93,8 +93,8 @@
                 self.assertEqual(stage.do(c.hand_in(name, stage.role("gateway")[0])), 202)
                 stage.until(lambda: c.whole(name), 30, "all is listed")
                 for a in stage.role("gateway")[1:]:
-                    for b, r in list(a.part._batch_readers.items()):
-                        a.part._drop_batch_reader(b, r)
+                    for b, r in list(a.part.service.followers.followers.items()):
+                        a.part.service.followers.drop(b, r)
                     got = self.count(a)
                     status, doc = stage.do(c.read(name, gateway=a))
                     self.assertEqual((status, len(doc["outputs"])), (200, 40))
@@ -140,7 +140,7 @@
         stage.until(lambda: c.whole(name), 60, "all is listed")
         for a in stage.role("gateway"):
             self.assertEqual([stage.do(c.body(name, n, a)) for n in (0, 20, 39)], [200] * 3)
-            status, _, _ = stage.do(c.ask(lambda p: p.read_item(name, "nothing"), a))
+            status, _, _ = stage.do(c.ask(lambda p: p.service.reader.read_item(name, "nothing"), a))
             self.assertEqual(status, 404)
         self.assertEqual(c.wrong, [])
 
@@ -185,7 +185,7 @@
         stage, c = self.stage(9)
         name = self.large(c)
         batch = self.batch(c, name)
-        h = self.held(stage, name, [LogRecord(head=head_of(batch))])
+        h = self.held(stage, name, [LogRecord(head=batch_head(batch))])
         for a in stage.role("gateway"):
             self.assertEqual(stage.do(c.read(name, gateway=a))[0], 503)
             self.assertEqual(stage.do(c.body(name, 0, a)), 503)
@@ -203,11 +203,11 @@
             with self.subTest(items=items):
                 stage, c = self.stage(10)
                 name = self.large(c, 3)
-                h = self.held(stage, name, [LogRecord(head=head_of(self.batch(c, name)))])
+                h = self.held(stage, name, [LogRecord(head=batch_head(self.batch(c, name)))])
                 stage.do(stage.role("gateway")[0].ctx.replicated_log.release([h]))
                 self.large(c, items, name=name, pad=5, size=BODY if items > 2 else 10)
                 for a in stage.role("gateway"):
-                    a.part._taking_up_batches.discard(name)
+                    a.part.service.adopter.adopting.discard(name)
                 stage.until(lambda: stage.do(c.hand_in(name)) == 202, 20, "it is taken")
                 stage.until(lambda: c.whole(name), 30, "all is listed")
                 stage.run(0.5)
@@ -219,7 +219,7 @@
     def test_a_head_that_was_left_alone_is_no_sign_that_a_refused_append_left(self):
         stage, c = self.stage(13)
         name = self.large(c, 3)
-        h = self.held(stage, name, [LogRecord(head=head_of(self.batch(c, name)))])
+        h = self.held(stage, name, [LogRecord(head=batch_head(self.batch(c, name)))])
         stage.do(stage.role("gateway")[0].ctx.replicated_log.release([h]))
         with mock.patch.object(type(h), "append", side_effect=StorageFull("full")) as append:
             said = [stage.do(c.hand_in(name, a)) for a in stage.role("gateway") * 3]
@@ -253,10 +253,11 @@
         self.assertEqual(stage.do(c.hand_in(name, stage.role("gateway")[0])), 202)
         a = stage.role("gateway")[1]
         got = self.count(a)
-        a.part._quota_told.pop(name, None)
-        a.part._quota_unknown[name] = a.ctx.timers.now()
-        stage.do(a.part._count_lot(name))
-        self.assertEqual((a.part._quota_told[name].route, a.part._quota_told[name].tokens), ("bulk", 400))
+        waiting = a.part.service.waiting
+        waiting.reported.pop(name, None)
+        waiting.uncounted[name] = a.ctx.timers.now()
+        stage.do(a.part.service.counter.count(name))
+        self.assertEqual((waiting.reported[name].route, waiting.reported[name].tokens), ("bulk", 400))
         self.assertLess(sum(got) * 10, 40 * BODY)
 
 
@@ -300,20 +301,19 @@
             return data[start:end]
 
         tail.read = read
-        r = _Reader(tail, ctx.timers.now())
-        part = BatchRead.__new__(BatchRead)
+        r = BatchFollower(tail, ctx.timers.now())
         while log.seen.durable < len(data):
             log.grow()
             box = []
-            spawn(part._catch_up_reader(r, log.seen.durable)).addBoth(box.append)
+            spawn(r.catch_up(log.seen)).addBoth(box.append)
             self.assertEqual(box, [None])
-            self.assertTrue(r.listing.head is not None or log.seen.durable < self.batch_end)
+            self.assertTrue(r.progress.head is not None or log.seen.durable < self.batch_end)
         self.assertEqual(tail.position, len(data))
-        return r, part
+        return r
 
     def log(self, pad: int, body: int, with_head=True):
         batch = Batch(id="b", items=[BatchItem(id="i" * pad, body=b"b" * body, tokens=3), BatchItem(id="j", tokens=4)])
-        records = [LogRecord(head=head_of(batch))] * with_head + [LogRecord(batch=batch)]
+        records = [LogRecord(head=batch_head(batch))] * with_head + [LogRecord(batch=batch)]
         self.batch_end = sum(len(encode_frame(r.SerializeToString())) for r in records)
         records += [LogRecord(output=Output(item=i, state="done", text=b"t" * 700)) for i in (1, 0)]
         records.append(LogRecord(ended=Ended(reason="done")))
@@ -321,16 +321,16 @@
 
     def check(self, pad, body, step, behind=0, with_head=True):
         batch, data = self.log(pad, body, with_head)
-        r, part = self.read(data, step, behind)
-        self.assertEqual([(i.id, i.tokens) for i in r.listing.head.items], [("i" * pad, 3), ("j", 4)])
-        self.assertEqual([o.item for o in r.listing.outputs], [1, 0])
-        self.assertTrue(r.over())
-        if r.listing.batch is None:
+        r = self.read(data, step, behind)
+        self.assertEqual([(i.id, i.tokens) for i in r.progress.head.items], [("i" * pad, 3), ("j", 4)])
+        self.assertEqual([o.item for o in r.progress.outputs], [1, 0])
+        self.assertTrue(r.has_ended())
+        if r.progress.batch is None:
             self.assertLess(self.got, len(data) - body + 2 * CHUNK)
             box = []
-            spawn(part._read_bodies(r)).addBoth(box.append)
+            spawn(r.read_bodies()).addBoth(box.append)
             self.assertEqual(box, [None])
-        self.assertEqual(r.listing.batch, batch)
+        self.assertEqual(r.progress.batch, batch)
         return r
 
     def test_the_head_may_end_anywhere_in_a_chunk(self):
--- a/tests/test_batches_quota.py
+++ b/tests/test_batches_quota.py
@@ -26,7 +26,7 @@
 
     def steward(self, stage):
         part = stage.role("gateway", alive=True)[0].part
-        node = part._quota_steward("bulk")
+        node = part.service.quota.coordinator_of("bulk")
         return next(a for a in stage.role("gateway") if a.node == node)
 
     def test_the_cap_holds_and_is_used_up_while_gateways_race(self):
@@ -68,10 +68,8 @@
         name = c.lot(31)
         raw = json.dumps({"items": c.items[name]}).encode()
         part = stage.role("gateway")[0].part
-        status, headers, _ = stage.do(
-            part.take_batch(stage.routes["bulk"], "h", "/bulk/", name, raw, part._ctx.timers.now() + ms(3000))
-        )
-        self.assertEqual((status, headers["Retry-After"]), (429, "1"))
+        response = stage.do(part.submit(stage.routes["bulk"], "/bulk/", name, raw, ms(3000)))
+        self.assertEqual((response.status, response.headers["Retry-After"]), (429, "1"))
 
     def test_a_batch_taken_again_is_counted_once(self):
         stage, c = self.stage(5)
--- a/tests/test_batches_trouble.py
+++ b/tests/test_batches_trouble.py
@@ -55,11 +55,11 @@
                     o.leaseholder.committed,
                     len(o.leaseholder.data),
                     o.leaseholder.is_held(),
-                    sorted(o.done),
+                    sorted(o.finished),
                     o.waiting,
                     list(o.running),
-                    o.flushing,
-                    len(o.queue),
+                    o.is_writing,
+                    len(o.pending_outputs),
                 ),
             )
             for a in stage.role("gateway")
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -39,12 +39,12 @@
         out = []
         for n, a in enumerate(s.role("gateway", alive=True)):
             e = self.engines(a)[n % ENGINES]
-            out += [a.part.engines.take(e, 0, k == 0)[1] for k in range(each)]
+            out += [a.part.engines.acquire_slot(e, 0, k == 0).release for k in range(each)]
         return out
 
     def seen(self, gateway):
-        part = gateway.part.engines
-        return {e.name: part.loads(e, gateway.ctx.timers.now()) for e in part.all()}
+        now = gateway.ctx.timers.now()
+        return {e.name: e.load(now) for e in self.engines(gateway)}
 
     def true(self, s):
         totals: Counter = Counter()
@@ -52,7 +52,7 @@
         for a in s.role("gateway", alive=True):
             for e in self.engines(a):
                 totals[e.name] += e.running
-                batches[e.name] += e.batch
+                batches[e.name] += e.batch_items
         return {f"e{i}": (totals[f"e{i}"], batches[f"e{i}"]) for i in range(ENGINES)}
 
     def all_see_what_runs(self, s):
--- a/tests/test_router_live.py
+++ b/tests/test_router_live.py
@@ -118,7 +118,7 @@
         self.rig.pass_time(20)
         second, link, _ = self.rig.one()
         self.assertNotEqual(first, second)
-        self.assertIsNone(self.rig.node.engines._engines.get(first))
+        self.assertIsNone(self.rig.node.engines.get(first))
         link.dataReceived(head("c1", length=2) + b"ok")
         self.assertTrue(self.rig.seen(c).endswith(b"ok"))
 
@@ -172,12 +172,12 @@
 
         held = []
         real = self.rig.connect
-        self.rig.node.links._connect = lambda link: held.append(link) or defer.Deferred()
+        self.rig.node.connections._connect = lambda link: held.append(link) or defer.Deferred()
         self.rig.ask("/once/x")
         address = held[0].address
         name = next(e.name for e in self.rig.node.engines.all() if e.address == address)
         self.rig.engine(name, state="leaving")
-        self.rig.node.links._connect = real
+        self.rig.node.connections._connect = real
         self.rig.pass_time(5)
         self.assertEqual(self.rig.asked(), [])
 
@@ -228,11 +228,11 @@
         e = rig.engine("e1")
         for gateway in ("g1", "g2"):
             told = Loads(gateway=gateway, loads=[Load(engine="e1", running=2)])
-            spawn(rig.node.engines._told_loads(gateway, told))
-        self.assertEqual(rig.node.engines.loads(e, rig.ctx.timers.now())[0], 4)
+            spawn(rig.node.loads.on_peer_loads(gateway, told))
+        self.assertEqual(e.load(rig.ctx.timers.now()).running, 4)
         rig.lose_gateway("g1")
-        self.assertEqual(set(e.peers), {"g2"})
-        self.assertEqual(rig.node.engines.loads(e, rig.ctx.timers.now())[0], 2)
+        self.assertEqual(set(e.peer_loads), {"g2"})
+        self.assertEqual(e.load(rig.ctx.timers.now()).running, 2)
 
 
 class Cold(unittest.TestCase):
@@ -255,11 +255,11 @@
         sent = 0
         for n in range(76):
             rig.ctx.node = f"g{n}"
-            e.allowance, e.allowed_at = 1.0, rig.ctx.timers.now()
+            e.slow_start_tokens, e.slow_start_refilled_at = 1.0, rig.ctx.timers.now()
             for _ in range(100):
                 rig.clock.advance(0.01)
-                if rig.node.engines.admit(e):
-                    e.allowance -= 1
+                if rig.node.slow_start.admits(e):
+                    e.slow_start_tokens -= 1
                     sent += 1
         self.assertLessEqual(sent, 30)
         self.assertGreaterEqual(sent, 15)
