--- a/pipitlink/controller/consensus_state.py
+++ b/pipitlink/controller/consensus_state.py
@@ -14,7 +14,7 @@
 
 
 class ControllerRole(StrEnum):
-    """A controller's role in the consensus; the values are the states of `voter.toml`."""
+    """A controller's role in the consensus; the values are the states of `controller_role.toml`."""
 
     NEWCOMER = "newcomer"
     FOLLOWER = "follower"
@@ -29,7 +29,7 @@
     for entries that are applied; callbacks run in the order in which they were registered.
     """
 
-    state_machine = "voter"
+    state_machine = "controller_role"
 
     def __init__(self, ctx: Context, durable_log: DurableLog) -> None:
         self._ctx = ctx
--- a/pipitlink/controller/control_api.py
+++ b/pipitlink/controller/control_api.py
@@ -7,6 +7,7 @@
 from klein import Klein
 from twisted.web.server import Request
 
+from ..cluster import OutcomeCode
 from ..cluster.routes import RouteTable
 from ..context import Context
 from ..dialect.control import ControlFormat
@@ -19,7 +20,6 @@
 from .engine_announcements import EngineAnnouncements
 from .engine_registry import EngineState
 from .order_fencing import OrderFencing
-from .outcome_codes import OutcomeCode
 from .storage_retirement import StorageRetirement
 
 if TYPE_CHECKING:
--- a/pipitlink/controller/order_fencing.py
+++ b/pipitlink/controller/order_fencing.py
@@ -2,13 +2,13 @@
 
 from datetime import timedelta
 
+from ..cluster import OutcomeCode
 from ..context import Context
 from ..errors import ApiError, ServiceUnavailable
 from ..timers import ZERO, ms
 from ..wire.cluster_pb2 import Command, Outcome
 from .edit_submission import EditSubmission
 from .interfaces import ConsensusView
-from .outcome_codes import OutcomeCode
 
 __all__ = ["CALLER_TIMEOUT", "HANG_UP_DELAY", "OrderFencing"]
 
@@ -93,6 +93,6 @@
                     status=409,
                     outcome="not_run",
                 )
-            if outcome.code != OutcomeCode.STALE_FENCE:
+            if outcome.code != OutcomeCode.FENCED:
                 return outcome
             command.fencing_token = outcome.sequence
--- a/pipitlink/controller/table_api.py
+++ b/pipitlink/controller/table_api.py
@@ -5,7 +5,7 @@
 
 from twisted.web.server import Request
 
-from ..cluster import ClusterState
+from ..cluster import ClusterState, OutcomeCode
 from ..context import Context
 from ..errors import ApiError, BadRequest, NotFound, VersionConflict
 from ..web import http_handler, send_json
@@ -13,7 +13,6 @@
 from .edit_requests import edit_base, edit_id, read_json_object
 from .edit_submission import EditSubmission
 from .order_fencing import OrderFencing
-from .outcome_codes import OutcomeCode
 from .table_rows import parse_row, parse_rows, row_to_json
 
 __all__ = ["TableApi"]
--- a/pipitlink/gateway/request_record.py
+++ b/pipitlink/gateway/request_record.py
@@ -11,15 +11,14 @@
 
 from ..context import random_id
 from ..errors import ApiError, EngineError
-from ..state_machines import StateMachineMixin, state_machine_data
+from ..state_machines import StateMachineMixin
+from ..state_machines.request_state import RequestState, reportable_outcome
 from .engine import Engine
 
-__all__ = ["PausableStream", "RequestKind", "RequestRecord", "RequestState"]
+__all__ = ["PausableStream", "RequestKind", "RequestRecord"]
 
 DEFAULT_MAX_TOKENS = 256
 
-_OUTCOMES: dict[str, str] = state_machine_data("request")["outcome"]
-
 
 class RequestKind(StrEnum):
     """What a request is for, which decides on the steps that it goes through."""
@@ -29,17 +28,6 @@
     FETCH = "fetch"
 
 
-class RequestState(StrEnum):
-    """The states of the state machine `request`."""
-
-    WAITING = "waiting"
-    ENGINE_CHOSEN = "engine_chosen"
-    SENT = "sent"
-    RESPONDING = "responding"
-    DONE = "done"
-    LOST = "lost"
-
-
 class PausableStream(Protocol):
     """The connection to an engine, as far as backpressure needs it."""
 
@@ -101,7 +89,7 @@
     @property
     def outcome(self) -> str:
         """What may be told of it if it fails now: `not_run`, `unknown` or `failed`."""
-        outcome = _OUTCOMES[self.state]
+        outcome = reportable_outcome(self.state)
         return "unknown" if outcome == "not_run" and self.may_have_run else outcome
 
     @property
--- a/pipitlink/gateway/request_sender.py
+++ b/pipitlink/gateway/request_sender.py
@@ -14,13 +14,14 @@
 
 from ..context import Context
 from ..errors import ApiError, EngineError, ReplicatedLogError, ServiceUnavailable
+from ..state_machines.request_state import RequestState
 from ..timers import secs
 from .checked_connection import CheckedConnectionPool, CheckedEndpoint
 from .engine import Engine, EngineStatus
 from .engine_candidates import EngineCandidates
 from .engine_registry import EngineRegistry
 from .engine_slots import EngineSlots
-from .request_record import RequestRecord, RequestState
+from .request_record import RequestRecord
 from .retry_policy import RetryPolicy
 
 __all__ = ["EngineClient", "Exchange", "RequestSender"]
--- a/pipitlink/gateway/retry_policy.py
+++ b/pipitlink/gateway/retry_policy.py
@@ -1,7 +1,8 @@
 """When a failed request may be retried on another engine."""
 
+from ..state_machines.request_state import RequestState
 from ..timers import Timers
-from .request_record import RequestRecord, RequestState
+from .request_record import RequestRecord
 
 __all__ = ["RetryBudget", "RetryPolicy"]
 
--- a/pipitlink/router/batch_adopter.py
+++ b/pipitlink/router/batch_adopter.py
@@ -31,6 +31,9 @@
 class BatchAdopter:
     """Lists the open batches now and then, and acquires the leases of those that nobody holds.
 
+    It does not wait until the old owner's lease has run out: items of batches may run more than once, so that an owner
+    that was frozen may run an item at the same time. Its outputs are refused, since they bear a lower epoch.
+
     Owns `adopting`, the batches that are being acquired, and since when each batch has been an orphan.
     """
 
--- a/pipitlink/router/call.py
+++ b/pipitlink/router/call.py
@@ -3,13 +3,13 @@
 from collections import Counter
 from collections.abc import Callable
 from datetime import timedelta
-from enum import StrEnum
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 import attrs
 
 from ..errors import ApiError
-from ..state_machines import StateMachineMixin, state_machine_data
+from ..state_machines import StateMachineMixin
+from ..state_machines.request_state import reportable_outcome
 from ..wire.cluster_pb2 import PoolShare, Route
 
 if TYPE_CHECKING:
@@ -19,7 +19,6 @@
 __all__ = [
     "HOP_HEADERS",
     "Call",
-    "CallState",
     "Header",
     "PromptPart",
     "ResponseSink",
@@ -29,7 +28,6 @@
 
 Header = tuple[bytes, bytes]
 
-_OUTCOMES: dict[str, str] = state_machine_data("request")["outcome"]
 HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -47,17 +45,6 @@
 )
 
 
-class CallState(StrEnum):
-    """The states of the state machine `request`."""
-
-    WAITING = "waiting"
-    ENGINE_CHOSEN = "engine_chosen"
-    SENT = "sent"
-    RESPONDING = "responding"
-    DONE = "done"
-    LOST = "lost"
-
-
 class PromptPart(NamedTuple):
     """A part of a prompt: equal ids mean equal text, of which an engine may have computed the prefix already."""
 
@@ -133,7 +120,7 @@
     @property
     def outcome(self) -> str:
         """What may be said of its execution: `not_run`, `unknown` or `failed`."""
-        outcome = _OUTCOMES[self.state]
+        outcome = reportable_outcome(self.state)
         return "unknown" if outcome == "not_run" and self.reached_engine else outcome
 
     @property
--- a/pipitlink/router/call_relay.py
+++ b/pipitlink/router/call_relay.py
@@ -6,8 +6,9 @@
 
 from ..context import Context
 from ..errors import ApiError, ServiceUnavailable
+from ..state_machines.request_state import RequestState
 from ..timers import ms
-from .call import Call, CallState, weighted_pools
+from .call import Call, weighted_pools
 from .connection_pool import ConnectionPool
 from .engine import Engine, EngineStatus
 from .engine_connection import EngineConnection
@@ -124,15 +125,15 @@
             return False
         if call.is_batch_item:
             return False
-        if call.state == CallState.WAITING:
+        if call.state == RequestState.WAITING:
             return error.code != "no_room"
         max_executions = max(MIN_ALLOWED_EXECUTIONS, call.route.max_attempts)
-        if call.state != CallState.LOST or call.executions.total() > max_executions:
+        if call.state != RequestState.LOST or call.executions.total() > max_executions:
             return False
         return call.is_resumable or (call.is_idempotent and not call.head_passed)
 
     async def _prepare_retry(self, call: Call) -> None:
-        if call.state == CallState.LOST:
+        if call.state == RequestState.LOST:
             call.reached_engine = True
             call.trigger("retry")
         if call.attempts > IMMEDIATE_ATTEMPTS:
@@ -145,10 +146,10 @@
             connection = await self._connect(call, engine)
             await self._send(call, engine, connection, slot)
         except ApiError as error:
-            if call.state == CallState.ENGINE_CHOSEN:
+            if call.state == RequestState.ENGINE_CHOSEN:
                 call.trigger("connect_failed")
                 error.outcome = call.outcome
-            elif call.state in (CallState.SENT, CallState.RESPONDING):
+            elif call.state in (RequestState.SENT, RequestState.RESPONDING):
                 call.trigger("lose")
             raise
         finally:
--- a/pipitlink/router/response_stream.py
+++ b/pipitlink/router/response_stream.py
@@ -6,7 +6,8 @@
 from twisted.python.failure import Failure
 
 from ..errors import EngineError
-from .call import Call, CallState
+from ..state_machines.request_state import RequestState
+from .call import Call
 from .engine_connection import EngineConnection, Response, ResponseDone
 from .engine_registry import EngineSlot
 from .server_sent_events import EventStream
@@ -50,7 +51,7 @@
 
     def _pass_on(self, data: bytes) -> None:
         self._pass_on_head()
-        if self._call.state != CallState.RESPONDING:
+        if self._call.state != RequestState.RESPONDING:
             self._call.trigger("receive")
         self._call.sink.data(data)
 
