--- a/pipitlink/changes.py
+++ b/pipitlink/changes.py
@@ -22,19 +22,19 @@
 TYPE_PREFIX = "pipitlink."
 
 PUBLISHED_TYPES = {
-    "cluster": "cluster",
-    "status": "status",
-    "met": "met",
-    "engine": "engine",
-    "lot_owned": "lot_owned",
-    "lot_done": "lot_done",
-    "lot_ended": "lot_ended",
-    "leading": "leading",
-    "currency": "currency",
+    "cluster_state_applied": "cluster",
+    "member_status_changed": "status",
+    "member_joined": "met",
+    "engine_status_changed": "engine",
+    "lot_acquired": "lot_owned",
+    "lot_completed": "lot_done",
+    "lot_cancelled": "lot_ended",
+    "leader_elected": "leading",
+    "currency_changed": "currency",
     "storage_node_admitted": "storage_node_admitted",
-    "storage_node_let_go": "storage_node_let_go",
-    "placement_group": "placement_group",
-    "voters": "voters",
+    "storage_node_removed": "storage_node_let_go",
+    "placement_group_changed": "placement_group",
+    "voters_changed": "voters",
 }
 """The log events that are published, each with its CloudEvent type, which stays where the event is renamed."""
 
--- a/pipitlink/cluster/currency.py
+++ b/pipitlink/cluster/currency.py
@@ -69,4 +69,4 @@
         return proved_at is not None and self._ctx.timers.now() - proved_at < span
 
     def _log_state(self) -> None:
-        self._ctx.logger.info("currency", state=self.state, sequence=self._sequence)
+        self._ctx.logger.info("currency_changed", state=self.state, sequence=self._sequence)
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -138,7 +138,9 @@
             if delta.sequence == self.sequence + 1:
                 self.cluster_state.apply(delta.sequence, delta.command)
         if self.sequence != before:
-            self._ctx.logger.info("cluster", sequence=self.sequence, table=self.cluster_state.table_sequence)
+            self._ctx.logger.info(
+                "cluster_state_applied", sequence=self.sequence, table=self.cluster_state.table_sequence
+            )
             for listener in self._listeners:
                 listener()
         return self.sequence >= response.sequence
@@ -177,7 +179,7 @@
                     failures = 0
                     continue
                 self._controller = ""
-                self._ctx.logger.debug("no_controller", text=error)
+                self._ctx.logger.debug("controller_unreachable", text=error)
                 await self._pause()
 
     async def _pause(self) -> None:
--- a/pipitlink/controller/engine_announcements.py
+++ b/pipitlink/controller/engine_announcements.py
@@ -80,7 +80,9 @@
 
     def _log_state(self, before: EngineUpdate, update: EngineUpdate) -> None:
         if update.state != before.state:
-            self._ctx.logger.info("engine", engine=update.engine, state=update.state, address=update.address)
+            self._ctx.logger.info(
+                "engine_status_changed", engine=update.engine, state=update.state, address=update.address
+            )
 
     def _send_change(self, engine: AnnouncedEngine, announced_elsewhere: bool) -> None:
         """Sends a change; a renewal is enough for an engine that gateways know from another controller."""
--- a/pipitlink/controller/load_aggregator.py
+++ b/pipitlink/controller/load_aggregator.py
@@ -48,7 +48,7 @@
         """Registers the RPC handler and starts the timer."""
         self._ctx.rpc.register_handler("engines.loads", Loads, self._receive)
         self._timer = self._ctx.timers.call_repeatedly(
-            TOTALS_INTERVAL, self._send_totals, self._ctx.error_reporter("totals"), idle_time=self._next_send
+            TOTALS_INTERVAL, self._send_totals, self._ctx.error_reporter("aggregate_loads"), idle_time=self._next_send
         )
 
     def _next_send(self) -> timedelta | None:
--- a/pipitlink/controller/log_replication.py
+++ b/pipitlink/controller/log_replication.py
@@ -75,8 +75,8 @@
         self.elected_at = self._ctx.timers.now()
         self._followers = {}
         self.synced_index = 0
-        self._ctx.logger.info("leading", term=self._consensus.term, voters=",".join(self._consensus.voters()))
-        self._ctx.run_in_background(self.propose(Command(no_op=True)), "first_entry")
+        self._ctx.logger.info("leader_elected", term=self._consensus.term, voters=",".join(self._consensus.voters()))
+        self._ctx.run_in_background(self.propose(Command(no_op=True)), "commit_no_op")
 
     def _end_leadership(self) -> None:
         proposals, self.proposals = self.proposals, {}
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -117,8 +117,8 @@
         self.load_aggregator.open()
 
     def _start_leader_timers(self) -> None:
-        self._start_leader_timer(REPLICATION_INTERVAL, self._replicate, "leading")
-        self._start_leader_timer(VOTERS_INTERVAL, self.voter_changes.update_voters, "voters")
+        self._start_leader_timer(REPLICATION_INTERVAL, self._replicate, "replicate")
+        self._start_leader_timer(VOTERS_INTERVAL, self.voter_changes.update_voters, "check_voters")
         self.lead_timers += [self.placement.start_timer(), self.witnesses.start_timer()]
 
     def _start_leader_timer(self, interval: timedelta, work: Callable[[], object], event: str) -> None:
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -46,7 +46,10 @@
     def start_timer(self) -> RepeatingCall:
         """Starts the timer and returns it, so that it can be woken when this controller becomes the leader."""
         self._timer = self._ctx.timers.call_repeatedly(
-            CHECK_INTERVAL, self._update_placement, self._ctx.error_reporter("placement"), idle_time=self._next_check
+            CHECK_INTERVAL,
+            self._update_placement,
+            self._ctx.error_reporter("check_placement"),
+            idle_time=self._next_check,
         )
         return self._timer
 
@@ -76,7 +79,7 @@
 
     def _log_change(self, group: PlacementGroupRow) -> None:
         self._ctx.logger.info(
-            "placement_group",
+            "placement_group_changed",
             placement_group=group.number,
             sequence=group.sequence,
             storage_nodes=",".join(group.storage_nodes),
--- a/pipitlink/controller/voter_changes.py
+++ b/pipitlink/controller/voter_changes.py
@@ -40,7 +40,7 @@
             change = self._next_voters(voters)
             if change is None:
                 return
-            self._ctx.logger.info("voters", was=",".join(voters), next=",".join(change))
+            self._ctx.logger.info("voters_changed", was=",".join(voters), next=",".join(change))
             await self._leader_log.propose(Command(controllers=Controllers(voters=change)))
 
     def _may_change(self) -> bool:
--- a/pipitlink/controller/witness_changes.py
+++ b/pipitlink/controller/witness_changes.py
@@ -40,7 +40,10 @@
     def start_timer(self) -> RepeatingCall:
         """Starts the timer and returns it, so that it can be woken when this controller becomes the leader."""
         return self._ctx.timers.call_repeatedly(
-            CHECK_INTERVAL, self._update_witnesses, self._ctx.error_reporter("witnesses"), idle_time=self._next_check
+            CHECK_INTERVAL,
+            self._update_witnesses,
+            self._ctx.error_reporter("check_witnesses"),
+            idle_time=self._next_check,
         )
 
     def _next_check(self) -> timedelta | None:
@@ -87,7 +90,7 @@
             target = self._release_target(node, status)
             if target is not None:
                 await self._change(StorageNodeEdit(storage_node=node, status=target))
-                self._ctx.logger.info("storage_node_let_go", storage_node=node, status=target.value)
+                self._ctx.logger.info("storage_node_removed", storage_node=node, status=target.value)
                 return
 
     def _release_target(self, node: str, status: str) -> StorageStatus | None:
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -146,7 +146,7 @@
             engine.peer_loads = previous.peer_loads
         self._engines[update.engine] = engine
         self._ctx.logger.info(
-            "engine",
+            "engine_status_changed",
             engine=update.engine,
             state=update.state,
             incarnation=update.incarnation,
@@ -162,7 +162,9 @@
         engine.renewed_at = max(engine.renewed_at, renewed_at)
         if update.state == EngineStatus.DRAINING and engine.update.state != EngineStatus.DRAINING:
             engine.update.state = update.state
-            self._ctx.logger.info("engine", engine=update.engine, state=update.state, incarnation=update.incarnation)
+            self._ctx.logger.info(
+                "engine_status_changed", engine=update.engine, state=update.state, incarnation=update.incarnation
+            )
 
     def _failed_recently(self, engine: Engine, now: timedelta) -> bool:
         return engine.failed_at is not None and now - engine.failed_at < FAILURE_BACKOFF
--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -71,7 +71,7 @@
     def start(self) -> None:
         """Registers the handler of reports, and starts this gateway's own."""
         self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
-        self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self.report_loads, self._ctx.error_reporter("loads"))
+        self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self.report_loads, self._ctx.error_reporter("report_loads"))
 
     def add_loads_carrier(self, carrier: LoadsCarrier) -> None:
         """Has a part fill and read the reports too."""
--- a/pipitlink/gateway/item_dispatcher.py
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -66,7 +66,10 @@
     def start(self) -> None:
         """Starts to look for items that may run."""
         timer = self._ctx.timers.call_repeatedly(
-            DISPATCH_INTERVAL, self.dispatch, self._ctx.error_reporter("feed"), idle_time=self._open_jobs.idle_wait
+            DISPATCH_INTERVAL,
+            self.dispatch,
+            self._ctx.error_reporter("dispatch_items"),
+            idle_time=self._open_jobs.idle_wait,
         )
         self._open_jobs.add_timer(timer)
 
--- a/pipitlink/gateway/job_log_follower.py
+++ b/pipitlink/gateway/job_log_follower.py
@@ -43,7 +43,7 @@
         """Starts to look for job logs, and for those that may be ended."""
         timers = self._ctx.timers
         timers.call_repeatedly(LIST_INTERVAL, self._list_logs, self._ctx.error_reporter("list_logs"))
-        timers.call_repeatedly(CLOSE_INTERVAL, self._end_idle_logs, self._ctx.error_reporter("close_logs"))
+        timers.call_repeatedly(CLOSE_INTERVAL, self._end_idle_logs, self._ctx.error_reporter("finalize_lot_logs"))
 
     async def _list_logs(self) -> None:
         if not self._ctx.cluster.ready():
@@ -53,7 +53,7 @@
             followed = self._followed.get(log)
             if followed is None and not state.final:
                 self._followed[log] = _FollowedLog(self._ctx.cache.tail(log))
-                self._ctx.run_in_background(self._follow(log), "follow")
+                self._ctx.run_in_background(self._follow(log), "follow_lot_log")
             elif followed is not None and state.final and followed.tail.position >= state.committed:
                 self._stop_following(log)
 
@@ -83,10 +83,10 @@
                 continue
             try:
                 await self._end_log(log)
-                self._ctx.logger.info("lot_log_ended", log=log, lots=len(followed.job_ids))
+                self._ctx.logger.info("lot_log_finalized", log=log, lots=len(followed.job_ids))
                 self._stop_following(log)
             except PipitlinkError as error:
-                self._ctx.logger.debug("lot_log_not_ended", log=log, text=error)
+                self._ctx.logger.debug("lot_log_not_finalized", log=log, text=error)
 
     def _is_idle(self, log: str) -> bool:
         """Returns whether nobody writes to a job log any more."""
--- a/pipitlink/gateway/job_ownership.py
+++ b/pipitlink/gateway/job_ownership.py
@@ -46,7 +46,10 @@
         """Registers the handler of cancellations, and starts to look for jobs to take up or to close."""
         self._ctx.rpc.register_handler("lots.end", EndRequest, self._handle_cancel)
         timer = self._ctx.timers.call_repeatedly(
-            CHECK_INTERVAL, self._check_jobs, self._ctx.error_reporter("take_lots"), idle_time=self._open_jobs.idle_wait
+            CHECK_INTERVAL,
+            self._check_jobs,
+            self._ctx.error_reporter("adopt_lots"),
+            idle_time=self._open_jobs.idle_wait,
         )
         self._open_jobs.add_timer(timer)
 
@@ -72,7 +75,7 @@
         await self._end_log(leaseholder, "done")
         if job.leaseholder is not leaseholder:
             return
-        self._ctx.logger.info("lot_done", lot=job.id)
+        self._ctx.logger.info("lot_completed", lot=job.id)
         await self._close(job)
 
     async def cancel_local_job(self, job_id: str) -> CancelStatus:
@@ -90,7 +93,7 @@
         finally:
             if leaseholder.final:
                 _cancel_items(job)
-        self._ctx.logger.info("lot_ended", lot=job_id)
+        self._ctx.logger.info("lot_cancelled", lot=job_id)
         spawn(self._close(job)).addErrback(lambda _: None)
         return CancelStatus.CANCELLED
 
@@ -123,7 +126,7 @@
         if job.leaseholder.lost:
             self._give_up(job)
         elif job.leaseholder.final or job.is_finished():
-            self._ctx.run_in_background(self.finish_if_done(job), "finish")
+            self._ctx.run_in_background(self.finish_if_done(job), "finish_lot")
 
     async def _acquire(self, job: OpenJob) -> None:
         """Takes the lease and reads the log; items that another owner had started are recorded as unknown."""
@@ -137,7 +140,7 @@
             job.acquiring = False
         _replay(job, leaseholder)
         if leaseholder.final:
-            self._ctx.run_in_background(self._ctx.replicated_log.release([leaseholder]), "release")
+            self._ctx.run_in_background(self._ctx.replicated_log.release([leaseholder]), "release_lease")
             self._open_jobs.close(job.id)
             return
         job.leaseholder = leaseholder
@@ -148,7 +151,7 @@
         items = job.spec.items
         unknown = [item for item in job.started if item not in job.results and not items[item].repeatable]
         self._ctx.logger.info(
-            "lot_owned",
+            "lot_acquired",
             lot=job.id,
             epoch=leaseholder.epoch,
             items=len(items),
--- a/pipitlink/gateway/request_pipeline.py
+++ b/pipitlink/gateway/request_pipeline.py
@@ -60,7 +60,7 @@
 
     def _log_end(self, request: RequestRecord) -> None:
         self._ctx.logger.debug(
-            "request",
+            "request_completed",
             request=request.id,
             model=request.model,
             state=request.state,
--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -57,7 +57,7 @@
 
     def start(self) -> None:
         """Starts to drop results that nobody asks for any more."""
-        self._ctx.timers.call_repeatedly(EXPIRY_INTERVAL, self._drop_unused, self._ctx.error_reporter("readers"))
+        self._ctx.timers.call_repeatedly(EXPIRY_INTERVAL, self._drop_unused, self._ctx.error_reporter("expire_readers"))
 
     async def find_job(self, job_id: str) -> Lot:
         """Returns a job by its id.
--- a/pipitlink/membership/gossiper.py
+++ b/pipitlink/membership/gossiper.py
@@ -128,7 +128,7 @@
         if reported.incarnation < local.incarnation:
             return
         self._table.set_local_incarnation(reported.incarnation + 1)
-        self._ctx.logger.info("refuted", incarnation=local.incarnation)
+        self._ctx.logger.info("suspicion_refuted", incarnation=local.incarnation)
         self.broadcast()
 
     def _add(self, reported: Member) -> None:
@@ -138,7 +138,7 @@
         member.CopyFrom(reported)
         peer = self._table.peers[member.node] = Peer(member, self._ctx.timers.now(), self._ctx.logger)
         self._ctx.logger.info(
-            "met", peer=member.node, role=member.role, zone=member.zone, place=f"{member.host}:{member.port}"
+            "member_joined", peer=member.node, role=member.role, zone=member.zone, place=f"{member.host}:{member.port}"
         )
         self._table.peer_changed(peer)
 
--- a/pipitlink/membership/peer.py
+++ b/pipitlink/membership/peer.py
@@ -49,7 +49,7 @@
 
     def _log_status(self) -> None:
         self._logger.info(
-            "status",
+            "member_status_changed",
             peer=self.member.node,
             role=self.member.role,
             status=self.state,
--- a/pipitlink/replicated_log/storage_client.py
+++ b/pipitlink/replicated_log/storage_client.py
@@ -97,7 +97,7 @@
             responses.call_ended()
 
     def _log_failure(self, failure: Failure) -> None:
-        self._ctx.logger.failure("call_each", failure.value)
+        self._ctx.logger.failure("storage_call_error", failure.value)
 
     async def read_from(self, node: str, log: str, position: int, length: int) -> bytes:
         """Returns the bytes of a range that one storage node has: fewer where it has less or cannot be reached."""
--- a/pipitlink/router/batch_read.py
+++ b/pipitlink/router/batch_read.py
@@ -70,7 +70,7 @@
     def _open_batch_reads(self):
         self._batch_readers: dict[str, _Reader] = {}
         self._ctx.rpc.register_handler("batches.end", EndRequest, self._end_batch_for)
-        self._ctx.timers.call_repeatedly(secs(5), self._drop_batch_readers, self._ctx.error_reporter("batch_readers"))
+        self._ctx.timers.call_repeatedly(secs(5), self._drop_batch_readers, self._ctx.error_reporter("follow_batches"))
 
     def _drop_batch_readers(self):
         now = self._ctx.timers.now()
--- a/pipitlink/router/batch_run.py
+++ b/pipitlink/router/batch_run.py
@@ -36,7 +36,7 @@
     def _open_batch_run(self):
         self._feed_wake: defer.Deferred | None = None
         self._batch_turn = 0
-        self._ctx.run_in_background(self._feed_batches(), "feed_batches")
+        self._ctx.run_in_background(self._feed_batches(), "schedule_batches")
 
     def _wake_feed(self):
         d, self._feed_wake = self._feed_wake, None
@@ -48,7 +48,7 @@
             try:
                 waits = self._feed_once()
             except Exception as e:
-                self._ctx.logger.failure("feed_batches", e)
+                self._ctx.logger.failure("schedule_batches", e)
                 waits = True
             d = self._feed_wake = defer.Deferred()
             if waits:
--- a/pipitlink/router/batches.py
+++ b/pipitlink/router/batches.py
@@ -299,7 +299,7 @@
             place = sorted(gateways, key=lambda g: rank(b, g), reverse=True).index(me)
             if now - self._orphan_batches[b] >= place * NEXT_OWNER:
                 self._orphan_batches[b] = now
-                self._ctx.run_in_background(self._take_up_batch(b), "take_up")
+                self._ctx.run_in_background(self._take_up_batch(b), "adopt_batch")
 
     async def _take_up_batch(self, batch_id: str):
         self._taking_up_batches.add(batch_id)
--- a/pipitlink/router/engines.py
+++ b/pipitlink/router/engines.py
@@ -116,7 +116,7 @@
         self._ctx.rpc.register_handler("engines.totals", LoadTotals, self._told_totals)
         self._ctx.cluster.add_listener(self._zones_moved)
         self._ctx.membership.add_listener(self._gateway_changed)
-        self._ctx.timers.call_repeatedly(LOADS_INTERVAL, self._tell_loads, self._ctx.error_reporter("loads"))
+        self._ctx.timers.call_repeatedly(LOADS_INTERVAL, self._tell_loads, self._ctx.error_reporter("report_loads"))
 
     def carry(self, fill, take):
         """More that goes to all gateways with the loads: fill(Loads) returns whether there is something new to tell."""
@@ -154,7 +154,9 @@
                 if other is not e and other.address == e.address:
                     self._forget(other)
             self._pools.setdefault(n.pool, []).append(e)
-            self._ctx.logger.info("engine", engine=n.engine, state=n.state, address=n.address, pool=n.pool)
+            self._ctx.logger.info(
+                "engine_status_changed", engine=n.engine, state=n.state, address=n.address, pool=n.pool
+            )
             self.roomier()
             return
         if n.state == "gone":
@@ -162,7 +164,7 @@
             return
         if n.state == "leaving" and e.news.state != "leaving":
             e.news.state = "leaving"
-            self._ctx.logger.info("engine", engine=n.engine, state="leaving")
+            self._ctx.logger.info("engine_status_changed", engine=n.engine, state="leaving")
         if n.sequence < e.news.sequence or self._woke_at and now - self._woke_at < WOKE_SPAN:
             return
         e.heard = max(e.heard, heard)
@@ -173,7 +175,7 @@
     def _forget(self, e: Engine):
         if self._engines.pop(e.name, None) is not None:
             self._pools[e.news.pool].remove(e)
-            self._ctx.logger.info("engine", engine=e.name, state="gone")
+            self._ctx.logger.info("engine_status_changed", engine=e.name, state="gone")
             e.news.state = "gone"
             self._ended[e.name] = self._ctx.timers.now()
             for do in self._gone_watchers:
--- a/pipitlink/router/node.py
+++ b/pipitlink/router/node.py
@@ -102,7 +102,7 @@
         self._draining = True
         p = self._ctx.settings
         until = self._ctx.timers.now() + ms(p.drain_ms)
-        batches = self._ctx.run_in_background(self._end_batches(), "end_batches")
+        batches = self._ctx.run_in_background(self._end_batches(), "drain_batches")
         await self.end_front(ms(p.accept_ms), until)
         await batches
         for call in list(self.calls):
--- a/pipitlink/router/relay.py
+++ b/pipitlink/router/relay.py
@@ -128,7 +128,7 @@
                     await self._try(call, e)
                     call.trigger("finish")
                     self._ctx.logger.debug(
-                        "call", id=call.id.decode("latin-1"), route=call.route.name, tries=call.tries
+                        "call_completed", id=call.id.decode("latin-1"), route=call.route.name, tries=call.tries
                     )
                     return
                 except ApiError as f:
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -48,7 +48,7 @@
     def open(self) -> None:
         """Recovers the log store, starts the regular work and registers the RPC handlers; raises CorruptData."""
         self.log_store.recover()
-        self._ctx.logger.info("recovered", logs=len(self.log_store.logs), used=self.log_store.used_bytes())
+        self._ctx.logger.info("logs_recovered", logs=len(self.log_store.logs), used=self.log_store.used_bytes())
         self._lease_grants.open()
         self._replica_repair.open()
         self._retention.open()
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -80,9 +80,9 @@
 
     def test_a_listed_event_is_published_with_its_fields_and_others_are_not(self):
         self.publisher.open()
-        self.logger.info("engine", engine="e1", load=0.5, pool=None)
-        self.logger.info("recovered", logs=3)
-        self.logger.warning("engine", engine="e2")
+        self.logger.info("engine_status_changed", engine="e1", load=0.5, pool=None)
+        self.logger.info("logs_recovered", logs=3)
+        self.logger.warning("engine_status_changed", engine="e2")
         (event,) = self.publisher.posted
         self.assertEqual(
             (event["type"], event["source"], event["time"]),
@@ -92,9 +92,9 @@
         self.assertEqual((self.publisher.published, self.publisher.dropped), (1, 0))
 
     def test_a_renamed_event_keeps_its_published_type(self):
-        with mock.patch.dict(changes.PUBLISHED_TYPES, {"leader_elected": "leading"}):
+        with mock.patch.dict(changes.PUBLISHED_TYPES, {"leadership_taken": "leading"}):
             self.publisher.open()
-            self.logger.info("leader_elected", term=3)
+            self.logger.info("leadership_taken", term=3)
         self.assertEqual([event["type"] for event in self.publisher.posted], ["pipitlink.leading"])
 
     def test_listeners_get_the_types_they_know_and_each_is_still_logged(self):
@@ -105,7 +105,7 @@
         self.publisher.outcomes = [defer.Deferred()]
         self.publisher.open()
         for term in range(MAX_QUEUED + 3):
-            self.logger.info("leading", term=term)
+            self.logger.info("leader_elected", term=term)
         self.assertEqual(([e["data"]["term"] for e in self.publisher.posted], self.publisher.dropped), ([0], 2))
         self.clock.advance(2.1)
         self.assertEqual([e["data"]["term"] for e in self.publisher.posted[1:3]], [3, 4])
@@ -114,14 +114,14 @@
     def test_a_post_that_fails_is_dropped_and_the_next_is_tried(self):
         self.publisher.outcomes = [defer.fail(ValueError("the listener answered 500"))]
         self.publisher.open()
-        self.logger.info("met", node="a")
-        self.logger.info("met", node="b")
+        self.logger.info("member_joined", node="a")
+        self.logger.info("member_joined", node="b")
         self.assertEqual((self.publisher.published, self.publisher.dropped), (1, 1))
 
     def test_nothing_is_published_where_no_listener_is_set(self):
         self.ctx.settings = Settings()
         self.publisher.open()
-        self.logger.info("met", node="a")
+        self.logger.info("member_joined", node="a")
         self.assertEqual(self.publisher.posted, [])
 
 
