--- a/pipitlink/changes.py
+++ b/pipitlink/changes.py
@@ -32,7 +32,7 @@
     "leader_elected": "leading",
     "currency_changed": "currency",
     "storage_node_admitted": "storage_node_admitted",
-    "storage_node_removed": "storage_node_let_go",
+    "storage_node_released": "storage_node_let_go",
     "placement_group_changed": "placement_group",
     "voters_changed": "voters",
 }
--- a/pipitlink/controller/witness_changes.py
+++ b/pipitlink/controller/witness_changes.py
@@ -90,7 +90,7 @@
             target = self._release_target(node, status)
             if target is not None:
                 await self._change(StorageNodeEdit(storage_node=node, status=target))
-                self._ctx.logger.info("storage_node_removed", storage_node=node, status=target.value)
+                self._ctx.logger.info("storage_node_released", storage_node=node, status=target.value)
                 return
 
     def _release_target(self, node: str, status: str) -> StorageStatus | None:
