--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -102,7 +102,7 @@
     forwarding = {name: (position, parameter) for name, position, parameter in forwarding_methods(tree)}
     forwarded = {parameter for _, parameter in forwarding.values()}
     reporters = {name: (position, "event") for name, position in REPORTERS.items()}
-    aliases = {name: (0, "event") for name in reporter_aliases(tree)}
+    aliases = dict.fromkeys(reporter_aliases(tree), (0, "event"))
     taking_a_name = reporters | aliases | forwarding
     for call in calls_in(tree):
         if called_name(call) not in taking_a_name:
