--- a/pipitlink/router/batch_adopter.py
+++ b/pipitlink/router/batch_adopter.py
@@ -85,7 +85,7 @@
             position = self._position(batch_id, gateways)
             if now - self._orphaned_at[batch_id] >= position * ADOPTION_STAGGER:
                 self._orphaned_at[batch_id] = now
-                self._ctx.run_in_background(self._adopt(batch_id), "take_up")
+                self._ctx.run_in_background(self._adopt(batch_id), "adopt_batch")
 
     def _orphans(self, states: Mapping[str, LogState]) -> set[str]:
         owned = set(self._table.batches) | self.adopting
--- a/pipitlink/router/batch_followers.py
+++ b/pipitlink/router/batch_followers.py
@@ -40,7 +40,7 @@
 
     def open(self) -> None:
         """Begins to drop followers that nobody uses."""
-        self._ctx.timers.call_repeatedly(DROP_INTERVAL, self._drop_unused, self._ctx.error_reporter("batch_readers"))
+        self._ctx.timers.call_repeatedly(DROP_INTERVAL, self._drop_unused, self._ctx.error_reporter("follow_batches"))
 
     def _drop_unused(self) -> None:
         now = self._ctx.timers.now()
--- a/pipitlink/router/batch_scheduler.py
+++ b/pipitlink/router/batch_scheduler.py
@@ -87,7 +87,7 @@
 
     def open(self) -> None:
         """Begins to start items."""
-        self._ctx.run_in_background(self._run(), "feed_batches")
+        self._ctx.run_in_background(self._run(), "schedule_batches")
 
     def work_changed(self) -> None:
         """Looks for items to start, without waiting for the next interval."""
@@ -111,7 +111,7 @@
         try:
             return self._start_items()
         except Exception as error:
-            self._ctx.logger.failure("feed_batches", error)
+            self._ctx.logger.failure("schedule_batches", error)
             return True
 
     def _start_items(self) -> bool:
--- a/pipitlink/router/call_relay.py
+++ b/pipitlink/router/call_relay.py
@@ -117,7 +117,9 @@
                     raise
             await self._prepare_retry(call)
         call.trigger("finish")
-        self._ctx.logger.debug("call", id=call.id.decode("latin-1"), route=call.route.name, attempts=call.attempts)
+        self._ctx.logger.debug(
+            "call_completed", id=call.id.decode("latin-1"), route=call.route.name, attempts=call.attempts
+        )
 
     def _may_retry(self, call: Call, error: ApiError) -> bool:
         """Returns whether nothing ran, or running again, or from the last event on, does no harm."""
--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -132,7 +132,9 @@
             if other is not engine and other.address == engine.address:
                 self.remove(other)
         self._pools.setdefault(update.pool, []).append(engine)
-        self._ctx.logger.info("engine", engine=name, state=update.state, address=update.address, pool=update.pool)
+        self._ctx.logger.info(
+            "engine_status_changed", engine=name, state=update.state, address=update.address, pool=update.pool
+        )
         self.notify_capacity()
 
     def _prefix_cache_tokens(self, pool_name: str) -> int:
@@ -142,7 +144,7 @@
     def _refresh(self, engine: Engine, update: EngineUpdate, updated_at: timedelta, now: timedelta) -> None:
         if update.state == EngineStatus.DRAINING and engine.update.state != EngineStatus.DRAINING:
             engine.update.state = EngineStatus.DRAINING.value
-            self._ctx.logger.info("engine", engine=engine.name, state=engine.update.state)
+            self._ctx.logger.info("engine_status_changed", engine=engine.name, state=engine.update.state)
         just_resumed = self._resumed_at and now - self._resumed_at < RESUME_GRACE
         if update.sequence < engine.update.sequence or just_resumed:
             return
@@ -156,7 +158,7 @@
         if self._engines.pop(engine.name, None) is None:
             return
         self._pools[engine.update.pool].remove(engine)
-        self._ctx.logger.info("engine", engine=engine.name, state=EngineStatus.GONE.value)
+        self._ctx.logger.info("engine_status_changed", engine=engine.name, state=EngineStatus.GONE.value)
         engine.update.state = EngineStatus.GONE.value
         self._gone_at[engine.name] = self._ctx.timers.now()
         for listener in self._gone_listeners:
--- a/pipitlink/router/load_exchange.py
+++ b/pipitlink/router/load_exchange.py
@@ -49,7 +49,7 @@
         self._ctx.rpc.register_handler("engines.loads", Loads, self.on_peer_loads)
         self._ctx.rpc.register_handler("engines.totals", LoadTotals, self._on_totals)
         self._ctx.membership.add_listener(self._on_member_changed)
-        self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self._report, self._ctx.error_reporter("loads"))
+        self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self._report, self._ctx.error_reporter("report_loads"))
 
     def add_carrier(self, carrier: LoadReportCarrier) -> None:
         """Has a part add to each report and take in what its peers add."""
--- a/pipitlink/router/node.py
+++ b/pipitlink/router/node.py
@@ -118,7 +118,7 @@
         self._is_draining = True
         settings = self._ctx.settings
         deadline = self._ctx.timers.now() + ms(settings.drain_ms)
-        batches = self._ctx.run_in_background(self.batches.table.drain(), "end_batches")
+        batches = self._ctx.run_in_background(self.batches.table.drain(), "drain_batches")
         await self.frontend.drain(ms(settings.accept_ms), deadline)
         await batches
         self.relay.abort_all("ending")
