--- a/rehearsal/__init__.py
+++ b/rehearsal/__init__.py
@@ -0,0 +1,1 @@
+"""Deprecated alias of the package `testbed`, kept for one release."""
--- /dev/null
+++ b/testbed/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Soak runs, benchmarks and capacity measurements on clusters of real processes."""
--- a/rehearsal/bench.py
+++ b/testbed/benchmarks/batch_impact.py
@@ -6,9 +6,9 @@
 import time
 from random import Random
 
-from .callers import Caller, Callers
-from .fleet import Fleet, wait_for
-from .profiles import PROFILES, spread
+from ..processes.process_cluster import Fleet, wait_for
+from ..standins.clients import Caller, Callers
+from .deployment_profiles import PROFILES, spread
 
 __all__ = ["Bench"]
 
--- a/rehearsal/capacity.py
+++ b/testbed/benchmarks/capacity.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-from .hosts import HollowFleet, TooBusy
-from .slopes import picture, report
+from ..processes.host_processes import HollowFleet, TooBusy
+from .linear_fit import picture, report
 
 __all__ = ["Capacity", "SERIES"]
 
--- a/rehearsal/promises.py
+++ b/testbed/benchmarks/recovery_times.py
@@ -5,10 +5,10 @@
 import time
 from random import Random
 
-from .callers import Caller
-from .closing import CLOSINGS, PROMISE
-from .fleet import ZONES, wait_for
-from .profiles import spread
+from ..faults.final_fault import CLOSINGS, PROMISE
+from ..processes.process_cluster import ZONES, wait_for
+from ..standins.clients import Caller
+from .deployment_profiles import spread
 from .soak import Soak
 
 __all__ = ["Promises", "PROMISES"]
--- a/rehearsal/soak.py
+++ b/testbed/benchmarks/soak.py
@@ -5,13 +5,13 @@
 import time
 from random import Random
 
-from .breaks import Breaks
-from .callers import Caller, Callers
-from .checker import check
-from .closing import Closing
-from .fleet import Fleet, wait_for
-from .profiles import PROFILES, spread
-from .pushes import Pushes
+from ..checks.checker import check
+from ..faults.component_failures import Breaks
+from ..faults.final_fault import Closing
+from ..faults.overload import Pushes
+from ..processes.process_cluster import Fleet, wait_for
+from ..standins.clients import Caller, Callers
+from .deployment_profiles import PROFILES, spread
 
 __all__ = ["Soak", "FAULTS"]
 
--- a/rehearsal/inner.py
+++ b/testbed/benchmarks/step_timings.py
@@ -18,9 +18,9 @@
 from pipitlink.wire.membership_pb2 import EngineUpdate, Gossip, Member
 from pipitlink.wire.rpc import RpcEndpoint
 
-from .disks import LosingDisk
-from .hollow import TOLD_AT_ONCE, open_parts
-from .slopes import fit
+from ..faults.disks import LosingDisk
+from ..processes.lightweight_nodes import TOLD_AT_ONCE, open_parts
+from .linear_fit import fit
 
 __all__ = ["inner", "STEPS"]
 
--- /dev/null
+++ b/testbed/checks/__init__.py
@@ -0,0 +1,1 @@
+"""Checks of what clients, engines and operators recorded."""
--- a/rehearsal/checker.py
+++ b/testbed/checks/checker.py
@@ -2,9 +2,9 @@
 
 from collections import Counter, defaultdict
 
-from .backend import answer_pieces, card_bytes
-from .judges import check_cluster, check_engines, check_floors
-from .spans import SLACK, Spans
+from ..standins.engine import answer_pieces, card_bytes
+from .cluster_checks import check_cluster, check_engines, check_floors
+from .downtime import SLACK, Spans
 
 __all__ = ["check"]
 
--- a/rehearsal/judges.py
+++ b/testbed/checks/cluster_checks.py
@@ -2,7 +2,7 @@
 
 from collections import defaultdict
 
-from .spans import SLACK
+from .downtime import SLACK
 
 __all__ = ["check_engines", "check_cluster", "check_floors", "FLOORS"]
 
--- /dev/null
+++ b/testbed/faults/__init__.py
@@ -0,0 +1,1 @@
+"""Faults that are injected into simulated nodes and real processes."""
--- a/rehearsal/breaks.py
+++ b/testbed/faults/component_failures.py
@@ -2,7 +2,7 @@
 
 import time
 
-from .fleet import ZONES, wait_for
+from ..processes.process_cluster import ZONES, wait_for
 
 __all__ = ["Breaks"]
 
--- /dev/null
+++ b/testbed/faults/fault_plugin.py
@@ -0,0 +1,59 @@
+"""Trouble under real processes, as a file says: {"cuts": [[FROM, TO], ...], "delays": {PLACE: seconds}, "full":
+[PLACE]}.
+
+FROM, TO and PLACE are IP:PORT places of nodes; a cut call is never carried and its caller is told nothing, a full disk
+refuses to append. What was synced is told beside the data folder, so that a harness can drop the rest.
+"""
+
+import json
+import os
+
+from twisted.internet import defer
+
+from pipitlink.fault_injection import hookimpl
+from pipitlink.timers import secs
+
+from .disks import TellingDisk
+
+__all__ = ["make_fault_plugin"]
+
+
+class _Plug:
+    def __init__(self, path, ctx):
+        self._path, self._ctx = path, ctx
+        self._read_at = None
+        self._told: dict = {}
+
+    def _now(self) -> dict:
+        try:
+            at = os.stat(self._path).st_mtime_ns
+            if at != self._read_at:
+                with open(self._path) as f:
+                    self._told = json.load(f)
+                self._read_at = at
+        except (OSError, ValueError):
+            pass
+        return self._told
+
+    def _mine(self) -> str:
+        return "{}:{}".format(*self._ctx.rpc.address)
+
+    def is_full(self) -> bool:
+        return self._mine() in self._now().get("full", ())
+
+    @hookimpl
+    def outbound(self, address, method):
+        told = self._now()
+        mine, theirs = self._mine(), "{}:{}".format(*address)
+        if [mine, theirs] in told.get("cuts", ()):
+            return defer.Deferred()
+        delay = told.get("delays", {}).get(theirs) or told.get("delays", {}).get(mine)
+        return self._ctx.timers.sleep(secs(delay)) if delay else None
+
+    @hookimpl
+    def disk(self):
+        return TellingDisk(self, self._ctx.settings.data) if self._ctx.settings.data else None
+
+
+def make_fault_plugin(words, ctx):
+    return _Plug(words, ctx)
--- a/rehearsal/closing.py
+++ b/testbed/faults/final_fault.py
@@ -4,7 +4,7 @@
 import time
 from random import Random
 
-from .fleet import ZONES, wait_for
+from ..processes.process_cluster import ZONES, wait_for
 
 __all__ = ["Closing", "CLOSINGS"]
 
--- a/rehearsal/pushes.py
+++ b/testbed/faults/overload.py
@@ -3,7 +3,7 @@
 import threading
 import time
 
-from .fleet import ZONES, free_ports, wait_for
+from ..processes.process_cluster import ZONES, free_ports, wait_for
 
 __all__ = ["Pushes"]
 
--- a/rehearsal/hosts.py
+++ b/testbed/processes/host_processes.py
@@ -11,7 +11,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from .fleet import free_ports
+from .process_cluster import free_ports
 
 __all__ = ["HollowFleet", "TooBusy"]
 
@@ -31,7 +31,7 @@
         self.role, self.numbers = role, numbers
         with open(log, "ab") as err:
             self._process = subprocess.Popen(
-                [sys.executable, "-m", "rehearsal", "host"], stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=err
+                [sys.executable, "-m", "testbed", "host"], stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=err
             )
 
     def ask(self, do: str, **what) -> dict:
--- a/rehearsal/hollow.py
+++ b/testbed/processes/lightweight_nodes.py
@@ -27,7 +27,7 @@
 from pipitlink.wire.membership_pb2 import Gossip, Member
 from pipitlink.wire.rpc import RpcEndpoint
 
-from .hollow_work import Work
+from .synthetic_load import Work
 
 __all__ = ["HollowGateway", "CountedRpcEndpoint", "open_parts", "run_host"]
 
--- a/rehearsal/fleet.py
+++ b/testbed/processes/process_cluster.py
@@ -97,7 +97,7 @@
         settings=None,
         models="pipit-small",
     ):
-        self.folder = Path(keep or tempfile.mkdtemp(prefix="rehearsal-"))
+        self.folder = Path(keep or tempfile.mkdtemp(prefix="testbed-"))
         self.folder.mkdir(parents=True, exist_ok=True)
         self._keep = keep
         self.programs: dict[str, Program] = {}
@@ -131,7 +131,7 @@
             "port": ports[0],
             "seeds": ",".join(seeds or self.seeds),
             "log_level": self.level,
-            "plug": f"rehearsal.plug:{self.folder}/cuts.json",
+            "plug": f"testbed.faults.fault_plugin:{self.folder}/cuts.json",
             **self.settings,
             **more,
         }
@@ -152,7 +152,7 @@
         (port,) = free_ports(1)
         self.zones[name] = zone
         words = [
-            "rehearsal",
+            "testbed",
             "backend",
             "--name",
             name,
--- a/rehearsal/staged.py
+++ b/testbed/simulator/simulated_gateway.py
@@ -13,7 +13,7 @@
 from pipitlink.wire.lots_pb2 import Item, Lot
 from pipitlink.wire.membership_pb2 import EngineUpdate
 
-from .backend import answer_pieces
+from ..standins.engine import answer_pieces
 
 __all__ = ["StagedGateway", "StagedEngine", "Customers"]
 
--- a/rehearsal/stage.py
+++ b/testbed/simulator/simulation.py
@@ -25,8 +25,8 @@
 from pipitlink.wire.membership_pb2 import Member
 from pipitlink.wire.rpc import require_peer
 
-from .disks import LosingDisk
-from .staged_time import StagedTime, Watch
+from ..faults.disks import LosingDisk
+from .virtual_time import StagedTime, Watch
 
 __all__ = ["Stage", "Actor"]
 
--- a/rehearsal/operators.py
+++ b/testbed/standins/operators.py
@@ -1,4 +1,4 @@
-"""The operators' side of a rehearsal: edits of every kind on the table, zones and storage nodes, and what was read
+"""The operators' side of a run: edits of every kind on the table, zones and storage nodes, and what was read
 back.
 """
 
--- a/tests/batch_parts.py
+++ b/tests/batch_parts.py
@@ -16,7 +16,7 @@
 from pipitlink.router.quota import Quota
 from pipitlink.timers import ms, secs
 from pipitlink.wire.cluster_pb2 import Route
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 __all__ = ["BatchGateway", "Callers", "staged", "route", "text_of"]
 
--- a/tests/behaviour_scenes.py
+++ b/tests/behaviour_scenes.py
@@ -11,10 +11,10 @@
 from twisted.internet import defer
 from twisted.python.failure import Failure
 
-from rehearsal.history import ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen
-from rehearsal.stage import Stage
-from rehearsal.staged import Customers, StagedEngine, StagedGateway
-from rehearsal.trouble import Trouble
+from testbed.checks.linearizability import ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen
+from testbed.simulator.random_faults import Trouble
+from testbed.simulator.simulated_gateway import Customers, StagedEngine, StagedGateway
+from testbed.simulator.simulation import Stage
 
 from . import batch_parts
 from .control_calls import Caller
--- a/tests/cut_off_scene.py
+++ b/tests/cut_off_scene.py
@@ -3,7 +3,7 @@
 import attrs
 
 from pipitlink.wire.membership_pb2 import EngineList
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from .control_calls import Caller, config_of, route_of
 
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenes.py
@@ -14,10 +14,10 @@
 from pipitlink.gateway.retry_policy import RetryPolicy
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit, ZoneEdit
-from rehearsal.checker import check
-from rehearsal.disks import LosingDisk
-from rehearsal.stage import Stage
-from rehearsal.staged import Customers, StagedEngine, StagedGateway
+from testbed.checks.checker import check
+from testbed.faults.disks import LosingDisk
+from testbed.simulator.simulated_gateway import Customers, StagedEngine, StagedGateway
+from testbed.simulator.simulation import Stage
 
 
 class Scene:
--- a/tests/loss_parts.py
+++ b/tests/loss_parts.py
@@ -5,7 +5,7 @@
 from pipitlink.replicated_log.placement_group import placement_group_of
 from pipitlink.timers import ms, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 __all__ = ["LossStage", "KINDS"]
 
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -12,7 +12,7 @@
 from pipitlink.replicated_log import Leaseholder
 from pipitlink.replicated_log.placement_group import placement_group_of
 from pipitlink.storage.log_store import LogStore
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from . import properties
 from .properties import (
--- a/tests/order_parts.py
+++ b/tests/order_parts.py
@@ -5,8 +5,8 @@
 import attrs
 
 from pipitlink.timers import ms, spawn
-from rehearsal.history import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen
-from rehearsal.stage import Stage
+from testbed.checks.linearizability import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen
+from testbed.simulator.simulation import Stage
 
 from .control_calls import Caller, config_of, route_of
 
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -14,7 +14,7 @@
 from pipitlink.disk import encode_frame
 from pipitlink.storage import node_id, retention
 from pipitlink.wire.cluster_pb2 import Bounds, Command, ConfigEdit, Pool, PoolShare, Route, Row, TableEdit, ZoneEdit
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from .stored_parts import FLEET, read_controller, read_peers, read_storage_node
 
--- a/tests/test_announcing.py
+++ b/tests/test_announcing.py
@@ -4,7 +4,7 @@
 
 from pipitlink.router.engines import Engines
 from pipitlink.wire.membership_pb2 import EngineList
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from .control_calls import Caller
 
--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -11,7 +11,7 @@
 from pipitlink.router.front import Inbound
 from pipitlink.router.links import Links
 from pipitlink.router.relay import Relay
-from rehearsal.interleave import explore_events, walk_events
+from testbed.simulator.interleavings import explore_events, walk_events
 
 from .answer_scenes import ROUTES, AnswerScene, ItemScene
 
--- a/tests/test_batches_trouble.py
+++ b/tests/test_batches_trouble.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rehearsal.trouble import Trouble, seeds
+from testbed.simulator.random_faults import Trouble, seeds
 
 from .batch_parts import Callers, staged
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,13 +15,13 @@
 from pipitlink.wire.frame_pb2 import Empty, Hello
 from pipitlink.wire.membership_pb2 import Gossip, Member
 from pipitlink.wire.rpc import RpcEndpoint
-from rehearsal.capacity import SERIES
-from rehearsal.hollow import CountedRpcEndpoint, open_parts
-from rehearsal.hollow_work import Work
-from rehearsal.slopes import fit
-from rehearsal.stage import Actor, Stage, _Rpc
-from rehearsal.staged import StagedEngine, StagedGateway
-from rehearsal.staged_time import Watch
+from testbed.benchmarks.capacity import SERIES
+from testbed.benchmarks.linear_fit import fit
+from testbed.processes.lightweight_nodes import CountedRpcEndpoint, open_parts
+from testbed.processes.synthetic_load import Work
+from testbed.simulator.simulated_gateway import StagedEngine, StagedGateway
+from testbed.simulator.simulation import Actor, Stage, _Rpc
+from testbed.simulator.virtual_time import Watch
 
 SPAN = 12
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -3,8 +3,8 @@
 import copy
 import unittest
 
-from rehearsal.backend import answer_pieces, card_bytes
-from rehearsal.checker import check
+from testbed.checks.checker import check
+from testbed.standins.engine import answer_pieces, card_bytes
 
 PROMPT = "tell me"
 PIECES = list(enumerate(answer_pieces(PROMPT, 256)))
--- a/tests/test_config_trouble.py
+++ b/tests/test_config_trouble.py
@@ -3,8 +3,8 @@
 import unittest
 
 from pipitlink.timers import ms
-from rehearsal.stage import Stage
-from rehearsal.trouble import Trouble, seeds
+from testbed.simulator.random_faults import Trouble, seeds
+from testbed.simulator.simulation import Stage
 
 from .control_calls import Caller, config_of, route_of
 
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -15,8 +15,8 @@
 from pipitlink.segments import Segments
 from pipitlink.wire.cluster_pb2 import ClusterStateData, Command
 from pipitlink.wire.controller_pb2 import ControllerEntry, Snapshot
-from rehearsal.disks import LosingDisk
-from rehearsal.trouble import seeds
+from testbed.faults.disks import LosingDisk
+from testbed.simulator.random_faults import seeds
 
 SEEDS = seeds(2)
 ROLL_BYTES = 400
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,10 +10,10 @@
 from cloudevents.core.bindings.http import HTTPMessage, from_structured
 from cloudevents.core.formats.json import JSONFormat
 
-from rehearsal.backend import answer_pieces, card_bytes
-from rehearsal.callers import Callers
-from rehearsal.checker import check
-from rehearsal.fleet import Fleet, free_ports, wait_for
+from testbed.checks.checker import check
+from testbed.processes.process_cluster import Fleet, free_ports, wait_for
+from testbed.standins.clients import Callers
+from testbed.standins.engine import answer_pieces, card_bytes
 
 
 class _Listener(BaseHTTPRequestHandler):
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -4,8 +4,8 @@
 import unittest
 
 from pipitlink.wire.frame_pb2 import Hello
-from rehearsal.fleet import Fleet
-from rehearsal.soak import Soak
+from testbed.benchmarks.soak import Soak
+from testbed.processes.process_cluster import Fleet
 
 FAULTS = (
     "kill_leader",
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -4,7 +4,7 @@
 from math import inf
 from random import Random
 
-from rehearsal.history import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen, check_history
+from testbed.checks.linearizability import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen, check_history
 
 TAKEN, OTHER, REFUSED, UNKNOWN = Answer.TAKEN, Answer.OTHER_VERSION, Answer.REFUSED, Answer.UNKNOWN
 
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -8,7 +8,7 @@
 
 from pipitlink.disk import Disk, decode_frames
 from pipitlink.segments import Segments
-from rehearsal.interleave import Interleave, StepLock
+from testbed.simulator.interleavings import Interleave, StepLock
 
 
 class _StepDisk(Disk):
--- a/tests/test_losing_disk.py
+++ b/tests/test_losing_disk.py
@@ -1,4 +1,4 @@
-"""The rehearsal's disk loses what was not synced, and nothing else."""
+"""The testbed's disk loses what was not synced, and nothing else."""
 
 import os
 import tempfile
@@ -6,7 +6,7 @@
 from pathlib import Path
 from random import Random
 
-from rehearsal.disks import LosingDisk
+from testbed.faults.disks import LosingDisk
 
 
 class LosingDisks(unittest.TestCase):
--- a/tests/test_membership_memory.py
+++ b/tests/test_membership_memory.py
@@ -4,7 +4,7 @@
 import unittest
 import unittest.mock
 
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 
 class KnownPeers(unittest.TestCase):
--- a/tests/test_membership_order.py
+++ b/tests/test_membership_order.py
@@ -3,8 +3,8 @@
 import unittest
 from itertools import product
 
-from rehearsal.stage import Stage
-from rehearsal.trouble import Trouble
+from testbed.simulator.random_faults import Trouble
+from testbed.simulator.simulation import Stage
 
 ROLES = (None, "gateway", "storage", "controller")
 STATUSES = (("alive", "suspect"), ("alive",), ("suspect", "gone"), ("alive", "suspect", "gone"))
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -5,8 +5,8 @@
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import ms
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from rehearsal.stage import Stage
-from rehearsal.trouble import Trouble, seeds
+from testbed.simulator.random_faults import Trouble, seeds
+from testbed.simulator.simulation import Stage
 
 from .model.properties import Change
 from .model.recorder import Recorder
--- a/tests/test_order_guards.py
+++ b/tests/test_order_guards.py
@@ -9,7 +9,7 @@
 from pipitlink.controller import order_fencing
 from pipitlink.controller.order_fencing import OrderFencing
 from pipitlink.timers import ZERO
-from rehearsal.history import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen, check_history
+from testbed.checks.linearizability import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen, check_history
 
 from .control_calls import Caller, config_of, route_of
 from .order_parts import HoldingStage
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -12,7 +12,7 @@
 from pipitlink.controller.control_api import ControlApi
 from pipitlink.web import Site
 from pipitlink.wire.cluster_pb2 import Command, ConfigEdit, StorageNodeEdit, TableEdit, ZoneEdit
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from .control_calls import Caller, config_of, route_of
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -6,8 +6,8 @@
 import unittest
 from random import Random
 
-from rehearsal.callers import Callers
-from rehearsal.fleet import Fleet, free_ports, wait_for
+from testbed.processes.process_cluster import Fleet, free_ports, wait_for
+from testbed.standins.clients import Callers
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -12,7 +12,7 @@
 from pipitlink.cluster.routes import RouteTable
 from pipitlink.controller.control_api import ControlApi
 from pipitlink.errors import BadRequest
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from .control_calls import Caller, platform_control_format
 
--- a/tests/test_platform_serve.py
+++ b/tests/test_platform_serve.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from pipitlink.dialect import Dialect
-from rehearsal.fleet import free_ports, wait_for
+from testbed.processes.process_cluster import free_ports, wait_for
 
 from .router_parts import Rig, route
 
--- a/tests/test_rpc_orders.py
+++ b/tests/test_rpc_orders.py
@@ -7,7 +7,7 @@
 from pipitlink.timers import secs, spawn
 from pipitlink.wire.connection import RpcConnection
 from pipitlink.wire.frame_pb2 import Hello
-from rehearsal.interleave import explore_events, walk_events
+from testbed.simulator.interleavings import explore_events, walk_events
 
 from .rpc_scenes import PLACE, RpcScene
 
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -12,7 +12,7 @@
 from twisted.internet.task import Clock
 
 from pipitlink.timers import Timers, ms
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from .side_by_side import FileResult, run_files
 
--- a/tests/test_snapshot_orders.py
+++ b/tests/test_snapshot_orders.py
@@ -12,8 +12,8 @@
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from pipitlink.wire.controller_pb2 import AppendRequest, ControllerEntry, HardState, Snapshot, SnapshotChunk
-from rehearsal.interleave import Choices
-from rehearsal.stage import Stage
+from testbed.simulator.interleavings import Choices
+from testbed.simulator.simulation import Stage
 
 LEADER = "the leader"
 OLD_TERM = 1
--- a/tests/test_stage_cache.py
+++ b/tests/test_stage_cache.py
@@ -11,7 +11,7 @@
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms, secs, spawn
 from pipitlink.wire.cache_pb2 import Lengths
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 
 class _Held:
--- a/tests/test_stage_config.py
+++ b/tests/test_stage_config.py
@@ -6,7 +6,7 @@
 
 from pipitlink.controller import durable_log
 from pipitlink.wire.cluster_pb2 import Command
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from .control_calls import Caller, config_of, route_of
 
--- a/tests/test_stage_controllers.py
+++ b/tests/test_stage_controllers.py
@@ -9,8 +9,8 @@
 from pipitlink.timers import ms
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from pipitlink.wire.controller_pb2 import EditRequest, EditResponse
-from rehearsal.stage import Stage
-from rehearsal.trouble import Trouble, seeds
+from testbed.simulator.random_faults import Trouble, seeds
+from testbed.simulator.simulation import Stage
 
 SEEDS = seeds(4)
 IN_EFFECT = 2.0
--- a/tests/test_stage_cut_off.py
+++ b/tests/test_stage_cut_off.py
@@ -9,7 +9,7 @@
 from pipitlink.controller.log_replication import LogReplication
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import secs
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from .control_calls import config_of, route_of
 from .cut_off_scene import BACK_WITHIN, CUT_SPAN, ENGINE, LONGEST_ANSWER, SETTLED_AFTER, WAYS, Scene
--- a/tests/test_stage_disk_lost.py
+++ b/tests/test_stage_disk_lost.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from rehearsal.trouble import seeds
+from testbed.simulator.random_faults import seeds
 
 from .batch_parts import Callers, staged
 
--- a/tests/test_stage_follow.py
+++ b/tests/test_stage_follow.py
@@ -9,7 +9,7 @@
 from pipitlink.cluster.state_transfer import StateTransfer
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import ClusterStateData, Delta, FollowResponse, StateChunk
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from . import test_stage_controllers as under_trouble
 from .test_stage_controllers import edit_of
--- a/tests/test_stage_idle.py
+++ b/tests/test_stage_idle.py
@@ -3,8 +3,8 @@
 import unittest
 from collections import Counter
 
-from rehearsal.stage import Stage
-from rehearsal.staged import StagedEngine, StagedGateway
+from testbed.simulator.simulated_gateway import StagedEngine, StagedGateway
+from testbed.simulator.simulation import Stage
 
 SPAN = 5
 FLEETS = ((3, 3, 2), (3, 3, 10), (4, 4, 24))
--- a/tests/test_stage_large.py
+++ b/tests/test_stage_large.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from pipitlink.timers import ms
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from .batch_parts import Callers, staged
 
--- a/tests/test_stage_logs.py
+++ b/tests/test_stage_logs.py
@@ -6,8 +6,8 @@
 from pipitlink.disk import decode_frames
 from pipitlink.errors import LeaseNotHeld, PipitlinkError, StaleEpoch
 from pipitlink.timers import ms
-from rehearsal.stage import Stage
-from rehearsal.trouble import Trouble, seeds
+from testbed.simulator.random_faults import Trouble, seeds
+from testbed.simulator.simulation import Stage
 
 SEEDS = seeds(4)
 
--- a/tests/test_stage_long_logs.py
+++ b/tests/test_stage_long_logs.py
@@ -5,15 +5,15 @@
 from functools import partial
 from unittest import mock
 
-import rehearsal.stage
+import testbed.simulator.simulation
 from pipitlink.cluster.cluster_state import MAX_OUTCOMES
 from pipitlink.controller import durable_log, snapshot_transfer
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import ms, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from rehearsal.disks import LosingDisk
-from rehearsal.stage import Stage
-from rehearsal.trouble import seeds
+from testbed.faults.disks import LosingDisk
+from testbed.simulator.random_faults import seeds
+from testbed.simulator.simulation import Stage
 
 SEEDS = seeds(2)
 CATCH_UP_S = 4.7
@@ -141,7 +141,7 @@
             (durable_log, "RETAINED_ENTRIES", 6),
             (durable_log, "MAX_BATCH_BYTES", 600),
             (snapshot_transfer, "CHUNK_BYTES", 700),
-            (rehearsal.stage, "LosingDisk", partial(LosingDisk, names=True)),
+            (testbed.simulator.simulation, "LosingDisk", partial(LosingDisk, names=True)),
         ):
             patch = mock.patch.object(module, name, value)
             patch.start()
--- a/tests/test_stage_lots.py
+++ b/tests/test_stage_lots.py
@@ -5,10 +5,10 @@
 import unittest
 
 from pipitlink.gateway.owner_selection import choose_owner
-from rehearsal.checker import check
-from rehearsal.stage import Stage
-from rehearsal.staged import Customers, StagedEngine, StagedGateway
-from rehearsal.trouble import Trouble, seeds
+from testbed.checks.checker import check
+from testbed.simulator.random_faults import Trouble, seeds
+from testbed.simulator.simulated_gateway import Customers, StagedEngine, StagedGateway
+from testbed.simulator.simulation import Stage
 
 SEEDS = seeds(3)
 FEW = seeds(1)
--- a/tests/test_stage_orders.py
+++ b/tests/test_stage_orders.py
@@ -4,8 +4,8 @@
 from contextlib import ExitStack
 from unittest import mock
 
-from rehearsal.history import check_history
-from rehearsal.trouble import Trouble, seeds
+from testbed.checks.linearizability import check_history
+from testbed.simulator.random_faults import Trouble, seeds
 
 from .order_parts import HoldingStage, Operators
 from .test_order_guards import GUARDS
--- a/tests/test_stage_placement.py
+++ b/tests/test_stage_placement.py
@@ -7,8 +7,8 @@
 from pipitlink.errors import ApiError, PipitlinkError
 from pipitlink.timers import ms
 from pipitlink.wire.cluster_pb2 import Command, StorageNodeEdit
-from rehearsal.stage import Stage
-from rehearsal.trouble import seeds
+from testbed.simulator.random_faults import seeds
+from testbed.simulator.simulation import Stage
 
 
 class _Log:
--- a/tests/test_stage_restart.py
+++ b/tests/test_stage_restart.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from rehearsal.stage import Stage
-from rehearsal.trouble import seeds
+from testbed.simulator.random_faults import seeds
+from testbed.simulator.simulation import Stage
 
 SEEDS = seeds(4)
 
--- a/tests/test_stage_retention.py
+++ b/tests/test_stage_retention.py
@@ -6,7 +6,7 @@
 from pipitlink import segments
 from pipitlink.disk import decode_frames
 from pipitlink.errors import CorruptData, PipitlinkError
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 
 class Retention(unittest.TestCase):
--- a/tests/test_stage_second_loss.py
+++ b/tests/test_stage_second_loss.py
@@ -3,7 +3,7 @@
 import unittest
 
 from pipitlink.errors import ApiError
-from rehearsal.trouble import seeds
+from testbed.simulator.random_faults import seeds
 
 from .loss_parts import KINDS, LossStage
 
--- a/tests/test_stage_slow_link.py
+++ b/tests/test_stage_slow_link.py
@@ -10,7 +10,7 @@
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import ms, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 LINK_BYTES_PER_S = 15_000_000 / 8
 CATCH_UP_S = 4.7
--- a/tests/test_stale_leaseholder.py
+++ b/tests/test_stale_leaseholder.py
@@ -5,7 +5,7 @@
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, PlacementGroupRow
 from pipitlink.wire.cluster_pb2 import Placement as PlacementRow
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from .model.recorder import Recorder
 from .test_model_conformance import IN_EFFECT
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -8,7 +8,7 @@
 
 from pipitlink.disk import encode_frame
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from . import stored_data
 from .stored_parts import read_controller, read_peers, read_state, read_storage_node
--- a/tests/test_who_answered.py
+++ b/tests/test_who_answered.py
@@ -4,7 +4,7 @@
 
 from pipitlink.errors import PipitlinkError
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 from .model.recorder import Recorder
 from .test_model_conformance import IN_EFFECT, settled_anew
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -15,7 +15,7 @@
 from pipitlink.wire.membership_pb2 import IndirectProbeRequest, ProbeResponse
 from pipitlink.wire.replicated_log_pb2 import StatesRequest, StatesResponse
 from pipitlink.wire.rpc import RpcEndpoint
-from rehearsal.stage import Stage
+from testbed.simulator.simulation import Stage
 
 PLACE = ("10.0.0.2", 7)
 LOG = "log"
@@ -74,7 +74,7 @@
 
 
 def without_the_guard():
-    return unittest.mock.patch("rehearsal.stage.require_peer", lambda meant, answering: None)
+    return unittest.mock.patch("testbed.simulator.simulation.require_peer", lambda meant, answering: None)
 
 
 class EmptiedMembers(unittest.TestCase):
