--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -95,7 +95,7 @@
         self.pipeline = RequestPipeline(ctx, self.table, steps)
 
     def _make_engine_relay(self, sender: RequestSender) -> EngineRelay:
-        """Makes the relay to engines; a staged gateway overrides this."""
+        """Makes the relay to engines; a simulated gateway overrides this."""
         return EngineRelay(self._ctx, self.engines, sender)
 
     def _compose_jobs(self) -> None:
--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -71,13 +71,13 @@
             int(words["--together"]),
         ).run()
     if words["bench"] and words["--promise"]:
-        from .benchmarks.recovery_times import PROMISES, Promises
+        from .benchmarks.recovery_times import PROMISES, RecoveryTimes
 
         names = list(PROMISES) if words["--promise"] == "all" else words["--promise"].split(",")
         if set(names) - set(PROMISES):
             print(f"promises: {', '.join(PROMISES)}")
             return 2
-        return Promises(words["--profile"], int(words["--seed"]), names, int(words["--rounds"])).run()
+        return RecoveryTimes(words["--profile"], int(words["--seed"]), names, int(words["--rounds"])).run()
     if words["bench"]:
         from .benchmarks.batch_impact import Bench
 
--- a/testbed/benchmarks/batch_impact.py
+++ b/testbed/benchmarks/batch_impact.py
@@ -6,7 +6,7 @@
 import time
 from random import Random
 
-from ..processes.process_cluster import Fleet, wait_for
+from ..processes.process_cluster import ProcessCluster, wait_for
 from ..standins.clients import Caller, Callers
 from .deployment_profiles import PROFILES, spread
 
@@ -21,7 +21,7 @@
         self.p = PROFILES[profile]
         self.rounds, self.window = rounds, window
         p = self.p
-        self.fleet = Fleet(
+        self.fleet = ProcessCluster(
             gateways=p["gateways"],
             storage_nodes=p["storage_nodes"],
             controllers=p["controllers"],
--- a/testbed/benchmarks/capacity.py
+++ b/testbed/benchmarks/capacity.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from ..processes.host_processes import HollowFleet, TooBusy
+from ..processes.host_processes import LightweightCluster, MachineOverloaded
 from .linear_fit import picture, report
 
 __all__ = ["Capacity", "SERIES"]
@@ -108,7 +108,7 @@
         for _ in range(PACES):
             try:
                 point = self._point(name, x, pace)
-            except TooBusy as e:
+            except MachineOverloaded as e:
                 print(f"{name} {x} at pace {pace}: {e}; slower", flush=True)
                 if SERIES[name].kind == "whole":
                     continue
@@ -130,7 +130,7 @@
     def _point(self, name: str, x: int, pace: float) -> dict:
         series = SERIES[name]
         sets = dict(series.sets(x))
-        fleet = HollowFleet(sets.pop("gateways"), series.kind, pace)
+        fleet = LightweightCluster(sets.pop("gateways"), series.kind, pace)
         span = min(series.span, LONGEST_POINT / self._windows / pace)
         try:
             fleet.start()
@@ -144,7 +144,7 @@
             time.sleep(3 * min(pace, 10))
             cores, kept = fleet.busy(3.0 / max(1.0, pace / 4))
             if cores > self._cores or kept < LEAST_KEPT and series.kind != "whole":
-                raise TooBusy(f"{cores:.1f} cores busy, {kept:.2f} of the timers came in time")
+                raise MachineOverloaded(f"{cores:.1f} cores busy, {kept:.2f} of the timers came in time")
             windows = [fleet.window(span) for _ in range(self._windows)]
         finally:
             fleet.end()
--- a/testbed/benchmarks/recovery_times.py
+++ b/testbed/benchmarks/recovery_times.py
@@ -11,7 +11,7 @@
 from .deployment_profiles import spread
 from .soak import Soak
 
-__all__ = ["Promises", "PROMISES"]
+__all__ = ["RecoveryTimes", "PROMISES"]
 
 PROMISES = {
     "leaving": 2.0,
@@ -25,7 +25,7 @@
 }
 
 
-class Promises(Soak):
+class RecoveryTimes(Soak):
     def __init__(self, profile: str, seed: int, names, times: int):
         super().__init__(profile, seed, 0)
         self.names, self.times = names, times
--- a/testbed/benchmarks/soak.py
+++ b/testbed/benchmarks/soak.py
@@ -6,21 +6,21 @@
 from random import Random
 
 from ..checks.checker import check
-from ..faults.component_failures import Breaks
-from ..faults.final_fault import Closing
-from ..faults.overload import Pushes
-from ..processes.process_cluster import Fleet, wait_for
+from ..faults.component_failures import ComponentFailures
+from ..faults.final_fault import FinalFault
+from ..faults.overload import OverloadFaults
+from ..processes.process_cluster import ProcessCluster, wait_for
 from ..standins.clients import Caller, Callers
 from .deployment_profiles import PROFILES, spread
 
 __all__ = ["Soak", "FAULTS"]
 
-FAULTS = tuple(sorted(n[5:] for c in (Breaks, Pushes) for n in vars(c) if n.startswith("plan_")))
+FAULTS = tuple(sorted(n[5:] for c in (ComponentFailures, OverloadFaults) for n in vars(c) if n.startswith("plan_")))
 LIMITS = {"metered": (4.0, 0), "narrow": (0, 3)}
 QUIET = 12.0
 
 
-class Soak(Breaks, Pushes, Closing):
+class Soak(ComponentFailures, OverloadFaults, FinalFault):
     def __init__(
         self,
         profile: str,
@@ -36,7 +36,7 @@
         p = PROFILES[profile]
         self.quiet, self.floors = quiet, floors
         self.seed, self.minutes, self.faults, self.together = seed, minutes, faults, together
-        self.fleet = Fleet(
+        self.fleet = ProcessCluster(
             gateways=p["gateways"],
             storage_nodes=p["storage_nodes"],
             controllers=p["controllers"],
--- a/testbed/benchmarks/step_timings.py
+++ b/testbed/benchmarks/step_timings.py
@@ -18,7 +18,7 @@
 from pipitlink.wire.membership_pb2 import EngineUpdate, Gossip, Member
 from pipitlink.wire.rpc import RpcEndpoint
 
-from ..faults.disks import LosingDisk
+from ..faults.disks import PowerLossDisk
 from ..processes.lightweight_nodes import TOLD_AT_ONCE, open_parts
 from .linear_fit import fit
 
@@ -54,7 +54,7 @@
         for i in range(gateways)
     ]
     rpc.call = _unheard
-    part = open_parts(ctx, "hollow", everyone[0], LosingDisk(Random(1)))
+    part = open_parts(ctx, "hollow", everyone[0], PowerLossDisk(Random(1)))
     for at in range(0, gateways, TOLD_AT_ONCE):
         told = Gossip(sender="g1", members=everyone[at : at + TOLD_AT_ONCE])
         spawn(rpc.dispatch(rpc.hello(), "membership.tell", told.SerializeToString()))
@@ -144,9 +144,9 @@
     print(
         "| step, ms | " + " | ".join(f"{g} gateways" for g in GATEWAYS) + " | fit |\n|" + "---|" * (len(GATEWAYS) + 2)
     )
-    staged = [_gateway(g) for g in GATEWAYS]
+    gateways = [_gateway(g) for g in GATEWAYS]
     for name, step in STEPS.items():
-        times = [_time(lambda: step(ctx, part)) for ctx, part in staged]
+        times = [_time(lambda: step(ctx, part)) for ctx, part in gateways]
         f = fit(list(GATEWAYS), [statistics.median(t) for t in times])
         print(
             f"| {name} | "
--- a/testbed/checks/checker.py
+++ b/testbed/checks/checker.py
@@ -4,7 +4,7 @@
 
 from ..standins.engine import answer_pieces, card_bytes
 from .cluster_checks import check_cluster, check_engines, check_floors
-from .downtime import SLACK, Spans
+from .downtime import SLACK, Downtimes
 
 __all__ = ["check"]
 
@@ -25,7 +25,7 @@
     out: list[str] = []
     events = sorted(events, key=lambda e: e["at"])
     notes = sorted(notes, key=lambda n: n["at"])
-    spans = Spans(events)
+    spans = Downtimes(events)
     runs = defaultdict(list)
     for n in notes:
         if n["event"] == "run":
--- a/testbed/checks/downtime.py
+++ b/testbed/checks/downtime.py
@@ -1,11 +1,11 @@
 """What was down, cut or frozen when, as the schedule told it."""
 
-__all__ = ["Spans", "SLACK"]
+__all__ = ["Downtimes", "SLACK"]
 
 SLACK = 0.3
 
 
-class Spans:
+class Downtimes:
     def __init__(self, events):
         hurt, self._spans = {}, []
         for e in events:
--- a/testbed/faults/component_failures.py
+++ b/testbed/faults/component_failures.py
@@ -4,12 +4,12 @@
 
 from ..processes.process_cluster import ZONES, wait_for
 
-__all__ = ["Breaks"]
+__all__ = ["ComponentFailures"]
 
 REPAIRED = 4.0
 
 
-class Breaks:
+class ComponentFailures:
     """Mixin: each `plan_` draws a fault from its own random numbers; the soak runs it once the fleet can bear it."""
 
     def _down(self, what, names, span, power=None, wiped=False, settle=3.0):
--- a/testbed/faults/disks.py
+++ b/testbed/faults/disks.py
@@ -1,4 +1,4 @@
-"""Disks that lose what was not synced, on a stage and under real processes."""
+"""Disks that lose what was not synced, in a simulation and under real processes."""
 
 import os
 import shutil
@@ -8,10 +8,10 @@
 
 from pipitlink.disk import Disk
 
-__all__ = ["LosingDisk", "TellingDisk"]
+__all__ = ["PowerLossDisk", "ReportingDisk"]
 
 
-class LosingDisk(Disk):
+class PowerLossDisk(Disk):
     """Knows what was synced; `lose_power` drops the rest, and may leave a torn part of it.
 
     With `names` each file that was made, renamed or removed without a sync of its folder is kept or lost by itself.
@@ -113,7 +113,7 @@
             self._synced[path.stat().st_ino] = path.stat().st_size
 
 
-class TellingDisk(Disk):
+class ReportingDisk(Disk):
     def __init__(self, plug, data):
         self._plug = plug
         self._told = os.open(f"{data}.synced", os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
--- a/testbed/faults/fault_plugin.py
+++ b/testbed/faults/fault_plugin.py
@@ -1,4 +1,4 @@
-"""Trouble under real processes, as a file says: {"cuts": [[FROM, TO], ...], "delays": {PLACE: seconds}, "full":
+"""RandomFaults under real processes, as a file says: {"cuts": [[FROM, TO], ...], "delays": {PLACE: seconds}, "full":
 [PLACE]}.
 
 FROM, TO and PLACE are IP:PORT places of nodes; a cut call is never carried and its caller is told nothing, a full disk
@@ -13,7 +13,7 @@
 from pipitlink.fault_injection import hookimpl
 from pipitlink.timers import secs
 
-from .disks import TellingDisk
+from .disks import ReportingDisk
 
 __all__ = ["make_fault_plugin"]
 
@@ -52,7 +52,7 @@
 
     @hookimpl
     def disk(self):
-        return TellingDisk(self, self._ctx.settings.data) if self._ctx.settings.data else None
+        return ReportingDisk(self, self._ctx.settings.data) if self._ctx.settings.data else None
 
 
 def make_fault_plugin(words, ctx):
--- a/testbed/faults/final_fault.py
+++ b/testbed/faults/final_fault.py
@@ -6,13 +6,13 @@
 
 from ..processes.process_cluster import ZONES, wait_for
 
-__all__ = ["Closing", "CLOSINGS"]
+__all__ = ["FinalFault", "CLOSINGS"]
 
 CLOSINGS = ("kill", "power", "freeze", "emptied", "zone", "split")
 PROMISE = 12.0
 
 
-class Closing:
+class FinalFault:
     """Mixin: one last fault, then service back within 12 s and nothing acknowledged lost."""
 
     def _close(self):
--- a/testbed/faults/overload.py
+++ b/testbed/faults/overload.py
@@ -5,11 +5,11 @@
 
 from ..processes.process_cluster import ZONES, free_ports, wait_for
 
-__all__ = ["Pushes"]
+__all__ = ["OverloadFaults"]
 
 
-class Pushes:
-    """Mixin: like `Breaks`, for what callers, back ends and operators do."""
+class OverloadFaults:
+    """Mixin: like `ComponentFailures`, for what callers, back ends and operators do."""
 
     def _mode(self, name, mode, span):
         def do():
--- a/testbed/processes/host_processes.py
+++ b/testbed/processes/host_processes.py
@@ -13,7 +13,7 @@
 
 from .process_cluster import free_ports
 
-__all__ = ["HollowFleet", "TooBusy"]
+__all__ = ["LightweightCluster", "MachineOverloaded"]
 
 PER_HOST = 20
 ZONES = 25
@@ -22,7 +22,7 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-class TooBusy(Exception):
+class MachineOverloaded(Exception):
     """The fleet takes more of the machine than it may: it is to be run at a slower pace."""
 
 
@@ -56,7 +56,7 @@
         self._process.stdout.close()
 
 
-class HollowFleet:
+class LightweightCluster:
     """Controllers and storage nodes each alone in a process; gateways several to one, or whole ones each alone."""
 
     def __init__(self, gateways: int, kind: str, pace: float, controllers=3, storage_nodes=3):
@@ -109,7 +109,7 @@
         end = time.monotonic() + limit
         while not check():
             if time.monotonic() > end:
-                raise TooBusy(f"not ready within {limit:.0f} s")
+                raise MachineOverloaded(f"not ready within {limit:.0f} s")
             time.sleep(0.2)
 
     def rows(self, rows: int):
--- a/testbed/processes/lightweight_nodes.py
+++ b/testbed/processes/lightweight_nodes.py
@@ -29,14 +29,14 @@
 
 from .synthetic_load import Work
 
-__all__ = ["HollowGateway", "CountedRpcEndpoint", "open_parts", "run_host"]
+__all__ = ["LightweightGateway", "CountedRpcEndpoint", "open_parts", "run_host"]
 
 TOLD_AT_ONCE = 100
 TICK = 0.1
 CALL_FRAME, RESPONSE_FRAME = 14, 11
 
 
-class HollowGateway(GatewayNode):
+class LightweightGateway(GatewayNode):
     """A whole gateway but for its HTTP side: every beat, call and answer between peers is the gateway's own."""
 
 
@@ -124,7 +124,7 @@
     ctx.membership, ctx.cluster, ctx.replicated_log = Membership(ctx), ClusterFollower(ctx), ReplicatedLog(ctx)
     if ctx.role == "gateway":
         ctx.cache = Cache(ctx)
-        part = (_Member if kind == "member" else HollowGateway)(ctx)
+        part = (_Member if kind == "member" else LightweightGateway)(ctx)
     else:
         part = {"storage": StorageNode, "controller": ControllerNode}[ctx.role](ctx, disk)
     part.open()
@@ -145,7 +145,7 @@
             self.counts["warned " + line.split(" ", 1)[0]] += 1
 
 
-class _Hollow:
+class _LightweightNode:
     """One node of a host's process."""
 
     def __init__(self, host, role: str, n: int, spec: dict):
@@ -194,7 +194,7 @@
         return self.part.readiness()[0] if self.role == "controller" else self.ctx.cluster.ready()
 
 
-class _Whole:
+class _CompleteNode:
     """A real node in a process of its own: what `pipitlink gateway` opens, with its calls counted."""
 
     def __init__(self, host, role: str, n: int, spec: dict):
@@ -256,7 +256,7 @@
         return await getattr(self, "do_" + what.pop("do"))(**what)
 
     async def do_listen(self, spec: dict):
-        kind = _Whole if spec["kind"] == "whole" else _Hollow
+        kind = _CompleteNode if spec["kind"] == "whole" else _LightweightNode
         self.nodes = [kind(self, spec["role"], n, spec) for n in spec["numbers"]]
         Timers(_Slowed(self)).call_repeatedly(secs(TICK), self._tick, self.sink.log)
         return {"members": [(await n.listen()).SerializeToString().hex() for n in self.nodes]}
--- a/testbed/processes/process_cluster.py
+++ b/testbed/processes/process_cluster.py
@@ -13,7 +13,7 @@
 import time
 from pathlib import Path
 
-__all__ = ["Fleet", "free_ports", "wait_for"]
+__all__ = ["ProcessCluster", "free_ports", "wait_for"]
 
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
 
@@ -82,7 +82,7 @@
         return self.process.wait(limit)
 
 
-class Fleet:
+class ProcessCluster:
     def __init__(
         self,
         gateways=3,
--- a/testbed/simulator/interleavings.py
+++ b/testbed/simulator/interleavings.py
@@ -2,7 +2,7 @@
 
 import threading
 
-__all__ = ["Choices", "Interleave", "StepLock", "explore_events", "walk_events"]
+__all__ = ["Choices", "Interleaver", "StepLock", "explore_events", "walk_events"]
 
 
 class Choices:
@@ -43,44 +43,44 @@
         return [pick for pick, _ in taken[:-1]] + [taken[-1][0] + 1]
 
 
-def _play_events(scene, pick, most_events: int) -> list[str]:
+def _play_events(scenario, pick, most_events: int) -> list[str]:
     names = []
     try:
         for _ in range(most_events):
-            events = scene.events()
+            events = scenario.events()
             if not events:
                 break
             name, do = events[pick(len(events))]
             names.append(name)
             do()
-            scene.check()
-        scene.finish()
-        scene.check()
+            scenario.check()
+        scenario.finish()
+        scenario.check()
     except BaseException as e:
         raise AssertionError(f"after {names}: {e!r}") from e
     return names
 
 
-def explore_events(make_scene, most_events: int, most: int = 200_000) -> int:
-    """Runs a scene through every order of up to so many of its events; returns how many orders were run.
+def explore_events(make_scenario, most_events: int, most: int = 200_000) -> int:
+    """Runs a scenario through every order of up to so many of its events; returns how many orders were run.
 
-    A scene offers `events()`, the pairs of name and action that may come next, `check()` after each of them, and
+    A scenario offers `events()`, the pairs of name and action that may come next, `check()` after each of them, and
     `finish()`, which lets all that is under way end.
     """
     prefix: list[int] | None = []
     for count in range(1, most + 1):
         choices = Choices(prefix)
-        _play_events(make_scene(), choices.pick, most_events)
+        _play_events(make_scenario(), choices.pick, most_events)
         prefix = choices.next_prefix()
         if prefix is None:
             return count
     raise AssertionError(f"more than {most} orders")
 
 
-def walk_events(make_scene, rng, most_events: int, walks: int):
-    """Runs a scene through orders of its events that are drawn at random."""
+def walk_events(make_scenario, rng, most_events: int, walks: int):
+    """Runs a scenario through orders of its events that are drawn at random."""
     for _ in range(walks):
-        _play_events(make_scene(), rng.randrange, most_events)
+        _play_events(make_scenario(), rng.randrange, most_events)
 
 
 class StepLock:
@@ -119,7 +119,7 @@
         self._run.back.release()
 
 
-class Interleave:
+class Interleaver:
     """One run in a given order. `explore` makes as many as there are orders."""
 
     def __init__(self, prefix: list[int]):
--- a/testbed/simulator/simulated_gateway.py
+++ b/testbed/simulator/simulated_gateway.py
@@ -1,4 +1,4 @@
-"""Whole gateways on a stage, with staged engines: the gateways' own code from a lot's intake to an item's first
+"""Whole gateways in a simulation, with simulated engines: the gateways' own code from a lot's intake to an item's first
 byte.
 """
 
@@ -15,48 +15,48 @@
 
 from ..standins.engine import answer_pieces
 
-__all__ = ["StagedGateway", "StagedEngine", "Customers"]
+__all__ = ["SimulatedGateway", "SimulatedEngine", "SimulatedClients"]
 
 STEP = 0.04
 
 
-class StagedGateway(GatewayNode):
-    """A gateway whose streams to back ends are staged: a connect takes a while, and then the engine runs by itself."""
+class SimulatedGateway(GatewayNode):
+    """A gateway with simulated streams to engines: a connect takes a while, and then the engine runs by itself."""
 
-    stage = None
+    simulation = None
 
     def _make_engine_relay(self, sender):
-        return StagedRelay(self.stage, self._ctx, self.engines, sender)
+        return SimulatedRelay(self.simulation, self._ctx, self.engines, sender)
 
 
-class StagedRelay(EngineRelay):
-    """Exchanges requests with the engines of a stage."""
+class SimulatedRelay(EngineRelay):
+    """Exchanges requests with the engines of a simulation."""
 
-    def __init__(self, stage, *parts):
+    def __init__(self, simulation, *parts):
         super().__init__(*parts)
-        self.stage = stage
+        self.simulation = simulation
 
     async def exchange(self, request, engine):
-        staged_engine = self.stage.engines[engine.name]
-        await self._ctx.timers.sleep(secs(self.stage.rng.choice((0.001, 0.001, 0.02, 0.6))))
-        if not staged_engine.alive:
+        simulated_engine = self.simulation.engines[engine.name]
+        await self._ctx.timers.sleep(secs(self.simulation.rng.choice((0.001, 0.001, 0.02, 0.6))))
+        if not simulated_engine.alive:
             raise ServiceUnavailable(f"{engine.name} could not be reached", code="unreached")
         self._sender.check_still_valid(request, engine)
         request.trigger("send")
-        await staged_engine.serve(self._ctx.reactor, request)
+        await simulated_engine.serve(self._ctx.reactor, request)
 
 
-class StagedEngine:
-    def __init__(self, stage, name, zone, capacity=4):
-        self.stage, self.name, self.zone, self.capacity = stage, name, zone, capacity
+class SimulatedEngine:
+    def __init__(self, simulation, name, zone, capacity=4):
+        self.simulation, self.name, self.zone, self.capacity = simulation, name, zone, capacity
         self.step = STEP
-        self.notes: list[dict] = stage.notes
+        self.notes: list[dict] = simulation.notes
         self.alive, self.silent, self.state, self.incarnation = True, False, "ready", 0
         self.running: dict[str, defer.Deferred] = {}
         self.open()
 
     def note(self, event, **pairs):
-        self.notes.append({"at": self.stage.clock.seconds(), "engine": self.name, "event": event, **pairs})
+        self.notes.append({"at": self.simulation.clock.seconds(), "engine": self.name, "event": event, **pairs})
 
     def open(self):
         self.alive, self.state = True, "ready"
@@ -67,7 +67,7 @@
     def _announce(self, incarnation):
         if not self.alive or incarnation != self.incarnation:
             return
-        gateways = self.stage.role("gateway", alive=True)
+        gateways = self.simulation.role("gateway", alive=True)
         if gateways and not self.silent:
             news = EngineUpdate(
                 engine=self.name,
@@ -79,14 +79,14 @@
                 zone=self.zone,
                 state=self.state,
             )
-            self.stage.rng.choice(gateways).part.engines.announce(news)
-        self.stage.clock.callLater(1.0, self._announce, incarnation)
+            self.simulation.rng.choice(gateways).part.engines.announce(news)
+        self.simulation.clock.callLater(1.0, self._announce, incarnation)
 
     def leave(self):
         self.state = "leaving"
-        gateways = self.stage.role("gateway", alive=True)
+        gateways = self.simulation.role("gateway", alive=True)
         if gateways:
-            self.stage.rng.choice(gateways).part.engines.announce(
+            self.simulation.rng.choice(gateways).part.engines.announce(
                 EngineUpdate(
                     engine=self.name,
                     incarnation=self.incarnation,
@@ -117,7 +117,7 @@
         d = defer.Deferred(lambda _: None)
         d.clock_of = _Clocked(reactor)
         run = f"{ask.id}.{ask.attempts}"
-        self.stage.clock.callLater(0.002, self._begin, run, ask, d, answer_pieces(ask.prompt, 256))
+        self.simulation.clock.callLater(0.002, self._begin, run, ask, d, answer_pieces(ask.prompt, 256))
         return d
 
     def _begin(self, run, ask, d, pieces):
@@ -131,7 +131,7 @@
             return None
         self.note("run", run=run, prompt=ask.prompt, model=ask.model)
         self.running[run] = d
-        return self.stage.clock.callLater(self.step, self._piece, run, ask, d, pieces, 0)
+        return self.simulation.clock.callLater(self.step, self._piece, run, ask, d, pieces, 0)
 
     def _piece(self, run, ask, d, pieces, n):
         if run not in self.running:
@@ -142,7 +142,7 @@
             self._end(run, "done", d)
         else:
             d.clock_of.callLater(0, lambda: d.called or ask.append_chunk(pieces[n]))
-            self.stage.clock.callLater(self.step, self._piece, run, ask, d, pieces, n + 1)
+            self.simulation.clock.callLater(self.step, self._piece, run, ask, d, pieces, n + 1)
 
 
 class _Clocked:
@@ -159,24 +159,24 @@
         self._watch.callLater(span, do)
 
 
-class Customers:
+class SimulatedClients:
     """Lots, reads, ends and live requests at any gateway, noted as the outside checker reads them."""
 
-    def __init__(self, stage):
-        self.stage, self.timers = stage, stage.timers()
+    def __init__(self, simulation):
+        self.simulation, self.timers = simulation, simulation.timers()
         self.events: list[dict] = []
         self.over = False
         self.lots: dict[str, dict] = {}
         self._n = 0
 
     def note(self, event, **pairs):
-        line = {"at": self.stage.clock.seconds(), "event": event, **pairs}
+        line = {"at": self.simulation.clock.seconds(), "event": event, **pairs}
         self.events.append(line)
         return line
 
     def _gateway(self):
-        up = self.stage.role("gateway", alive=True)
-        return self.stage.rng.choice(up) if up else None
+        up = self.simulation.role("gateway", alive=True)
+        return self.simulation.rng.choice(up) if up else None
 
     async def _ask(self, do, limit=6.0, gateway=None):
         """(what came, None) or (None, fault); a gateway that is killed or frozen answers nothing."""
@@ -191,7 +191,7 @@
             return None, ApiError(str(f), code=getattr(f, "code", "dropped"), outcome="unknown")
 
     async def hand_in(self):
-        rng = self.stage.rng
+        rng = self.simulation.rng
         while not self.over:
             await self.timers.sleep(ms(300 + rng.randrange(1200)))
             await self.one_lot(2 + rng.randrange(8), rng.random() < 0.3)
@@ -207,7 +207,7 @@
             limit_ms=now + 3_600_000,
             items=[Item(model="m", prompt=p, repeatable=repeatable) for p in prompts],
         )
-        asked = self.stage.clock.seconds()
+        asked = self.simulation.clock.seconds()
         got, fault = await self._ask(lambda part: part.job_intake.store(lot))
         e = self.note(
             "lot",
@@ -226,12 +226,12 @@
 
     async def read(self):
         while not self.over:
-            await self.timers.sleep(ms(100 + self.stage.rng.randrange(300)))
+            await self.timers.sleep(ms(100 + self.simulation.rng.randrange(300)))
             if self.lots:
-                await self.one_read(self.stage.rng.choice(list(self.lots)))
+                await self.one_read(self.simulation.rng.choice(list(self.lots)))
 
     async def one_read(self, lot, gateway=None):
-        asked = self.stage.clock.seconds()
+        asked = self.simulation.clock.seconds()
 
         async def do(part):
             found = await part.results.find_job(lot)
@@ -248,26 +248,26 @@
             gateway=gateway.name if gateway else "",
             results=got["results"] if got else None,
             state=got["state"] if got else None,
-            took=self.stage.clock.seconds() - asked,
+            took=self.simulation.clock.seconds() - asked,
             fault=fault and {"code": fault.code},
         )
 
     async def end_some(self):
         while not self.over:
-            await self.timers.sleep(ms(2000 + self.stage.rng.randrange(4000)))
+            await self.timers.sleep(ms(2000 + self.simulation.rng.randrange(4000)))
             if self.lots:
-                lot = self.stage.rng.choice(list(self.lots))
+                lot = self.simulation.rng.choice(list(self.lots))
                 got, fault = await self._ask(lambda part: part.job_api.cancel_anywhere(lot), 9.0)
                 self.note("lot_ended", lot=lot, status=200 if got else 503, said={"state": got})
 
     async def live(self):
         while not self.over:
-            await self.timers.sleep(ms(150 + self.stage.rng.randrange(400)))
+            await self.timers.sleep(ms(150 + self.simulation.rng.randrange(400)))
             self._n += 1
-            spawn(self._one_live(f"live{self._n}", self.stage.rng.random() < 0.4))
+            spawn(self._one_live(f"live{self._n}", self.simulation.rng.random() < 0.4))
 
     async def _one_live(self, prompt, repeatable):
-        asked, box = self.stage.clock.seconds(), []
+        asked, box = self.simulation.clock.seconds(), []
 
         async def do(part):
             a = RequestRecord(
@@ -301,10 +301,10 @@
         )
 
     async def engines(self):
-        rng = self.stage.rng
+        rng = self.simulation.rng
         while not self.over:
             await self.timers.sleep(ms(1500 + rng.randrange(3000)))
-            e = rng.choice(list(self.stage.engines.values()))
+            e = rng.choice(list(self.simulation.engines.values()))
             what = rng.choice(("crash", "leave", "silent"))
             if what == "silent":
                 e.silent = True
--- a/testbed/simulator/simulation.py
+++ b/testbed/simulator/simulation.py
@@ -1,4 +1,4 @@
-"""The real node code on injected timers: a staged network that cuts and delays, disks that lose what is unsynced."""
+"""The real node code on injected timers: a simulated network that cuts and delays, disks that lose what is unsynced."""
 
 import shutil
 import tempfile
@@ -25,10 +25,10 @@
 from pipitlink.wire.membership_pb2 import Member
 from pipitlink.wire.rpc import require_peer
 
-from ..faults.disks import LosingDisk
-from .virtual_time import StagedTime, Watch
+from ..faults.disks import PowerLossDisk
+from .virtual_time import NodeReactor, VirtualTime
 
-__all__ = ["Stage", "Actor"]
+__all__ = ["Simulation", "SimulatedNode"]
 
 
 class _Sink:
@@ -40,13 +40,13 @@
 
 
 class _Rpc:
-    """The staged side of `RPC endpoint`: the same calls, carried by the stage."""
+    """The simulated side of `RPC endpoint`: the same calls, carried by the simulation."""
 
-    def __init__(self, stage, actor):
-        self._stage = stage
-        self._actor = actor
-        self.address = actor.place
-        self.node = actor.node
+    def __init__(self, simulation, simulated_node):
+        self._simulation = simulation
+        self._simulated_node = simulated_node
+        self.address = simulated_node.place
+        self.node = simulated_node.node
         self.incarnation = 1
         self._handlers: dict = {}
 
@@ -63,27 +63,27 @@
     def notify(self, addresses, method, message):
         body = message.SerializeToString()
         for address in addresses:
-            self._stage.carry(self._actor, address, method, body).addErrback(lambda _: None)
+            self._simulation.carry(self._simulated_node, address, method, body).addErrback(lambda _: None)
 
     async def call(self, address, method, request, response_type, timeout, node=""):
-        if self is not self._actor.ctx.rpc or not self._actor.alive:
+        if self is not self._simulated_node.ctx.rpc or not self._simulated_node.alive:
             await defer.Deferred()  # what is left of an ended life says nothing more
         body = request.SerializeToString()
         try:
-            carried = self._stage.carry(self._actor, address, method, body, node)
-            return response_type.FromString(await self._actor.ctx.timers.with_timeout(timeout, carried))
+            carried = self._simulation.carry(self._simulated_node, address, method, body, node)
+            return response_type.FromString(await self._simulated_node.ctx.timers.with_timeout(timeout, carried))
         except DeadlineExceeded as error:
             raise DeadlineExceeded(f"{method} to {address}: {error}") from error
 
 
-class Actor:
-    """One node on the stage; it can be killed, frozen, woken and started again on the same disk."""
+class SimulatedNode:
+    """One node in the simulation; it can be killed, frozen, woken and started again on the same disk."""
 
-    def __init__(self, stage, role, name, zone, port):
-        self.stage, self.role, self.name, self.zone = stage, role, name, zone
+    def __init__(self, simulation, role, name, zone, port):
+        self.simulation, self.role, self.name, self.zone = simulation, role, name, zone
         self.place = ("10.0.0.1", port)
-        self.folder = stage.folder / name
-        self.disk = LosingDisk(stage.rng)
+        self.folder = simulation.folder / name
+        self.disk = PowerLossDisk(simulation.rng)
         self.lives = 0
         self.alive = False
         self.frozen = False
@@ -91,36 +91,36 @@
         self.ctx = None
 
     def start(self):
-        stage = self.stage
+        simulation = self.simulation
         self.lives += 1
         self.alive = True
         self.folder.mkdir(exist_ok=True)
         keep = self.folder / "id"
         if self.role == "gateway" or not keep.exists():
-            keep.write_text(f"{self.name}x{self.lives}x{stage.fresh()}")
+            keep.write_text(f"{self.name}x{self.lives}x{simulation.fresh()}")
         self.node = keep.read_text()
         settings = Settings(
             zone=self.zone,
-            seeds=stage.seeds,
-            founders=stage.founders if self.role == "controller" else (),
+            seeds=simulation.seeds,
+            founders=simulation.founders if self.role == "controller" else (),
             data=str(self.folder),
-            placement_groups=stage.placement_groups,
-            **stage.settings,
+            placement_groups=simulation.placement_groups,
+            **simulation.settings,
         )
-        self.clock = Watch(stage.clock)
-        timers = stage.timers(self.clock)
+        self.clock = NodeReactor(simulation.clock)
+        timers = simulation.timers(self.clock)
         self.ctx = Context(
             self.role,
             self.node,
             settings,
             self.clock,
             timers,
-            StructuredLogger(stage.sink, node=self.node),
+            StructuredLogger(simulation.sink, node=self.node),
             None,
-            Random(stage.rng.random()),
+            Random(simulation.rng.random()),
         )
         ctx = self.ctx
-        ctx.rpc = _Rpc(stage, self)
+        ctx.rpc = _Rpc(simulation, self)
         ctx.run_in_thread = partial(self._on_thread, self.clock)
         ctx.membership = Membership(ctx)
         if self.role != "gateway":
@@ -136,8 +136,8 @@
             self.part.open()
         else:
             ctx.cache = Cache(ctx)
-            if stage.engines is not None:
-                self.part = type("OnStage", (stage.gateway_kind,), {"stage": stage})(ctx)
+            if simulation.engines is not None:
+                self.part = type("InSimulation", (simulation.gateway_kind,), {"simulation": simulation})(ctx)
                 self.part.open()
             ctx.replicated_log.open()
             ctx.cache.open()
@@ -149,7 +149,7 @@
                 zone=self.zone,
                 host=self.place[0],
                 port=self.place[1],
-                name=self.name if stage.named else "",
+                name=self.name if simulation.named else "",
             )
         )
         if self.role != "controller":
@@ -158,7 +158,7 @@
     def _on_thread(self, clock, do, *words):
         """On the clock of the life that asks: what is left of an ended life must not reach the next one's disk."""
         d = defer.Deferred()
-        span = self.slow + 0.001 + 0.004 * self.stage.rng.random()
+        span = self.slow + 0.001 + 0.004 * self.simulation.rng.random()
 
         def work():
             try:
@@ -182,7 +182,7 @@
 
     def wipe(self):
         shutil.rmtree(self.folder, ignore_errors=True)
-        self.disk = LosingDisk(self.stage.rng)
+        self.disk = PowerLossDisk(self.simulation.rng)
 
     def freeze(self):
         self.frozen = True
@@ -193,14 +193,14 @@
         self.clock.release()
 
 
-class Stage:
+class Simulation:
     def __init__(
         self, seed: int, controllers=4, storage_nodes=4, gateways=3, placement_groups=4, settings=None, named=False
     ):
         self.seed = seed
         self.rng = Random(seed)
-        self.clock = StagedTime()
-        self.folder = Path(tempfile.mkdtemp(prefix="stage-"))
+        self.clock = VirtualTime()
+        self.folder = Path(tempfile.mkdtemp(prefix="simulation-"))
         self.sink = _Sink()
         self.placement_groups = placement_groups
         self.settings = settings or {}
@@ -216,7 +216,7 @@
         )
         self._tokens.start()
         self._fresh = 0
-        self.actors: dict[str, Actor] = {}
+        self.simulated_nodes: dict[str, SimulatedNode] = {}
         self._timers: list[Timers] = []
         port = 1000
         for role, n in (("controller", controllers), ("storage", storage_nodes), ("gateway", gateways)):
@@ -224,23 +224,23 @@
                 self.add(role, f"{role}{i}", "zone-" + "abcd"[i % 4], port)
                 port += 1
         firsts = [
-            self.actors[f"{r}0"]
+            self.simulated_nodes[f"{r}0"]
             for r, n in (("controller", controllers), ("storage", storage_nodes), ("gateway", gateways))
             if n
         ]
         self.seeds = tuple(f"{a.place[0]}:{a.place[1]}" for a in firsts)
         self.founders = tuple(f"{a.place[0]}:{a.place[1]}" for a in self.role("controller")[:3])
 
-    def add(self, role, name, zone, port) -> Actor:
-        self.actors[name] = Actor(self, role, name, zone, port)
-        return self.actors[name]
+    def add(self, role, name, zone, port) -> SimulatedNode:
+        self.simulated_nodes[name] = SimulatedNode(self, role, name, zone, port)
+        return self.simulated_nodes[name]
 
     def fresh(self) -> str:
         self._fresh += 1
         return f"{self._fresh:04d}"
 
-    def role(self, role: str, alive: bool = False) -> list[Actor]:
-        return [a for a in self.actors.values() if a.role == role and (a.alive and not a.frozen or not alive)]
+    def role(self, role: str, alive: bool = False) -> list[SimulatedNode]:
+        return [a for a in self.simulated_nodes.values() if a.role == role and (a.alive and not a.frozen or not alive)]
 
     def with_engines(self, gateway_kind, engine_kind, n=2):
         """Whole gateways instead of their logs and caches alone, and engines for them."""
@@ -249,7 +249,7 @@
             self.engines[f"engine{i}"] = engine_kind(self, f"engine{i}", "zone-" + "abcd"[i % 4])
 
     def start(self):
-        for a in self.actors.values():
+        for a in self.simulated_nodes.values():
             a.start()
 
     def cut(self, some, others, one_way: bool = False):
@@ -265,7 +265,7 @@
     def _delay(self) -> float:
         return 0.0005 + 0.003 * self.rng.random()
 
-    def _transfer(self, sender: Actor, goal: Actor, body) -> float:
+    def _transfer(self, sender: SimulatedNode, goal: SimulatedNode, body) -> float:
         """How long a message is on its way: each pair of nodes has a link of its own, where there is a rate."""
         if self.bytes_per_s is None or isinstance(body, Exception):
             return self._delay()
@@ -273,9 +273,9 @@
         self._link_free_at[link] = max(now, self._link_free_at.get(link, now)) + len(body) / self.bytes_per_s
         return self._link_free_at[link] - now + self._delay()
 
-    def carry(self, sender: Actor, place, method, body, node="") -> defer.Deferred:
+    def carry(self, sender: SimulatedNode, place, method, body, node="") -> defer.Deferred:
         """Carries one call; one that names a node is refused by any other that answers at its place."""
-        goal = next((a for a in self.actors.values() if a.place == place and a.alive), None)
+        goal = next((a for a in self.simulated_nodes.values() if a.place == place and a.alive), None)
         d = defer.Deferred()
         mine = sender.ctx
 
@@ -330,7 +330,7 @@
             self.clock.advance(0.005)
 
     def do(self, work, limit: float = 20, what: str = "the work"):
-        """Runs a coroutine to its end on the stage's clock; returns its result or raises its fault."""
+        """Runs a coroutine to its end in the simulation's clock; returns its result or raises its fault."""
         box = []
         spawn(work).addBoth(box.append)
         self.until(lambda: box, limit, what)
@@ -339,7 +339,7 @@
         return box[0]
 
     def timers(self, clock=None) -> Timers:
-        """Timers on the stage's time, for a node's life or for whoever stands outside the nodes."""
+        """Timers in the simulation's time, for a node's life or for whoever stands outside the nodes."""
         out = Timers(clock or self.clock, seconds=self.clock.seconds)
         self._timers.append(out)
         out.utc_now = lambda: datetime.fromtimestamp(1_700_000_000 + self.clock.seconds(), UTC)
@@ -364,7 +364,7 @@
         self.run(span.total_seconds())
 
     def end(self):
-        for a in self.actors.values():
+        for a in self.simulated_nodes.values():
             if a.alive:
                 a.kill()
         for timers in self._timers:
--- a/testbed/simulator/virtual_time.py
+++ b/testbed/simulator/virtual_time.py
@@ -1,13 +1,13 @@
-"""Injected time for staged nodes: one heap of delayed calls, and a view of it for each life of a node."""
+"""Injected time for simulated nodes: one heap of delayed calls, and a view of it for each life of a node."""
 
 import heapq
 from itertools import count
 
-__all__ = ["StagedTime", "Watch"]
+__all__ = ["VirtualTime", "NodeReactor"]
 
 
-class StagedTime:
-    """The stage's time: a heap of calls, since thousands of limits are set and cancelled in each second of it."""
+class VirtualTime:
+    """The simulation's time: a heap of calls, since thousands of limits are set and cancelled in each second of it."""
 
     def __init__(self):
         self._now = 1000.0
@@ -32,7 +32,7 @@
 
 
 class _Call:
-    """A call on the stage's clock, or on a life's own."""
+    """A call in the simulation's clock, or on a life's own."""
 
     def __init__(self, watch, do, words, named):
         self._watch, self._work = watch, (do, words, named)
@@ -53,8 +53,8 @@
         do(*words, **named)
 
 
-class Watch:
-    """A life's own reactor on the stage's clock: calls stop when it is killed and wait while it is frozen."""
+class NodeReactor:
+    """A life's own reactor in the simulation's clock: calls stop when it is killed and wait while it is frozen."""
 
     def __init__(self, clock):
         self._clock = clock
--- a/testbed/standins/clients.py
+++ b/testbed/standins/clients.py
@@ -6,7 +6,7 @@
 import time
 from contextlib import contextmanager
 
-from .operators import Operating
+from .operators import OperatorWorkload
 
 __all__ = ["Callers", "Caller"]
 
@@ -40,7 +40,7 @@
     return said.get("error") if isinstance(said, dict) else None
 
 
-class Callers(Operating):
+class Callers(OperatorWorkload):
     def __init__(self, fleet, rng):
         self.fleet = fleet
         self.rng = rng
--- a/testbed/standins/operators.py
+++ b/testbed/standins/operators.py
@@ -5,10 +5,10 @@
 import threading
 import time
 
-__all__ = ["Operating"]
+__all__ = ["OperatorWorkload"]
 
 
-class Operating:
+class OperatorWorkload:
     """Mixin: operators that edit what they read first, and ask again after an unknown outcome until they know it."""
 
     def _open_operating(self):
--- a/tests/answer_scenes.py
+++ b/tests/answer_scenarios.py
@@ -9,9 +9,9 @@
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Pool
 
-from .router_parts import END, Rig, chunk, event, head, route
+from .router_builders import END, Rig, chunk, event, head, route
 
-__all__ = ["AnswerScene", "ItemScene", "ROUTES"]
+__all__ = ["AnswerScenario", "ItemScenario", "ROUTES"]
 
 ROUTES = {
     "mutating": route("o", "/once/", kind="mutating", max_attempts=2),
@@ -53,7 +53,7 @@
     exchanges_then: int = 0
 
 
-class AnswerScene:
+class AnswerScenario:
     """One or two callers of a route. Each event is one thing that a network, an engine, a caller or time may do.
 
     With `moments`, the short waits before another try are events too; else they pass after each event.
@@ -318,7 +318,7 @@
         )
 
 
-class ItemScene(AnswerScene):
+class ItemScenario(AnswerScenario):
     """An item of a batch, tried until it is whole or a few tries were made; it may run more than once."""
 
     def __init__(self, engines: int = 2):
--- a/tests/batch_parts.py
+++ b/tests/batch_builders.py
@@ -1,4 +1,4 @@
-"""Gateways that keep batches, on a stage, with engines that are staged inside them, and callers who hand batches in."""
+"""Simulated gateways that keep batches, with simulated engines inside them, and callers that submit batches."""
 
 import base64
 import json
@@ -16,9 +16,9 @@
 from pipitlink.router.quota import Quota
 from pipitlink.timers import ms, secs
 from pipitlink.wire.cluster_pb2 import Route
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
-__all__ = ["BatchGateway", "Callers", "staged", "route", "text_of"]
+__all__ = ["BatchGateway", "Callers", "start_simulation", "route", "text_of"]
 
 EVENTS = 6
 
@@ -45,7 +45,7 @@
 class BatchGateway(Quota, BatchIntake, BatchRun, BatchRead, Batches):
     """What a gateway does for batches; an item's path says how engines answer it."""
 
-    stage = None
+    simulation = None
 
     def __init__(self, ctx):
         self._ctx = ctx
@@ -59,20 +59,20 @@
         self._open_batches()
 
     def _batch_routes(self):
-        return self.stage.routes
+        return self.simulation.routes
 
     def batch_room(self, route):
         return self.places - self.busy
 
     async def run_item(self, call):
         self.busy += 1
-        stage = self.stage
+        simulation = self.simulation
         try:
-            await self._ctx.timers.sleep(ms(stage.rng.choice((1, 5, 40, 300))))
+            await self._ctx.timers.sleep(ms(simulation.rng.choice((1, 5, 40, 300))))
             call.still()
-            stage.runs.append(
+            simulation.runs.append(
                 {
-                    "at": stage.clock.seconds(),
+                    "at": simulation.clock.seconds(),
                     "item": call.id,
                     "after": call.last_event,
                     "gateway": self._ctx.node,
@@ -86,33 +86,33 @@
                     await self._ctx.timers.sleep(ms(20))
                     return ItemAnswer(status=status, not_run=status == 503)
             for n in range(call.last_event + 1, EVENTS + 1):
-                await self._ctx.timers.sleep(stage.step)
-                if stage.rng.random() < stage.breaks:
+                await self._ctx.timers.sleep(simulation.step)
+                if simulation.rng.random() < simulation.breaks:
                     return ItemAnswer(status=200)
                 call.texts.append(f"{call.id} event {n}".encode())
                 call.last_event = n
-            stage.finished.append({"at": stage.clock.seconds(), "item": call.id})
+            simulation.finished.append({"at": simulation.clock.seconds(), "item": call.id})
             return ItemAnswer(status=200, complete=True)
         finally:
             self.busy -= 1
 
 
-def staged(seed, gateways=3, routes=None, settle=2.0, **words):
-    stage = Stage(seed, controllers=3, storage_nodes=4, gateways=gateways, placement_groups=2, **words)
-    stage.routes = {r.name: r for r in routes or [route()]}
-    stage.runs, stage.finished, stage.step, stage.breaks = [], [], ms(40), 0.05
-    stage.with_engines(BatchGateway, None, 0)
-    stage.start()
-    stage.ready()
-    stage.run(settle)
-    return stage
+def start_simulation(seed, gateways=3, routes=None, settle=2.0, **words):
+    simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=gateways, placement_groups=2, **words)
+    simulation.routes = {r.name: r for r in routes or [route()]}
+    simulation.runs, simulation.finished, simulation.step, simulation.breaks = [], [], ms(40), 0.05
+    simulation.with_engines(BatchGateway, None, 0)
+    simulation.start()
+    simulation.ready()
+    simulation.run(settle)
+    return simulation
 
 
 class Callers:
     """Hands batches in, reads and ends them at any gateway; notes what was answered, and what of it was wrong."""
 
-    def __init__(self, stage):
-        self.stage, self.timers = stage, stage.timers()
+    def __init__(self, simulation):
+        self.simulation, self.timers = simulation, simulation.timers()
         self.over = False
         self.items: dict[str, list[dict]] = {}
         self.taken: dict[str, float] = {}
@@ -138,8 +138,8 @@
         return name
 
     def gateway(self):
-        up = self.stage.role("gateway", alive=True)
-        return self.stage.rng.choice(up) if up else None
+        up = self.simulation.role("gateway", alive=True)
+        return self.simulation.rng.choice(up) if up else None
 
     async def ask(self, do, gateway=None, limit=6.0):
         """(status, headers, body), with status 0 where no answer came."""
@@ -158,16 +158,16 @@
 
     async def hand_in(self, name, gateway=None, limit=3.0, row="bulk"):
         raw = json.dumps({"items": self.items[name]}).encode()
-        r = self.stage.routes[row]
+        r = self.simulation.routes[row]
         status, headers, _ = await self.ask(
             lambda p: p.take_batch(r, "h", f"/{row}/", name, raw, p._ctx.timers.now() + secs(limit)), gateway, limit + 1
         )
         if status == 202:
-            self.taken.setdefault(name, self.stage.clock.seconds())
+            self.taken.setdefault(name, self.simulation.clock.seconds())
         return status
 
     async def read(self, name, start=0, wait=0, gateway=None):
-        asked = self.stage.clock.seconds()
+        asked = self.simulation.clock.seconds()
         status, _, body = await self.ask(lambda p: p.read_batch(name, start, ms(wait)), gateway, 6 + wait / 1000)
         if status != 200:
             if status in (404, 410) and asked - self.taken.get(name, asked) > 0:
@@ -204,16 +204,16 @@
         self.ended.setdefault(name, float("inf"))
         status, _, _ = await self.ask(lambda p: p.end_batch(name), gateway, 10)
         if status == 200:
-            self.ended[name] = min(self.ended[name], self.stage.clock.seconds())
+            self.ended[name] = min(self.ended[name], self.simulation.clock.seconds())
         return status
 
     def whole(self, name):
-        status, doc = self.stage.do(self.read(name))
+        status, doc = self.simulation.do(self.read(name))
         return status == 200 and len(doc["outputs"]) == len(self.items[name]) and doc
 
     async def hand_in_all(self):
         """Each batch again at other gateways, until it is taken or surely refused."""
-        rng = self.stage.rng
+        rng = self.simulation.rng
         while not self.over:
             await self.timers.sleep(ms(300 + rng.randrange(900)))
             name, said = self.lot(2 + rng.randrange(8)), []
@@ -226,14 +226,14 @@
 
     async def read_some(self):
         while not self.over:
-            await self.timers.sleep(ms(100 + self.stage.rng.randrange(300)))
+            await self.timers.sleep(ms(100 + self.simulation.rng.randrange(300)))
             if self.taken:
-                name = self.stage.rng.choice(list(self.taken))
-                start = self.stage.rng.choice((0, len(self.seen.get(name, ()))))
-                await self.read(name, start, self.stage.rng.choice((0, 1000)))
+                name = self.simulation.rng.choice(list(self.taken))
+                start = self.simulation.rng.choice((0, len(self.seen.get(name, ()))))
+                await self.read(name, start, self.simulation.rng.choice((0, 1000)))
 
     async def end_some(self):
         while not self.over:
-            await self.timers.sleep(ms(2500 + self.stage.rng.randrange(4000)))
+            await self.timers.sleep(ms(2500 + self.simulation.rng.randrange(4000)))
             if self.taken:
-                await self.end(self.stage.rng.choice(list(self.taken)))
+                await self.end(self.simulation.rng.choice(list(self.taken)))
--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -4,13 +4,14 @@
 statuses, codes, results and sequences with the virtual time (in ms) and the name of the node that was asked. The
 second, `network`, has a line for each message between nodes: virtual time, sender, receiver, method, and length and
 digest of the payload; a response stands with the sender of its request, at the time it arrived there. Of errors only
-the code is recorded, since their text may name classes. Ids that are random in production come from the stage's seed.
+the code is recorded, since their text may name classes. Ids that are random in production come from the simulation's
+seed.
 
-A scene is played without garbage collection, which would close abandoned coroutines at moments that depend on how many
-objects the code allocates; and the gateway's set of calls under way, which is walked in the order of memory addresses,
-is replaced by one that keeps its order. No bytes are left out but the texts of errors. Records do not depend on
-PYTHONHASHSEED in the seeds that were tried. All else is recorded, so a record also changes where equal behaviour
-draws random numbers in another order.
+A scenario is played without garbage collection, which would close abandoned coroutines at moments that depend on how
+many objects the code allocates; and the gateway's set of calls under way, which is walked in the order of memory
+addresses, is replaced by one that keeps its order. No bytes are left out but the texts of errors. Records do not
+depend on PYTHONHASHSEED in the seeds that were tried. All else is recorded, so a record also changes where equal
+behaviour draws random numbers in another order.
 
 Usage:
   behaviour_record SCENARIO SEED [--diff=FILE]
@@ -35,7 +36,7 @@
 import attrs
 from docopt import docopt
 
-from .behaviour_scenes import SCENARIOS
+from .behaviour_scenarios import SCENARIOS
 
 __all__ = ["SCENARIOS", "BehaviourRecord", "play", "read_digests", "mismatches"]
 
--- a/tests/behaviour_scenes.py
+++ b/tests/behaviour_scenarios.py
@@ -12,16 +12,16 @@
 from twisted.python.failure import Failure
 
 from testbed.checks.linearizability import ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen
-from testbed.simulator.random_faults import Trouble
-from testbed.simulator.simulated_gateway import Customers, StagedEngine, StagedGateway
-from testbed.simulator.simulation import Stage
+from testbed.simulator.random_faults import RandomFaults
+from testbed.simulator.simulated_gateway import SimulatedClients, SimulatedEngine, SimulatedGateway
+from testbed.simulator.simulation import Simulation
 
-from . import batch_parts
+from . import batch_builders
 from .control_calls import Caller
-from .order_parts import HoldingStage, Operators
-from .router_parts import END, Rig, chunk, event, head, route
-from .test_stage_controllers import _Operators as TableOperators
-from .test_stage_logs import _Writers as LogWriters
+from .order_simulation import DelayingSimulation, Operators
+from .router_builders import END, Rig, chunk, event, head, route
+from .test_simulated_controllers import _Operators as TableOperators
+from .test_simulated_logs import _Writers as LogWriters
 
 __all__ = ["SCENARIOS"]
 
@@ -77,26 +77,26 @@
 
 
 @contextmanager
-def _played(stage):
-    """The notes of a scene and of its network; the fleet is ready, and ended in the end."""
-    seen, network = _Notes(stage.clock.seconds), _Notes(stage.clock.seconds)
-    with mock.patch.object(Stage, "carry", _tapped_carry(network)):
+def _played(simulation):
+    """The notes of a scenario and of its network; the fleet is ready, and ended in the end."""
+    seen, network = _Notes(simulation.clock.seconds), _Notes(simulation.clock.seconds)
+    with mock.patch.object(Simulation, "carry", _tapped_carry(network)):
         try:
-            stage.start()
-            stage.ready()
+            simulation.start()
+            simulation.ready()
             yield seen, network
         finally:
-            stage.end()
+            simulation.end()
 
 
 def _tapped_carry(network):
-    """The stage's one way for messages, with a note for each request and for what came back to its sender."""
-    plain_carry = Stage.carry
+    """The simulation's one way for messages, with a note for each request and for what came back to its sender."""
+    plain_carry = Simulation.carry
 
-    def carry(stage, sender, place, method, body, node=""):
-        goal = next((a.name for a in stage.actors.values() if a.place == place), str(place))
+    def carry(simulation, sender, place, method, body, node=""):
+        goal = next((a.name for a in simulation.simulated_nodes.values() if a.place == place), str(place))
         network.note("request", sender.name, goal, method, node, len(body), _short_digest(body))
-        return plain_carry(stage, sender, place, method, body, node).addBoth(back, sender.name, goal, method)
+        return plain_carry(simulation, sender, place, method, body, node).addBoth(back, sender.name, goal, method)
 
     def back(result, sender, goal, method):
         if not isinstance(result, Failure):
@@ -120,26 +120,26 @@
 
 def controllers(seed):
     """Edits of the table of models and their outcomes while controllers fail."""
-    stage = Stage(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
-    with _played(stage) as (seen, network):
-        operators, caller = TableOperators(stage), Caller(stage)
-        operators.timers = stage.timers()
-        trouble = Trouble(stage, roles=("controller",) if seed % 2 else ALL_ROLES)
-        trouble.during([operators.operate(0), operators.operate(1)], faults=8)
-        stage.run(4)
+    simulation = Simulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
+    with _played(simulation) as (seen, network):
+        operators, caller = TableOperators(simulation), Caller(simulation)
+        operators.timers = simulation.timers()
+        random_faults = RandomFaults(simulation, roles=("controller",) if seed % 2 else ALL_ROLES)
+        random_faults.during([operators.operate(0), operators.operate(1)], faults=8)
+        simulation.run(4)
         operators.over = True
-        stage.run(4)
-        stage.ready()
+        simulation.run(4)
+        simulation.ready()
         for at, sequence, text in operators.acked:
             seen.note("acknowledged", sequence, text, at=at)
         seen.note("refused", sorted(operators.refused), operators.reads, operators.faults)
-        _note_control_paths(stage, caller, seen)
+        _note_control_paths(simulation, caller, seen)
     return seen.lines, network.lines
 
 
-def _note_control_paths(stage, caller, seen):
+def _note_control_paths(simulation, caller, seen):
     """What each controller answers to every path that is only read and names nothing."""
-    for controller in stage.role("controller"):
+    for controller in simulation.role("controller"):
         for method, path, _ in caller.control_format.control_paths:
             if method == "GET" and "<" not in path:
                 seen.note(controller.name, path, *_answer(caller.ask(controller, method, path)))
@@ -167,8 +167,8 @@
 
 
 class _RecordedWriters(LogWriters):
-    def __init__(self, stage, seen):
-        super().__init__(stage)
+    def __init__(self, simulation, seen):
+        super().__init__(simulation)
         self._seen = seen
         self.acked = _RecordedAppends(seen)
 
@@ -179,25 +179,25 @@
 
 def logs(seed):
     """Gateways that race for one replicated log while storage nodes and gateways fail."""
-    stage = Stage(seed, controllers=3, storage_nodes=3 + seed % 2, gateways=3, placement_groups=2)
-    stage.bytes_per_s = SLOW_LINK if seed % 3 == 0 else None
-    with _played(stage) as (seen, network):
-        writers = _RecordedWriters(stage, seen)
-        gateways = stage.role("gateway")
-        trouble = Trouble(stage, roles=("storage", "storage", "gateway"))
-        trouble.during([work for a in gateways for work in (writers.write(a), writers.read(a))], faults=8)
+    simulation = Simulation(seed, controllers=3, storage_nodes=3 + seed % 2, gateways=3, placement_groups=2)
+    simulation.bytes_per_s = SLOW_LINK if seed % 3 == 0 else None
+    with _played(simulation) as (seen, network):
+        writers = _RecordedWriters(simulation, seen)
+        gateways = simulation.role("gateway")
+        random_faults = RandomFaults(simulation, roles=("storage", "storage", "gateway"))
+        random_faults.during([work for a in gateways for work in (writers.write(a), writers.read(a))], faults=8)
         for a in gateways:
             _spawn(seen, writers.write(a))
             _spawn(seen, writers.read(a))
-        stage.run(8)
+        simulation.run(8)
         writers.over = True
-        stage.run(3)
+        simulation.run(3)
         seen.note("in the end", writers.holds, writers.faults, len(writers.shown))
     return seen.lines, network.lines
 
 
-def _note_customers(customers, stage, seen):
-    lines = [(e["at"], 0, e) for e in customers.events] + [(n["at"], 1, n) for n in stage.notes]
+def _note_customers(customers, simulation, seen):
+    lines = [(e["at"], 0, e) for e in customers.events] + [(n["at"], 1, n) for n in simulation.notes]
     for at, source, e in sorted(lines, key=lambda line: line[:2]):
         if source:
             seen.note(*(e.get(field) for field in ENGINE_FIELDS), at=at)
@@ -206,36 +206,36 @@
 
 
 def lots(seed):
-    """Customers' lots, live requests, and engines that come and go, while everything fails."""
-    stage = Stage(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
-    stage.with_engines(StagedGateway, StagedEngine, 3)
-    with _played(stage) as (seen, network):
-        c = Customers(stage)
-        trouble = Trouble(stage, roles=("gateway", "gateway", "storage", "controller"))
-        trouble.during([c.hand_in(), c.read(), c.read(), c.end_some(), c.live(), c.engines()], faults=8)
+    """SimulatedClients' lots, live requests, and engines that come and go, while everything fails."""
+    simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
+    simulation.with_engines(SimulatedGateway, SimulatedEngine, 3)
+    with _played(simulation) as (seen, network):
+        c = SimulatedClients(simulation)
+        random_faults = RandomFaults(simulation, roles=("gateway", "gateway", "storage", "controller"))
+        random_faults.during([c.hand_in(), c.read(), c.read(), c.end_some(), c.live(), c.engines()], faults=8)
         c.over = True
-        stage.run(9)
-        _read_all_lots(stage, c)
-        _note_customers(c, stage, seen)
+        simulation.run(9)
+        _read_all_lots(simulation, c)
+        _note_customers(c, simulation, seen)
     return seen.lines, network.lines
 
 
-def _read_all_lots(stage, customers):
+def _read_all_lots(simulation, customers):
     for lot in list(customers.lots):
-        for gateway in stage.role("gateway"):
-            stage.do(customers.one_read(lot, gateway), 10)
+        for gateway in simulation.role("gateway"):
+            simulation.do(customers.one_read(lot, gateway), 10)
 
 
-class _RecordedCallers(batch_parts.Callers):
+class _RecordedCallers(batch_builders.Callers):
     """Notes each answer, and which gateway gave it."""
 
-    def __init__(self, stage, seen):
-        super().__init__(stage)
+    def __init__(self, simulation, seen):
+        super().__init__(simulation)
         self._seen = seen
 
     async def ask(self, do, gateway=None, limit=6.0):
         gateway = gateway or self.gateway()
-        asked = self.stage.clock.seconds()
+        asked = self.simulation.clock.seconds()
         status, headers, body = await super().ask(do, gateway, limit)
         name = gateway.name if gateway else ""
         self._seen.note("answer", name, asked, status, dict(headers), _error_code(status, body))
@@ -254,44 +254,44 @@
 
 def batches(seed):
     """Batches of the routes interface that are handed in, read and ended at any gateway, while everything fails."""
-    stage = Stage(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
-    stage.routes = {"bulk": batch_parts.route()}
-    stage.runs, stage.finished, stage.breaks = [], [], 0.05
-    stage.step = batch_parts.ms(40)
-    stage.with_engines(batch_parts.BatchGateway, None, 0)
-    with _played(stage) as (seen, network):
-        stage.run(2)
-        c = _RecordedCallers(stage, seen)
-        trouble = Trouble(stage)
-        trouble.during([c.hand_in_all(), c.hand_in_all(), c.read_some(), c.read_some(), c.end_some()], 8)
+    simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
+    simulation.routes = {"bulk": batch_builders.route()}
+    simulation.runs, simulation.finished, simulation.breaks = [], [], 0.05
+    simulation.step = batch_builders.ms(40)
+    simulation.with_engines(batch_builders.BatchGateway, None, 0)
+    with _played(simulation) as (seen, network):
+        simulation.run(2)
+        c = _RecordedCallers(simulation, seen)
+        random_faults = RandomFaults(simulation)
+        random_faults.during([c.hand_in_all(), c.hand_in_all(), c.read_some(), c.read_some(), c.end_some()], 8)
         c.over = True
-        stage.run(9)
+        simulation.run(9)
         for name in list(c.taken):
-            for a in stage.role("gateway"):
-                stage.do(c.read(name, gateway=a))
-                stage.do(c.body(name, 0, a))
-        _note_runs(stage, seen)
+            for a in simulation.role("gateway"):
+                simulation.do(c.read(name, gateway=a))
+                simulation.do(c.body(name, 0, a))
+        _note_runs(simulation, seen)
         seen.note("wrong", c.wrong, sorted(c.refused))
     return seen.lines, network.lines
 
 
-def _note_runs(stage, seen):
-    for run in stage.runs:
+def _note_runs(simulation, seen):
+    for run in simulation.runs:
         words = ("item", "after", "gateway", "path", "headers", "body")
         seen.note("run", *(run[word] for word in words), at=run["at"])
-    for end in stage.finished:
+    for end in simulation.finished:
         seen.note("finished", end["item"], at=end["at"])
 
 
 class _RecordedOperators(Operators):
     """Notes each copy of a call and its answer, and which controller gave it."""
 
-    def __init__(self, stage, seen, **words):
-        super().__init__(stage, **words)
+    def __init__(self, simulation, seen, **words):
+        super().__init__(simulation, **words)
         self._seen = seen
 
     async def call(self, controller, *words):
-        asked = self.stage.clock.seconds()
+        asked = self.simulation.clock.seconds()
         got = await super().call(controller, *words)
         self._seen.note("answer", controller.name, asked, words, _answer(got) if got else None)
         return got
@@ -305,46 +305,48 @@
 
 def orders(seed):
     """Operators' orders that are lost, held up, sent again and raced, while controllers or everything fails."""
-    stage = HoldingStage(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
-    with _played(stage) as (seen, network):
-        operators = _RecordedOperators(stage, seen)
-        trouble = Trouble(stage, roles=("controller",) if seed % 2 else ALL_ROLES)
-        trouble.during([operators.operate() for _ in range(3)], faults=8)
+    simulation = DelayingSimulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
+    with _played(simulation) as (seen, network):
+        operators = _RecordedOperators(simulation, seen)
+        random_faults = RandomFaults(simulation, roles=("controller",) if seed % 2 else ALL_ROLES)
+        random_faults.during([operators.operate() for _ in range(3)], faults=8)
         if seed % 3 == 0:
-            _lose_power(stage)
-        stage.run(4)
+            _lose_power(simulation)
+        simulation.run(4)
         operators.over = True
-        stage.run(8)
-        stage.ready()
-        _note_control_paths(stage, operators.caller, seen)
+        simulation.run(8)
+        simulation.ready()
+        _note_control_paths(simulation, operators.caller, seen)
         _note_history(operators, seen)
     return seen.lines, network.lines
 
 
-def _lose_power(stage):
-    controllers = stage.role("controller")
+def _lose_power(simulation):
+    controllers = simulation.role("controller")
     for a in controllers:
         a.kill(power=True)
-    stage.run(0.5)
+    simulation.run(0.5)
     for a in controllers:
         a.start()
 
 
 def everything(seed):
     """Lots, live requests, orders and edits at once, while nodes of every role, links, disks and engines fail."""
-    stage = HoldingStage(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=4, named=bool(seed % 2))
-    stage.with_engines(StagedGateway, StagedEngine, 2)
-    with _played(stage) as (seen, network):
-        operators, c = _RecordedOperators(stage, seen), Customers(stage)
+    simulation = DelayingSimulation(
+        seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=4, named=bool(seed % 2)
+    )
+    simulation.with_engines(SimulatedGateway, SimulatedEngine, 2)
+    with _played(simulation) as (seen, network):
+        operators, c = _RecordedOperators(simulation, seen), SimulatedClients(simulation)
         work = [operators.operate(), operators.operate(), c.hand_in(), c.read(), c.end_some(), c.live(), c.engines()]
-        Trouble(stage, roles=ALL_ROLES).during(work, faults=8, between=1.0)
-        stage.run(3)
+        RandomFaults(simulation, roles=ALL_ROLES).during(work, faults=8, between=1.0)
+        simulation.run(3)
         operators.over = c.over = True
-        stage.run(9)
-        _read_all_lots(stage, c)
-        _note_control_paths(stage, operators.caller, seen)
+        simulation.run(9)
+        _read_all_lots(simulation, c)
+        _note_control_paths(simulation, operators.caller, seen)
         _note_history(operators, seen)
-        _note_customers(c, stage, seen)
+        _note_customers(c, simulation, seen)
     return seen.lines, network.lines
 
 
@@ -375,7 +377,7 @@
         self.pop(member, None)
 
 
-class _RouterScene:
+class _RouterScenario:
     """Callers and engines of one gateway that act at random: answers, breaks, refusals, hangups."""
 
     STEPS = 500
@@ -484,7 +486,7 @@
 def router(seed):
     """Live requests by routes through one gateway, whose callers and engines act at random; without other nodes."""
     with mock.patch("pipitlink.router.relay.set", _OrderedSet, create=True):
-        return _RouterScene(seed).play(), []
+        return _RouterScenario(seed).play(), []
 
 
 SCENARIOS = {
--- a/tests/control_calls.py
+++ b/tests/control_calls.py
@@ -1,4 +1,4 @@
-"""Calls to a controller's control interface on the stage, without sockets."""
+"""Calls to a controller's control interface in the simulation, without sockets."""
 
 import importlib.util
 import io
@@ -82,8 +82,8 @@
 class Caller:
     """Sends requests to a controller by the paths of a control format, as its HTTP server would."""
 
-    def __init__(self, stage, control_format=None):
-        self.stage = stage
+    def __init__(self, simulation, control_format=None):
+        self.simulation = simulation
         self.control_format = control_format or ControlFormat()
 
     def begin(self, controller, method: str, path: str, body=None, headers=None) -> list:
@@ -105,7 +105,7 @@
 
     def ask(self, controller, *args, limit: float = 8, **kwargs):
         box = self.begin(controller, *args, **kwargs)
-        self.stage.until(lambda: box, limit, "the call is answered")
+        self.simulation.until(lambda: box, limit, "the call is answered")
         return box[0]
 
     def put(self, controller, config, base: int):
--- a/tests/guard_scenes.py
+++ b/tests/guard_scenarios.py
@@ -1,4 +1,4 @@
-"""Each line of "What must never happen": the failure is brought about on a stage, and without its guard it shows."""
+"""Each line of "What must never happen": simulated, and without its guard the failure shows."""
 
 from pipitlink.cluster import ClusterFollower, ClusterState
 from pipitlink.controller.log_replication import LogReplication
@@ -15,111 +15,111 @@
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit, ZoneEdit
 from testbed.checks.checker import check
-from testbed.faults.disks import LosingDisk
-from testbed.simulator.simulated_gateway import Customers, StagedEngine, StagedGateway
-from testbed.simulator.simulation import Stage
+from testbed.faults.disks import PowerLossDisk
+from testbed.simulator.simulated_gateway import SimulatedClients, SimulatedEngine, SimulatedGateway
+from testbed.simulator.simulation import Simulation
 
 
-class Scene:
+class Scenario:
     """A small fleet on injected timers, its customers, and what the checker says of them."""
 
     def __init__(self, test, engines=2, step=0.04, capacity=4):
-        self.stage = Stage(7, controllers=3, storage_nodes=4, gateways=3, placement_groups=2)
-        test.addCleanup(self.stage.end)
-        self.stage.with_engines(StagedGateway, StagedEngine, engines)
-        for e in self.stage.engines.values():
+        self.simulation = Simulation(7, controllers=3, storage_nodes=4, gateways=3, placement_groups=2)
+        test.addCleanup(self.simulation.end)
+        self.simulation.with_engines(SimulatedGateway, SimulatedEngine, engines)
+        for e in self.simulation.engines.values():
             e.step, e.capacity = step, capacity
-        self.stage.start()
-        self.stage.ready()
-        self.c = Customers(self.stage)
+        self.simulation.start()
+        self.simulation.ready()
+        self.c = SimulatedClients(self.simulation)
         self.capacity = capacity
-        self.stage.run(9)
+        self.simulation.run(9)
 
     def lot(self, items=8):
-        return self.stage.until(lambda: self.stage.do(self.c.one_lot(items)), 10, "a lot is taken")
+        return self.simulation.until(lambda: self.simulation.do(self.c.one_lot(items)), 10, "a lot is taken")
 
     def runs(self, prompt=""):
-        return [n for n in self.stage.notes if n["event"] == "run" and n["prompt"].startswith(prompt)]
+        return [n for n in self.simulation.notes if n["event"] == "run" and n["prompt"].startswith(prompt)]
 
     def owner(self, lot):
         return next(
             (
                 a
-                for a in self.stage.role("gateway", alive=True)
+                for a in self.simulation.role("gateway", alive=True)
                 if result_log(lot) in a.ctx.replicated_log.leaseholders and a.part.open_jobs.get(lot)
             ),
             None,
         )
 
     def close(self, lot):
-        self.stage.until(
-            lambda: self.stage.do(self.c.one_read(lot), 10)["state"] in ("done", "ended"), 60, "it is done"
+        self.simulation.until(
+            lambda: self.simulation.do(self.c.one_read(lot), 10)["state"] in ("done", "ended"), 60, "it is done"
         )
 
     def live(self, n=1, repeatable=False):
         for i in range(n):
             self.c._n += 1
-            self.stage.do(self.c._one_live(f"live{self.c._n}", repeatable), 10)
+            self.simulation.do(self.c._one_live(f"live{self.c._n}", repeatable), 10)
 
     def edit(self, command):
-        return self.stage.do(self.stage.leader().part.state_delivery.edit(command), 10, "an edit")
+        return self.simulation.do(self.simulation.leader().part.state_delivery.edit(command), 10, "an edit")
 
     def bad(self):
-        zones = {e.name: e.zone for e in self.stage.engines.values()}
-        return check(self.c.events, self.stage.notes, zones, capacity=self.capacity)
+        zones = {e.name: e.zone for e in self.simulation.engines.values()}
+        return check(self.c.events, self.simulation.notes, zones, capacity=self.capacity)
 
 
 def owner_killed(s):
     lot = s.lot(12)
-    s.stage.until(lambda: len(s.runs("lot")) >= 3, 20, "items run")
+    s.simulation.until(lambda: len(s.runs("lot")) >= 3, 20, "items run")
     s.owner(lot).kill()
     s.close(lot)
 
 
 def owner_frozen(s):
     lot = s.lot(12)
-    s.stage.until(lambda: len(s.runs("lot")) >= 3, 20, "items run")
+    s.simulation.until(lambda: len(s.runs("lot")) >= 3, 20, "items run")
     owner = s.owner(lot)
     owner.freeze()
-    s.stage.run(7)
+    s.simulation.run(7)
     owner.thaw()
     s.close(lot)
     for _ in range(6):
-        s.stage.do(s.c.one_read(lot))
+        s.simulation.do(s.c.one_read(lot))
 
 
 def lot_ended(s):
     lot = s.lot(6)
-    s.stage.until(lambda: len(s.runs("lot")) >= 2, 20, "items run")
-    got, _ = s.stage.do(s.c._ask(lambda part: part.job_api.cancel_anywhere(lot), 9.0), 10)
+    s.simulation.until(lambda: len(s.runs("lot")) >= 2, 20, "items run")
+    got, _ = s.simulation.do(s.c._ask(lambda part: part.job_api.cancel_anywhere(lot), 9.0), 10)
     s.c.note("lot_ended", lot=lot, status=200, said={"state": got})
-    s.stage.run(34)
+    s.simulation.run(34)
     s.close(lot)
 
 
 def engine_leaves(s):
-    s.stage.engines["engine0"].leave()
-    s.stage.run(2.5)
+    s.simulation.engines["engine0"].leave()
+    s.simulation.run(2.5)
     s.live(6)
 
 
 def zone_emptied(s):
-    zone = s.stage.engines["engine0"].zone
+    zone = s.simulation.engines["engine0"].zone
     s.edit(Command(edit="z", zone=ZoneEdit(zone=zone, empty=True)))
     s.c.note("zone_edit", zone=zone, empty=True, status=200)
-    s.stage.run(5.5)
+    s.simulation.run(5.5)
     s.live(8)
 
 
 def cold_engine(s):
-    for e in s.stage.engines.values():
+    for e in s.simulation.engines.values():
         e.crash()
-    s.stage.run(1.5)
-    for e in s.stage.engines.values():
+    s.simulation.run(1.5)
+    for e in s.simulation.engines.values():
         e.open()
-    s.stage.run(1.2)
+    s.simulation.run(1.2)
     lot = s.lot(40)
-    s.stage.run(2)
+    s.simulation.run(2)
     s.close(lot)
 
 
@@ -129,76 +129,78 @@
         box = []
         s.c._n += 1
         spawn(s.c._one_live(f"live{s.c._n}", True)).addBoth(box.append)
-        s.stage.until(lambda: len(s.runs()) > before or box, 10, "it runs")
+        s.simulation.until(lambda: len(s.runs()) > before or box, 10, "it runs")
         if box:
             continue
-        s.stage.run(0.1)
-        e = s.stage.engines[s.runs()[-1]["engine"]]
+        s.simulation.run(0.1)
+        e = s.simulation.engines[s.runs()[-1]["engine"]]
         e.crash()
-        s.stage.until(lambda: box, 10, "it is told")
+        s.simulation.until(lambda: box, 10, "it is told")
         e.open()
-        s.stage.run(2)
+        s.simulation.run(2)
 
 
 def weight_zero(s):
     """An edit that only some gateways could follow: those that cannot prove theirs admit nothing."""
-    s.stage.cut(["gateway0"], [a for a in s.stage.actors if a != "gateway0"])
+    s.simulation.cut(["gateway0"], [a for a in s.simulation.simulated_nodes if a != "gateway0"])
     s.edit(
         Command(
             edit="w",
             table=TableEdit(
-                base=s.stage.leader().part.consensus.cluster_state.table_sequence,
+                base=s.simulation.leader().part.consensus.cluster_state.table_sequence,
                 upserts=[Row(name="m", model="m", weight=0)],
             ),
         )
     )
     s.c.note("gate", model="m", open=False, done=True)
-    s.stage.run(2.4)
+    s.simulation.run(2.4)
     s.live(9)
 
 
 def closing_power(s):
     lot = s.lot(4)
     s.close(lot)
-    for a in s.stage.role("storage") + s.stage.role("controller"):
+    for a in s.simulation.role("storage") + s.simulation.role("controller"):
         a.disk._chance = type("Whole", (), {"randrange": lambda self, n: 0})()
         a.kill(power=True)
-    s.stage.run(1)
-    for a in s.stage.role("storage") + s.stage.role("controller"):
+    s.simulation.run(1)
+    for a in s.simulation.role("storage") + s.simulation.role("controller"):
         a.start()
-    s.stage.run(8)
-    for a in s.stage.role("gateway"):
+    s.simulation.run(8)
+    for a in s.simulation.role("gateway"):
         a.kill()
         a.start()
-    s.stage.run(6)
-    s.stage.ready()
+    s.simulation.run(6)
+    s.simulation.ready()
     s.c.events[:] = [e for e in s.c.events if e["event"] != "table_read"]
     for _ in range(3):
-        s.stage.do(s.c.one_read(lot))
+        s.simulation.do(s.c.one_read(lot))
 
 
 def gateway_cut_off(s):
     """A gateway is cut off from all others after it read a list; meanwhile the list grows for everybody else."""
-    lot, gateways = s.lot(10), s.stage.role("gateway")
-    s.stage.do(s.c.one_read(lot, gateways[0]))
-    s.stage.cut(["gateway0"], [a for a in s.stage.actors if a != "gateway0"])
-    s.stage.until(lambda: len(s.stage.do(s.c.one_read(lot, gateways[1]), 10)["results"] or ()) > 3, 60, "it grows")
-    s.stage.run(2)
-    s.stage.do(s.c.one_read(lot, gateways[0]), 10)
+    lot, gateways = s.lot(10), s.simulation.role("gateway")
+    s.simulation.do(s.c.one_read(lot, gateways[0]))
+    s.simulation.cut(["gateway0"], [a for a in s.simulation.simulated_nodes if a != "gateway0"])
+    s.simulation.until(
+        lambda: len(s.simulation.do(s.c.one_read(lot, gateways[1]), 10)["results"] or ()) > 3, 60, "it grows"
+    )
+    s.simulation.run(2)
+    s.simulation.do(s.c.one_read(lot, gateways[0]), 10)
     s.c.note("hurt", id=1, nodes=["gateway0"], bearable=True)
     s.c.events[-1]["at"] = 0
-    s.stage.heal()
+    s.simulation.heal()
     s.close(lot)
 
 
 def operators_race(s):
     """Two edits build on one sequence; then the leader is cut off, another takes an edit, and the old one is read."""
-    old = s.stage.leader()
+    old = s.simulation.leader()
     base = old.part.consensus.cluster_state.table_sequence
 
     def edit(part, name, base):
-        asked = s.stage.clock.seconds()
-        out = s.stage.do(
+        asked = s.simulation.clock.seconds()
+        out = s.simulation.do(
             part.state_delivery.edit(
                 Command(edit=name, table=TableEdit(base=base, upserts=[Row(name="r", model=name)]))
             ),
@@ -219,16 +221,18 @@
 
     edit(old.part, "first", base)
     edit(old.part, "second", base)
-    rest = [a for a in s.stage.role("controller") if a is not old]
-    s.stage.cut([old.name], [a for a in s.stage.actors if a != old.name])
-    new = s.stage.until(lambda: next((a for a in rest if a.part.consensus.role == "leader"), None), 20, "another leads")
-    s.stage.run(2)
+    rest = [a for a in s.simulation.role("controller") if a is not old]
+    s.simulation.cut([old.name], [a for a in s.simulation.simulated_nodes if a != old.name])
+    new = s.simulation.until(
+        lambda: next((a for a in rest if a.part.consensus.role == "leader"), None), 20, "another leads"
+    )
+    s.simulation.run(2)
     edit(new.part, "third", new.part.consensus.cluster_state.table_sequence)
-    s.stage.run(0.1)
+    s.simulation.run(0.1)
     for a in (new, old):
-        asked = s.stage.clock.seconds()
+        asked = s.simulation.clock.seconds()
         try:
-            s.stage.do(a.part.log_replication.confirm_leadership(), 10)
+            s.simulation.do(a.part.log_replication.confirm_leadership(), 10)
         except PipitlinkError:
             continue
         s.c.note(
@@ -353,7 +357,7 @@
     "nothing is acknowledged before it is synced": (
         closing_power,
         {},
-        LosingDisk,
+        PowerLossDisk,
         "sync",
         lambda self, fd: None,
         "lot gateway",
--- a/tests/loss_parts.py
+++ b/tests/loss_simulation.py
@@ -1,20 +1,20 @@
-"""A staged fleet with many logs, losses of each kind, and what is whole in it."""
+"""A simulated fleet with many logs, losses of each kind, and what is whole in it."""
 
 from pipitlink.disk import decode_frames
 from pipitlink.errors import PipitlinkError
 from pipitlink.replicated_log.placement_group import placement_group_of
 from pipitlink.timers import ms, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
-__all__ = ["LossStage", "KINDS"]
+__all__ = ["LossSimulation", "KINDS"]
 
 KINDS = ("wiped", "wiped_late", "replaced", "planned", "killed", "power", "frozen", "cut")
 AWAY = 2.0
 AT_ONCE = 25
 
 
-class LossStage(Stage):
+class LossSimulation(Simulation):
     """Logs of which most have ended, writers of some that stay open, and operators' edits."""
 
     def __init__(self, seed, logs=200, writers=6, losses=1, storage_nodes=4, controllers=4, zones=4):
@@ -150,39 +150,39 @@
         behind = [v for v in voters if alive[v].part.consensus.commit_index + 10 < leader.part.consensus.commit_index]
         return f"{behind} lag" if behind else ""
 
-    def lose(self, actor, kind: str):
+    def lose(self, simulated_node, kind: str):
         """Brings the loss about; returns once the machine, or its successor, is back."""
-        others = [a for a in self.actors if a != actor.name]
+        others = [a for a in self.simulated_nodes if a != simulated_node.name]
         if kind in ("wiped", "wiped_late", "killed", "power"):
-            actor.kill(power=kind != "killed")
+            simulated_node.kill(power=kind != "killed")
             if kind.startswith("wiped"):
-                actor.wipe()
+                simulated_node.wipe()
             self.run(0.1 if kind == "wiped" else 2 * AWAY if kind == "wiped_late" else AWAY)
-            actor.start()
+            simulated_node.start()
         elif kind == "replaced":
-            actor.kill(power=True)
+            simulated_node.kill(power=True)
             self.run(1)
-            self.successor(actor)
+            self.successor(simulated_node)
         elif kind == "planned":
-            self.successor(actor)
+            self.successor(simulated_node)
             self.run(0.3)
-            spawn(actor.part.end())
+            spawn(simulated_node.part.end())
             self.run(0.1)
-            actor.kill()
+            simulated_node.kill()
         elif kind == "frozen":
-            actor.freeze()
+            simulated_node.freeze()
             self.run(2 * AWAY)
-            actor.thaw()
+            simulated_node.thaw()
         elif kind == "cut":
-            self.cut([actor.name], others)
+            self.cut([simulated_node.name], others)
             self.run(2 * AWAY)
             self.heal()
 
-    def successor(self, actor):
+    def successor(self, simulated_node):
         self._added += 1
-        name = f"{actor.role}s{self._added}"
-        self.add(actor.role, name, actor.zone, 2000 + self._added).start()
-        return self.actors[name]
+        name = f"{simulated_node.role}s{self._added}"
+        self.add(simulated_node.role, name, simulated_node.zone, 2000 + self._added).start()
+        return self.simulated_nodes[name]
 
     def wait_whole(self, limit: float) -> float:
         """How long until all logs and votes are whole again."""
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -1,4 +1,4 @@
-"""Records what staged runs of the real code do, in the words of the properties."""
+"""Records what simulated runs of the real code do, in the words of the properties."""
 
 import contextlib
 from hashlib import blake2b
@@ -12,7 +12,7 @@
 from pipitlink.replicated_log import Leaseholder
 from pipitlink.replicated_log.placement_group import placement_group_of
 from pipitlink.storage.log_store import LogStore
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 from . import properties
 from .properties import (
@@ -33,10 +33,10 @@
 
 
 class Recorder:
-    """One staged run's votes, leaders, commits, tails, leases, acknowledgements and admissions."""
+    """One simulated run's votes, leaders, commits, tails, leases, acknowledgements and admissions."""
 
-    def __init__(self, stage: Stage):
-        self.stage = stage
+    def __init__(self, simulation: Simulation):
+        self.simulation = simulation
         self.votes: list[Vote] = []
         self.elected: list[Elected] = []
         self.committed: dict[tuple, Committed] = {}
@@ -54,7 +54,7 @@
 
     @contextlib.contextmanager
     def recording(self):
-        """While this is open, the staged nodes tell what they do."""
+        """While this is open, the simulated nodes tell what they do."""
         with contextlib.ExitStack() as stack:
             for owner, name, around in (
                 (Elections, "_answer_vote_request", self._around_vote),
@@ -183,15 +183,15 @@
         return record_synced
 
     def _owner(self, store) -> str:
-        return next((a.node for a in self.stage.role("storage") if a.part and a.part.log_store is store), "ended")
+        return next((a.node for a in self.simulation.role("storage") if a.part and a.part.log_store is store), "ended")
 
     def sample(self):
         """The gateways that admit now, and the copies in each placement group whose move has ended since."""
-        now = self.stage.clock.seconds()
-        for a in self.stage.role("gateway", alive=True):
+        now = self.simulation.clock.seconds()
+        for a in self.simulation.role("gateway", alive=True):
             if a.ctx.cluster.ready():
                 self.admitted.append(Admitted(now, a.node, a.ctx.cluster.cluster_state.table_sequence))
-        leader = self.stage.leader()
+        leader = self.simulation.leader()
         for g in leader.part.consensus.cluster_state.placement_groups.values() if leader else ():
             if not g.joining and self._moved.setdefault(g.number, g.sequence) < g.sequence:
                 self._moved[g.number] = g.sequence
@@ -199,7 +199,9 @@
 
     def _look_at_copies(self, group):
         """A move has ended: a majority of those that keep the logs now has all that was acknowledged before."""
-        mine = [a for a in self.acknowledged if placement_group_of(a.log, self.stage.placement_groups) == group.number]
+        mine = [
+            a for a in self.acknowledged if placement_group_of(a.log, self.simulation.placement_groups) == group.number
+        ]
         needed = len(group.storage_nodes) // 2 + 1
         for log in {a.log for a in mine}:
             held = Copies(log, needed, tuple(self._held.get((n, log), b"") for n in group.storage_nodes))
--- a/tests/order_parts.py
+++ b/tests/order_simulation.py
@@ -1,4 +1,4 @@
-"""Operators on a stage whose orders are lost, held up, answered late or never, and sent again; all is recorded."""
+"""Operators in a simulation whose orders are lost, held up, answered late or never, and sent again; all is recorded."""
 
 from math import inf
 
@@ -6,11 +6,11 @@
 
 from pipitlink.timers import ms, spawn
 from testbed.checks.linearizability import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 from .control_calls import Caller, config_of, route_of
 
-__all__ = ["HoldingStage", "Operators", "IN_EFFECT"]
+__all__ = ["DelayingSimulation", "Operators", "IN_EFFECT"]
 
 IN_EFFECT = 2.0
 PATIENCE = 1.0
@@ -19,11 +19,11 @@
 CONFIG = "/v1/config"
 
 
-class HoldingStage(Stage):
+class DelayingSimulation(Simulation):
     """Edits that controllers pass on wait in a cut connection and arrive once it is healed."""
 
     def carry(self, sender, place, method, body, node=""):
-        goal = next((a for a in self.actors.values() if a.place == place), None)
+        goal = next((a for a in self.simulated_nodes.values() if a.place == place), None)
         if method == "controller.edit" and goal is not None and (sender.name, goal.name) in self.cuts:
             self._hold(sender, goal, method, body, sender.ctx, goal.ctx, self.clock.seconds() + HOLD_LIMIT)
         return super().carry(sender, place, method, body, node)
@@ -62,8 +62,8 @@
 class Operators:
     """Several operators who change one fleet at once, each as a caller with a second of patience."""
 
-    def __init__(self, stage, tries: int = 8, lost: float = 0.05, held: float = 0.12, unanswered: float = 0.1):
-        self.stage, self.caller, self.timers = stage, Caller(stage), stage.timers()
+    def __init__(self, simulation, tries: int = 8, lost: float = 0.05, held: float = 0.12, unanswered: float = 0.1):
+        self.simulation, self.caller, self.timers = simulation, Caller(simulation), simulation.timers()
         self.tries, self.lost, self.held, self.unanswered = tries, lost, held, unanswered
         self.records: list = []
         self.over = False
@@ -80,16 +80,16 @@
 
     async def call(self, controller, *words):
         """One copy of a call: (status, body), or None where no clear answer came in time."""
-        stage, rng = self.stage, self.stage.rng
+        simulation, rng = self.simulation, self.simulation.rng
         sent = _Sent()
         lost_answer = rng.random() < self.unanswered
         span = 0.001 + 0.003 * rng.random()
         if rng.random() < self.held:
             span = rng.choice((0.2, 0.6, 1.5, 3.0, 6.0))
         if rng.random() >= self.lost:
-            stage.clock.callLater(span, self._arrive, controller, sent, words)
-        until = stage.clock.seconds() + PATIENCE
-        while stage.clock.seconds() < until:
+            simulation.clock.callLater(span, self._arrive, controller, sent, words)
+        until = simulation.clock.seconds() + PATIENCE
+        while simulation.clock.seconds() < until:
             await self.timers.sleep(ms(10))
             if sent.failed or sent.life is not None and (not controller.alive or controller.ctx is not sent.life):
                 return None
@@ -97,7 +97,7 @@
                 return sent.answer[0] if sent.answer[0][0] < 500 else None
         sent.left = True
         if sent.answer is not None:
-            stage.clock.callLater(0.002, self._hang_up, controller, sent)
+            simulation.clock.callLater(0.002, self._hang_up, controller, sent)
         return None
 
     def _arrive(self, controller, sent, words):
@@ -110,7 +110,7 @@
     def _read(self, controller, sent, words):
         sent.answer = self.caller.begin(controller, *words)
         if sent.left:
-            self.stage.clock.callLater(0.008 * self.stage.rng.random(), self._hang_up, controller, sent)
+            self.simulation.clock.callLater(0.008 * self.simulation.rng.random(), self._hang_up, controller, sent)
 
     def _hang_up(self, controller, sent):
         if controller.alive and controller.ctx is sent.life:
@@ -121,10 +121,10 @@
         told, pause = _Told(), 50
         await self.timers.sleep(ms(5))
         for _ in range(self.tries):
-            told.copies.append(self.stage.clock.seconds())
-            got = await self.call(self.stage.rng.choice(self.stage.role("controller")), *words)
+            told.copies.append(self.simulation.clock.seconds())
+            got = await self.call(self.simulation.rng.choice(self.simulation.role("controller")), *words)
             if got is not None:
-                told.answer, told.ended = _meaning(got[0]), self.stage.clock.seconds()
+                told.answer, told.ended = _meaning(got[0]), self.simulation.clock.seconds()
                 return told
             await self.timers.sleep(ms(pause))
             pause = min(400, 2 * pause)
@@ -152,18 +152,18 @@
 
     async def read(self, controller=None):
         """The version and content that were read back, or None."""
-        began = self.stage.clock.seconds()
-        controller = controller or self.stage.rng.choice(self.stage.role("controller"))
+        began = self.simulation.clock.seconds()
+        controller = controller or self.simulation.rng.choice(self.simulation.role("controller"))
         told = await self.call(controller, "GET", CONFIG)
         if told is None:
             return None
         version, routes = told[1]["version"], told[1]["routes"]
         content = routes[0]["name"] if routes else ""
-        self.records.append(ConfigSeen(version, content, began, self.stage.clock.seconds()))
+        self.records.append(ConfigSeen(version, content, began, self.simulation.clock.seconds()))
         return version, content
 
     async def operate(self):
-        rng = self.stage.rng
+        rng = self.simulation.rng
         while not self.over:
             await self.timers.sleep(ms(50 + rng.randrange(500)))
             got = await self.read()
@@ -171,7 +171,7 @@
                 await self._one(*got)
 
     async def _one(self, base: int, content: str):
-        rng = self.stage.rng
+        rng = self.simulation.rng
         name, version = self._name(), base + 1 + rng.randrange(2)
         roll = rng.random()
         if roll < 0.3:
@@ -205,8 +205,8 @@
 
     def _watch(self):
         """What gateways that may admit work serve by: in force at some time within the last two seconds."""
-        now = self.stage.clock.seconds()
-        for a in self.stage.role("gateway", alive=True):
+        now = self.simulation.clock.seconds()
+        for a in self.simulation.role("gateway", alive=True):
             if not a.ctx.cluster.ready():
                 continue
             state = a.ctx.cluster.cluster_state
--- a/tests/cut_off_scene.py
+++ b/tests/partition_scenario.py
@@ -1,9 +1,9 @@
-"""The scene of a controller that is cut off for twenty seconds, with the calls to it and their answers."""
+"""The scenario of a controller that is cut off for twenty seconds, with the calls to it and their answers."""
 
 import attrs
 
 from pipitlink.wire.membership_pb2 import EngineList
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 from .control_calls import Caller, config_of, route_of
 
@@ -31,21 +31,21 @@
         return f"{self.what} at {self.at:.1f} s: {self.box[:1]} after {self.span} s"
 
 
-class Scene:
+class Scenario:
     """Controllers, one of them cut off while operators and engines call it; others go on changing the configuration."""
 
     def __init__(self, test, seed=5):
-        self.stage = Stage(seed, placement_groups=2)
-        test.addCleanup(self.stage.end)
-        self.stage.start()
-        for gateway in self.stage.role("gateway"):
+        self.simulation = Simulation(seed, placement_groups=2)
+        test.addCleanup(self.simulation.end)
+        self.simulation.start()
+        for gateway in self.simulation.role("gateway"):
             self.listen(gateway)
-        self.stage.ready()
-        self.stage.run(3)
-        self.caller = Caller(self.stage)
+        self.simulation.ready()
+        self.simulation.run(3)
+        self.caller = Caller(self.simulation)
         self.version = 0
         self.calls: list[_Call] = []
-        self.change(self.stage.leader())
+        self.change(self.simulation.leader())
 
     def listen(self, gateway):
         """Stands in for a gateway's list of engines."""
@@ -56,16 +56,16 @@
         gateway.ctx.rpc.register_handler("engines.tell", EngineList, told)
 
     def now(self) -> float:
-        return self.stage.clock.seconds()
+        return self.simulation.clock.seconds()
 
     def controller(self, role: str):
         """The leader, a voter that follows it, or a standby."""
-        leader = self.stage.leader()
+        leader = self.simulation.leader()
         if role == "leader":
             return leader
         voters = leader.part.consensus.voters()
         return next(
-            a for a in self.stage.role("controller") if a is not leader and (a.node in voters) == (role == "voter")
+            a for a in self.simulation.role("controller") if a is not leader and (a.node in voters) == (role == "voter")
         )
 
     def change(self, controller) -> int:
@@ -76,14 +76,14 @@
             self.version += 1
         return status
 
-    def cut(self, actor, way: str, others=None):
-        names = others or [a for a in self.stage.actors if a != actor.name]
+    def cut(self, simulated_node, way: str, others=None):
+        names = others or [a for a in self.simulation.simulated_nodes if a != simulated_node.name]
         if way in ("both", "out"):
-            self.stage.cut([actor.name], names, one_way=True)
+            self.simulation.cut([simulated_node.name], names, one_way=True)
         if way in ("both", "in"):
-            self.stage.cut(names, [actor.name], one_way=True)
+            self.simulation.cut(names, [simulated_node.name], one_way=True)
 
-    def call_all(self, actor, began: float):
+    def call_all(self, simulated_node, began: float):
         """Every kind of call at once."""
         n = len(self.calls)
         config = config_of(10_000 + n, route_of(f"lone{n}"))
@@ -94,28 +94,28 @@
             ("PUT engine", "PUT", "/v1/engines/e1", {**ENGINE, "sequence": n}),
             ("PUT leaving", "PUT", f"/v1/engines/l{n}", {**ENGINE, "state": "leaving", "sequence": n}),
             ("DELETE engine", "DELETE", f"/v1/engines/d{n}"),
-            ("POST retire", "POST", f"/v1/storage_nodes/{self.stage.role('storage')[3].node}/retire"),
+            ("POST retire", "POST", f"/v1/storage_nodes/{self.simulation.role('storage')[3].node}/retire"),
         ):
-            box = self.caller.begin(actor, *words)
+            box = self.caller.begin(simulated_node, *words)
             self.calls.append(_Call(what, self.now() - began, self.version, box))
 
     def watch(self, span: float):
         end = self.now() + span
         while self.now() < end:
-            self.stage.run(0.01)
+            self.simulation.run(0.01)
             for call in self.calls:
                 if call.box and call.span is None:
                     call.span = self.now() - self.began - call.at
 
-    def play(self, actor, way: str, others=None, changing=True):
+    def play(self, simulated_node, way: str, others=None, changing=True):
         """Cuts the controller off, calls it again and again, and has the others confirm changes meanwhile."""
         self.began = self.now()
-        self.cut(actor, way, others)
+        self.cut(simulated_node, way, others)
         for at, after in zip(CALLS_AT, (*CALLS_AT[1:], CUT_SPAN)):
-            self.call_all(actor, self.began)
+            self.call_all(simulated_node, self.began)
             self.watch(after - at)
-            leader = self.stage.leader()
-            if changing and leader is not None and leader is not actor:
+            leader = self.simulation.leader()
+            if changing and leader is not None and leader is not simulated_node:
                 self.change(leader)
 
     def slow(self) -> list[str]:
@@ -136,19 +136,19 @@
                 out.append(f"not refused: {c}")
         return out
 
-    def back(self, actor) -> float:
+    def back(self, simulated_node) -> float:
         """Heals the cut; returns how long the controller took to take an order again."""
-        self.stage.heal()
+        self.simulation.heal()
         healed = self.now()
-        while self.change_newest(actor) != 200:
+        while self.change_newest(simulated_node) != 200:
             if self.now() - healed > 10:
                 raise AssertionError("it takes no order")
-            self.stage.run(0.05)
+            self.simulation.run(0.05)
         return self.now() - healed
 
-    def change_newest(self, actor) -> int:
+    def change_newest(self, simulated_node) -> int:
         """A change on top of what stands: one of the refused orders may have been taken before the cut was known."""
-        leader = self.stage.leader()
+        leader = self.simulation.leader()
         if leader is not None:
             self.version = leader.part.consensus.cluster_state.routes.version
-        return self.change(actor)
+        return self.change(simulated_node)
--- a/tests/rpc_scenes.py
+++ b/tests/rpc_scenarios.py
@@ -14,7 +14,7 @@
 from pipitlink.wire.frame_pb2 import Frame, Hello
 from pipitlink.wire.rpc import RpcEndpoint
 
-__all__ = ["PLACE", "RpcScene"]
+__all__ = ["PLACE", "RpcScenario"]
 
 PLACE = ("h", 1)
 CALLS = 3
@@ -74,7 +74,7 @@
     answers: int = 0
 
 
-class RpcScene:
+class RpcScenario:
     def __init__(self):
         self.clock = Clock()
         timers = Timers(self.clock, seconds=self.clock.seconds)
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -1,4 +1,4 @@
-"""Writes the data folders of a small staged fleet, and what they hold, for tests of later releases.
+"""Writes the data folders of a small simulated fleet, and what they hold, for tests of later releases.
 
 Usage: python -m tests.stored_data FOLDER
 """
@@ -14,9 +14,9 @@
 from pipitlink.disk import encode_frame
 from pipitlink.storage import node_id, retention
 from pipitlink.wire.cluster_pb2 import Bounds, Command, ConfigEdit, Pool, PoolShare, Route, Row, TableEdit, ZoneEdit
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
-from .stored_parts import FLEET, read_controller, read_peers, read_storage_node
+from .stored_state import FLEET, read_controller, read_peers, read_storage_node
 
 __all__ = ["write"]
 
@@ -31,26 +31,28 @@
 
 
 class _Writer:
-    """Operators' edits and gateways' logs on a staged fleet."""
+    """Operators' edits and gateways' logs on a simulated fleet."""
 
-    def __init__(self, stage: Stage):
-        self._stage = stage
+    def __init__(self, simulation: Simulation):
+        self._simulation = simulation
         self._edits = 0
         self.log_bytes: dict[str, bytes] = {}
 
     def edit(self, **command):
         self._edits += 1
-        work = self._stage.leader().part.state_delivery.edit(Command(edit=f"edit{self._edits}", **command))
-        outcome = self._stage.do(work)
+        work = self._simulation.leader().part.state_delivery.edit(Command(edit=f"edit{self._edits}", **command))
+        outcome = self._simulation.do(work)
         assert outcome.code == "done", outcome
 
     def put_row(self, name: str, model: str, weight: float):
-        base = self._stage.leader().part.consensus.cluster_state.table_sequence
+        base = self._simulation.leader().part.consensus.cluster_state.table_sequence
         self.edit(table=TableEdit(base=base, upserts=[Row(name=name, model=model, pool="models", weight=weight)]))
 
     def drop_row(self, name: str):
         self.edit(
-            table=TableEdit(base=self._stage.leader().part.consensus.cluster_state.table_sequence, removed_rows=[name])
+            table=TableEdit(
+                base=self._simulation.leader().part.consensus.cluster_state.table_sequence, removed_rows=[name]
+            )
         )
 
     def put_routes(self, base: int, version: int):
@@ -70,44 +72,44 @@
         )
 
     def append(self, log: str, records: list[bytes], final: bool = False, gateway: int = 0):
-        replicated_log = self._stage.role("gateway")[gateway].ctx.replicated_log
-        leaseholder = replicated_log.leaseholders.get(log) or self._stage.do(replicated_log.acquire(log))
-        self._stage.do(leaseholder.append(records, final=final))
+        replicated_log = self._simulation.role("gateway")[gateway].ctx.replicated_log
+        leaseholder = replicated_log.leaseholders.get(log) or self._simulation.do(replicated_log.acquire(log))
+        self._simulation.do(leaseholder.append(records, final=final))
         self.log_bytes[log] = self.log_bytes.get(log, b"") + b"".join(encode_frame(r) for r in records)
 
     def hold(self, log: str, gateway: int = 0):
-        self._stage.do(self._stage.role("gateway")[gateway].ctx.replicated_log.acquire(log))
+        self._simulation.do(self._simulation.role("gateway")[gateway].ctx.replicated_log.acquire(log))
 
     def release_all(self, gateway: int = 0):
-        replicated_log = self._stage.role("gateway")[gateway].ctx.replicated_log
-        self._stage.do(replicated_log.release(list(replicated_log.leaseholders.values())))
+        replicated_log = self._simulation.role("gateway")[gateway].ctx.replicated_log
+        self._simulation.do(replicated_log.release(list(replicated_log.leaseholders.values())))
 
 
 def _records(log: str, count: int) -> list[bytes]:
     return [f"{log} record {n} ".encode() * 6 for n in range(count)]
 
 
-def _stage() -> Stage:
+def _simulation() -> Simulation:
     settings = {"retention_s": RETENTION_S}
-    stage = Stage(SEED, controllers=3, storage_nodes=3, gateways=2, placement_groups=2, settings=settings)
-    for actor in (*stage.role("controller"), *stage.role("storage")):
-        (actor.folder / "id").parent.mkdir()
-        (actor.folder / "id").write_text(node_id(actor.folder, FLEET))
-    stage.start()
-    stage.ready()
-    return stage
+    simulation = Simulation(SEED, controllers=3, storage_nodes=3, gateways=2, placement_groups=2, settings=settings)
+    for simulated_node in (*simulation.role("controller"), *simulation.role("storage")):
+        (simulated_node.folder / "id").parent.mkdir()
+        (simulated_node.folder / "id").write_text(node_id(simulated_node.folder, FLEET))
+    simulation.start()
+    simulation.ready()
+    return simulation
 
 
-def _play(stage: Stage, writer: _Writer):
+def _play(simulation: Simulation, writer: _Writer):
     """A log that is forgotten, one that is trimmed, a final one and a live one, between edits under two leaders."""
     writer.append(FORGOTTEN, _records(FORGOTTEN, 3), final=True)
     for n in range(30):
         writer.put_row(f"row{n % 6}", f"model{n}", 1 + n / 4)
     writer.put_routes(base=0, version=3)
-    stage.run(RETENTION_S)
+    simulation.run(RETENTION_S)
     writer.append(WITHERED, _records(WITHERED, 12), final=True)
-    stage.run(RETENTION_S + 10)
-    _change_leader(stage)
+    simulation.run(RETENTION_S + 10)
+    _change_leader(simulation)
     writer.put_routes(base=3, version=7)
     writer.edit(zone=ZoneEdit(zone="zone-c", empty=True))
     writer.drop_row("row5")
@@ -117,16 +119,16 @@
     writer.release_all()
     writer.append(LIVE, _records("second writer", 5), gateway=1)
     writer.hold(PROMISED)
-    stage.run(2)
+    simulation.run(2)
 
 
-def _change_leader(stage: Stage):
-    old = stage.leader()
+def _change_leader(simulation: Simulation):
+    old = simulation.leader()
     old.kill(power=True)
-    stage.until(lambda: stage.leader() not in (None, old), 15, "another leads")
+    simulation.until(lambda: simulation.leader() not in (None, old), 15, "another leads")
     old.start()
-    stage.ready()
-    stage.run(2)
+    simulation.ready()
+    simulation.run(2)
 
 
 def _contents(folder: Path, log_bytes: dict[str, bytes]) -> dict:
@@ -149,15 +151,15 @@
         mock.patch.object(durable_log, "RETAINED_ENTRIES", SMALL_KEPT_ENTRIES),
         mock.patch.object(retention, "TOMBSTONE_MS", SMALL_TOMBSTONE_MS),
     ):
-        stage = _stage()
+        simulation = _simulation()
         try:
-            writer = _Writer(stage)
-            _play(stage, writer)
-            for actor in (*stage.role("controller"), *stage.role("storage")):
-                actor.kill()
-                shutil.copytree(actor.folder, folder / actor.name)
+            writer = _Writer(simulation)
+            _play(simulation, writer)
+            for simulated_node in (*simulation.role("controller"), *simulation.role("storage")):
+                simulated_node.kill()
+                shutil.copytree(simulated_node.folder, folder / simulated_node.name)
         finally:
-            stage.end()
+            simulation.end()
     (folder / "contents.json").write_text(json.dumps(_contents(folder, writer.log_bytes), indent=1) + "\n")
 
 
--- a/tests/test_announcing.py
+++ b/tests/test_announcing.py
@@ -4,7 +4,7 @@
 
 from pipitlink.router.engines import Engines
 from pipitlink.wire.membership_pb2 import EngineList
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 from .control_calls import Caller
 
@@ -12,15 +12,15 @@
 class _Listener:
     """Stands in for a gateway's list of engines: keeps all that it was told, and when."""
 
-    def __init__(self, actor):
-        self.actor = actor
+    def __init__(self, simulated_node):
+        self.simulated_node = simulated_node
         self.told: list[tuple[float, object]] = []
         self.lists = 0
-        actor.ctx.rpc.register_handler("engines.tell", EngineList, self._tell)
+        simulated_node.ctx.rpc.register_handler("engines.tell", EngineList, self._tell)
 
     async def _tell(self, node, what):
         self.lists += 1
-        self.told.extend((self.actor.stage.clock.seconds(), n) for n in what.engines)
+        self.told.extend((self.simulated_node.simulation.clock.seconds(), n) for n in what.engines)
 
     def states(self, engine):
         return [n.state for _, n in self.told if n.engine == engine]
@@ -31,14 +31,14 @@
 
 class Announcing(unittest.TestCase):
     def setUp(self):
-        self.stage = Stage(5, placement_groups=2)
-        self.addCleanup(self.stage.end)
-        self.stage.start()
-        self.gateways = [_Listener(a) for a in self.stage.role("gateway")]
-        self.stage.ready()
-        self.caller = Caller(self.stage)
-        self.controller, self.second = self.stage.role("controller")[1:3]
-        self.stage.run(1)
+        self.simulation = Simulation(5, placement_groups=2)
+        self.addCleanup(self.simulation.end)
+        self.simulation.start()
+        self.gateways = [_Listener(a) for a in self.simulation.role("gateway")]
+        self.simulation.ready()
+        self.caller = Caller(self.simulation)
+        self.controller, self.second = self.simulation.role("controller")[1:3]
+        self.simulation.run(1)
 
     def beat(self, sequence, state="ready", engine="e1", controller=None, **more):
         return self.caller.ask(
@@ -60,15 +60,15 @@
         return self.caller.ask(controller or self.controller, "DELETE", f"/v1/engines/{engine}")
 
     def now(self):
-        return self.stage.clock.seconds()
+        return self.simulation.clock.seconds()
 
     def test_a_new_engine_is_told_to_every_gateway_at_once_without_a_leader(self):
-        for a in self.stage.role("controller"):
+        for a in self.simulation.role("controller"):
             if a is not self.controller:
                 a.kill()
-        self.stage.run(3)
+        self.simulation.run(3)
         self.assertEqual(self.beat(1), (200, {}))
-        self.stage.run(0.05)
+        self.simulation.run(0.05)
         for g in self.gateways:
             n = g.last("e1")
             self.assertEqual(
@@ -79,53 +79,53 @@
     def test_mere_renewals_go_in_batches_and_changes_at_once(self):
         for e in range(20):
             self.beat(1, engine=f"e{e}")
-        self.stage.run(2)
+        self.simulation.run(2)
         before = self.gateways[0].lists
         for _ in range(3):
             for e in range(20):
                 self.assertEqual(self.beat(2 + _, engine=f"e{e}"), (200, {}))
-        self.stage.run(2)
+        self.simulation.run(2)
         self.assertLessEqual(self.gateways[0].lists - before, 3)
         self.assertEqual({self.gateways[0].last(f"e{e}").sequence for e in range(20)}, {4})
         for n, more in enumerate(({"cold_ms": 500}, {"address": "10.9.0.2:80"})):
             self.beat(9 + n, engine="e3", **more)
-            self.stage.run(0.05)
+            self.simulation.run(0.05)
             self.assertEqual(self.gateways[0].last("e3").sequence, 9 + n)
 
     def test_an_engine_that_has_announced_itself_elsewhere_goes_with_the_renewals(self):
         for e in range(20):
             self.beat(1, engine=f"e{e}")
-        self.stage.run(0.05)
+        self.simulation.run(0.05)
         before = self.gateways[0].lists
         for e in range(20):
             self.beat(2, engine=f"e{e}", controller=self.second)
-        self.stage.run(0.9)
+        self.simulation.run(0.9)
         self.assertLessEqual(self.gateways[0].lists - before, 2)
         self.assertEqual({self.gateways[0].last(f"e{e}").sequence for e in range(20)}, {2})
         for more in ({"cold_ms": 500}, {"state": "leaving"}):
             at, before = self.now(), self.gateways[0].lists
             self.beat(7, engine=f"f{len(more)}{at}", controller=self.second, **more)
-            self.stage.run(0.05)
+            self.simulation.run(0.05)
             self.assertGreater(self.gateways[0].lists, before, "it is told at once")
 
     def test_a_renewal_tells_how_old_it_is(self):
         self.beat(1)
-        self.stage.run(2)
+        self.simulation.run(2)
         self.beat(2)
         asked = self.now()
-        self.stage.run(1.5)
+        self.simulation.run(1.5)
         at, n = next((at, n) for at, n in self.gateways[0].told if n.sequence == 2)
         self.assertAlmostEqual(n.age_ms / 1000, at - asked, delta=0.05)
 
     def test_leaving_is_acknowledged_when_all_live_gateways_have_it_and_never_reverts(self):
         self.beat(1)
-        self.stage.run(0.2)
+        self.simulation.run(0.2)
         self.assertEqual(self.beat(2, "leaving")[0], 200)
         self.assertEqual([g.states("e1")[-1] for g in self.gateways], ["leaving"] * 3)
         self.beat(3, "ready")
         self.beat(4, "ready", cold_ms=100)
         self.beat(1, "ready")
-        self.stage.run(2)
+        self.simulation.run(2)
         for g in self.gateways:
             states = g.states("e1")
             self.assertEqual(set(states[states.index("leaving") :]), {"leaving"})
@@ -133,33 +133,33 @@
 
     def test_a_late_beat_after_the_end_is_ignored(self):
         self.beat(1)
-        self.stage.run(0.2)
+        self.simulation.run(0.2)
         self.assertEqual(self.drop()[0], 200)
         self.assertEqual([g.states("e1")[-1] for g in self.gateways], ["gone"] * 3)
         for sequence in (2, 50):
             self.assertEqual(self.beat(sequence)[0], 200)
             self.assertEqual(self.beat(sequence + 1, "leaving")[0], 200)
-            self.stage.run(20)
+            self.simulation.run(20)
         self.assertEqual([g.states("e1")[-1] for g in self.gateways], ["gone"] * 3)
         self.assertEqual(self.drop()[0], 200)
 
     def test_an_older_call_changes_nothing(self):
         self.beat(5, address="10.9.0.5:80")
         self.beat(4, address="10.9.0.4:80")
-        self.stage.run(2)
+        self.simulation.run(2)
         self.assertEqual({n.address for _, n in self.gateways[0].told}, {"10.9.0.5:80"})
 
     def test_the_end_of_an_engine_that_is_not_known_here_is_told_too(self):
         self.beat(1, controller=self.second)
-        self.stage.run(0.2)
+        self.simulation.run(0.2)
         self.assertEqual(self.drop()[0], 200)
         self.assertEqual([g.states("e1")[-1] for g in self.gateways], ["gone"] * 3)
 
     def test_leaving_waits_for_a_slow_gateway_and_the_push_is_repeated(self):
         self.beat(1)
-        self.stage.run(0.2)
+        self.simulation.run(0.2)
         slow = self.gateways[1]
-        self.stage.cut([self.controller.name], [slow.actor.name])
+        self.simulation.cut([self.controller.name], [slow.simulated_node.name])
         began = self.now()
         box = self.caller.begin(
             self.controller,
@@ -167,78 +167,80 @@
             "/v1/engines/e1",
             {"pool": "p", "address": "10.9.0.1:80", "state": "leaving", "sequence": 2},
         )
-        self.stage.run(0.45)
+        self.simulation.run(0.45)
         self.assertEqual(box, [])
-        self.stage.heal()
-        self.stage.until(lambda: box, 1, "it is acknowledged")
+        self.simulation.heal()
+        self.simulation.until(lambda: box, 1, "it is acknowledged")
         self.assertEqual(box[0][0], 200)
         self.assertLess(self.now() - began, 0.75)
-        self.stage.until(lambda: slow.states("e1")[-1] == "leaving", 1, "the slow gateway knows")
+        self.simulation.until(lambda: slow.states("e1")[-1] == "leaving", 1, "the slow gateway knows")
 
     def test_leaving_waits_no_longer_than_that_and_the_gateway_learns_it_soon(self):
         self.beat(1)
-        self.stage.run(0.2)
+        self.simulation.run(0.2)
         slow = self.gateways[1]
-        self.stage.cut([self.controller.name], [slow.actor.name])
+        self.simulation.cut([self.controller.name], [slow.simulated_node.name])
         began = self.now()
         self.assertEqual(self.beat(2, "leaving")[0], 200)
         self.assertLess(self.now() - began, 0.75)
-        self.stage.run(1)
-        self.stage.heal()
-        self.stage.run(0.7)
+        self.simulation.run(1)
+        self.simulation.heal()
+        self.simulation.run(0.7)
         self.assertEqual(slow.states("e1")[-1], "leaving")
 
     def test_a_change_that_a_gateway_did_not_confirm_for_seconds_is_still_owed_to_it(self):
         self.beat(1)
-        self.stage.run(0.2)
+        self.simulation.run(0.2)
         slow = self.gateways[1]
-        self.stage.cut([self.controller.name], [slow.actor.name])
+        self.simulation.cut([self.controller.name], [slow.simulated_node.name])
         self.assertEqual(self.beat(2, "leaving")[0], 200)
-        self.stage.run(5)
+        self.simulation.run(5)
         self.assertEqual(slow.states("e1")[-1], "ready")
-        self.stage.heal()
-        self.stage.run(1.5)
+        self.simulation.heal()
+        self.simulation.run(1.5)
         self.assertEqual(slow.states("e1")[-1], "leaving")
 
     def test_leaving_that_no_gateway_has_confirmed_is_not_acknowledged(self):
         self.beat(1)
-        self.stage.run(0.2)
-        gateways = [g.actor.name for g in self.gateways]
-        self.stage.cut([self.controller.name], gateways)
+        self.simulation.run(0.2)
+        gateways = [g.simulated_node.name for g in self.gateways]
+        self.simulation.cut([self.controller.name], gateways)
         for ask in (lambda: self.beat(2, "leaving"), lambda: self.beat(2, "leaving"), self.drop, self.drop):
             told = ask()
             self.assertEqual((told[0], told[1]["error"]["code"]), (503, "untold"))
-        self.stage.heal()
-        self.stage.until(lambda: self.drop()[0] == 200, 3, "the gateways are told")
+        self.simulation.heal()
+        self.simulation.until(lambda: self.drop()[0] == 200, 3, "the gateways are told")
         self.assertEqual([g.states("e1")[-1] for g in self.gateways], ["gone"] * 3)
 
     def test_a_controller_that_holds_all_gateways_for_gone_does_not_acknowledge_that_an_engine_leaves(self):
         self.beat(1)
-        self.stage.cut([self.controller.name], [a for a in self.stage.actors if a != self.controller.name])
-        self.stage.run(12)
+        self.simulation.cut(
+            [self.controller.name], [a for a in self.simulation.simulated_nodes if a != self.controller.name]
+        )
+        self.simulation.run(12)
         self.assertEqual(self.controller.ctx.membership.members("gateway"), [])
         for ask in (lambda: self.beat(2), lambda: self.beat(3, "leaving"), self.drop):
             self.assertEqual(ask()[0], 503)
-        self.stage.heal()
-        self.stage.until(lambda: self.drop()[0] == 200, 10, "the gateways are told")
+        self.simulation.heal()
+        self.simulation.until(lambda: self.drop()[0] == 200, 10, "the gateways are told")
 
     def test_a_gateway_that_is_met_later_is_told_all(self):
         self.beat(1, engine="e1")
         self.beat(1, engine="e2")
         self.beat(2, "leaving", engine="e2")
         self.drop("e3")
-        late = self.stage.add("gateway", "gateway9", "zone-b", 1900)
+        late = self.simulation.add("gateway", "gateway9", "zone-b", 1900)
         late.start()
         listener = _Listener(late)
-        self.stage.until(lambda: listener.last("e1"), 3, "it is told")
+        self.simulation.until(lambda: listener.last("e1"), 3, "it is told")
         self.assertEqual([listener.last(e).state for e in ("e1", "e2", "e3")], ["ready", "leaving", "gone"])
 
     def test_what_is_silent_is_forgotten_and_an_end_is_kept_longer(self):
         self.beat(1, engine="e1")
         self.drop("e2")
-        self.stage.run(35)
+        self.simulation.run(35)
         self.assertEqual(set(self.controller.part.announcements.registry.engines), {"e2"})
-        self.stage.run(30)
+        self.simulation.run(30)
         self.assertEqual(set(self.controller.part.announcements.registry.engines), set())
 
     def test_announcements_that_cannot_be_read_are_refused(self):
@@ -263,15 +265,15 @@
     """Calls of an engine that reach a controller long after, and after a restart, with the real list of a gateway."""
 
     def setUp(self):
-        self.stage = Stage(5, placement_groups=2)
-        self.addCleanup(self.stage.end)
-        self.stage.start()
-        self.gateways = self.stage.role("gateway")
+        self.simulation = Simulation(5, placement_groups=2)
+        self.addCleanup(self.simulation.end)
+        self.simulation.start()
+        self.gateways = self.simulation.role("gateway")
         self.lists = {g.name: self.list_of(g) for g in self.gateways}
-        self.stage.ready()
-        self.caller = Caller(self.stage)
-        self.controller, self.second = self.stage.role("controller")[1:3]
-        self.stage.run(1)
+        self.simulation.ready()
+        self.caller = Caller(self.simulation)
+        self.controller, self.second = self.simulation.role("controller")[1:3]
+        self.simulation.run(1)
 
     def list_of(self, gateway):
         engines = Engines(gateway.ctx)
@@ -282,24 +284,26 @@
         news = {"pool": "p", "address": "10.9.0.1:80", "zone": "zone-a", "state": state, "sequence": sequence}
         return self.caller.ask(controller or self.controller, "PUT", "/v1/engines/e1", news)[0]
 
-    def restart(self, actor):
-        actor.kill()
-        actor.start()
-        self.stage.until(lambda: actor.ctx.membership.members("gateway", statuses=("alive",)), 5, "it has met gateways")
-        self.stage.run(1)
+    def restart(self, simulated_node):
+        simulated_node.kill()
+        simulated_node.start()
+        self.simulation.until(
+            lambda: simulated_node.ctx.membership.members("gateway", statuses=("alive",)), 5, "it has met gateways"
+        )
+        self.simulation.run(1)
 
     def states(self):
         return [e.status(found[0]) if (found := e.all()) else "none" for e in self.lists.values()]
 
     def test_a_late_call_at_a_controller_that_restarted_brings_no_leaving_engine_back(self):
         self.tell(0)
-        self.stage.run(0.2)
+        self.simulation.run(0.2)
         self.assertEqual(self.states(), ["ready"] * 3)
         self.assertEqual((self.tell(1), self.tell(5, "leaving")), (200, 200))
         self.restart(self.controller)
         for sequence in (3, 9):
             self.tell(sequence)
-            self.stage.run(1)
+            self.simulation.run(1)
             self.assertEqual(self.states(), ["leaving"] * 3)
 
     def test_a_late_call_at_a_controller_that_restarted_brings_no_ended_engine_back(self):
@@ -308,7 +312,7 @@
         self.restart(self.controller)
         for sequence in (3, 9):
             self.tell(sequence)
-            self.stage.run(1)
+            self.simulation.run(1)
             self.assertEqual(self.states(), ["none"] * 3)
 
     def test_a_gateway_that_restarts_learns_from_the_controller_that_was_told_and_not_from_a_late_call(self):
@@ -317,7 +321,7 @@
         gateway.kill()
         gateway.start()
         self.lists[gateway.name] = self.list_of(gateway)
-        self.stage.until(lambda: self.lists[gateway.name].all(), 5, "it is told of the engine")
+        self.simulation.until(lambda: self.lists[gateway.name].all(), 5, "it is told of the engine")
         self.tell(3, controller=self.second)
-        self.stage.run(1)
+        self.simulation.run(1)
         self.assertEqual(self.states(), ["leaving"] * 3)
--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -13,7 +13,7 @@
 from pipitlink.router.relay import Relay
 from testbed.simulator.interleavings import explore_events, walk_events
 
-from .answer_scenes import ROUTES, AnswerScene, ItemScene
+from .answer_scenarios import ROUTES, AnswerScenario, ItemScenario
 
 _take = Links.take
 
@@ -26,11 +26,11 @@
     name: str
     instead: object
     shows: str
-    scene: object
+    scenario: object
 
 
 def _live(kind, **words):
-    return lambda: AnswerScene(kind, **words)
+    return lambda: AnswerScenario(kind, **words)
 
 
 def _stop_without_mark(call, why):
@@ -95,16 +95,16 @@
         for name, guard in GUARDS.items():
             with self.subTest(name), _without(guard):
                 with self.assertRaises(AssertionError) as caught:
-                    explore_events(guard.scene, 4)
+                    explore_events(guard.scenario, 4)
                 self.assertIn(guard.shows, str(caught.exception))
 
 
 class ItemOrders(unittest.TestCase):
     def test_all_short_orders(self):
-        self.assertGreater(explore_events(ItemScene, 4), 800)
+        self.assertGreater(explore_events(ItemScenario, 4), 800)
 
     def test_long_orders_at_random(self):
-        walk_events(ItemScene, Random(1), 14, 600)
+        walk_events(ItemScenario, Random(1), 14, 600)
 
 
 if __name__ == "__main__":
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -6,7 +6,7 @@
 from pipitlink.router.items import ItemCall
 from pipitlink.timers import spawn
 
-from .router_parts import END, Rig, chunk, event, head, route
+from .router_builders import END, Rig, chunk, event, head, route
 
 RESUMABLE = route("s", "/a/", resumable=True, deadline_ms=20_000)
 ONCE = route("o", "/once/", kind="mutating")
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -18,18 +18,18 @@
 from pipitlink.timers import Timers, ms, spawn
 from pipitlink.wire.lots_pb2 import Batch, BatchItem, Ended, LogRecord, Output
 
-from .batch_parts import Callers, route, staged
+from .batch_builders import Callers, route, start_simulation
 
 BODY = 5000
 
 
-class HeadsOnAStage(unittest.TestCase):
-    def stage(self, seed=1, **words):
-        stage = staged(seed, **words)
-        stage.breaks = 0
-        self.addCleanup(stage.end)
+class SimulatedHeads(unittest.TestCase):
+    def simulation(self, seed=1, **words):
+        simulation = start_simulation(seed, **words)
+        simulation.breaks = 0
+        self.addCleanup(simulation.end)
         self.watch_reads()
-        return stage, Callers(stage)
+        return simulation, Callers(simulation)
 
     def watch_reads(self):
         """No read of a tail may pass the length that is recorded for its store."""
@@ -48,7 +48,7 @@
         name = c.lot(items, name=name)
         for i in c.items[name]:
             i["id"] += "x" * pad
-            i["body"] = base64.b64encode(c.stage.rng.randbytes(size)).decode()
+            i["body"] = base64.b64encode(c.simulation.rng.randbytes(size)).decode()
         return name
 
     def batch(self, c, name):
@@ -72,108 +72,112 @@
         gateway.ctx.rpc.call = counted
         return got
 
-    def owner(self, stage, name):
-        return next(a for a in stage.role("gateway") if name in a.part.batches)
+    def owner(self, simulation, name):
+        return next(a for a in simulation.role("gateway") if name in a.part.batches)
 
-    def held(self, stage, name, *groups):
+    def held(self, simulation, name, *groups):
         """A log that the first gateway holds and does nothing with."""
-        gateway = stage.role("gateway")[0]
-        for a in stage.role("gateway"):
+        gateway = simulation.role("gateway")[0]
+        for a in simulation.role("gateway"):
             a.part._taking_up_batches.add(name)
-        h = stage.do(gateway.ctx.replicated_log.acquire(batch_log(name)))
+        h = simulation.do(gateway.ctx.replicated_log.acquire(batch_log(name)))
         for records in groups:
-            stage.do(h.append([r.SerializeToString() for r in records]))
+            simulation.do(h.append([r.SerializeToString() for r in records]))
         return h
 
     def test_outputs_are_read_with_less_than_a_tenth_of_the_bytes(self):
         for seed, pad, size in ((1, 0, BODY), (2, 30, BODY), (3, 110, 4 * BODY)):
             with self.subTest(seed=seed, pad=pad):
-                stage, c = self.stage(seed)
+                simulation, c = self.simulation(seed)
                 name = self.large(c, pad=pad, size=size)
-                self.assertEqual(stage.do(c.hand_in(name, stage.role("gateway")[0])), 202)
-                stage.until(lambda: c.whole(name), 30, "all is listed")
-                for a in stage.role("gateway")[1:]:
+                self.assertEqual(simulation.do(c.hand_in(name, simulation.role("gateway")[0])), 202)
+                simulation.until(lambda: c.whole(name), 30, "all is listed")
+                for a in simulation.role("gateway")[1:]:
                     for b, r in list(a.part._batch_readers.items()):
                         a.part._drop_batch_reader(b, r)
                     got = self.count(a)
-                    status, doc = stage.do(c.read(name, gateway=a))
+                    status, doc = simulation.do(c.read(name, gateway=a))
                     self.assertEqual((status, len(doc["outputs"])), (200, 40))
                     self.assertTrue(got)
                     self.assertLess(sum(got) * 10, 40 * size)
                 self.assertEqual(c.wrong, [])
 
     def test_outputs_are_read_as_cheaply_where_the_caches_know_nothing(self):
-        stage, c = self.stage(4)
+        simulation, c = self.simulation(4)
         name = self.large(c)
-        self.assertEqual(stage.do(c.hand_in(name)), 202)
-        stage.until(lambda: c.whole(name), 30, "all is listed")
-        stage.until(lambda: not any(a.part.batches for a in stage.role("gateway")), 5, "its lease is given back")
-        for a in stage.role("gateway"):
+        self.assertEqual(simulation.do(c.hand_in(name)), 202)
+        simulation.until(lambda: c.whole(name), 30, "all is listed")
+        simulation.until(
+            lambda: not any(a.part.batches for a in simulation.role("gateway")), 5, "its lease is given back"
+        )
+        for a in simulation.role("gateway"):
             a.kill()
-        for a in stage.role("gateway"):
+        for a in simulation.role("gateway"):
             a.start()
-        stage.until(lambda: all(a.ctx.cluster.ready() for a in stage.role("gateway")), 10, "ready")
-        a = stage.role("gateway")[1]
+        simulation.until(lambda: all(a.ctx.cluster.ready() for a in simulation.role("gateway")), 10, "ready")
+        a = simulation.role("gateway")[1]
         got = self.count(a)
-        status, doc = stage.until(lambda: (r := stage.do(c.read(name, gateway=a)))[0] == 200 and r, 10, "it is read")
+        status, doc = simulation.until(
+            lambda: (r := simulation.do(c.read(name, gateway=a)))[0] == 200 and r, 10, "it is read"
+        )
         self.assertEqual(len(doc["outputs"]), 40)
         self.assertLess(sum(got) * 10, 40 * BODY)
-        self.assertEqual(stage.do(c.body(name, 7, a)), 200)
+        self.assertEqual(simulation.do(c.body(name, 7, a)), 200)
         self.assertGreater(sum(got), 40 * BODY)
         self.assertEqual(c.wrong, [])
 
     def test_bodies_still_come_back_right_while_it_runs_and_after(self):
-        stage, c = self.stage(5)
-        stage.step = ms(150)
+        simulation, c = self.simulation(5)
+        simulation.step = ms(150)
         name = self.large(c)
-        self.assertEqual(stage.do(c.hand_in(name)), 202)
-        others = [a for a in stage.role("gateway") if a is not self.owner(stage, name)]
-        self.assertEqual(stage.do(c.body(name, 3, others[0])), 200)
-        self.assertEqual(stage.do(c.read(name, gateway=others[1]))[0], 200)
+        self.assertEqual(simulation.do(c.hand_in(name)), 202)
+        others = [a for a in simulation.role("gateway") if a is not self.owner(simulation, name)]
+        self.assertEqual(simulation.do(c.body(name, 3, others[0])), 200)
+        self.assertEqual(simulation.do(c.read(name, gateway=others[1]))[0], 200)
         got = self.count(others[1])
         some = []
         for n in (0, 5, 39):
             spawn(c.body(name, n, others[1])).addBoth(some.append)
-        stage.until(lambda: len(some) == 3, 5, "all are answered")
+        simulation.until(lambda: len(some) == 3, 5, "all are answered")
         self.assertEqual(some, [200] * 3)
         self.assertLess(sum(got), 3 * 40 * BODY)
-        stage.until(lambda: c.whole(name), 60, "all is listed")
-        for a in stage.role("gateway"):
-            self.assertEqual([stage.do(c.body(name, n, a)) for n in (0, 20, 39)], [200] * 3)
-            status, _, _ = stage.do(c.ask(lambda p: p.read_item(name, "nothing"), a))
+        simulation.until(lambda: c.whole(name), 60, "all is listed")
+        for a in simulation.role("gateway"):
+            self.assertEqual([simulation.do(c.body(name, n, a)) for n in (0, 20, 39)], [200] * 3)
+            status, _, _ = simulation.do(c.ask(lambda p: p.read_item(name, "nothing"), a))
             self.assertEqual(status, 404)
         self.assertEqual(c.wrong, [])
 
     def test_a_batch_handed_in_twice_is_compared_by_its_bodies(self):
-        stage, c = self.stage(6)
+        simulation, c = self.simulation(6)
         name = self.large(c)
-        self.assertEqual(stage.do(c.hand_in(name, stage.role("gateway")[0])), 202)
-        for a in stage.role("gateway"):
-            self.assertEqual(stage.do(c.read(name, gateway=a))[0], 200)
-            self.assertEqual(stage.do(c.hand_in(name, a)), 202)
+        self.assertEqual(simulation.do(c.hand_in(name, simulation.role("gateway")[0])), 202)
+        for a in simulation.role("gateway"):
+            self.assertEqual(simulation.do(c.read(name, gateway=a))[0], 200)
+            self.assertEqual(simulation.do(c.hand_in(name, a)), 202)
         kept = c.items[name][39]["body"]
         c.items[name][39]["body"] = base64.b64encode(b"\0" * BODY).decode()
-        for a in stage.role("gateway"):
-            self.assertEqual(stage.do(c.hand_in(name, a)), 409)
+        for a in simulation.role("gateway"):
+            self.assertEqual(simulation.do(c.hand_in(name, a)), 409)
         c.items[name][39]["body"] = kept
-        stage.until(lambda: c.whole(name), 30, "all is listed")
-        self.assertEqual([stage.do(c.hand_in(name, a)) for a in stage.role("gateway")], [202] * 3)
+        simulation.until(lambda: c.whole(name), 30, "all is listed")
+        self.assertEqual([simulation.do(c.hand_in(name, a)) for a in simulation.role("gateway")], [202] * 3)
 
     def test_a_reader_that_started_before_it_was_durable_reads_it_all(self):
         for seed in (7, 8):
-            stage, c = self.stage(seed)
+            simulation, c = self.simulation(seed)
             name, said, stop = self.large(c), [], []
 
             async def read_on(a):
                 while not stop:
                     said.append((await c.read(name, 0, 200, a))[0])
-                    await stage.timers().sleep(ms(3))
+                    await simulation.timers().sleep(ms(3))
 
-            for a in stage.role("gateway")[1:]:
+            for a in simulation.role("gateway")[1:]:
                 spawn(read_on(a))
-            stage.run(0.1)
-            self.assertEqual(stage.do(c.hand_in(name, stage.role("gateway")[0])), 202)
-            stage.until(lambda: c.whole(name), 30, "all is listed")
+            simulation.run(0.1)
+            self.assertEqual(simulation.do(c.hand_in(name, simulation.role("gateway")[0])), 202)
+            simulation.until(lambda: c.whole(name), 30, "all is listed")
             stop.append(1)
             self.assertLessEqual({404, 200}, set(said))
             self.assertLessEqual(set(said), {404, 503, 200})
@@ -182,80 +186,80 @@
             self.assertEqual(c.wrong, [])
 
     def test_a_head_alone_is_not_taken_and_its_reader_goes_on_once_it_is(self):
-        stage, c = self.stage(9)
+        simulation, c = self.simulation(9)
         name = self.large(c)
         batch = self.batch(c, name)
-        h = self.held(stage, name, [LogRecord(head=head_of(batch))])
-        for a in stage.role("gateway"):
-            self.assertEqual(stage.do(c.read(name, gateway=a))[0], 503)
-            self.assertEqual(stage.do(c.body(name, 0, a)), 503)
-        stage.do(h.append([LogRecord(batch=batch).SerializeToString()]))
-        for a in stage.role("gateway"):
-            self.assertEqual(stage.do(c.read(name, gateway=a))[0], 200)
-            self.assertEqual(stage.do(c.body(name, 39, a)), 200)
-        stage.do(h.append([LogRecord(output=Output(item=2, state="abandoned")).SerializeToString()]))
-        for a in stage.role("gateway"):
-            doc = stage.do(c.read(name, gateway=a))[1]
+        h = self.held(simulation, name, [LogRecord(head=head_of(batch))])
+        for a in simulation.role("gateway"):
+            self.assertEqual(simulation.do(c.read(name, gateway=a))[0], 503)
+            self.assertEqual(simulation.do(c.body(name, 0, a)), 503)
+        simulation.do(h.append([LogRecord(batch=batch).SerializeToString()]))
+        for a in simulation.role("gateway"):
+            self.assertEqual(simulation.do(c.read(name, gateway=a))[0], 200)
+            self.assertEqual(simulation.do(c.body(name, 39, a)), 200)
+        simulation.do(h.append([LogRecord(output=Output(item=2, state="abandoned")).SerializeToString()]))
+        for a in simulation.role("gateway"):
+            doc = simulation.do(c.read(name, gateway=a))[1]
             self.assertEqual((doc["total"], [o["id"] for o in doc["outputs"]]), (40, [c.items[name][2]["id"]]))
 
     def test_a_head_that_was_left_alone_gives_way_to_the_batch_that_is_taken(self):
         for items in (2, 40):
             with self.subTest(items=items):
-                stage, c = self.stage(10)
+                simulation, c = self.simulation(10)
                 name = self.large(c, 3)
-                h = self.held(stage, name, [LogRecord(head=head_of(self.batch(c, name)))])
-                stage.do(stage.role("gateway")[0].ctx.replicated_log.release([h]))
+                h = self.held(simulation, name, [LogRecord(head=head_of(self.batch(c, name)))])
+                simulation.do(simulation.role("gateway")[0].ctx.replicated_log.release([h]))
                 self.large(c, items, name=name, pad=5, size=BODY if items > 2 else 10)
-                for a in stage.role("gateway"):
+                for a in simulation.role("gateway"):
                     a.part._taking_up_batches.discard(name)
-                stage.until(lambda: stage.do(c.hand_in(name)) == 202, 20, "it is taken")
-                stage.until(lambda: c.whole(name), 30, "all is listed")
-                stage.run(0.5)
-                for a in stage.role("gateway"):
-                    self.assertEqual(len(stage.do(c.read(name, gateway=a))[1]["outputs"]), items)
-                    self.assertEqual(stage.do(c.body(name, 1, a)), 200)
+                simulation.until(lambda: simulation.do(c.hand_in(name)) == 202, 20, "it is taken")
+                simulation.until(lambda: c.whole(name), 30, "all is listed")
+                simulation.run(0.5)
+                for a in simulation.role("gateway"):
+                    self.assertEqual(len(simulation.do(c.read(name, gateway=a))[1]["outputs"]), items)
+                    self.assertEqual(simulation.do(c.body(name, 1, a)), 200)
                 self.assertEqual(c.wrong, [])
 
     def test_a_head_that_was_left_alone_is_no_sign_that_a_refused_append_left(self):
-        stage, c = self.stage(13)
+        simulation, c = self.simulation(13)
         name = self.large(c, 3)
-        h = self.held(stage, name, [LogRecord(head=head_of(self.batch(c, name)))])
-        stage.do(stage.role("gateway")[0].ctx.replicated_log.release([h]))
+        h = self.held(simulation, name, [LogRecord(head=head_of(self.batch(c, name)))])
+        simulation.do(simulation.role("gateway")[0].ctx.replicated_log.release([h]))
         with mock.patch.object(type(h), "append", side_effect=StorageFull("full")) as append:
-            said = [stage.do(c.hand_in(name, a)) for a in stage.role("gateway") * 3]
+            said = [simulation.do(c.hand_in(name, a)) for a in simulation.role("gateway") * 3]
             self.assertTrue(append.called)
             self.assertEqual(set(said), {503})
-        stage.until(lambda: stage.do(c.hand_in(name)) == 202, 20, "it is taken")
-        stage.until(lambda: c.whole(name), 30, "all is listed")
+        simulation.until(lambda: simulation.do(c.hand_in(name)) == 202, 20, "it is taken")
+        simulation.until(lambda: c.whole(name), 30, "all is listed")
         self.assertEqual(c.wrong, [])
 
     def test_a_log_without_a_head_is_read_as_before(self):
-        stage, c = self.stage(11)
+        simulation, c = self.simulation(11)
         name = self.large(c)
         self.held(
-            stage,
+            simulation,
             name,
             [LogRecord(batch=self.batch(c, name))],
             [LogRecord(output=Output(item=4, state="abandoned")), LogRecord(ended=Ended(reason="ended"))],
         )
         c.ended[name] = 0
-        for a in stage.role("gateway"):
-            status, doc = stage.do(c.read(name, gateway=a))
+        for a in simulation.role("gateway"):
+            status, doc = simulation.do(c.read(name, gateway=a))
             self.assertEqual((status, [o["id"] for o in doc["outputs"]]), (200, [c.items[name][4]["id"]]))
-            self.assertEqual(stage.do(c.body(name, 0, a)), 200)
+            self.assertEqual(simulation.do(c.body(name, 0, a)), 200)
         self.assertEqual(c.wrong, [])
 
     def test_a_batch_that_nobody_told_of_is_counted_without_its_bodies(self):
-        stage, c = self.stage(12, routes=[route(max_waiting_tokens=1000)])
-        for a in stage.role("gateway"):
+        simulation, c = self.simulation(12, routes=[route(max_waiting_tokens=1000)])
+        for a in simulation.role("gateway"):
             a.part.places = 0
         name = self.large(c)
-        self.assertEqual(stage.do(c.hand_in(name, stage.role("gateway")[0])), 202)
-        a = stage.role("gateway")[1]
+        self.assertEqual(simulation.do(c.hand_in(name, simulation.role("gateway")[0])), 202)
+        a = simulation.role("gateway")[1]
         got = self.count(a)
         a.part._quota_told.pop(name, None)
         a.part._quota_unknown[name] = a.ctx.timers.now()
-        stage.do(a.part._count_lot(name))
+        simulation.do(a.part._count_lot(name))
         self.assertEqual((a.part._quota_told[name].route, a.part._quota_told[name].tokens), ("bulk", 400))
         self.assertLess(sum(got) * 10, 40 * BODY)
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,31 +19,31 @@
 from testbed.benchmarks.linear_fit import fit
 from testbed.processes.lightweight_nodes import CountedRpcEndpoint, open_parts
 from testbed.processes.synthetic_load import Work
-from testbed.simulator.simulated_gateway import StagedEngine, StagedGateway
-from testbed.simulator.simulation import Actor, Stage, _Rpc
-from testbed.simulator.virtual_time import Watch
+from testbed.simulator.simulated_gateway import SimulatedEngine, SimulatedGateway
+from testbed.simulator.simulation import SimulatedNode, Simulation, _Rpc
+from testbed.simulator.virtual_time import NodeReactor
 
 SPAN = 12
 
 
-class HollowActor(Actor):
-    """A gateway on the stage whose parts are wired by the capacity command."""
+class LightweightNode(SimulatedNode):
+    """A gateway in the simulation whose parts are wired by the capacity command."""
 
     def start(self):
-        stage = self.stage
-        self.lives, self.alive, self.node = 1, True, f"{self.name}x{stage.fresh()}"
-        self.clock = Watch(stage.clock)
+        simulation = self.simulation
+        self.lives, self.alive, self.node = 1, True, f"{self.name}x{simulation.fresh()}"
+        self.clock = NodeReactor(simulation.clock)
         self.ctx = ctx = Context(
             "gateway",
             self.node,
-            Settings(zone=self.zone, seeds=stage.seeds, placement_groups=stage.placement_groups),
+            Settings(zone=self.zone, seeds=simulation.seeds, placement_groups=simulation.placement_groups),
             self.clock,
-            stage.timers(self.clock),
-            StructuredLogger(stage.sink, node=self.node),
+            simulation.timers(self.clock),
+            StructuredLogger(simulation.sink, node=self.node),
             None,
-            Random(stage.rng.random()),
+            Random(simulation.rng.random()),
         )
-        ctx.rpc = _Rpc(stage, self)
+        ctx.rpc = _Rpc(simulation, self)
         self.part = open_parts(
             ctx,
             "hollow",
@@ -55,39 +55,39 @@
         ctx.cluster.open()
 
 
-class HollowStage(Stage):
+class LightweightSimulation(Simulation):
     def add(self, role, name, zone, port):
-        kind = HollowActor if role == "gateway" else Actor
-        self.actors[name] = kind(self, role, name, zone, port)
-        return self.actors[name]
+        kind = LightweightNode if role == "gateway" else SimulatedNode
+        self.simulated_nodes[name] = kind(self, role, name, zone, port)
+        return self.simulated_nodes[name]
 
 
-def counted(stage, engines: int, work=None) -> Counter:
+def counted(simulation, engines: int, work=None) -> Counter:
     """Calls a second by role and method, per node of the role, over a span that starts when the fleet is settled."""
-    stage.start()
-    stage.ready()
+    simulation.start()
+    simulation.ready()
     if work:
-        stage.do(work.begin(engines=[f"engine{i}" for i in range(engines)]))
-    stage.run(6)
+        simulation.do(work.begin(engines=[f"engine{i}" for i in range(engines)]))
+    simulation.run(6)
     counts: Counter = Counter()
-    stage.watch_calls = lambda sender, method: counts.update([(sender.role, method)])
-    stage.run(SPAN)
-    nodes = Counter(a.role for a in stage.actors.values())
+    simulation.watch_calls = lambda sender, method: counts.update([(sender.role, method)])
+    simulation.run(SPAN)
+    nodes = Counter(a.role for a in simulation.simulated_nodes.values())
     return Counter({k: n / SPAN / nodes[k[0]] for k, n in counts.items()})
 
 
 class Hollow(unittest.TestCase):
     def run_real(self, gateways, engines):
-        stage = Stage(3, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
-        self.addCleanup(stage.end)
-        stage.with_engines(StagedGateway, StagedEngine, engines)
-        return counted(stage, engines)
+        simulation = Simulation(3, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
+        self.addCleanup(simulation.end)
+        simulation.with_engines(SimulatedGateway, SimulatedEngine, engines)
+        return counted(simulation, engines)
 
     def run_hollow(self, gateways, engines):
-        stage = HollowStage(3, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
-        self.addCleanup(stage.end)
-        host = type("Host", (), {"nodes": stage.role("gateway")})
-        return counted(stage, engines, Work(host))
+        simulation = LightweightSimulation(3, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
+        self.addCleanup(simulation.end)
+        host = type("Host", (), {"nodes": simulation.role("gateway")})
+        return counted(simulation, engines, Work(host))
 
     def test_a_hollow_gateway_sends_what_a_real_one_does(self):
         real, hollow = self.run_real(6, 4), self.run_hollow(6, 4)
@@ -106,10 +106,10 @@
     """
 
     def count(self, gateways, engines=0):
-        stage = HollowStage(5, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
-        self.addCleanup(stage.end)
-        host = type("Host", (), {"nodes": stage.role("gateway")})
-        return counted(stage, engines, Work(host))
+        simulation = LightweightSimulation(5, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
+        self.addCleanup(simulation.end)
+        host = type("Host", (), {"nodes": simulation.role("gateway")})
+        return counted(simulation, engines, Work(host))
 
     def test_calls_a_node_at_growing_sizes(self):
         for gateways in (3, 6, 12, 20):
@@ -141,36 +141,36 @@
     def test_a_held_follow_call_is_not_woken_by_the_others(self):
         """What a leader does for one follow call does not grow with the number of its followers."""
         for gateways in (4, 12, 20):
-            stage = HollowStage(6, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
-            self.addCleanup(stage.end)
-            stage.start()
-            stage.ready()
-            stage.run(3)
-            leader = stage.leader()
+            simulation = LightweightSimulation(6, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
+            self.addCleanup(simulation.end)
+            simulation.start()
+            simulation.ready()
+            simulation.run(3)
+            leader = simulation.leader()
             waits, asked, timers = [], [], leader.ctx.timers
             hold = timers.wait_at_most
             timers.wait_at_most = lambda d, span: waits.append(span) or hold(d, span)
-            stage.watch_calls = lambda sender, method: method == "controller.follow" and asked.append(method)
-            stage.run(SPAN)
+            simulation.watch_calls = lambda sender, method: method == "controller.follow" and asked.append(method)
+            simulation.run(SPAN)
             heartbeats = 2 * SPAN * 10
             self.assertLessEqual(len(waits), 1.05 * len(asked) + heartbeats, gateways)
             self.assertLessEqual(len(leader.part.state_delivery.pending_requests), gateways + 3, gateways)
 
     def test_an_edit_is_still_seen_as_soon_as_the_last_gateway_confirms(self):
-        stage = HollowStage(7, controllers=3, storage_nodes=3, gateways=12, placement_groups=2)
-        self.addCleanup(stage.end)
-        stage.start()
-        stage.ready()
-        stage.run(3)
-        leader = stage.leader().part
-        began = stage.clock.seconds()
+        simulation = LightweightSimulation(7, controllers=3, storage_nodes=3, gateways=12, placement_groups=2)
+        self.addCleanup(simulation.end)
+        simulation.start()
+        simulation.ready()
+        simulation.run(3)
+        leader = simulation.leader().part
+        began = simulation.clock.seconds()
         edit = TableEdit(
             base=leader.consensus.cluster_state.table_sequence, upserts=[Row(name="m", model="m", weight=1)]
         )
-        stage.do(leader.state_delivery.edit(Command(edit="e", table=edit)))
-        self.assertLess(stage.clock.seconds() - began, 0.1)
+        simulation.do(leader.state_delivery.edit(Command(edit="e", table=edit)))
+        self.assertLess(simulation.clock.seconds() - began, 0.1)
         self.assertEqual(
-            {a.ctx.cluster.sequence for a in stage.role("gateway")}, {leader.consensus.cluster_state.sequence}
+            {a.ctx.cluster.sequence for a in simulation.role("gateway")}, {leader.consensus.cluster_state.sequence}
         )
 
 
--- a/tests/test_config_trouble.py
+++ b/tests/test_config_faults.py
@@ -3,8 +3,8 @@
 import unittest
 
 from pipitlink.timers import ms
-from testbed.simulator.random_faults import Trouble, seeds
-from testbed.simulator.simulation import Stage
+from testbed.simulator.random_faults import RandomFaults, seeds
+from testbed.simulator.simulation import Simulation
 
 from .control_calls import Caller, config_of, route_of
 
@@ -13,8 +13,8 @@
 
 
 class _Operators:
-    def __init__(self, stage):
-        self.stage, self.caller, self.timers = stage, Caller(stage), stage.timers()
+    def __init__(self, simulation):
+        self.simulation, self.caller, self.timers = simulation, Caller(simulation), simulation.timers()
         self.over = False
         self.sent: dict[int, dict] = {}
         self.bases: dict[int, list[int]] = {}
@@ -28,7 +28,7 @@
 
     async def call(self, *words):
         """One call to some controller, as (status, body); None where it is silent for a second."""
-        controller = self.stage.rng.choice(self.stage.role("controller"))
+        controller = self.simulation.rng.choice(self.simulation.role("controller"))
         if not controller.alive or controller.frozen:
             return None
         box = self.caller.begin(controller, *words)
@@ -40,7 +40,7 @@
 
     async def operate(self, who: int):
         while not self.over:
-            await self.timers.sleep(ms(100 + self.stage.rng.randrange(500)))
+            await self.timers.sleep(ms(100 + self.simulation.rng.randrange(500)))
             floor = self.newest()
             got = await self.call("GET", "/v1/config")
             if got is None:
@@ -50,7 +50,7 @@
                 self.faults.append(f"read {base} after {floor} was acknowledged")
             if base and got[1] != self.sent[base]:
                 self.faults.append(f"version {base} is not what was sent")
-            self.version += 1 + self.stage.rng.randrange(3)
+            self.version += 1 + self.simulation.rng.randrange(3)
             version = self.version
             config = self.sent[version] = config_of(version, route_of(f"r{who}", note=version))
             for _ in range(8):
@@ -61,7 +61,7 @@
             if told is None:
                 continue
             if told[0] == 200:
-                self.acked.append((self.stage.clock.seconds(), version))
+                self.acked.append((self.simulation.clock.seconds(), version))
                 self.bases.setdefault(base, []).append(version)
             elif told[0] in (400, 412):
                 self.refused.add(version)
@@ -69,48 +69,50 @@
                 self.faults.append(f"{told}")
 
     def watch(self):
-        now = self.stage.clock.seconds()
+        now = self.simulation.clock.seconds()
         old = max((v for at, v in self.acked if now - at > IN_EFFECT), default=0)
-        for a in self.stage.role("gateway", alive=True):
+        for a in self.simulation.role("gateway", alive=True):
             held = a.ctx.cluster.cluster_state.routes.version
             if a.ctx.cluster.ready() and held < old:
                 self.faults.append(f"{a.name} admits at version {held}, {old} is in effect")
 
 
-class ConfigUnderTrouble(unittest.TestCase):
+class ConfigUnderFaults(unittest.TestCase):
     def run_seed(self, seed, roles):
-        stage = Stage(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
-        self.addCleanup(stage.end)
-        stage.start()
-        stage.ready()
-        ops = _Operators(stage)
-        plain_run = stage.run
+        simulation = Simulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
+        self.addCleanup(simulation.end)
+        simulation.start()
+        simulation.ready()
+        ops = _Operators(simulation)
+        plain_run = simulation.run
 
         def run(seconds, step=0.005):
             for _ in range(int(seconds / 0.05)):
                 plain_run(0.05, step)
                 ops.watch()
 
-        stage.run = run
-        trouble = Trouble(stage, roles=roles)
-        trouble.during([ops.operate(0), ops.operate(1)], faults=12)
-        stage.run(6)
+        simulation.run = run
+        random_faults = RandomFaults(simulation, roles=roles)
+        random_faults.during([ops.operate(0), ops.operate(1)], faults=12)
+        simulation.run(6)
         ops.over = True
-        stage.run(10)
-        stage.ready()
-        what = f"seed {seed}: {trouble.told}"
+        simulation.run(10)
+        simulation.ready()
+        what = f"seed {seed}: {random_faults.injected}"
         self.assertEqual(ops.faults, [], what)
-        self.assertEqual([t for t in trouble.told if "work ended" in t], [])
+        self.assertEqual([t for t in random_faults.injected if "work ended" in t], [])
         self.assertEqual({b: v for b, v in ops.bases.items() if len(v) > 1}, {}, what)
-        last = Caller(stage).get(stage.leader())[1]
+        last = Caller(simulation).get(simulation.leader())[1]
         self.assertEqual(last, ops.sent[last["version"]], what)
         self.assertGreaterEqual(last["version"], ops.newest(), what)
         self.assertNotIn(last["version"], ops.refused, what)
-        done = {o.sequence for o in stage.leader().part.consensus.cluster_state.outcomes.values() if o.code == "done"}
+        done = {
+            o.sequence for o in simulation.leader().part.consensus.cluster_state.outcomes.values() if o.code == "done"
+        }
         self.assertLessEqual({v for _, v in ops.acked}, done, what)
         self.assertFalse(ops.refused & done, what)
         self.assertEqual(
-            {a.ctx.cluster.cluster_state.routes.version for a in stage.role("gateway")}, {last["version"]}, what
+            {a.ctx.cluster.cluster_state.routes.version for a in simulation.role("gateway")}, {last["version"]}, what
         )
         return len(ops.acked)
 
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -15,7 +15,7 @@
 from pipitlink.segments import Segments
 from pipitlink.wire.cluster_pb2 import ClusterStateData, Command
 from pipitlink.wire.controller_pb2 import ControllerEntry, Snapshot
-from testbed.faults.disks import LosingDisk
+from testbed.faults.disks import PowerLossDisk
 from testbed.simulator.random_faults import seeds
 
 SEEDS = seeds(2)
@@ -26,7 +26,7 @@
     """Not an error that the code under test may handle."""
 
 
-class _StoppingDisk(LosingDisk):
+class _StoppingDisk(PowerLossDisk):
     """Loses power before the given disk call, counted from the first."""
 
     def __init__(self, rng, stop_at=None):
@@ -270,7 +270,7 @@
     def test_what_is_queued_while_a_refusal_is_told_goes_to_the_disk(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        disk = LosingDisk(Random(1))
+        disk = PowerLossDisk(Random(1))
         member = _Member(Path(folder.name), disk).start()
         disk.full = True
         told = []
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -18,7 +18,7 @@
 from pipitlink.gateway.retry_policy import RetryPolicy
 from pipitlink.timers import secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from tests.parts import Gateway
+from tests.gateway_builders import Gateway
 
 
 class _Wire(StringTransport):
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_components.py
@@ -28,7 +28,7 @@
 from pipitlink.wire.cluster_pb2 import Row
 from pipitlink.wire.lots_pb2 import Item, Lot
 
-from .parts import Gateway
+from .gateway_builders import Gateway
 
 
 class Picks(unittest.TestCase):
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,23 +1,23 @@
-"""Each guard is taken out in turn: its scene must then show the violation, and none with the guard in place."""
+"""Each guard is taken out in turn: its scenario must then show the violation, and none with the guard in place."""
 
 import unittest
 import unittest.mock
 
-from .guard_scenes import GUARDS, Scene
+from .guard_scenarios import GUARDS, Scenario
 
 
 class Guards(unittest.TestCase):
     def test_with_the_guard_nothing_is_found(self):
         for name, (bring, words, *_) in GUARDS.items():
             with self.subTest(name):
-                s = Scene(self, **words)
+                s = Scenario(self, **words)
                 bring(s)
                 self.assertEqual(s.bad(), [])
 
     def test_without_the_guard_it_is_found(self):
         for name, (bring, words, owner, part, instead, said) in GUARDS.items():
             with self.subTest(name), unittest.mock.patch.object(owner, part, instead):
-                s = Scene(self, **words)
+                s = Scenario(self, **words)
                 try:
                     bring(s)
                 except AssertionError as e:
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -8,7 +8,7 @@
 
 from pipitlink.disk import Disk, decode_frames
 from pipitlink.segments import Segments
-from testbed.simulator.interleavings import Interleave, StepLock
+from testbed.simulator.interleavings import Interleaver, StepLock
 
 
 class _StepDisk(Disk):
@@ -61,7 +61,7 @@
 
             return [lambda: (put("one"), put("two")), flush], check
 
-        return Interleave.explore(make)
+        return Interleaver.explore(make)
 
     def test_nothing_is_told_before_it_is_synced_and_all_stands_where_it_was_told(self):
         self.assertGreater(self.explore(), 500)
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -5,7 +5,7 @@
 
 from pipitlink.wire.membership_pb2 import EngineUpdate
 
-from .batch_parts import staged
+from .batch_builders import start_simulation
 
 SPAN = 4
 ENGINES = 6
@@ -14,7 +14,7 @@
 
 class Loads(unittest.TestCase):
     def fleet(self, gateways):
-        s = staged(3, gateways=gateways, settle=1.0)
+        s = start_simulation(3, gateways=gateways, settle=1.0)
         self.addCleanup(s.end)
         s.sequence = 0
         self.renew(s)
--- a/tests/test_loss_guards.py
+++ b/tests/test_loss_guards.py
@@ -14,50 +14,50 @@
 from pipitlink.storage.replica_repair import ReplicaRepair
 from pipitlink.storage.replica_transfer import ReplicaTransfer
 
-from .loss_parts import LossStage
+from .loss_simulation import LossSimulation
 
 GROWN = {"losses": 2, "storage_nodes": 14, "controllers": 8}
 IN_TIME = 3.0
 
 
 def _found(test, bring, **shape) -> list[str]:
-    """What goes wrong in a scene: what was lost, or what did not go on."""
-    stage = LossStage(3, **{"logs": 60, **shape})
-    test.addCleanup(stage.end)
+    """What goes wrong in a scenario: what was lost, or what did not go on."""
+    simulation = LossSimulation(3, **{"logs": 60, **shape})
+    test.addCleanup(simulation.end)
     try:
-        stage.begin()
-        bring(stage)
-        edits, appends = len(stage.edits), {n: len(a) for n, a in stage.acked.items() if n.startswith("open")}
-        stage.run(4)
-        stuck = [n for n, acked in appends.items() if len(stage.acked[n]) == acked]
-        return stuck + ["no edits"] * (len(stage.edits) == edits) or stage.wrong()
+        simulation.begin()
+        bring(simulation)
+        edits, appends = len(simulation.edits), {n: len(a) for n, a in simulation.acked.items() if n.startswith("open")}
+        simulation.run(4)
+        stuck = [n for n, acked in appends.items() if len(simulation.acked[n]) == acked]
+        return stuck + ["no edits"] * (len(simulation.edits) == edits) or simulation.wrong()
     except AssertionError as e:
         return [str(e)]
 
 
-def _lose(stage, actors, back: bool):
-    for a in actors:
+def _lose(simulation, simulated_nodes, back: bool):
+    for a in simulated_nodes:
         a.kill(power=True)
         a.wipe()
-    stage.run(1)
-    for a in actors if back else ():
+    simulation.run(1)
+    for a in simulated_nodes if back else ():
         a.start()
 
 
-def two_copies_wiped(stage):
+def two_copies_wiped(simulation):
     """Two storage nodes that keep one placement group lose their disks, and do not come back for a while."""
-    group = next(iter(stage.leader().part.consensus.cluster_state.placement_groups.values()))
-    _lose(stage, [a for a in stage.role("storage") if a.node in group.storage_nodes[:2]], back=False)
+    group = next(iter(simulation.leader().part.consensus.cluster_state.placement_groups.values()))
+    _lose(simulation, [a for a in simulation.role("storage") if a.node in group.storage_nodes[:2]], back=False)
 
 
-def two_voters_wiped(stage):
-    voters = stage.leader().part.consensus.cluster_state.voters
-    _lose(stage, [a for a in stage.role("controller") if a.node in voters][:2], back=True)
+def two_voters_wiped(simulation):
+    voters = simulation.leader().part.consensus.cluster_state.voters
+    _lose(simulation, [a for a in simulation.role("controller") if a.node in voters][:2], back=True)
 
 
-def zone_lost(stage):
+def zone_lost(simulation):
     """The zone that has the most of the voters and of some placement group."""
-    part = stage.leader().part
+    part = simulation.leader().part
     held = Counter(
         max(Counter(part._ctx.membership.find(d).zone for d in s).items(), key=lambda z: z[1])[0]
         for s in (
@@ -66,52 +66,53 @@
         )
     )
     zone = held.most_common(1)[0][0]
-    for a in stage.role("storage") + stage.role("controller"):
+    for a in simulation.role("storage") + simulation.role("controller"):
         if a.zone == zone:
             a.kill(power=True)
 
 
-def retired_and_wiped(stage):
+def retired_and_wiped(simulation):
     """A storage node is retired and taken away; then one of those that took its copies over loses its disk."""
-    gone, other = stage.role("storage")[2], stage.role("storage")[0]
-    stage.do(stage.leader().part.retirement.retire(gone.node, "retire"), 10)
-    stage.until(
+    gone, other = simulation.role("storage")[2], simulation.role("storage")[0]
+    simulation.do(simulation.leader().part.retirement.retire(gone.node, "retire"), 10)
+    simulation.until(
         lambda: (
-            stage.leader() and stage.leader().part.consensus.cluster_state.storage_nodes.get(gone.node) == "retired"
+            simulation.leader()
+            and simulation.leader().part.consensus.cluster_state.storage_nodes.get(gone.node) == "retired"
         ),
         8,
         "it is retired",
     )
-    _lose(stage, [gone], back=False)
-    _lose(stage, [other], back=True)
+    _lose(simulation, [gone], back=False)
+    _lose(simulation, [other], back=True)
 
 
-def replaced_in_time(stage):
-    stage.lose(stage.role("storage")[1], "wiped")
-    stage.wait_whole(IN_TIME)
+def replaced_in_time(simulation):
+    simulation.lose(simulation.role("storage")[1], "wiped")
+    simulation.wait_whole(IN_TIME)
 
 
-def successor_in_time(stage):
-    stage.lose(stage.role("storage")[1], "planned")
-    stage.wait_whole(IN_TIME)
+def successor_in_time(simulation):
+    simulation.lose(simulation.role("storage")[1], "planned")
+    simulation.wait_whole(IN_TIME)
 
 
-def successor_of_a_silent_one_in_time(stage):
-    lost = stage.role("storage")[1]
+def successor_of_a_silent_one_in_time(simulation):
+    lost = simulation.role("storage")[1]
     lost.freeze()
-    stage.run(3)
-    stage.successor(lost)
-    stage.wait_whole(IN_TIME)
+    simulation.run(3)
+    simulation.successor(lost)
+    simulation.wait_whole(IN_TIME)
 
 
-def current_in_time(stage):
+def current_in_time(simulation):
     """Logs end while a storage node is away, so that no leaseholder is left to make up for it."""
-    away = stage.role("storage")[1]
+    away = simulation.role("storage")[1]
     away.kill()
-    stage.run(0.2)
-    stage.write_closed(30)
+    simulation.run(0.2)
+    simulation.write_closed(30)
     away.start()
-    stage.wait_whole(IN_TIME / 2)
+    simulation.wait_whole(IN_TIME / 2)
 
 
 def _no_zones(self, nodes) -> Counter:
--- a/tests/test_membership_order.py
+++ b/tests/test_membership_order.py
@@ -3,8 +3,8 @@
 import unittest
 from itertools import product
 
-from testbed.simulator.random_faults import Trouble
-from testbed.simulator.simulation import Stage
+from testbed.simulator.random_faults import RandomFaults
+from testbed.simulator.simulation import Simulation
 
 ROLES = (None, "gateway", "storage", "controller")
 STATUSES = (("alive", "suspect"), ("alive",), ("suspect", "gone"), ("alive", "suspect", "gone"))
@@ -14,7 +14,7 @@
     def test_what_is_kept_is_what_would_be_sorted_out_now(self):
         beliefs = 0
         for seed in range(3):
-            s = Stage(seed, controllers=3, storage_nodes=3, gateways=4)
+            s = Simulation(seed, controllers=3, storage_nodes=3, gateways=4)
             self.addCleanup(s.end)
             s.start()
             s.ready()
@@ -26,13 +26,13 @@
                     looks.append(self.look(s))
 
             s.run = run
-            Trouble(s, roles=("controller", "gateway", "storage")).during([], faults=6)
+            RandomFaults(s, roles=("controller", "gateway", "storage")).during([], faults=6)
             s.run(4)
             beliefs += len(set(looks))
         self.assertGreater(beliefs, 10, "beliefs moved")
 
     def look(self, s) -> str:
-        for a in s.actors.values():
+        for a in s.simulated_nodes.values():
             membership = a.ctx.membership
             for role, status, me in product(ROLES, STATUSES, (True, False)):
                 self.assertEqual(
@@ -41,15 +41,17 @@
                     (a.name, role, status),
                 )
         return " ".join(
-            f"{e.member.node}{e.state}" for a in s.actors.values() for e in a.ctx.membership.table.peers.values()
+            f"{e.member.node}{e.state}"
+            for a in s.simulated_nodes.values()
+            for e in a.ctx.membership.table.peers.values()
         )
 
     def test_a_list_that_was_handed_out_is_the_callers_own(self):
-        s = Stage(1, controllers=3, storage_nodes=3, gateways=2)
+        s = Simulation(1, controllers=3, storage_nodes=3, gateways=2)
         self.addCleanup(s.end)
         s.start()
         s.ready()
-        membership = s.actors["gateway0"].ctx.membership
+        membership = s.simulated_nodes["gateway0"].ctx.membership
         membership.members("gateway").clear()
         self.assertEqual(len(membership.members("gateway")), 2)
 
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -5,8 +5,8 @@
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import ms
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from testbed.simulator.random_faults import Trouble, seeds
-from testbed.simulator.simulation import Stage
+from testbed.simulator.random_faults import RandomFaults, seeds
+from testbed.simulator.simulation import Simulation
 
 from .model.properties import Change
 from .model.recorder import Recorder
@@ -17,7 +17,7 @@
 FAULTS = 12
 
 
-class EmptyingTrouble(Trouble):
+class EmptyingFaults(RandomFaults):
     """Also empties disks: one at once, and the next only when the members have taken the lost one's places."""
 
     def __init__(self, *words, **named):
@@ -25,13 +25,13 @@
         self._emptied: set[str] = set()
 
     def one(self):
-        if self._stage.rng.random() < 0.4 and self._whole():
+        if self._simulation.rng.random() < 0.4 and self._whole():
             self._empty_one()
         else:
             super().one()
 
     def _whole(self) -> bool:
-        leader = self._stage.leader()
+        leader = self._simulation.leader()
         if leader is None:
             return False
         state = leader.part.consensus.cluster_state
@@ -41,31 +41,33 @@
         return settled and len(state.voters) == 3 and not held & self._emptied
 
     def _empty_one(self):
-        stage, rng = self._stage, self._stage.rng
-        state = stage.leader().part.consensus.cluster_state
+        simulation, rng = self._simulation, self._simulation.rng
+        state = simulation.leader().part.consensus.cluster_state
         held = {n for g in state.placement_groups.values() for n in g.storage_nodes} | set(state.voters)
-        actor = rng.choice([a for a in stage.actors.values() if a.node in held and a.alive and not a.frozen])
-        self.told.append(f"{stage.clock.seconds():.3f} emptied {actor.name}")
-        self._emptied.add(actor.node)
-        actor.kill(power=True)
-        actor.wipe()
-        stage.clock.callLater(rng.choice((0.02, 0.1, 0.5, 1.5)), self._start, actor)
+        simulated_node = rng.choice(
+            [a for a in simulation.simulated_nodes.values() if a.node in held and a.alive and not a.frozen]
+        )
+        self.injected.append(f"{simulation.clock.seconds():.3f} emptied {simulated_node.name}")
+        self._emptied.add(simulated_node.node)
+        simulated_node.kill(power=True)
+        simulated_node.wipe()
+        simulation.clock.callLater(rng.choice((0.02, 0.1, 0.5, 1.5)), self._start, simulated_node)
 
 
 class _Work:
     """Operators that change the table and gateways that race for logs, recorded."""
 
     def __init__(self, recorder: Recorder):
-        self.recorder, self.stage = recorder, recorder.stage
-        self.timers = self.stage.timers()
+        self.recorder, self.simulation = recorder, recorder.simulation
+        self.timers = self.simulation.timers()
         self.over = False
         self._n = 0
 
     async def operate(self, who: int):
-        rng = self.stage.rng
+        rng = self.simulation.rng
         while not self.over:
             await self.timers.sleep(ms(100 + rng.randrange(400)))
-            controllers = self.stage.role("controller", alive=True)
+            controllers = self.simulation.role("controller", alive=True)
             if controllers:
                 await self._edit(rng.choice(controllers).part, who)
 
@@ -78,18 +80,18 @@
         except PipitlinkError:
             return
         if out.code == "done":
-            self.recorder.changes.append(Change(self.stage.clock.seconds(), out.sequence))
+            self.recorder.changes.append(Change(self.simulation.clock.seconds(), out.sequence))
 
     async def write(self, name: str, log: str):
         n = 0
         while not self.over:
-            actor = self.stage.actors[name]
-            await self.timers.sleep(ms(100 + self.stage.rng.randrange(500)))
-            if actor.alive:
-                n = await self._hold(actor.ctx, log, n)
+            simulated_node = self.simulation.simulated_nodes[name]
+            await self.timers.sleep(ms(100 + self.simulation.rng.randrange(500)))
+            if simulated_node.alive:
+                n = await self._hold(simulated_node.ctx, log, n)
 
     async def _hold(self, ctx, log: str, n: int) -> int:
-        gone = self.stage.rng.choice((None, None, ""))
+        gone = self.simulation.rng.choice((None, None, ""))
         try:
             h = await ctx.replicated_log.acquire(log, gone)
             for _ in range(ctx.rng.randrange(1, 10)):
@@ -105,41 +107,41 @@
 
 def run_recorded(seed: int, faults: int = FAULTS) -> tuple[Recorder, list[str]]:
     """One seed of trouble with the nodes recorded; at its end each log is settled once more."""
-    stage = Stage(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
-    recorder = Recorder(stage)
+    simulation = Simulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
+    recorder = Recorder(simulation)
     try:
         with recorder.recording():
-            return recorder, _play(stage, recorder, faults)
+            return recorder, _play(simulation, recorder, faults)
     finally:
-        stage.end()
+        simulation.end()
 
 
-def _play(stage: Stage, recorder: Recorder, faults: int) -> list[str]:
-    stage.start()
-    stage.ready()
+def _play(simulation: Simulation, recorder: Recorder, faults: int) -> list[str]:
+    simulation.start()
+    simulation.ready()
     work = _Work(recorder)
-    plain_run = stage.run
+    plain_run = simulation.run
 
     def run(seconds, step=0.005):
         for _ in range(max(1, int(seconds / 0.05))):
             plain_run(0.05, step)
             recorder.sample()
 
-    stage.run = run
-    trouble = EmptyingTrouble(stage)
-    writers = [work.write(a.name, log) for a in stage.role("gateway") for log in LOGS]
-    trouble.during([work.operate(0), work.operate(1), *writers], faults=faults, between=1.2)
-    stage.run(4)
+    simulation.run = run
+    random_faults = EmptyingFaults(simulation)
+    writers = [work.write(a.name, log) for a in simulation.role("gateway") for log in LOGS]
+    random_faults.during([work.operate(0), work.operate(1), *writers], faults=faults, between=1.2)
+    simulation.run(4)
     work.over = True
-    stage.run(3)
-    stage.ready()
-    for a in stage.role("gateway"):
-        stage.do(a.ctx.replicated_log.release(list(a.ctx.replicated_log.leaseholders.values())))
-    last = stage.role("gateway")[0].ctx
+    simulation.run(3)
+    simulation.ready()
+    for a in simulation.role("gateway"):
+        simulation.do(a.ctx.replicated_log.release(list(a.ctx.replicated_log.leaseholders.values())))
+    last = simulation.role("gateway")[0].ctx
 
     for log in LOGS:
-        stage.do(settled_anew(last, log), 30, f"{log} is settled")
-    return trouble.told
+        simulation.do(settled_anew(last, log), 30, f"{log} is settled")
+    return random_faults.injected
 
 
 class Conformance(unittest.TestCase):
--- a/tests/test_order_guards.py
+++ b/tests/test_order_guards.py
@@ -1,4 +1,4 @@
-"""Each guard of the operators' orders is taken out in turn: the history checker must then find its scene, and not
+"""Each guard of the operators' orders is taken out in turn: the history checker must then find its scenario, and not
 before.
 """
 
@@ -12,44 +12,44 @@
 from testbed.checks.linearizability import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen, check_history
 
 from .control_calls import Caller, config_of, route_of
-from .order_parts import HoldingStage
+from .order_simulation import DelayingSimulation
 
 ZONE = "zone-b"
 PATH = f"/v1/zones/{ZONE}/empty"
 ANSWERS = {200: Answer.TAKEN, 412: Answer.OTHER_VERSION, 400: Answer.REFUSED, 409: Answer.REFUSED}
 
 
-class Scene:
+class Scenario:
     """A small fleet, the orders that were sent to it, and what the checker says of them."""
 
     def __init__(self, test):
-        self.stage = HoldingStage(43, placement_groups=2)
-        test.addCleanup(self.stage.end)
-        self.stage.start()
-        self.stage.ready()
-        self.stage.run(2)
-        self.caller = Caller(self.stage)
+        self.simulation = DelayingSimulation(43, placement_groups=2)
+        test.addCleanup(self.simulation.end)
+        self.simulation.start()
+        self.simulation.ready()
+        self.simulation.run(2)
+        self.caller = Caller(self.simulation)
         self.records: list = []
-        self.leader = self.stage.leader()
-        self.held, self.other, *_ = [a for a in self.stage.role("controller") if a is not self.leader]
+        self.leader = self.simulation.leader()
+        self.held, self.other, *_ = [a for a in self.simulation.role("controller") if a is not self.leader]
 
     def config(self, content, base, version, **headers):
-        self.stage.run(0.01)
-        began = self.stage.clock.seconds()
+        self.simulation.run(0.01)
+        began = self.simulation.clock.seconds()
         body = config_of(version, route_of(content))
         words = ("PUT", "/v1/config", body, {"If-Match": str(base), **headers})
         answer = ANSWERS[self.caller.ask(self.other, *words)[0]]
-        self.records.append(ConfigOrder(content, base, version, began, self.stage.clock.seconds(), answer))
+        self.records.append(ConfigOrder(content, base, version, began, self.simulation.clock.seconds(), answer))
 
     def zone(self, empty: bool):
-        self.stage.run(0.01)
-        began = self.stage.clock.seconds()
+        self.simulation.run(0.01)
+        began = self.simulation.clock.seconds()
         answer = ANSWERS[self.caller.ask(self.other, "PUT" if empty else "DELETE", PATH)[0]]
-        self.records.append(ZoneOrder(ZONE, empty, began, self.stage.clock.seconds(), answer))
+        self.records.append(ZoneOrder(ZONE, empty, began, self.simulation.clock.seconds(), answer))
 
     def look(self):
-        now = self.stage.clock.seconds()
-        for a in self.stage.role("gateway"):
+        now = self.simulation.clock.seconds()
+        for a in self.simulation.role("gateway"):
             state = a.ctx.cluster.cluster_state
             content = next(iter(state.routes.routes), "")
             self.records.append(ConfigSeen(state.routes.version, content, now, now, a.node))
@@ -57,15 +57,15 @@
 
     def note_copy(self):
         """A copy of the order that empties the zone; its caller gives it up after a second and sends it again."""
-        now = self.stage.clock.seconds()
+        now = self.simulation.clock.seconds()
         self.records.append(ZoneOrder(ZONE, True, now, now + 1.1, Answer.UNKNOWN))
 
     def empty_and_fill(self):
         """The order that was sent again is confirmed and taken back."""
-        self.stage.run(1.1)
+        self.simulation.run(1.1)
         self.zone(True)
         self.zone(False)
-        self.stage.run(2)
+        self.simulation.run(2)
         self.look()
 
 
@@ -77,12 +77,12 @@
 
 
 def held_on_its_way_to_the_leader(s):
-    s.stage.cut([s.held.name], [s.leader.name], one_way=True)
+    s.simulation.cut([s.held.name], [s.leader.name], one_way=True)
     s.note_copy()
     s.caller.begin(s.held, "PUT", PATH)
     s.empty_and_fill()
-    s.stage.heal()
-    s.stage.run(1)
+    s.simulation.heal()
+    s.simulation.run(1)
     s.look()
 
 
@@ -91,9 +91,9 @@
     s.note_copy()
     s.held.clock.callLater(0, s.caller.begin, s.held, "PUT", PATH)
     s.empty_and_fill()
-    s.stage.run(3)
+    s.simulation.run(3)
     s.held.thaw()
-    s.stage.run(1)
+    s.simulation.run(1)
     s.look()
 
 
@@ -101,8 +101,8 @@
     """A copy waits in a cut link together with its caller's leaving."""
     s.empty_and_fill()
     late = s.caller.begin(s.held, "PUT", PATH)
-    s.stage.clock.callLater(0.005, late.hang_up)
-    s.stage.run(1)
+    s.simulation.clock.callLater(0.005, late.hang_up)
+    s.simulation.run(1)
     s.look()
 
 
@@ -174,7 +174,7 @@
 
 class OrderGuards(unittest.TestCase):
     def found(self, bring) -> list[str]:
-        s = Scene(self)
+        s = Scenario(self)
         bring(s)
         return check_history(s.records)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -12,7 +12,7 @@
 from pipitlink.controller.control_api import ControlApi
 from pipitlink.web import Site
 from pipitlink.wire.cluster_pb2 import Command, ConfigEdit, StorageNodeEdit, TableEdit, ZoneEdit
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 from .control_calls import Caller, config_of, route_of
 
@@ -26,19 +26,19 @@
 
 class _Orders(unittest.TestCase):
     def setUp(self):
-        self.stage = Stage(41, placement_groups=2)
-        self.addCleanup(self.stage.end)
-        self.stage.start()
-        self.stage.ready()
-        self.stage.until(
-            lambda: len(self.stage.leader().part.consensus.cluster_state.storage_nodes) == 4,
+        self.simulation = Simulation(41, placement_groups=2)
+        self.addCleanup(self.simulation.end)
+        self.simulation.start()
+        self.simulation.ready()
+        self.simulation.until(
+            lambda: len(self.simulation.leader().part.consensus.cluster_state.storage_nodes) == 4,
             20,
             "all storage nodes are admitted",
         )
-        self.stage.run(2)
-        self.caller = Caller(self.stage)
-        self.controllers = self.stage.role("controller")
-        self.leader = self.stage.leader()
+        self.simulation.run(2)
+        self.caller = Caller(self.simulation)
+        self.controllers = self.simulation.role("controller")
+        self.leader = self.simulation.leader()
         self.held, self.other, *_ = [a for a in self.controllers if a is not self.leader]
 
     def put(self, config, base, controller=None):
@@ -48,19 +48,19 @@
         return self.caller.ask(controller or self.other, method, ZONE)[0]
 
     def empty(self):
-        return "zone-b" in self.stage.leader().part.consensus.cluster_state.empty_zones
+        return "zone-b" in self.simulation.leader().part.consensus.cluster_state.empty_zones
 
     def version(self):
-        return self.stage.leader().part.consensus.cluster_state.routes.version
+        return self.simulation.leader().part.consensus.cluster_state.routes.version
 
     def new_leader(self):
-        old = self.stage.leader()
+        old = self.simulation.leader()
         old.kill(power=True)
-        self.stage.until(lambda: self.stage.leader() not in (None, old), 15, "another leads")
-        self.stage.run(2)
+        self.simulation.until(lambda: self.simulation.leader() not in (None, old), 15, "another leads")
+        self.simulation.run(2)
         old.start()
-        self.stage.until(
-            lambda: {a.part.consensus.leader_id for a in self.controllers} == {self.stage.leader().node},
+        self.simulation.until(
+            lambda: {a.part.consensus.leader_id for a in self.controllers} == {self.simulation.leader().node},
             5,
             "all follow",
         )
@@ -110,7 +110,7 @@
             for a in self.controllers:
                 a.kill(power=True)
                 a.start()
-            self.stage.ready()
+            self.simulation.ready()
             self.assertEqual(self.put(newest, 0)[0], 200)
             self.assertEqual(self.version(), 4)
 
@@ -142,24 +142,26 @@
     def test_of_two_retirements_at_once_only_one_is_taken_where_two_would_leave_too_few(self):
         for n in range(3):
             with self.subTest(n):
-                stage = Stage(50 + n, placement_groups=2)
-                self.addCleanup(stage.end)
-                stage.start()
-                stage.ready()
-                stage.until(lambda: len(stage.leader().part.consensus.cluster_state.storage_nodes) == 4, 20, "admitted")
-                stage.run(2)
-                caller = Caller(stage)
+                simulation = Simulation(50 + n, placement_groups=2)
+                self.addCleanup(simulation.end)
+                simulation.start()
+                simulation.ready()
+                simulation.until(
+                    lambda: len(simulation.leader().part.consensus.cluster_state.storage_nodes) == 4, 20, "admitted"
+                )
+                simulation.run(2)
+                caller = Caller(simulation)
                 boxes = [
                     caller.begin(
-                        stage.role("controller")[(n + i) % 4],
+                        simulation.role("controller")[(n + i) % 4],
                         "POST",
-                        f"/v1/storage_nodes/{stage.actors[s].node}/retire",
+                        f"/v1/storage_nodes/{simulation.simulated_nodes[s].node}/retire",
                     )
                     for i, s in enumerate(("storage1", "storage2"))
                 ]
-                stage.until(lambda: all(boxes), 10, "both are answered")
+                simulation.until(lambda: all(boxes), 10, "both are answered")
                 self.assertEqual(sorted(b[0][0] for b in boxes), [200, 409])
-                statuses = stage.leader().part.consensus.cluster_state.storage_nodes.values()
+                statuses = simulation.leader().part.consensus.cluster_state.storage_nodes.values()
                 self.assertEqual(sum(s != "serving" for s in statuses), 1)
 
     def test_eight_orders_at_once_on_two_zones_are_all_taken(self):
@@ -169,21 +171,21 @@
             )
             for n in range(8)
         ]
-        self.stage.until(lambda: all(boxes), 3, "all are answered")
+        self.simulation.until(lambda: all(boxes), 3, "all are answered")
         self.assertEqual([b[0][0] for b in boxes], [200] * 8)
 
 
 class Late(_Orders):
     def test_an_emptied_zone_is_not_emptied_again_by_a_copy_that_waited_in_a_frozen_controllers_socket(self):
         self.held.freeze()
-        self.stage.run(0.1)
+        self.simulation.run(0.1)
         late = self.arriving_while_frozen(self.held, "PUT", ZONE)
-        self.stage.run(1.2)
+        self.simulation.run(1.2)
         self.assertEqual(self.zone("PUT"), 200)
         self.assertEqual(self.zone("DELETE"), 200)
-        self.stage.run(8)
+        self.simulation.run(8)
         self.held.thaw()
-        self.stage.run(3)
+        self.simulation.run(3)
         self.assertFalse(self.empty())
         self.assertEqual(late[0][0][0], 503)
         self.assertEqual(self.zone("PUT", self.held), 200)
@@ -191,14 +193,14 @@
     def test_nor_by_one_that_was_frozen_just_after_the_order_was_read(self):
         for controller in (self.held, self.leader):
             late = self.caller.begin(controller, "PUT", ZONE)
-            self.stage.run(0.005)
+            self.simulation.run(0.005)
             controller.freeze()
-            self.stage.until(lambda: self.stage.leader() not in (None, controller), 15, "another leads")
-            self.stage.run(2)
+            self.simulation.until(lambda: self.simulation.leader() not in (None, controller), 15, "another leads")
+            self.simulation.run(2)
             self.assertEqual(self.zone("PUT"), 200)
             self.assertEqual(self.zone("DELETE"), 200)
             controller.thaw()
-            self.stage.run(3)
+            self.simulation.run(3)
             self.assertFalse(self.empty(), controller.name)
             self.assertGreaterEqual(late[0][0], 500)
 
@@ -207,15 +209,15 @@
         self.assertEqual(self.zone("PUT"), 200)
         self.assertEqual(self.zone("DELETE"), 200)
         late = Command(edit="late", zone=ZoneEdit(zone="zone-b", empty=True), fencing_token=fenced)
-        out = self.stage.do(self.leader.part.state_delivery.edit(late))
+        out = self.simulation.do(self.leader.part.state_delivery.edit(late))
         self.assertEqual(out.code, "late")
         self.assertFalse(self.empty())
 
     def test_an_order_whose_caller_has_hung_up_is_not_carried_out(self):
         late = self.caller.begin(self.held, "PUT", ZONE)
-        self.stage.run(0.01)
+        self.simulation.run(0.01)
         late.hang_up()
-        self.stage.run(2)
+        self.simulation.run(2)
         self.assertFalse(self.empty())
 
     def test_an_order_that_was_refused_as_early_does_not_come_in_force_by_a_copy_that_was_held_up(self):
@@ -224,7 +226,7 @@
         held = config_command("early", 5, 9, fencing_token=self.held.part.consensus.cluster_state.sequence)
         self.assertEqual(self.put(early, 5)[0], 412)
         self.assertEqual(self.put(config_of(5), 3)[0], 200)
-        self.assertEqual(self.stage.do(self.leader.part.state_delivery.edit(held)).code, "late")
+        self.assertEqual(self.simulation.do(self.leader.part.state_delivery.edit(held)).code, "late")
         self.assertEqual(self.version(), 5)
 
     def test_a_retirement_that_was_held_up_does_not_take_a_retired_storage_node_back(self):
@@ -237,17 +239,17 @@
         self.assertEqual(state.storage_nodes, {"s": "retired"})
 
     def test_a_controller_that_lags_takes_an_order_at_once(self):
-        self.stage.cut([self.leader.name], [self.held.name], one_way=True)
-        self.stage.run(0.2)
+        self.simulation.cut([self.leader.name], [self.held.name], one_way=True)
+        self.simulation.run(0.2)
         self.assertEqual(self.zone("PUT"), 200)
         self.assertLess(
             self.held.part.consensus.cluster_state.zones_changed_at,
             self.leader.part.consensus.cluster_state.zones_changed_at,
         )
-        self.stage.heal()
-        before = self.stage.clock.seconds()
+        self.simulation.heal()
+        before = self.simulation.clock.seconds()
         self.assertEqual(self.zone("DELETE", self.held), 200)
-        self.assertLess(self.stage.clock.seconds() - before, 0.3)
+        self.assertLess(self.simulation.clock.seconds() - before, 0.3)
 
     def test_an_order_whose_bytes_arrive_together_with_its_callers_leaving_is_not_carried_out(self):
         app = Klein()
@@ -259,7 +261,7 @@
             connection.dataReceived(b"PUT %b HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n" % ZONE.encode())
             if leaves:
                 connection.connectionLost(Failure(ConnectionDone()))
-            self.stage.run(1)
+            self.simulation.run(1)
             self.assertNotEqual(self.empty(), leaves)
         self.assertIn(b"200 OK", transport.value())
         connection.connectionLost(Failure(ConnectionDone()))
@@ -267,10 +269,10 @@
     def test_an_order_whose_caller_left_while_it_was_being_agreed_still_counts_on_the_leaders_disk(self):
         part = self.leader.part
         late = self.caller.begin(self.leader, "PUT", ZONE)
-        self.stage.until(lambda: part.log_replication.proposals, 1, "it is proposed")
+        self.simulation.until(lambda: part.log_replication.proposals, 1, "it is proposed")
         index = max(part.log_replication.proposals)
         late.hang_up()
-        self.stage.run(1)
+        self.simulation.run(1)
         self.assertGreaterEqual(part.log_replication.synced_index, index)
 
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -6,7 +6,7 @@
 import unittest
 from random import Random
 
-from testbed.processes.process_cluster import Fleet, free_ports, wait_for
+from testbed.processes.process_cluster import ProcessCluster, free_ports, wait_for
 from testbed.standins.clients import Callers
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -55,7 +55,7 @@
 class Outcomes(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        cls.fleet = Fleet(gateways=1, storage_nodes=3, controllers=3, engines=0, cards=1)
+        cls.fleet = ProcessCluster(gateways=1, storage_nodes=3, controllers=3, engines=0, cards=1)
         cls.addClassCleanup(cls.fleet.stop)
         cls.fleet.start()
         cls.n = 0
@@ -236,7 +236,7 @@
 
 class Draining(unittest.TestCase):
     def test_a_gateway_told_to_end_finishes_its_streams_and_hands_its_lots_over(self):
-        fleet = Fleet(gateways=2, storage_nodes=3, controllers=3, engines=2, cards=0, step=0.15)
+        fleet = ProcessCluster(gateways=2, storage_nodes=3, controllers=3, engines=2, cards=0, step=0.15)
         self.addCleanup(fleet.stop)
         fleet.start()
         calls = Callers(fleet, Random(1))
