--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -12,7 +12,7 @@
 from pipitlink.cluster.routes import RouteTable
 from pipitlink.controller.control_api import ControlApi
 from pipitlink.errors import BadRequest
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 from .control_calls import Caller, platform_control_format
 
@@ -218,17 +218,17 @@
 
 class Calls(unittest.TestCase):
     def setUp(self):
-        self.stage = Stage(31, placement_groups=2)
-        self.addCleanup(self.stage.end)
-        self.stage.start()
-        self.stage.ready()
-        self.stage.until(
-            lambda: len(self.stage.leader().part.consensus.cluster_state.storage_nodes) == 4,
+        self.simulation = Simulation(31, placement_groups=2)
+        self.addCleanup(self.simulation.end)
+        self.simulation.start()
+        self.simulation.ready()
+        self.simulation.until(
+            lambda: len(self.simulation.leader().part.consensus.cluster_state.storage_nodes) == 4,
             20,
             "all storage nodes are admitted",
         )
-        self.caller = Caller(self.stage, platform_control_format())
-        self.controller = self.stage.role("controller")[1]
+        self.caller = Caller(self.simulation, platform_control_format())
+        self.controller = self.simulation.role("controller")[1]
 
     def test_the_operators_day(self):
         ask, controller = self.caller.ask, self.controller
@@ -241,13 +241,13 @@
         self.assertEqual(self.caller.get(controller)[1], {**WHOLE, "version": 9, "routes": ROUTES[:1]})
         for method, empty in (("POST", True), ("POST", True), ("DELETE", False)):
             self.assertEqual(ask(controller, method, "/evacuations/zone-a")[0], 200)
-            self.assertEqual({a.ctx.cluster.zone_empty("zone-a") for a in self.stage.role("gateway")}, {empty})
+            self.assertEqual({a.ctx.cluster.zone_empty("zone-a") for a in self.simulation.role("gateway")}, {empty})
 
     def test_retirement(self):
-        ask, controller, storage_node = self.caller.ask, self.controller, self.stage.role("storage")[0].node
+        ask, controller, storage_node = self.caller.ask, self.controller, self.simulation.role("storage")[0].node
         self.assertEqual(ask(controller, "POST", "/retire/nowhere", {"within_s": 10})[0], 404)
         self.assertEqual(ask(controller, "GET", f"/retire/{storage_node}"), (200, {"state": "serving"}))
         self.assertEqual(ask(controller, "POST", f"/retire/{storage_node}", {"within_s": 10})[0], 200)
-        self.stage.until(
+        self.simulation.until(
             lambda: ask(controller, "GET", f"/retire/{storage_node}") == (200, {"state": "complete"}), 60, "emptied"
         )
--- a/tests/test_platform_serve.py
+++ b/tests/test_platform_serve.py
@@ -17,7 +17,7 @@
 from pipitlink.dialect import Dialect
 from testbed.processes.process_cluster import free_ports, wait_for
 
-from .router_parts import Rig, route
+from .router_builders import Rig, route
 
 ROOT = Path(__file__).resolve().parent.parent
 EDGE = """
--- a/tests/test_losing_disk.py
+++ b/tests/test_power_loss_disk.py
@@ -6,17 +6,17 @@
 from pathlib import Path
 from random import Random
 
-from testbed.faults.disks import LosingDisk
+from testbed.faults.disks import PowerLossDisk
 
 
-class LosingDisks(unittest.TestCase):
+class PowerLossDisks(unittest.TestCase):
     def setUp(self):
         box = tempfile.TemporaryDirectory()
         self.addCleanup(box.cleanup)
         self.folder, self.other = Path(box.name) / "data", Path(box.name) / "other"
         self.folder.mkdir()
         self.other.mkdir()
-        self.disk = LosingDisk(Random(1))
+        self.disk = PowerLossDisk(Random(1))
 
     def write_unsynced(self, path: Path):
         fd = os.open(path, os.O_WRONLY | os.O_CREAT, 0o600)
--- a/tests/test_fleet.py
+++ b/tests/test_process_cluster.py
@@ -11,7 +11,7 @@
 from cloudevents.core.formats.json import JSONFormat
 
 from testbed.checks.checker import check
-from testbed.processes.process_cluster import Fleet, free_ports, wait_for
+from testbed.processes.process_cluster import ProcessCluster, free_ports, wait_for
 from testbed.standins.clients import Callers
 from testbed.standins.engine import answer_pieces, card_bytes
 
@@ -31,7 +31,7 @@
         pass
 
 
-class WholePath(unittest.TestCase):
+class EndToEnd(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
         listener = ThreadingHTTPServer(("127.0.0.1", 0), _Listener)
@@ -39,7 +39,7 @@
         cls.addClassCleanup(listener.server_close)
         cls.addClassCleanup(listener.shutdown)
         place = f"127.0.0.1:{listener.server_address[1]}/changes"
-        cls.fleet = Fleet(
+        cls.fleet = ProcessCluster(
             gateways=3, storage_nodes=3, controllers=3, engines=2, cards=1, settings={"changes_to": place}
         )
         cls.addClassCleanup(cls.fleet.stop)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_process_cluster_faults.py
@@ -5,7 +5,7 @@
 
 from pipitlink.wire.frame_pb2 import Hello
 from testbed.benchmarks.soak import Soak
-from testbed.processes.process_cluster import Fleet
+from testbed.processes.process_cluster import ProcessCluster
 
 FAULTS = (
     "kill_leader",
@@ -29,7 +29,7 @@
         self.assertEqual(Soak("small", 4, 0.5, faults=FAULTS, quiet=4, floors=False).run(), 0)
 
     def test_a_peer_of_another_fleet_or_with_rubbish_is_refused(self):
-        fleet = Fleet(gateways=1, storage_nodes=3, controllers=3, engines=0, cards=0)
+        fleet = ProcessCluster(gateways=1, storage_nodes=3, controllers=3, engines=0, cards=0)
         self.addCleanup(fleet.stop)
         fleet.start()
         for hello in (
--- a/tests/test_router_live.py
+++ b/tests/test_router_live.py
@@ -6,7 +6,7 @@
 from pipitlink.wire.cluster_pb2 import Pool
 from pipitlink.wire.membership_pb2 import Load, Loads
 
-from .router_parts import END, Rig, chunk, event, head, route
+from .router_builders import END, Rig, chunk, event, head, route
 
 STREAM = route("s", "/a/", resumable=True, sticky=True)
 ONCE = route("o", "/once/", kind="mutating")
--- a/tests/test_rpc_orders.py
+++ b/tests/test_rpc_orders.py
@@ -9,27 +9,27 @@
 from pipitlink.wire.frame_pb2 import Hello
 from testbed.simulator.interleavings import explore_events, walk_events
 
-from .rpc_scenes import PLACE, RpcScene
+from .rpc_scenarios import PLACE, RpcScenario
 
 
 class RpcOrders(unittest.TestCase):
     def test_all_short_orders(self):
-        self.assertGreater(explore_events(RpcScene, 7), 2500)
+        self.assertGreater(explore_events(RpcScenario, 7), 2500)
 
     def test_long_orders_at_random(self):
-        walk_events(RpcScene, Random(1), 16, 2000)
+        walk_events(RpcScenario, Random(1), 16, 2000)
 
     def test_a_call_made_as_another_is_cut_off_goes_on_a_new_connection(self):
-        scene = RpcScene()
+        scenario = RpcScenario()
 
         def call(name):
-            return spawn(scene.endpoint.call(PLACE, "echo", Hello(node=name), Hello, secs(1)))
+            return spawn(scenario.endpoint.call(PLACE, "echo", Hello(node=name), Hello, secs(1)))
 
         called_again = call("first").addErrback(lambda _: call("second"))
-        scene._cut(scene.endpoint.opened[0])
-        scene._take_in()
-        self.assertEqual([r.name for r in scene.received], ["first", "second"])
-        scene._answer(scene.received[1])
+        scenario._cut(scenario.endpoint.opened[0])
+        scenario._take_in()
+        self.assertEqual([r.name for r in scenario.received], ["first", "second"])
+        scenario._answer(scenario.received[1])
         self.assertEqual(called_again.result.node, "second")
 
     def test_numbers_are_needed(self):
@@ -40,13 +40,13 @@
 
         with unittest.mock.patch.object(RpcConnection, "_resolve_call", resolve_any):
             with self.assertRaisesRegex(AssertionError, "MIXED"):
-                explore_events(RpcScene, 5)
+                explore_events(RpcScenario, 5)
 
     def test_numbers_are_never_used_again(self):
         always = property(lambda _: 0, lambda *_: None)
         with unittest.mock.patch.object(RpcConnection, "_last_call_id", always, create=True):
             with self.assertRaises(AssertionError):
-                explore_events(RpcScene, 5)
+                explore_events(RpcScenario, 5)
 
 
 if __name__ == "__main__":
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -12,7 +12,7 @@
 from twisted.internet.task import Clock
 
 from pipitlink.timers import Timers, ms
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 from .side_by_side import FileResult, run_files
 
@@ -161,13 +161,13 @@
 
     def test_a_stage_that_ends_amid_its_work_leaves_nothing_that_runs_on(self):
         for seed in range(3):
-            s = Stage(seed, controllers=1, storage_nodes=3, gateways=1)
+            s = Simulation(seed, controllers=1, storage_nodes=3, gateways=1)
             s.start()
             s.ready()
             s.run(4)
             s.cut(["storage0", "storage1"], ["storage2", "gateway0"])
             s.run(3.2)
-            s.actors["storage0"].kill()
+            s.simulated_nodes["storage0"].kill()
             s.end()
         lines = s.sink.lines
         del s
--- a/tests/test_stage_cache.py
+++ b/tests/test_simulated_cache.py
@@ -11,7 +11,7 @@
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms, secs, spawn
 from pipitlink.wire.cache_pb2 import Lengths
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 
 class _Held:
@@ -139,11 +139,11 @@
 
 class Readers(unittest.TestCase):
     def setUp(self):
-        self.stage = Stage(4, controllers=3, storage_nodes=3, gateways=5, placement_groups=2)
-        self.addCleanup(self.stage.end)
-        self.stage.start()
-        self.stage.ready()
-        self.writer, *self.others = self.stage.role("gateway")
+        self.simulation = Simulation(4, controllers=3, storage_nodes=3, gateways=5, placement_groups=2)
+        self.addCleanup(self.simulation.end)
+        self.simulation.start()
+        self.simulation.ready()
+        self.writer, *self.others = self.simulation.role("gateway")
 
     def write(self, records):
         ctx = self.writer.ctx
@@ -156,7 +156,7 @@
             for r in records:
                 await h.append([r])
 
-        self.stage.do(go())
+        self.simulation.do(go())
 
     def read(self, ctx, n):
         tail = ctx.cache.tail("results/r")
@@ -168,15 +168,15 @@
                     await tail.wait_for_growth()
                 got.extend(body for _, body in more)
 
-        began = self.stage.clock.seconds()
-        self.stage.do(go(), 5)
+        began = self.simulation.clock.seconds()
+        self.simulation.do(go(), 5)
         tail.close()
-        return got, self.stage.clock.seconds() - began
+        return got, self.simulation.clock.seconds() - began
 
     def test_reads_come_from_the_caches_and_within_a_poll_or_two(self):
         records = [f"{n}".encode() * 700 for n in range(40)]
         self.write(records)
-        self.stage.run(0.5)
+        self.simulation.run(0.5)
         ctx = self.others[0].ctx
         got, took = self.read(ctx, 40)
         self.assertEqual(got, records)
@@ -186,7 +186,7 @@
     def test_with_every_cache_gone_reads_are_slower_and_still_right(self):
         records = [f"{n}".encode() * 700 for n in range(40)]
         self.write(records)
-        self.stage.run(0.5)
+        self.simulation.run(0.5)
         self.writer.freeze()
         for a in self.others:
             a.ctx.cache.chunks._chunks.clear()
@@ -200,7 +200,7 @@
     def test_missing_chunks_come_in_one_span_and_a_lost_replica_costs_no_durable_read(self):
         records = [f"{n}".encode() * 700 for n in range(40)]
         self.write(records)
-        self.stage.run(0.5)
+        self.simulation.run(0.5)
         ctx = self.others[0].ctx
         self.others[1].kill()
         got, _ = self.read(ctx, 40)
@@ -212,23 +212,23 @@
         got, _ = self.read(ctx, 40)
         self.assertEqual((got, ctx.cache.counts["durable_reads"] - before), (records, 1))
         tails = [ctx.cache.tail("results/r") for _ in range(3)]
-        self.stage.run(0.5)
+        self.simulation.run(0.5)
         before = ctx.cache.counts["durable_reads"]
         reads = [spawn(t.read(0, t.lengths.cached)) for t in tails]
-        got = self.stage.do(defer.gatherResults(reads))
+        got = self.simulation.do(defer.gatherResults(reads))
         self.assertEqual((len(set(got)), ctx.cache.counts["durable_reads"] - before), (1, 1), "readers share one span")
 
     def test_a_postponed_durable_read_ends_well_within_the_promise(self):
         ctx = self.others[0].ctx
         tail = ctx.cache.tail("results/r")
-        self.stage.cut([self.writer.name], [a.name for a in self.others])
+        self.simulation.cut([self.writer.name], [a.name for a in self.others])
         self.write([b"one"])
-        began = self.stage.clock.seconds()
+        began = self.simulation.clock.seconds()
 
         async def go():
             while not await tail.read_records():
                 await tail.wait_for_growth()
 
-        self.stage.do(go(), 3)
-        self.assertLess(self.stage.clock.seconds() - began, 0.9)
+        self.simulation.do(go(), 3)
+        self.assertLess(self.simulation.clock.seconds() - began, 0.9)
         self.assertLess(ms(ctx.settings.postpone_ms), secs(1) / 2)
--- a/tests/test_stage_config.py
+++ b/tests/test_simulated_config.py
@@ -6,51 +6,53 @@
 
 from pipitlink.controller import durable_log
 from pipitlink.wire.cluster_pb2 import Command
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 from .control_calls import Caller, config_of, route_of
 
 
 class Config(unittest.TestCase):
     def setUp(self):
-        self.stage = Stage(17, placement_groups=2)
-        self.addCleanup(self.stage.end)
-        self.stage.start()
-        self.stage.ready()
-        self.stage.run(2)
-        self.caller = Caller(self.stage)
-        self.controllers = self.stage.role("controller")
-        self.other = next(a for a in self.controllers if a is not self.stage.leader())
+        self.simulation = Simulation(17, placement_groups=2)
+        self.addCleanup(self.simulation.end)
+        self.simulation.start()
+        self.simulation.ready()
+        self.simulation.run(2)
+        self.caller = Caller(self.simulation)
+        self.controllers = self.simulation.role("controller")
+        self.other = next(a for a in self.controllers if a is not self.simulation.leader())
 
     def versions(self, role):
-        return {a.ctx.cluster.cluster_state.routes.version for a in self.stage.role(role, alive=True)}
+        return {a.ctx.cluster.cluster_state.routes.version for a in self.simulation.role(role, alive=True)}
 
     def new_leader(self):
-        old = self.stage.leader()
+        old = self.simulation.leader()
         old.kill(power=True)
-        self.stage.until(lambda: self.stage.leader() not in (None, old), 15, "another leads")
-        self.stage.run(2)
+        self.simulation.until(lambda: self.simulation.leader() not in (None, old), 15, "another leads")
+        self.simulation.run(2)
         return old
 
     def test_an_edit_is_in_effect_at_every_gateway_when_it_is_acknowledged_and_that_is_soon(self):
-        for version, controller in ((3, self.stage.leader()), (4, self.other), (9, self.controllers[3])):
+        for version, controller in ((3, self.simulation.leader()), (4, self.other), (9, self.controllers[3])):
             base = max(self.versions("gateway"))
-            before = self.stage.clock.seconds()
+            before = self.simulation.clock.seconds()
             self.assertEqual(self.caller.put(controller, config_of(version), base)[0], 200)
-            self.assertLess(self.stage.clock.seconds() - before, 0.5)
+            self.assertLess(self.simulation.clock.seconds() - before, 0.5)
             self.assertEqual(self.versions("gateway"), {version})
-        self.assertIsNotNone(self.stage.role("gateway")[0].ctx.cluster.cluster_state.routes.match("h.example", "/r/x"))
+        self.assertIsNotNone(
+            self.simulation.role("gateway")[0].ctx.cluster.cluster_state.routes.match("h.example", "/r/x")
+        )
 
     def test_of_two_edits_on_the_same_base_one_wins(self):
         self.caller.put(self.other, config_of(1), 0)
         for n in range(1, 6):
-            first, second = self.stage.rng.sample(self.controllers, 2)
+            first, second = self.simulation.rng.sample(self.controllers, 2)
             boxes = [
                 self.caller.begin(controller, "PUT", "/v1/config", config_of(10 * n + i), {"If-Match": str(base)})
                 for base in [max(self.versions("gateway"))]
                 for i, controller in enumerate((first, second))
             ]
-            self.stage.until(lambda: all(boxes), 8, "both are answered")
+            self.simulation.until(lambda: all(boxes), 8, "both are answered")
             told = sorted(b[0][0] for b in boxes)
             self.assertEqual(told, [200, 412])
             won = 10 * n + [b[0][0] for b in boxes].index(200)
@@ -83,7 +85,7 @@
 
     def test_nothing_is_proposed_for_what_cannot_be_read_or_is_invalid(self):
         self.caller.put(self.other, config_of(5), 0)
-        agreed = self.stage.leader().part.consensus.commit_index
+        agreed = self.simulation.leader().part.consensus.commit_index
         whole = json.dumps(config_of(6)).encode()
 
         def with_route(**more):
@@ -132,7 +134,7 @@
         for what, body in bad.items():
             with self.subTest(what):
                 self.assertEqual(self.caller.put(self.other, body, 5)[0], 400)
-        self.assertEqual(self.stage.leader().part.consensus.commit_index, agreed)
+        self.assertEqual(self.simulation.leader().part.consensus.commit_index, agreed)
         self.assertEqual(self.caller.get(self.controllers[0])[1], config_of(5))
 
     def test_a_patch_that_would_leave_an_invalid_whole_is_refused(self):
@@ -177,7 +179,7 @@
         )
         self.assertEqual(self.caller.patch(self.other, {"version": 9, "bounds": {"idle_timeout_ms": 5}}, 8)[0], 200)
         self.assertEqual(self.caller.get(self.controllers[0])[1]["bounds"], {"idle_timeout_ms": 5})
-        table = self.stage.role("gateway")[0].ctx.cluster.cluster_state.routes
+        table = self.simulation.role("gateway")[0].ctx.cluster.cluster_state.routes
         self.assertEqual((table.routes["a"].latency_target_ms, table.bounds.idle_timeout_ms), (3, 5))
 
     def test_the_same_edit_again_has_the_same_outcome_at_any_controller_also_under_another_leader(self):
@@ -187,35 +189,35 @@
         self.assertEqual(self.caller.put(self.other, config_of(7, route_of("x")), 5)[0], 200)
         self.assertEqual(self.caller.put(self.other, config_of(8, route_of("x"), route_of("y")), 7)[0], 200)
         for _ in range(2):
-            for controller in self.stage.role("controller", alive=True):
+            for controller in self.simulation.role("controller", alive=True):
                 self.assertEqual(self.caller.put(controller, config_of(5), 0)[0], 200)
                 self.assertEqual(self.caller.put(controller, config_of(7, route_of("x")), 5)[0], 200)
                 self.assertEqual(self.caller.put(controller, early, 5)[0], 412)
                 self.assertEqual(self.caller.put(controller, config_of(7, route_of("z")), 5)[0], 412)
             self.assertEqual(self.versions("gateway"), {8})
             self.new_leader().start()
-            self.stage.until(
-                lambda: {a.part.consensus.leader_id for a in self.controllers} == {self.stage.leader().node},
+            self.simulation.until(
+                lambda: {a.part.consensus.leader_id for a in self.controllers} == {self.simulation.leader().node},
                 5,
                 "all follow",
             )
 
     def test_a_call_that_was_cut_off_and_sent_again_elsewhere_is_taken_once(self):
-        leader = self.stage.leader()
+        leader = self.simulation.leader()
         lost = self.caller.begin(leader, "PUT", "/v1/config", config_of(4), {"If-Match": "0"})
-        self.stage.until(lambda: leader.part.consensus.cluster_state.routes.version == 4, 5, "it is agreed")
+        self.simulation.until(lambda: leader.part.consensus.cluster_state.routes.version == 4, 5, "it is agreed")
         leader.kill()
         self.assertEqual(lost, [])
-        self.stage.until(lambda: self.stage.leader(), 15, "another leads")
+        self.simulation.until(lambda: self.simulation.leader(), 15, "another leads")
         self.assertEqual(self.caller.put(self.other, config_of(4), 0)[0], 200)
         self.assertEqual(self.caller.put(self.other, config_of(5), 4)[0], 200)
 
     def test_the_same_edit_sent_over_and_over_grows_the_log_once(self):
         self.caller.put(self.other, config_of(4), 0)
-        agreed = self.stage.leader().part.consensus.commit_index
+        agreed = self.simulation.leader().part.consensus.commit_index
         for _ in range(20):
             self.assertEqual(self.caller.put(self.other, config_of(4), 0)[0], 200)
-        self.assertEqual(self.stage.leader().part.consensus.commit_index, agreed)
+        self.assertEqual(self.simulation.leader().part.consensus.commit_index, agreed)
 
     def test_the_configuration_outlives_a_loss_of_power_at_every_controller(self):
         self.caller.put(self.other, config_of(4), 0)
@@ -224,35 +226,35 @@
             a.kill(power=True)
         for a in self.controllers:
             a.start()
-        self.stage.ready()
+        self.simulation.ready()
         for a in self.controllers:
             self.assertEqual(self.caller.get(a)[1], config_of(6, route_of("r"), route_of("c")))
             self.assertEqual(self.caller.put(a, config_of(4), 0)[0], 200)
-        self.stage.until(lambda: self.versions("gateway") == {6}, 5, "the gateways keep it")
+        self.simulation.until(lambda: self.versions("gateway") == {6}, 5, "the gateways keep it")
 
     def test_the_configuration_outlives_snapshot_and_trim_and_reaches_a_newcomer(self):
         self.caller.put(self.other, config_of(4), 0)
-        leader = self.stage.leader()
+        leader = self.simulation.leader()
 
         async def many():
             for n in range(2700):
                 await leader.part.log_replication.propose(Command(no_op=True))
 
-        self.stage.do(many(), 600)
-        self.stage.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "trimmed")
-        late = self.stage.add("controller", "controller9", "zone-a", 1900)
+        self.simulation.do(many(), 600)
+        self.simulation.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "trimmed")
+        late = self.simulation.add("controller", "controller9", "zone-a", 1900)
         late.start()
-        self.stage.until(
+        self.simulation.until(
             lambda: late.part.consensus.cluster_state.sequence == leader.part.consensus.cluster_state.sequence,
             10,
             "the newcomer follows",
         )
-        for a in self.stage.role("controller"):
+        for a in self.simulation.role("controller"):
             a.kill(power=True)
             a.start()
-        self.stage.ready()
+        self.simulation.ready()
         for a in (leader, late):
-            self.stage.until(lambda: a.part.consensus.leader_id, 2, "it hears who leads")
+            self.simulation.until(lambda: a.part.consensus.leader_id, 2, "it hears who leads")
             self.assertEqual(self.caller.get(a)[1], config_of(4))
             self.assertEqual(self.caller.put(a, config_of(4), 0)[0], 200)
 
@@ -265,62 +267,62 @@
             big = [route_of(f"r{n}", note="x" * 300) for n in range(50)]
             for n in range(1, 31):
                 self.assertEqual(self.caller.put(self.other, config_of(n, *big), n - 1)[0], 200)
-            self.stage.run(1)
+            self.simulation.run(1)
             for a in self.controllers:
                 held = sum(e.ByteSize() for e in a.part.durable_log.entries)
                 self.assertLess(held, 400_000)
                 self.assertEqual(held, a.part.durable_log.entry_bytes)
-            late = self.stage.add("controller", "controller9", "zone-a", 1900)
+            late = self.simulation.add("controller", "controller9", "zone-a", 1900)
             late.start()
-            self.stage.until(
+            self.simulation.until(
                 lambda: (
                     late.part.consensus.cluster_state.sequence
-                    == self.stage.leader().part.consensus.cluster_state.sequence
+                    == self.simulation.leader().part.consensus.cluster_state.sequence
                 ),
                 10,
                 "the newcomer follows",
             )
-            for a in self.stage.role("controller"):
+            for a in self.simulation.role("controller"):
                 a.kill(power=True)
                 a.start()
-            self.stage.ready()
-            self.stage.until(lambda: late.part.consensus.leader_id, 2, "the newcomer hears who leads")
+            self.simulation.ready()
+            self.simulation.until(lambda: late.part.consensus.leader_id, 2, "the newcomer hears who leads")
             self.assertEqual(self.caller.get(late)[1], config_of(30, *big))
 
     def test_a_controller_without_a_leader_says_so_at_once(self):
-        rest = [a.name for a in self.stage.actors.values() if a is not self.other]
-        self.stage.cut([self.other.name], rest)
-        self.stage.run(2)
-        before = self.stage.clock.seconds()
+        rest = [a.name for a in self.simulation.simulated_nodes.values() if a is not self.other]
+        self.simulation.cut([self.other.name], rest)
+        self.simulation.run(2)
+        before = self.simulation.clock.seconds()
         for box in (self.caller.put(self.other, config_of(4), 0), self.caller.get(self.other)):
             self.assertEqual((box[0], box[1]["error"]["outcome"]), (503, box[1]["error"]["outcome"]))
-        self.assertLess(self.stage.clock.seconds() - before, 0.1)
-        self.stage.heal()
-        self.stage.run(3)
+        self.assertLess(self.simulation.clock.seconds() - before, 0.1)
+        self.simulation.heal()
+        self.simulation.run(3)
         self.assertEqual(self.caller.put(self.other, config_of(4), 0)[0], 200)
 
     def test_zones_are_emptied_and_filled_in_effect_at_every_gateway(self):
         for n in range(2):
             for method, empty in (("PUT", True), ("PUT", True), ("DELETE", False), ("DELETE", False)):
                 self.assertEqual(self.caller.ask(self.other, method, "/v1/zones/zone-b/empty")[0], 200)
-                self.assertEqual({a.ctx.cluster.zone_empty("zone-b") for a in self.stage.role("gateway")}, {empty})
+                self.assertEqual({a.ctx.cluster.zone_empty("zone-b") for a in self.simulation.role("gateway")}, {empty})
 
 
 class Retire(unittest.TestCase):
     def setUp(self):
-        self.stage = Stage(23, storage_nodes=4, placement_groups=4)
-        self.addCleanup(self.stage.end)
-        self.stage.start()
-        self.storage_node = self.stage.role("storage")[1]
+        self.simulation = Simulation(23, storage_nodes=4, placement_groups=4)
+        self.addCleanup(self.simulation.end)
+        self.simulation.start()
+        self.storage_node = self.simulation.role("storage")[1]
         self.name_storage_node()
-        self.stage.ready()
-        self.stage.until(
-            lambda: len(self.stage.leader().part.consensus.cluster_state.storage_nodes) == 4,
+        self.simulation.ready()
+        self.simulation.until(
+            lambda: len(self.simulation.leader().part.consensus.cluster_state.storage_nodes) == 4,
             20,
             "all storage nodes are admitted",
         )
-        self.stage.run(3)
-        self.caller = Caller(self.stage)
+        self.simulation.run(3)
+        self.caller = Caller(self.simulation)
 
     def name_storage_node(self):
         self.storage_node.ctx.membership.local_member.name = "box-1"
@@ -328,22 +330,22 @@
 
     def ask(self, method, name, controller=None):
         return self.caller.ask(
-            controller or self.stage.role("controller")[2], method, f"/v1/storage_nodes/{name}/retire"
+            controller or self.simulation.role("controller")[2], method, f"/v1/storage_nodes/{name}/retire"
         )
 
     def test_a_storage_node_is_retired_by_its_name_and_stays_known_when_its_machine_is_gone(self):
         self.assertEqual(self.ask("GET", "box-1"), (200, {"state": "serving"}))
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
-        self.stage.until(lambda: self.ask("GET", "box-1")[1] == {"state": "retired"}, 60, "it is emptied")
-        placement_groups = self.stage.leader().part.consensus.cluster_state.placement_groups.values()
+        self.simulation.until(lambda: self.ask("GET", "box-1")[1] == {"state": "retired"}, 60, "it is emptied")
+        placement_groups = self.simulation.leader().part.consensus.cluster_state.placement_groups.values()
         self.assertFalse([s for s in placement_groups if self.storage_node.node in (*s.storage_nodes, s.joining)])
         self.storage_node.kill(power=True)
         self.storage_node.wipe()
-        for a in self.stage.role("controller"):
+        for a in self.simulation.role("controller"):
             a.kill(power=True)
             a.start()
-        self.stage.ready()
+        self.simulation.ready()
         self.assertEqual(self.ask("GET", "box-1"), (200, {"state": "retired"}))
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
         self.assertEqual(self.ask("GET", "box-1"), (200, {"state": "retired"}))
@@ -356,15 +358,15 @@
         self.storage_node.start()
         self.name_storage_node()
         self.assertNotEqual(self.storage_node.node, old)
-        self.stage.run(8)
-        self.assertNotIn(self.storage_node.node, self.stage.leader().part.consensus.cluster_state.storage_nodes)
-        self.stage.until(lambda: self.ask("GET", "box-1")[1] == {"state": "retired"}, 60, "it is emptied")
+        self.simulation.run(8)
+        self.assertNotIn(self.storage_node.node, self.simulation.leader().part.consensus.cluster_state.storage_nodes)
+        self.simulation.until(lambda: self.ask("GET", "box-1")[1] == {"state": "retired"}, 60, "it is emptied")
 
     def test_unknown_names_and_too_few_storage_nodes_are_refused_and_a_repeat_is_not(self):
         for method in ("POST", "GET"):
             self.assertEqual(self.ask(method, "box-9")[0], 404)
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
-        rest = [a for a in self.stage.role("storage") if a is not self.storage_node]
+        rest = [a for a in self.simulation.role("storage") if a is not self.storage_node]
         told = self.ask("POST", rest[0].node)
         self.assertEqual((told[0], told[1]["error"]["code"]), (409, "too_few_copies"))
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
--- a/tests/test_stage_controllers.py
+++ b/tests/test_simulated_controllers.py
@@ -9,8 +9,8 @@
 from pipitlink.timers import ms
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from pipitlink.wire.controller_pb2 import EditRequest, EditResponse
-from testbed.simulator.random_faults import Trouble, seeds
-from testbed.simulator.simulation import Stage
+from testbed.simulator.random_faults import RandomFaults, seeds
+from testbed.simulator.simulation import Simulation
 
 SEEDS = seeds(4)
 IN_EFFECT = 2.0
@@ -23,8 +23,8 @@
 class _Operators:
     """Operators that race with edits on the newest table they could read, and what they were told."""
 
-    def __init__(self, stage):
-        self.stage = stage
+    def __init__(self, simulation):
+        self.simulation = simulation
         self.over = False
         self.acked: list[tuple[float, int, str]] = []
         self.refused: set[str] = set()
@@ -36,10 +36,10 @@
         return self.acked[-1][1] if self.acked else 0
 
     async def operate(self, who: int):
-        rng, timers = self.stage.rng, self.timers
+        rng, timers = self.simulation.rng, self.timers
         while not self.over:
             await timers.sleep(ms(100 + rng.randrange(500)))
-            controller = rng.choice(self.stage.role("controller"))
+            controller = rng.choice(self.simulation.role("controller"))
             if not controller.alive or controller.frozen:
                 continue
             part = controller.part
@@ -54,7 +54,7 @@
                 text = f"edit{self.n}"
                 out = await part.state_delivery.edit(edit_of(f"row{who}", table, text))
                 if out.code == "done":
-                    self.acked.append((self.stage.clock.seconds(), out.sequence, text))
+                    self.acked.append((self.simulation.clock.seconds(), out.sequence, text))
                     self.acked.sort(key=lambda a: a[1])
                 else:
                     self.refused.add(text)
@@ -63,9 +63,9 @@
 
     def watch(self):
         """Every gateway that would admit work now has all that was acknowledged two seconds ago."""
-        now = self.stage.clock.seconds()
+        now = self.simulation.clock.seconds()
         old = max((seq for at, seq, _ in self.acked if now - at > IN_EFFECT), default=0)
-        for a in self.stage.role("gateway", alive=True):
+        for a in self.simulation.role("gateway", alive=True):
             cluster = a.ctx.cluster
             if cluster.ready() and cluster.cluster_state.table_sequence < old:
                 self.faults.append(
@@ -73,36 +73,36 @@
                 )
 
 
-class ClusterUnderTrouble(unittest.TestCase):
+class ClusterUnderFaults(unittest.TestCase):
     def run_seed(self, seed, roles):
-        stage = Stage(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
-        self.addCleanup(stage.end)
-        stage.start()
-        stage.ready()
-        ops = _Operators(stage)
-        ops.timers = stage.timers()
-        plain_run = stage.run
+        simulation = Simulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
+        self.addCleanup(simulation.end)
+        simulation.start()
+        simulation.ready()
+        ops = _Operators(simulation)
+        ops.timers = simulation.timers()
+        plain_run = simulation.run
 
         def run(seconds, step=0.005):
             for _ in range(int(seconds / 0.05)):
                 plain_run(0.05, step)
                 ops.watch()
 
-        stage.run = run
-        trouble = Trouble(stage, roles=roles)
-        trouble.during([ops.operate(0), ops.operate(1)], faults=12)
-        stage.run(6)
+        simulation.run = run
+        random_faults = RandomFaults(simulation, roles=roles)
+        random_faults.during([ops.operate(0), ops.operate(1)], faults=12)
+        simulation.run(6)
         ops.over = True
-        stage.run(8)
-        stage.ready()
-        self.assertEqual(ops.faults, [], f"seed {seed}: {trouble.told}")
-        cluster_state = stage.leader().part.consensus.cluster_state
+        simulation.run(8)
+        simulation.ready()
+        self.assertEqual(ops.faults, [], f"seed {seed}: {random_faults.injected}")
+        cluster_state = simulation.leader().part.consensus.cluster_state
         done = {o.edit: o.sequence for o in cluster_state.outcomes.values() if o.code == "done"}
         for _, sequence, text in ops.acked:
             self.assertEqual(done.get(text), sequence, f"seed {seed}: {text} was acknowledged and is gone")
         self.assertFalse(ops.refused & set(done))
-        tables = {a.part.consensus.cluster_state.table_sequence for a in stage.role("controller")} | {
-            a.ctx.cluster.cluster_state.table_sequence for a in stage.role("gateway")
+        tables = {a.part.consensus.cluster_state.table_sequence for a in simulation.role("controller")} | {
+            a.ctx.cluster.cluster_state.table_sequence for a in simulation.role("gateway")
         }
         self.assertEqual(tables, {cluster_state.table_sequence}, f"seed {seed}")
         return len(ops.acked)
@@ -118,60 +118,65 @@
 
 class Controllers(unittest.TestCase):
     def setUp(self):
-        self.stage = Stage(9, placement_groups=2)
-        self.addCleanup(self.stage.end)
-        self.stage.start()
-        self.stage.ready()
+        self.simulation = Simulation(9, placement_groups=2)
+        self.addCleanup(self.simulation.end)
+        self.simulation.start()
+        self.simulation.ready()
 
     def test_an_empty_disk_is_a_newcomer_and_the_standby_takes_the_lost_vote(self):
-        voters = self.stage.leader().part.consensus.voters()
-        lost = next(a for a in self.stage.role("controller") if a.node in voters and a is not self.stage.leader())
+        voters = self.simulation.leader().part.consensus.voters()
+        lost = next(
+            a for a in self.simulation.role("controller") if a.node in voters and a is not self.simulation.leader()
+        )
         old = lost.node
         lost.kill(power=True)
         lost.wipe()
         lost.start()
         self.assertNotEqual(lost.node, old)
         self.assertEqual(lost.part.consensus.role, "newcomer")
-        self.stage.until(
+        self.simulation.until(
             lambda: (
-                self.stage.leader()
-                and old not in self.stage.leader().part.consensus.cluster_state.voters
-                and len(self.stage.leader().part.consensus.cluster_state.voters) == 3
+                self.simulation.leader()
+                and old not in self.simulation.leader().part.consensus.cluster_state.voters
+                and len(self.simulation.leader().part.consensus.cluster_state.voters) == 3
             ),
             12,
             "the standby votes",
         )
-        self.stage.until(
+        self.simulation.until(
             lambda: (
-                lost.part.consensus.cluster_state.sequence == self.stage.leader().part.consensus.cluster_state.sequence
+                lost.part.consensus.cluster_state.sequence
+                == self.simulation.leader().part.consensus.cluster_state.sequence
             ),
             5,
             "it follows",
         )
 
     def test_a_lone_side_refuses_edits_and_reads(self):
-        leader = self.stage.leader()
-        rest = [a.name for a in self.stage.actors.values() if a is not leader]
-        self.stage.cut([leader.name], rest)
+        leader = self.simulation.leader()
+        rest = [a.name for a in self.simulation.simulated_nodes.values() if a is not leader]
+        self.simulation.cut([leader.name], rest)
         with self.assertRaises(PipitlinkError):
-            self.stage.do(leader.part.state_delivery.edit(edit_of("r", 0, "lone")), 10)
+            self.simulation.do(leader.part.state_delivery.edit(edit_of("r", 0, "lone")), 10)
         with self.assertRaises(PipitlinkError):
-            self.stage.do(leader.part.log_replication.confirm_leadership(), 10)
-        self.stage.until(lambda: self.stage.leader() is not None, 10, "the others lead")
-        self.assertIsNot(self.stage.leader(), leader)
-        self.stage.do(self.stage.leader().part.state_delivery.edit(edit_of("r", 0, "theirs")), 10)
-        self.stage.heal()
-        self.stage.run(3)
+            self.simulation.do(leader.part.log_replication.confirm_leadership(), 10)
+        self.simulation.until(lambda: self.simulation.leader() is not None, 10, "the others lead")
+        self.assertIsNot(self.simulation.leader(), leader)
+        self.simulation.do(self.simulation.leader().part.state_delivery.edit(edit_of("r", 0, "theirs")), 10)
+        self.simulation.heal()
+        self.simulation.run(3)
         self.assertEqual(leader.part.consensus.cluster_state.rows["r"].model, "theirs")
 
     def test_an_edit_passed_on_to_a_leader_that_was_cut_off_is_unknown_as_soon_as_that_is_known(self):
-        leader = self.stage.leader()
+        leader = self.simulation.leader()
         other = next(
-            a for a in self.stage.role("controller") if a is not leader and a.part.consensus.leader_id == leader.node
+            a
+            for a in self.simulation.role("controller")
+            if a is not leader and a.part.consensus.leader_id == leader.node
         )
-        self.stage.cut([leader.name], [a for a in self.stage.actors if a != leader.name])
+        self.simulation.cut([leader.name], [a for a in self.simulation.simulated_nodes if a != leader.name])
         with self.assertRaises(Unconfirmed):
-            self.stage.do(
+            self.simulation.do(
                 other.part.submission._call_leader(
                     "controller.edit", EditRequest(command=edit_of("r", 0, "passed on")), EditResponse
                 ),
@@ -179,138 +184,142 @@
             )
 
     def test_service_goes_on_with_all_controllers_cut_off_and_no_edit_is_acknowledged(self):
-        controllers = [a.name for a in self.stage.role("controller")]
-        others = [a.name for a in self.stage.actors.values() if a.role != "controller"]
-        self.stage.cut(controllers, others)
+        controllers = [a.name for a in self.simulation.role("controller")]
+        others = [a.name for a in self.simulation.simulated_nodes.values() if a.role != "controller"]
+        self.simulation.cut(controllers, others)
         for _ in range(100):
-            self.stage.run(0.1)
+            self.simulation.run(0.1)
             if _ > 30:
                 self.assertEqual(
-                    [a.ctx.cluster.state for a in self.stage.role("gateway") if a.ctx.cluster.ready()],
+                    [a.ctx.cluster.state for a in self.simulation.role("gateway") if a.ctx.cluster.ready()],
                     ["witnessed"] * 3,
                 )
         with self.assertRaises(PipitlinkError):
-            self.stage.do(self.stage.leader().part.state_delivery.edit(edit_of("r", 0, "unheard")), 20)
+            self.simulation.do(self.simulation.leader().part.state_delivery.edit(edit_of("r", 0, "unheard")), 20)
 
     def test_edits_go_on_with_two_of_four_storage_nodes_away_and_no_gateway_misses_one(self):
-        cluster_state = self.stage.leader().part.consensus.cluster_state
+        cluster_state = self.simulation.leader().part.consensus.cluster_state
         self.assertEqual(cluster_state.confirmed_witness_change, cluster_state.witnesses_changed_at)
-        storage_nodes = self.stage.role("storage")
+        storage_nodes = self.simulation.role("storage")
         for a in storage_nodes[:2]:
             a.kill()
-        leader = self.stage.leader().part
-        self.stage.do(leader.state_delivery.edit(edit_of("r", cluster_state.table_sequence, "two away")), 6)
+        leader = self.simulation.leader().part
+        self.simulation.do(leader.state_delivery.edit(edit_of("r", cluster_state.table_sequence, "two away")), 6)
         newest = leader.consensus.cluster_state.table_sequence
-        self.stage.cut(
-            [a.name for a in self.stage.role("controller")],
-            [a.name for a in self.stage.actors.values() if a.role != "controller"],
+        self.simulation.cut(
+            [a.name for a in self.simulation.role("controller")],
+            [a.name for a in self.simulation.simulated_nodes.values() if a.role != "controller"],
         )
         for a in storage_nodes[:2]:
             a.start()
         for _ in range(100):
-            self.stage.run(0.05)
-            for g in self.stage.role("gateway"):
+            self.simulation.run(0.05)
+            for g in self.simulation.role("gateway"):
                 self.assertFalse(g.ctx.cluster.ready() and g.ctx.cluster.cluster_state.table_sequence < newest)
-        self.stage.heal()
-        self.stage.ready()
+        self.simulation.heal()
+        self.simulation.ready()
 
     def test_half_of_the_witnesses_are_not_enough_while_their_set_changes(self):
-        leader, timers = self.stage.leader().part, self.stage.timers()
+        leader, timers = self.simulation.leader().part, self.simulation.timers()
         leader.consensus.cluster_state.confirmed_witness_change -= 1
         leader.witnesses._confirm_change = lambda: timers.sleep(ms(0))
-        for a in self.stage.role("storage")[:2]:
+        for a in self.simulation.role("storage")[:2]:
             a.kill()
         with self.assertRaises(PipitlinkError):
-            self.stage.do(
+            self.simulation.do(
                 leader.state_delivery.edit(edit_of("r", leader.consensus.cluster_state.table_sequence, "unsettled")), 6
             )
 
     def test_nodes_that_met_need_no_seed_again_and_a_wrong_suspicion_is_refuted(self):
-        self.stage.seeds = ("10.0.0.1:9", "10.0.0.1:10", "10.0.0.1:11")
-        storage_node, controller = self.stage.role("storage")[1], self.stage.role("controller")[3]
+        self.simulation.seeds = ("10.0.0.1:9", "10.0.0.1:10", "10.0.0.1:11")
+        storage_node, controller = self.simulation.role("storage")[1], self.simulation.role("controller")[3]
         for a in (storage_node, controller):
             a.kill()
             a.start()
         for a in (storage_node, controller):
-            self.stage.until(lambda: len(a.ctx.membership.members(statuses=("alive",))) == 11, 10, "all are met again")
+            self.simulation.until(
+                lambda: len(a.ctx.membership.members(statuses=("alive",))) == 11, 10, "all are met again"
+            )
         storage_node.freeze()
-        self.stage.until(
+        self.simulation.until(
             lambda: controller.ctx.membership.status(storage_node.node) == "gone", 10, "it is held for gone"
         )
         storage_node.thaw()
-        self.stage.until(
+        self.simulation.until(
             lambda: controller.ctx.membership.status(storage_node.node) == "alive", 10, "it has refuted that"
         )
         self.assertGreater(storage_node.ctx.membership.local_member.incarnation, 1)
 
     def test_a_controller_without_room_refuses_edits_up_front(self):
-        part = self.stage.leader().part
+        part = self.simulation.leader().part
         with (
             unittest.mock.patch.object(part.durable_log, "used_bytes", lambda: 10**12),
             self.assertRaises(StorageFull) as no,
         ):
-            self.stage.do(part.state_delivery.edit(edit_of("r", 0, "no room")))
+            self.simulation.do(part.state_delivery.edit(edit_of("r", 0, "no room")))
         self.assertFalse(no.exception.sent)
-        self.assertEqual(self.stage.do(part.state_delivery.edit(edit_of("r", 0, "room"))).code, "done")
+        self.assertEqual(self.simulation.do(part.state_delivery.edit(edit_of("r", 0, "room"))).code, "done")
 
     def test_a_leader_whose_disk_refuses_an_entry_yields_and_never_puts_another_in_its_place(self):
-        leader = self.stage.leader()
+        leader = self.simulation.leader()
         leader.disk.full = True
         with self.assertRaises(PipitlinkError) as no:
-            self.stage.do(leader.part.state_delivery.edit(edit_of("r", 0, "refused by its disk")))
+            self.simulation.do(leader.part.state_delivery.edit(edit_of("r", 0, "refused by its disk")))
         leader.disk.full = False
         for n in range(3):
-            part = self.stage.until(self.stage.leader, 10, "a controller leads").part
-            self.stage.do(part.log_replication.confirm_leadership())
-            out = self.stage.do(
+            part = self.simulation.until(self.simulation.leader, 10, "a controller leads").part
+            self.simulation.do(part.log_replication.confirm_leadership())
+            out = self.simulation.do(
                 part.state_delivery.edit(edit_of("s", part.consensus.cluster_state.table_sequence, f"next{n}"))
             )
             self.assertEqual(out.code, "done")
-        self.stage.run(3)
+        self.simulation.run(3)
         cluster_states = {
             (
                 a.part.consensus.cluster_state.table_sequence,
                 *sorted((r.name, r.model) for r in a.part.consensus.cluster_state.rows.values()),
             )
-            for a in self.stage.role("controller")
+            for a in self.simulation.role("controller")
         }
         self.assertEqual(len(cluster_states), 1, cluster_states)
         self.assertIsInstance(no.exception, Unconfirmed)
 
     def test_a_leader_does_not_count_what_its_own_disk_has_not_synced_in_this_term(self):
         """Its mark from an earlier term may lie beyond a log that was cut back since."""
-        for a in self.stage.role("controller"):
+        for a in self.simulation.role("controller"):
             a.part.log_replication.synced_index = 10**6
-        self.stage.leader().part.consensus.step_down()
-        leader = self.stage.until(self.stage.leader, 10, "a controller leads")
-        self.stage.run(2)
+        self.simulation.leader().part.consensus.step_down()
+        leader = self.simulation.until(self.simulation.leader, 10, "a controller leads")
+        self.simulation.run(2)
         others = [
-            a for a in self.stage.role("controller") if a is not leader and a.node in leader.part.consensus.voters()
+            a
+            for a in self.simulation.role("controller")
+            if a is not leader and a.node in leader.part.consensus.voters()
         ]
         others[0].kill()
         leader.ctx.run_in_thread = lambda do, *words: defer.Deferred()
         with self.assertRaises(PipitlinkError):
-            self.stage.do(leader.part.state_delivery.edit(edit_of("r", 0, "not on two disks")), 12)
+            self.simulation.do(leader.part.state_delivery.edit(edit_of("r", 0, "not on two disks")), 12)
         self.assertEqual(
-            [a.name for a in self.stage.role("controller") if "r" in a.part.consensus.cluster_state.rows], []
+            [a.name for a in self.simulation.role("controller") if "r" in a.part.consensus.cluster_state.rows], []
         )
 
     def test_an_agreed_edit_whose_leader_yields_is_unproven_and_not_refused(self):
-        part = self.stage.leader().part
-        self.stage.clock.callLater(1, part.consensus.step_down)
+        part = self.simulation.leader().part
+        self.simulation.clock.callLater(1, part.consensus.step_down)
         with (
             unittest.mock.patch.object(part.state_delivery, "is_in_effect", lambda sequence: False),
             self.assertRaises(Unconfirmed),
         ):
-            self.stage.do(part.state_delivery.edit(edit_of("r", 0, "agreed")))
-        self.stage.until(lambda: self.stage.leader() is not None, 10, "a controller leads")
-        self.stage.run(2)
-        again = self.stage.do(self.stage.leader().part.state_delivery.edit(edit_of("r", 0, "agreed")))
+            self.simulation.do(part.state_delivery.edit(edit_of("r", 0, "agreed")))
+        self.simulation.until(lambda: self.simulation.leader() is not None, 10, "a controller leads")
+        self.simulation.run(2)
+        again = self.simulation.do(self.simulation.leader().part.state_delivery.edit(edit_of("r", 0, "agreed")))
         self.assertEqual(again.code, "done")
 
     def test_a_controller_that_lost_its_ballot_or_its_snapshot_does_not_start_as_itself(self):
         for name, pattern in (("controller0", "agreed/seg-*.log"), ("controller1", "setup-*/setup.dat")):
-            a = self.stage.actors[name]
+            a = self.simulation.simulated_nodes[name]
             a.kill()
             for path in a.folder.glob(pattern):
                 path.unlink()
@@ -319,26 +328,26 @@
             a.alive = False
 
     def test_the_same_edit_id_gives_its_true_outcome(self):
-        part = self.stage.leader().part
-        first = self.stage.do(part.state_delivery.edit(edit_of("r", 0, "once")))
-        again = self.stage.do(part.state_delivery.edit(edit_of("r", 0, "once")))
+        part = self.simulation.leader().part
+        first = self.simulation.do(part.state_delivery.edit(edit_of("r", 0, "once")))
+        again = self.simulation.do(part.state_delivery.edit(edit_of("r", 0, "once")))
         self.assertEqual((first.code, first.sequence), (again.code, again.sequence))
-        lost = self.stage.do(part.state_delivery.edit(edit_of("r", 0, "second")))
+        lost = self.simulation.do(part.state_delivery.edit(edit_of("r", 0, "second")))
         self.assertEqual(lost.code, "wrong_base")
         self.assertEqual(part.consensus.cluster_state.rows["r"].model, "once")
 
     def test_a_long_log_is_trimmed_and_a_newcomer_takes_the_snapshot(self):
-        leader = self.stage.leader()
+        leader = self.simulation.leader()
 
         async def many():
             for n in range(2700):
                 await leader.part.log_replication.propose(Command(no_op=True))
 
-        self.stage.do(many(), 600)
-        self.stage.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "trimmed")
-        late = self.stage.add("controller", "controller9", "zone-a", 1900)
+        self.simulation.do(many(), 600)
+        self.simulation.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "trimmed")
+        late = self.simulation.add("controller", "controller9", "zone-a", 1900)
         late.start()
-        self.stage.until(
+        self.simulation.until(
             lambda: late.part.consensus.cluster_state.sequence == leader.part.consensus.cluster_state.sequence,
             10,
             "the newcomer follows",
@@ -346,5 +355,5 @@
         for a in (leader, late):
             a.kill(power=True)
             a.start()
-        self.stage.ready()
+        self.simulation.ready()
         self.assertGreater(late.part.durable_log.snapshot.index, 0)
--- /dev/null
+++ b/tests/test_simulated_disk_lost.py
@@ -0,0 +1,61 @@
+"""A storage node's disk is lost while all machines are down: its placement groups are made whole first, and leases
+outlast that.
+"""
+
+import unittest
+
+from testbed.simulator.random_faults import seeds
+
+from .batch_builders import Callers, start_simulation
+
+SEEDS = seeds(3)
+
+
+class DiskLost(unittest.TestCase):
+    def test_the_lost_storage_nodes_place_is_filled_first_and_no_lease_runs_out_over_it(self):
+        for seed in SEEDS:
+            with self.subTest(seed=seed):
+                simulation = start_simulation(seed, named=True)
+                self.addCleanup(simulation.end)
+                simulation.until(
+                    lambda: len(self._leader(simulation).consensus.cluster_state.storage_node_names) == 4,
+                    20,
+                    "names are in the cluster state",
+                )
+                c = Callers(simulation)
+                simulation.breaks, simulation.step = 0, simulation.step * 5
+                for a in simulation.simulated_nodes.values():
+                    a.kill(power=True)
+                lost = simulation.role("storage")[seed % 3]
+                was = lost.node
+                lost.wipe()
+                simulation.run(1)
+                for a in simulation.simulated_nodes.values():
+                    a.start()
+                simulation.until(
+                    lambda: all(a.ctx.cluster.ready() for a in simulation.role("gateway", alive=True)), 10, "ready"
+                )
+                names = [c.lot(8) for _ in range(6)]
+                for name in names:
+                    self.assertEqual(simulation.do(c.hand_in(name)), 202)
+                simulation.until(
+                    lambda: (
+                        not any(
+                            was in s.storage_nodes
+                            for s in self._leader(simulation).consensus.cluster_state.placement_groups.values()
+                        )
+                    ),
+                    6,
+                    "no placement group counts on the lost storage node",
+                )
+                simulation.until(lambda: all(c.whole(n) for n in names), 40, "all is listed")
+                ran_out = [x for x in simulation.sink.lines if "lease_lost" in x and "ran out" in x]
+                self.assertEqual(ran_out, [])
+                self.assertEqual(c.wrong, [])
+
+    def _leader(self, simulation):
+        return simulation.until(simulation.leader, 5, "a leader").part
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_stage_follow.py
+++ b/tests/test_simulated_follow.py
@@ -9,10 +9,10 @@
 from pipitlink.cluster.state_transfer import StateTransfer
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import ClusterStateData, Delta, FollowResponse, StateChunk
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
-from . import test_stage_controllers as under_trouble
-from .test_stage_controllers import edit_of
+from . import test_simulated_controllers as under_faults
+from .test_simulated_controllers import edit_of
 
 
 def held_long():
@@ -22,79 +22,81 @@
 class FirstState(unittest.TestCase):
     def test_what_the_founders_agreed_before_the_first_change_is_followed_too(self):
         """The leader had made its transfer before any change was agreed; the changes come with it."""
-        stage = Stage(4, controllers=3, storage_nodes=1, gateways=1, placement_groups=1)
-        self.addCleanup(stage.end)
-        stage.start()
+        simulation = Simulation(4, controllers=3, storage_nodes=1, gateways=1, placement_groups=1)
+        self.addCleanup(simulation.end)
+        simulation.start()
         founded = ClusterState(ClusterStateData(voters=["a", "b", "c"]))
         piece = StateTransfer.of(founded, 1).chunk_after(StateChunk())
         first = Delta(sequence=1, command=edit_of("r", 0, "m"))
-        follower = ClusterFollower(stage.role("gateway")[0].ctx)
+        follower = ClusterFollower(simulation.role("gateway")[0].ctx)
         self.assertTrue(follower.absorb(FollowResponse(sequence=1, chunk=piece, deltas=[first])))
         self.assertEqual((follower.sequence, follower.cluster_state.voters), (1, ("a", "b", "c")))
 
 
 class HeldQuestions(unittest.TestCase):
-    def stage(self, gateways=3, seed=4):
-        stage = Stage(seed, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
-        self.addCleanup(stage.end)
-        stage.start()
-        stage.ready()
-        stage.run(2)
-        return stage
-
-    def asked(self, stage, seconds) -> float:
+    def simulation(self, gateways=3, seed=4):
+        simulation = Simulation(seed, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
+        self.addCleanup(simulation.end)
+        simulation.start()
+        simulation.ready()
+        simulation.run(2)
+        return simulation
+
+    def asked(self, simulation, seconds) -> float:
         """Questions of one gateway in a second."""
         asks = []
-        stage.watch_calls = lambda sender, method: (
+        simulation.watch_calls = lambda sender, method: (
             sender.role == "gateway" and method == "controller.follow" and asks.append(sender.name)
         )
-        stage.run(seconds)
-        stage.watch_calls = None
-        return len(asks) / seconds / len(stage.role("gateway"))
+        simulation.run(seconds)
+        simulation.watch_calls = None
+        return len(asks) / seconds / len(simulation.role("gateway"))
 
     def test_a_large_cluster_asks_less_often_and_never_without_a_proof(self):
-        few = self.asked(self.stage(4), 5)
+        few = self.asked(self.simulation(4), 5)
         self.assertAlmostEqual(few, 1 / MIN_FOLLOW_WAIT.total_seconds(), delta=0.2)
-        stage = self.stage(60)
-        self.assertAlmostEqual(self.asked(stage, 5), 1 / MAX_FOLLOW_WAIT.total_seconds(), delta=0.2)
+        simulation = self.simulation(60)
+        self.assertAlmostEqual(self.asked(simulation, 5), 1 / MAX_FOLLOW_WAIT.total_seconds(), delta=0.2)
         for _ in range(40):
-            stage.run(0.05)
-            self.assertEqual({a.ctx.cluster.ready() and a.ctx.cluster.state for a in stage.role("gateway")}, {"led"})
+            simulation.run(0.05)
+            self.assertEqual(
+                {a.ctx.cluster.ready() and a.ctx.cluster.state for a in simulation.role("gateway")}, {"led"}
+            )
 
     def test_an_edit_is_in_effect_as_soon_while_questions_are_held_long(self):
         with held_long():
-            stage = self.stage()
-            leader = stage.leader().part
+            simulation = self.simulation()
+            leader = simulation.leader().part
             for n in range(5):
-                stage.run(0.13)
-                began = stage.clock.seconds()
-                stage.do(
+                simulation.run(0.13)
+                began = simulation.clock.seconds()
+                simulation.do(
                     leader.state_delivery.edit(
                         edit_of("row", leader.consensus.cluster_state.table_sequence, f"edit{n}")
                     )
                 )
-                self.assertLess(stage.clock.seconds() - began, 0.1)
+                self.assertLess(simulation.clock.seconds() - began, 0.1)
 
     def test_an_edit_waits_for_a_gateway_that_was_answered_last_just_before_it_was_cut_off(self):
         """The lease is counted from the answer on both sides: the gateway's own end of it comes before the leader's."""
         with held_long():
-            stage = self.stage()
-            one, leader = stage.role("gateway")[0], stage.leader()
+            simulation = self.simulation()
+            one, leader = simulation.role("gateway")[0], simulation.leader()
             cluster = one.ctx.cluster
-            others = [a for a in stage.actors if a != one.name]
+            others = [a for a in simulation.simulated_nodes if a != one.name]
             for told in ("a question is held", "it was answered, and its next question is lost"):
                 before = cluster.currency.leased_at
-                stage.until(lambda before=before: cluster.currency.leased_at != before, 2, told)
-                stage.run(0.02)
-                stage.cut([one.name], others, one_way=True)
-            stage.cut([one.name], others)
+                simulation.until(lambda before=before: cluster.currency.leased_at != before, 2, told)
+                simulation.run(0.02)
+                simulation.cut([one.name], others, one_way=True)
+            simulation.cut([one.name], others)
             box = []
             spawn(
                 leader.part.state_delivery.edit(edit_of("row", leader.part.consensus.cluster_state.table_sequence, "e"))
             ).addBoth(box.append)
             led = 0
             while not box:
-                stage.run(0.01)
+                simulation.run(0.01)
                 led += cluster.ready() and cluster.state == "led"
             self.assertEqual(box[0].code, "done")
             self.assertLess(cluster.sequence, leader.part.consensus.cluster_state.sequence)
@@ -105,15 +107,15 @@
 
     def test_a_leader_that_yields_lets_go_of_the_questions_that_it_holds(self):
         with held_long():
-            stage = self.stage()
-            leader = stage.leader()
-            stage.until(lambda: len(leader.part.state_delivery.pending_requests) >= 5, 2, "questions are held")
+            simulation = self.simulation()
+            leader = simulation.leader()
+            simulation.until(lambda: len(leader.part.state_delivery.pending_requests) >= 5, 2, "questions are held")
             leader.part.consensus.step_down()
-            stage.run(0.01)
+            simulation.run(0.01)
             self.assertEqual(len(leader.part.state_delivery.pending_requests), 0)
 
 
-class LongHeldUnderTrouble(under_trouble.ClusterUnderTrouble):
+class LongHeldUnderFaults(under_faults.ClusterUnderFaults):
     """The same troubles as with short holds."""
 
     def setUp(self):
--- a/tests/test_stage_idle.py
+++ b/tests/test_simulated_idle.py
@@ -1,10 +1,10 @@
-"""What a fleet at rest sends: on the stage, so that nothing depends on the machine."""
+"""What a fleet at rest sends: in the simulation, so that nothing depends on the machine."""
 
 import unittest
 from collections import Counter
 
-from testbed.simulator.simulated_gateway import StagedEngine, StagedGateway
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulated_gateway import SimulatedEngine, SimulatedGateway
+from testbed.simulator.simulation import Simulation
 
 SPAN = 5
 FLEETS = ((3, 3, 2), (3, 3, 10), (4, 4, 24))
@@ -17,8 +17,8 @@
     """A fleet's messages and their bytes within a span at rest, responses included, by node and by method."""
 
     def __init__(self, controllers, storage_nodes, gateways):
-        self.stage = s = Stage(1, controllers=controllers, storage_nodes=storage_nodes, gateways=gateways)
-        s.with_engines(StagedGateway, StagedEngine, 0)
+        self.simulation = s = Simulation(1, controllers=controllers, storage_nodes=storage_nodes, gateways=gateways)
+        s.with_engines(SimulatedGateway, SimulatedEngine, 0)
         self.messages, self.bytes, self.asks = Counter(), Counter(), Counter()
         self.verb_bytes: Counter = Counter()
         self._at_rest = False
@@ -33,19 +33,19 @@
     def _count(self, sender, place, method, body, node=""):
         d = self._carry(sender, place, method, body, node)
         if self._at_rest:
-            goal = next(a for a in self.stage.actors.values() if a.place == place)
+            goal = next(a for a in self.simulation.simulated_nodes.values() if a.place == place)
             self.asks[method] += 1
             self._add(sender, method, body)
             d.addCallback(lambda response: self._add(goal, method, response) or response)
         return d
 
-    def _add(self, actor, method, body):
-        self.messages[actor.name] += 1
-        self.bytes[actor.name] += len(body)
+    def _add(self, simulated_node, method, body):
+        self.messages[simulated_node.name] += 1
+        self.bytes[simulated_node.name] += len(body)
         self.verb_bytes[method] += len(body)
 
     def per_gateway(self, counter) -> float:
-        names = [a.name for a in self.stage.role("gateway")]
+        names = [a.name for a in self.simulation.role("gateway")]
         return max(counter[n] for n in names) / SPAN
 
 
@@ -54,7 +54,7 @@
         for sizes in FLEETS:
             with self.subTest(nodes=sum(sizes)):
                 c = _Counted(*sizes)
-                self.addCleanup(c.stage.end)
+                self.addCleanup(c.simulation.end)
                 n = sum(sizes)
                 self.assertEqual(c.asks["engines.loads"], 0)
                 self.assertAlmostEqual(c.asks["membership.probe"] / SPAN / n, 5, delta=0.2)
@@ -64,30 +64,39 @@
                 self.assertLess(c.per_gateway(c.bytes), GATEWAY_BYTES)
 
     def test_nodes_that_believe_otherwise_are_told_the_whole_and_agree_again(self):
-        s = Stage(2, controllers=3, storage_nodes=3, gateways=6)
+        s = Simulation(2, controllers=3, storage_nodes=3, gateways=6)
         self.addCleanup(s.end)
         s.start()
         s.ready()
         s.run(6)
-        one, others = s.actors["gateway5"], [a.name for a in s.actors.values() if a.name != "gateway5"]
+        one, others = (
+            s.simulated_nodes["gateway5"],
+            [a.name for a in s.simulated_nodes.values() if a.name != "gateway5"],
+        )
         s.cut(["gateway5"], others)
-        s.until(lambda: all(s.actors[n].ctx.membership.status(one.node) == "gone" for n in others), 10, "it is gone")
+        s.until(
+            lambda: all(s.simulated_nodes[n].ctx.membership.status(one.node) == "gone" for n in others),
+            10,
+            "it is gone",
+        )
         s.run(5)
         s.heal()
-        s.until(lambda: len({a.ctx.membership.digest() for a in s.actors.values()}) == 1, 6, "all believe alike")
-        self.assertEqual({a.ctx.membership.status(one.node) for a in s.actors.values()}, {"alive"})
+        s.until(
+            lambda: len({a.ctx.membership.digest() for a in s.simulated_nodes.values()}) == 1, 6, "all believe alike"
+        )
+        self.assertEqual({a.ctx.membership.status(one.node) for a in s.simulated_nodes.values()}, {"alive"})
 
     def test_a_dead_node_is_gone_at_every_node_in_time(self):
         """As with whole gossip at each probe, which took 1.6 to 2.3 s over 24 seeds."""
         for seed in range(4):
-            s = Stage(seed, controllers=3, storage_nodes=3, gateways=4)
+            s = Simulation(seed, controllers=3, storage_nodes=3, gateways=4)
             self.addCleanup(s.end)
             s.start()
             s.ready()
             s.run(6)
-            dead = s.actors["storage1"]
+            dead = s.simulated_nodes["storage1"]
             dead.kill()
-            rest = [a for a in s.actors.values() if a.alive]
+            rest = [a for a in s.simulated_nodes.values() if a.alive]
             s.until(lambda: all(a.ctx.membership.status(dead.node) == "gone" for a in rest), 3, "it is gone")
 
 
--- a/tests/test_stage_large.py
+++ b/tests/test_simulated_large.py
@@ -4,41 +4,41 @@
 from collections import Counter
 
 from pipitlink.timers import ms
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
-from .batch_parts import Callers, staged
+from .batch_builders import Callers, start_simulation
 
 SPAN = 8
 GATEWAYS = 48
 
 
 class Large(unittest.TestCase):
-    def count(self, stage) -> dict:
+    def count(self, simulation) -> dict:
         """Calls and notes that a node of each role sends in a second."""
         counts: Counter = Counter()
-        stage.watch_calls = lambda sender, method: counts.update([(sender.role, method)])
-        stage.run(SPAN)
-        stage.watch_calls = None
-        return {k: n / SPAN / len(stage.role(k[0])) for k, n in counts.items()}
+        simulation.watch_calls = lambda sender, method: counts.update([(sender.role, method)])
+        simulation.run(SPAN)
+        simulation.watch_calls = None
+        return {k: n / SPAN / len(simulation.role(k[0])) for k, n in counts.items()}
 
     def test_a_dead_node_is_gone_at_every_node_in_time(self):
-        """It took 1.9 to 4.1 s over 4 seeds; on the stage all probe at the same moments, which spreads it most."""
+        """It took 1.9 to 4.1 s over 4 seeds; in the simulation all probe at the same moments, which spreads it most."""
         for seed in range(3):
-            s = Stage(seed, controllers=3, storage_nodes=5, gateways=GATEWAYS)
+            s = Simulation(seed, controllers=3, storage_nodes=5, gateways=GATEWAYS)
             self.addCleanup(s.end)
             s.start()
             s.ready(60)
             s.run(6)
-            dead = [s.actors["storage1"], s.actors["gateway7"]]
+            dead = [s.simulated_nodes["storage1"], s.simulated_nodes["gateway7"]]
             for a in dead:
                 a.kill()
-            rest = [a for a in s.actors.values() if a.alive]
+            rest = [a for a in s.simulated_nodes.values() if a.alive]
             s.until(
                 lambda: all(a.ctx.membership.status(d.node) == "gone" for a in rest for d in dead), 4, "they are gone"
             )
 
     def test_a_nodes_messages_at_rest(self):
-        s = Stage(5, controllers=3, storage_nodes=5, gateways=GATEWAYS)
+        s = Simulation(5, controllers=3, storage_nodes=5, gateways=GATEWAYS)
         self.addCleanup(s.end)
         s.start()
         s.ready(60)
@@ -50,7 +50,7 @@
         self.assertLessEqual(sum(n for (role, _), n in c.items() if role == "gateway"), 4.8)
 
     def test_open_batches_are_listed_as_often_by_all_together_and_what_is_left_over_is_taken_up(self):
-        s = staged(6, gateways=GATEWAYS, settle=14.0)
+        s = start_simulation(6, gateways=GATEWAYS, settle=14.0)
         self.addCleanup(s.end)
         s.step = ms(3000)
         callers = Callers(s)
--- a/tests/test_stage_logs.py
+++ b/tests/test_simulated_logs.py
@@ -6,8 +6,8 @@
 from pipitlink.disk import decode_frames
 from pipitlink.errors import LeaseNotHeld, PipitlinkError, StaleEpoch
 from pipitlink.timers import ms
-from testbed.simulator.random_faults import Trouble, seeds
-from testbed.simulator.simulation import Stage
+from testbed.simulator.random_faults import RandomFaults, seeds
+from testbed.simulator.simulation import Simulation
 
 SEEDS = seeds(4)
 
@@ -15,20 +15,20 @@
 class _Writers:
     """Gateways that race for one log, and readers that note every byte they were shown."""
 
-    def __init__(self, stage, log="results/x"):
-        self.stage, self.log = stage, log
+    def __init__(self, simulation, log="results/x"):
+        self.simulation, self.log = simulation, log
         self.acked: dict[int, bytes] = {}
         self.shown = b""
         self.faults: list[str] = []
         self.over = False
         self.holds = 0
 
-    async def write(self, actor):
+    async def write(self, simulated_node):
         n = 0
         while not self.over:
-            if not actor.alive:
+            if not simulated_node.alive:
                 return
-            ctx = actor.ctx
+            ctx = simulated_node.ctx
             try:
                 h = await ctx.replicated_log.acquire(self.log)
                 self.holds += 1
@@ -44,9 +44,9 @@
                 pass
             await ctx.timers.sleep(ms(200 + ctx.rng.randrange(800)))
 
-    async def read(self, actor):
-        while not self.over and actor.alive:
-            ctx = actor.ctx
+    async def read(self, simulated_node):
+        while not self.over and simulated_node.alive:
+            ctx = simulated_node.ctx
             try:
                 state = (await ctx.replicated_log.states([self.log])).get(self.log)
                 if state is not None and state.committed:
@@ -62,23 +62,23 @@
         self.shown = b
 
 
-class LogsUnderTrouble(unittest.TestCase):
+class LogsUnderFaults(unittest.TestCase):
     def run_seed(self, seed):
-        stage = Stage(seed, controllers=3, storage_nodes=3, gateways=3, placement_groups=2)
-        self.addCleanup(stage.end)
-        stage.start()
-        stage.ready()
-        w = _Writers(stage)
-        trouble = Trouble(stage, roles=("storage", "storage", "gateway"))
-        work = [x for a in stage.role("gateway") for x in (w.write(a), w.read(a))]
-        trouble.during(work, faults=10)
-        stage.run(8)
+        simulation = Simulation(seed, controllers=3, storage_nodes=3, gateways=3, placement_groups=2)
+        self.addCleanup(simulation.end)
+        simulation.start()
+        simulation.ready()
+        w = _Writers(simulation)
+        random_faults = RandomFaults(simulation, roles=("storage", "storage", "gateway"))
+        work = [x for a in simulation.role("gateway") for x in (w.write(a), w.read(a))]
+        random_faults.during(work, faults=10)
+        simulation.run(8)
         w.over = True
-        stage.run(3)
-        stage.ready()
-        for a in stage.role("gateway"):
-            stage.do(a.ctx.replicated_log.release(list(a.ctx.replicated_log.leaseholders.values())))
-        last = stage.role("gateway")[0].ctx
+        simulation.run(3)
+        simulation.ready()
+        for a in simulation.role("gateway"):
+            simulation.do(a.ctx.replicated_log.release(list(a.ctx.replicated_log.leaseholders.values())))
+        last = simulation.role("gateway")[0].ctx
 
         async def final():
             while True:
@@ -87,12 +87,14 @@
                 except LeaseNotHeld:
                     await last.timers.sleep(ms(500))
 
-        data = bytes(stage.do(final(), 30).data)
+        data = bytes(simulation.do(final(), 30).data)
         w.check(data)
-        self.assertEqual(w.faults, [], trouble.told)
+        self.assertEqual(w.faults, [], random_faults.injected)
         found = {at: body for at, body, _ in decode_frames(data)}
         for at, body in w.acked.items():
-            self.assertEqual(found.get(at), body, f"seed {seed}: acknowledged at {at} and gone; {trouble.told}")
+            self.assertEqual(
+                found.get(at), body, f"seed {seed}: acknowledged at {at} and gone; {random_faults.injected}"
+            )
         return len(w.acked), w.holds
 
     def test_nothing_acknowledged_is_lost_and_nothing_shown_moves(self):
@@ -107,67 +109,69 @@
 
 class Leases(unittest.TestCase):
     def setUp(self):
-        self.stage = Stage(5, controllers=3, storage_nodes=3, gateways=2, placement_groups=2)
-        self.addCleanup(self.stage.end)
-        self.stage.start()
-        self.stage.ready()
-        self.one, self.two = self.stage.role("gateway")
+        self.simulation = Simulation(5, controllers=3, storage_nodes=3, gateways=2, placement_groups=2)
+        self.addCleanup(self.simulation.end)
+        self.simulation.start()
+        self.simulation.ready()
+        self.one, self.two = self.simulation.role("gateway")
 
     def test_a_leaseholder_that_slept_past_its_lease_is_fenced_and_stops_by_its_own_clock(self):
-        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/a"))
-        self.stage.do(h.append([b"one"]))
+        h = self.simulation.do(self.one.ctx.replicated_log.acquire("results/a"))
+        self.simulation.do(h.append([b"one"]))
         with self.assertRaises(LeaseNotHeld):
-            self.stage.do(self.two.ctx.replicated_log.acquire("results/a"))
+            self.simulation.do(self.two.ctx.replicated_log.acquire("results/a"))
         self.one.freeze()
-        self.stage.run(4)
-        h2 = self.stage.do(self.two.ctx.replicated_log.acquire("results/a"))
+        self.simulation.run(4)
+        h2 = self.simulation.do(self.two.ctx.replicated_log.acquire("results/a"))
         self.assertGreater(h2.epoch, h.epoch)
-        self.stage.do(h2.append([b"two"]))
+        self.simulation.do(h2.append([b"two"]))
         self.one.thaw()
         self.assertFalse(h.is_held())
         with self.assertRaises((LeaseNotHeld, StaleEpoch)):
-            self.stage.do(h.append([b"late"]))
-        self.stage.run(3)
-        state = self.stage.do(self.two.ctx.replicated_log.states(["results/a"]))["results/a"]
-        data = self.stage.do(self.two.ctx.replicated_log.read("results/a", 0, state.committed))
+            self.simulation.do(h.append([b"late"]))
+        self.simulation.run(3)
+        state = self.simulation.do(self.two.ctx.replicated_log.states(["results/a"]))["results/a"]
+        data = self.simulation.do(self.two.ctx.replicated_log.read("results/a", 0, state.committed))
         self.assertEqual([b for _, b, _ in decode_frames(data)], [b"one", b"two"])
 
     def test_a_new_leaseholder_keeps_a_tail_that_only_one_storage_node_was_sent(self):
-        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/b"))
-        self.stage.do(h.append([b"first"]))
-        storage_nodes = [a.name for a in self.stage.role("storage")]
-        self.stage.cut([self.one.name], storage_nodes[1:])
+        h = self.simulation.do(self.one.ctx.replicated_log.acquire("results/b"))
+        self.simulation.do(h.append([b"first"]))
+        storage_nodes = [a.name for a in self.simulation.role("storage")]
+        self.simulation.cut([self.one.name], storage_nodes[1:])
         with self.assertRaises(PipitlinkError):
-            self.stage.do(h.append([b"unsure"]))
+            self.simulation.do(h.append([b"unsure"]))
         self.one.kill()
-        self.stage.heal()
-        self.stage.run(4)
-        h2 = self.stage.do(self.two.ctx.replicated_log.acquire("results/b"))
+        self.simulation.heal()
+        self.simulation.run(4)
+        h2 = self.simulation.do(self.two.ctx.replicated_log.acquire("results/b"))
         bodies = [b for _, b, _ in decode_frames(bytes(h2.data))]
         self.assertEqual(bodies[0], b"first")
-        self.stage.do(h2.append([b"next"]))
-        states = [a.part.log_store.state("results/b") for a in self.stage.role("storage")]
-        self.stage.run(2)
+        self.simulation.do(h2.append([b"next"]))
+        states = [a.part.log_store.state("results/b") for a in self.simulation.role("storage")]
+        self.simulation.run(2)
         self.assertEqual(len({(s.tail_epoch) for s in states if s.length == max(x.length for x in states)}), 1)
 
     def test_an_append_whose_responses_were_lost_is_known_to_be_durable_once_storage_nodes_are_heard(self):
-        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/d"))
-        self.stage.do(h.append([b"first"]))
-        storage_nodes = [a.name for a in self.stage.role("storage")]
-        self.stage.clock.callLater(0.002, lambda: self.stage.cut(storage_nodes, [self.one.name], one_way=True))
-        self.stage.clock.callLater(1.2, self.stage.heal)
+        h = self.simulation.do(self.one.ctx.replicated_log.acquire("results/d"))
+        self.simulation.do(h.append([b"first"]))
+        storage_nodes = [a.name for a in self.simulation.role("storage")]
+        self.simulation.clock.callLater(
+            0.002, lambda: self.simulation.cut(storage_nodes, [self.one.name], one_way=True)
+        )
+        self.simulation.clock.callLater(1.2, self.simulation.heal)
         with contextlib.suppress(PipitlinkError):
-            self.stage.do(h.append([b"last"]), 10)
-        self.stage.until(lambda: h.committed == len(h.data), 5, "the append is known to be durable")
+            self.simulation.do(h.append([b"last"]), 10)
+        self.simulation.until(lambda: h.committed == len(h.data), 5, "the append is known to be durable")
         self.assertTrue(h.is_held())
 
     def test_a_full_disk_refuses_lots_but_keeps_room_for_ends(self):
-        h = self.stage.do(self.one.ctx.replicated_log.acquire("results/c"))
-        for a in self.stage.role("storage"):
+        h = self.simulation.do(self.one.ctx.replicated_log.acquire("results/c"))
+        for a in self.simulation.role("storage"):
             log_store = a.part.log_store
             log_store.budget = log_store.used_bytes() + log_store.reserve + 2000
-        self.stage.run(1.5)
+        self.simulation.run(1.5)
         with self.assertRaises(PipitlinkError) as no:
-            self.stage.do(h.append([b"x" * 8000]))
+            self.simulation.do(h.append([b"x" * 8000]))
         self.assertEqual(no.exception.code, "no_room")
-        self.stage.do(h.append([b"end"], reserved=True))
+        self.simulation.do(h.append([b"end"], reserved=True))
--- a/tests/test_stage_long_logs.py
+++ b/tests/test_simulated_long_logs.py
@@ -11,9 +11,9 @@
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import ms, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from testbed.faults.disks import LosingDisk
+from testbed.faults.disks import PowerLossDisk
 from testbed.simulator.random_faults import seeds
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 SEEDS = seeds(2)
 CATCH_UP_S = 4.7
@@ -37,8 +37,8 @@
 class _Judge:
     """Reads, all through a run, what each controller has applied, voted, led with and served."""
 
-    def __init__(self, stage):
-        self.stage = stage
+    def __init__(self, simulation):
+        self.simulation = simulation
         self.faults: list[str] = []
         self.states: dict[int, int] = {}
         self.sequences: dict[str, int] = {}
@@ -48,18 +48,18 @@
         self.trims = 0
 
     def fault(self, text: str):
-        self.faults.append(f"{self.stage.clock.seconds():.3f} {text}")
+        self.faults.append(f"{self.simulation.clock.seconds():.3f} {text}")
 
-    def admit(self, actor):
+    def admit(self, simulated_node):
         """A life begins: its votes are read from now on, and its state may be older than that of the life before."""
-        part = actor.part
-        self.sequences[actor.name] = 0
+        part = simulated_node.part
+        self.sequences[simulated_node.name] = 0
         vote = part.elections.vote
 
         async def judged(ask):
             r = await vote(ask)
             if r.granted and not ask.pre_vote:
-                self._voted(actor.node, part, ask)
+                self._voted(simulated_node.node, part, ask)
             return r
 
         part.elections.vote = judged
@@ -72,25 +72,30 @@
             self.fault(f"{node} votes for {before} and {ask.candidate} in {ask.term}")
 
     def look(self):
-        for actor in self.stage.role("controller", alive=True):
-            self._look_at(actor)
-        leader = self.stage.leader()
+        for simulated_node in self.simulation.role("controller", alive=True):
+            self._look_at(simulated_node)
+        leader = self.simulation.leader()
         if leader is not None:
-            self.agreed.append((self.stage.clock.seconds(), leader.part.consensus.commit_index))
+            self.agreed.append((self.simulation.clock.seconds(), leader.part.consensus.commit_index))
 
-    def _look_at(self, actor):
-        part = actor.part
+    def _look_at(self, simulated_node):
+        part = simulated_node.part
         state = part.consensus.cluster_state
-        if state.sequence < self.sequences[actor.name]:
-            self.fault(f"{actor.name} goes back from {self.sequences[actor.name]} to {state.sequence}")
-        if state.sequence == self.sequences[actor.name]:
+        if state.sequence < self.sequences[simulated_node.name]:
+            self.fault(
+                f"{simulated_node.name} goes back from {self.sequences[simulated_node.name]} to {state.sequence}"
+            )
+        if state.sequence == self.sequences[simulated_node.name]:
             return
-        self.sequences[actor.name] = state.sequence
+        self.sequences[simulated_node.name] = state.sequence
         sum_of = digest(state)
         if self.states.setdefault(state.sequence, sum_of) != sum_of:
-            self.fault(f"{actor.name} has another state at {state.sequence}")
-        if part.consensus.role == "leader" and self.leaders.setdefault(part.consensus.term, actor.node) != actor.node:
-            self.fault(f"{actor.node} and {self.leaders[part.consensus.term]} lead in {part.consensus.term}")
+            self.fault(f"{simulated_node.name} has another state at {state.sequence}")
+        if (
+            part.consensus.role == "leader"
+            and self.leaders.setdefault(part.consensus.term, simulated_node.node) != simulated_node.node
+        ):
+            self.fault(f"{simulated_node.node} and {self.leaders[part.consensus.term]} lead in {part.consensus.term}")
 
     def agreed_at(self, at: float) -> int:
         return max((commit for when, commit in self.agreed if when <= at), default=0)
@@ -99,9 +104,9 @@
 class _Writers:
     """Operators that edit and read at whichever controller leads, one edit after another."""
 
-    def __init__(self, stage, judge):
-        self.stage, self.judge = stage, judge
-        self.timers = stage.timers()
+    def __init__(self, simulation, judge):
+        self.simulation, self.judge = simulation, judge
+        self.timers = simulation.timers()
         self.over = False
         self.acked: dict[str, int] = {}
         self.floor = 0
@@ -109,11 +114,11 @@
 
     async def write(self, who: int):
         while not self.over:
-            await self.timers.sleep(ms(40 + self.stage.rng.randrange(80)))
-            leaders = [a for a in self.stage.role("controller", alive=True) if a.part.consensus.role == "leader"]
+            await self.timers.sleep(ms(40 + self.simulation.rng.randrange(80)))
+            leaders = [a for a in self.simulation.role("controller", alive=True) if a.part.consensus.role == "leader"]
             if leaders:
                 try:
-                    work = self._write_at(self.stage.rng.choice(leaders).part, who)
+                    work = self._write_at(self.simulation.rng.choice(leaders).part, who)
                     await self.timers.with_timeout(secs(WRITE_S), work)
                 except PipitlinkError:
                     pass
@@ -141,97 +146,99 @@
             (durable_log, "RETAINED_ENTRIES", 6),
             (durable_log, "MAX_BATCH_BYTES", 600),
             (snapshot_transfer, "CHUNK_BYTES", 700),
-            (testbed.simulator.simulation, "LosingDisk", partial(LosingDisk, names=True)),
+            (testbed.simulator.simulation, "PowerLossDisk", partial(PowerLossDisk, names=True)),
         ):
             patch = mock.patch.object(module, name, value)
             patch.start()
             self.addCleanup(patch.stop)
 
     def fleet(self, seed):
-        stage = Stage(seed, controllers=4, storage_nodes=0, gateways=0)
-        self.addCleanup(stage.end)
-        judge = _Judge(stage)
-        for actor in stage.role("controller"):
-            self._judge_lives(actor, judge)
-        stage.start()
-        stage.until(stage.leader, 10, "a leader")
-        writers = _Writers(stage, judge)
+        simulation = Simulation(seed, controllers=4, storage_nodes=0, gateways=0)
+        self.addCleanup(simulation.end)
+        judge = _Judge(simulation)
+        for simulated_node in simulation.role("controller"):
+            self._judge_lives(simulated_node, judge)
+        simulation.start()
+        simulation.until(simulation.leader, 10, "a leader")
+        writers = _Writers(simulation, judge)
         for who in range(WRITERS):
             spawn(writers.write(who))
-        return stage, judge, writers
+        return simulation, judge, writers
 
-    def _judge_lives(self, actor, judge):
-        start = actor.start
+    def _judge_lives(self, simulated_node, judge):
+        start = simulated_node.start
 
         def judged():
             start()
-            judge.admit(actor)
+            judge.admit(simulated_node)
 
-        actor.start = judged
+        simulated_node.start = judged
 
-    def run_for(self, stage, judge, seconds):
-        end = stage.clock.seconds() + seconds
-        while stage.clock.seconds() < end:
-            stage.run(LOOK_S)
+    def run_for(self, simulation, judge, seconds):
+        end = simulation.clock.seconds() + seconds
+        while simulation.clock.seconds() < end:
+            simulation.run(LOOK_S)
             judge.look()
 
-    def trouble(self, stage, judge, kind, actor, away):
+    def trouble(self, simulation, judge, kind, simulated_node, away):
         """One member is lost and comes back; returns whoever must be current now."""
         if kind == "freeze":
-            actor.freeze()
-            self.run_for(stage, judge, away)
-            actor.thaw()
-            return actor
-        actor.kill(power=kind != "kill")
-        self.run_for(stage, judge, away)
+            simulated_node.freeze()
+            self.run_for(simulation, judge, away)
+            simulated_node.thaw()
+            return simulated_node
+        simulated_node.kill(power=kind != "kill")
+        self.run_for(simulation, judge, away)
         if kind == "wipe":
-            actor.wipe()
+            simulated_node.wipe()
         if kind == "replace":
-            del stage.actors[actor.name]
-            name = f"controller-{stage.fresh()}"
-            actor = stage.add("controller", name, actor.zone, 2000 + int(stage.fresh()))
-            self._judge_lives(actor, judge)
-        stage.seeds = tuple(f"{a.place[0]}:{a.place[1]}" for a in stage.role("controller") if a is not actor)
-        actor.start()
-        return actor
-
-    def until_voters_are_whole(self, stage, judge):
+            del simulation.simulated_nodes[simulated_node.name]
+            name = f"controller-{simulation.fresh()}"
+            simulated_node = simulation.add("controller", name, simulated_node.zone, 2000 + int(simulation.fresh()))
+            self._judge_lives(simulated_node, judge)
+        simulation.seeds = tuple(
+            f"{a.place[0]}:{a.place[1]}" for a in simulation.role("controller") if a is not simulated_node
+        )
+        simulated_node.start()
+        return simulated_node
+
+    def until_voters_are_whole(self, simulation, judge):
         """A second loss before that is another test's matter: here each member lost is made good first."""
-        end = stage.clock.seconds() + WHOLE_S
-        while stage.clock.seconds() < end:
-            nodes = {a.node for a in stage.role("controller", alive=True)}
-            leader = stage.leader()
+        end = simulation.clock.seconds() + WHOLE_S
+        while simulation.clock.seconds() < end:
+            nodes = {a.node for a in simulation.role("controller", alive=True)}
+            leader = simulation.leader()
             if (
                 leader is not None
                 and len(leader.part.consensus.voters()) == leader.ctx.settings.replica_count
                 and nodes.issuperset(leader.part.consensus.voters())
             ):
                 return
-            self.run_for(stage, judge, LOOK_S)
+            self.run_for(simulation, judge, LOOK_S)
         judge.fault(f"the voters are not whole after {WHOLE_S} s")
 
     def run_seed(self, seed, troubles=TROUBLES):
-        stage, judge, writers = self.fleet(seed)
-        self.run_for(stage, judge, 2.5)
+        simulation, judge, writers = self.fleet(seed)
+        self.run_for(simulation, judge, 2.5)
         told = []
         for _ in range(troubles):
-            kind, actor = stage.rng.choice(KINDS), stage.rng.choice(stage.role("controller"))
-            away = stage.rng.choice((0.05, 0.4, 1.5, 5.0))
-            told.append(f"{stage.clock.seconds():.2f} {kind} {actor.name} {away}")
-            back = self.trouble(stage, judge, kind, actor, away)
-            self.run_for(stage, judge, CATCH_UP_S)
-            expected = judge.agreed_at(stage.clock.seconds() - SETTLE_S)
+            kind, simulated_node = simulation.rng.choice(KINDS), simulation.rng.choice(simulation.role("controller"))
+            away = simulation.rng.choice((0.05, 0.4, 1.5, 5.0))
+            told.append(f"{simulation.clock.seconds():.2f} {kind} {simulated_node.name} {away}")
+            back = self.trouble(simulation, judge, kind, simulated_node, away)
+            self.run_for(simulation, judge, CATCH_UP_S)
+            expected = judge.agreed_at(simulation.clock.seconds() - SETTLE_S)
             if back.part.consensus.cluster_state.sequence < expected:
                 judge.fault(f"{back.name} is at {back.part.consensus.cluster_state.sequence}, {expected} was agreed")
-            self.until_voters_are_whole(stage, judge)
+            self.until_voters_are_whole(simulation, judge)
         writers.over = True
-        self.run_for(stage, judge, 2)
+        self.run_for(simulation, judge, 2)
         self.assertEqual(judge.faults, [], f"seed {seed}: {told}")
-        done = stage.leader().part.consensus.cluster_state.outcomes
+        done = simulation.leader().part.consensus.cluster_state.outcomes
         kept = {e: sequence for e, sequence in writers.acked.items() if e in done or len(done) < MAX_OUTCOMES}
         lost = [e for e, sequence in kept.items() if e not in done or done[e].sequence != sequence]
         self.assertEqual(lost, [], f"seed {seed}: {told}")
-        return len(writers.acked), stage.leader().part.durable_log.snapshot.index
+        return len(writers.acked), simulation.leader().part.durable_log.snapshot.index
 
     def test_each_member_is_current_in_time_and_none_acts_on_old_state(self):
         for seed in SEEDS:
--- a/tests/test_stage_orders.py
+++ b/tests/test_simulated_orders.py
@@ -5,9 +5,9 @@
 from unittest import mock
 
 from testbed.checks.linearizability import check_history
-from testbed.simulator.random_faults import Trouble, seeds
+from testbed.simulator.random_faults import RandomFaults, seeds
 
-from .order_parts import HoldingStage, Operators
+from .order_simulation import DelayingSimulation, Operators
 from .test_order_guards import GUARDS
 
 SEEDS = seeds(3)
@@ -23,40 +23,42 @@
 
 def run_history(seed: int, roles=("controller",), faults: int = 10) -> list[str]:
     """Runs one seed; returns what is wrong with its history."""
-    stage = HoldingStage(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
+    simulation = DelayingSimulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
     try:
-        return [f"seed {seed}: {line}" for line in _played(stage, roles, faults)]
+        return [f"seed {seed}: {line}" for line in _played(simulation, roles, faults)]
     finally:
-        stage.end()
+        simulation.end()
 
 
-def _played(stage, roles, faults) -> list[str]:
-    stage.start()
-    stage.ready()
-    operators = Operators(stage)
-    trouble = Trouble(stage, roles=roles)
-    trouble.during([operators.operate() for _ in range(OPERATORS)], faults=faults)
-    if stage.seed % 3 == 0:
-        _lose_power(stage)
-    stage.run(4)
+def _played(simulation, roles, faults) -> list[str]:
+    simulation.start()
+    simulation.ready()
+    operators = Operators(simulation)
+    random_faults = RandomFaults(simulation, roles=roles)
+    random_faults.during([operators.operate() for _ in range(OPERATORS)], faults=faults)
+    if simulation.seed % 3 == 0:
+        _lose_power(simulation)
+    simulation.run(4)
     operators.over = True
-    stage.run(14)
-    stage.ready()
-    for a in stage.role("controller"):
-        stage.until(lambda a=a: stage.do(operators.read(a), 5), 10, f"{a.name} is read")
-    stage.run(IN_ALL_VIEWS)
-    found = operators.faults + [t for t in trouble.told if "work ended" in t] + check_history(operators.records)
+    simulation.run(14)
+    simulation.ready()
+    for a in simulation.role("controller"):
+        simulation.until(lambda a=a: simulation.do(operators.read(a), 5), 10, f"{a.name} is read")
+    simulation.run(IN_ALL_VIEWS)
+    found = (
+        operators.faults + [t for t in random_faults.injected if "work ended" in t] + check_history(operators.records)
+    )
     if operators.taken() < LEAST_TAKEN:
         found.append(f"only {operators.taken()} orders were confirmed")
     return found
 
 
-def _lose_power(stage):
+def _lose_power(simulation):
     """Every controller loses power at once, right among the orders."""
-    controllers = stage.role("controller")
+    controllers = simulation.role("controller")
     for a in controllers:
         a.kill(power=True)
-    stage.run(0.5)
+    simulation.run(0.5)
     for a in controllers:
         a.start()
 
--- a/tests/test_stage_cut_off.py
+++ b/tests/test_simulated_partition.py
@@ -9,31 +9,33 @@
 from pipitlink.controller.log_replication import LogReplication
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import secs
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 from .control_calls import config_of, route_of
-from .cut_off_scene import BACK_WITHIN, CUT_SPAN, ENGINE, LONGEST_ANSWER, SETTLED_AFTER, WAYS, Scene
+from .partition_scenario import BACK_WITHIN, CUT_SPAN, ENGINE, LONGEST_ANSWER, SETTLED_AFTER, WAYS, Scenario
 
 
 class CutOffForTwentySeconds(unittest.TestCase):
     def check(self, role, way):
-        s = Scene(self)
-        actor = s.controller(role)
-        s.play(actor, way)
+        s = Scenario(self)
+        simulated_node = s.controller(role)
+        s.play(simulated_node, way)
         self.assertEqual(s.slow(), [])
         self.assertEqual(s.wrong(), [])
-        self.assertIsNot(s.stage.leader(), None)
-        led, term = s.stage.leader(), s.stage.leader().part.consensus.term
-        self.assertIsNot(led, actor)
+        self.assertIsNot(s.simulation.leader(), None)
+        led, term = s.simulation.leader(), s.simulation.leader().part.consensus.term
+        self.assertIsNot(led, simulated_node)
         self.assertEqual(s.change_newest(led), 200)
-        self.assertLess(s.back(actor), BACK_WITHIN)
-        self.assertEqual(s.caller.get(actor)[1]["version"], s.version)
-        s.stage.run(3)
+        self.assertLess(s.back(simulated_node), BACK_WITHIN)
+        self.assertEqual(s.caller.get(simulated_node)[1]["version"], s.version)
+        s.simulation.run(3)
         self.assertEqual(
-            (s.stage.leader(), s.stage.leader().part.consensus.term), (led, term), "the heal disturbed the leader"
+            (s.simulation.leader(), s.simulation.leader().part.consensus.term),
+            (led, term),
+            "the heal disturbed the leader",
         )
-        self.assertEqual(s.caller.ask(actor, "PUT", "/v1/engines/e9", {**ENGINE, "sequence": 1})[0], 200)
-        self.assertEqual(s.caller.ask(actor, "DELETE", "/v1/engines/e9")[0], 200)
+        self.assertEqual(s.caller.ask(simulated_node, "PUT", "/v1/engines/e9", {**ENGINE, "sequence": 1})[0], 200)
+        self.assertEqual(s.caller.ask(simulated_node, "DELETE", "/v1/engines/e9")[0], 200)
 
     def test_a_leader(self):
         for way in WAYS:
@@ -51,35 +53,37 @@
                 self.check("standby", way)
 
     def test_a_leader_whose_wall_clock_is_stepped(self):
-        s = Scene(self)
-        actor = s.controller("leader")
+        s = Scenario(self)
+        simulated_node = s.controller("leader")
         for shift in (-86_400, 86_400):
-            actor.ctx.timers.utc_now = lambda shift=shift: datetime.fromtimestamp(1_700_000_000 + shift + s.now(), UTC)
-            s.play(actor, "both")
-            s.back(actor)
+            simulated_node.ctx.timers.utc_now = lambda shift=shift: datetime.fromtimestamp(
+                1_700_000_000 + shift + s.now(), UTC
+            )
+            s.play(simulated_node, "both")
+            s.back(simulated_node)
         self.assertEqual(s.slow(), [])
 
     def test_a_voter_and_the_leader_from_each_other_only(self):
         """The others hear both: no election comes of it, and the voter refuses what it cannot pass on."""
         for way in WAYS:
             with self.subTest(way):
-                s = Scene(self)
+                s = Scenario(self)
                 leader, voter = s.controller("leader"), s.controller("voter")
                 term = leader.part.consensus.term
                 s.play(voter, way, [leader.name])
-                self.assertEqual((s.stage.leader(), leader.part.consensus.term), (leader, term))
+                self.assertEqual((s.simulation.leader(), leader.part.consensus.term), (leader, term))
                 orders = [c for c in s.calls if c.what in ("GET config", "PUT config", "PUT empty")]
                 self.assertEqual([str(c) for c in orders if c.span is None or c.span > LONGEST_ANSWER], [])
                 self.assertEqual([str(c) for c in orders if c.at > SETTLED_AFTER and c.box[0][0] != 503], [])
                 self.assertLess(s.back(voter), BACK_WITHIN)
 
     def test_a_leader_that_is_frozen_answers_what_waited_with_503_when_it_is_thawed(self):
-        s = Scene(self)
+        s = Scenario(self)
         leader = s.controller("leader")
         leader.freeze()
         s.began = s.now()
         leader.clock.callLater(0, s.call_all, leader, s.began)
-        new = s.stage.until(s.stage.leader, 10, "another leads")
+        new = s.simulation.until(s.simulation.leader, 10, "another leads")
         for _ in range(3):
             self.assertEqual(s.change(new), 200)
         s.watch(CUT_SPAN - 5)
@@ -95,32 +99,34 @@
 
     def test_a_leader_that_reaches_the_controllers_alone_does_not_hold_orders(self):
         """It cannot show an order in effect: the outcome is open, and the order is acknowledged when it is repeated."""
-        s = Scene(self)
+        s = Scenario(self)
         leader = s.controller("leader")
-        s.stage.cut([leader.name], [a.name for a in s.stage.actors.values() if a.role != "controller"])
-        s.stage.run(3)
+        s.simulation.cut(
+            [leader.name], [a.name for a in s.simulation.simulated_nodes.values() if a.role != "controller"]
+        )
+        s.simulation.run(3)
         order = (leader, "PUT", "/v1/config", config_of(2, route_of("r2")), {"If-Match": "1"})
         began = s.now()
         self.assertEqual(s.caller.ask(*order)[0], 503)
         self.assertLess(s.now() - began, LONGEST_ANSWER)
-        s.stage.heal()
-        s.stage.run(2)
+        s.simulation.heal()
+        s.simulation.run(2)
         self.assertEqual(s.caller.ask(*order)[0], 200)
 
 
 class RenewalsOnly(unittest.TestCase):
     def last_acknowledged(self, role=None) -> float:
         """How long into a cut a controller acknowledges an engine that only renews itself, and changes nothing."""
-        s = Scene(self)
+        s = Scenario(self)
         voter = s.controller("voter")
-        others = [a.name for a in s.stage.role(role)] if role else None
+        others = [a.name for a in s.simulation.role(role)] if role else None
         last = 0.0
         for n in range(16):
             if n == 4:
                 s.cut(voter, "both", others)
             status, _ = s.caller.ask(voter, "PUT", "/v1/engines/e1", {**ENGINE, "sequence": n})
             last = (n - 4) * 0.5 if status == 200 else last
-            s.stage.run(0.5)
+            s.simulation.run(0.5)
         return last
 
     def test_renewals_are_refused_before_the_engine_counts_as_silent(self):
@@ -135,10 +141,10 @@
 
 
 class WithoutItsGuard(unittest.TestCase):
-    """Each guard is taken out: then the scene shows the failure that it prevents."""
+    """Each guard is taken out: then the scenario shows the failure that it prevents."""
 
     def slow(self, role, way, *patch):
-        s = Scene(self)
+        s = Scenario(self)
         with unittest.mock.patch.object(*patch):
             s.play(s.controller(role), way, changing=False)
         return s.slow()
@@ -153,17 +159,19 @@
 
     def test_orders_are_held_for_seconds_without_a_bound(self):
         with unittest.mock.patch.object(state_delivery, "ORDER_TIME_LIMIT", secs(5)):
-            s = Scene(self)
+            s = Scenario(self)
             leader = s.controller("leader")
-            s.stage.cut([leader.name], [a.name for a in s.stage.actors.values() if a.role != "controller"])
-            s.stage.run(3)
+            s.simulation.cut(
+                [leader.name], [a.name for a in s.simulation.simulated_nodes.values() if a.role != "controller"]
+            )
+            s.simulation.run(3)
             began = s.now()
             order = (leader, "PUT", "/v1/config", config_of(2, route_of("r2")), {"If-Match": "1"})
             self.assertEqual(s.caller.ask(*order)[0], 503)
             self.assertGreater(s.now() - began, LONGEST_ANSWER)
 
     def test_announcements_are_acknowledged_that_no_gateway_hears(self):
-        s = Scene(self)
+        s = Scenario(self)
         with unittest.mock.patch.object(GatewayNotifier, "reaches_majority", lambda self: True):
             s.play(s.controller("voter"), "both", changing=False)
         self.assertTrue(any("PUT engine" in line for line in s.wrong()), s.wrong())
@@ -174,14 +182,14 @@
 
     def acknowledged(self, seen=1):
         """Whether one gateway of three, cut off together with the controller, is enough for an engine that leaves."""
-        s = Scene(self)
+        s = Scenario(self)
         controller = s.controller("voter")
-        side = [controller.name, *(g.name for g in s.stage.role("gateway")[:seen])]
-        s.stage.cut(side, [a for a in s.stage.actors if a not in side])
+        side = [controller.name, *(g.name for g in s.simulation.role("gateway")[:seen])]
+        s.simulation.cut(side, [a for a in s.simulation.simulated_nodes if a not in side])
         out = []
         for n in range(4):
             out.append(s.caller.ask(controller, "PUT", "/v1/engines/e1", {**ENGINE, "state": "leaving", "sequence": n}))
-            s.stage.run(4)
+            s.simulation.run(4)
         return [status for status, _ in out]
 
     def test_leaving_is_acknowledged_only_once_most_gateways_know(self):
@@ -197,54 +205,54 @@
     def test_a_gateway_that_starts_and_reaches_only_the_controller_that_is_cut_off_does_not_serve(self):
         for role in ("leader", "voter"):
             with self.subTest(role):
-                s = Scene(self)
-                controller, gateway = s.controller(role), s.stage.role("gateway")[0]
+                s = Scenario(self)
+                controller, gateway = s.controller(role), s.simulation.role("gateway")[0]
                 gateway.kill()
                 side = [controller.name, gateway.name]
-                s.stage.cut(side, [a for a in s.stage.actors if a not in side])
+                s.simulation.cut(side, [a for a in s.simulation.simulated_nodes if a not in side])
                 gateway.start()
                 for _ in range(int(CUT_SPAN)):
-                    s.stage.run(1)
+                    s.simulation.run(1)
                     self.assertFalse(gateway.ctx.cluster.usable())
-                s.stage.heal()
-                s.stage.until(lambda g=gateway: g.ctx.cluster.ready(), 5, "it serves with the newest state")
+                s.simulation.heal()
+                s.simulation.until(lambda g=gateway: g.ctx.cluster.ready(), 5, "it serves with the newest state")
 
     def write_on_both_sides(self):
         """A machine with a storage node and a gateway is cut off until its copy has been moved. Then a storage node of
         the new placement restarts, and reaches that machine alone. Returns what each side was told is durable.
         """
-        stage = Stage(5, controllers=3, storage_nodes=4, gateways=2, placement_groups=1)
-        self.addCleanup(stage.end)
-        stage.start()
-        stage.ready()
-        stage.run(6)
-        group = stage.leader().part.consensus.cluster_state.placement_group(0)
-        kept = {a.node: a for a in stage.role("storage")}
+        simulation = Simulation(5, controllers=3, storage_nodes=4, gateways=2, placement_groups=1)
+        self.addCleanup(simulation.end)
+        simulation.start()
+        simulation.ready()
+        simulation.run(6)
+        group = simulation.leader().part.consensus.cluster_state.placement_group(0)
+        kept = {a.node: a for a in simulation.role("storage")}
         first, _, behind = (kept[n] for n in group.storage_nodes)
-        old, new = stage.role("gateway")
+        old, new = simulation.role("gateway")
         side = [behind.name, old.name]
-        stage.cut(side, [a for a in stage.actors if a not in side])
-        stage.until(
-            lambda: behind.node not in stage.leader().part.consensus.cluster_state.placement_group(0).all_nodes,
+        simulation.cut(side, [a for a in simulation.simulated_nodes if a not in side])
+        simulation.until(
+            lambda: behind.node not in simulation.leader().part.consensus.cluster_state.placement_group(0).all_nodes,
             40,
             "its copy is moved",
         )
-        stage.run(1)
+        simulation.run(1)
         first.kill()
         side.append(first.name)
-        stage.heal()
-        stage.cut(side, [a for a in stage.actors if a not in side])
+        simulation.heal()
+        simulation.cut(side, [a for a in simulation.simulated_nodes if a not in side])
         first.start()
-        stage.run(1)
-        return [self.written(stage, g) for g in (old, new)]
+        simulation.run(1)
+        return [self.written(simulation, g) for g in (old, new)]
 
-    def written(self, stage, gateway) -> bool:
+    def written(self, simulation, gateway) -> bool:
         async def write():
             h = await gateway.ctx.replicated_log.acquire("log", lost_leaseholder="")
             return await h.append([gateway.name.encode()])
 
         try:
-            stage.do(write(), 20)
+            simulation.do(write(), 20)
         except PipitlinkError:
             return False
         return True
--- a/tests/test_stage_restart.py
+++ b/tests/test_simulated_restart.py
@@ -3,76 +3,80 @@
 import unittest
 
 from testbed.simulator.random_faults import seeds
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 SEEDS = seeds(4)
 
 
 class Restart(unittest.TestCase):
     def _fleet(self, seed):
-        stage = Stage(seed, controllers=4, storage_nodes=3, gateways=1)
-        self.addCleanup(stage.end)
-        stage.start()
-        stage.ready()
-        stage.run(1)
-        return stage
+        simulation = Simulation(seed, controllers=4, storage_nodes=3, gateways=1)
+        self.addCleanup(simulation.end)
+        simulation.start()
+        simulation.ready()
+        simulation.run(1)
+        return simulation
 
-    def _restart(self, stage, controllers):
+    def _restart(self, simulation, controllers):
         for a in controllers:
             a.kill(power=True)
-        stage.run(1.5)
+        simulation.run(1.5)
         for a in controllers:
             a.start()
 
     def test_all_controllers_that_started_together_lead_within_half_a_second(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                stage = self._fleet(seed)
-                self._restart(stage, stage.role("controller"))
-                stage.until(stage.leader, 0.55, "a leader after a restart of all controllers")
+                simulation = self._fleet(seed)
+                self._restart(simulation, simulation.role("controller"))
+                simulation.until(simulation.leader, 0.55, "a leader after a restart of all controllers")
 
     def test_a_voter_that_came_back_empty_need_not_be_waited_out(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                stage = self._fleet(seed)
-                voters = [a for a in stage.role("controller") if a.node in stage.leader().part.consensus.voters()]
-                for a in stage.role("controller"):
+                simulation = self._fleet(seed)
+                voters = [
+                    a for a in simulation.role("controller") if a.node in simulation.leader().part.consensus.voters()
+                ]
+                for a in simulation.role("controller"):
                     a.kill(power=True)
-                stage.run(1.5)
+                simulation.run(1.5)
                 voters[seed % len(voters)].wipe()
-                for a in stage.role("controller"):
+                for a in simulation.role("controller"):
                     a.start()
-                stage.until(stage.leader, 0.55, "a leader after a restart with one disk lost")
+                simulation.until(simulation.leader, 0.55, "a leader after a restart with one disk lost")
 
     def test_a_controller_that_starts_alone_does_not_put_the_leader_aside(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                stage = self._fleet(seed)
-                leader = stage.leader()
+                simulation = self._fleet(seed)
+                leader = simulation.leader()
                 term = leader.part.consensus.term
                 others = [
-                    a for a in stage.role("controller") if a is not leader and a.node in leader.part.consensus.voters()
+                    a
+                    for a in simulation.role("controller")
+                    if a is not leader and a.node in leader.part.consensus.voters()
                 ]
                 for a in others[:1]:
                     a.kill(power=True)
                     a.start()
-                stage.run(2)
-                self.assertIs(stage.leader(), leader)
+                simulation.run(2)
+                self.assertIs(simulation.leader(), leader)
                 self.assertEqual(leader.part.consensus.term, term)
 
     def test_two_that_started_wait_out_a_leader_that_they_cannot_hear(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                stage = self._fleet(seed)
-                leader = stage.leader()
-                others = [a for a in stage.role("controller") if a is not leader]
-                stage.cut([leader.name], [a.name for a in others])
+                simulation = self._fleet(seed)
+                leader = simulation.leader()
+                others = [a for a in simulation.role("controller") if a is not leader]
+                simulation.cut([leader.name], [a.name for a in others])
                 for a in others:
                     a.kill(power=True)
                     a.start()
-                stage.run(0.55)
+                simulation.run(0.55)
                 self.assertFalse([a.name for a in others if a.part.consensus.role == "leader"])
-                stage.until(
+                simulation.until(
                     lambda: [a for a in others if a.part.consensus.role == "leader"], 6, "another leader in time"
                 )
 
--- a/tests/test_stage_slow_link.py
+++ b/tests/test_simulated_slow_link.py
@@ -10,7 +10,7 @@
 from pipitlink.errors import PipitlinkError
 from pipitlink.timers import ms, secs, spawn
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 LINK_BYTES_PER_S = 15_000_000 / 8
 CATCH_UP_S = 4.7
@@ -20,40 +20,42 @@
 
 class SlowLink(unittest.TestCase):
     def fleet(self, controllers=3, gateways=0, storage_nodes=0):
-        stage = Stage(5, controllers=controllers, storage_nodes=storage_nodes, gateways=gateways, placement_groups=2)
-        self.addCleanup(stage.end)
-        stage.start()
-        stage.ready()
-        stage.run(2)
-        stage.bytes_per_s = LINK_BYTES_PER_S
+        simulation = Simulation(
+            5, controllers=controllers, storage_nodes=storage_nodes, gateways=gateways, placement_groups=2
+        )
+        self.addCleanup(simulation.end)
+        simulation.start()
+        simulation.ready()
+        simulation.run(2)
+        simulation.bytes_per_s = LINK_BYTES_PER_S
         self.random = Random(1)
-        return stage
+        return simulation
 
-    def change(self, stage, name, size):
+    def change(self, simulation, name, size):
         """One agreed change of so many bytes, that no compression makes smaller than half."""
-        part = stage.leader().part
+        part = simulation.leader().part
         row = Row(name=name, model=self.random.randbytes(size // 2).hex())
-        stage.do(
+        simulation.do(
             part.log_replication.propose(
                 Command(table=TableEdit(base=part.consensus.cluster_state.table_sequence, upserts=[row]))
             ),
             20,
         )
 
-    def current(self, stage, actor) -> bool:
-        leader = stage.leader()
-        return leader is not None and actor.part.consensus.commit_index == leader.part.consensus.commit_index
+    def current(self, simulation, simulated_node) -> bool:
+        leader = simulation.leader()
+        return leader is not None and simulated_node.part.consensus.commit_index == leader.part.consensus.commit_index
 
     def test_a_log_of_large_edits_reaches_a_member_that_the_leader_needs(self):
-        stage = self.fleet()
-        late, other = (a for a in stage.role("controller") if a is not stage.leader())
+        simulation = self.fleet()
+        late, other = (a for a in simulation.role("controller") if a is not simulation.leader())
         late.kill()
         for n in range(40):
-            self.change(stage, f"row{n % 3}", LARGE_EDIT)
+            self.change(simulation, f"row{n % 3}", LARGE_EDIT)
         other.kill()
         late.start()
-        stage.until(lambda: self.current(stage, late), CATCH_UP_S, "the member is current")
-        self.change(stage, "row", LARGE_EDIT)
+        simulation.until(lambda: self.current(simulation, late), CATCH_UP_S, "the member is current")
+        self.change(simulation, "row", LARGE_EDIT)
 
     def test_a_leader_that_needs_a_member_without_its_log_keeps_leading_while_that_gets_the_snapshot(self):
         self.leader_needs_a_member_without_its_log()
@@ -63,36 +65,36 @@
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
         ):
-            stage = self.fleet()
-            leader = stage.leader()
-            late, other = (a for a in stage.role("controller") if a is not leader)
+            simulation = self.fleet()
+            leader = simulation.leader()
+            late, other = (a for a in simulation.role("controller") if a is not leader)
             late.kill()
             for n in range(80):
-                self.change(stage, f"row{n}", 2 * LARGE_EDIT)
-            stage.run(1)
-            self.assertGreater(stage.leader().part.durable_log.snapshot.ByteSize(), 4_000_000)
-            term = stage.leader().part.consensus.term
+                self.change(simulation, f"row{n}", 2 * LARGE_EDIT)
+            simulation.run(1)
+            self.assertGreater(simulation.leader().part.durable_log.snapshot.ByteSize(), 4_000_000)
+            term = simulation.leader().part.consensus.term
             other.kill()
             late.start()
-            stage.until(lambda: self.current(stage, late), CATCH_UP_S, "the member is current")
-            self.assertEqual(stage.leader().part.consensus.term, term, "the leader had to be elected again")
+            simulation.until(lambda: self.current(simulation, late), CATCH_UP_S, "the member is current")
+            self.assertEqual(simulation.leader().part.consensus.term, term, "the leader had to be elected again")
 
     def test_a_snapshot_arrives_while_changes_go_on(self):
         with (
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 8),
         ):
-            stage = self.fleet()
-            late = next(a for a in stage.role("controller") if a is not stage.leader())
+            simulation = self.fleet()
+            late = next(a for a in simulation.role("controller") if a is not simulation.leader())
             late.kill()
             for n in range(40):
-                self.change(stage, f"row{n}", LARGE_EDIT)
-            over, timers = [], stage.timers()
+                self.change(simulation, f"row{n}", LARGE_EDIT)
+            over, timers = [], simulation.timers()
 
             async def on():
                 while not over:
                     await timers.sleep(ms(100))
-                    leader = stage.leader()
+                    leader = simulation.leader()
                     if leader is not None:
                         try:
                             await leader.part.log_replication.propose(Command(no_op=True))
@@ -101,10 +103,10 @@
 
             spawn(on())
             late.start()
-            stage.run(CATCH_UP_S)
-            behind = stage.leader().part.consensus.commit_index - late.part.consensus.commit_index
+            simulation.run(CATCH_UP_S)
+            behind = simulation.leader().part.consensus.commit_index - late.part.consensus.commit_index
             over.append(True)
-            stage.run(1)
+            simulation.run(1)
             self.assertLess(behind, 3)
             self.assertGreater(late.part.durable_log.snapshot.index, 0)
 
@@ -113,50 +115,50 @@
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
         ):
-            stage = self.fleet()
-            leader = stage.leader()
-            late = next(a for a in stage.role("controller") if a is not leader)
+            simulation = self.fleet()
+            leader = simulation.leader()
+            late = next(a for a in simulation.role("controller") if a is not leader)
             late.kill()
             for n in range(60):
-                self.change(stage, f"row{n}", 2 * LARGE_EDIT)
-            stage.run(1)
+                self.change(simulation, f"row{n}", 2 * LARGE_EDIT)
+            simulation.run(1)
             late.start()
-            stage.until(
+            simulation.until(
                 lambda: late.part.snapshots.incoming and len(late.part.snapshots.incoming.data) > 10**6,
                 5,
                 "a part arrives",
             )
-            stage.cut([leader.name], [late.name])
-            stage.run(0.3)
+            simulation.cut([leader.name], [late.name])
+            simulation.run(0.3)
             before = len(late.part.snapshots.incoming.data)
-            stage.heal()
+            simulation.heal()
             sizes = []
             while late.part.snapshots.incoming:
                 sizes.append(len(late.part.snapshots.incoming.data))
-                stage.run(0.02)
+                simulation.run(0.02)
             self.assertGreaterEqual(min(sizes), before)
-            stage.until(lambda: self.current(stage, late), CATCH_UP_S, "the member is current")
+            simulation.until(lambda: self.current(simulation, late), CATCH_UP_S, "the member is current")
 
     def test_a_call_that_hangs_does_not_hold_up_the_same_leader_in_its_next_term(self):
         self.elected_again_while_a_call_hangs()
 
     def elected_again_while_a_call_hangs(self):
-        stage = self.fleet()
-        leader = stage.leader()
-        needed, other = (a for a in stage.role("controller") if a is not leader)
+        simulation = self.fleet()
+        leader = simulation.leader()
+        needed, other = (a for a in simulation.role("controller") if a is not leader)
         other.kill()
-        stage.cut([leader.name], [needed.name])
+        simulation.cut([leader.name], [needed.name])
         row = Row(name="large", model="x" * 20 * LARGE_EDIT)
         lost = leader.part.log_replication.propose(
             Command(table=TableEdit(base=leader.part.consensus.cluster_state.table_sequence, upserts=[row]))
         )
         spawn(lost).addErrback(lambda f: f.trap(PipitlinkError))
-        stage.run(0.8)
-        stage.heal()
+        simulation.run(0.8)
+        simulation.heal()
         leader.part.consensus.step_down()
         needed.part.elections.election_timeout = secs(60)
-        stage.until(lambda: stage.leader() is leader, LEAD_AGAIN_S, "the same one leads again")
-        self.change(stage, "row", 100)
+        simulation.until(lambda: simulation.leader() is leader, LEAD_AGAIN_S, "the same one leads again")
+        self.change(simulation, "row", 100)
 
     def test_senders_by_node_alone_would_be_held_up(self):
         with (
@@ -165,10 +167,10 @@
         ):
             self.elected_again_while_a_call_hangs()
 
-    def gateway_is_current(self, stage, gateway):
+    def gateway_is_current(self, simulation, gateway):
         cluster = gateway.ctx.cluster
-        stage.until(
-            lambda: cluster.ready() and cluster.sequence == stage.leader().part.consensus.commit_index,
+        simulation.until(
+            lambda: cluster.ready() and cluster.sequence == simulation.leader().part.consensus.commit_index,
             CATCH_UP_S,
             "the gateway is current",
         )
@@ -177,13 +179,13 @@
         self.gateway_far_behind()
 
     def gateway_far_behind(self):
-        stage = self.fleet(controllers=3, gateways=2, storage_nodes=3)
-        late = stage.role("gateway")[0]
-        stage.cut([late.name], [a for a in stage.actors if a != late.name])
+        simulation = self.fleet(controllers=3, gateways=2, storage_nodes=3)
+        late = simulation.role("gateway")[0]
+        simulation.cut([late.name], [a for a in simulation.simulated_nodes if a != late.name])
         for n in range(50):
-            self.change(stage, f"row{n}", LARGE_EDIT)
-        stage.heal()
-        self.gateway_is_current(stage, late)
+            self.change(simulation, f"row{n}", LARGE_EDIT)
+        simulation.heal()
+        self.gateway_is_current(simulation, late)
 
     def test_a_gateway_that_starts_gets_a_large_state_in_time(self):
         self.gateway_starts()
@@ -193,22 +195,22 @@
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
         ):
-            stage = self.fleet(controllers=3, gateways=2, storage_nodes=3)
+            simulation = self.fleet(controllers=3, gateways=2, storage_nodes=3)
             for n in range(60):
-                self.change(stage, f"row{n}", 2 * LARGE_EDIT)
-            late = stage.role("gateway")[0]
+                self.change(simulation, f"row{n}", 2 * LARGE_EDIT)
+            late = simulation.role("gateway")[0]
             late.kill()
             late.start()
-            self.gateway_is_current(stage, late)
+            self.gateway_is_current(simulation, late)
 
     def test_without_a_bound_on_one_message_they_do_not_arrive(self):
-        for module, bound, scene in (
+        for module, bound, scenario in (
             (snapshot_transfer, "CHUNK_BYTES", self.leader_needs_a_member_without_its_log),
             (durable_log, "MAX_BATCH_BYTES", self.gateway_far_behind),
             (state_transfer, "CHUNK_BYTES", self.gateway_starts),
         ):
             with self.subTest(bound), mock.patch.object(module, bound, 10**9), self.assertRaises(AssertionError):
-                scene()
+                scenario()
 
 
 class Pieces(unittest.TestCase):
--- a/tests/test_snapshot_orders.py
+++ b/tests/test_snapshot_orders.py
@@ -13,7 +13,7 @@
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
 from pipitlink.wire.controller_pb2 import AppendRequest, ControllerEntry, HardState, Snapshot, SnapshotChunk
 from testbed.simulator.interleavings import Choices
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 LEADER = "the leader"
 OLD_TERM = 1
@@ -98,19 +98,19 @@
     """One controller whose disk calls end, and whose messages arrive, in the order that the choices give."""
 
     def __init__(self, test, choices, other_branch=False):
-        self.stage = Stage(3, controllers=1, storage_nodes=0, gateways=0)
-        test.addCleanup(self.stage.end)
-        self.actor = self.stage.role("controller")[0]
-        self.stage.start()
-        self.part = self.actor.part
-        self.stage.until(lambda: self.part.consensus.role != "newcomer", 5, "it is founded")
-        self.history = _History((self.actor.node, LEADER, "third"))
+        self.simulation = Simulation(3, controllers=1, storage_nodes=0, gateways=0)
+        test.addCleanup(self.simulation.end)
+        self.simulated_node = self.simulation.role("controller")[0]
+        self.simulation.start()
+        self.part = self.simulated_node.part
+        self.simulation.until(lambda: self.part.consensus.role != "newcomer", 5, "it is founded")
+        self.history = _History((self.simulated_node.node, LEADER, "third"))
         self._begin()
         self.choices = choices
         if other_branch:
-            self.stage.do(self.part.log_receiver.append(LEADER, self.history.other_branch(NEWEST)))
+            self.simulation.do(self.part.log_receiver.append(LEADER, self.history.other_branch(NEWEST)))
         self._jobs: list = []
-        self.actor.ctx.run_in_thread = self._hold
+        self.simulated_node.ctx.run_in_thread = self._hold
         self.results: list = []
         self.sequence = 0
         self.refusals = 0
@@ -128,7 +128,7 @@
         part.consensus.restore(s)
         first = self.history.append(0, OLD_LAST)
         first.term = OLD_TERM
-        self.stage.do(part.log_receiver.append(LEADER, first))
+        self.simulation.do(part.log_receiver.append(LEADER, first))
 
     def _hold(self, do, *words):
         d = defer.Deferred()
@@ -148,7 +148,7 @@
             else:
                 self._jobs.remove(chosen)
                 self._end(*chosen)
-            self.stage.clock.advance(STEP_S)
+            self.simulation.clock.advance(STEP_S)
             self.check()
         assert not messages and not self._jobs, "it goes on for ever"
 
@@ -161,7 +161,9 @@
     def faults(self) -> list[str]:
         """What the logger says of snapshots and trims that failed."""
         return [
-            line for line in self.stage.sink.lines if "event=install_snapshot " in line or "event=compact_log " in line
+            line
+            for line in self.simulation.sink.lines
+            if "event=install_snapshot " in line or "event=compact_log " in line
         ]
 
     def check(self):
@@ -184,11 +186,11 @@
     def restart(self):
         """What is on the disk after all that is the same history as well."""
         told_last = max((r.last_index for r in self.results if r.success), default=0)
-        self.actor.kill(power=True)
-        self.actor.start()
-        kept = self.actor.part.durable_log
+        self.simulated_node.kill(power=True)
+        self.simulated_node.start()
+        kept = self.simulated_node.part.durable_log
         assert kept.last_index() >= told_last, f"{told_last} was answered, {kept.last_index()} is kept"
-        state = self.actor.part.consensus.cluster_state
+        state = self.simulated_node.part.consensus.cluster_state
         assert state.sequence == 0 or told(state) == self.history.states[state.sequence]
 
 
@@ -233,7 +235,7 @@
                 assert not other_branch or follower.sequence >= SNAPSHOT_AT, "the snapshot was not taken"
                 follower.restart()
             finally:
-                follower.stage.end()
+                follower.simulation.end()
 
         return Choices.explore(run, most)
 
--- a/tests/test_stale_leaseholder.py
+++ b/tests/test_stale_leaseholder.py
@@ -5,7 +5,7 @@
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Command, PlacementGroupRow
 from pipitlink.wire.cluster_pb2 import Placement as PlacementRow
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 from .model.recorder import Recorder
 from .test_model_conformance import IN_EFFECT
@@ -19,33 +19,33 @@
 
         Another has taken over by the rest of the old set, and its append is acknowledged before the move.
         """
-        stage = Stage(seed, controllers=3, storage_nodes=4, gateways=2, placement_groups=1)
-        recorder = Recorder(stage)
+        simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=2, placement_groups=1)
+        recorder = Recorder(simulation)
         try:
             with recorder.recording():
-                self.play(stage)
+                self.play(simulation)
             return recorder.found(IN_EFFECT)
         finally:
-            stage.end()
+            simulation.end()
 
-    def play(self, stage: Stage):
-        stage.start()
-        stage.ready()
-        stage.run(6)
-        first, second = stage.role("gateway")
-        group = stage.leader().part.consensus.cluster_state.placement_groups[0]
-        nodes = {a.node: a for a in stage.role("storage")}
+    def play(self, simulation: Simulation):
+        simulation.start()
+        simulation.ready()
+        simulation.run(6)
+        first, second = simulation.role("gateway")
+        group = simulation.leader().part.consensus.cluster_state.placement_groups[0]
+        nodes = {a.node: a for a in simulation.role("storage")}
         stays, ends, leaves = (nodes[n] for n in group.storage_nodes)
         joins = next(a for n, a in nodes.items() if n not in group.storage_nodes)
-        stale = stage.do(first.ctx.replicated_log.acquire(LOG))
-        stage.run(0.7)
-        stage.cut([first.name], [stays.name, leaves.name])
+        stale = simulation.do(first.ctx.replicated_log.acquire(LOG))
+        simulation.run(0.7)
+        simulation.cut([first.name], [stays.name, leaves.name])
         spawn(stale.append([b"stale"])).addErrback(lambda f: None)
-        stage.run(0.03)
+        simulation.run(0.03)
         ends.kill()
-        stage.cut([joins.name], [stays.name, leaves.name])
-        newer = stage.do(second.ctx.replicated_log.acquire(LOG, first.node))
-        stage.do(newer.append([b"acknowledged"]))
+        simulation.cut([joins.name], [stays.name, leaves.name])
+        newer = simulation.do(second.ctx.replicated_log.acquire(LOG, first.node))
+        simulation.do(newer.append([b"acknowledged"]))
         row = PlacementGroupRow(
             number=0,
             sequence=group.sequence + 1,
@@ -53,13 +53,15 @@
             joining=joins.node,
             leaving=leaves.node,
         )
-        stage.do(stage.leader().part.log_replication.propose(Command(placement=PlacementRow(placement_groups=[row]))))
-        until = stage.clock.seconds() + 4
-        while stage.clock.seconds() < until:
-            stage.run(0.05)
+        simulation.do(
+            simulation.leader().part.log_replication.propose(Command(placement=PlacementRow(placement_groups=[row])))
+        )
+        until = simulation.clock.seconds() + 4
+        while simulation.clock.seconds() < until:
+            simulation.run(0.05)
             told = stale.progress.get(joins.node)
             if told is not None and told.tail_epoch == stale.epoch:
-                stage.cuts = {c for c in stage.cuts if joins.name not in c}
+                simulation.cuts = {c for c in simulation.cuts if joins.name not in c}
 
     def test_it_acknowledges_nothing_after_the_move(self):
         for seed in (1, 3, 4):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -8,10 +8,10 @@
 
 from pipitlink.disk import encode_frame
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 from . import stored_data
-from .stored_parts import read_controller, read_peers, read_state, read_storage_node
+from .stored_state import read_controller, read_peers, read_state, read_storage_node
 
 STORED = Path(__file__).resolve().parent / "data" / "stored"
 CONTENTS = json.loads((STORED / "contents.json").read_text())
@@ -56,53 +56,53 @@
 
 
 class Started(unittest.TestCase):
-    """A staged fleet on copies of the folders: the nodes know each other by `colleagues.json` alone, with no seeds."""
+    """A simulated cluster on copies of the folders: nodes know each other by `colleagues.json` alone, with no seeds."""
 
     def setUp(self):
         folder = _copy_of_stored(self)
-        self.stage = Stage(SEED, controllers=3, storage_nodes=3, gateways=2, placement_groups=2)
-        self.addCleanup(self.stage.end)
-        self.kept = (*self.stage.role("controller"), *self.stage.role("storage"))
-        for actor in self.kept:
-            shutil.copytree(folder / actor.name, actor.folder)
-        seeds, self.stage.seeds, self.stage.founders = self.stage.seeds, (), ()
-        for actor in self.kept:
-            actor.start()
-        self.stage.until(self.stage.leader, 5, "a leader among those that know each other from before")
-        self.stage.seeds = seeds
-        for actor in self.stage.role("gateway"):
-            actor.start()
-        self.stage.ready()
-        self.stage.run(LEASE_LAPSED_S)
+        self.simulation = Simulation(SEED, controllers=3, storage_nodes=3, gateways=2, placement_groups=2)
+        self.addCleanup(self.simulation.end)
+        self.kept = (*self.simulation.role("controller"), *self.simulation.role("storage"))
+        for simulated_node in self.kept:
+            shutil.copytree(folder / simulated_node.name, simulated_node.folder)
+        seeds, self.simulation.seeds, self.simulation.founders = self.simulation.seeds, (), ()
+        for simulated_node in self.kept:
+            simulated_node.start()
+        self.simulation.until(self.simulation.leader, 5, "a leader among those that know each other from before")
+        self.simulation.seeds = seeds
+        for simulated_node in self.simulation.role("gateway"):
+            simulated_node.start()
+        self.simulation.ready()
+        self.simulation.run(LEASE_LAPSED_S)
 
     def replicated_log(self, gateway=0):
-        return self.stage.role("gateway")[gateway].ctx.replicated_log
+        return self.simulation.role("gateway")[gateway].ctx.replicated_log
 
     def read(self, log: str) -> tuple[bytes, bool]:
-        state = self.stage.do(self.replicated_log().states([log]))[log]
-        return self.stage.do(self.replicated_log().read(log, 0, state.committed)), state.final
+        state = self.simulation.do(self.replicated_log().states([log]))[log]
+        return self.simulation.do(self.replicated_log().read(log, 0, state.committed)), state.final
 
     def restart(self):
-        for actor in self.kept:
-            actor.kill(power=True)
-        self.stage.run(1)
-        for actor in self.kept:
-            actor.start()
-        self.stage.ready()
-        self.stage.run(LEASE_LAPSED_S)
+        for simulated_node in self.kept:
+            simulated_node.kill(power=True)
+        self.simulation.run(1)
+        for simulated_node in self.kept:
+            simulated_node.start()
+        self.simulation.ready()
+        self.simulation.run(LEASE_LAPSED_S)
 
     def put_row(self, name: str):
-        leader = self.stage.leader().part
+        leader = self.simulation.leader().part
         edit = TableEdit(
             base=leader.consensus.cluster_state.table_sequence,
             upserts=[Row(name=name, model="new-model", pool="models")],
         )
-        outcome = self.stage.do(leader.state_delivery.edit(Command(edit=f"edit-{name}", table=edit)))
+        outcome = self.simulation.do(leader.state_delivery.edit(Command(edit=f"edit-{name}", table=edit)))
         self.assertEqual(outcome.code, "done")
-        self.stage.run(1)  # until the followers have it as well
+        self.simulation.run(1)  # until the followers have it as well
 
     def states(self):
-        nodes = (*self.stage.role("controller"), *self.stage.role("gateway"))
+        nodes = (*self.simulation.role("controller"), *self.simulation.role("gateway"))
         return [
             read_state(a.part.consensus.cluster_state if a.role == "controller" else a.ctx.cluster.cluster_state)
             for a in nodes
@@ -118,7 +118,7 @@
 
     def test_it_elects_in_a_higher_term_and_shows_the_tables_that_were_written(self):
         self.assert_tables()
-        leader = self.stage.leader()
+        leader = self.simulation.leader()
         self.assertGreater(leader.part.consensus.term, max(c["term"] for c in CONTENTS["controllers"].values()))
         self.assertEqual(
             {a.node for a in self.kept},
@@ -127,19 +127,19 @@
 
     def test_it_shows_the_logs_that_were_written(self):
         for log, final in ((LIVE, False), (FINAL, True)):
-            leaseholder = self.stage.do(self.replicated_log().acquire(log))
+            leaseholder = self.simulation.do(self.replicated_log().acquire(log))
             data = bytes.fromhex(CONTENTS["log_bytes"][log])
             self.assertEqual((bytes(leaseholder.data), leaseholder.final), (data, final), log)
             self.assertEqual(self.read(log), (data, final), log)
-        state = self.stage.do(self.replicated_log().states([TRIMMED]))[TRIMMED]
+        state = self.simulation.do(self.replicated_log().states([TRIMMED]))[TRIMMED]
         self.assertEqual((state.length, state.final), (0, True))
 
     def test_it_takes_edits_and_appends_and_has_them_after_a_restart(self):
         self.put_row("new1")
         epochs = {}
         for log in (LIVE, PROMISED):
-            leaseholder = self.stage.do(self.replicated_log().acquire(log))
-            self.stage.do(leaseholder.append([b"of a later release"]))
+            leaseholder = self.simulation.do(self.replicated_log().acquire(log))
+            self.simulation.do(leaseholder.append([b"of a later release"]))
             epochs[log] = leaseholder.epoch
         for log, epoch in epochs.items():
             stored = max(n["logs"][log]["epoch"] for n in CONTENTS["storage_nodes"].values())
@@ -152,19 +152,23 @@
         self.assertEqual(self.read(PROMISED), (encode_frame(b"of a later release"), False))
 
     def test_a_controller_that_lost_its_disk_takes_a_snapshot_and_opens_it_again(self):
-        lost = next(a for a in self.stage.role("controller") if a is not self.stage.leader())
+        lost = next(a for a in self.simulation.role("controller") if a is not self.simulation.leader())
         lost.kill()
         lost.wipe()
-        self.stage.run(1)
-        self.stage.seeds = tuple(f"{a.place[0]}:{a.place[1]}" for a in self.stage.role("controller") if a is not lost)
+        self.simulation.run(1)
+        self.simulation.seeds = tuple(
+            f"{a.place[0]}:{a.place[1]}" for a in self.simulation.role("controller") if a is not lost
+        )
         lost.start()
         rows = CONTENTS["controllers"]["controller0"]["state"]["rows"]
-        self.stage.until(lambda: read_state(lost.part.consensus.cluster_state)["rows"] == rows, 20, "it has the state")
+        self.simulation.until(
+            lambda: read_state(lost.part.consensus.cluster_state)["rows"] == rows, 20, "it has the state"
+        )
         lost.kill(power=True)
         self.assertEqual(read_controller(lost.folder)["state"]["rows"], rows)
         lost.start()
         self.put_row("new1")
-        self.stage.until(lambda: "new1" in read_state(lost.part.consensus.cluster_state)["rows"], 10, "it follows")
+        self.simulation.until(lambda: "new1" in read_state(lost.part.consensus.cluster_state)["rows"], 10, "it follows")
 
 
 class Written(unittest.TestCase):
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -15,7 +15,7 @@
 from pipitlink.wire.membership_pb2 import IndirectProbeRequest, ProbeResponse
 from pipitlink.wire.replicated_log_pb2 import StatesRequest, StatesResponse
 from pipitlink.wire.rpc import RpcEndpoint
-from testbed.simulator.simulation import Stage
+from testbed.simulator.simulation import Simulation
 
 PLACE = ("10.0.0.2", 7)
 LOG = "log"
@@ -84,16 +84,16 @@
         self.play(11)
 
     def play(self, seed: int):
-        self.stage = Stage(seed, controllers=3, storage_nodes=3, gateways=2, placement_groups=1)
-        self.addCleanup(self.stage.end)
-        self.stage.start()
-        self.stage.ready()
-        self.stage.run(3)
+        self.simulation = Simulation(seed, controllers=3, storage_nodes=3, gateways=2, placement_groups=1)
+        self.addCleanup(self.simulation.end)
+        self.simulation.start()
+        self.simulation.ready()
+        self.simulation.run(3)
 
-    def empty(self, actor):
-        actor.kill(power=True)
-        actor.wipe()
-        actor.start()
+    def empty(self, simulated_node):
+        simulated_node.kill(power=True)
+        simulated_node.wipe()
+        simulated_node.start()
 
     def orders_with_one_voter_left(self) -> list[bool]:
         """Of several runs, in which the leader has confirmed an order with the voters that were left."""
@@ -105,13 +105,13 @@
 
     def order_with_one_voter_left(self):
         """One of three voters is down and one is emptied; whether the leader confirms an order with them."""
-        leader = self.stage.leader()
-        down, emptied = [a for a in self.stage.role("controller") if a is not leader]
+        leader = self.simulation.leader()
+        down, emptied = [a for a in self.simulation.role("controller") if a is not leader]
         down.kill()
         self.empty(emptied)
         edit = TableEdit(base=leader.part.consensus.cluster_state.table_sequence, upserts=[Row(name="r", model="m")])
         try:
-            self.stage.do(leader.part.state_delivery.edit(Command(edit="alone", table=edit)), 10)
+            self.simulation.do(leader.part.state_delivery.edit(Command(edit="alone", table=edit)), 10)
         except PipitlinkError:
             return False
         return True
@@ -125,17 +125,17 @@
 
     def read_after_a_loss(self):
         """Two of three replicas have an acknowledged record; one of these is emptied and the other one goes down."""
-        first, second = self.stage.role("gateway")
-        behind, emptied, down = self.stage.role("storage")
+        first, second = self.simulation.role("gateway")
+        behind, emptied, down = self.simulation.role("storage")
         behind.kill()
-        h = self.stage.do(first.ctx.replicated_log.acquire(LOG), 10)
-        self.stage.do(h.append([b"acknowledged"]), 10)
+        h = self.simulation.do(first.ctx.replicated_log.acquire(LOG), 10)
+        self.simulation.do(h.append([b"acknowledged"]), 10)
         first.kill()
         down.kill()
         behind.start()
         self.empty(emptied)
-        self.stage.until(lambda: emptied.ctx.cluster.sequence and behind.ctx.cluster.sequence, 10, "they follow")
-        return self.stage.do(second.ctx.replicated_log.acquire(LOG, lost_leaseholder=first.node), 10).data
+        self.simulation.until(lambda: emptied.ctx.cluster.sequence and behind.ctx.cluster.sequence, 10, "they follow")
+        return self.simulation.do(second.ctx.replicated_log.acquire(LOG, lost_leaseholder=first.node), 10).data
 
     def test_an_emptied_storage_node_grants_no_lease_in_the_name_of_the_lost_one(self):
         with self.assertRaises(NoQuorum):
@@ -146,7 +146,7 @@
             self.assertNotIn(b"acknowledged", bytes(self.read_after_a_loss()))
 
     def test_an_emptied_storage_node_is_no_witness_and_shows_no_state_for_the_lost_one(self):
-        storage_node, gateway = self.stage.role("storage")[0], self.stage.role("gateway")[0]
+        storage_node, gateway = self.simulation.role("storage")[0], self.simulation.role("gateway")[0]
         lost = storage_node.node
         self.empty(storage_node)
         replicated_log = gateway.ctx.replicated_log
@@ -156,28 +156,28 @@
         ):
             self.assertIsNotNone(gateway.ctx.membership.find(lost))
             with self.assertRaises(WrongPeer):
-                self.stage.do(replicated_log.call(lost, method, ask, kind), 3)
+                self.simulation.do(replicated_log.call(lost, method, ask, kind), 3)
 
     def test_followers_name_the_controller_that_they_follow(self):
         named = []
-        plain = self.stage.carry
+        plain = self.simulation.carry
 
         def carry(sender, place, method, body, node=""):
             if method in ("controller.follow", "cluster.pass_on"):
                 named.append(node)
             return plain(sender, place, method, body, node)
 
-        with unittest.mock.patch.object(self.stage, "carry", carry):
-            self.stage.run(1)
+        with unittest.mock.patch.object(self.simulation, "carry", carry):
+            self.simulation.run(1)
         self.assertTrue(named)
         self.assertTrue(all(named))
 
     def test_a_follow_call_is_not_answered_by_the_successor_of_the_controller_that_is_meant(self):
-        leader, gateway = self.stage.leader(), self.stage.role("gateway")[0]
+        leader, gateway = self.simulation.leader(), self.simulation.role("gateway")[0]
         lost = leader.node
         self.empty(leader)
         ask = FollowRequest(node=gateway.node, role="gateway", sequence=1)
         with self.assertRaises(WrongPeer):
-            self.stage.do(
+            self.simulation.do(
                 gateway.ctx.rpc.call(leader.place, "controller.follow", ask, FollowResponse, secs(1), node=lost), 3
             )
