--- a/rehearsal/bench.py
+++ b/testbed/benchmarks/batch_impact.py
@@ -6,9 +6,9 @@
 import time
 from random import Random
 
-from .callers import Caller, Callers
-from .fleet import Fleet, wait_for
-from .profiles import PROFILES, spread
+from ..processes.process_cluster import ProcessCluster, wait_for
+from ..standins.clients import Caller, Callers
+from .deployment_profiles import PROFILES, spread
 
 __all__ = ["Bench"]
 
@@ -21,7 +21,7 @@
         self.p = PROFILES[profile]
         self.rounds, self.window = rounds, window
         p = self.p
-        self.fleet = Fleet(
+        self.fleet = ProcessCluster(
             gateways=p["gateways"],
             storage_nodes=p["storage_nodes"],
             controllers=p["controllers"],
--- a/rehearsal/hosts.py
+++ b/testbed/processes/host_processes.py
@@ -11,9 +11,9 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from .fleet import free_ports
+from .process_cluster import free_ports
 
-__all__ = ["HollowFleet", "TooBusy"]
+__all__ = ["LightweightCluster", "MachineOverloaded"]
 
 PER_HOST = 20
 ZONES = 25
@@ -22,7 +22,7 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-class TooBusy(Exception):
+class MachineOverloaded(Exception):
     """The fleet takes more of the machine than it may: it is to be run at a slower pace."""
 
 
@@ -31,7 +31,7 @@
         self.role, self.numbers = role, numbers
         with open(log, "ab") as err:
             self._process = subprocess.Popen(
-                [sys.executable, "-m", "rehearsal", "host"], stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=err
+                [sys.executable, "-m", "testbed", "host"], stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=err
             )
 
     def ask(self, do: str, **what) -> dict:
@@ -56,7 +56,7 @@
         self._process.stdout.close()
 
 
-class HollowFleet:
+class LightweightCluster:
     """Controllers and storage nodes each alone in a process; gateways several to one, or whole ones each alone."""
 
     def __init__(self, gateways: int, kind: str, pace: float, controllers=3, storage_nodes=3):
@@ -109,7 +109,7 @@
         end = time.monotonic() + limit
         while not check():
             if time.monotonic() > end:
-                raise TooBusy(f"not ready within {limit:.0f} s")
+                raise MachineOverloaded(f"not ready within {limit:.0f} s")
             time.sleep(0.2)
 
     def rows(self, rows: int):
--- a/rehearsal/operators.py
+++ b/testbed/standins/operators.py
@@ -1,14 +1,14 @@
-"""The operators' side of a rehearsal: edits of every kind on the table, zones and storage nodes, and what was read
+"""The operators' side of a run: edits of every kind on the table, zones and storage nodes, and what was read
 back.
 """
 
 import threading
 import time
 
-__all__ = ["Operating"]
+__all__ = ["OperatorWorkload"]
 
 
-class Operating:
+class OperatorWorkload:
     """Mixin: operators that edit what they read first, and ask again after an unknown outcome until they know it."""
 
     def _open_operating(self):
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -11,7 +11,7 @@
 PAGES = (ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").rglob("*.md")))
 IN_BACKTICKS = re.compile(r"`([^`]+)`")
 SOURCE_PATH = re.compile(r"(?:[\w.-]+/)+[\w-]+\.(?:py|toml|md|proto)")
-"""A path with a folder, as in `tests/test_fleet.py`, `router/call.py` or `state_machines/request.toml`."""
+"""A path with a folder, as in `tests/test_process_cluster.py`, `router/call.py` or `state_machines/request.toml`."""
 MODULE_NAME = re.compile(r"\w+\.(?:py|proto)")
 """A file without a folder, as in `segments.py`."""
 
