--- a/pipitlink/body_producer.py
+++ b/pipitlink/body_producer.py
@@ -1,5 +1,7 @@
 """The body of a request to an engine, written in one piece."""
 
+from __future__ import annotations
+
 from typing import Protocol
 
 from twisted.internet import defer
--- a/pipitlink/cache/cache.py
+++ b/pipitlink/cache/cache.py
@@ -1,5 +1,7 @@
 """The cache as its users see it: reads and writes of chunks and lengths over the replicas."""
 
+from __future__ import annotations
+
 from collections import Counter
 from collections.abc import Callable, Collection, Mapping
 from datetime import timedelta
--- a/pipitlink/cache/chunks.py
+++ b/pipitlink/cache/chunks.py
@@ -1,5 +1,7 @@
 """How logs are cut into chunks for the data cache."""
 
+from __future__ import annotations
+
 from hashlib import blake2b
 
 __all__ = ["CHUNK", "chunk_key"]
--- a/pipitlink/cache/hedged_read.py
+++ b/pipitlink/cache/hedged_read.py
@@ -1,5 +1,7 @@
 """Reads chunks from one replica each, with hedged requests to others."""
 
+from __future__ import annotations
+
 from typing import TYPE_CHECKING
 
 from twisted.internet import defer
@@ -17,7 +19,7 @@
 class HedgedRead:
     """One read of chunks: each from a random replica, and after a short delay what is still missing from another."""
 
-    def __init__(self, ctx: Context, cache: "Cache", needed: dict[bytes, int]) -> None:
+    def __init__(self, ctx: Context, cache: Cache, needed: dict[bytes, int]) -> None:
         self._ctx = ctx
         self._cache = cache
         self._needed = needed
--- a/pipitlink/cache/log_writer.py
+++ b/pipitlink/cache/log_writer.py
@@ -1,5 +1,7 @@
 """Copies committed bytes of a log from its leaseholder into the cache."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
@@ -29,7 +31,7 @@
     committed: int
     lost: str
 
-    def watch(self, callback: "Callable[[CommittedLog], None]") -> None:
+    def watch(self, callback: Callable[[CommittedLog], None]) -> None:
         """Has `callback` called with the log after each change."""
 
 
@@ -39,7 +41,7 @@
     It works behind the log, and writes a chunk always from its start.
     """
 
-    def __init__(self, ctx: Context, cache: "Cache", path: str, log: CommittedLog) -> None:
+    def __init__(self, ctx: Context, cache: Cache, path: str, log: CommittedLog) -> None:
         self._ctx = ctx
         self._cache = cache
         self._path = path
--- a/pipitlink/cache/poller.py
+++ b/pipitlink/cache/poller.py
@@ -1,5 +1,7 @@
 """Polls the lengths of the logs that readers of this process follow."""
 
+from __future__ import annotations
+
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator
 from contextlib import contextmanager
@@ -69,7 +71,7 @@
     expected soon.
     """
 
-    def __init__(self, ctx: Context, cache: "Cache") -> None:
+    def __init__(self, ctx: Context, cache: Cache) -> None:
         self._ctx = ctx
         self._cache = cache
         self._known: dict[str, KnownLengths] = {}
--- a/pipitlink/cache/ring.py
+++ b/pipitlink/cache/ring.py
@@ -1,5 +1,7 @@
 """Consistent hashing that places the replicas of cached chunks on gateways."""
 
+from __future__ import annotations
+
 import bisect
 from functools import lru_cache
 from hashlib import blake2b
--- a/pipitlink/cache/stores.py
+++ b/pipitlink/cache/stores.py
@@ -1,5 +1,7 @@
 """The in-memory stores that hold a gateway's replicas of cached chunks and lengths."""
 
+from __future__ import annotations
+
 from collections import OrderedDict
 from datetime import timedelta
 
--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -1,5 +1,7 @@
 """Reads one log record by record, from the cache where it can and from the storage nodes otherwise."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
@@ -29,7 +31,7 @@
     `position` is up to where the log has been read, `lengths` what is known of its lengths.
     """
 
-    def __init__(self, ctx: Context, cache: "Cache", path: str, limit: timedelta | None) -> None:
+    def __init__(self, ctx: Context, cache: Cache, path: str, limit: timedelta | None) -> None:
         self._ctx = ctx
         self._cache = cache
         self.path = path
--- a/pipitlink/cluster/cluster_state.py
+++ b/pipitlink/cluster/cluster_state.py
@@ -1,5 +1,7 @@
 """The replicated state machine that the controllers' agreed commands are applied to."""
 
+from __future__ import annotations
+
 from collections import OrderedDict
 from enum import StrEnum
 from hashlib import blake2b
--- a/pipitlink/cluster/currency.py
+++ b/pipitlink/cluster/currency.py
@@ -1,5 +1,7 @@
 """The proof that a node's cluster state is the newest one that was acknowledged."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from enum import StrEnum
 
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -1,5 +1,7 @@
 """Follows the cluster state outside the controllers."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from datetime import timedelta
 
--- a/pipitlink/cluster/routes.py
+++ b/pipitlink/cluster/routes.py
@@ -1,5 +1,7 @@
 """Lookup and validation of the configuration of routes and pools."""
 
+from __future__ import annotations
+
 from collections.abc import Iterator
 from typing import TypedDict
 
@@ -39,7 +41,7 @@
         """Returns the route of this host with the longest prefix that begins the path, or None."""
         return next((route for route in self._routes_by_host.get(host, ()) if path.startswith(route.prefix)), None)
 
-    def with_edit(self, edit: ConfigEdit) -> "RouteTable":
+    def with_edit(self, edit: ConfigEdit) -> RouteTable:
         """Returns the table after an edit, whose base must have been checked against this one."""
         config = Config(version=edit.version)
         config.bounds.CopyFrom(edit.bounds if edit.HasField("bounds") else self.bounds)
--- a/pipitlink/cluster/state_transfer.py
+++ b/pipitlink/cluster/state_transfer.py
@@ -1,5 +1,7 @@
 """The whole cluster state on its way to a follower, compressed and in chunks of bounded size."""
 
+from __future__ import annotations
+
 import zlib
 
 import attrs
@@ -22,7 +24,7 @@
     data: bytes
 
     @classmethod
-    def of(cls, state: ClusterState, term: int) -> "StateTransfer":
+    def of(cls, state: ClusterState, term: int) -> StateTransfer:
         """Compresses a state as it is now."""
         return cls(state.sequence, term, zlib.compress(state.data().SerializeToString(), COMPRESSION_LEVEL))
 
--- a/pipitlink/cluster/witnesses.py
+++ b/pipitlink/cluster/witnesses.py
@@ -1,5 +1,7 @@
 """Proof without a controller that a cluster state is current, by the storage nodes that follow it."""
 
+from __future__ import annotations
+
 from typing import TYPE_CHECKING
 
 from ..context import Context
@@ -25,7 +27,7 @@
     sequence, this node lacks no edit that was acknowledged.
     """
 
-    def __init__(self, ctx: Context, follower: "ClusterFollower") -> None:
+    def __init__(self, ctx: Context, follower: ClusterFollower) -> None:
         self._ctx = ctx
         self._follower = follower
 
--- a/pipitlink/command.py
+++ b/pipitlink/command.py
@@ -1,5 +1,7 @@
 """The command line: starts a node, or runs one of the operators' commands."""
 
+from __future__ import annotations
+
 import sys
 from typing import Any
 
--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -1,5 +1,7 @@
 """What the parts of one process share: settings, timers, RPC endpoint, membership and cluster state."""
 
+from __future__ import annotations
+
 import secrets
 from collections.abc import Callable, Coroutine
 from random import Random
@@ -54,17 +56,17 @@
     role: str
     node: str
     settings: Settings
-    reactor: "Reactor"
+    reactor: Reactor
     timers: Timers
     logger: StructuredLogger
     rpc: RpcEndpoint
     rng: Random
-    membership: "Membership" = attrs.field(init=False)
-    cluster: "ClusterFollower" = attrs.field(init=False)
-    replicated_log: "ReplicatedLog" = attrs.field(init=False)
+    membership: Membership = attrs.field(init=False)
+    cluster: ClusterFollower = attrs.field(init=False)
+    replicated_log: ReplicatedLog = attrs.field(init=False)
     # Set in gateways only.
-    cache: "Cache" = attrs.field(init=False)
-    changes: "ChangePublisher" = attrs.field(init=False)
+    cache: Cache = attrs.field(init=False)
+    changes: ChangePublisher = attrs.field(init=False)
     # Tests inject one that runs on virtual time.
     run_in_thread: RunInThread = deferToThread
     dialect: Dialect = attrs.field(factory=Dialect)
--- a/pipitlink/controller/bootstrap.py
+++ b/pipitlink/controller/bootstrap.py
@@ -1,5 +1,7 @@
 """Bootstraps a new cluster: the first voters, named by the settings, agree on who they are."""
 
+from __future__ import annotations
+
 from ..context import Context
 from ..errors import WireError
 from ..timers import ZERO, ms
--- a/pipitlink/controller/consensus_state.py
+++ b/pipitlink/controller/consensus_state.py
@@ -1,5 +1,7 @@
 """What one controller knows of the consensus: its role, the term, the leader, and the committed cluster state."""
 
+from __future__ import annotations
+
 from collections.abc import Callable, Collection
 from enum import StrEnum
 
--- a/pipitlink/controller/control_api.py
+++ b/pipitlink/controller/control_api.py
@@ -1,5 +1,7 @@
 """The HTTP interface for configurations, zones, retirements and engine announcements."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from hashlib import blake2b
 from typing import TYPE_CHECKING, Any, Protocol
--- a/pipitlink/controller/controller_client.py
+++ b/pipitlink/controller/controller_client.py
@@ -1,5 +1,7 @@
 """RPC calls to other controllers, by node."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from typing import TypeVar
 
--- a/pipitlink/controller/durable_log.py
+++ b/pipitlink/controller/durable_log.py
@@ -1,5 +1,7 @@
 """The durable state of a controller: term and vote, the log's entries, and the snapshot that they follow."""
 
+from __future__ import annotations
+
 from collections.abc import Sequence
 from pathlib import Path
 
--- a/pipitlink/controller/edit_requests.py
+++ b/pipitlink/controller/edit_requests.py
@@ -1,5 +1,7 @@
 """Reads bodies and headers of operators' HTTP requests."""
 
+from __future__ import annotations
+
 import json
 from typing import Any, BinaryIO, cast
 
--- a/pipitlink/controller/edit_submission.py
+++ b/pipitlink/controller/edit_submission.py
@@ -1,5 +1,7 @@
 """Edits and reads of the cluster state, carried out here or forwarded to the leader."""
 
+from __future__ import annotations
+
 from functools import partial
 from typing import TypeVar
 
--- a/pipitlink/controller/elections.py
+++ b/pipitlink/controller/elections.py
@@ -1,5 +1,7 @@
 """Elections of the leader, with a pre-vote; hard states are synced before a vote is sent."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from typing import Any
 
--- a/pipitlink/controller/engine_announcements.py
+++ b/pipitlink/controller/engine_announcements.py
@@ -1,5 +1,7 @@
 """Takes announcements of engines and passes them on to all gateways."""
 
+from __future__ import annotations
+
 from ..context import Context
 from ..errors import ServiceUnavailable
 from ..timers import ms
--- a/pipitlink/controller/engine_registry.py
+++ b/pipitlink/controller/engine_registry.py
@@ -1,5 +1,7 @@
 """The engines that have announced themselves at this controller."""
 
+from __future__ import annotations
+
 from collections.abc import Iterable
 from datetime import timedelta
 from enum import StrEnum
--- a/pipitlink/controller/follower_progress.py
+++ b/pipitlink/controller/follower_progress.py
@@ -1,5 +1,7 @@
 """How far one follower's log is known to match the leader's, and what it is sent next."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 import attrs
--- a/pipitlink/controller/gateway_notifier.py
+++ b/pipitlink/controller/gateway_notifier.py
@@ -1,5 +1,7 @@
 """Sends engine announcements to all gateways, and knows which gateways can be reached."""
 
+from __future__ import annotations
+
 from collections.abc import Iterable
 
 from ..context import Context
--- a/pipitlink/controller/interfaces.py
+++ b/pipitlink/controller/interfaces.py
@@ -1,5 +1,7 @@
 """What the parts of a controller offer to each other."""
 
+from __future__ import annotations
+
 from collections.abc import Mapping
 from datetime import timedelta
 from typing import Protocol, TypeVar
--- a/pipitlink/controller/leader_contact.py
+++ b/pipitlink/controller/leader_contact.py
@@ -1,5 +1,7 @@
 """When a controller last heard a leader; shared by elections and the log receiver."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..context import Context
--- a/pipitlink/controller/leadership.py
+++ b/pipitlink/controller/leadership.py
@@ -1,5 +1,7 @@
 """When a new leader may begin to change placements."""
 
+from __future__ import annotations
+
 from ..context import Context
 from ..timers import secs
 from .interfaces import ConsensusView, LeaderLog
--- a/pipitlink/controller/load_aggregator.py
+++ b/pipitlink/controller/load_aggregator.py
@@ -1,5 +1,7 @@
 """Loads of many gateways, summed up at one controller and sent to all of them."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 import attrs
--- a/pipitlink/controller/log_receiver.py
+++ b/pipitlink/controller/log_receiver.py
@@ -1,5 +1,7 @@
 """Takes a leader's entries and snapshots, as its follower."""
 
+from __future__ import annotations
+
 from twisted.internet import defer
 
 from ..context import Context
--- a/pipitlink/controller/log_replay.py
+++ b/pipitlink/controller/log_replay.py
@@ -1,5 +1,7 @@
 """Rebuilds a controller's log from its records on disk: entries, hard states and snapshot markers, in their order."""
 
+from __future__ import annotations
+
 from ..errors import CorruptData
 from ..wire.controller_pb2 import ControllerEntry, ControllerRecord, HardState, Snapshot
 
--- a/pipitlink/controller/log_replication.py
+++ b/pipitlink/controller/log_replication.py
@@ -1,5 +1,7 @@
 """Log replication by the leader: appends commands, sends entries and snapshots to followers, and commits."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 import attrs
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -1,5 +1,7 @@
 """The controller node: puts the parts of a controller together."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from datetime import timedelta
 from pathlib import Path
--- a/pipitlink/controller/order_fencing.py
+++ b/pipitlink/controller/order_fencing.py
@@ -1,5 +1,7 @@
 """Operators' orders at one controller: each copy takes effect while its caller waits for it, or not at all."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..cluster import OutcomeCode
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -1,5 +1,7 @@
 """Places placement groups on storage nodes, and moves them off lost or retiring ones."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..context import Context
--- a/pipitlink/controller/placement_planner.py
+++ b/pipitlink/controller/placement_planner.py
@@ -1,5 +1,7 @@
 """Chooses which changes of placement groups end and begin next."""
 
+from __future__ import annotations
+
 from collections import Counter
 from collections.abc import Iterable
 
--- a/pipitlink/controller/propagation.py
+++ b/pipitlink/controller/propagation.py
@@ -1,5 +1,7 @@
 """The state of one change on its way to all gateways."""
 
+from __future__ import annotations
+
 from collections.abc import Iterable
 from typing import Any
 
@@ -17,7 +19,7 @@
         self.running = len(self.gateways)
         self._waiters: list[defer.Deferred[Any]] = []
 
-    def wait(self) -> "defer.Deferred[Any]":
+    def wait(self) -> defer.Deferred[Any]:
         """Returns a Deferred that fires when the calls to one more gateway have ended."""
         waiter: defer.Deferred[Any] = defer.Deferred()
         self._waiters.append(waiter)
--- a/pipitlink/controller/snapshot_files.py
+++ b/pipitlink/controller/snapshot_files.py
@@ -1,5 +1,7 @@
 """The file format of a controller's snapshot: a folder that is written aside, synced and renamed into place."""
 
+from __future__ import annotations
+
 import dbm.dumb
 import os
 import shutil
--- a/pipitlink/controller/snapshot_transfer.py
+++ b/pipitlink/controller/snapshot_transfer.py
@@ -1,5 +1,7 @@
 """Snapshots of the cluster state: made from the own log, sent in bounded chunks, and installed in place of a log."""
 
+from __future__ import annotations
+
 import zlib
 
 import attrs
@@ -31,7 +33,7 @@
     offset: int = 0
 
     @classmethod
-    def compress(cls, snapshot: Snapshot) -> "OutgoingSnapshot":
+    def compress(cls, snapshot: Snapshot) -> OutgoingSnapshot:
         """Returns a transfer of this snapshot that is at its beginning."""
         return cls(snapshot.index, snapshot.term, zlib.compress(snapshot.SerializeToString(), COMPRESSION_LEVEL))
 
--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -1,5 +1,7 @@
 """Delivers the cluster state to its followers, leases it, and tells when an edit is in effect."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from datetime import timedelta
 
--- a/pipitlink/controller/storage_nodes.py
+++ b/pipitlink/controller/storage_nodes.py
@@ -1,5 +1,7 @@
 """The storage nodes as the leader sees them: which serve, which are lost, which are to be admitted."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from enum import StrEnum
 
--- a/pipitlink/controller/storage_retirement.py
+++ b/pipitlink/controller/storage_retirement.py
@@ -1,5 +1,7 @@
 """Retires storage nodes on an operator's request."""
 
+from __future__ import annotations
+
 from ..cluster import ClusterState
 from ..context import Context
 from ..errors import ApiError, NotFound
--- a/pipitlink/controller/table_api.py
+++ b/pipitlink/controller/table_api.py
@@ -1,5 +1,7 @@
 """The operators' HTTP interface to the weight table, zones and storage nodes."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from typing import Any
 
--- a/pipitlink/controller/table_rows.py
+++ b/pipitlink/controller/table_rows.py
@@ -1,5 +1,7 @@
 """Reads and checks rows of the weight table."""
 
+from __future__ import annotations
+
 import math
 import re
 from typing import Any
--- a/pipitlink/controller/vote_poll.py
+++ b/pipitlink/controller/vote_poll.py
@@ -1,5 +1,7 @@
 """One poll of the voters: whether a majority votes, or would vote, for a candidate."""
 
+from __future__ import annotations
+
 from twisted.internet import defer
 
 from ..context import Context
--- a/pipitlink/controller/voter_changes.py
+++ b/pipitlink/controller/voter_changes.py
@@ -1,5 +1,7 @@
 """Changes of the voters: how many there are, who replaces a lost one, and over which zones they lie."""
 
+from __future__ import annotations
+
 from collections import Counter
 from collections.abc import Iterable
 
--- a/pipitlink/controller/witness_changes.py
+++ b/pipitlink/controller/witness_changes.py
@@ -1,5 +1,7 @@
 """Admits storage nodes to the cluster state and removes them, one change of the witnesses at a time."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..context import Context
--- a/pipitlink/controller/zones.py
+++ b/pipitlink/controller/zones.py
@@ -1,5 +1,7 @@
 """The zones that nodes lie in."""
 
+from __future__ import annotations
+
 from collections import Counter
 from collections.abc import Iterable
 
--- a/pipitlink/dialect/json_fields.py
+++ b/pipitlink/dialect/json_fields.py
@@ -1,5 +1,7 @@
 """JSON read strictly into messages, field by field."""
 
+from __future__ import annotations
+
 import json
 import math
 from collections.abc import Collection, Iterable, Mapping
--- a/pipitlink/disk.py
+++ b/pipitlink/disk.py
@@ -1,5 +1,7 @@
 """Durable file operations, and the checksummed frames that logs are made of."""
 
+from __future__ import annotations
+
 import os
 import shutil
 import zlib
--- a/pipitlink/early_listener.py
+++ b/pipitlink/early_listener.py
@@ -1,5 +1,7 @@
 """A listening socket before the rest of the program is loaded, so that callers wait a moment instead of being reset."""
 
+from __future__ import annotations
+
 import socket
 
 __all__ = ["listen_early"]
--- a/pipitlink/errors.py
+++ b/pipitlink/errors.py
@@ -16,6 +16,8 @@
 of the lower layers to an ApiError.
 """
 
+from __future__ import annotations
+
 from enum import StrEnum
 from typing import Any
 
--- a/pipitlink/fault_injection.py
+++ b/pipitlink/fault_injection.py
@@ -1,5 +1,7 @@
 """Fault injection in the transport, for tests only. Nothing is injected unless a setting names a plug-in."""
 
+from __future__ import annotations
+
 import importlib
 from collections.abc import Awaitable
 from typing import TYPE_CHECKING, Any
@@ -26,7 +28,7 @@
         """Called before a message leaves: None lets it go, an awaitable delays it."""
 
     @hookspec(firstresult=True)
-    def disk(self) -> "Disk | None":
+    def disk(self) -> Disk | None:
         """Returns the file operations below logs, votes and snapshots; None for the plain ones."""
 
 
@@ -36,7 +38,7 @@
     The module offers `make_fault_plugin(argument, context)`, which returns the object with the hooks.
     """
 
-    def __init__(self, plugin: str, ctx: "Context") -> None:
+    def __init__(self, plugin: str, ctx: Context) -> None:
         self._manager = pluggy.PluginManager(PLUGGY_PROJECT)
         self._manager.add_hookspecs(_FaultHooks)
         module_name, _, argument = plugin.partition(":")
@@ -49,7 +51,7 @@
         if delay is not None:
             await delay
 
-    def disk(self) -> "Disk | None":
+    def disk(self) -> Disk | None:
         """Returns the plug-in's file operations, or None for the plain ones."""
         disk: Disk | None = self._manager.hook.disk()
         return disk
--- a/pipitlink/gateway/admission.py
+++ b/pipitlink/gateway/admission.py
@@ -1,5 +1,7 @@
 """The step that admits a request or rejects it early."""
 
+from __future__ import annotations
+
 from ..context import Context
 from ..errors import ApiError, ServiceUnavailable
 from ..timers import ms
--- a/pipitlink/gateway/checked_connection.py
+++ b/pipitlink/gateway/checked_connection.py
@@ -1,5 +1,7 @@
 """Connections to engines that carry a request only if it may still be sent."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from typing import Any, Protocol
 
@@ -34,7 +36,7 @@
         self.check = check
         self.connection: HttpConnection | None = None
 
-    def endpointForURI(self, uri: Any) -> "CheckedEndpoint":  # noqa: N802 - twisted's interface
+    def endpointForURI(self, uri: Any) -> CheckedEndpoint:  # noqa: N802 - twisted's interface
         """Takes the address of a URI, and returns itself."""
         endpoint_type = TCP6ClientEndpoint if b":" in uri.host else TCP4ClientEndpoint
         self._endpoint = endpoint_type(self._reactor, uri.host.decode(), uri.port, CONNECT_TIMEOUT.total_seconds())
--- a/pipitlink/gateway/engine.py
+++ b/pipitlink/gateway/engine.py
@@ -1,5 +1,7 @@
 """An engine as one gateway knows it."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from enum import StrEnum
 
--- a/pipitlink/gateway/engine_api.py
+++ b/pipitlink/gateway/engine_api.py
@@ -1,5 +1,7 @@
 """The HTTP handler of engines that announce themselves."""
 
+from __future__ import annotations
+
 from twisted.web.server import Request
 
 from ..context import Context
--- a/pipitlink/gateway/engine_candidates.py
+++ b/pipitlink/gateway/engine_candidates.py
@@ -1,5 +1,7 @@
 """Which engines may serve a request, by the table of the cluster state."""
 
+from __future__ import annotations
+
 from typing import NamedTuple
 
 from ..context import Context
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -1,5 +1,7 @@
 """The engines that gateways have heard of, and whether they may get requests."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from datetime import timedelta
 
--- a/pipitlink/gateway/engine_relay.py
+++ b/pipitlink/gateway/engine_relay.py
@@ -1,5 +1,7 @@
 """The step that sends a prompt to an engine and reads the streamed completion."""
 
+from __future__ import annotations
+
 import json
 from collections.abc import Callable
 from typing import Any
--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -1,5 +1,7 @@
 """The step that chooses an engine: weights, status, zone, prefix affinity and bounded load."""
 
+from __future__ import annotations
+
 import math
 from collections.abc import Callable
 from datetime import timedelta
--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -1,5 +1,7 @@
 """This gateway's share of the engines' capacity."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from functools import partial
 from hashlib import blake2b
--- a/pipitlink/gateway/fetch_api.py
+++ b/pipitlink/gateway/fetch_api.py
@@ -1,5 +1,7 @@
 """The HTTP handler of plain fetches."""
 
+from __future__ import annotations
+
 from typing import Any
 
 from twisted.internet import defer
--- a/pipitlink/gateway/fetch_relay.py
+++ b/pipitlink/gateway/fetch_relay.py
@@ -1,5 +1,7 @@
 """Plain HTTP fetches from back ends, passed through to the caller."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from typing import Any
 
--- a/pipitlink/gateway/idempotency_keys.py
+++ b/pipitlink/gateway/idempotency_keys.py
@@ -1,5 +1,7 @@
 """Takes in batch jobs with an idempotency key, each key at most once."""
 
+from __future__ import annotations
+
 from hashlib import blake2b
 
 import attrs
--- a/pipitlink/gateway/item_dispatcher.py
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -1,5 +1,7 @@
 """Runs the items of the batch jobs that this gateway owns."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from functools import partial
 from typing import Any
--- a/pipitlink/gateway/job_api.py
+++ b/pipitlink/gateway/job_api.py
@@ -1,5 +1,7 @@
 """HTTP handlers of batch jobs: submit, show and cancel them at any gateway."""
 
+from __future__ import annotations
+
 from typing import Any
 
 from twisted.web.server import Request
--- a/pipitlink/gateway/job_capacity.py
+++ b/pipitlink/gateway/job_capacity.py
@@ -1,5 +1,7 @@
 """The engines' capacity as jobs may use it."""
 
+from __future__ import annotations
+
 from .engine_candidates import EngineCandidates
 from .engine_slots import EngineSlots
 
--- a/pipitlink/gateway/job_ids.py
+++ b/pipitlink/gateway/job_ids.py
@@ -1,5 +1,7 @@
 """Ids of batch jobs, and the logs that belong to them."""
 
+from __future__ import annotations
+
 import attrs
 
 from ..errors import BadRequest
--- a/pipitlink/gateway/job_intake.py
+++ b/pipitlink/gateway/job_intake.py
@@ -1,5 +1,7 @@
 """Takes submitted batch jobs in and makes them durable."""
 
+from __future__ import annotations
+
 from ..context import Context
 from ..errors import BadRequest, ServiceUnavailable
 from ..timers import ms, wall_ms
--- a/pipitlink/gateway/job_log.py
+++ b/pipitlink/gateway/job_log.py
@@ -1,5 +1,7 @@
 """The log of batch jobs that a gateway writes."""
 
+from __future__ import annotations
+
 from ..context import Context
 from ..replicated_log import Leaseholder
 from ..timers import SingleFlight, secs
--- a/pipitlink/gateway/job_log_follower.py
+++ b/pipitlink/gateway/job_log_follower.py
@@ -1,5 +1,7 @@
 """Follows the job logs of all gateways, so that each of them knows the open jobs."""
 
+from __future__ import annotations
+
 import attrs
 
 from ..cache.tail import Tail
--- a/pipitlink/gateway/job_ownership.py
+++ b/pipitlink/gateway/job_ownership.py
@@ -1,5 +1,7 @@
 """Owns batch jobs by the leases of their result logs."""
 
+from __future__ import annotations
+
 from enum import StrEnum
 
 from ..context import Context
--- a/pipitlink/gateway/latency_histogram.py
+++ b/pipitlink/gateway/latency_histogram.py
@@ -1,5 +1,7 @@
 """A histogram of latencies, as a metric."""
 
+from __future__ import annotations
+
 import bisect
 from datetime import timedelta
 from itertools import accumulate
--- a/pipitlink/gateway/live_api.py
+++ b/pipitlink/gateway/live_api.py
@@ -1,5 +1,7 @@
 """HTTP handlers of live requests: generate and resume."""
 
+from __future__ import annotations
+
 from twisted.internet import defer
 from twisted.web.server import Request
 
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -1,5 +1,7 @@
 """The gateway node of the models interface, composed of its parts."""
 
+from __future__ import annotations
+
 from collections.abc import Iterable
 from typing import Any
 
--- a/pipitlink/gateway/open_jobs.py
+++ b/pipitlink/gateway/open_jobs.py
@@ -1,5 +1,7 @@
 """The batch jobs that are open."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from typing import Any
 
--- a/pipitlink/gateway/owner_selection.py
+++ b/pipitlink/gateway/owner_selection.py
@@ -1,5 +1,7 @@
 """Which gateway owns what, and how it takes the lease of a log."""
 
+from __future__ import annotations
+
 from ..context import Context
 from ..rendezvous import rank
 from ..replicated_log import Leaseholder
--- a/pipitlink/gateway/query_parameters.py
+++ b/pipitlink/gateway/query_parameters.py
@@ -1,5 +1,7 @@
 """Query parameters of callers' requests."""
 
+from __future__ import annotations
+
 from twisted.web.server import Request
 
 from ..errors import BadRequest
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -1,5 +1,7 @@
 """Rate and concurrency limits that hold over all gateways."""
 
+from __future__ import annotations
+
 import math
 from functools import partial
 
--- a/pipitlink/gateway/remote_run.py
+++ b/pipitlink/gateway/remote_run.py
@@ -1,5 +1,7 @@
 """The local replica of a run that another gateway has."""
 
+from __future__ import annotations
+
 from twisted.internet import defer
 
 from ..errors import ApiError
--- a/pipitlink/gateway/request_pipeline.py
+++ b/pipitlink/gateway/request_pipeline.py
@@ -1,5 +1,7 @@
 """Takes each request through its steps."""
 
+from __future__ import annotations
+
 from collections.abc import Awaitable, Callable, Mapping
 
 from twisted.internet import defer
--- a/pipitlink/gateway/request_record.py
+++ b/pipitlink/gateway/request_record.py
@@ -1,5 +1,7 @@
 """The record of one running request."""
 
+from __future__ import annotations
+
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
 from enum import StrEnum
--- a/pipitlink/gateway/request_sender.py
+++ b/pipitlink/gateway/request_sender.py
@@ -1,5 +1,7 @@
 """Sends a request to its engine, and says what became of it."""
 
+from __future__ import annotations
+
 from collections.abc import Callable, Coroutine
 from functools import partial
 from typing import Any
--- a/pipitlink/gateway/request_table.py
+++ b/pipitlink/gateway/request_table.py
@@ -1,5 +1,7 @@
 """The table of the requests that run here."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..context import Context
--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -1,5 +1,7 @@
 """Reads batch jobs and their results, whichever gateway took or owns them."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 import attrs
--- a/pipitlink/gateway/retry_after.py
+++ b/pipitlink/gateway/retry_after.py
@@ -1,5 +1,7 @@
 """The time after which a rejected caller is asked to come back."""
 
+from __future__ import annotations
+
 import math
 from collections import deque
 from datetime import timedelta
--- a/pipitlink/gateway/retry_policy.py
+++ b/pipitlink/gateway/retry_policy.py
@@ -1,5 +1,7 @@
 """When a failed request may be retried on another engine."""
 
+from __future__ import annotations
+
 from ..state_machines.request_state import RequestState
 from ..timers import Timers
 from .request_record import RequestRecord
--- a/pipitlink/gateway/row_limits.py
+++ b/pipitlink/gateway/row_limits.py
@@ -1,5 +1,7 @@
 """The state of one row's rate and concurrency limit at its coordinator."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 import attrs
--- a/pipitlink/gateway/run.py
+++ b/pipitlink/gateway/run.py
@@ -1,5 +1,7 @@
 """A live request's response as its readers see it, wherever the request runs."""
 
+from __future__ import annotations
+
 from typing import Protocol
 
 from twisted.internet import defer
--- a/pipitlink/gateway/run_registry.py
+++ b/pipitlink/gateway/run_registry.py
@@ -1,5 +1,7 @@
 """Finds runs by id, and reads those of other gateways."""
 
+from __future__ import annotations
+
 from ..context import Context, random_id
 from ..errors import ApiError, RemoteError, WireError
 from ..timers import ms, secs
--- a/pipitlink/gateway/run_stream.py
+++ b/pipitlink/gateway/run_stream.py
@@ -1,5 +1,7 @@
 """Streams a run to a caller as server-sent events."""
 
+from __future__ import annotations
+
 import json
 from typing import Any, cast
 
--- a/pipitlink/gateway/serving_state.py
+++ b/pipitlink/gateway/serving_state.py
@@ -1,5 +1,7 @@
 """Whether a gateway takes new work."""
 
+from __future__ import annotations
+
 from ..context import Context
 
 __all__ = ["ServingState"]
--- a/pipitlink/gateway/token_stream.py
+++ b/pipitlink/gateway/token_stream.py
@@ -1,5 +1,7 @@
 """Reads an engine's streamed completion."""
 
+from __future__ import annotations
+
 import json
 from collections.abc import Callable
 from typing import Any
--- a/pipitlink/group_commit.py
+++ b/pipitlink/group_commit.py
@@ -1,5 +1,7 @@
 """Group commit: writes that are queued while the disk is busy are synced together."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
@@ -23,7 +25,7 @@
     disk then.
     """
 
-    def __init__(self, ctx: "Context", segments: Segments, recover: Callable[[], object]) -> None:
+    def __init__(self, ctx: Context, segments: Segments, recover: Callable[[], object]) -> None:
         self._ctx = ctx
         self._segments = segments
         self._recover = recover
--- a/pipitlink/membership/failure_detector.py
+++ b/pipitlink/membership/failure_detector.py
@@ -1,5 +1,7 @@
 """Finds members that no longer answer: direct probes, indirect probes through peers, and suspicion."""
 
+from __future__ import annotations
+
 from ..context import Context
 from ..errors import WireError
 from ..timers import ms, secs, spawn
--- a/pipitlink/membership/gossip_carrier.py
+++ b/pipitlink/membership/gossip_carrier.py
@@ -1,5 +1,7 @@
 """What other parts of a node add to gossip."""
 
+from __future__ import annotations
+
 from typing import Protocol
 
 from ..wire.membership_pb2 import Gossip
--- a/pipitlink/membership/gossiper.py
+++ b/pipitlink/membership/gossiper.py
@@ -1,5 +1,7 @@
 """Exchanges what nodes believe of the members: gossip with digests, anti-entropy and refutation."""
 
+from __future__ import annotations
+
 from collections.abc import Coroutine
 from typing import Any
 
--- a/pipitlink/membership/member_table.py
+++ b/pipitlink/membership/member_table.py
@@ -1,5 +1,7 @@
 """The members that a node knows: itself and its peers."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from datetime import timedelta
 from hashlib import blake2b
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -1,5 +1,7 @@
 """The members of the fleet as the other parts of a node see them."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from pathlib import Path
 
--- a/pipitlink/membership/peer.py
+++ b/pipitlink/membership/peer.py
@@ -1,5 +1,7 @@
 """One other member of the fleet, with its status."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..state_machines import StateMachineMixin
--- a/pipitlink/membership/peer_store.py
+++ b/pipitlink/membership/peer_store.py
@@ -1,5 +1,7 @@
 """Keeps the addresses of live peers on disk, so that a node that restarts does not depend on its seeds."""
 
+from __future__ import annotations
+
 import json
 from pathlib import Path
 
--- a/pipitlink/reactor_types.py
+++ b/pipitlink/reactor_types.py
@@ -3,6 +3,8 @@
 Twisted describes them by zope interfaces, which mypy cannot check without a plug-in. Nothing here exists at run time.
 """
 
+from __future__ import annotations
+
 import socket
 from collections.abc import Callable
 from typing import Any, Protocol
--- a/pipitlink/rendezvous.py
+++ b/pipitlink/rendezvous.py
@@ -1,5 +1,7 @@
 """Rendezvous (highest random weight) hashing."""
 
+from __future__ import annotations
+
 from functools import lru_cache
 from hashlib import blake2b
 
--- a/pipitlink/repeating_call.py
+++ b/pipitlink/repeating_call.py
@@ -1,5 +1,7 @@
 """Work that is repeated at an interval."""
 
+from __future__ import annotations
+
 from collections.abc import Callable, Coroutine
 from datetime import timedelta
 from inspect import isawaitable
@@ -27,7 +29,7 @@
 
     def __init__(
         self,
-        timers: "Timers",
+        timers: Timers,
         interval: timedelta,
         function: Callable[[], object],
         report_error: ErrorReporter,
@@ -82,7 +84,7 @@
         if self._running is not None:
             self._running.cancel()
 
-    def _on_error(self, failure: "Failure") -> None:
+    def _on_error(self, failure: Failure) -> None:
         if not self._cancelled:
             self._report_error(failure.value)
 
--- a/pipitlink/replicated_log/commit_waiters.py
+++ b/pipitlink/replicated_log/commit_waiters.py
@@ -1,5 +1,7 @@
 """Appends that wait until a position of the log is committed."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 
 import attrs
@@ -11,7 +13,7 @@
 @attrs.frozen(eq=False)
 class _Waiter:
     position: int
-    deferred: "defer.Deferred[None]"
+    deferred: defer.Deferred[None]
 
 
 class CommitWaiters:
@@ -23,13 +25,13 @@
     def __bool__(self) -> bool:
         return bool(self._waiters)
 
-    def add(self, position: int) -> "defer.Deferred[None]":
+    def add(self, position: int) -> defer.Deferred[None]:
         """Returns a Deferred for the commit of all bytes below `position`."""
         deferred: defer.Deferred[None] = defer.Deferred()
         self._waiters.append(_Waiter(position, deferred))
         return deferred
 
-    def remove_reached(self, position: int) -> "list[defer.Deferred[None]]":
+    def remove_reached(self, position: int) -> list[defer.Deferred[None]]:
         """Removes and returns, without firing them, the Deferreds of positions up to `position`."""
         reached = [waiter.deferred for waiter in self._waiters if waiter.position <= position]
         self._waiters = [waiter for waiter in self._waiters if waiter.position > position]
--- a/pipitlink/replicated_log/lease_durations.py
+++ b/pipitlink/replicated_log/lease_durations.py
@@ -1,5 +1,7 @@
 """How long a log lease is valid: less for the leaseholder than for the storage nodes that granted it."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..timers import secs
--- a/pipitlink/replicated_log/lease_validity.py
+++ b/pipitlink/replicated_log/lease_validity.py
@@ -1,5 +1,7 @@
 """Whether a leaseholder may still rely on its lease, by its own clock."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..timers import ZERO, Timers, secs
--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -1,5 +1,7 @@
 """The writing side of a replicated log: lease, epoch, append, commit."""
 
+from __future__ import annotations
+
 from collections.abc import Callable, Mapping
 from datetime import timedelta
 
--- a/pipitlink/replicated_log/log_reader.py
+++ b/pipitlink/replicated_log/log_reader.py
@@ -1,5 +1,7 @@
 """Reads of committed log content, hedged over the replicas."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from twisted.internet import defer
--- a/pipitlink/replicated_log/log_states.py
+++ b/pipitlink/replicated_log/log_states.py
@@ -1,5 +1,7 @@
 """Which logs there are, and how much of each is committed, from the answers of their storage nodes."""
 
+from __future__ import annotations
+
 from collections.abc import Callable, Mapping
 from datetime import timedelta
 from typing import NamedTuple
--- a/pipitlink/replicated_log/placement_group.py
+++ b/pipitlink/replicated_log/placement_group.py
@@ -1,5 +1,7 @@
 """Placement groups: which storage nodes replicate a log, and which of them form a quorum."""
 
+from __future__ import annotations
+
 from collections.abc import Collection, Mapping
 from hashlib import blake2b
 
--- a/pipitlink/replicated_log/replica_progress.py
+++ b/pipitlink/replicated_log/replica_progress.py
@@ -1,5 +1,7 @@
 """What a leaseholder knows of each replica of its log."""
 
+from __future__ import annotations
+
 import attrs
 
 from ..wire.replicated_log_pb2 import LogState
@@ -15,7 +17,7 @@
     length: int = 0
 
     @classmethod
-    def of(cls, state: LogState) -> "TailPosition":
+    def of(cls, state: LogState) -> TailPosition:
         """Returns the end of the replica that a state describes."""
         return cls(state.tail_epoch, state.length)
 
--- a/pipitlink/replicated_log/replica_sender.py
+++ b/pipitlink/replicated_log/replica_sender.py
@@ -1,5 +1,7 @@
 """Replication of a log from its leaseholder to one storage node."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
@@ -26,7 +28,7 @@
 class ReplicaSender:
     """Writes to one replica, in one task at a time, until it has all that the leaseholder has."""
 
-    def __init__(self, ctx: Context, client: StorageClient, leaseholder: "Leaseholder", node: str) -> None:
+    def __init__(self, ctx: Context, client: StorageClient, leaseholder: Leaseholder, node: str) -> None:
         self._ctx = ctx
         self._client = client
         self._leaseholder = leaseholder
--- a/pipitlink/replicated_log/replicated_log.py
+++ b/pipitlink/replicated_log/replicated_log.py
@@ -1,5 +1,7 @@
 """Clients' access to replicated logs: leases, reads, listings, and the state of each log."""
 
+from __future__ import annotations
+
 from collections.abc import Callable, Collection, Iterable
 from datetime import timedelta
 from typing import TypeVar
--- a/pipitlink/replicated_log/storage_client.py
+++ b/pipitlink/replicated_log/storage_client.py
@@ -1,5 +1,7 @@
 """RPC calls from any node to the storage nodes."""
 
+from __future__ import annotations
+
 from collections.abc import Callable, Collection
 from datetime import timedelta
 from typing import Generic, TypeVar
@@ -87,7 +89,7 @@
         request: Message,
         response_type: type[Response],
         timeout: timedelta,
-        responses: "_Responses[Response]",
+        responses: _Responses[Response],
     ) -> None:
         try:
             responses.by_node[node] = await self.call(node, method, request, response_type, timeout)
--- a/pipitlink/router/backlog_counter.py
+++ b/pipitlink/router/backlog_counter.py
@@ -1,5 +1,7 @@
 """Makes sure that the count of waiting tokens has all open batches."""
 
+from __future__ import annotations
+
 from ..context import Context
 from ..errors import PipitlinkError
 from ..timers import SingleFlight, ms, secs
--- a/pipitlink/router/batch_adopter.py
+++ b/pipitlink/router/batch_adopter.py
@@ -1,5 +1,7 @@
 """Takes over batches that no gateway owns any more."""
 
+from __future__ import annotations
+
 from collections.abc import Mapping
 from datetime import timedelta
 
--- a/pipitlink/router/batch_calls.py
+++ b/pipitlink/router/batch_calls.py
@@ -1,5 +1,7 @@
 """The HTTP calls on batches, as the frontend makes them."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from typing import NamedTuple, Protocol
 
--- a/pipitlink/router/batch_canceller.py
+++ b/pipitlink/router/batch_canceller.py
@@ -1,5 +1,7 @@
 """Ends batches before all their items are finished, through their owners."""
 
+from __future__ import annotations
+
 from enum import StrEnum
 
 from ..context import Context
--- a/pipitlink/router/batch_capacity.py
+++ b/pipitlink/router/batch_capacity.py
@@ -1,5 +1,7 @@
 """How many items of batches a gateway may start."""
 
+from __future__ import annotations
+
 from ..context import Context
 from ..wire.cluster_pb2 import Route
 from .call import weighted_pools
--- a/pipitlink/router/batch_follower.py
+++ b/pipitlink/router/batch_follower.py
@@ -1,5 +1,7 @@
 """A batch that is read from its log, at a gateway that does not own it."""
 
+from __future__ import annotations
+
 from collections.abc import Iterable, Iterator
 from contextlib import contextmanager
 from datetime import timedelta
--- a/pipitlink/router/batch_followers.py
+++ b/pipitlink/router/batch_followers.py
@@ -1,5 +1,7 @@
 """The batches that a gateway reads, whoever owns them."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..cache.poller import KnownLengths
--- a/pipitlink/router/batch_intake.py
+++ b/pipitlink/router/batch_intake.py
@@ -1,5 +1,7 @@
 """Takes batches in, each at most once."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from typing import NamedTuple
 
--- a/pipitlink/router/batch_progress.py
+++ b/pipitlink/router/batch_progress.py
@@ -1,5 +1,7 @@
 """Names and records of a batch's log, and the progress of a batch as its log tells it."""
 
+from __future__ import annotations
+
 import re
 
 from ..wire.lots_pb2 import Batch, BatchHead, BatchItem, LogRecord, Output
--- a/pipitlink/router/batch_reader.py
+++ b/pipitlink/router/batch_reader.py
@@ -1,5 +1,7 @@
 """The calls that read batches, at any gateway."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..context import Context
--- a/pipitlink/router/batch_scheduler.py
+++ b/pipitlink/router/batch_scheduler.py
@@ -1,5 +1,7 @@
 """Starts the items of owned batches, the most urgent first."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from heapq import heapify, heappop, heappush
 from typing import NamedTuple
--- a/pipitlink/router/batch_service.py
+++ b/pipitlink/router/batch_service.py
@@ -1,5 +1,7 @@
 """The batches of a gateway: puts their parts together."""
 
+from __future__ import annotations
+
 from ..context import Context
 from ..dialect.batches import BatchRequest, ReadItem, ReadOutputs
 from .backlog_counter import BacklogCounter
--- a/pipitlink/router/batch_table.py
+++ b/pipitlink/router/batch_table.py
@@ -1,5 +1,7 @@
 """The batches that a gateway owns by the leases of their logs."""
 
+from __future__ import annotations
+
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
--- a/pipitlink/router/call.py
+++ b/pipitlink/router/call.py
@@ -1,5 +1,7 @@
 """The record of one request by route on its way to an engine."""
 
+from __future__ import annotations
+
 from collections import Counter
 from collections.abc import Callable
 from datetime import timedelta
@@ -55,7 +57,7 @@
 class ResponseSink(Protocol):
     """Where the response to a call goes, as it comes."""
 
-    def head(self, response: "Response") -> None:
+    def head(self, response: Response) -> None:
         """Takes status and headers; called once, before any data."""
 
     def data(self, data: bytes) -> None:
@@ -98,8 +100,8 @@
     last_event: int = 0
     precondition: Callable[[], None] | None = None
     pool: str = ""
-    engine: "Engine | None" = None
-    connection: "EngineConnection | None" = None
+    engine: Engine | None = None
+    connection: EngineConnection | None = None
     attempts: int = 0
     executions: Counter[str] = attrs.field(factory=Counter)
     sent_at: timedelta | None = None
--- a/pipitlink/router/call_relay.py
+++ b/pipitlink/router/call_relay.py
@@ -1,5 +1,7 @@
 """Runs calls on engines, with retries that double nothing."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from twisted.internet import defer
--- a/pipitlink/router/connection_pool.py
+++ b/pipitlink/router/connection_pool.py
@@ -1,5 +1,7 @@
 """A pool of HTTP connections to engines, by address."""
 
+from __future__ import annotations
+
 from collections import deque
 from collections.abc import Callable
 from datetime import timedelta
@@ -44,7 +46,7 @@
         """Returns how many connections to an address are idle."""
         return len(self._idle.get(address, ()))
 
-    def _connect_tcp(self, connection: EngineConnection) -> "defer.Deferred[Any]":
+    def _connect_tcp(self, connection: EngineConnection) -> defer.Deferred[Any]:
         host, _, port = (connection.address or "").rpartition(":")
         endpoint_class = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
         endpoint = endpoint_class(self._ctx.reactor, host, int(port), CONNECT_TIMEOUT.total_seconds())
--- a/pipitlink/router/engine.py
+++ b/pipitlink/router/engine.py
@@ -1,5 +1,7 @@
 """One incarnation of an engine, as this gateway knows it."""
 
+from __future__ import annotations
+
 from collections import OrderedDict
 from collections.abc import Sequence
 from datetime import timedelta
--- a/pipitlink/router/engine_connection.py
+++ b/pipitlink/router/engine_connection.py
@@ -6,6 +6,8 @@
 what engines get and which answers count.
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable, Sequence
 from datetime import timedelta
 from typing import Any, Protocol, cast
@@ -30,10 +32,10 @@
 class ConnectionOwner(Protocol):
     """Whoever keeps connections for use by later requests."""
 
-    def give_back(self, connection: "EngineConnection") -> None:
+    def give_back(self, connection: EngineConnection) -> None:
         """Takes back a connection that is free for another request."""
 
-    def forget(self, connection: "EngineConnection") -> None:
+    def forget(self, connection: EngineConnection) -> None:
         """Notes that a connection is closed or about to be."""
 
 
@@ -122,7 +124,7 @@
 
     def send(
         self, call_id: bytes, method: bytes, target: bytes, headers: HeaderList, body: bytes
-    ) -> "defer.Deferred[Response]":
+    ) -> defer.Deferred[Response]:
         """Writes one whole request, in this step; returns the Deferred of its response.
 
         A call that was not served may be sent again. It never is on a connection that has carried it: a second copy of
--- a/pipitlink/router/engine_exchange.py
+++ b/pipitlink/router/engine_exchange.py
@@ -1,5 +1,7 @@
 """One request to an engine and its response."""
 
+from __future__ import annotations
+
 from functools import partial
 from http import HTTPStatus
 
--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -1,5 +1,7 @@
 """The engines that the control plane announces, their health, and what this gateway runs on them."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from datetime import timedelta
 
@@ -29,7 +31,7 @@
 class EngineSlot:
     """A slot of an engine that one attempt of a call holds, with the prefill that it still waits for."""
 
-    def __init__(self, registry: "EngineRegistry", engine: Engine, prefill_tokens: int, is_batch_item: bool) -> None:
+    def __init__(self, registry: EngineRegistry, engine: Engine, prefill_tokens: int, is_batch_item: bool) -> None:
         self._registry = registry
         self._engine = engine
         self._prefill_tokens = prefill_tokens
@@ -216,7 +218,7 @@
         """Takes a slot of an engine, which the caller has to release."""
         return EngineSlot(self, engine, prefill_tokens, is_batch_item)
 
-    def wait_for_capacity(self, waiter: "defer.Deferred[None]") -> None:
+    def wait_for_capacity(self, waiter: defer.Deferred[None]) -> None:
         """Fires a Deferred once an engine may have capacity; one that was fired since is left alone."""
         self._capacity_waiters.append(waiter)
 
--- a/pipitlink/router/engine_selector.py
+++ b/pipitlink/router/engine_selector.py
@@ -1,5 +1,7 @@
 """The load balancer: chooses the engine of each call by expected wait."""
 
+from __future__ import annotations
+
 from collections.abc import Sequence
 from datetime import timedelta
 from typing import NamedTuple
--- a/pipitlink/router/gateway_watch.py
+++ b/pipitlink/router/gateway_watch.py
@@ -1,5 +1,7 @@
 """Notices when gateways come and go, or this one was suspended."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 
 from ..context import Context
--- a/pipitlink/router/http_frontend.py
+++ b/pipitlink/router/http_frontend.py
@@ -1,5 +1,7 @@
 """The callers' HTTP server: matches routes and passes requests on."""
 
+from __future__ import annotations
+
 import socket
 from datetime import timedelta
 from enum import StrEnum
--- a/pipitlink/router/http_response.py
+++ b/pipitlink/router/http_response.py
@@ -1,5 +1,7 @@
 """Responses that a gateway makes itself."""
 
+from __future__ import annotations
+
 from collections.abc import Mapping
 from typing import NamedTuple
 
--- a/pipitlink/router/inbound_request.py
+++ b/pipitlink/router/inbound_request.py
@@ -1,5 +1,7 @@
 """The callers' side of the HTTP server: connections, requests, and their backpressure."""
 
+from __future__ import annotations
+
 from collections.abc import Iterator
 from datetime import timedelta
 from io import BytesIO
@@ -25,13 +27,13 @@
 class Frontend(Protocol):
     """The server that the connections and requests of callers belong to."""
 
-    channels: "set[CallerChannel]"
+    channels: set[CallerChannel]
     is_draining: bool
 
     def max_body_bytes(self) -> int:
         """Returns how long the body of a request may be."""
 
-    def start_serving(self, request: "InboundRequest") -> None:
+    def start_serving(self, request: InboundRequest) -> None:
         """Serves a request that was read to its end."""
 
 
@@ -65,7 +67,7 @@
 class InboundRequest(http.Request):
     """One request of a caller; as the sink of its call it writes the engine's response out as it comes."""
 
-    channel: "CallerChannel"
+    channel: CallerChannel
     content: BytesIO
     call: Call | None = None
     is_too_long = False
--- a/pipitlink/router/interfaces.py
+++ b/pipitlink/router/interfaces.py
@@ -1,5 +1,7 @@
 """What the parts of a gateway's batches need of the rest of the gateway."""
 
+from __future__ import annotations
+
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
--- a/pipitlink/router/item_attempts.py
+++ b/pipitlink/router/item_attempts.py
@@ -1,5 +1,7 @@
 """Attempts at the items of owned batches."""
 
+from __future__ import annotations
+
 from functools import partial
 from http import HTTPStatus
 
@@ -94,7 +96,7 @@
         batch.retry_at[index] = self._ctx.timers.now() + max(backoff, min(result.backoff, MAX_BACKOFF))
 
     def _attempt_ended(
-        self, result: Failure | None, batch: OwnedBatch, index: int, attempt: "defer.Deferred[None]"
+        self, result: Failure | None, batch: OwnedBatch, index: int, attempt: defer.Deferred[None]
     ) -> None:
         if batch.running.get(index) is attempt:
             del batch.running[index]
--- a/pipitlink/router/item_runner.py
+++ b/pipitlink/router/item_runner.py
@@ -1,5 +1,7 @@
 """Items of batches as calls to engines."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from datetime import timedelta
 from http import HTTPStatus
--- a/pipitlink/router/load_exchange.py
+++ b/pipitlink/router/load_exchange.py
@@ -1,5 +1,7 @@
 """Exchange of engine loads between gateways."""
 
+from __future__ import annotations
+
 from collections.abc import Mapping
 from datetime import timedelta
 from typing import Protocol
--- a/pipitlink/router/node.py
+++ b/pipitlink/router/node.py
@@ -1,5 +1,7 @@
 """The gateway node of the routes interface: puts its parts together."""
 
+from __future__ import annotations
+
 import socket
 from collections.abc import Mapping
 from typing import Any
--- a/pipitlink/router/output_writer.py
+++ b/pipitlink/router/output_writer.py
@@ -1,5 +1,7 @@
 """Appends the outputs of items to the logs of their batches."""
 
+from __future__ import annotations
+
 from enum import StrEnum
 
 from ..context import Context
--- a/pipitlink/router/owned_batch.py
+++ b/pipitlink/router/owned_batch.py
@@ -1,5 +1,7 @@
 """A batch whose lease this gateway holds."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 import attrs
@@ -32,7 +34,7 @@
     unfinished_tokens: int = 0
     finished: set[int] = attrs.field(factory=set)
     waiting: list[int] = attrs.field(factory=list)
-    running: dict[int, "defer.Deferred[None]"] = attrs.field(factory=dict)
+    running: dict[int, defer.Deferred[None]] = attrs.field(factory=dict)
     calls: dict[int, ItemCall] = attrs.field(factory=dict)
     retry_at: dict[int, timedelta] = attrs.field(factory=dict)
     backoffs: dict[int, timedelta] = attrs.field(factory=dict)
@@ -42,7 +44,7 @@
     is_closing: bool = False
     last_turn: int = 0
     route_missing_since: timedelta | None = None
-    waiters: "list[defer.Deferred[None]]" = attrs.field(factory=list)
+    waiters: list[defer.Deferred[None]] = attrs.field(factory=list)
 
     @property
     def content(self) -> Batch:
--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -1,5 +1,7 @@
 """Admission of batches by the tokens that wait on a route, counted over all gateways."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..context import Context
--- a/pipitlink/router/readiness.py
+++ b/pipitlink/router/readiness.py
@@ -1,5 +1,7 @@
 """The HTTP resource by which load balancers see whether a gateway takes requests."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from typing import Any
 
--- a/pipitlink/router/response_stream.py
+++ b/pipitlink/router/response_stream.py
@@ -1,5 +1,7 @@
 """The body of an engine's response on its way to the sink of its call."""
 
+from __future__ import annotations
+
 from http import HTTPStatus
 
 from twisted.internet import defer, protocol
--- a/pipitlink/router/server_sent_events.py
+++ b/pipitlink/router/server_sent_events.py
@@ -1,5 +1,7 @@
 """Parsing of server-sent events."""
 
+from __future__ import annotations
+
 from ..errors import EngineError
 
 __all__ = ["EventStream", "MAX_EVENT_BYTES", "event_data", "event_id"]
--- a/pipitlink/router/slow_start.py
+++ b/pipitlink/router/slow_start.py
@@ -1,5 +1,7 @@
 """Slow start: limits the rate at which engines that are warming up get requests."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..context import Context
--- a/pipitlink/router/waiting_tokens.py
+++ b/pipitlink/router/waiting_tokens.py
@@ -1,5 +1,7 @@
 """The tokens of all unfinished batches, as the gateways report them."""
 
+from __future__ import annotations
+
 from collections.abc import Iterable
 from datetime import timedelta
 from typing import NamedTuple
--- a/pipitlink/segments.py
+++ b/pipitlink/segments.py
@@ -1,5 +1,7 @@
 """The append-only segment files of a node's logs: group writes, syncs and recovery."""
 
+from __future__ import annotations
+
 import os
 import threading
 from collections.abc import Callable, Iterator
--- a/pipitlink/settings.py
+++ b/pipitlink/settings.py
@@ -1,5 +1,7 @@
 """The settings of a node: defaults, checks, and reading them from a TOML file and flags."""
 
+from __future__ import annotations
+
 import re
 import tomllib
 from collections.abc import Iterable, Mapping
--- a/pipitlink/single_flight.py
+++ b/pipitlink/single_flight.py
@@ -1,5 +1,7 @@
 """Work that is done once for all that ask for it at the same time."""
 
+from __future__ import annotations
+
 from collections.abc import Callable, Coroutine, Hashable
 from typing import TYPE_CHECKING, Any, Generic, TypeVar
 
@@ -37,6 +39,6 @@
         if waiter in waiters:
             waiters.remove(waiter)
 
-    def _resolve_all(self, result: "ResultT | Failure", key: KeyT) -> None:
+    def _resolve_all(self, result: ResultT | Failure, key: KeyT) -> None:
         for waiter in self._waiters.pop(key):
             waiter.callback(result)
--- a/pipitlink/state_machines/__init__.py
+++ b/pipitlink/state_machines/__init__.py
@@ -5,6 +5,8 @@
 change nothing in a state. Any other event in a state is a programming error and raises automat's NoTransition.
 """
 
+from __future__ import annotations
+
 import tomllib
 import types
 from collections.abc import Callable
--- a/pipitlink/state_machines/request_state.py
+++ b/pipitlink/state_machines/request_state.py
@@ -1,5 +1,7 @@
 """The states of a request on its way to an engine (`request.toml`), for the gateways of both interfaces."""
 
+from __future__ import annotations
+
 from enum import StrEnum
 
 from . import state_machine_data
--- a/pipitlink/storage/durable.py
+++ b/pipitlink/storage/durable.py
@@ -1,5 +1,7 @@
 """Waiting for the group sync of queued entries."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 
 from ..group_commit import GroupCommit
--- a/pipitlink/storage/entries.py
+++ b/pipitlink/storage/entries.py
@@ -1,5 +1,7 @@
 """The entries of a storage node's segment files."""
 
+from __future__ import annotations
+
 from ..wire.replicated_log_pb2 import Entry
 from .replica import Replica
 
--- a/pipitlink/storage/lease_grants.py
+++ b/pipitlink/storage/lease_grants.py
@@ -1,5 +1,7 @@
 """Grants and renews leases on logs."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from functools import partial
 
--- a/pipitlink/storage/log_store.py
+++ b/pipitlink/storage/log_store.py
@@ -1,5 +1,7 @@
 """The replicas of all logs on one storage node, and the rules of epochs and positions."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
 from pathlib import Path
 
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -1,5 +1,7 @@
 """The storage node: composes its parts and answers reads."""
 
+from __future__ import annotations
+
 from pathlib import Path
 from typing import Any
 
--- a/pipitlink/storage/node_identity.py
+++ b/pipitlink/storage/node_identity.py
@@ -1,5 +1,7 @@
 """The identity of a storage node or controller, kept in its data folder."""
 
+from __future__ import annotations
+
 import json
 from pathlib import Path
 
--- a/pipitlink/storage/placement_check.py
+++ b/pipitlink/storage/placement_check.py
@@ -1,5 +1,7 @@
 """Whether a writer knows the newest placement of a log."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 from ..context import Context
--- a/pipitlink/storage/replica.py
+++ b/pipitlink/storage/replica.py
@@ -1,5 +1,7 @@
 """A storage node's replica of one log: its epochs, its tail, and where its bytes are on disk."""
 
+from __future__ import annotations
+
 import bisect
 
 import attrs
@@ -23,7 +25,7 @@
         """The number of the segment file."""
         return self.location.segment
 
-    def slice(self, position: int, length: int) -> "Extent":
+    def slice(self, position: int, length: int) -> Extent:
         """Returns the part from a position of the log on, `length` bytes long."""
         offset = self.location.offset + position - self.start
         return Extent(position, length, Position(self.location.segment, offset))
--- a/pipitlink/storage/replica_repair.py
+++ b/pipitlink/storage/replica_repair.py
@@ -1,5 +1,7 @@
 """Decides when a storage node brings its replicas up to date with those of its peers."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 
 import attrs
--- a/pipitlink/storage/replica_transfer.py
+++ b/pipitlink/storage/replica_transfer.py
@@ -1,5 +1,7 @@
 """Transfers the logs of a placement group from peers to this storage node."""
 
+from __future__ import annotations
+
 from collections.abc import Iterator, Mapping
 from datetime import timedelta
 from functools import partial
--- a/pipitlink/storage/retention.py
+++ b/pipitlink/storage/retention.py
@@ -1,5 +1,7 @@
 """Retention: drops the bytes of logs that ended long ago, and later all that is known of them."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from functools import partial
 
--- a/pipitlink/storage/segment_compaction.py
+++ b/pipitlink/storage/segment_compaction.py
@@ -1,5 +1,7 @@
 """Compaction: gives back the space of segment files that are mostly obsolete."""
 
+from __future__ import annotations
+
 from collections import Counter
 from functools import partial
 
--- a/pipitlink/storage/write_handler.py
+++ b/pipitlink/storage/write_handler.py
@@ -1,5 +1,7 @@
 """Writes of leaseholders to the replicas of a storage node."""
 
+from __future__ import annotations
+
 from functools import partial
 
 import attrs
--- a/pipitlink/structured_log.py
+++ b/pipitlink/structured_log.py
@@ -1,5 +1,7 @@
 """Structured logging: one line of key=value pairs for each event."""
 
+from __future__ import annotations
+
 import sys
 from collections.abc import Callable
 from datetime import UTC, datetime
@@ -37,7 +39,7 @@
         self._context = context
         self._observers: list[EventObserver] = []
 
-    def bind(self, **context: Any) -> "StructuredLogger":
+    def bind(self, **context: Any) -> StructuredLogger:
         """Returns a logger on the same sink, without observers, that adds `context` to each line as well."""
         return StructuredLogger(self._sink, **{**self._context, **context})
 
--- a/pipitlink/timers.py
+++ b/pipitlink/timers.py
@@ -1,5 +1,7 @@
 """Monotonic time, delayed and repeated work, and time limits on Deferreds."""
 
+from __future__ import annotations
+
 import time
 from collections.abc import Callable, Coroutine
 from datetime import UTC, datetime, timedelta
@@ -65,7 +67,7 @@
     return work if isinstance(work, defer.Deferred) else spawn(work)
 
 
-def _cancel_if_active(timer: "DelayedCall") -> None:
+def _cancel_if_active(timer: DelayedCall) -> None:
     if timer.active():
         timer.cancel()
 
@@ -80,7 +82,7 @@
     pending.cancel()
 
 
-def _forward_result(result: "ResultT | Failure", limited: defer.Deferred[ResultT], timer: "DelayedCall") -> None:
+def _forward_result(result: ResultT | Failure, limited: defer.Deferred[ResultT], timer: DelayedCall) -> None:
     _cancel_if_active(timer)
     if not limited.called:
         limited.callback(result)
@@ -96,7 +98,7 @@
     `seconds` gives the time in seconds from any fixed point; tests inject a clock as both arguments.
     """
 
-    def __init__(self, reactor: "Clock", seconds: Callable[[], float] = _boot_time) -> None:
+    def __init__(self, reactor: Clock, seconds: Callable[[], float] = _boot_time) -> None:
         self._reactor = reactor
         self._seconds = seconds
         self.stopped = False
@@ -110,7 +112,7 @@
         """Returns the wall-clock time in UTC."""
         return datetime.now(UTC)
 
-    def call_later(self, delay: timedelta, function: Callable[..., object], *args: object) -> "DelayedCall":
+    def call_later(self, delay: timedelta, function: Callable[..., object], *args: object) -> DelayedCall:
         """Calls a function after a delay; one below zero counts as zero."""
         return self._reactor.callLater(max(0.0, delay.total_seconds()), function, *args)
 
--- a/pipitlink/tools/__init__.py
+++ b/pipitlink/tools/__init__.py
@@ -1,5 +1,7 @@
 """The operators' commands: they send requests to the nodes over HTTP and print the responses."""
 
+from __future__ import annotations
+
 import os
 import sys
 from collections.abc import Callable, Mapping
--- a/pipitlink/tools/client.py
+++ b/pipitlink/tools/client.py
@@ -1,5 +1,7 @@
 """HTTP requests with JSON bodies to the nodes' operator addresses."""
 
+from __future__ import annotations
+
 import json
 import urllib.error
 import urllib.request
--- a/pipitlink/tools/cluster.py
+++ b/pipitlink/tools/cluster.py
@@ -1,5 +1,7 @@
 """The commands for zones, storage nodes, batch jobs and the cluster's status."""
 
+from __future__ import annotations
+
 from collections.abc import Mapping
 from typing import Any
 
--- a/pipitlink/tools/comparison.py
+++ b/pipitlink/tools/comparison.py
@@ -1,5 +1,7 @@
 """The `compare` command: the differences between what two nodes hold to be true."""
 
+from __future__ import annotations
+
 import json
 import sys
 from collections.abc import Mapping
--- a/pipitlink/tools/configuration.py
+++ b/pipitlink/tools/configuration.py
@@ -1,5 +1,7 @@
 """The `config` commands: show and replace the configuration of routes."""
 
+from __future__ import annotations
+
 from collections.abc import Mapping
 from typing import Any
 
--- a/pipitlink/tools/output.py
+++ b/pipitlink/tools/output.py
@@ -1,5 +1,7 @@
 """What the operators' commands read from files and print, and their exit codes."""
 
+from __future__ import annotations
+
 import json
 import sys
 from typing import Any
--- a/pipitlink/tools/weight_table.py
+++ b/pipitlink/tools/weight_table.py
@@ -1,5 +1,7 @@
 """The `table` commands: show and edit the weight table."""
 
+from __future__ import annotations
+
 import json
 from collections.abc import Iterable, Mapping
 from typing import Any
--- a/pipitlink/wire/connection.py
+++ b/pipitlink/wire/connection.py
@@ -1,5 +1,7 @@
 """One TCP connection between two nodes: handshake, frames, calls and their responses."""
 
+from __future__ import annotations
+
 from datetime import timedelta
 from typing import TYPE_CHECKING, cast
 
@@ -39,7 +41,7 @@
 
     MAX_LENGTH = MAX_FRAME_BYTES
 
-    def __init__(self, rpc: "RpcEndpoint") -> None:
+    def __init__(self, rpc: RpcEndpoint) -> None:
         self._rpc = rpc
         self.peer = Hello()
         self.closed = False
@@ -55,7 +57,7 @@
         self._bytes_unanswered = 0
 
     @property
-    def tcp(self) -> "TcpTransport":
+    def tcp(self) -> TcpTransport:
         """The transport of the connection; set by twisted once it is made."""
         return cast("TcpTransport", self.transport)
 
@@ -86,7 +88,7 @@
 
     def connectionLost(  # noqa: N802 - twisted's interface
         self,
-        reason: "Failure" = protocol.connectionDone,  # noqa: ARG002 - twisted's interface
+        reason: Failure = protocol.connectionDone,  # noqa: ARG002 - twisted's interface
     ) -> None:
         """Fails all calls that wait for a response."""
         self.closed = True
@@ -223,10 +225,10 @@
 
     noisy = False
 
-    def __init__(self, rpc: "RpcEndpoint") -> None:
+    def __init__(self, rpc: RpcEndpoint) -> None:
         self._rpc = rpc
 
-    def buildProtocol(self, addr: "IAddress | None") -> RpcConnection:  # noqa: N802, ARG002 - twisted's interface
+    def buildProtocol(self, addr: IAddress | None) -> RpcConnection:  # noqa: N802, ARG002 - twisted's interface
         """Returns the connection of a peer that has connected."""
         connection = RpcConnection(self._rpc)
         connection.ready.addErrback(lambda _: None)
--- a/pipitlink/wire/generate.py
+++ b/pipitlink/wire/generate.py
@@ -3,6 +3,8 @@
 Usage: python -m pipitlink.wire.generate
 """
 
+from __future__ import annotations
+
 import sys
 from pathlib import Path
 
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -1,5 +1,7 @@
 """The RPC endpoint of a node: handlers for calls of peers, and calls and notifications to them."""
 
+from __future__ import annotations
+
 from collections.abc import Awaitable, Callable, Coroutine, Iterable
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any, Protocol, TypeVar, cast
@@ -56,7 +58,7 @@
     async def outbound(self, address: Address, method: str) -> None:
         """Is awaited before a call or notification leaves, and may delay it."""
 
-    def disk(self) -> "Disk | None":
+    def disk(self) -> Disk | None:
         """Returns the file operations to use in place of the plain ones, or None."""
 
 
@@ -73,7 +75,7 @@
     It keeps one connection to each address, which serves both directions where the peer listens as well.
     """
 
-    def __init__(self, reactor: "Reactor", timers: Timers, logger: "StructuredLogger", fleet: str, node: str) -> None:
+    def __init__(self, reactor: Reactor, timers: Timers, logger: StructuredLogger, fleet: str, node: str) -> None:
         self._reactor = reactor
         self._timers = timers
         self.logger = logger
