--- a/pipitlink/gateway/request_bodies.py
+++ b/pipitlink/gateway/request_bodies.py
@@ -1,7 +1,6 @@
 """JSON bodies of the models interface, checked and typed."""
 
-from __future__ import annotations
-
+# No `from __future__ import annotations` here: cattrs reads the types of the fields.
 import json
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -53,7 +52,7 @@
 
 
 def _between(low: int, high: int) -> Validator:
-    def _check(_: Any, __: attrs.Attribute[Any], value: int) -> None:
+    def _check(_: Any, __: "attrs.Attribute[Any]", value: int) -> None:
         if not low <= value <= high:
             raise ValueError(f"must be between {low} and {high}")
 
@@ -61,7 +60,7 @@
 
 
 def _sized(max_length: int, min_length: int = 0) -> Validator:
-    def _check(_: Any, __: attrs.Attribute[Any], value: str | list[Any]) -> None:
+    def _check(_: Any, __: "attrs.Attribute[Any]", value: str | list[Any]) -> None:
         if not min_length <= len(value) <= max_length:
             unit = "characters" if isinstance(value, str) else "entries"
             raise ValueError(f"must have {min_length} to {max_length} {unit}")
@@ -104,12 +103,12 @@
     idempotency_key: str = attrs.field(default="", validator=_sized(MAX_NAME_LENGTH))
 
 
-def _engine_state(_: Any, __: attrs.Attribute[Any], value: str) -> None:
+def _engine_state(_: Any, __: "attrs.Attribute[Any]", value: str) -> None:
     if value not in ("ready", "leaving"):
         raise ValueError("must be 'ready' or 'leaving'")
 
 
-def _host_port(_: Any, __: attrs.Attribute[Any], value: str) -> None:
+def _host_port(_: Any, __: "attrs.Attribute[Any]", value: str) -> None:
     host, _separator, port = value.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ValueError("must be IP:PORT")
--- a/pipitlink/settings.py
+++ b/pipitlink/settings.py
@@ -1,7 +1,6 @@
 """The settings of a node: defaults, checks, and reading them from a TOML file and flags."""
 
-from __future__ import annotations
-
+# No `from __future__ import annotations` here: cattrs reads the types of the fields.
 import re
 import tomllib
 from collections.abc import Iterable, Mapping
