--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -52,65 +52,69 @@
 
 def main(argv: list[str] | None = None, program: str = "testbed") -> int:
     """Runs the command line and returns its exit status; its help shows the name of the program."""
-    words = docopt(_usage(program), argv=argv)
-    if words["soak"]:
+    arguments = docopt(_usage(program), argv=argv)
+    if arguments["soak"]:
         from .benchmarks.deployment_profiles import PROFILES
         from .benchmarks.soak import FAULTS, Soak
 
-        faults = tuple(words["--faults"].split(",")) if words["--faults"] else FAULTS
-        if words["--profile"] not in PROFILES or set(faults) - set(FAULTS):
+        faults = tuple(arguments["--faults"].split(",")) if arguments["--faults"] else FAULTS
+        if arguments["--profile"] not in PROFILES or set(faults) - set(FAULTS):
             print(f"profiles: {', '.join(PROFILES)}; faults: {', '.join(FAULTS)}")
             return 2
         return Soak(
-            words["--profile"],
-            int(words["--seed"]),
-            float(words["--minutes"]),
-            words["--keep"],
+            arguments["--profile"],
+            int(arguments["--seed"]),
+            float(arguments["--minutes"]),
+            arguments["--keep"],
             faults,
-            words["--level"],
-            int(words["--together"]),
+            arguments["--level"],
+            int(arguments["--together"]),
         ).run()
-    if words["bench"] and words["--promise"]:
+    if arguments["bench"] and arguments["--promise"]:
         from .benchmarks.recovery_times import PROMISES, RecoveryTimes
 
-        names = list(PROMISES) if words["--promise"] == "all" else words["--promise"].split(",")
+        names = list(PROMISES) if arguments["--promise"] == "all" else arguments["--promise"].split(",")
         if set(names) - set(PROMISES):
             print(f"promises: {', '.join(PROMISES)}")
             return 2
-        return RecoveryTimes(words["--profile"], int(words["--seed"]), names, int(words["--rounds"])).run()
-    if words["bench"]:
+        return RecoveryTimes(arguments["--profile"], int(arguments["--seed"]), names, int(arguments["--rounds"])).run()
+    if arguments["bench"]:
         from .benchmarks.batch_impact import Bench
 
-        return Bench(words["--profile"], int(words["--seed"]), int(words["--rounds"]), float(words["--window"])).run()
-    if words["host"]:
+        return Bench(
+            arguments["--profile"], int(arguments["--seed"]), int(arguments["--rounds"]), float(arguments["--window"])
+        ).run()
+    if arguments["host"]:
         from .processes.lightweight_nodes import run_host
 
         return run_host()
-    if words["capacity"]:
-        return _capacity(words)
+    if arguments["capacity"]:
+        return _capacity(arguments)
     from .standins.engine import run_backend
 
-    return run_backend(words)
+    return run_backend(arguments)
 
 
-def _capacity(words) -> int:
+def _capacity(arguments) -> int:
     """Slopes by hollow fleets; the whole of them takes about a quarter of an hour."""
     import json
     from pathlib import Path
 
     from .benchmarks.capacity import SERIES, Capacity
 
-    names = list(SERIES) if words["--series"] == "all" else words["--series"].split(",")
+    names = list(SERIES) if arguments["--series"] == "all" else arguments["--series"].split(",")
     if set(names) - set(SERIES):
         print(f"series: {', '.join(SERIES)}")
         return 2
-    if words["--inner"]:
+    if arguments["--inner"]:
         from .benchmarks.step_timings import inner
 
         return inner()
-    c = Capacity(names, float(words["--within"]), float(words["--cores"]), words["--keep"], words["--picture"])
-    if words["--from"]:
-        c.points = [p for f in words["--from"].split(",") for p in json.loads(Path(f).read_text())]
+    c = Capacity(
+        names, float(arguments["--within"]), float(arguments["--cores"]), arguments["--keep"], arguments["--picture"]
+    )
+    if arguments["--from"]:
+        c.points = [p for f in arguments["--from"].split(",") for p in json.loads(Path(f).read_text())]
         return c.show()
     return c.run()
 
--- a/testbed/benchmarks/batch_impact.py
+++ b/testbed/benchmarks/batch_impact.py
@@ -128,7 +128,7 @@
 
     def _say(self, windows, edits):
         events, notes = self.calls.taken(), self.fleet.notes()
-        told = [e for e in events if e["event"] == "told" and e["end"] and e["prompt"] != "warm"]
+        live_requests = [e for e in events if e["event"] == "told" and e["end"] and e["prompt"] != "warm"]
         lots = {e["lot"]: e for e in events if e["event"] == "lot" and e["lot"]}
         done = {}
         prompts = {n["run"]: n["prompt"] for n in notes if n["event"] == "run"}
@@ -142,7 +142,7 @@
         )
         out = {"profile": self.p, "windows": self.rounds}
         for kind, spans in windows.items():
-            inside = [[e for e in told if a <= e["asked"] < b] for a, b in spans]
+            inside = [[e for e in live_requests if a <= e["asked"] < b] for a, b in spans]
             out[f"first_piece_{kind}"] = spread(e["first"] for es in inside for e in es)
             out[f"first_piece_{kind}_p50_by_window"] = [
                 spread(sorted(e["first"] for e in es)).get("p50") for es in inside
--- a/testbed/benchmarks/recovery_times.py
+++ b/testbed/benchmarks/recovery_times.py
@@ -72,13 +72,13 @@
     def _measure_leaving(self, n):
         name = self.fleet.engines[n % len(self.fleet.engines)]
         self.fleet.call(name, "POST", "/mode/leaving")
-        told = time.monotonic()
+        notified_at = time.monotonic()
         time.sleep(3)
         until = time.monotonic()
         self.fleet.programs[name].kill()
         self.fleet.programs[name].start()
         time.sleep(1)
-        return [self._last_run(told, [name], until)]
+        return [self._last_run(notified_at, [name], until)]
 
     def _measure_edit(self, n):
         """From the response to the moment when the last gateway shows the edit."""
--- a/testbed/benchmarks/soak.py
+++ b/testbed/benchmarks/soak.py
@@ -50,7 +50,7 @@
         )
         self.calls = Callers(self.fleet, Random(seed + 1))
         self.profile = p
-        self.told: list[str] = []
+        self.history: list[str] = []
         self._lots: list[str] = []
         self._n = self._fresh = 0
         self._began = 0.0
@@ -59,7 +59,7 @@
 
     def say(self, text):
         line = f"{time.monotonic() - self._began:7.2f} {text}"
-        self.told.append(line)
+        self.history.append(line)
         print(line, flush=True)
 
     def run(self) -> int:
--- a/testbed/benchmarks/step_timings.py
+++ b/testbed/benchmarks/step_timings.py
@@ -31,7 +31,7 @@
 
 
 class _Quiet:
-    def log(self, *words):
+    def log(self, *args):
         pass
 
 
@@ -56,8 +56,8 @@
     rpc.call = _unheard
     part = open_parts(ctx, "hollow", everyone[0], PowerLossDisk(Random(1)))
     for at in range(0, gateways, TOLD_AT_ONCE):
-        told = Gossip(sender="g1", members=everyone[at : at + TOLD_AT_ONCE])
-        spawn(rpc.dispatch(rpc.hello(), "membership.tell", told.SerializeToString()))
+        gossip = Gossip(sender="g1", members=everyone[at : at + TOLD_AT_ONCE])
+        spawn(rpc.dispatch(rpc.hello(), "membership.tell", gossip.SerializeToString()))
     for i in range(int(gateways * ENGINES_A_GATEWAY)):
         part.engines.merge(
             EngineUpdate(
--- a/testbed/checks/checker.py
+++ b/testbed/checks/checker.py
@@ -9,7 +9,7 @@
 __all__ = ["check"]
 
 READ_SPAN = 4.0
-LOG_STORE_SPAN = 3.0
+MAX_SHED_SECONDS = 3.0
 
 
 def check(
@@ -83,10 +83,10 @@
         if fault.get("outcome") != "not_run" or e.get("status") not in (429, 503, 507):
             continue
         if not str(e.get("retry") or "").isdigit() or int(e["retry"]) < 1:
-            out.append(f"{name}: log store ({fault.get('code')}) without saying when to come back")
+            out.append(f"{name}: shed ({fault.get('code')}) without saying when to come back")
         took = e["at"] - e["asked"]
         if (
-            took > LOG_STORE_SPAN
+            took > MAX_SHED_SECONDS
             and e["event"] in ("told", "fetched")
             and not spans.hurt(e["asked"], e["at"], e.get("gateway"))
         ):
--- a/testbed/checks/cluster_checks.py
+++ b/testbed/checks/cluster_checks.py
@@ -31,17 +31,21 @@
 
 
 def _check_leaving(notes, out):
-    told = {}
+    announced = {}
     for n in notes:
         if n["event"] == "told":
             if n["state"] == "leaving":
-                told[n["engine"]] = n["at"]
+                announced[n["engine"]] = n["at"]
             else:
-                told.pop(n["engine"], None)
+                announced.pop(n["engine"], None)
         elif n["event"] == "open":
-            told.pop(n["engine"], None)
-        elif n["event"] in ("run", "card") and n["engine"] in told and n["at"] > told[n["engine"]] + 2 + SLACK:
-            out.append(f"{n['engine']} got {n['prompt']} {n['at'] - told[n['engine']]:.1f} s after it said it leaves")
+            announced.pop(n["engine"], None)
+        elif (
+            n["event"] in ("run", "card") and n["engine"] in announced and n["at"] > announced[n["engine"]] + 2 + SLACK
+        ):
+            out.append(
+                f"{n['engine']} got {n['prompt']} {n['at'] - announced[n['engine']]:.1f} s after it said it leaves"
+            )
 
 
 def _check_zones(events, notes, zones, out):
@@ -68,23 +72,23 @@
     for n in notes:
         by_engine[n["engine"]].append(n)
     for name, ns in by_engine.items():
-        since, running, told = None, set(), False
+        since, running, announced = None, set(), False
         for n in ns:
             if n["event"] in ("open", "heard", "well"):
-                since, told = n["at"], False
+                since, announced = n["at"], False
                 if n["event"] == "open":
                     running = set()
             elif n["event"] == "run":
                 running.add(n["run"])
             elif n["event"] in ("done", "left", "cut"):
                 running.discard(n["run"])
-            if n["event"] not in ("run", "refused") or since is None or told:
+            if n["event"] not in ("run", "refused") or since is None or announced:
                 continue
             age = n["at"] - since
             allowed = max(1, int(capacity * min(1.0, 0.1 + 0.9 * age / RAMP_SPAN))) + RAMP_EXTRA
             have = len(running) + (n["event"] == "refused")
             if age < RAMP_SPAN and have > allowed:
-                told = True
+                announced = True
                 out.append(f"{name} was cold and flooded: {have} at once {age:.2f} s after it came, {allowed} allowed")
 
 
--- a/testbed/faults/fault_plugin.py
+++ b/testbed/faults/fault_plugin.py
@@ -22,18 +22,18 @@
     def __init__(self, path, ctx):
         self._path, self._ctx = path, ctx
         self._read_at = None
-        self._told: dict = {}
+        self._injected: dict = {}
 
     def _now(self) -> dict:
         try:
             at = os.stat(self._path).st_mtime_ns
             if at != self._read_at:
                 with open(self._path) as f:
-                    self._told = json.load(f)
+                    self._injected = json.load(f)
                 self._read_at = at
         except (OSError, ValueError):
             pass
-        return self._told
+        return self._injected
 
     def _mine(self) -> str:
         return "{}:{}".format(*self._ctx.rpc.address)
@@ -43,11 +43,11 @@
 
     @hookimpl
     def outbound(self, address, method):
-        told = self._now()
+        instructions = self._now()
         mine, theirs = self._mine(), "{}:{}".format(*address)
-        if [mine, theirs] in told.get("cuts", ()):
+        if [mine, theirs] in instructions.get("cuts", ()):
             return defer.Deferred()
-        delay = told.get("delays", {}).get(theirs) or told.get("delays", {}).get(mine)
+        delay = instructions.get("delays", {}).get(theirs) or instructions.get("delays", {}).get(mine)
         return self._ctx.timers.sleep(secs(delay)) if delay else None
 
     @hookimpl
@@ -55,5 +55,5 @@
         return ReportingDisk(self, self._ctx.settings.data) if self._ctx.settings.data else None
 
 
-def make_fault_plugin(words, ctx):
-    return _Plug(words, ctx)
+def make_fault_plugin(args, ctx):
+    return _Plug(args, ctx)
--- a/testbed/faults/overload.py
+++ b/testbed/faults/overload.py
@@ -69,7 +69,7 @@
             with self.calls.hurting("moved", [name]):
                 p.kill()
                 p.ports = (port,)
-                p.words[p.words.index("--port") + 1] = str(port)
+                p.command[p.command.index("--port") + 1] = str(port)
                 p.start()
                 time.sleep(2)
 
@@ -125,12 +125,12 @@
                     t.start()
                 for t in crowd:
                     t.join(30)
-            told = [e for e in self.calls.taken() if e["event"] == "told" and e["prompt"].startswith(mark)]
-            log_store = sorted(e["at"] - e["asked"] for e in told if e["fault"])
-            backs = sorted({int(e["retry"]) for e in told if str(e["retry"] or "").isdigit()})
+            live_requests = [e for e in self.calls.taken() if e["event"] == "told" and e["prompt"].startswith(mark)]
+            shed = sorted(e["at"] - e["asked"] for e in live_requests if e["fault"])
+            backs = sorted({int(e["retry"]) for e in live_requests if str(e["retry"] or "").isdigit()})
             self.say(
-                f"the crowd: {sum(bool(e['end']) for e in told)} whole, {len(log_store)} log store, the last after "
-                f"{log_store[-1] if log_store else 0:.2f} s, told to come back after {backs} s, "
+                f"the crowd: {sum(bool(e['end']) for e in live_requests)} whole, {len(shed)} shed, the last after "
+                f"{shed[-1] if shed else 0:.2f} s, told to come back after {backs} s, "
                 f"all told after {time.monotonic() - began:.2f} s"
             )
 
@@ -173,7 +173,7 @@
         def do():
             self.say("two operators edit at once, a row against the whole cluster state")
             controllers = self.fleet.nodes("controller")
-            words = [
+            args = [
                 (f"row-{c.randrange(4)}", {"model": f"m-{time.monotonic()}", "weight": 2}, None),
                 ("", None, lambda rows: {**rows, "both": {"model": f"both-{time.monotonic()}"}}),
             ]
@@ -182,7 +182,7 @@
                     target=self.calls.edit,
                     args=(name, row, f"both-{n}-{time.monotonic()}", c.choice(controllers), whole),
                 )
-                for n, (name, row, whole) in enumerate(words)
+                for n, (name, row, whole) in enumerate(args)
             ]
             for t in both:
                 t.start()
--- a/testbed/processes/lightweight_nodes.py
+++ b/testbed/processes/lightweight_nodes.py
@@ -53,8 +53,8 @@
 class CountedRpcEndpoint(RpcEndpoint):
     """Counts calls and responses by method, with the bytes of their frames."""
 
-    def __init__(self, *words):
-        super().__init__(*words)
+    def __init__(self, *args):
+        super().__init__(*args)
         self.counts: Counter = Counter()
 
     def _count(self, direction: str, method: str, size: int):
@@ -112,8 +112,8 @@
     def __getattr__(self, name):
         return getattr(reactor, name)
 
-    def callLater(self, span, do, *words, **named):
-        return reactor.callLater(span * self._host.pace, do, *words, **named)
+    def callLater(self, span, do, *args, **kwargs):
+        return reactor.callLater(span * self._host.pace, do, *args, **kwargs)
 
     def connectTCP(self, host, port, factory, timeout=30, bindAddress=None):
         return reactor.connectTCP(host, port, factory, timeout * self._host.pace, bindAddress)
@@ -277,8 +277,8 @@
         everyone = [Member.FromString(bytes.fromhex(m)) for m in members]
         for n in self.nodes:
             for at in range(0, len(everyone), TOLD_AT_ONCE):
-                told = Gossip(sender=everyone[0].node, members=everyone[at : at + TOLD_AT_ONCE])
-                await n.rpc.dispatch(n.rpc.hello(), "membership.tell", told.SerializeToString())
+                gossip = Gossip(sender=everyone[0].node, members=everyone[at : at + TOLD_AT_ONCE])
+                await n.rpc.dispatch(n.rpc.hello(), "membership.tell", gossip.SerializeToString())
 
     async def do_look(self):
         return {
--- a/testbed/processes/process_cluster.py
+++ b/testbed/processes/process_cluster.py
@@ -52,14 +52,14 @@
 
 
 class Program:
-    def __init__(self, name, words, log, ports):
-        self.name, self.words, self.log, self.ports = name, words, log, ports
+    def __init__(self, name, command, log, ports):
+        self.name, self.command, self.log, self.ports = name, command, log, ports
         self.process = None
 
     def start(self):
         out = open(self.log, "ab")
         self.process = subprocess.Popen(
-            [sys.executable, "-m", *self.words], stdout=out, stderr=out, stdin=subprocess.DEVNULL
+            [sys.executable, "-m", *self.command], stdout=out, stderr=out, stdin=subprocess.DEVNULL
         )
         out.close()
 
@@ -105,7 +105,7 @@
         self.settings = settings or {}
         self._wiped = 0
         self._lock = threading.Lock()
-        self._told: dict = {}
+        self._injected: dict = {}
         self.capacity, self.step = capacity, step
         self.zones: dict[str, str] = {}
         counts = {"gateway": gateways, "storage": storage_nodes, "controller": controllers}
@@ -142,16 +142,16 @@
             sets["data"] = self.folder / name
         if role == "controller" and self.founders and not seeds:
             sets["founders"] = ",".join(self.founders)
-        words = ["pipitlink", role]
+        command = ["pipitlink", role]
         for k, v in sets.items():
-            words += [f"--{k.replace('_', '-')}", str(v)]
-        p = self.programs[name] = Program(name, words, self.folder / f"{name}.log", ports)
+            command += [f"--{k.replace('_', '-')}", str(v)]
+        p = self.programs[name] = Program(name, command, self.folder / f"{name}.log", ports)
         return p
 
     def add_backend(self, name: str, pool: str, models: str, zone: str) -> Program:
         (port,) = free_ports(1)
         self.zones[name] = zone
-        words = [
+        command = [
             "testbed",
             "backend",
             "--name",
@@ -173,7 +173,7 @@
             "--notes",
             str(self.folder / f"{name}.notes"),
         ]
-        p = self.programs[name] = Program(name, words, self.folder / f"{name}.log", (port,))
+        p = self.programs[name] = Program(name, command, self.folder / f"{name}.log", (port,))
         return p
 
     def nodes(self, role: str) -> list[str]:
@@ -187,9 +187,9 @@
     def power(self, name: str, rng):
         """Cuts a node's power: what it had not synced is gone, but for a torn part of it."""
         self.programs[name].kill()
-        told = self.folder / f"{name}.synced"
+        synced_file = self.folder / f"{name}.synced"
         synced: dict[str, int] = {}
-        for line in told.read_text().splitlines() if told.exists() else ():
+        for line in synced_file.read_text().splitlines() if synced_file.exists() else ():
             path, _, size = line.rpartition(" ")
             synced[path] = int(size)
         lost = 0
@@ -258,9 +258,9 @@
     def tell(self, **more):
         """What the nodes' plug does from now on: cuts, delays by place, full disks."""
         with self._lock:
-            self._told.update(more)
+            self._injected.update(more)
             new = self.folder / "cuts.new"
-            new.write_text(json.dumps(self._told))
+            new.write_text(json.dumps(self._injected))
             new.replace(self.folder / "cuts.json")
 
     def operator(self, name: str) -> str:
--- a/testbed/simulator/simulation.py
+++ b/testbed/simulator/simulation.py
@@ -155,14 +155,14 @@
         if self.role != "controller":
             ctx.cluster.open()
 
-    def _on_thread(self, clock, do, *words):
+    def _on_thread(self, clock, do, *args):
         """On the clock of the life that asks: what is left of an ended life must not reach the next one's disk."""
         d = defer.Deferred()
         span = self.slow + 0.001 + 0.004 * self.simulation.rng.random()
 
         def work():
             try:
-                r = do(*words)
+                r = do(*args)
             except Exception as e:
                 clock.callLater(span, d.errback, e)
                 return
--- a/testbed/simulator/virtual_time.py
+++ b/testbed/simulator/virtual_time.py
@@ -17,8 +17,8 @@
     def seconds(self) -> float:
         return self._now
 
-    def callLater(self, span, do, *words):
-        call = _Call(None, do, words, {})
+    def callLater(self, span, do, *args):
+        call = _Call(None, do, args, {})
         heapq.heappush(self._calls, (self._now + span, next(self._numbers), call))
         return call
 
@@ -34,8 +34,8 @@
 class _Call:
     """A call in the simulation's clock, or on a life's own."""
 
-    def __init__(self, watch, do, words, named):
-        self._watch, self._work = watch, (do, words, named)
+    def __init__(self, watch, do, args, kwargs):
+        self._watch, self._work = watch, (do, args, kwargs)
 
     def active(self) -> bool:
         return self._work is not None
@@ -49,8 +49,8 @@
         if self._watch is not None and self._watch.held is not None:
             self._watch.held.append(self)
             return
-        (do, words, named), self._work = self._work, None
-        do(*words, **named)
+        (do, args, kwargs), self._work = self._work, None
+        do(*args, **kwargs)
 
 
 class NodeReactor:
@@ -61,8 +61,8 @@
         self.stopped = False
         self.held: list | None = None
 
-    def callLater(self, span, do, *words, **named):
-        call = _Call(self, do, words, named)
+    def callLater(self, span, do, *args, **kwargs):
+        call = _Call(self, do, args, kwargs)
         self._clock.callLater(span, call.fire)
         return call
 
--- a/testbed/standins/clients.py
+++ b/testbed/standins/clients.py
@@ -229,7 +229,7 @@
         asked = time.monotonic()
         status, said, heads = self.fleet.call(gateway, "POST", "/v1/lots", body, limit=15)
         lot = said["lot"] if status == 201 else ""
-        told = self.note(
+        event = self.note(
             "lot",
             name=name,
             lot=lot,
@@ -245,7 +245,7 @@
         if lot and watch:
             self.over.wait(1.0)
             self.read_lot(lot)
-        return told
+        return event
 
     def read_lot(self, lot: str, gateway=None, start=0):
         gateway = gateway or self.gateway()
--- a/testbed/standins/engine.py
+++ b/testbed/standins/engine.py
@@ -70,10 +70,10 @@
         for gateway in list(self.gateways):
             try:
                 r = await treq.post(f"http://{gateway}/v1/engines", json=body, timeout=1)
-                told = await treq.json_content(r)
-                if r.code == 200 and told["gateways"]:
+                response = await treq.json_content(r)
+                if r.code == 200 and response["gateways"]:
                     self.gateways = sorted(
-                        told["gateways"], key=lambda g: hashlib.sha256((g + self.name).encode()).digest()
+                        response["gateways"], key=lambda g: hashlib.sha256((g + self.name).encode()).digest()
                     )
                     return
             except Exception:
@@ -147,17 +147,17 @@
         return b"ok"
 
 
-def run_backend(words: dict) -> int:
+def run_backend(arguments: dict) -> int:
     b = Backend(
-        words["--name"],
-        words["--pool"],
-        [m for m in words["--models"].split(",") if m],
-        words["--zone"],
-        int(words["--capacity"]),
-        words["--gateways"].split(","),
-        words["--notes"],
-        float(words["--step"]),
-        int(words["--port"]),
+        arguments["--name"],
+        arguments["--pool"],
+        [m for m in arguments["--models"].split(",") if m],
+        arguments["--zone"],
+        int(arguments["--capacity"]),
+        arguments["--gateways"].split(","),
+        arguments["--notes"],
+        float(arguments["--step"]),
+        int(arguments["--port"]),
     )
     reactor.callWhenRunning(lambda: defer.ensureDeferred(b.open()))
     reactor.run()
--- a/testbed/standins/operators.py
+++ b/testbed/standins/operators.py
@@ -25,14 +25,14 @@
             return self.note("table_unread", controller=controller)
         if whole is not None:
             whole = whole(rows)
-            words = ("PUT", "/v1/table", {"rows": whole})
+            request = ("PUT", "/v1/table", {"rows": whole})
         else:
-            words = ("PUT" if row is not None else "DELETE", f"/v1/table/rows/{name}", row)
-        told = self._send_edit(controller, words, base, edit_id, name, row, whole, limit)
-        if told["outcome"] == "unknown":
+            request = ("PUT" if row is not None else "DELETE", f"/v1/table/rows/{name}", row)
+        answer = self._send_edit(controller, request, base, edit_id, name, row, whole, limit)
+        if answer["outcome"] == "unknown":
             with self._unknown_lock:
-                self._unknown.append((words, base, edit_id, name, row, whole))
-        return told
+                self._unknown.append((request, base, edit_id, name, row, whole))
+        return answer
 
     def read_table(self, controller: str) -> tuple[int | None, dict]:
         asked = time.monotonic()
@@ -43,10 +43,10 @@
         self.note("table_read", sequence=said["sequence"], rows=said["rows"], asked=asked, controller=controller)
         return said["sequence"], said["rows"]
 
-    def _send_edit(self, controller, words, base, edit_id, name, row, whole, limit):
+    def _send_edit(self, controller, request, base, edit_id, name, row, whole, limit):
         asked = time.monotonic()
         status, said, heads = self.fleet.call(
-            controller, *words, {"If-Match": str(base), "Edit-Id": edit_id}, limit=limit
+            controller, *request, {"If-Match": str(base), "Edit-Id": edit_id}, limit=limit
         )
         bad = said.get("error") if isinstance(said, dict) else None
         outcome = None if status == 200 else bad["outcome"] if bad else "unknown"
@@ -72,9 +72,9 @@
         with self._unknown_lock:
             waiting, self._unknown = self._unknown, []
         for one in waiting:
-            words, base, edit_id, name, row, whole = one
-            told = [self._send_edit(controller, words, base, edit_id, name, row, whole, 12) for _ in range(2)]
-            if any(t["outcome"] == "unknown" for t in told):
+            request, base, edit_id, name, row, whole = one
+            answer = [self._send_edit(controller, request, base, edit_id, name, row, whole, 12) for _ in range(2)]
+            if any(t["outcome"] == "unknown" for t in answer):
                 with self._unknown_lock:
                     self._unknown.append(one)
 
@@ -96,7 +96,7 @@
     def gate(self, model: str, open_: bool, controller: str):
         """Opens or closes a model by its row's weight: an edit that back ends and callers see the effect of."""
         asked = self.note("gate_asked", model=model, open=open_)["at"]
-        told = self.edit(
+        answer = self.edit(
             f"gate-{model}", {"model": model, "weight": int(open_)}, f"gate-{model}-{open_}-{asked}", controller
         )
-        self.note("gate", model=model, open=open_, asked=asked, done=told.get("status") == 200)
+        self.note("gate", model=model, open=open_, asked=asked, done=answer.get("status") == 200)
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -36,8 +36,8 @@
 class _Result(unittest.TextTestResult):
     """Also fails a test that leaves an error in a Deferred which nobody handled."""
 
-    def __init__(self, *words, **named):
-        super().__init__(*words, **named)
+    def __init__(self, *args, **kwargs):
+        super().__init__(*args, **kwargs)
         self._unhandled: list = []
         self._last = ""
         self.passed: set[str] = set()
--- a/tests/batch_builders.py
+++ b/tests/batch_builders.py
@@ -23,7 +23,7 @@
 EVENTS = 6
 
 
-def route(name="bulk", **words):
+def route(name="bulk", **args):
     return Route(
         **{
             "name": name,
@@ -33,7 +33,7 @@
             "max_attempts": 3,
             "due_ms": 20_000,
             "retain_ms": 600_000,
-            **words,
+            **args,
         }
     )
 
@@ -97,8 +97,8 @@
             self.busy -= 1
 
 
-def start_simulation(seed, gateways=3, routes=None, settle=2.0, **words):
-    simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=gateways, placement_groups=2, **words)
+def start_simulation(seed, gateways=3, routes=None, settle=2.0, **args):
+    simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=gateways, placement_groups=2, **args)
     simulation.routes = {r.name: r for r in routes or [route()]}
     simulation.runs, simulation.finished, simulation.step, simulation.breaks = [], [], ms(40), 0.05
     simulation.with_engines(BatchGateway, None, 0)
--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -127,20 +127,20 @@
 
 
 def main() -> int:
-    words = docopt(__doc__)
-    if words["SCENARIO"]:
-        lines = play(words["SCENARIO"], int(words["SEED"])).lines()
-        if words["--diff"]:
-            return _print_difference(words["--diff"], lines)
+    arguments = docopt(__doc__)
+    if arguments["SCENARIO"]:
+        lines = play(arguments["SCENARIO"], int(arguments["SEED"])).lines()
+        if arguments["--diff"]:
+            return _print_difference(arguments["--diff"], lines)
         print("\n".join(lines))
         return 0
-    first, _, last = words["--seeds"].partition(":")
+    first, _, last = arguments["--seeds"].partition(":")
     seeds = range(int(first), int(last) + 1)
-    scenarios = [words["--scenario"]] if words["--scenario"] else list(SCENARIOS)
-    if words["--write"]:
-        _write(words["--write"], scenarios, seeds)
+    scenarios = [arguments["--scenario"]] if arguments["--scenario"] else list(SCENARIOS)
+    if arguments["--write"]:
+        _write(arguments["--write"], scenarios, seeds)
         return 0
-    return _check(words["--check"], scenarios, seeds)
+    return _check(arguments["--check"], scenarios, seeds)
 
 
 if __name__ == "__main__":
--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -71,9 +71,9 @@
         self._seconds = seconds
         self.lines: list[str] = []
 
-    def note(self, *words, at: float | None = None):
+    def note(self, *args, at: float | None = None):
         at = self._seconds() if at is None else at
-        self.lines.append(f"{at:.3f} {json.dumps(_plain(words))}")
+        self.lines.append(f"{at:.3f} {json.dumps(_plain(args))}")
 
 
 @contextmanager
@@ -277,8 +277,8 @@
 
 def _note_runs(simulation, seen):
     for run in simulation.runs:
-        words = ("item", "after", "gateway", "path", "headers", "body")
-        seen.note("run", *(run[word] for word in words), at=run["at"])
+        args = ("item", "after", "gateway", "path", "headers", "body")
+        seen.note("run", *(run[word] for word in args), at=run["at"])
     for end in simulation.finished:
         seen.note("finished", end["item"], at=end["at"])
 
@@ -286,14 +286,14 @@
 class _RecordedOperators(Operators):
     """Notes each copy of a call and its answer, and which controller gave it."""
 
-    def __init__(self, simulation, seen, **words):
-        super().__init__(simulation, **words)
+    def __init__(self, simulation, seen, **args):
+        super().__init__(simulation, **args)
         self._seen = seen
 
-    async def call(self, controller, *words):
+    async def call(self, controller, *args):
         asked = self.simulation.clock.seconds()
-        got = await super().call(controller, *words)
-        self._seen.note("answer", controller.name, asked, words, _answer(got) if got else None)
+        got = await super().call(controller, *args)
+        self._seen.note("answer", controller.name, asked, args, _answer(got) if got else None)
         return got
 
 
--- a/tests/control_calls.py
+++ b/tests/control_calls.py
@@ -90,9 +90,9 @@
         """Starts a call; the list holds (status, body) once it is answered."""
         raw = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         request = _Request(method, raw, headers or {})
-        action, named = self._find(method, path)
+        action, kwargs = self._find(method, path)
         box = _Answer(request)
-        d = getattr(ControlApi(controller.ctx, controller.part, self.control_format), action)(request, **named)
+        d = getattr(ControlApi(controller.ctx, controller.part, self.control_format), action)(request, **kwargs)
         d.addCallback(lambda out: box.append((request.status, json.loads(out or b"null"))))
         return box
 
--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -99,7 +99,7 @@
     def run_in_background(self, work, what):
         return spawn(work)
 
-    def log(self, *words):
+    def log(self, *args):
         pass
 
     def news(self, name, state="ready", incarnation=1, capacity=10, zone="z", age_ms=0):
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -163,8 +163,8 @@
         return recover_tail
 
     def _around_log_append(self, plain):
-        async def append(leaseholder, records, *words, **named):
-            start = await plain(leaseholder, records, *words, **named)
+        async def append(leaseholder, records, *args, **kwargs):
+            start = await plain(leaseholder, records, *args, **kwargs)
             end = start + sum(len(encode_frame(r)) for r in records)
             self.acknowledged.append(Acknowledged(leaseholder.log, leaseholder.epoch, bytes(leaseholder.data[:end])))
             return start
--- a/tests/order_simulation.py
+++ b/tests/order_simulation.py
@@ -41,7 +41,7 @@
 
 
 @attrs.define
-class _Told:
+class _OrderOutcome:
     """What became of an order: when its copies were sent, and its clear answer, if there was one."""
 
     copies: list[float] = attrs.Factory(list)
@@ -78,7 +78,7 @@
     def taken(self) -> int:
         return sum(isinstance(r, ConfigOrder | ZoneOrder) and r.answer is Answer.TAKEN for r in self.records)
 
-    async def call(self, controller, *words):
+    async def call(self, controller, *args):
         """One copy of a call: (status, body), or None where no clear answer came in time."""
         simulation, rng = self.simulation, self.simulation.rng
         sent = _Sent()
@@ -87,7 +87,7 @@
         if rng.random() < self.held:
             span = rng.choice((0.2, 0.6, 1.5, 3.0, 6.0))
         if rng.random() >= self.lost:
-            simulation.clock.callLater(span, self._arrive, controller, sent, words)
+            simulation.clock.callLater(span, self._arrive, controller, sent, args)
         until = simulation.clock.seconds() + PATIENCE
         while simulation.clock.seconds() < until:
             await self.timers.sleep(ms(10))
@@ -100,15 +100,15 @@
             simulation.clock.callLater(0.002, self._hang_up, controller, sent)
         return None
 
-    def _arrive(self, controller, sent, words):
+    def _arrive(self, controller, sent, args):
         if not controller.alive:
             sent.failed = True
             return
         sent.life = controller.ctx
-        controller.clock.callLater(0, self._read, controller, sent, words)
+        controller.clock.callLater(0, self._read, controller, sent, args)
 
-    def _read(self, controller, sent, words):
-        sent.answer = self.caller.begin(controller, *words)
+    def _read(self, controller, sent, args):
+        sent.answer = self.caller.begin(controller, *args)
         if sent.left:
             self.simulation.clock.callLater(0.008 * self.simulation.rng.random(), self._hang_up, controller, sent)
 
@@ -116,48 +116,50 @@
         if controller.alive and controller.ctx is sent.life:
             controller.clock.callLater(0, sent.answer.hang_up)
 
-    async def send(self, *words) -> _Told:
+    async def send(self, *args) -> _OrderOutcome:
         """An order sent until it has a clear answer."""
-        told, pause = _Told(), 50
+        outcome, pause = _OrderOutcome(), 50
         await self.timers.sleep(ms(5))
         for _ in range(self.tries):
-            told.copies.append(self.simulation.clock.seconds())
-            got = await self.call(self.simulation.rng.choice(self.simulation.role("controller")), *words)
+            outcome.copies.append(self.simulation.clock.seconds())
+            got = await self.call(self.simulation.rng.choice(self.simulation.role("controller")), *args)
             if got is not None:
-                told.answer, told.ended = _meaning(got[0]), self.simulation.clock.seconds()
-                return told
+                outcome.answer, outcome.ended = _meaning(got[0]), self.simulation.clock.seconds()
+                return outcome
             await self.timers.sleep(ms(pause))
             pause = min(400, 2 * pause)
-        return told
+        return outcome
 
     async def change(self, content, base, version, valid=True, replaced=None) -> Answer:
         """A change of the configuration to one route that is named like its content; a patch where it replaces one."""
         route = route_of(content, "p" if valid else "unknown")
-        words = ("PUT", CONFIG, config_of(version, route))
+        args = ("PUT", CONFIG, config_of(version, route))
         if replaced:
-            words = (
+            args = (
                 "PATCH",
                 CONFIG,
                 {"version": version, "puts": {"routes": [route]}, "drops": {"routes": [replaced]}},
             )
-        told = await self.send(*words, {"If-Match": str(base)})
-        self.records.append(ConfigOrder(content, base, version, told.copies[0], told.ended, told.answer, valid))
-        return told.answer
+        outcome = await self.send(*args, {"If-Match": str(base)})
+        self.records.append(
+            ConfigOrder(content, base, version, outcome.copies[0], outcome.ended, outcome.answer, valid)
+        )
+        return outcome.answer
 
     async def change_zone(self, zone, empty):
-        told = await self.send("PUT" if empty else "DELETE", f"/v1/zones/{zone}/empty")
-        for n, sent in enumerate(told.copies, 1):
-            answer = told.answer if n == len(told.copies) else Answer.UNKNOWN
-            self.records.append(ZoneOrder(zone, empty, sent, told.ended, answer))
+        outcome = await self.send("PUT" if empty else "DELETE", f"/v1/zones/{zone}/empty")
+        for n, sent in enumerate(outcome.copies, 1):
+            answer = outcome.answer if n == len(outcome.copies) else Answer.UNKNOWN
+            self.records.append(ZoneOrder(zone, empty, sent, outcome.ended, answer))
 
     async def read(self, controller=None):
         """The version and content that were read back, or None."""
         began = self.simulation.clock.seconds()
         controller = controller or self.simulation.rng.choice(self.simulation.role("controller"))
-        told = await self.call(controller, "GET", CONFIG)
-        if told is None:
+        outcome = await self.call(controller, "GET", CONFIG)
+        if outcome is None:
             return None
-        version, routes = told[1]["version"], told[1]["routes"]
+        version, routes = outcome[1]["version"], outcome[1]["routes"]
         content = routes[0]["name"] if routes else ""
         self.records.append(ConfigSeen(version, content, began, self.simulation.clock.seconds()))
         return version, content
--- a/tests/partition_scenario.py
+++ b/tests/partition_scenario.py
@@ -87,7 +87,7 @@
         """Every kind of call at once."""
         n = len(self.calls)
         config = config_of(10_000 + n, route_of(f"lone{n}"))
-        for what, *words in (
+        for what, *args in (
             ("GET config", "GET", "/v1/config"),
             ("PUT config", "PUT", "/v1/config", config, {"If-Match": str(self.version)}),
             ("PUT empty", "PUT", "/v1/zones/zone-c/empty"),
@@ -96,7 +96,7 @@
             ("DELETE engine", "DELETE", f"/v1/engines/d{n}"),
             ("POST retire", "POST", f"/v1/storage_nodes/{self.simulation.role('storage')[3].node}/retire"),
         ):
-            box = self.caller.begin(simulated_node, *words)
+            box = self.caller.begin(simulated_node, *args)
             self.calls.append(_Call(what, self.now() - began, self.version, box))
 
     def watch(self, span: float):
--- a/tests/router_builders.py
+++ b/tests/router_builders.py
@@ -48,15 +48,15 @@
     return f"id: {n}\ndata: {text}\n\n".encode()
 
 
-def route(name, prefix, kind="streaming", pools=(("models", 1),), **words) -> Route:
-    words = {"deadline_ms": 5000, "latency_target_ms": 250, "max_attempts": 2, **words}
+def route(name, prefix, kind="streaming", pools=(("models", 1),), **args) -> Route:
+    args = {"deadline_ms": 5000, "latency_target_ms": 250, "max_attempts": 2, **args}
     return Route(
         name=name,
         host="h.example",
         prefix=prefix,
         kind=kind,
         shares=[PoolShare(pool=p, share=s) for p, s in pools],
-        **words,
+        **args,
     )
 
 
--- a/tests/test_announcing.py
+++ b/tests/test_announcing.py
@@ -206,8 +206,8 @@
         gateways = [g.simulated_node.name for g in self.gateways]
         self.simulation.cut([self.controller.name], gateways)
         for ask in (lambda: self.beat(2, "leaving"), lambda: self.beat(2, "leaving"), self.drop, self.drop):
-            told = ask()
-            self.assertEqual((told[0], told[1]["error"]["code"]), (503, "untold"))
+            answer = ask()
+            self.assertEqual((answer[0], answer[1]["error"]["code"]), (503, "untold"))
         self.simulation.heal()
         self.simulation.until(lambda: self.drop()[0] == 200, 3, "the gateways are told")
         self.assertEqual([g.states("e1")[-1] for g in self.gateways], ["gone"] * 3)
--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -29,8 +29,8 @@
     scenario: object
 
 
-def _live(kind, **words):
-    return lambda: AnswerScenario(kind, **words)
+def _live(kind, **args):
+    return lambda: AnswerScenario(kind, **args)
 
 
 def _stop_without_mark(call, why):
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -8,8 +8,8 @@
 
 
 class SimulatedBatches(unittest.TestCase):
-    def simulation(self, seed=1, **words):
-        simulation = start_simulation(seed, **words)
+    def simulation(self, seed=1, **args):
+        simulation = start_simulation(seed, **args)
         self.addCleanup(simulation.end)
         return simulation, Callers(simulation)
 
@@ -161,8 +161,8 @@
         gateway.kill()
         simulation.watch_calls = None
         simulation.heal()
-        told = [simulation.do(c.read(name, gateway=a))[0] for a in simulation.role("gateway", alive=True)]
-        self.assertEqual(set(told), {503})
+        statuses = [simulation.do(c.read(name, gateway=a))[0] for a in simulation.role("gateway", alive=True)]
+        self.assertEqual(set(statuses), {503})
         simulation.until(lambda: c.whole(name), 20, "it is taken up, and all is listed")
         self.assertEqual(c.wrong, [])
 
--- a/tests/test_batches_faults.py
+++ b/tests/test_batches_faults.py
@@ -11,11 +11,11 @@
 
 
 class BatchesUnderFaults(unittest.TestCase):
-    def run_seed(self, seed, **words):
+    def run_seed(self, seed, **args):
         simulation = start_simulation(seed, gateways=4)
         self.addCleanup(simulation.end)
         c = Callers(simulation)
-        random_faults = RandomFaults(simulation, **words)
+        random_faults = RandomFaults(simulation, **args)
         random_faults.during([c.hand_in_all(), c.hand_in_all(), c.read_some(), c.read_some(), c.end_some()], 10)
         c.over = True
         simulation.run(9)
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -24,8 +24,8 @@
 
 
 class SimulatedHeads(unittest.TestCase):
-    def simulation(self, seed=1, **words):
-        simulation = start_simulation(seed, **words)
+    def simulation(self, seed=1, **args):
+        simulation = start_simulation(seed, **args)
         simulation.breaks = 0
         self.addCleanup(simulation.end)
         self.watch_reads()
--- a/tests/test_batches_quota.py
+++ b/tests/test_batches_quota.py
@@ -11,8 +11,8 @@
 
 
 class SimulatedQuota(unittest.TestCase):
-    def simulation(self, seed=1, cap=CAP, **words):
-        simulation = start_simulation(seed, routes=[route(max_waiting_tokens=cap)], **words)
+    def simulation(self, seed=1, cap=CAP, **args):
+        simulation = start_simulation(seed, routes=[route(max_waiting_tokens=cap)], **args)
         simulation.step, simulation.breaks = ms(400), 0
         self.addCleanup(simulation.end)
         return simulation, Callers(simulation)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -156,7 +156,7 @@
                 fault={"outcome": outcome, "code": "x"}, end=False, pieces=list(pieces), **more
             )
 
-        def log_store(**more):
+        def shed(**more):
             def plant(ev, no):
                 no.pop(0)
                 fault("not_run", status=503, **more)(ev, no)
@@ -195,8 +195,8 @@
             "out of order or repeated": lambda ev, no: ev[0]["pieces"].insert(1, ev[0]["pieces"][0]),
             "neither an end nor a fault": lambda ev, no: ev[0].update(end=False),
             "after its limit": lambda ev, no: ev[0].update(asked=-9),
-            "without saying when": log_store(retry=None),
-            "was held back": log_store(retry="1", asked=5),
+            "without saying when": shed(retry=None),
+            "was held back": shed(retry="1", asked=5),
             "bytes that are not": lambda ev, no: ev[3].update(body=card_bytes("c")[:-1]),
             "are listed twice": results(lambda rs: rs[1].update(rs[0], n=1)),
             "item 1: not the engine's own": results(lambda rs: rs[1].update(text="cut")),
@@ -244,10 +244,10 @@
             "at a rate of": runs("metered", [70 + i / 20 for i in range(12)]),
             "4 at once where 3": runs("narrow", [70 + i / 20 for i in range(4)]),
         }
-        for words, plant in plants.items():
-            with self.subTest(words):
+        for finding, plant in plants.items():
+            with self.subTest(finding):
                 caught = self.caught(plant, limits={"metered": (4.0, 0), "narrow": (0, 3)})
-                self.assertTrue(any(words in line for line in caught), caught)
+                self.assertTrue(any(finding in line for line in caught), caught)
 
 
 if __name__ == "__main__":
--- a/tests/test_config_faults.py
+++ b/tests/test_config_faults.py
@@ -26,12 +26,12 @@
     def newest(self) -> int:
         return max((v for _, v in self.acked), default=0)
 
-    async def call(self, *words):
+    async def call(self, *args):
         """One call to some controller, as (status, body); None where it is silent for a second."""
         controller = self.simulation.rng.choice(self.simulation.role("controller"))
         if not controller.alive or controller.frozen:
             return None
-        box = self.caller.begin(controller, *words)
+        box = self.caller.begin(controller, *args)
         for _ in range(100):
             if box:
                 return box[0] if box[0][0] < 500 else None
@@ -54,19 +54,19 @@
             version = self.version
             config = self.sent[version] = config_of(version, route_of(f"r{who}", note=version))
             for _ in range(8):
-                told = await self.call("PUT", "/v1/config", config, {"If-Match": str(base)})
-                if told is not None:
+                answer = await self.call("PUT", "/v1/config", config, {"If-Match": str(base)})
+                if answer is not None:
                     break
                 await self.timers.sleep(ms(100))
-            if told is None:
+            if answer is None:
                 continue
-            if told[0] == 200:
+            if answer[0] == 200:
                 self.acked.append((self.simulation.clock.seconds(), version))
                 self.bases.setdefault(base, []).append(version)
-            elif told[0] in (400, 412):
+            elif answer[0] in (400, 412):
                 self.refused.add(version)
             else:
-                self.faults.append(f"{told}")
+                self.faults.append(f"{answer}")
 
     def watch(self):
         now = self.simulation.clock.seconds()
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -77,16 +77,16 @@
         self._held = []
         self.reactor = mock.Mock()
 
-    def run_in_thread(self, do, *words):
+    def run_in_thread(self, do, *args):
         d = defer.Deferred()
-        self._held.append((d, do, words))
+        self._held.append((d, do, args))
         return d
 
     def step(self):
         while self._held:
-            d, do, words = self._held.pop(0)
+            d, do, args = self._held.pop(0)
             try:
-                r = do(*words)
+                r = do(*args)
             except Exception as e:
                 d.errback(e)
                 continue
@@ -273,14 +273,14 @@
         disk = PowerLossDisk(Random(1))
         member = _Member(Path(folder.name), disk).start()
         disk.full = True
-        told = []
+        notified = []
 
         def again(f):
             f.trap(StorageFull)
             disk.full = False
-            member.durable_log.save_hard_state(3, "b").addCallback(lambda _: told.append("hard state"))
+            member.durable_log.save_hard_state(3, "b").addCallback(lambda _: notified.append("hard state"))
 
         member.durable_log.append(entry(1, 1)).addErrback(again)
         member.ctx.step()
-        self.assertEqual(told, ["hard state"])
+        self.assertEqual(notified, ["hard state"])
         member.durable_log.close()
--- a/tests/test_currency_orders.py
+++ b/tests/test_currency_orders.py
@@ -35,7 +35,7 @@
         self.settings = type("Settings", (), {"placement_groups": 1})
         self.node = "controller"
 
-    def log(self, *words):
+    def log(self, *args):
         pass
 
 
--- a/tests/test_gateway_components.py
+++ b/tests/test_gateway_components.py
@@ -99,12 +99,12 @@
         g = Gateway(gateways=4)
         g.later(10, "e", capacity=40)
         self.assertEqual(g.fill(g.ask()), 10)
-        told = []
+        granted = []
         for _ in range(12):
             g.slots.report_loads()
-            told.append(g.fill(g.ask()))
-        self.assertIn(told[0], (7, 8))
-        self.assertGreater(10 + sum(told), 34)
+            granted.append(g.fill(g.ask()))
+        self.assertIn(granted[0], (7, 8))
+        self.assertGreater(10 + sum(granted), 34)
 
     def test_one_prefix_keeps_to_one_engine_until_that_is_loaded(self):
         g = Gateway()
@@ -363,15 +363,15 @@
             self.assertEqual((settings.port, settings.zone), (8, "b"))
 
     def test_every_documented_prop_exists_and_every_prop_is_documented(self):
-        docs, told = Path(__file__).parent.parent / "docs" / "settings", set()
+        docs, granted = Path(__file__).parent.parent / "docs" / "settings", set()
         for role in ROLES:
             text = (docs / f"{role}.toml").read_text()
             self.assertEqual(read_settings(role, str(docs / f"{role}.toml"), {}).fleet, "tours")
             lines = re.findall(r"^(?:# )?([a-z_]+) = (.+?)(?:\s+#.*)?$", text, re.M)
             for name, value in lines:
                 read_settings(role, None, {"data": "x", name: tomllib.loads(f"v = {value}")["v"]})
-            told |= {name for name, _ in lines}
-        self.assertEqual({a.name for a in attrs.fields(Settings)} - told, {"plug"})
+            granted |= {name for name, _ in lines}
+        self.assertEqual({a.name for a in attrs.fields(Settings)} - granted, {"plug"})
 
     def test_a_bad_cluster_state_names_each_row_and_field(self):
         with self.assertRaises(InvalidRows) as no:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,16 +8,16 @@
 
 class Guards(unittest.TestCase):
     def test_with_the_guard_nothing_is_found(self):
-        for name, (bring, words, *_) in GUARDS.items():
+        for name, (bring, args, *_) in GUARDS.items():
             with self.subTest(name):
-                s = Scenario(self, **words)
+                s = Scenario(self, **args)
                 bring(s)
                 self.assertEqual(s.bad(), [])
 
     def test_without_the_guard_it_is_found(self):
-        for name, (bring, words, owner, part, instead, said) in GUARDS.items():
+        for name, (bring, args, owner, part, instead, said) in GUARDS.items():
             with self.subTest(name), unittest.mock.patch.object(owner, part, instead):
-                s = Scenario(self, **words)
+                s = Scenario(self, **args)
                 try:
                     bring(s)
                 except AssertionError as e:
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -40,7 +40,7 @@
             disk = _StepDisk(run)
             s = segments_kind(Path(folder.name) / str(count[0]), disk, partial(StepLock, run))
             list(s.recover())
-            positions, told = {}, []
+            positions, acknowledged = {}, []
 
             def put(name):
                 positions[name] = s.append(name.encode(), name)
@@ -48,12 +48,12 @@
             def flush():
                 for name in s.flush():
                     end = positions[name].offset + len(name) + 8 if name in positions else None
-                    told.append(name)
+                    acknowledged.append(name)
                     assert end is None or end <= disk.synced, f"{name} was told before it was synced"
 
             def check():
-                told.extend(s.flush())
-                assert sorted(told) == ["one", "two"], f"told {told}"
+                acknowledged.extend(s.flush())
+                assert sorted(acknowledged) == ["one", "two"], f"told {acknowledged}"
                 data = (Path(folder.name) / str(count[0]) / "seg-00000001.log").read_bytes()
                 found = {body.decode(): (1, at) for at, body, _ in decode_frames(data)}
                 assert found == positions, f"{found} is not {positions}"
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -20,8 +20,8 @@
 class EmptyingFaults(RandomFaults):
     """Also empties disks: one at once, and the next only when the members have taken the lost one's places."""
 
-    def __init__(self, *words, **named):
-        super().__init__(*words, **named)
+    def __init__(self, *args, **kwargs):
+        super().__init__(*args, **kwargs)
         self._emptied: set[str] = set()
 
     def one(self):
--- a/tests/test_order_guards.py
+++ b/tests/test_order_guards.py
@@ -37,8 +37,8 @@
         self.simulation.run(0.01)
         began = self.simulation.clock.seconds()
         body = config_of(version, route_of(content))
-        words = ("PUT", "/v1/config", body, {"If-Match": str(base), **headers})
-        answer = ANSWERS[self.caller.ask(self.other, *words)[0]]
+        args = ("PUT", "/v1/config", body, {"If-Match": str(base), **headers})
+        answer = ANSWERS[self.caller.ask(self.other, *args)[0]]
         self.records.append(ConfigOrder(content, base, version, began, self.simulation.clock.seconds(), answer))
 
     def zone(self, empty: bool):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -65,10 +65,10 @@
             "all follow",
         )
 
-    def arriving_while_frozen(self, controller, *words):
+    def arriving_while_frozen(self, controller, *args):
         """A call whose bytes wait in the controller's socket until it is run again."""
         box = []
-        controller.clock.callLater(0, lambda: box.append(self.caller.begin(controller, *words)))
+        controller.clock.callLater(0, lambda: box.append(self.caller.begin(controller, *args)))
         return box
 
 
@@ -126,17 +126,17 @@
 
 class Races(_Orders):
     def test_two_changes_under_one_edit_id_are_not_both_confirmed(self):
-        words = {"If-Match": "0", "Edit-Id": "mine"}
-        first = self.caller.ask(self.other, "PUT", CONFIG, config_of(4, route_of("a")), words)
-        second = self.caller.ask(self.held, "PUT", CONFIG, config_of(4, route_of("b")), words)
+        headers = {"If-Match": "0", "Edit-Id": "mine"}
+        first = self.caller.ask(self.other, "PUT", CONFIG, config_of(4, route_of("a")), headers)
+        second = self.caller.ask(self.held, "PUT", CONFIG, config_of(4, route_of("b")), headers)
         self.assertEqual(first[0], 200)
         self.assertEqual((second[0], second[1]["error"]["code"]), (409, "edit_id_used"))
-        self.assertEqual(self.caller.ask(self.held, "PUT", CONFIG, config_of(4, route_of("a")), words)[0], 200)
+        self.assertEqual(self.caller.ask(self.held, "PUT", CONFIG, config_of(4, route_of("a")), headers)[0], 200)
 
     def test_a_zone_order_under_the_id_of_another_order_is_refused_and_not_confirmed_for_it(self):
-        words = {"Edit-Id": "mine"}
-        self.assertEqual(self.caller.ask(self.other, "PUT", ZONE, headers=words)[0], 200)
-        self.assertEqual(self.caller.ask(self.other, "DELETE", ZONE, headers=words)[0], 409)
+        headers = {"Edit-Id": "mine"}
+        self.assertEqual(self.caller.ask(self.other, "PUT", ZONE, headers=headers)[0], 200)
+        self.assertEqual(self.caller.ask(self.other, "DELETE", ZONE, headers=headers)[0], 409)
         self.assertTrue(self.empty())
 
     def test_of_two_retirements_at_once_only_one_is_taken_where_two_would_leave_too_few(self):
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -126,8 +126,8 @@
         }
         for name, (answer, outcome, code) in cases.items():
             with self.subTest(name):
-                raw, status, told, headers = self.told(answer)
-                self.assertEqual((status, told), (code, outcome))
+                raw, status, results, headers = self.told(answer)
+                self.assertEqual((status, results), (code, outcome))
                 self.assertEqual(raw.reached, 1)
                 self.assertEqual("Retry-After" in headers, outcome == "not_run")
 
@@ -138,8 +138,8 @@
         self.assertEqual((status, said["error"]["outcome"], headers["Retry-After"]), (503, "not_run", "1"))
 
     def test_a_hang_ends_with_the_limit_and_is_unknown(self):
-        raw, status, told, _ = self.told(b"", hold=True)
-        self.assertEqual((raw.reached, status, told), (1, 504, "unknown"))
+        raw, status, results, _ = self.told(b"", hold=True)
+        self.assertEqual((raw.reached, status, results), (1, 504, "unknown"))
 
     def test_only_a_repeatable_request_goes_to_a_second_back_end(self):
         for repeatable in (False, True):
@@ -244,13 +244,13 @@
         lot = fleet.call(
             "gateway0", "POST", "/v1/lots", {"items": [{"model": "pipit-small", "prompt": f"d{n}"} for n in range(20)]}
         )[1]["lot"]
-        told = []
-        t = threading.Thread(target=lambda: told.append(calls.generate("draining", gateway="gateway0")))
+        results = []
+        t = threading.Thread(target=lambda: results.append(calls.generate("draining", gateway="gateway0")))
         t.start()
         wait_for(lambda: any(n["event"] == "run" and n["prompt"] == "draining" for n in fleet.notes()), 10, "it runs")
         self.assertEqual(fleet.programs["gateway0"].end(), 0)
         t.join(10)
-        self.assertTrue(told[0]["end"], told)
+        self.assertTrue(results[0]["end"], results)
         wait_for(
             lambda: fleet.call("gateway1", "GET", f"/v1/lots/{lot}")[1].get("state") == "done", 30, "the lot is done"
         )
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -202,7 +202,7 @@
         app = Klein()
         ControlApi(None, None, self.control_format).add_routes(app.route)
         at = app.url_map.bind("x")
-        for method, path, action, named in (
+        for method, path, action, kwargs in (
             ("GET", "/config", "show_config", {}),
             ("PUT", "/config", "put_config", {}),
             ("PATCH", "/config", "patch_config", {}),
@@ -213,7 +213,7 @@
             ("POST", "/retire/storage-1", "retire", {"storage_node": "storage-1"}),
             ("GET", "/retire/storage-1", "show_retirement", {"storage_node": "storage-1"}),
         ):
-            self.assertEqual(at.match(path, method), (f"control_{action}", named))
+            self.assertEqual(at.match(path, method), (f"control_{action}", kwargs))
 
 
 class Calls(unittest.TestCase):
--- a/tests/test_platform_serve.py
+++ b/tests/test_platform_serve.py
@@ -150,7 +150,7 @@
         self.assertIn(b"pipitlink-server-seal: 1", rig.seen(c).lower())
 
     def test_the_product_knows_no_name_of_the_platforms(self):
-        named = [
+        kwargs = [
             str(p.relative_to(ROOT))
             for p in (ROOT / "pipitlink").rglob("*.py")
             if any(
@@ -165,7 +165,7 @@
                 )
             )
         ]
-        self.assertEqual(named, [])
+        self.assertEqual(kwargs, [])
 
     def test_the_translation_stays_small(self):
         def lines(folder):
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -121,9 +121,9 @@
     def test_compare_tells_where_two_nodes_differ(self):
         at = self.fleet.operator
 
-        def compare(*words):
+        def compare(*args):
             return subprocess.run(
-                [sys.executable, "-m", "pipitlink", "compare", *words], capture_output=True, text=True, timeout=30
+                [sys.executable, "-m", "pipitlink", "compare", *args], capture_output=True, text=True, timeout=30
             )
 
         def until_alike(a, b):
@@ -163,10 +163,10 @@
             self.fleet.call("controller1", "PUT", "/v1/table/rows/slow", row, {"If-Match": str(base)})[0], 200
         )
         try:
-            told = [self.generate(f"rate {n}") for n in range(3)]
+            results = [self.generate(f"rate {n}") for n in range(3)]
             limited = [
                 (t[0], t[1]["error"]["code"], t[1]["error"]["outcome"], int(t[2]["Retry-After"]) >= 1)
-                for t in told
+                for t in results
                 if t[0] != 200
             ]
             self.assertIn((429, "rate_limited", "not_run", True), limited)
--- a/tests/test_simulated_cache.py
+++ b/tests/test_simulated_cache.py
@@ -59,7 +59,7 @@
         self.node = "me"
         self.logger = StructuredLogger(self)
 
-    def log(self, *words):
+    def log(self, *args):
         pass
 
 
--- a/tests/test_simulated_config.py
+++ b/tests/test_simulated_config.py
@@ -53,8 +53,8 @@
                 for i, controller in enumerate((first, second))
             ]
             self.simulation.until(lambda: all(boxes), 8, "both are answered")
-            told = sorted(b[0][0] for b in boxes)
-            self.assertEqual(told, [200, 412])
+            answer = sorted(b[0][0] for b in boxes)
+            self.assertEqual(answer, [200, 412])
             won = 10 * n + [b[0][0] for b in boxes].index(200)
             self.assertEqual(self.versions("gateway"), {won})
             self.assertEqual(self.caller.get(self.controllers[n % 4])[1], config_of(won))
@@ -67,10 +67,10 @@
             (5, 5, 400, "old_version"),
             (5, 4, 400, "old_version"),
         ):
-            told = self.caller.put(self.other, config_of(version), base)
-            self.assertEqual((told[0], told[1]["error"]["code"]), (status, code))
-            told = self.caller.patch(self.other, {"version": version}, base)
-            self.assertEqual((told[0], told[1]["error"]["code"]), (status, code))
+            answer = self.caller.put(self.other, config_of(version), base)
+            self.assertEqual((answer[0], answer[1]["error"]["code"]), (status, code))
+            answer = self.caller.patch(self.other, {"version": version}, base)
+            self.assertEqual((answer[0], answer[1]["error"]["code"]), (status, code))
         self.assertEqual(self.caller.get(self.controllers[0])[1], config_of(5))
 
     def test_an_edit_without_its_base_or_with_a_bad_one_is_refused(self):
@@ -367,7 +367,7 @@
             self.assertEqual(self.ask(method, "box-9")[0], 404)
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
         rest = [a for a in self.simulation.role("storage") if a is not self.storage_node]
-        told = self.ask("POST", rest[0].node)
-        self.assertEqual((told[0], told[1]["error"]["code"]), (409, "too_few_copies"))
+        answer = self.ask("POST", rest[0].node)
+        self.assertEqual((answer[0], answer[1]["error"]["code"]), (409, "too_few_copies"))
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
         self.assertEqual(self.ask("POST", self.storage_node.node)[0], 200)
--- a/tests/test_simulated_controllers.py
+++ b/tests/test_simulated_controllers.py
@@ -297,7 +297,7 @@
             if a is not leader and a.node in leader.part.consensus.voters()
         ]
         others[0].kill()
-        leader.ctx.run_in_thread = lambda do, *words: defer.Deferred()
+        leader.ctx.run_in_thread = lambda do, *args: defer.Deferred()
         with self.assertRaises(PipitlinkError):
             self.simulation.do(leader.part.state_delivery.edit(edit_of("r", 0, "not on two disks")), 12)
         self.assertEqual(
--- a/tests/test_simulated_long_logs.py
+++ b/tests/test_simulated_long_logs.py
@@ -104,8 +104,8 @@
 class _Writers:
     """Operators that edit and read at whichever controller leads, one edit after another."""
 
-    def __init__(self, simulation, judge):
-        self.simulation, self.judge = simulation, judge
+    def __init__(self, simulation, checker):
+        self.simulation, self.judge = simulation, checker
         self.timers = simulation.timers()
         self.over = False
         self.acked: dict[str, int] = {}
@@ -155,54 +155,54 @@
     def fleet(self, seed):
         simulation = Simulation(seed, controllers=4, storage_nodes=0, gateways=0)
         self.addCleanup(simulation.end)
-        judge = _Judge(simulation)
+        checker = _Judge(simulation)
         for simulated_node in simulation.role("controller"):
-            self._judge_lives(simulated_node, judge)
+            self._judge_lives(simulated_node, checker)
         simulation.start()
         simulation.until(simulation.leader, 10, "a leader")
-        writers = _Writers(simulation, judge)
+        writers = _Writers(simulation, checker)
         for who in range(WRITERS):
             spawn(writers.write(who))
-        return simulation, judge, writers
+        return simulation, checker, writers
 
-    def _judge_lives(self, simulated_node, judge):
+    def _judge_lives(self, simulated_node, checker):
         start = simulated_node.start
 
         def judged():
             start()
-            judge.admit(simulated_node)
+            checker.admit(simulated_node)
 
         simulated_node.start = judged
 
-    def run_for(self, simulation, judge, seconds):
+    def run_for(self, simulation, checker, seconds):
         end = simulation.clock.seconds() + seconds
         while simulation.clock.seconds() < end:
             simulation.run(LOOK_S)
-            judge.look()
+            checker.look()
 
-    def trouble(self, simulation, judge, kind, simulated_node, away):
+    def trouble(self, simulation, checker, kind, simulated_node, away):
         """One member is lost and comes back; returns whoever must be current now."""
         if kind == "freeze":
             simulated_node.freeze()
-            self.run_for(simulation, judge, away)
+            self.run_for(simulation, checker, away)
             simulated_node.thaw()
             return simulated_node
         simulated_node.kill(power=kind != "kill")
-        self.run_for(simulation, judge, away)
+        self.run_for(simulation, checker, away)
         if kind == "wipe":
             simulated_node.wipe()
         if kind == "replace":
             del simulation.simulated_nodes[simulated_node.name]
             name = f"controller-{simulation.fresh()}"
             simulated_node = simulation.add("controller", name, simulated_node.zone, 2000 + int(simulation.fresh()))
-            self._judge_lives(simulated_node, judge)
+            self._judge_lives(simulated_node, checker)
         simulation.seeds = tuple(
             f"{a.place[0]}:{a.place[1]}" for a in simulation.role("controller") if a is not simulated_node
         )
         simulated_node.start()
         return simulated_node
 
-    def until_voters_are_whole(self, simulation, judge):
+    def until_voters_are_whole(self, simulation, checker):
         """A second loss before that is another test's matter: here each member lost is made good first."""
         end = simulation.clock.seconds() + WHOLE_S
         while simulation.clock.seconds() < end:
@@ -214,30 +214,30 @@
                 and nodes.issuperset(leader.part.consensus.voters())
             ):
                 return
-            self.run_for(simulation, judge, LOOK_S)
-        judge.fault(f"the voters are not whole after {WHOLE_S} s")
+            self.run_for(simulation, checker, LOOK_S)
+        checker.fault(f"the voters are not whole after {WHOLE_S} s")
 
     def run_seed(self, seed, troubles=TROUBLES):
-        simulation, judge, writers = self.fleet(seed)
-        self.run_for(simulation, judge, 2.5)
-        told = []
+        simulation, checker, writers = self.fleet(seed)
+        self.run_for(simulation, checker, 2.5)
+        history = []
         for _ in range(troubles):
             kind, simulated_node = simulation.rng.choice(KINDS), simulation.rng.choice(simulation.role("controller"))
             away = simulation.rng.choice((0.05, 0.4, 1.5, 5.0))
-            told.append(f"{simulation.clock.seconds():.2f} {kind} {simulated_node.name} {away}")
-            back = self.trouble(simulation, judge, kind, simulated_node, away)
-            self.run_for(simulation, judge, CATCH_UP_S)
-            expected = judge.agreed_at(simulation.clock.seconds() - SETTLE_S)
+            history.append(f"{simulation.clock.seconds():.2f} {kind} {simulated_node.name} {away}")
+            back = self.trouble(simulation, checker, kind, simulated_node, away)
+            self.run_for(simulation, checker, CATCH_UP_S)
+            expected = checker.agreed_at(simulation.clock.seconds() - SETTLE_S)
             if back.part.consensus.cluster_state.sequence < expected:
-                judge.fault(f"{back.name} is at {back.part.consensus.cluster_state.sequence}, {expected} was agreed")
-            self.until_voters_are_whole(simulation, judge)
+                checker.fault(f"{back.name} is at {back.part.consensus.cluster_state.sequence}, {expected} was agreed")
+            self.until_voters_are_whole(simulation, checker)
         writers.over = True
-        self.run_for(simulation, judge, 2)
-        self.assertEqual(judge.faults, [], f"seed {seed}: {told}")
+        self.run_for(simulation, checker, 2)
+        self.assertEqual(checker.faults, [], f"seed {seed}: {history}")
         done = simulation.leader().part.consensus.cluster_state.outcomes
         kept = {e: sequence for e, sequence in writers.acked.items() if e in done or len(done) < MAX_OUTCOMES}
         lost = [e for e, sequence in kept.items() if e not in done or done[e].sequence != sequence]
-        self.assertEqual(lost, [], f"seed {seed}: {told}")
+        self.assertEqual(lost, [], f"seed {seed}: {history}")
         return len(writers.acked), simulation.leader().part.durable_log.snapshot.index
 
     def test_each_member_is_current_in_time_and_none_acts_on_old_state(self):
--- a/tests/test_snapshot_orders.py
+++ b/tests/test_snapshot_orders.py
@@ -130,9 +130,9 @@
         first.term = OLD_TERM
         self.simulation.do(part.log_receiver.append(LEADER, first))
 
-    def _hold(self, do, *words):
+    def _hold(self, do, *args):
         d = defer.Deferred()
-        self._jobs.append((d, do, words))
+        self._jobs.append((d, do, args))
         return d
 
     def play(self, messages):
@@ -152,9 +152,9 @@
             self.check()
         assert not messages and not self._jobs, "it goes on for ever"
 
-    def _end(self, d, do, words):
+    def _end(self, d, do, args):
         try:
-            d.callback(do(*words))
+            d.callback(do(*args))
         except Exception as e:
             d.errback(e)
 
--- a/tests/test_stale_leaseholder.py
+++ b/tests/test_stale_leaseholder.py
@@ -59,8 +59,8 @@
         until = simulation.clock.seconds() + 4
         while simulation.clock.seconds() < until:
             simulation.run(0.05)
-            told = stale.progress.get(joins.node)
-            if told is not None and told.tail_epoch == stale.epoch:
+            progress = stale.progress.get(joins.node)
+            if progress is not None and progress.tail_epoch == stale.epoch:
                 simulation.cuts = {c for c in simulation.cuts if joins.name not in c}
 
     def test_it_acknowledges_nothing_after_the_move(self):
--- a/tests/test_stalled_connections.py
+++ b/tests/test_stalled_connections.py
@@ -18,7 +18,7 @@
 
 
 class _Quiet:
-    def log(self, *words):
+    def log(self, *args):
         pass
 
 
--- a/tests/test_who_answered.py
+++ b/tests/test_who_answered.py
@@ -11,8 +11,8 @@
 
 
 class WhoAnswered(unittest.TestCase):
-    def record(self, seed: int, **words) -> tuple[Simulation, Recorder]:
-        simulation = Simulation(seed, placement_groups=1, **words)
+    def record(self, seed: int, **args) -> tuple[Simulation, Recorder]:
+        simulation = Simulation(seed, placement_groups=1, **args)
         self.addCleanup(simulation.end)
         recorder = Recorder(simulation)
         recording = recorder.recording()
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -22,7 +22,7 @@
 
 
 class _Quiet:
-    def log(self, *words):
+    def log(self, *args):
         pass
 
 
@@ -45,9 +45,9 @@
         self.asked.append(ask.target)
         return ProbeResponse(alive=True)
 
-    def call(self, endpoint, place, target, **named):
+    def call(self, endpoint, place, target, **kwargs):
         box = []
-        work = endpoint.call(place, "probe", IndirectProbeRequest(target=target), ProbeResponse, secs(1), **named)
+        work = endpoint.call(place, "probe", IndirectProbeRequest(target=target), ProbeResponse, secs(1), **kwargs)
         spawn(work).addBoth(box.append)
         self.pump.flush()
         return box[0]
@@ -159,18 +159,18 @@
                 self.simulation.do(replicated_log.call(lost, method, ask, kind), 3)
 
     def test_followers_name_the_controller_that_they_follow(self):
-        named = []
+        kwargs = []
         plain = self.simulation.carry
 
         def carry(sender, place, method, body, node=""):
             if method in ("controller.follow", "cluster.pass_on"):
-                named.append(node)
+                kwargs.append(node)
             return plain(sender, place, method, body, node)
 
         with unittest.mock.patch.object(self.simulation, "carry", carry):
             self.simulation.run(1)
-        self.assertTrue(named)
-        self.assertTrue(all(named))
+        self.assertTrue(kwargs)
+        self.assertTrue(all(kwargs))
 
     def test_a_follow_call_is_not_answered_by_the_successor_of_the_controller_that_is_meant(self):
         leader, gateway = self.simulation.leader(), self.simulation.role("gateway")[0]
