--- a/testbed/faults/disks.py
+++ b/testbed/faults/disks.py
@@ -5,6 +5,7 @@
 import tempfile
 from pathlib import Path
 from random import Random
+from typing import Protocol
 
 from pipitlink.disk import Disk
 
@@ -17,15 +18,15 @@
     With `names` each file that was made, renamed or removed without a sync of its folder is kept or lost by itself.
     """
 
-    def __init__(self, rng: Random, names: bool = False):
-        self._chance = rng
+    def __init__(self, rng: Random, names: bool = False) -> None:
+        self._rng = rng
         self._synced: dict[int, int] = {}
         self._seen: set[Path] = set()
         self._durable: dict[Path, Path] = {}
         self._shadows = tempfile.TemporaryDirectory(prefix="durable-") if names else None
         self.full = False
 
-    def append(self, fd, data):
+    def append(self, fd: int, data: bytes) -> None:
         if self.full:
             raise OSError(28, "No space left on device")
         if os.fstat(fd).st_size == 0:
@@ -34,7 +35,7 @@
         super().append(fd, data)
         self._see(fd)
 
-    def _forget_removed_files(self):
+    def _forget_removed_files(self) -> None:
         """The file system may give the number of a removed file to one that is not written through this disk."""
         known = list(self._synced)
         folders = [folder for folder in tuple(self._seen) if folder.exists()]
@@ -43,42 +44,44 @@
             if number not in present:
                 self._synced.pop(number, None)
 
-    def _see(self, fd):
+    def _see(self, fd: int) -> None:
         self._seen.add(Path(os.readlink(f"/proc/self/fd/{fd}")).parent)
 
-    def sync(self, fd):
+    def sync(self, fd: int) -> None:
         self._see(fd)
         self._synced[os.fstat(fd).st_ino] = os.fstat(fd).st_size
 
-    def truncate(self, fd, length):
+    def truncate(self, fd: int, length: int) -> None:
         super().truncate(fd, length)
         number = os.fstat(fd).st_ino
         self._synced[number] = min(self._synced.get(number, 0), length)
 
-    def sync_folder(self, folder):
+    def sync_folder(self, folder: Path) -> None:
         self._forget_removed_files()
-        if self._shadows is not None:
-            self.mark_durable(folder)
+        self.save_names(folder)
 
-    def mark_durable(self, folder):
-        """Keeps links to all that the folder names now, to bring it back after a loss of power."""
+    def save_names(self, folder: Path) -> None:
+        """Keeps links to all that the folder names now, to restore it after a power loss; only with `names`."""
+        if self._shadows is None:
+            return
         self._forget(Path(folder))
         shadow = self._durable[Path(folder)] = Path(tempfile.mkdtemp(dir=self._shadows.name))
         for path in Path(folder).iterdir():
             self._link(path, shadow / path.name)
 
-    def _forget(self, folder: Path):
+    def _forget(self, folder: Path) -> None:
         old = self._durable.pop(folder, None)
         if old is not None:
             shutil.rmtree(old)
 
-    def _link(self, path: Path, goal: Path):
+    def _link(self, path: Path, goal: Path) -> None:
         if path.is_dir():
             shutil.copytree(path, goal, copy_function=os.link)
         else:
             os.link(path, goal)
 
-    def lose_power(self):
+    def lose_power(self) -> None:
+        """Drops what was not synced, or a random part of it."""
         for folder, durable in sorted(self._durable.items()):
             self._lose_names(folder, durable)
         tops = [folder for folder in (*self._seen, *self._durable) if folder.exists()]
@@ -86,17 +89,17 @@
             self._lose_end(path)
         for folder in list(self._durable):
             if folder.exists():
-                self.mark_durable(folder)
+                self.save_names(folder)
             else:
                 self._forget(folder)
 
-    def _lose_names(self, folder: Path, durable: Path):
+    def _lose_names(self, folder: Path, durable: Path) -> None:
         if not folder.exists():
             return
         for name in sorted({p.name for p in (*folder.iterdir(), *durable.iterdir())}):
             now, before = folder / name, durable / name
             same = now.exists() and before.exists() and (now.is_dir() or now.samefile(before))
-            if same or self._chance.random() < 0.5:
+            if same or self._rng.random() < 0.5:
                 continue
             if now.is_dir():
                 shutil.rmtree(now)
@@ -105,32 +108,38 @@
             if before.exists():
                 self._link(before, now)
 
-    def _lose_end(self, path: Path):
+    def _lose_end(self, path: Path) -> None:
         synced = self._synced.get(path.stat().st_ino)
         size = path.stat().st_size
         if synced is not None and size > synced:
-            os.truncate(path, synced + self._chance.randrange(size - synced + 1))
+            os.truncate(path, synced + self._rng.randrange(size - synced + 1))
             self._synced[path.stat().st_ino] = path.stat().st_size
 
 
+class _FullDisks(Protocol):
+    def is_full(self) -> bool: ...
+
+
 class ReportingDisk(Disk):
-    def __init__(self, plug, data):
-        self._plug = plug
-        self._told = os.open(f"{data}.synced", os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    """Reports beside the data folder what was synced, so that the harness can drop the rest."""
+
+    def __init__(self, plugin: "_FullDisks", data: str) -> None:
+        self._plugin = plugin
+        self._report_fd = os.open(f"{data}.synced", os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
 
-    def append(self, fd, data):
-        if self._plug.is_full():
+    def append(self, fd: int, data: bytes) -> None:
+        if self._plugin.is_full():
             raise OSError(28, "No space left on device")
         super().append(fd, data)
 
-    def sync(self, fd):
+    def sync(self, fd: int) -> None:
         size = os.fstat(fd).st_size
         super().sync(fd)
-        self._tell(fd, size)
+        self._report(fd, size)
 
-    def truncate(self, fd, length):
+    def truncate(self, fd: int, length: int) -> None:
         super().truncate(fd, length)
-        self._tell(fd, length)
+        self._report(fd, length)
 
-    def _tell(self, fd, size):
-        os.write(self._told, f"{os.readlink(f'/proc/self/fd/{fd}')} {size}\n".encode())
+    def _report(self, fd: int, size: int) -> None:
+        os.write(self._report_fd, f"{os.readlink(f'/proc/self/fd/{fd}')} {size}\n".encode())
--- a/testbed/simulator/interleavings.py
+++ b/testbed/simulator/interleavings.py
@@ -1,40 +1,64 @@
-"""Runs real code through every order in which its threads, or the events around it, can come."""
+"""Model checking of real code: every order in which its threads, or the events around it, can come."""
 
 import threading
+from collections.abc import Callable, Sequence
+from random import Random
+from typing import Any, Protocol
 
-__all__ = ["Choices", "Interleaver", "StepLock", "explore_events", "walk_events"]
+__all__ = ["Choices", "EventScenario", "Interleaver", "StepLock", "explore_events", "walk_events"]
+
+MAX_RUNS = 200_000
+MAX_STEP_SECONDS = 10
+
+
+class EventScenario(Protocol):
+    """A scenario whose events may come in any order."""
+
+    def events(self) -> Sequence[tuple[str, Callable[[], Any]]]:
+        """Returns the pairs of name and action that may come next."""
+        ...
+
+    def check(self) -> Any:
+        """Fails where the state after an event is wrong."""
+        ...
+
+    def finish(self) -> Any:
+        """Lets all that is in flight end."""
+        ...
 
 
 class Choices:
     """The choices of one run: those of a prefix, and then the first of each."""
 
-    def __init__(self, prefix: list[int]):
+    def __init__(self, prefix: list[int]) -> None:
         self._prefix = prefix
         self.taken: list[tuple[int, int]] = []
 
     def pick(self, count: int) -> int:
+        """Returns the next choice, a number below `count`."""
         n = len(self.taken)
         pick = self._prefix[n] if n < len(self._prefix) else 0
         self.taken.append((pick, count))
         return pick
 
     @classmethod
-    def explore(cls, run, most: int = 200_000) -> int:
-        """`run(choices)` is run for every sequence of choices; returns how many there were."""
-        prefix: list[int] | None = []
+    def explore(cls, run: Callable[["Choices"], Any], most: int = MAX_RUNS) -> int:
+        """Calls `run` for every sequence of choices; returns how many there were."""
+        prefix: list[int] = []
         for count in range(1, most + 1):
             choices = cls(prefix)
             try:
                 run(choices)
-            except Exception as e:
-                raise AssertionError(f"with the choices {[pick for pick, _ in choices.taken]}: {e!r}") from e
-            prefix = choices.next_prefix()
-            if prefix is None:
+            except Exception as error:
+                raise AssertionError(f"with the choices {[pick for pick, _ in choices.taken]}: {error!r}") from error
+            next_prefix = choices.next_prefix()
+            if next_prefix is None:
                 return count
+            prefix = next_prefix
         raise AssertionError(f"more than {most} sequences of choices")
 
     def next_prefix(self) -> list[int] | None:
-        """The choices that lead to the next run, depth first; None after the last one."""
+        """Returns the choices that lead to the next run, depth first; None after the last one."""
         taken = list(self.taken)
         while taken and taken[-1][0] + 1 >= taken[-1][1]:
             taken.pop()
@@ -43,129 +67,139 @@
         return [pick for pick, _ in taken[:-1]] + [taken[-1][0] + 1]
 
 
-def _play_events(scenario, pick, most_events: int) -> list[str]:
-    names = []
+def _play_events(scenario: EventScenario, pick: Callable[[int], int], most_events: int) -> list[str]:
+    names: list[str] = []
     try:
         for _ in range(most_events):
             events = scenario.events()
             if not events:
                 break
-            name, do = events[pick(len(events))]
+            name, action = events[pick(len(events))]
             names.append(name)
-            do()
+            action()
             scenario.check()
         scenario.finish()
         scenario.check()
-    except BaseException as e:
-        raise AssertionError(f"after {names}: {e!r}") from e
+    except BaseException as error:
+        raise AssertionError(f"after {names}: {error!r}") from error
     return names
 
 
-def explore_events(make_scenario, most_events: int, most: int = 200_000) -> int:
-    """Runs a scenario through every order of up to so many of its events; returns how many orders were run.
-
-    A scenario offers `events()`, the pairs of name and action that may come next, `check()` after each of them, and
-    `finish()`, which lets all that is under way end.
-    """
-    prefix: list[int] | None = []
+def explore_events(make_scenario: Callable[[], EventScenario], most_events: int, most: int = MAX_RUNS) -> int:
+    """Runs a scenario through every order of up to so many of its events; returns how many orders were run."""
+    prefix: list[int] = []
     for count in range(1, most + 1):
         choices = Choices(prefix)
         _play_events(make_scenario(), choices.pick, most_events)
-        prefix = choices.next_prefix()
-        if prefix is None:
+        next_prefix = choices.next_prefix()
+        if next_prefix is None:
             return count
+        prefix = next_prefix
     raise AssertionError(f"more than {most} orders")
 
 
-def walk_events(make_scenario, rng, most_events: int, walks: int):
+def walk_events(make_scenario: Callable[[], EventScenario], rng: Random, most_events: int, walks: int) -> None:
     """Runs a scenario through orders of its events that are drawn at random."""
     for _ in range(walks):
         _play_events(make_scenario(), rng.randrange, most_events)
 
 
 class StepLock:
-    """A lock whose taking and giving back are points at which another thread may go first."""
+    """A lock whose acquisition and release are points at which another thread may go first."""
 
-    def __init__(self, run):
+    def __init__(self, run: "Interleaver") -> None:
         self._run = run
-        self.owner = None
+        self.owner: int | None = None
 
-    def __enter__(self):
+    def __enter__(self) -> "StepLock":
         self._run.point(lambda: self.owner is None)
         self.owner = threading.get_ident()
         return self
 
-    def __exit__(self, *exc):
+    def __exit__(self, *exc_info: object) -> None:
         self.owner = None
         self._run.point()
 
 
+def _always() -> bool:
+    return True
+
+
 class _Thread:
-    def __init__(self, run, work):
+    """A thread that runs from one point to the next, when it is let."""
+
+    def __init__(self, run: "Interleaver", work: Callable[[], Any]) -> None:
         self.go = threading.Semaphore(0)
-        self.may = lambda: True
+        self.may_go_on: Callable[[], bool] = _always
         self.over = False
-        self.fault = None
+        self.error: BaseException | None = None
         self._run, self._work = run, work
         self.thread = threading.Thread(target=self._body, daemon=True)
 
-    def _body(self):
+    def _body(self) -> None:
         self.go.acquire()
         try:
             self._work()
-        except BaseException as e:
-            self.fault = e
+        except BaseException as error:
+            self.error = error
         self.over = True
         self._run.back.release()
 
 
 class Interleaver:
-    """One run in a given order. `explore` makes as many as there are orders."""
+    """One run of threads in a given order. `explore` makes as many as there are orders."""
 
-    def __init__(self, prefix: list[int]):
+    def __init__(self, prefix: list[int]) -> None:
         self._choices = Choices(prefix)
         self.back = threading.Semaphore(0)
         self._threads: list[_Thread] = []
         self._now: _Thread | None = None
 
-    def point(self, may=lambda: True):
-        """A thread stops here until it is its turn and it may go on."""
-        me = self._now
-        if me is None or threading.current_thread() is not me.thread:
-            assert may(), "taken outside the run"
+    def point(self, may_go_on: Callable[[], bool] = _always) -> None:
+        """Stops the thread that calls until it is its turn and it may go on."""
+        current = self._now
+        if current is None or threading.current_thread() is not current.thread:
+            assert may_go_on(), "taken outside the run"
             return
-        me.may = may
+        current.may_go_on = may_go_on
         self.back.release()
-        me.go.acquire()
-
-    def play(self, works):
-        self._threads = [_Thread(self, w) for w in works]
-        for t in self._threads:
-            t.thread.start()
-        while not all(t.over for t in self._threads):
-            ready = [t for t in self._threads if not t.over and t.may()]
+        current.go.acquire()
+
+    def play(self, works: Sequence[Callable[[], Any]]) -> None:
+        """Runs each piece of work in a thread of its own; raises the first error of any of them."""
+        self._threads = [_Thread(self, work) for work in works]
+        for started in self._threads:
+            started.thread.start()
+        while not all(thread.over for thread in self._threads):
+            ready = [thread for thread in self._threads if not thread.over and thread.may_go_on()]
             assert ready, "the threads wait for one another for ever"
             self._now = ready[self._choices.pick(len(ready))]
             self._now.go.release()
-            self.back.acquire(timeout=10)
+            self.back.acquire(timeout=MAX_STEP_SECONDS)
         self._now = None
-        for t in self._threads:
-            if t.fault is not None:
-                raise t.fault
+        for ended in self._threads:
+            if ended.error is not None:
+                raise ended.error
 
     @classmethod
-    def explore(cls, make, most: int = 200_000) -> int:
-        """`make(run)` gives (works, check); returns how many orders were run."""
-        prefix: list[int] | None = []
+    def explore(
+        cls,
+        make: Callable[["Interleaver"], tuple[Sequence[Callable[[], Any]], Callable[[], Any]]],
+        most: int = MAX_RUNS,
+    ) -> int:
+        """Runs the work that `make` returns, with its check, in every order; returns how many orders there were."""
+        prefix: list[int] = []
         for count in range(1, most + 1):
             run = cls(prefix)
             works, check = make(run)
             try:
                 run.play(works)
                 check()
-            except BaseException as e:
-                raise AssertionError(f"in the order {[p for p, _ in run._choices.taken]}: {e!r}") from e
-            prefix = run._choices.next_prefix()
-            if prefix is None:
+            except BaseException as error:
+                order = [pick for pick, _ in run._choices.taken]
+                raise AssertionError(f"in the order {order}: {error!r}") from error
+            next_prefix = run._choices.next_prefix()
+            if next_prefix is None:
                 return count
+            prefix = next_prefix
         raise AssertionError(f"more than {most} orders")
--- a/testbed/simulator/random_faults.py
+++ b/testbed/simulator/random_faults.py
@@ -1,92 +1,113 @@
-"""Seeded trouble in a simulation: kills, power losses, freezes, cuts, and their healing."""
+"""Random faults in a simulation, by its seed: kills, power losses, freezes, partitions, full and slow disks."""
 
 import os
+from collections.abc import Coroutine, Iterable, Sequence
+from typing import TYPE_CHECKING, Any
 
 from pipitlink.timers import spawn
 
+from ..faults.disks import PowerLossDisk
+
+if TYPE_CHECKING:
+    from .simulation import SimulatedNode, Simulation
+
 __all__ = ["RandomFaults", "seeds"]
 
+SEEDS_VARIABLE = "REHEARSAL_SEEDS"
+FAULT_SECONDS = (0.3, 1.0, 2.5, 5.0)
+CUT_SHARE = 0.7  # how likely a partition separates a node from any other
+
 
 def seeds(usual: int) -> range:
-    """The seeds of a run: the same few each time, or as REHEARSAL_SEEDS=FIRST:LAST says."""
-    first, _, last = os.environ.get("REHEARSAL_SEEDS", f"1:{usual}").partition(":")
+    """Returns the seeds of a run: the same few each time, or as REHEARSAL_SEEDS=FIRST:LAST says."""
+    first, _, last = os.environ.get(SEEDS_VARIABLE, f"1:{usual}").partition(":")
     return range(int(first), int(last) + 1)
 
 
 class RandomFaults:
-    """Brings faults about at random; never more lost at once than the fleet promises to bear, when `bearable`."""
+    """Injects faults into the nodes of a simulation; each ends by itself after a few seconds."""
 
     def __init__(
         self,
-        simulation,
-        roles=("controller", "storage", "gateway"),
-        kinds=("kill", "power", "freeze", "cut", "one_way", "full", "slow"),
-    ):
+        simulation: "Simulation",
+        roles: Sequence[str] = ("controller", "storage", "gateway"),
+        kinds: Sequence[str] = ("kill", "power", "freeze", "cut", "one_way", "full", "slow"),
+    ) -> None:
         self._simulation = simulation
         self._roles = roles
         self._kinds = kinds
         self.injected: list[str] = []
 
-    def one(self):
+    def one(self) -> None:
+        """Injects one fault; a node that is down or frozen already is left as it is."""
         simulation, rng = self._simulation, self._simulation.rng
         role = rng.choice(self._roles)
-        simulated_node = rng.choice(simulation.role(role))
+        node = rng.choice(simulation.role(role))
         kind = rng.choice(self._kinds)
-        span = rng.choice((0.3, 1.0, 2.5, 5.0))
-        self.injected.append(f"{simulation.clock.seconds():.3f} {kind} {simulated_node.name} {span}")
-        if not simulated_node.alive or simulated_node.frozen:
-            return
+        duration = rng.choice(FAULT_SECONDS)
+        self.injected.append(f"{simulation.clock.seconds():.3f} {kind} {node.name} {duration}")
+        if node.alive and not node.frozen:
+            self._inject(node, kind, duration)
+
+    def _inject(self, node: "SimulatedNode", kind: str, duration: float) -> None:
+        clock = self._simulation.clock
         if kind in ("kill", "power"):
-            simulated_node.kill(power=kind == "power")
-            simulation.clock.callLater(span, self._start, simulated_node)
+            node.kill(power=kind == "power")
+            clock.callLater(duration, self._start, node)
         elif kind == "full":
-            simulated_node.disk.full = True
-            simulation.clock.callLater(span, self._empty, simulated_node.disk)
+            node.disk.full = True
+            clock.callLater(duration, self._free_disk, node.disk)
         elif kind == "slow":
-            simulated_node.slow = span
-            simulation.clock.callLater(2 * span, self._quicken, simulated_node)
+            node.slow = duration
+            clock.callLater(2 * duration, self._end_slowness, node)
         elif kind == "freeze":
-            simulated_node.freeze()
-            simulation.clock.callLater(span, self._thaw, simulated_node)
+            node.freeze()
+            clock.callLater(duration, self._thaw, node)
         else:
-            others = [
-                a.name for a in simulation.simulated_nodes.values() if a is not simulated_node and rng.random() < 0.7
-            ]
-            pairs = {(simulated_node.name, o) for o in others}
-            if kind == "cut":
-                pairs |= {(b, a) for a, b in pairs}
-            simulation.cuts |= pairs
-            simulation.clock.callLater(span, self._mend, pairs)
-
-    def _quicken(self, simulated_node):
-        simulated_node.slow = 0.0
-
-    def _empty(self, disk):
+            self._partition(node, kind == "cut", duration)
+
+    def _partition(self, node: "SimulatedNode", both_ways: bool, duration: float) -> None:
+        simulation = self._simulation
+        nodes = simulation.simulated_nodes.values()
+        others = [other.name for other in nodes if other is not node and simulation.rng.random() < CUT_SHARE]
+        pairs = {(node.name, other) for other in others}
+        if both_ways:
+            pairs |= {(receiver, sender) for sender, receiver in pairs}
+        simulation.cuts |= pairs
+        simulation.clock.callLater(duration, self._reconnect, pairs)
+
+    def _end_slowness(self, node: "SimulatedNode") -> None:
+        node.slow = 0.0
+
+    def _free_disk(self, disk: PowerLossDisk) -> None:
         disk.full = False
 
-    def _start(self, simulated_node):
-        if not simulated_node.alive:
-            simulated_node.start()
+    def _start(self, node: "SimulatedNode") -> None:
+        if not node.alive:
+            node.start()
 
-    def _thaw(self, simulated_node):
-        if simulated_node.alive and simulated_node.frozen:
-            simulated_node.thaw()
+    def _thaw(self, node: "SimulatedNode") -> None:
+        if node.alive and node.frozen:
+            node.thaw()
 
-    def _mend(self, pairs):
+    def _reconnect(self, pairs: set[tuple[str, str]]) -> None:
         self._simulation.cuts -= pairs
 
-    def heal(self):
-        """Ends every fault, and starts what is down."""
+    def heal(self) -> None:
+        """Ends every fault, and starts the nodes that are down."""
         self._simulation.heal()
-        for a in self._simulation.simulated_nodes.values():
-            a.disk.full, a.slow = False, 0.0
-            self._start(a)
-            self._thaw(a)
-
-    def during(self, work, faults: int, between: float = 1.5):
-        """Runs coroutines while faults come; then heals. The works must end by themselves once `over` is called."""
-        for w in work:
-            spawn(w).addErrback(lambda f: self.injected.append(f"work ended: {f.value!r}"))
+        for node in self._simulation.simulated_nodes.values():
+            node.disk.full, node.slow = False, 0.0
+            self._start(node)
+            self._thaw(node)
+
+    def during(self, work: Iterable[Coroutine[Any, Any, Any]], faults: int, between: float = 1.5) -> None:
+        """Runs coroutines while faults are injected, about `between` seconds apart; ends all faults then.
+
+        The coroutines must end by themselves once their owner says so.
+        """
+        for coroutine in work:
+            spawn(coroutine).addErrback(lambda failure: self.injected.append(f"work ended: {failure.value!r}"))
         for _ in range(faults):
             self._simulation.run(between * (0.3 + self._simulation.rng.random()))
             self.one()
--- a/testbed/simulator/simulation.py
+++ b/testbed/simulator/simulation.py
@@ -1,11 +1,13 @@
-"""The real node code on injected timers: a simulated network that cuts and delays, disks that lose what is unsynced."""
+"""Nodes that run their own code on virtual time, over a simulated network and disks that lose what is not synced."""
 
 import shutil
 import tempfile
+from collections.abc import Callable, Iterable
 from datetime import UTC, datetime, timedelta
 from functools import partial
 from pathlib import Path
 from random import Random
+from typing import Any
 from unittest import mock
 
 from twisted.internet import defer
@@ -28,77 +30,120 @@
 from ..faults.disks import PowerLossDisk
 from .virtual_time import NodeReactor, VirtualTime
 
-__all__ = ["Simulation", "SimulatedNode"]
+__all__ = ["SimulatedNode", "SimulatedRpcEndpoint", "Simulation"]
 
+Address = tuple[str, int]
 
-class _Sink:
-    def __init__(self):
+FIRST_PORT = 1000
+FOUNDERS = 3
+STEP_SECONDS = 0.005
+START_UTC = 1_700_000_000  # seconds since the epoch
+
+
+class _LogSink:
+    """Keeps the lines that nodes log."""
+
+    def __init__(self) -> None:
         self.lines: list[str] = []
 
-    def log(self, level, shape, line):
+    def log(self, level: str, shape: str, line: str) -> None:  # noqa: ARG002 - the interface of a sink
+        """Keeps one line."""
         self.lines.append(f"{level} {line}")
 
 
-class _Rpc:
-    """The simulated side of `RPC endpoint`: the same calls, carried by the simulation."""
+class SimulatedRpcEndpoint:
+    """The RPC endpoint of a simulated node: the same calls as the real one, carried by the simulation."""
 
-    def __init__(self, simulation, simulated_node):
+    def __init__(self, simulation: "Simulation", node: "SimulatedNode") -> None:
         self._simulation = simulation
-        self._simulated_node = simulated_node
-        self.address = simulated_node.place
-        self.node = simulated_node.node
+        self._node = node
+        self.address = node.address
+        self.node = node.node
         self.incarnation = 1
-        self._handlers: dict = {}
+        self._handlers: dict[str, tuple[Any, Any]] = {}
 
-    def register_handler(self, method, request_type, handler):
+    def register_handler(self, method: str, request_type: Any, handler: Any) -> None:
+        """Serves a method by a coroutine function of the caller's node and the request."""
         self._handlers[method] = (request_type, handler)
 
-    async def dispatch(self, node, method, body):
+    async def dispatch(self, node: str, method: str, body: bytes) -> bytes:
+        """Serves one call, and returns the response as bytes; raises UnknownMethod without a handler."""
         if method not in self._handlers:
             raise UnknownMethod(f"no such call here: {method}")
         request_type, handler = self._handlers[method]
         response = await handler(node, request_type.FromString(body))
         return (Empty() if response is None else response).SerializeToString()
 
-    def notify(self, addresses, method, message):
+    def notify(self, addresses: Iterable[Address], method: str, message: Any) -> None:
+        """Sends a message to each address and waits for no response."""
         body = message.SerializeToString()
         for address in addresses:
-            self._simulation.carry(self._simulated_node, address, method, body).addErrback(lambda _: None)
-
-    async def call(self, address, method, request, response_type, timeout, node=""):
-        if self is not self._simulated_node.ctx.rpc or not self._simulated_node.alive:
-            await defer.Deferred()  # what is left of an ended life says nothing more
+            self._simulation.carry(self._node, address, method, body).addErrback(lambda _: None)
+
+    async def call(
+        self, address: Address, method: str, request: Any, response_type: Any, timeout: timedelta, node: str = ""
+    ) -> Any:
+        """Returns the response of a peer; raises DeadlineExceeded after the timeout."""
+        if self is not self._node.ctx.rpc or not self._node.alive:
+            await defer.Deferred()  # what is left of an ended incarnation sends nothing more
         body = request.SerializeToString()
         try:
-            carried = self._simulation.carry(self._simulated_node, address, method, body, node)
-            return response_type.FromString(await self._simulated_node.ctx.timers.with_timeout(timeout, carried))
+            carried = self._simulation.carry(self._node, address, method, body, node)
+            return response_type.FromString(await self._node.ctx.timers.with_timeout(timeout, carried))
         except DeadlineExceeded as error:
             raise DeadlineExceeded(f"{method} to {address}: {error}") from error
 
 
 class SimulatedNode:
-    """One node in the simulation; it can be killed, frozen, woken and started again on the same disk."""
+    """A node of the simulation; it can be killed, frozen, thawed and started again on the same disk."""
 
-    def __init__(self, simulation, role, name, zone, port):
+    ctx: Any
+    part: Any
+    clock: NodeReactor
+    node: str
+
+    def __init__(self, simulation: "Simulation", role: str, name: str, zone: str, port: int) -> None:
         self.simulation, self.role, self.name, self.zone = simulation, role, name, zone
-        self.place = ("10.0.0.1", port)
+        self.address: Address = ("10.0.0.1", port)
         self.folder = simulation.folder / name
         self.disk = PowerLossDisk(simulation.rng)
-        self.lives = 0
+        self.start_count = 0
         self.alive = False
         self.frozen = False
-        self.slow = 0.0
+        self.slow = 0.0  # seconds that each piece of work in a thread takes longer
         self.ctx = None
 
-    def start(self):
-        simulation = self.simulation
-        self.lives += 1
+    def start(self) -> None:
+        """Starts a new incarnation on the node's disk."""
+        self.start_count += 1
         self.alive = True
         self.folder.mkdir(exist_ok=True)
-        keep = self.folder / "id"
-        if self.role == "gateway" or not keep.exists():
-            keep.write_text(f"{self.name}x{self.lives}x{simulation.fresh()}")
-        self.node = keep.read_text()
+        self.node = self._read_node_id()
+        self._open_context()
+        self._open_role()
+        self.ctx.membership.open(
+            Member(
+                node=self.node,
+                incarnation=1,
+                role=self.role,
+                zone=self.zone,
+                host=self.address[0],
+                port=self.address[1],
+                name=self.name if self.simulation.named else "",
+            )
+        )
+        if self.role != "controller":
+            self.ctx.cluster.open()
+
+    def _read_node_id(self) -> str:
+        """Returns the node's id: gateways get a new one at each start, others keep theirs on the disk."""
+        path = self.folder / "id"
+        if self.role == "gateway" or not path.exists():
+            path.write_text(f"{self.name}x{self.start_count}x{self.simulation.fresh()}")
+        return path.read_text()
+
+    def _open_context(self) -> None:
+        simulation = self.simulation
         settings = Settings(
             zone=self.zone,
             seeds=simulation.seeds,
@@ -109,24 +154,27 @@
         )
         self.clock = NodeReactor(simulation.clock)
         timers = simulation.timers(self.clock)
-        self.ctx = Context(
+        reactor: Any = self.clock
+        endpoint: Any = SimulatedRpcEndpoint(simulation, self)
+        self.ctx = ctx = Context(
             self.role,
             self.node,
             settings,
-            self.clock,
+            reactor,
             timers,
             StructuredLogger(simulation.sink, node=self.node),
-            None,
+            endpoint,
             Random(simulation.rng.random()),
         )
-        ctx = self.ctx
-        ctx.rpc = _Rpc(simulation, self)
-        ctx.run_in_thread = partial(self._on_thread, self.clock)
+        ctx.run_in_thread = partial(self._run_in_thread, self.clock)
         ctx.membership = Membership(ctx)
         if self.role != "gateway":
             ctx.membership.persist_peers_in(self.folder)
         ctx.cluster = ClusterFollower(ctx)
         ctx.replicated_log = ReplicatedLog(ctx)
+
+    def _open_role(self) -> None:
+        ctx = self.ctx
         self.part = None
         if self.role == "storage":
             self.part = StorageNode(ctx, self.disk)
@@ -135,43 +183,36 @@
             self.part = ControllerNode(ctx, self.disk)
             self.part.open()
         else:
-            ctx.cache = Cache(ctx)
-            if simulation.engines is not None:
-                self.part = type("InSimulation", (simulation.gateway_kind,), {"simulation": simulation})(ctx)
-                self.part.open()
-            ctx.replicated_log.open()
-            ctx.cache.open()
-        ctx.membership.open(
-            Member(
-                node=self.node,
-                incarnation=1,
-                role=self.role,
-                zone=self.zone,
-                host=self.place[0],
-                port=self.place[1],
-                name=self.name if simulation.named else "",
-            )
-        )
-        if self.role != "controller":
-            ctx.cluster.open()
+            self._open_gateway()
+
+    def _open_gateway(self) -> None:
+        ctx, simulation = self.ctx, self.simulation
+        ctx.cache = Cache(ctx)
+        if simulation.engines is not None:
+            gateway_type = type("InSimulation", (simulation.gateway_kind,), {"simulation": simulation})
+            self.part = gateway_type(ctx)
+            self.part.open()
+        ctx.replicated_log.open()
+        ctx.cache.open()
 
-    def _on_thread(self, clock, do, *args):
-        """On the clock of the life that asks: what is left of an ended life must not reach the next one's disk."""
-        d = defer.Deferred()
-        span = self.slow + 0.001 + 0.004 * self.simulation.rng.random()
+    def _run_in_thread(self, clock: NodeReactor, function: Callable[..., Any], *args: Any) -> "defer.Deferred[Any]":
+        """Uses the incarnation's own time: what is left of an ended one must not reach the next one's disk."""
+        finished: defer.Deferred[Any] = defer.Deferred()
+        duration = self.slow + 0.001 + 0.004 * self.simulation.rng.random()
 
-        def work():
+        def work() -> None:
             try:
-                r = do(*args)
-            except Exception as e:
-                clock.callLater(span, d.errback, e)
+                result = function(*args)
+            except Exception as error:
+                clock.callLater(duration, finished.errback, error)
                 return
-            clock.callLater(span, d.callback, r)
+            clock.callLater(duration, finished.callback, result)
 
         clock.callLater(0, work)
-        return d
+        return finished
 
-    def kill(self, power: bool = False):
+    def kill(self, power: bool = False) -> None:
+        """Ends the incarnation at once; without power also what was not synced is lost."""
         self.alive = self.frozen = False
         self.ctx.timers.stopped = True
         self.clock.stop()
@@ -180,35 +221,48 @@
         if power:
             self.disk.lose_power()
 
-    def wipe(self):
+    def wipe(self) -> None:
+        """Empties the disk of a node that is down."""
         shutil.rmtree(self.folder, ignore_errors=True)
         self.disk = PowerLossDisk(self.simulation.rng)
 
-    def freeze(self):
+    def freeze(self) -> None:
+        """Halts the node, which goes on later where it stopped."""
         self.frozen = True
-        self.clock.hold()
+        self.clock.freeze()
 
-    def thaw(self):
+    def thaw(self) -> None:
+        """Lets a frozen node go on."""
         self.frozen = False
-        self.clock.release()
+        self.clock.thaw()
 
 
 class Simulation:
+    """A cluster of simulated nodes on virtual time, the same run for the same seed."""
+
     def __init__(
-        self, seed: int, controllers=4, storage_nodes=4, gateways=3, placement_groups=4, settings=None, named=False
-    ):
+        self,
+        seed: int,
+        controllers: int = 4,
+        storage_nodes: int = 4,
+        gateways: int = 3,
+        placement_groups: int = 4,
+        settings: dict[str, Any] | None = None,
+        named: bool = False,
+    ) -> None:
         self.seed = seed
         self.rng = Random(seed)
         self.clock = VirtualTime()
         self.folder = Path(tempfile.mkdtemp(prefix="simulation-"))
-        self.sink = _Sink()
+        self.sink = _LogSink()
         self.placement_groups = placement_groups
         self.settings = settings or {}
         self.named = named
         self.cuts: set[tuple[str, str]] = set()
-        self.engines = self.gateway_kind = None
-        self.notes: list[dict] = []
-        self.watch_calls = None
+        self.engines: Any = None
+        self.gateway_kind: Any = None
+        self.notes: list[dict[str, Any]] = []
+        self.watch_calls: Callable[[SimulatedNode, str], Any] | None = None
         self.bytes_per_s: float | None = None
         self._link_free_at: dict[tuple[str, str], float] = {}
         self._tokens = mock.patch(
@@ -218,156 +272,203 @@
         self._fresh = 0
         self.simulated_nodes: dict[str, SimulatedNode] = {}
         self._timers: list[Timers] = []
-        port = 1000
-        for role, n in (("controller", controllers), ("storage", storage_nodes), ("gateway", gateways)):
-            for i in range(n):
-                self.add(role, f"{role}{i}", "zone-" + "abcd"[i % 4], port)
+        self._add_all({"controller": controllers, "storage": storage_nodes, "gateway": gateways})
+
+    def _add_all(self, counts: dict[str, int]) -> None:
+        port = FIRST_PORT
+        for role, count in counts.items():
+            for i in range(count):
+                self.add(role, f"{role}{i}", _zone_of(i), port)
                 port += 1
-        firsts = [
-            self.simulated_nodes[f"{r}0"]
-            for r, n in (("controller", controllers), ("storage", storage_nodes), ("gateway", gateways))
-            if n
-        ]
-        self.seeds = tuple(f"{a.place[0]}:{a.place[1]}" for a in firsts)
-        self.founders = tuple(f"{a.place[0]}:{a.place[1]}" for a in self.role("controller")[:3])
+        first_nodes = [self.simulated_nodes[f"{role}0"] for role, count in counts.items() if count]
+        self.seeds = tuple("{}:{}".format(*node.address) for node in first_nodes)
+        self.founders = tuple("{}:{}".format(*node.address) for node in self.role("controller")[:FOUNDERS])
 
-    def add(self, role, name, zone, port) -> SimulatedNode:
+    def add(self, role: str, name: str, zone: str, port: int) -> SimulatedNode:
+        """Adds a node that is not started yet."""
         self.simulated_nodes[name] = SimulatedNode(self, role, name, zone, port)
         return self.simulated_nodes[name]
 
     def fresh(self) -> str:
+        """Returns a number that no earlier call returned."""
         self._fresh += 1
         return f"{self._fresh:04d}"
 
     def role(self, role: str, alive: bool = False) -> list[SimulatedNode]:
-        return [a for a in self.simulated_nodes.values() if a.role == role and (a.alive and not a.frozen or not alive)]
+        """Returns the nodes of a role; with `alive` only those that run and are not frozen."""
+        return [
+            node
+            for node in self.simulated_nodes.values()
+            if node.role == role and (node.alive and not node.frozen or not alive)
+        ]
 
-    def with_engines(self, gateway_kind, engine_kind, n=2):
-        """Whole gateways instead of their logs and caches alone, and engines for them."""
+    def with_engines(self, gateway_kind: Any, engine_kind: Any, n: int = 2) -> None:
+        """Runs complete gateways, not just their logs and caches, and engines for them."""
         self.gateway_kind, self.engines = gateway_kind, {}
         for i in range(n):
-            self.engines[f"engine{i}"] = engine_kind(self, f"engine{i}", "zone-" + "abcd"[i % 4])
-
-    def start(self):
-        for a in self.simulated_nodes.values():
-            a.start()
-
-    def cut(self, some, others, one_way: bool = False):
-        for a in some:
-            for b in others:
-                self.cuts.add((a, b))
+            self.engines[f"engine{i}"] = engine_kind(self, f"engine{i}", _zone_of(i))
+
+    def start(self) -> None:
+        """Starts all nodes."""
+        for node in self.simulated_nodes.values():
+            node.start()
+
+    def cut(self, some: Iterable[str], others: Iterable[str], one_way: bool = False) -> None:
+        """Drops what is sent from some nodes to others, and with `one_way` unset also what comes back."""
+        for sender in some:
+            for receiver in others:
+                self.cuts.add((sender, receiver))
                 if not one_way:
-                    self.cuts.add((b, a))
+                    self.cuts.add((receiver, sender))
 
-    def heal(self):
+    def heal(self) -> None:
+        """Ends all partitions."""
         self.cuts.clear()
 
     def _delay(self) -> float:
         return 0.0005 + 0.003 * self.rng.random()
 
-    def _transfer(self, sender: SimulatedNode, goal: SimulatedNode, body) -> float:
-        """How long a message is on its way: each pair of nodes has a link of its own, where there is a rate."""
+    def _transfer(self, sender: SimulatedNode, receiver: SimulatedNode, body: bytes | Exception) -> float:
+        """Returns how long a message is on its way: each pair of nodes has a link of its own, where there is a rate."""
         if self.bytes_per_s is None or isinstance(body, Exception):
             return self._delay()
-        now, link = self.clock.seconds(), (sender.name, goal.name)
+        now, link = self.clock.seconds(), (sender.name, receiver.name)
         self._link_free_at[link] = max(now, self._link_free_at.get(link, now)) + len(body) / self.bytes_per_s
         return self._link_free_at[link] - now + self._delay()
 
-    def carry(self, sender: SimulatedNode, place, method, body, node="") -> defer.Deferred:
-        """Carries one call; one that names a node is refused by any other that answers at its place."""
-        goal = next((a for a in self.simulated_nodes.values() if a.place == place and a.alive), None)
-        d = defer.Deferred()
-        mine = sender.ctx
-
-        def back(result):
-            if (goal.name, sender.name) not in self.cuts and goal.alive:
-                self.clock.callLater(self._transfer(goal, sender, result), settle, result)
-
-        def settle(result):
-            if sender.alive and sender.ctx is mine and not d.called:
-                sender.clock.callLater(0, d.errback if isinstance(result, Exception) else d.callback, result)
-
-        def arrive():
-            if not goal.alive:
-                settle(ConnectionFailed("the peer ended", sent=True))
-                return
-            goal.clock.callLater(0, attend)
-
-        def attend():
-            try:
-                require_peer(node, goal.node)
-            except WrongPeer as e:
-                back(e)
-                return
-
-            def turned(f):
-                e = f.value
-                back(RemoteError(e.code, str(e)) if isinstance(e, PipitlinkError) else RemoteError("fault", repr(e)))
-
-            spawn(goal.ctx.rpc.dispatch(sender.node, method, body)).addCallbacks(back, turned)
-
-        if goal is None:
-            self.clock.callLater(self._delay(), settle, ConnectionFailed("nobody is there", sent=False))
-        elif (sender.name, goal.name) not in self.cuts:
+    def carry(
+        self, sender: SimulatedNode, address: Address, method: str, body: bytes, node: str = ""
+    ) -> "defer.Deferred[Any]":
+        """Carries one call; one that names a node is refused by any other that answers at its address."""
+        nodes = self.simulated_nodes.values()
+        receiver = next((other for other in nodes if other.address == address and other.alive), None)
+        response: defer.Deferred[Any] = defer.Deferred()
+        if receiver is None:
+            call = _CarriedCall(self, sender, sender, response)
+            nobody = ConnectionFailed("nobody is there", sent=False)
+            self.clock.callLater(self._delay(), call.finish, nobody)
+        elif (sender.name, receiver.name) not in self.cuts:
+            call = _CarriedCall(self, sender, receiver, response)
             if self.watch_calls is not None:
                 self.watch_calls(sender, method)
-            self.clock.callLater(self._transfer(sender, goal, body), arrive)
-        return d
+            self.clock.callLater(self._transfer(sender, receiver, body), call.arrive, method, body, node)
+        return response
 
-    def run(self, seconds: float, step: float = 0.005):
+    def run(self, seconds: float, step: float = STEP_SECONDS) -> None:
+        """Lets so much virtual time pass."""
         end = self.clock.seconds() + seconds
         while self.clock.seconds() < end:
             self.clock.advance(step)
 
-    def until(self, check, limit: float, what: str):
+    def until(self, check: Callable[[], Any], limit: float, what: str) -> Any:
+        """Lets time pass until the check returns something true, and returns it; fails after `limit` seconds."""
         end = self.clock.seconds() + limit
         while True:
-            got = check()
-            if got:
-                return got
+            found = check()
+            if found:
+                return found
             if self.clock.seconds() > end:
                 raise AssertionError(f"seed {self.seed}: not within {limit} s: {what}")
-            self.clock.advance(0.005)
-
-    def do(self, work, limit: float = 20, what: str = "the work"):
-        """Runs a coroutine to its end in the simulation's clock; returns its result or raises its fault."""
-        box = []
-        spawn(work).addBoth(box.append)
-        self.until(lambda: box, limit, what)
-        if hasattr(box[0], "raiseException"):
-            box[0].raiseException()
-        return box[0]
-
-    def timers(self, clock=None) -> Timers:
-        """Timers in the simulation's time, for a node's life or for whoever stands outside the nodes."""
-        out = Timers(clock or self.clock, seconds=self.clock.seconds)
-        self._timers.append(out)
-        out.utc_now = lambda: datetime.fromtimestamp(1_700_000_000 + self.clock.seconds(), UTC)
-        return out
-
-    def leader(self):
-        now = [
-            a
-            for a in self.role("controller", alive=True)
-            if a.part.consensus.role == "leader" and a.part.state_delivery.has_recent_quorum()
+            self.clock.advance(STEP_SECONDS)
+
+    def do(self, work: Any, limit: float = 20, what: str = "the work") -> Any:
+        """Runs a coroutine to its end in virtual time; returns its result or raises its error."""
+        results: list[Any] = []
+        spawn(work).addBoth(results.append)
+        self.until(lambda: results, limit, what)
+        if hasattr(results[0], "raiseException"):
+            results[0].raiseException()
+        return results[0]
+
+    def timers(self, clock: Any = None) -> Timers:
+        """Returns timers on virtual time, for one incarnation of a node or for whoever stands outside the nodes."""
+        reactor: Any = clock or self.clock
+        timers = Timers(reactor, seconds=self.clock.seconds)
+        self._timers.append(timers)
+        setattr(timers, "utc_now", self._utc_now)  # noqa: B010 - in place of the method
+        return timers
+
+    def _utc_now(self) -> datetime:
+        return datetime.fromtimestamp(START_UTC + self.clock.seconds(), UTC)
+
+    def leader(self) -> SimulatedNode | None:
+        """Returns the one controller that leads and has a quorum; None if there is none, or more than one."""
+        leaders = [
+            node
+            for node in self.role("controller", alive=True)
+            if node.part.consensus.role == "leader" and node.part.state_delivery.has_recent_quorum()
         ]
-        return now[0] if len(now) == 1 else None
+        return leaders[0] if len(leaders) == 1 else None
 
-    def ready(self, limit: float = 30):
-        self.until(
-            lambda: self.leader() is not None and all(a.ctx.cluster.ready() for a in self.role("gateway", alive=True)),
-            limit,
-            "the fleet is ready",
-        )
+    def ready(self, limit: float = 30) -> None:
+        """Lets time pass until there is a leader and each gateway knows the cluster state."""
+        self.until(self._is_ready, limit, "the fleet is ready")
+
+    def _is_ready(self) -> bool:
+        gateways_ready = (node.ctx.cluster.ready() for node in self.role("gateway", alive=True))
+        return self.leader() is not None and all(gateways_ready)
 
-    def wait(self, span: timedelta):
-        self.run(span.total_seconds())
+    def wait(self, duration: timedelta) -> None:
+        """Lets so much virtual time pass."""
+        self.run(duration.total_seconds())
 
-    def end(self):
-        for a in self.simulated_nodes.values():
-            if a.alive:
-                a.kill()
+    def end(self) -> None:
+        """Kills all nodes and removes their disks."""
+        for node in self.simulated_nodes.values():
+            if node.alive:
+                node.kill()
         for timers in self._timers:
             timers.stop()
         self._tokens.stop()
         shutil.rmtree(self.folder, ignore_errors=True)
+
+
+class _CarriedCall:
+    """One call on its way through the simulated network, and its response."""
+
+    def __init__(
+        self, simulation: Simulation, sender: SimulatedNode, receiver: SimulatedNode, response: "defer.Deferred[Any]"
+    ) -> None:
+        self._simulation = simulation
+        self._sender = sender
+        self._receiver = receiver
+        self._response = response
+        self._sender_ctx = sender.ctx
+
+    def arrive(self, method: str, body: bytes, node: str) -> None:
+        """Hands the request to its receiver, or fails where that has ended meanwhile."""
+        if not self._receiver.alive:
+            self.finish(ConnectionFailed("the peer ended", sent=True))
+            return
+        self._receiver.clock.callLater(0, self._serve, method, body, node)
+
+    def _serve(self, method: str, body: bytes, node: str) -> None:
+        try:
+            require_peer(node, self._receiver.node)
+        except WrongPeer as error:
+            self._respond(error)
+            return
+        served = spawn(self._receiver.ctx.rpc.dispatch(self._sender.node, method, body))
+        served.addCallbacks(self._respond, self._respond_error)
+
+    def _respond_error(self, failure: Any) -> None:
+        error = failure.value
+        code, text = (error.code, str(error)) if isinstance(error, PipitlinkError) else ("fault", repr(error))
+        self._respond(RemoteError(code, text))
+
+    def _respond(self, result: bytes | Exception) -> None:
+        simulation = self._simulation
+        if (self._receiver.name, self._sender.name) not in simulation.cuts and self._receiver.alive:
+            delay = simulation._transfer(self._receiver, self._sender, result)
+            simulation.clock.callLater(delay, self.finish, result)
+
+    def finish(self, result: bytes | Exception) -> None:
+        """Hands the result to the sender, unless that was restarted or has given up."""
+        sender = self._sender
+        if sender.alive and sender.ctx is self._sender_ctx and not self._response.called:
+            deliver = self._response.errback if isinstance(result, Exception) else self._response.callback
+            sender.clock.callLater(0, deliver, result)
+
+
+def _zone_of(number: int) -> str:
+    return "zone-" + "abcd"[number % 4]
--- a/testbed/simulator/virtual_time.py
+++ b/testbed/simulator/virtual_time.py
@@ -1,78 +1,93 @@
-"""Injected time for simulated nodes: one heap of delayed calls, and a view of it for each life of a node."""
+"""Virtual time: one heap of delayed calls, and a reactor on it for each incarnation of a simulated node."""
 
 import heapq
+from collections.abc import Callable
 from itertools import count
+from typing import Any
 
-__all__ = ["VirtualTime", "NodeReactor"]
+__all__ = ["DelayedCall", "NodeReactor", "VirtualTime"]
+
+
+class DelayedCall:
+    """A call that is due later, on the simulation's time or on that of one incarnation of a node."""
+
+    def __init__(
+        self, reactor: "NodeReactor | None", callback: Callable[..., Any], args: tuple[Any, ...], kwargs: dict[str, Any]
+    ) -> None:
+        self._reactor = reactor
+        self._work: tuple[Callable[..., Any], tuple[Any, ...], dict[str, Any]] | None = (callback, args, kwargs)
+
+    def active(self) -> bool:
+        """Returns whether the call was neither made nor cancelled."""
+        return self._work is not None
+
+    def cancel(self) -> None:
+        """Drops the call."""
+        self._work = None
+
+    def fire(self) -> None:
+        """Makes the call; defers it while its node is frozen, and drops it once its node has stopped."""
+        if self._work is None or (self._reactor is not None and self._reactor.stopped):
+            return
+        if self._reactor is not None and self._reactor.deferred_calls is not None:
+            self._reactor.deferred_calls.append(self)
+            return
+        (callback, args, kwargs), self._work = self._work, None
+        callback(*args, **kwargs)
 
 
 class VirtualTime:
-    """The simulation's time: a heap of calls, since thousands of limits are set and cancelled in each second of it."""
+    """The simulation's time: a heap of calls, since each second of it sets and cancels thousands of timeouts."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self._now = 1000.0
-        self._calls: list = []
+        self._calls: list[tuple[float, int, DelayedCall]] = []
         self._numbers = count()
 
     def seconds(self) -> float:
+        """Returns the virtual time in seconds."""
         return self._now
 
-    def callLater(self, span, do, *args):
-        call = _Call(None, do, args, {})
-        heapq.heappush(self._calls, (self._now + span, next(self._numbers), call))
+    def callLater(self, delay: float, callback: Callable[..., Any], *args: Any) -> DelayedCall:  # noqa: N802 - twisted's interface
+        """Calls back after a delay in seconds."""
+        call = DelayedCall(None, callback, args, {})
+        heapq.heappush(self._calls, (self._now + delay, next(self._numbers), call))
         return call
 
-    def advance(self, span: float):
-        end = self._now + span
+    def advance(self, seconds: float) -> None:
+        """Moves time on, and makes the calls that are due on the way in their order."""
+        end = self._now + seconds
         while self._calls and self._calls[0][0] <= end:
-            at, _, call = heapq.heappop(self._calls)
-            self._now = max(self._now, at)
+            due_at, _, call = heapq.heappop(self._calls)
+            self._now = max(self._now, due_at)
             call.fire()
         self._now = end
 
 
-class _Call:
-    """A call in the simulation's clock, or on a life's own."""
-
-    def __init__(self, watch, do, args, kwargs):
-        self._watch, self._work = watch, (do, args, kwargs)
-
-    def active(self) -> bool:
-        return self._work is not None
-
-    def cancel(self):
-        self._work = None
-
-    def fire(self):
-        if self._work is None or (self._watch is not None and self._watch.stopped):
-            return
-        if self._watch is not None and self._watch.held is not None:
-            self._watch.held.append(self)
-            return
-        (do, args, kwargs), self._work = self._work, None
-        do(*args, **kwargs)
-
-
 class NodeReactor:
-    """A life's own reactor in the simulation's clock: calls stop when it is killed and wait while it is frozen."""
+    """The reactor of one incarnation of a node: its calls end when the node is killed and wait while it is frozen."""
 
-    def __init__(self, clock):
-        self._clock = clock
+    def __init__(self, time: VirtualTime) -> None:
+        self._time = time
         self.stopped = False
-        self.held: list | None = None
+        self.deferred_calls: list[DelayedCall] | None = None
 
-    def callLater(self, span, do, *args, **kwargs):
-        call = _Call(self, do, args, kwargs)
-        self._clock.callLater(span, call.fire)
+    def callLater(self, delay: float, callback: Callable[..., Any], *args: Any, **kwargs: Any) -> DelayedCall:  # noqa: N802 - twisted's interface
+        """Calls back after a delay in seconds."""
+        call = DelayedCall(self, callback, args, kwargs)
+        self._time.callLater(delay, call.fire)
         return call
 
-    def hold(self):
-        self.held = self.held or []
+    def freeze(self) -> None:
+        """Defers all calls from now on."""
+        self.deferred_calls = self.deferred_calls or []
 
-    def release(self):
-        held, self.held = self.held or [], None
-        for call in held:
+    def thaw(self) -> None:
+        """Makes the calls that were deferred."""
+        deferred, self.deferred_calls = self.deferred_calls or [], None
+        for call in deferred:
             call.fire()
 
-    def stop(self):
+    def stop(self) -> None:
+        """Drops all calls."""
         self.stopped = True
--- a/tests/batch_builders.py
+++ b/tests/batch_builders.py
@@ -146,13 +146,13 @@
         g = gateway or self.gateway()
         if g is None:
             return 0, {}, b""
-        life = g.lives
+        start_count = g.start_count
         try:
             return await self.timers.with_timeout(secs(limit), do(g.part))
         except (PipitlinkError, defer.CancelledError):
             return 0, {}, b""
         except RuntimeError:
-            if g.alive and g.lives == life:
+            if g.alive and g.start_count == start_count:
                 raise
             return 0, {}, b""
 
--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -13,7 +13,9 @@
 
 from testbed.checks.linearizability import ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen
 from testbed.simulator.random_faults import RandomFaults
-from testbed.simulator.simulated_gateway import SimulatedClients, SimulatedEngine, SimulatedGateway
+from testbed.simulator.simulated_clients import SimulatedClients
+from testbed.simulator.simulated_engine import SimulatedEngine
+from testbed.simulator.simulated_gateway import SimulatedGateway
 from testbed.simulator.simulation import Simulation
 
 from . import batch_builders
@@ -94,7 +96,7 @@
     plain_carry = Simulation.carry
 
     def carry(simulation, sender, place, method, body, node=""):
-        goal = next((a.name for a in simulation.simulated_nodes.values() if a.place == place), str(place))
+        goal = next((a.name for a in simulation.simulated_nodes.values() if a.address == place), str(place))
         network.note("request", sender.name, goal, method, node, len(body), _short_digest(body))
         return plain_carry(simulation, sender, place, method, body, node).addBoth(back, sender.name, goal, method)
 
--- a/tests/guard_scenarios.py
+++ b/tests/guard_scenarios.py
@@ -16,7 +16,9 @@
 from pipitlink.wire.cluster_pb2 import Command, Row, TableEdit, ZoneEdit
 from testbed.checks.checker import check
 from testbed.faults.disks import PowerLossDisk
-from testbed.simulator.simulated_gateway import SimulatedClients, SimulatedEngine, SimulatedGateway
+from testbed.simulator.simulated_clients import SimulatedClients
+from testbed.simulator.simulated_engine import SimulatedEngine
+from testbed.simulator.simulated_gateway import SimulatedGateway
 from testbed.simulator.simulation import Simulation
 
 
@@ -58,8 +60,8 @@
 
     def live(self, n=1, repeatable=False):
         for i in range(n):
-            self.c._n += 1
-            self.simulation.do(self.c._one_live(f"live{self.c._n}", repeatable), 10)
+            self.c._sent += 1
+            self.simulation.do(self.c._one_live(f"live{self.c._sent}", repeatable), 10)
 
     def edit(self, command):
         return self.simulation.do(self.simulation.leader().part.state_delivery.edit(command), 10, "an edit")
@@ -91,7 +93,7 @@
 def lot_ended(s):
     lot = s.lot(6)
     s.simulation.until(lambda: len(s.runs("lot")) >= 2, 20, "items run")
-    got, _ = s.simulation.do(s.c._ask(lambda part: part.job_api.cancel_anywhere(lot), 9.0), 10)
+    got, _ = s.simulation.do(s.c._request(lambda part: part.job_api.cancel_anywhere(lot), 9.0), 10)
     s.c.note("lot_ended", lot=lot, status=200, said={"state": got})
     s.simulation.run(34)
     s.close(lot)
@@ -127,8 +129,8 @@
     for n in range(6):
         before = len(s.runs())
         box = []
-        s.c._n += 1
-        spawn(s.c._one_live(f"live{s.c._n}", True)).addBoth(box.append)
+        s.c._sent += 1
+        spawn(s.c._one_live(f"live{s.c._sent}", True)).addBoth(box.append)
         s.simulation.until(lambda: len(s.runs()) > before or box, 10, "it runs")
         if box:
             continue
@@ -161,7 +163,7 @@
     lot = s.lot(4)
     s.close(lot)
     for a in s.simulation.role("storage") + s.simulation.role("controller"):
-        a.disk._chance = type("Whole", (), {"randrange": lambda self, n: 0})()
+        a.disk._rng = type("Whole", (), {"randrange": lambda self, n: 0})()
         a.kill(power=True)
     s.simulation.run(1)
     for a in s.simulation.role("storage") + s.simulation.role("controller"):
--- a/tests/order_simulation.py
+++ b/tests/order_simulation.py
@@ -23,7 +23,7 @@
     """Edits that controllers pass on wait in a cut connection and arrive once it is healed."""
 
     def carry(self, sender, place, method, body, node=""):
-        goal = next((a for a in self.simulated_nodes.values() if a.place == place), None)
+        goal = next((a for a in self.simulated_nodes.values() if a.address == place), None)
         if method == "controller.edit" and goal is not None and (sender.name, goal.name) in self.cuts:
             self._hold(sender, goal, method, body, sender.ctx, goal.ctx, self.clock.seconds() + HOLD_LIMIT)
         return super().carry(sender, place, method, body, node)
@@ -37,7 +37,7 @@
         self.clock.callLater(0.002, self._let_go, sender, goal, method, body)
 
     def _let_go(self, sender, goal, method, body):
-        super().carry(sender, goal.place, method, body).addErrback(lambda f: None)
+        super().carry(sender, goal.address, method, body).addErrback(lambda f: None)
 
 
 @attrs.define
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,8 +19,9 @@
 from testbed.benchmarks.linear_fit import fit
 from testbed.processes.lightweight_nodes import CountedRpcEndpoint, open_parts
 from testbed.processes.synthetic_load import Work
-from testbed.simulator.simulated_gateway import SimulatedEngine, SimulatedGateway
-from testbed.simulator.simulation import SimulatedNode, Simulation, _Rpc
+from testbed.simulator.simulated_engine import SimulatedEngine
+from testbed.simulator.simulated_gateway import SimulatedGateway
+from testbed.simulator.simulation import SimulatedNode, SimulatedRpcEndpoint, Simulation
 from testbed.simulator.virtual_time import NodeReactor
 
 SPAN = 12
@@ -31,7 +32,7 @@
 
     def start(self):
         simulation = self.simulation
-        self.lives, self.alive, self.node = 1, True, f"{self.name}x{simulation.fresh()}"
+        self.start_count, self.alive, self.node = 1, True, f"{self.name}x{simulation.fresh()}"
         self.clock = NodeReactor(simulation.clock)
         self.ctx = ctx = Context(
             "gateway",
@@ -43,12 +44,17 @@
             None,
             Random(simulation.rng.random()),
         )
-        ctx.rpc = _Rpc(simulation, self)
+        ctx.rpc = SimulatedRpcEndpoint(simulation, self)
         self.part = open_parts(
             ctx,
             "hollow",
             Member(
-                node=self.node, incarnation=1, role="gateway", zone=self.zone, host=self.place[0], port=self.place[1]
+                node=self.node,
+                incarnation=1,
+                role="gateway",
+                zone=self.zone,
+                host=self.address[0],
+                port=self.address[1],
             ),
             Disk(),
         )
--- a/tests/test_controller_archive.py
+++ b/tests/test_controller_archive.py
@@ -45,7 +45,7 @@
     def append(self, fd, data):
         if self._ends():
             if self.calls == self.stop_at and data:
-                super().append(fd, data[: self._chance.randrange(len(data))])
+                super().append(fd, data[: self._rng.randrange(len(data))])
             raise _PowerLost
         super().append(fd, data)
 
@@ -204,7 +204,7 @@
     def run_to(self, stop_at, seed):
         folder = Path(tempfile.mkdtemp(dir=self.folder))
         disk = _StoppingDisk(Random(f"{seed}.{stop_at}"), stop_at)
-        disk.mark_durable(folder)
+        disk.save_names(folder)
         member = _Member(folder, disk)
         try:
             member.start()
--- a/tests/test_membership_peers.py
+++ b/tests/test_membership_peers.py
@@ -36,4 +36,4 @@
         others[0].kill()
         self.simulation.run(5)
         path = self.simulated_node.ctx.membership.peer_store.path
-        self.assertEqual({tuple(p) for p in json.loads(path.read_text())}, {a.place for a in others[1:]})
+        self.assertEqual({tuple(p) for p in json.loads(path.read_text())}, {a.address for a in others[1:]})
--- a/tests/test_simulated_idle.py
+++ b/tests/test_simulated_idle.py
@@ -3,7 +3,8 @@
 import unittest
 from collections import Counter
 
-from testbed.simulator.simulated_gateway import SimulatedEngine, SimulatedGateway
+from testbed.simulator.simulated_engine import SimulatedEngine
+from testbed.simulator.simulated_gateway import SimulatedGateway
 from testbed.simulator.simulation import Simulation
 
 SPAN = 5
@@ -33,7 +34,7 @@
     def _count(self, sender, place, method, body, node=""):
         d = self._carry(sender, place, method, body, node)
         if self._at_rest:
-            goal = next(a for a in self.simulation.simulated_nodes.values() if a.place == place)
+            goal = next(a for a in self.simulation.simulated_nodes.values() if a.address == place)
             self.asks[method] += 1
             self._add(sender, method, body)
             d.addCallback(lambda response: self._add(goal, method, response) or response)
--- a/tests/test_simulated_jobs.py
+++ b/tests/test_simulated_jobs.py
@@ -7,7 +7,9 @@
 from pipitlink.gateway.owner_selection import choose_owner
 from testbed.checks.checker import check
 from testbed.simulator.random_faults import RandomFaults, seeds
-from testbed.simulator.simulated_gateway import SimulatedClients, SimulatedEngine, SimulatedGateway
+from testbed.simulator.simulated_clients import SimulatedClients
+from testbed.simulator.simulated_engine import SimulatedEngine
+from testbed.simulator.simulated_gateway import SimulatedGateway
 from testbed.simulator.simulation import Simulation
 
 SEEDS = seeds(3)
@@ -141,7 +143,7 @@
         )
         storage_nodes = [a.name for a in simulation.role("storage")]
         simulation.cut([owner.name], storage_nodes)
-        got, fault = simulation.do(c._ask(lambda part: part.job_ownership.cancel_local_job(lot), 9.0, owner), 12)
+        got, fault = simulation.do(c._request(lambda part: part.job_ownership.cancel_local_job(lot), 9.0, owner), 12)
         self.assertIsNone(got)
         simulation.heal()
         simulation.until(
--- a/tests/test_simulated_long_logs.py
+++ b/tests/test_simulated_long_logs.py
@@ -197,7 +197,7 @@
             simulated_node = simulation.add("controller", name, simulated_node.zone, 2000 + int(simulation.fresh()))
             self._judge_lives(simulated_node, checker)
         simulation.seeds = tuple(
-            f"{a.place[0]}:{a.place[1]}" for a in simulation.role("controller") if a is not simulated_node
+            f"{a.address[0]}:{a.address[1]}" for a in simulation.role("controller") if a is not simulated_node
         )
         simulated_node.start()
         return simulated_node
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -157,7 +157,7 @@
         lost.wipe()
         self.simulation.run(1)
         self.simulation.seeds = tuple(
-            f"{a.place[0]}:{a.place[1]}" for a in self.simulation.role("controller") if a is not lost
+            f"{a.address[0]}:{a.address[1]}" for a in self.simulation.role("controller") if a is not lost
         )
         lost.start()
         rows = CONTENTS["controllers"]["controller0"]["state"]["rows"]
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -179,5 +179,5 @@
         ask = FollowRequest(node=gateway.node, role="gateway", sequence=1)
         with self.assertRaises(WrongPeer):
             self.simulation.do(
-                gateway.ctx.rpc.call(leader.place, "controller.follow", ask, FollowResponse, secs(1), node=lost), 3
+                gateway.ctx.rpc.call(leader.address, "controller.follow", ask, FollowResponse, secs(1), node=lost), 3
             )
