--- a/testbed/benchmarks/batch_impact.py
+++ b/testbed/benchmarks/batch_impact.py
@@ -1,4 +1,4 @@
-"""Measures a healthy fleet: windows with and without lots beside live traffic, in turn."""
+"""Measures a healthy cluster: windows with and without batch jobs beside live traffic, by turns."""
 
 import json
 import re
--- a/testbed/benchmarks/capacity.py
+++ b/testbed/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""What a node costs against the fleet's size: series of hollow fleets, each point three windows, fitted by lines."""
+"""Measures what a node costs against the cluster's size: series of points, three windows each, fitted by lines."""
 
 import json
 import statistics
--- a/testbed/benchmarks/deployment_profiles.py
+++ b/testbed/benchmarks/deployment_profiles.py
@@ -1,4 +1,4 @@
-"""The sizes of the two deployments, a small one, and how figures are told."""
+"""The sizes of the deployments that benchmarks run, and the summary of measured values."""
 
 import statistics
 
--- a/testbed/benchmarks/linear_fit.py
+++ b/testbed/benchmarks/linear_fit.py
@@ -1,4 +1,4 @@
-"""Lines through measured points: what a figure is at zero, what it grows by, and where a line does not do."""
+"""Fits lines to measured points: intercept, slope, and whether a line describes them at all."""
 
 import statistics
 from pathlib import Path
--- a/testbed/benchmarks/recovery_times.py
+++ b/testbed/benchmarks/recovery_times.py
@@ -1,4 +1,4 @@
-"""Each promise in seconds: its fault brought about many times on a whole fleet, and how long it took each time."""
+"""Measures recovery times: injects each fault many times into a cluster, and times each recovery."""
 
 import json
 import threading
--- a/testbed/benchmarks/soak.py
+++ b/testbed/benchmarks/soak.py
@@ -1,4 +1,4 @@
-"""Mixed load and a seeded schedule of faults, alone and together, on a whole fleet, with the checker outside."""
+"""Soak runs: mixed load and a seeded schedule of faults on a cluster of processes, checked from outside."""
 
 import json
 import threading
--- a/testbed/benchmarks/step_timings.py
+++ b/testbed/benchmarks/step_timings.py
@@ -1,6 +1,4 @@
-"""Single steps of a gateway's own code at full size, in one process and with nobody on the wire: ms each, three
-times.
-"""
+"""Times single steps of a gateway's own code at full size, in one process and with no network."""
 
 import statistics
 import time
--- a/testbed/checks/checker.py
+++ b/testbed/checks/checker.py
@@ -1,4 +1,4 @@
-"""Asserts what must never happen, from outside: from what callers, engines and operators noted."""
+"""Checks what must never happen, from what clients, engines and operators recorded."""
 
 from collections import Counter, defaultdict
 
--- a/testbed/checks/cluster_checks.py
+++ b/testbed/checks/cluster_checks.py
@@ -1,4 +1,4 @@
-"""Judges of engines, of the cluster state and its effect, and of whether the fleet serves at all."""
+"""Checks of engines, of the cluster state and its effects, and of the cluster's availability."""
 
 from collections import defaultdict
 
--- a/testbed/checks/downtime.py
+++ b/testbed/checks/downtime.py
@@ -1,4 +1,4 @@
-"""What was down, cut or frozen when, as the schedule told it."""
+"""Which nodes were down, partitioned or frozen when, by the schedule of faults."""
 
 __all__ = ["Downtimes", "SLACK"]
 
@@ -6,6 +6,8 @@
 
 
 class Downtimes:
+    """The faults of a run, each from its start until its effects have ended."""
+
     def __init__(self, events):
         hurt, self._spans = {}, []
         for e in events:
--- a/testbed/faults/component_failures.py
+++ b/testbed/faults/component_failures.py
@@ -1,4 +1,4 @@
-"""Faults of processes, machines, disks and the network, each as (what it hurts, what it does)."""
+"""Faults of processes, machines, disks and the network, each with the nodes that it affects."""
 
 import time
 
--- a/testbed/faults/fault_plugin.py
+++ b/testbed/faults/fault_plugin.py
@@ -1,8 +1,8 @@
-"""RandomFaults under real processes, as a file says: {"cuts": [[FROM, TO], ...], "delays": {PLACE: seconds}, "full":
-[PLACE]}.
+"""Fault plugin for real processes, which reads the faults from a file.
 
-FROM, TO and PLACE are IP:PORT places of nodes; a cut call is never carried and its caller is told nothing, a full disk
-refuses to append. What was synced is told beside the data folder, so that a harness can drop the rest.
+The file holds `{"cuts": [[FROM, TO], ...], "delays": {ADDRESS: seconds}, "full": [ADDRESS]}` with addresses IP:PORT of
+nodes. A call over a cut is dropped without an error, and a full disk refuses to append. What was synced is reported
+beside the data folder, so that a harness can drop the rest.
 """
 
 import json
--- a/testbed/faults/final_fault.py
+++ b/testbed/faults/final_fault.py
@@ -1,4 +1,4 @@
-"""The closing fault of a run, of a kind drawn by its seed, and the proof that all is served again."""
+"""The last fault of a run, of a kind drawn by its seed, and the check that all is served again."""
 
 import threading
 import time
--- a/testbed/faults/overload.py
+++ b/testbed/faults/overload.py
@@ -1,4 +1,4 @@
-"""Crowds, lots, back ends and operators that press on a fleet, each as (what it hurts, what it does)."""
+"""Load peaks, batch jobs, engines and operators that put a cluster under stress, with the nodes affected."""
 
 import threading
 import time
--- a/testbed/processes/host_processes.py
+++ b/testbed/processes/host_processes.py
@@ -1,4 +1,4 @@
-"""Fleets of hollow nodes: their host processes on loopback, told over their input what to do."""
+"""Clusters of lightweight nodes, whose host processes take commands on their standard input."""
 
 import json
 import os
--- a/testbed/processes/lightweight_nodes.py
+++ b/testbed/processes/lightweight_nodes.py
@@ -1,6 +1,4 @@
-"""Hollow nodes: the product's own parts over loopback with no callers, several nodes to a process, on a slowed
-clock.
-"""
+"""Lightweight nodes: the product's own parts without client traffic, several to a process, on a slowed clock."""
 
 import json
 from collections import Counter
--- a/testbed/processes/process_cluster.py
+++ b/testbed/processes/process_cluster.py
@@ -1,4 +1,4 @@
-"""A whole fleet of real processes on loopback."""
+"""A cluster of real processes on the loopback interface."""
 
 import http.client
 import json
--- a/testbed/processes/synthetic_load.py
+++ b/testbed/processes/synthetic_load.py
@@ -1,4 +1,4 @@
-"""What hollow nodes are given to do: engines that announce, edits, logs that are read and logs that are written."""
+"""Load for lightweight nodes: engines that announce themselves, edits, and logs that are read and written."""
 
 from pipitlink.errors import PipitlinkError
 from pipitlink.gateway.owner_selection import acquire_log
--- a/testbed/standins/clients.py
+++ b/testbed/standins/clients.py
@@ -1,4 +1,4 @@
-"""Callers of a fleet, and the notes of what each asked, when, and what it was told."""
+"""Clients of a cluster, which record each request, its time and its response."""
 
 import http.client
 import json
--- a/testbed/standins/engine.py
+++ b/testbed/standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in back end: a model engine with a token stream, or a pool of plain files. It notes every run."""
+"""A stand-in engine: a model with a token stream, or a pool of plain files; it records every run."""
 
 import hashlib
 import json
--- a/testbed/standins/operators.py
+++ b/testbed/standins/operators.py
@@ -1,6 +1,4 @@
-"""The operators' side of a run: edits of every kind on the table, zones and storage nodes, and what was read
-back.
-"""
+"""Operators of a cluster: edits of the table, zones and storage nodes, and what was read back."""
 
 import threading
 import time
