--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""What the capacity page rests on: hollow nodes send what real ones do, and messages a node stay within their
+"""What the capacity page rests on: lightweight nodes send what real ones do, and messages a node stay within their
 bounds.
 """
 
@@ -82,28 +82,28 @@
     return Counter({k: n / SPAN / nodes[k[0]] for k, n in counts.items()})
 
 
-class Hollow(unittest.TestCase):
+class LightweightNodes(unittest.TestCase):
     def run_real(self, gateways, engines):
         simulation = Simulation(3, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
         self.addCleanup(simulation.end)
         simulation.with_engines(SimulatedGateway, SimulatedEngine, engines)
         return counted(simulation, engines)
 
-    def run_hollow(self, gateways, engines):
+    def run_lightweight(self, gateways, engines):
         simulation = LightweightSimulation(3, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
         self.addCleanup(simulation.end)
         host = type("Host", (), {"nodes": simulation.role("gateway")})
         return counted(simulation, engines, Work(host))
 
     def test_a_hollow_gateway_sends_what_a_real_one_does(self):
-        real, hollow = self.run_real(6, 4), self.run_hollow(6, 4)
+        real, lightweight = self.run_real(6, 4), self.run_lightweight(6, 4)
         for role in ("gateway", "storage", "controller"):
-            a, b = (sum(v for (r, _), v in c.items() if r == role) for c in (real, hollow))
+            a, b = (sum(v for (r, _), v in c.items() if r == role) for c in (real, lightweight))
             self.assertAlmostEqual(b / a, 1, delta=0.1, msg=role)
         for key, rate in real.items():
             if rate >= 0.5:
-                self.assertAlmostEqual(hollow[key] / rate, 1, delta=0.1, msg=key)
-        self.assertEqual({k for k, v in hollow.items() if v >= 0.5} - set(real), set())
+                self.assertAlmostEqual(lightweight[key] / rate, 1, delta=0.1, msg=key)
+        self.assertEqual({k for k, v in lightweight.items() if v >= 0.5} - set(real), set())
 
 
 class Bounds(unittest.TestCase):
