--- a/testbed/faults/fault_plugin.py
+++ b/testbed/faults/fault_plugin.py
@@ -1,8 +1,8 @@
-"""RandomFaults under real processes, as a file says: {"cuts": [[FROM, TO], ...], "delays": {PLACE: seconds}, "full":
-[PLACE]}.
+"""Fault plugin for real processes, which reads the faults from a file.
 
-FROM, TO and PLACE are IP:PORT places of nodes; a cut call is never carried and its caller is told nothing, a full disk
-refuses to append. What was synced is told beside the data folder, so that a harness can drop the rest.
+The file holds `{"cuts": [[FROM, TO], ...], "delays": {ADDRESS: seconds}, "full": [ADDRESS]}` with addresses IP:PORT of
+nodes. A call over a cut is dropped without an error, and a full disk refuses to append. What was synced is reported
+beside the data folder, so that a harness can drop the rest.
 """
 
 import json
@@ -22,18 +22,18 @@
     def __init__(self, path, ctx):
         self._path, self._ctx = path, ctx
         self._read_at = None
-        self._told: dict = {}
+        self._injected: dict = {}
 
     def _now(self) -> dict:
         try:
             at = os.stat(self._path).st_mtime_ns
             if at != self._read_at:
                 with open(self._path) as f:
-                    self._told = json.load(f)
+                    self._injected = json.load(f)
                 self._read_at = at
         except (OSError, ValueError):
             pass
-        return self._told
+        return self._injected
 
     def _mine(self) -> str:
         return "{}:{}".format(*self._ctx.rpc.address)
@@ -43,11 +43,11 @@
 
     @hookimpl
     def outbound(self, address, method):
-        told = self._now()
+        instructions = self._now()
         mine, theirs = self._mine(), "{}:{}".format(*address)
-        if [mine, theirs] in told.get("cuts", ()):
+        if [mine, theirs] in instructions.get("cuts", ()):
             return defer.Deferred()
-        delay = told.get("delays", {}).get(theirs) or told.get("delays", {}).get(mine)
+        delay = instructions.get("delays", {}).get(theirs) or instructions.get("delays", {}).get(mine)
         return self._ctx.timers.sleep(secs(delay)) if delay else None
 
     @hookimpl
@@ -55,5 +55,5 @@
         return ReportingDisk(self, self._ctx.settings.data) if self._ctx.settings.data else None
 
 
-def make_fault_plugin(words, ctx):
-    return _Plug(words, ctx)
+def make_fault_plugin(args, ctx):
+    return _Plug(args, ctx)
--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -13,7 +13,9 @@
 
 from testbed.checks.linearizability import ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen
 from testbed.simulator.random_faults import RandomFaults
-from testbed.simulator.simulated_gateway import SimulatedClients, SimulatedEngine, SimulatedGateway
+from testbed.simulator.simulated_clients import SimulatedClients
+from testbed.simulator.simulated_engine import SimulatedEngine
+from testbed.simulator.simulated_gateway import SimulatedGateway
 from testbed.simulator.simulation import Simulation
 
 from . import batch_builders
@@ -71,9 +73,9 @@
         self._seconds = seconds
         self.lines: list[str] = []
 
-    def note(self, *words, at: float | None = None):
+    def note(self, *args, at: float | None = None):
         at = self._seconds() if at is None else at
-        self.lines.append(f"{at:.3f} {json.dumps(_plain(words))}")
+        self.lines.append(f"{at:.3f} {json.dumps(_plain(args))}")
 
 
 @contextmanager
@@ -94,7 +96,7 @@
     plain_carry = Simulation.carry
 
     def carry(simulation, sender, place, method, body, node=""):
-        goal = next((a.name for a in simulation.simulated_nodes.values() if a.place == place), str(place))
+        goal = next((a.name for a in simulation.simulated_nodes.values() if a.address == place), str(place))
         network.note("request", sender.name, goal, method, node, len(body), _short_digest(body))
         return plain_carry(simulation, sender, place, method, body, node).addBoth(back, sender.name, goal, method)
 
@@ -277,8 +279,8 @@
 
 def _note_runs(simulation, seen):
     for run in simulation.runs:
-        words = ("item", "after", "gateway", "path", "headers", "body")
-        seen.note("run", *(run[word] for word in words), at=run["at"])
+        args = ("item", "after", "gateway", "path", "headers", "body")
+        seen.note("run", *(run[word] for word in args), at=run["at"])
     for end in simulation.finished:
         seen.note("finished", end["item"], at=end["at"])
 
@@ -286,14 +288,14 @@
 class _RecordedOperators(Operators):
     """Notes each copy of a call and its answer, and which controller gave it."""
 
-    def __init__(self, simulation, seen, **words):
-        super().__init__(simulation, **words)
+    def __init__(self, simulation, seen, **args):
+        super().__init__(simulation, **args)
         self._seen = seen
 
-    async def call(self, controller, *words):
+    async def call(self, controller, *args):
         asked = self.simulation.clock.seconds()
-        got = await super().call(controller, *words)
-        self._seen.note("answer", controller.name, asked, words, _answer(got) if got else None)
+        got = await super().call(controller, *args)
+        self._seen.note("answer", controller.name, asked, args, _answer(got) if got else None)
         return got
 
 
