--- a/tests/test_platform_serve.py
+++ b/tests/test_platform_serve.py
@@ -3,6 +3,7 @@
 """
 
 import ast
+import contextlib
 import os
 import signal
 import socket
@@ -78,6 +79,29 @@
         return s.connect_ex(("127.0.0.1", port)) == 0
 
 
+@contextlib.contextmanager
+def _gateway_program():
+    """Starts the gateway as the deploy file says; yields the process and the callers' port, and kills it at the end."""
+    run = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]["gateway"]["run"].split()
+    inner, last, public, ready = free_ports(4)
+    with tempfile.NamedTemporaryFile("w", suffix=".toml") as f:
+        f.write(EDGE.format(inner=inner, last=last, public=public, ready=ready))
+        f.flush()
+        p = subprocess.Popen(
+            [sys.executable, *run[1:]],
+            cwd=ROOT,
+            stderr=subprocess.PIPE,
+            text=True,
+            env={**os.environ, "PIPITLINK_NODE_FILE": f.name},
+        )
+        try:
+            yield p, public
+        finally:
+            p.kill()
+            p.wait()
+            p.stderr.close()
+
+
 def _blocks_hangup(pid: int) -> bool:
     """Whether a process holds SIGHUP back, by the kernel's own account of its signal mask."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
@@ -214,56 +238,24 @@
 
     def test_a_hangup_while_it_starts_does_not_end_it(self):
         """Sent once the callers' socket listens, while the rest of the program is still being loaded."""
-        run = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]["gateway"]["run"].split()
-        inner, last, public, ready = free_ports(4)
-        with tempfile.NamedTemporaryFile("w", suffix=".toml") as f:
-            f.write(EDGE.format(inner=inner, last=last, public=public, ready=ready))
-            f.flush()
-            p = subprocess.Popen(
-                [sys.executable, *run[1:]],
-                cwd=ROOT,
-                stderr=subprocess.PIPE,
-                text=True,
-                env={**os.environ, "PIPITLINK_NODE_FILE": f.name},
-            )
-            try:
-                wait_for(lambda: _listens(public), 20, "the callers' socket listens")
-                p.send_signal(signal.SIGHUP)
-                line = next((line for line in p.stderr if "event=started" in line), "")
-                self.assertIn(f"http={public}", line)
-            finally:
-                p.kill()
-                p.wait()
-                p.stderr.close()
+        with _gateway_program() as (p, public):
+            wait_for(lambda: _listens(public), 20, "the callers' socket listens")
+            p.send_signal(signal.SIGHUP)
+            line = next((line for line in p.stderr if "event=started" in line), "")
+            self.assertIn(f"http={public}", line)
 
     def test_a_hangup_from_the_programs_first_line_on_does_not_end_it(self):
         """Sent as soon as the program is seen to hold it back.
 
         Nothing of ours can hold it back while the interpreter starts, so the test sends nothing before that.
         """
-        run = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]["gateway"]["run"].split()
-        inner, last, public, ready = free_ports(4)
-        with tempfile.NamedTemporaryFile("w", suffix=".toml") as f:
-            f.write(EDGE.format(inner=inner, last=last, public=public, ready=ready))
-            f.flush()
-            p = subprocess.Popen(
-                [sys.executable, *run[1:]],
-                cwd=ROOT,
-                stderr=subprocess.PIPE,
-                text=True,
-                env={**os.environ, "PIPITLINK_NODE_FILE": f.name},
-            )
-            try:
-                wait_for(lambda: _blocks_hangup(p.pid), 20, "the program holds SIGHUP back")
-                p.send_signal(signal.SIGHUP)
-                line = next((line for line in p.stderr if "event=started" in line), "")
-                self.assertIn(f"http={public}", line)
-                wait_for(lambda: not _blocks_hangup(p.pid), 20, "the program handles SIGHUP")
-                self.assertIsNone(p.poll())
-            finally:
-                p.kill()
-                p.wait()
-                p.stderr.close()
+        with _gateway_program() as (p, public):
+            wait_for(lambda: _blocks_hangup(p.pid), 20, "the program holds SIGHUP back")
+            p.send_signal(signal.SIGHUP)
+            line = next((line for line in p.stderr if "event=started" in line), "")
+            self.assertIn(f"http={public}", line)
+            wait_for(lambda: not _blocks_hangup(p.pid), 20, "the program handles SIGHUP")
+            self.assertIsNone(p.poll())
 
     def test_a_hangup_before_the_process_runs_reads_the_settings_again_once_it_runs(self):
         (port,) = free_ports(1)
