--- a/pipitlink/gateway/admission.py
+++ b/pipitlink/gateway/admission.py
@@ -44,7 +44,7 @@
             raise ApiError("the limit has passed", code="limit_passed", status=504, outcome="not_run")
         if request.attempts:
             return False
-        if not request.is_job_item and self._table.unsettled_live_requests() > self._ctx.settings.max_running:
+        if not request.is_batch_item and self._table.unsettled_live_requests() > self._ctx.settings.max_running:
             raise ServiceUnavailable("too many requests are running here", retry_after=self._retry_after.seconds())
         await self._rate_limits.check_rate(request)
         return False
--- a/pipitlink/gateway/job_api.py
+++ b/pipitlink/gateway/batch_api.py
@@ -11,15 +11,15 @@
 from ..timers import ms, secs
 from ..web import http_handler, send_json
 from ..wire.lots_pb2 import EndRequest, EndResponse, Lot, Result
-from .job_ids import result_log
-from .job_intake import JobIntake
-from .job_ownership import CancelStatus, JobOwnership
-from .open_jobs import OpenJobs
+from .batch_ids import result_log
+from .batch_intake import BatchIntake
+from .batch_ownership import BatchOwnership, CancelStatus
+from .open_batches import OpenBatches
 from .query_parameters import non_negative_number
-from .request_bodies import JobBody, read_json
-from .result_reader import JobResults, ResultReader
+from .request_bodies import BatchBody, read_json
+from .result_reader import BatchResults, ResultReader
 
-__all__ = ["JobApi", "results_page"]
+__all__ = ["BatchApi", "results_page"]
 
 READ_TIMEOUT = secs(4)
 CANCEL_TIMEOUT = secs(8)
@@ -30,104 +30,109 @@
 CREATED = 201
 
 
-class JobApi:
+class BatchApi:
     """Serves jobs to callers, whichever gateway took or owns them."""
 
     def __init__(
-        self, ctx: Context, intake: JobIntake, open_jobs: OpenJobs, reader: ResultReader, ownership: JobOwnership
+        self,
+        ctx: Context,
+        intake: BatchIntake,
+        open_batches: OpenBatches,
+        reader: ResultReader,
+        ownership: BatchOwnership,
     ) -> None:
         self._ctx = ctx
         self._intake = intake
-        self._open_jobs = open_jobs
+        self._open_batches = open_batches
         self._reader = reader
         self._ownership = ownership
 
     @http_handler
-    async def submit_job(self, request: Request) -> bytes:
+    async def submit_batch(self, request: Request) -> bytes:
         """Stores a submitted job; responds with its id."""
-        body = read_json(request, JobBody)
+        body = read_json(request, BatchBody)
         stored = await self._intake.submit(body)
         response: bytes = send_json(
             request,
-            {"lot": stored.job_id, "items": len(body.items), "again": stored.duplicate},
+            {"lot": stored.batch_id, "items": len(body.items), "again": stored.duplicate},
             OK if stored.duplicate else CREATED,
-            {"Location": f"/v1/lots/{stored.job_id}"},
+            {"Location": f"/v1/lots/{stored.batch_id}"},
         )
         return response
 
     @http_handler
-    async def show_job(self, request: Request, job_id: str) -> bytes:
+    async def show_batch(self, request: Request, batch_id: str) -> bytes:
         """Responds with a job's state."""
-        found = await self._reader.find_job(job_id)
-        results = await self._ctx.timers.with_timeout(READ_TIMEOUT, self._reader.read_results(job_id))
-        response: bytes = send_json(request, _summary(job_id, found, results))
+        found = await self._reader.find_batch(batch_id)
+        results = await self._ctx.timers.with_timeout(READ_TIMEOUT, self._reader.read_results(batch_id))
+        response: bytes = send_json(request, _summary(batch_id, found, results))
         return response
 
     @http_handler
-    async def show_results(self, request: Request, job_id: str) -> bytes:
+    async def show_results(self, request: Request, batch_id: str) -> bytes:
         """Responds with a job's results from a number on."""
         start = non_negative_number(request, "from")
-        found = await self._reader.find_job(job_id)
-        results = await self._ctx.timers.with_timeout(READ_TIMEOUT, self._reader.read_results(job_id))
-        response: bytes = send_json(request, results_page(job_id, found, results, start))
+        found = await self._reader.find_batch(batch_id)
+        results = await self._ctx.timers.with_timeout(READ_TIMEOUT, self._reader.read_results(batch_id))
+        response: bytes = send_json(request, results_page(batch_id, found, results, start))
         return response
 
     @http_handler
-    async def cancel_job(self, request: Request, job_id: str) -> bytes:
+    async def cancel_batch(self, request: Request, batch_id: str) -> bytes:
         """Cancels a job for good; responds with its state."""
-        response: bytes = send_json(request, {"lot": job_id, "state": await self.cancel_anywhere(job_id)})
+        response: bytes = send_json(request, {"lot": batch_id, "state": await self.cancel_anywhere(batch_id)})
         return response
 
-    async def cancel_anywhere(self, job_id: str) -> str:
+    async def cancel_anywhere(self, batch_id: str) -> str:
         """Cancels a job through its owner; returns `ended` or `closed`.
 
         Raises ServiceUnavailable where the owner cannot be reached in time.
         """
-        self._open_jobs.add(job_id, await self._reader.find_job(job_id))
+        self._open_batches.add(batch_id, await self._reader.find_batch(batch_id))
         give_up_at = self._ctx.timers.now() + CANCEL_TIMEOUT
         while self._ctx.timers.now() < give_up_at:
-            status = await self._cancel_at_owner(job_id)
+            status = await self._cancel_at_owner(batch_id)
             if status in (CancelStatus.CANCELLED, CancelStatus.CLOSED):
                 return status.value
             await self._ctx.timers.sleep(CANCEL_RETRY_INTERVAL)
         raise ServiceUnavailable("the lot's owner could not be asked", code="no_owner", outcome="unknown")
 
-    async def _cancel_at_owner(self, job_id: str) -> CancelStatus:
+    async def _cancel_at_owner(self, batch_id: str) -> CancelStatus:
         """Has the holder of the result log's lease cancel a job; where there is none, this gateway takes it up."""
-        log = result_log(job_id)
+        log = result_log(batch_id)
         state = (await self._ctx.replicated_log.states([log])).get(log)
         if state is not None and state.final:
             return CancelStatus.CLOSED
         owner = state.leaseholder if state is not None else ""
         member = self._ctx.membership.find(owner) if owner else None
         if not owner or owner == self._ctx.node:
-            return await self._ownership.cancel_local_job(job_id)
+            return await self._ownership.cancel_local_batch(batch_id)
         if member is None:
             return CancelStatus.OWNER_UNREACHABLE
         address = (member.host, member.port)
         try:
-            request = EndRequest(lot=job_id)
+            request = EndRequest(lot=batch_id)
             response = await self._ctx.rpc.call(address, "lots.end", request, EndResponse, CALL_TIMEOUT)
             return CancelStatus(response.state)
         except (WireError, RemoteError) as error:
-            self._ctx.logger.debug("owner_unreachable", lot=job_id, text=error)
+            self._ctx.logger.debug("owner_unreachable", lot=batch_id, text=error)
             return CancelStatus.OWNER_UNREACHABLE
 
 
-def results_page(job_id: str, spec: Lot, results: JobResults, start: int) -> dict[str, Any]:
+def results_page(batch_id: str, spec: Lot, results: BatchResults, start: int) -> dict[str, Any]:
     """Returns a page of results from a number on as JSON, with the number at which the next page starts."""
     page = results.results[start : start + MAX_RESULTS]
     return {
-        **_summary(job_id, spec, results),
+        **_summary(batch_id, spec, results),
         "from": start,
         "next": start + len(page),
         "results": [_result_json(start + k, result) for k, result in enumerate(page)],
     }
 
 
-def _summary(job_id: str, spec: Lot, results: JobResults) -> dict[str, Any]:
+def _summary(batch_id: str, spec: Lot, results: BatchResults) -> dict[str, Any]:
     return {
-        "lot": job_id,
+        "lot": batch_id,
         "state": results.end_reason if results.end_reason in ("done", "ended") else "open",
         "items": len(spec.items),
         "listed": len(results.results),
--- a/pipitlink/gateway/job_intake.py
+++ b/pipitlink/gateway/batch_intake.py
@@ -6,31 +6,31 @@
 from ..errors import BadRequest, ServiceUnavailable
 from ..timers import ms, wall_ms
 from ..wire.lots_pb2 import Item, LogRecord, Lot
-from .idempotency_keys import IdempotencyKeys, StoredJob
-from .job_ids import job_id_at
-from .job_log import JobLog
-from .open_jobs import OpenJobs
-from .request_bodies import ItemBody, JobBody
+from .batch_ids import batch_id_at
+from .batch_log import BatchLog
+from .idempotency_keys import IdempotencyKeys, StoredBatch
+from .open_batches import OpenBatches
+from .request_bodies import BatchBody, ItemBody
 from .serving_state import ServingState
 
-__all__ = ["JobIntake"]
+__all__ = ["BatchIntake"]
 
 OPEN_LOG_TIMEOUT = ms(2500)
 
 
-class JobIntake:
+class BatchIntake:
     """Stores each job by one append, to this gateway's own job log or to that of its idempotency key."""
 
     def __init__(
-        self, ctx: Context, serving: ServingState, open_jobs: OpenJobs, own_log: JobLog, keys: IdempotencyKeys
+        self, ctx: Context, serving: ServingState, open_batches: OpenBatches, own_log: BatchLog, keys: IdempotencyKeys
     ) -> None:
         self._ctx = ctx
         self._serving = serving
-        self._open_jobs = open_jobs
+        self._open_batches = open_batches
         self._own_log = own_log
         self._keys = keys
 
-    async def submit(self, body: JobBody) -> StoredJob:
+    async def submit(self, body: BatchBody) -> StoredBatch:
         """Stores a submitted job. Raises ApiError where it may not or cannot be stored."""
         if not self._serving.is_current():
             raise ServiceUnavailable("this gateway is not current", code="not_current")
@@ -40,7 +40,7 @@
         spec = self._spec_from(body)
         if spec.key:
             return await self._keys.store(spec)
-        return StoredJob(await self.store(spec), duplicate=False)
+        return StoredBatch(await self.store(spec), duplicate=False)
 
     async def store(self, spec: Lot) -> str:
         """Appends a job to this gateway's log; returns its id. Raises ServiceUnavailable or ReplicatedLogError."""
@@ -52,11 +52,11 @@
         if not leaseholder.is_held():
             raise ServiceUnavailable("the lot log's lease is not current", code="store")
         offset = await leaseholder.append([LogRecord(lot=spec).SerializeToString()])
-        job_id = job_id_at(leaseholder.log, offset)
-        self._open_jobs.add(job_id, spec)
-        return job_id
+        batch_id = batch_id_at(leaseholder.log, offset)
+        self._open_batches.add(batch_id, spec)
+        return batch_id
 
-    def _spec_from(self, body: JobBody) -> Lot:
+    def _spec_from(self, body: BatchBody) -> Lot:
         accepted_ms = wall_ms(self._ctx.timers.utc_now())
         return Lot(
             customer=body.customer,
--- a/pipitlink/gateway/job_log.py
+++ b/pipitlink/gateway/batch_log.py
@@ -5,16 +5,16 @@
 from ..context import Context
 from ..replicated_log import Leaseholder
 from ..timers import SingleFlight, secs
-from .job_ids import JOB_LOG_PREFIX
+from .batch_ids import BATCH_LOG_PREFIX
 from .owner_selection import acquire_log
 
-__all__ = ["JobLog"]
+__all__ = ["BatchLog"]
 
 MAX_LOG_BYTES = 4 * 1024 * 1024
 MAX_LOG_AGE = secs(43_200)
 
 
-class JobLog:
+class BatchLog:
     """This gateway's own job log: a new one is begun when it has grown long or old, or its lease is lost."""
 
     def __init__(self, ctx: Context) -> None:
@@ -39,5 +39,5 @@
     async def _open(self) -> Leaseholder:
         self.number += 1
         self._opened_at = self._ctx.timers.now()
-        self._leaseholder = await acquire_log(self._ctx, f"{JOB_LOG_PREFIX}{self._ctx.node}.{self.number}")
+        self._leaseholder = await acquire_log(self._ctx, f"{BATCH_LOG_PREFIX}{self._ctx.node}.{self.number}")
         return self._leaseholder
--- a/pipitlink/gateway/job_log_follower.py
+++ b/pipitlink/gateway/batch_log_follower.py
@@ -9,12 +9,12 @@
 from ..errors import PipitlinkError
 from ..timers import secs, wall_ms
 from ..wire.lots_pb2 import Ended, LogRecord
-from .job_ids import JOB_LOG_PREFIX, job_id_at, job_of_result_log, result_log
-from .job_log import JobLog
-from .open_jobs import OpenJobs
+from .batch_ids import BATCH_LOG_PREFIX, batch_id_at, batch_of_result_log, result_log
+from .batch_log import BatchLog
+from .open_batches import OpenBatches
 from .owner_selection import choose_owner
 
-__all__ = ["JobLogFollower"]
+__all__ = ["BatchLogFollower"]
 
 LIST_INTERVAL = secs(1)
 CLOSE_INTERVAL = secs(10)
@@ -29,15 +29,15 @@
     """A job log that is read on, and the jobs that were found in it."""
 
     tail: Tail
-    job_ids: set[str] = attrs.field(factory=set)
+    batch_ids: set[str] = attrs.field(factory=set)
 
 
-class JobLogFollower:
+class BatchLogFollower:
     """Reads all job logs, so that any gateway can take a job over, and ends those that nobody writes any more."""
 
-    def __init__(self, ctx: Context, open_jobs: OpenJobs, own_log: JobLog) -> None:
+    def __init__(self, ctx: Context, open_batches: OpenBatches, own_log: BatchLog) -> None:
         self._ctx = ctx
-        self._open_jobs = open_jobs
+        self._open_batches = open_batches
         self._own_log = own_log
         self._followed: dict[str, _FollowedLog] = {}
 
@@ -50,8 +50,8 @@
     async def _list_logs(self) -> None:
         if not self._ctx.cluster.ready():
             return
-        await self._close_finished_jobs()
-        for log, state in (await self._ctx.replicated_log.list(JOB_LOG_PREFIX)).items():
+        await self._close_finished_batches()
+        for log, state in (await self._ctx.replicated_log.list(BATCH_LOG_PREFIX)).items():
             followed = self._followed.get(log)
             if followed is None and not state.final:
                 self._followed[log] = _FollowedLog(self._ctx.cache.tail(log))
@@ -59,19 +59,19 @@
             elif followed is not None and state.final and followed.tail.position >= state.committed:
                 self._stop_following(log)
 
-    async def _close_finished_jobs(self) -> None:
+    async def _close_finished_batches(self) -> None:
         """Closes jobs that another gateway finished or ended."""
-        foreign = [job.id for job in self._open_jobs.all() if job.leaseholder is None and not job.acquiring]
+        foreign = [batch.id for batch in self._open_batches.all() if batch.leaseholder is None and not batch.acquiring]
         for start in range(0, len(foreign), MAX_LOGS_PER_CALL):
-            logs = [result_log(job_id) for job_id in foreign[start : start + MAX_LOGS_PER_CALL]]
+            logs = [result_log(batch_id) for batch_id in foreign[start : start + MAX_LOGS_PER_CALL]]
             for log, state in (await self._ctx.replicated_log.states(logs)).items():
                 if state.final:
-                    self._open_jobs.close(job_of_result_log(log))
+                    self._open_batches.close(batch_of_result_log(log))
 
     def _stop_following(self, log: str) -> None:
         followed = self._followed.pop(log)
         followed.tail.close()
-        self._open_jobs.forget_closed(followed.job_ids)
+        self._open_batches.forget_closed(followed.batch_ids)
 
     async def _end_idle_logs(self) -> None:
         """Ends job logs that nobody writes to any more, once every job in them is closed."""
@@ -79,20 +79,20 @@
             idle = self._is_idle(log)
             tail = followed.tail
             unread = tail.lengths.confirmed_at is None or tail.position < tail.lengths.durable
-            if not idle or unread or not self._open_jobs.all_closed(followed.job_ids):
+            if not idle or unread or not self._open_batches.all_closed(followed.batch_ids):
                 continue
             if choose_owner(self._ctx, log) != self._ctx.node:
                 continue
             try:
                 await self._end_log(log)
-                self._ctx.logger.info("lot_log_finalized", log=log, lots=len(followed.job_ids))
+                self._ctx.logger.info("lot_log_finalized", log=log, lots=len(followed.batch_ids))
                 self._stop_following(log)
             except PipitlinkError as error:
                 self._ctx.logger.debug("lot_log_not_finalized", log=log, text=error)
 
     def _is_idle(self, log: str) -> bool:
         """Returns whether nobody writes to a job log any more."""
-        writer, _, number = log.removeprefix(JOB_LOG_PREFIX).partition(".")
+        writer, _, number = log.removeprefix(BATCH_LOG_PREFIX).partition(".")
         if writer.startswith(KEYED_LOG_PREFIX):
             return int(number) < wall_ms(self._ctx.timers.utc_now()) // DAY_MS - 1
         if writer == self._ctx.node:
@@ -123,6 +123,6 @@
     def _take_record(self, log: str, followed: _FollowedLog, offset: int, body: bytes) -> None:
         record = LogRecord.FromString(body)
         if record.WhichOneof("of") == "lot":
-            job_id = job_id_at(log, offset)
-            followed.job_ids.add(job_id)
-            self._open_jobs.add(job_id, record.lot)
+            batch_id = batch_id_at(log, offset)
+            followed.batch_ids.add(batch_id)
+            self._open_batches.add(batch_id, record.lot)
--- a/pipitlink/gateway/engine.py
+++ b/pipitlink/gateway/engine.py
@@ -33,7 +33,7 @@
 class Engine:
     """One incarnation of an engine. Times are on the timers' clock.
 
-    `live_requests` and `job_items` count what this gateway runs on it; `peer_loads` has the last report of each other
+    `live_requests` and `batch_items` count what this gateway runs on it; `peer_loads` has the last report of each other
     gateway.
     """
 
@@ -41,7 +41,7 @@
     renewed_at: timedelta
     ready_since: timedelta
     live_requests: int = 0
-    job_items: int = 0
+    batch_items: int = 0
     failed_at: timedelta | None = None
     peer_loads: dict[str, PeerLoad] = attrs.field(factory=dict)
 
@@ -53,11 +53,11 @@
     @property
     def local_requests(self) -> int:
         """The number of requests that this gateway runs on it."""
-        return self.live_requests + self.job_items
+        return self.live_requests + self.batch_items
 
-    def change_local_requests(self, change: int, *, job_item: bool) -> None:
+    def change_local_requests(self, change: int, *, batch_item: bool) -> None:
         """Adds to this gateway's count of one kind, which never falls below zero."""
-        if job_item:
-            self.job_items = max(0, self.job_items + change)
+        if batch_item:
+            self.batch_items = max(0, self.batch_items + change)
         else:
             self.live_requests = max(0, self.live_requests + change)
--- a/pipitlink/gateway/engine_candidates.py
+++ b/pipitlink/gateway/engine_candidates.py
@@ -56,7 +56,7 @@
                 return row
         return None
 
-    def job_reserve(self, model: str, engine: Engine) -> float:
+    def batch_reserve(self, model: str, engine: Engine) -> float:
         """Returns the share of an engine's capacity that jobs leave to live requests."""
         row = self._row(model, engine.update.pool)
         if row is not None and row.lot_share > 0:
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -144,7 +144,7 @@
         engine = Engine(stored, renewed_at, self._ctx.timers.now())
         if previous is not None:
             engine.live_requests = previous.live_requests
-            engine.job_items = previous.job_items
+            engine.batch_items = previous.batch_items
             engine.peer_loads = previous.peer_loads
         self._engines[update.engine] = engine
         self._ctx.logger.info(
--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -66,7 +66,7 @@
         await self._rate_limits.acquire_permit(request)
         engine = await self._wait_for_engine(request)
         request.engine = engine
-        release_slot = self._slots.acquire(engine, job_item=request.is_job_item)
+        release_slot = self._slots.acquire(engine, batch_item=request.is_batch_item)
         request.release_slot = partial(self._release_slot, release_slot)
         request.attempts += 1
         request.trigger("choose_engine")
@@ -116,7 +116,7 @@
             raise request.last_rejection or ServiceUnavailable("no other back end is left to try")
 
     def _has_free_slot(self, request: RequestRecord, engine: Engine) -> bool:
-        reserve = self._candidates.job_reserve(request.model, engine) if request.is_job_item else 0.0
+        reserve = self._candidates.batch_reserve(request.model, engine) if request.is_batch_item else 0.0
         return self._slots.free_slots(engine, reserve) > 0
 
     def _load(self, engine: Engine) -> float:
--- a/pipitlink/gateway/idempotency_keys.py
+++ b/pipitlink/gateway/idempotency_keys.py
@@ -21,11 +21,11 @@
 from ..replicated_log import Leaseholder
 from ..timers import secs, wall_ms
 from ..wire.lots_pb2 import KeyedLotRequest, KeyedLotResponse, LogRecord, Lot
-from .job_ids import job_id_at
-from .open_jobs import OpenJobs
+from .batch_ids import batch_id_at
+from .open_batches import OpenBatches
 from .owner_selection import acquire_log, choose_owner
 
-__all__ = ["IdempotencyKeys", "StoredJob"]
+__all__ = ["IdempotencyKeys", "StoredBatch"]
 
 SHARDS = 16
 DAY_MS = 86_400_000
@@ -35,10 +35,10 @@
 
 
 @attrs.frozen
-class StoredJob:
+class StoredBatch:
     """The id of a stored job, and whether it was stored by an earlier request with the same key."""
 
-    job_id: str
+    batch_id: str
     duplicate: bool
 
 
@@ -46,7 +46,7 @@
 class _KeyEntry:
     """The job that a key stands for."""
 
-    job_id: str
+    batch_id: str
     digest: bytes
 
 
@@ -78,8 +78,8 @@
         data = bytes(self.leaseholder.data[self.parsed_bytes :])
         for offset, body, _ in decode_frames(data):
             spec = LogRecord.FromString(body).lot
-            job_id = job_id_at(self.leaseholder.log, self.parsed_bytes + offset)
-            self.keys.setdefault(_full_key(spec), _KeyEntry(job_id, _digest(spec)))
+            batch_id = batch_id_at(self.leaseholder.log, self.parsed_bytes + offset)
+            self.keys.setdefault(_full_key(spec), _KeyEntry(batch_id, _digest(spec)))
         self.parsed_bytes = len(self.leaseholder.data)
 
 
@@ -89,9 +89,9 @@
     A key is remembered for the day and the one before.
     """
 
-    def __init__(self, ctx: Context, open_jobs: OpenJobs) -> None:
+    def __init__(self, ctx: Context, open_batches: OpenBatches) -> None:
         self._ctx = ctx
-        self._open_jobs = open_jobs
+        self._open_batches = open_batches
         self._shard_logs: dict[str, _ShardLog] = {}
         self._locks = [defer.DeferredLock() for _ in range(SHARDS)]
 
@@ -99,7 +99,7 @@
         """Registers the owner's handler."""
         self._ctx.rpc.register_handler("lots.keyed", KeyedLotRequest, self._handle_store)
 
-    async def store(self, spec: Lot) -> StoredJob:
+    async def store(self, spec: Lot) -> StoredBatch:
         """Stores a job through the owner of its key, or finds the one that was stored with the key before.
 
         Raises ServiceUnavailable where the owner cannot be reached, ApiError where the key was used for another job.
@@ -117,7 +117,7 @@
                 status=CONFLICT,
                 outcome="not_run",
             )
-        return StoredJob(response.lot, response.duplicate)
+        return StoredBatch(response.lot, response.duplicate)
 
     async def _handle_store(self, _: str, request: KeyedLotRequest) -> KeyedLotResponse:
         return await self._store_here(request.lot)
@@ -148,7 +148,7 @@
                 entry = shard_log.keys.get(key)
                 if entry is not None:
                     await shard_log.leaseholder.wait_durable()
-                    return KeyedLotResponse(lot=entry.job_id, duplicate=True, same_lot=entry.digest == digest)
+                    return KeyedLotResponse(lot=entry.batch_id, duplicate=True, same_lot=entry.digest == digest)
             return await self._append(spec, shard_logs)
 
     async def _append(self, spec: Lot, shard_logs: list[_ShardLog]) -> KeyedLotResponse:
@@ -156,9 +156,9 @@
             raise LeaseNotHeld("the lease of this key's log is not current")
         leaseholder = shard_logs[0].leaseholder
         offset = await leaseholder.append([LogRecord(lot=spec).SerializeToString()])
-        job_id = job_id_at(leaseholder.log, offset)
-        self._open_jobs.add(job_id, spec)
-        return KeyedLotResponse(lot=job_id, same_lot=True)
+        batch_id = batch_id_at(leaseholder.log, offset)
+        self._open_batches.add(batch_id, spec)
+        return KeyedLotResponse(lot=batch_id, same_lot=True)
 
     async def _shard_log(self, log: str) -> _ShardLog:
         shard_log = self._shard_logs.get(log)
--- a/pipitlink/gateway/item_dispatcher.py
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -14,9 +14,9 @@
 from ..errors import LeaseNotHeld, ReplicatedLogError
 from ..timers import ms, secs, spawn, wall_ms
 from ..wire.lots_pb2 import Item, LogRecord, Result, Started
-from .job_capacity import JobCapacity
-from .job_ownership import ACQUIRE_BACKOFF, JobOwnership
-from .open_jobs import OpenJob, OpenJobs
+from .batch_capacity import BatchCapacity
+from .batch_ownership import ACQUIRE_BACKOFF, BatchOwnership
+from .open_batches import OpenBatch, OpenBatches
 from .request_bodies import DEFAULT_MAX_TOKENS
 from .request_pipeline import RequestPipeline
 from .request_record import RequestKind, RequestRecord
@@ -40,7 +40,7 @@
 
     now: timedelta
     wall_ms: int
-    jobs: list[OpenJob]
+    batches: list[OpenBatch]
     running_by_customer: dict[str, int]
     full_models: set[str] = attrs.field(factory=set)
     free_slots: dict[str, int] = attrs.field(factory=dict)
@@ -53,15 +53,15 @@
         self,
         ctx: Context,
         serving: ServingState,
-        open_jobs: OpenJobs,
-        ownership: JobOwnership,
-        capacity: JobCapacity,
+        open_batches: OpenBatches,
+        ownership: BatchOwnership,
+        capacity: BatchCapacity,
         table: RequestTable,
         pipeline: RequestPipeline,
     ) -> None:
         self._ctx = ctx
         self._serving = serving
-        self._open_jobs = open_jobs
+        self._open_batches = open_batches
         self._ownership = ownership
         self._capacity = capacity
         self._table = table
@@ -73,9 +73,9 @@
             DISPATCH_INTERVAL,
             self.dispatch,
             self._ctx.error_reporter("dispatch_items"),
-            idle_time=self._open_jobs.idle_wait,
+            idle_time=self._open_batches.idle_wait,
         )
-        self._open_jobs.add_timer(timer)
+        self._open_batches.add_timer(timer)
 
     def dispatch(self) -> defer.Deferred[None]:
         """Starts items while there are free slots; returns a Deferred that fires once there is no more to start."""
@@ -91,46 +91,50 @@
             return 0
         current = self._begin_round()
         started = 0
-        while current.jobs and started < MAX_STARTS_PER_TURN:
-            job = min(current.jobs, key=lambda job: self._order_key(job, current))
-            index = self._next_item(job, current)
-            if index is None or job.leaseholder is None or not job.leaseholder.is_held():
-                current.jobs.remove(job)
+        while current.batches and started < MAX_STARTS_PER_TURN:
+            batch = min(current.batches, key=lambda batch: self._order_key(batch, current))
+            index = self._next_item(batch, current)
+            if index is None or batch.leaseholder is None or not batch.leaseholder.is_held():
+                current.batches.remove(batch)
                 continue
-            overdue = job.spec.limit_ms <= current.wall_ms
-            if not overdue and not self._reserve_slot(job.spec.items[index].model, current):
+            overdue = batch.spec.limit_ms <= current.wall_ms
+            if not overdue and not self._reserve_slot(batch.spec.items[index].model, current):
                 continue
-            self._start_item(job, index, overdue, current)
+            self._start_item(batch, index, overdue, current)
             started += 1
         return started
 
     def _begin_round(self) -> _DispatchRound:
         running_by_customer: dict[str, int] = {}
-        jobs = self._open_jobs.all()
-        for job in jobs:
-            customer = job.spec.customer
-            running_by_customer[customer] = running_by_customer.get(customer, 0) + len(job.running)
-        owned = [job for job in jobs if job.leaseholder is not None and job.pending and not job.leaseholder.final]
+        batches = self._open_batches.all()
+        for batch in batches:
+            customer = batch.spec.customer
+            running_by_customer[customer] = running_by_customer.get(customer, 0) + len(batch.running)
+        owned = [
+            batch
+            for batch in batches
+            if batch.leaseholder is not None and batch.pending and not batch.leaseholder.final
+        ]
         return _DispatchRound(self._ctx.timers.now(), wall_ms(self._ctx.timers.utc_now()), owned, running_by_customer)
 
-    def _order_key(self, job: OpenJob, current: _DispatchRound) -> tuple[int, int, int, int]:
+    def _order_key(self, batch: OpenBatch, current: _DispatchRound) -> tuple[int, int, int, int]:
         return (
-            _urgency(job, current.wall_ms),
-            -self._priority(job),
-            current.running_by_customer[job.spec.customer],
-            job.spec.limit_ms,
+            _urgency(batch, current.wall_ms),
+            -self._priority(batch),
+            current.running_by_customer[batch.spec.customer],
+            batch.spec.limit_ms,
         )
 
-    def _priority(self, job: OpenJob) -> int:
+    def _priority(self, batch: OpenBatch) -> int:
         """Returns the job's own priority, and what the table adds for the model that it waits for first."""
-        row = self._ctx.cluster.row(job.spec.items[job.pending[0]].model, "") if job.pending else None
-        return job.spec.priority + (row.priority if row is not None else 0)
+        row = self._ctx.cluster.row(batch.spec.items[batch.pending[0]].model, "") if batch.pending else None
+        return batch.spec.priority + (row.priority if row is not None else 0)
 
-    def _next_item(self, job: OpenJob, current: _DispatchRound) -> int | None:
+    def _next_item(self, batch: OpenBatch, current: _DispatchRound) -> int | None:
         """Returns the first pending item that may be tried now and whose model is not known to be full."""
-        for index in job.pending:
-            may_run = job.retry_at.get(index, current.now) <= current.now
-            if may_run and job.spec.items[index].model not in current.full_models:
+        for index in batch.pending:
+            may_run = batch.retry_at.get(index, current.now) <= current.now
+            if may_run and batch.spec.items[index].model not in current.full_models:
                 return index
         return None
 
@@ -143,31 +147,31 @@
         current.free_slots[model] -= 1
         return True
 
-    def _start_item(self, job: OpenJob, index: int, overdue: bool, current: _DispatchRound) -> None:
-        job.pending.remove(index)
-        current.running_by_customer[job.spec.customer] += 1
-        job.running[index] = work = spawn(self._run_item(job, index, job.spec.items[index], overdue))
-        work.addBoth(self._item_ended, job, index)
-        if not job.pending:
-            current.jobs.remove(job)
+    def _start_item(self, batch: OpenBatch, index: int, overdue: bool, current: _DispatchRound) -> None:
+        batch.pending.remove(index)
+        current.running_by_customer[batch.spec.customer] += 1
+        batch.running[index] = work = spawn(self._run_item(batch, index, batch.spec.items[index], overdue))
+        work.addBoth(self._item_ended, batch, index)
+        if not batch.pending:
+            current.batches.remove(batch)
 
-    def _item_ended(self, result: Any, job: OpenJob, index: int) -> None:
-        job.running.pop(index, None)
+    def _item_ended(self, result: Any, batch: OpenBatch, index: int) -> None:
+        batch.running.pop(index, None)
         if isinstance(result, Failure) and not result.check(defer.CancelledError, ReplicatedLogError):
-            self._ctx.logger.failure("item_failed", result.value, lot=job.id, item=index)
-        if job.leaseholder is None or job.leaseholder.lost or job.leaseholder.final:
+            self._ctx.logger.failure("item_failed", result.value, lot=batch.id, item=index)
+        if batch.leaseholder is None or batch.leaseholder.lost or batch.leaseholder.final:
             return
-        if index not in job.results and index not in job.pending:
-            job.pending.append(index)
-            job.retry_at[index] = self._ctx.timers.now() + ACQUIRE_BACKOFF
+        if index not in batch.results and index not in batch.pending:
+            batch.pending.append(index)
+            batch.retry_at[index] = self._ctx.timers.now() + ACQUIRE_BACKOFF
 
-    async def _run_item(self, job: OpenJob, index: int, item: Item, overdue: bool) -> None:
+    async def _run_item(self, batch: OpenBatch, index: int, item: Item, overdue: bool) -> None:
         if overdue:
-            outcome = job.provable_outcome(index, "not_run")
-            await self._ownership.record_result(job, Result(item=index, outcome=outcome, code="limit_passed"))
-            await self._ownership.finish_if_done(job)
+            outcome = batch.provable_outcome(index, "not_run")
+            await self._ownership.record_result(batch, Result(item=index, outcome=outcome, code="limit_passed"))
+            await self._ownership.finish_if_done(batch)
             return
-        request = self._request_for(job, index, item)
+        request = self._request_for(batch, index, item)
         work = spawn(self._pipeline.run(request))
         try:
             await work
@@ -178,16 +182,16 @@
             text = "".join(request.chunks)
             result = Result(item=index, outcome="done", text=text, engine=request.engine_name, run=request.id)
         else:
-            job.attempts[index] = job.attempts.get(index, 0) + (request.outcome != "not_run")
-            if self._schedule_retry(job, index, request):
+            batch.attempts[index] = batch.attempts.get(index, 0) + (request.outcome != "not_run")
+            if self._schedule_retry(batch, index, request):
                 return
-            result = self._failed_result(job, index, request)
-        await self._ownership.record_result(job, result)
-        await self._ownership.finish_if_done(job)
+            result = self._failed_result(batch, index, request)
+        await self._ownership.record_result(batch, result)
+        await self._ownership.finish_if_done(batch)
 
-    def _request_for(self, job: OpenJob, index: int, item: Item) -> RequestRecord:
+    def _request_for(self, batch: OpenBatch, index: int, item: Item) -> RequestRecord:
         now = self._ctx.timers.now()
-        left = ms(job.spec.limit_ms) - ms(wall_ms(self._ctx.timers.utc_now()))
+        left = ms(batch.spec.limit_ms) - ms(wall_ms(self._ctx.timers.utc_now()))
         return RequestRecord(
             kind=RequestKind.ITEM,
             model=item.model,
@@ -196,48 +200,48 @@
             idempotent=item.repeatable,
             max_tokens=item.max_tokens or DEFAULT_MAX_TOKENS,
             deadline=now + min(ITEM_TIMEOUT, left),
-            customer=job.spec.customer,
-            before_send=partial(self._record_start, job, index, item),
-            check_before_send=partial(self._check_owned, job),
+            customer=batch.spec.customer,
+            before_send=partial(self._record_start, batch, index, item),
+            check_before_send=partial(self._check_owned, batch),
         )
 
-    def _schedule_retry(self, job: OpenJob, index: int, request: RequestRecord) -> bool:
+    def _schedule_retry(self, batch: OpenBatch, index: int, request: RequestRecord) -> bool:
         """Makes a failed item pending again where that is safe; returns whether it did."""
         error = request.error
         assert error is not None
         outcome = request.outcome
         safe = outcome == "not_run" or (request.idempotent and outcome == "unknown")
-        if not safe or job.attempts[index] >= MAX_ATTEMPTS or error.code == "limit_passed":
+        if not safe or batch.attempts[index] >= MAX_ATTEMPTS or error.code == "limit_passed":
             return False
         delay = max(MIN_RETRY_DELAY, secs(error.retry_after) / 4)
-        job.retry_at[index] = self._ctx.timers.now() + delay
-        job.pending.append(index)
+        batch.retry_at[index] = self._ctx.timers.now() + delay
+        batch.pending.append(index)
         return True
 
-    def _failed_result(self, job: OpenJob, index: int, request: RequestRecord) -> Result:
+    def _failed_result(self, batch: OpenBatch, index: int, request: RequestRecord) -> Result:
         error = request.error
         assert error is not None
         outcome = "failed" if error.outcome == "failed" else request.outcome
-        return Result(item=index, outcome=job.provable_outcome(index, outcome), code=error.code, run=request.id)
+        return Result(item=index, outcome=batch.provable_outcome(index, outcome), code=error.code, run=request.id)
 
-    async def _record_start(self, job: OpenJob, index: int, item: Item) -> None:
+    async def _record_start(self, batch: OpenBatch, index: int, item: Item) -> None:
         """Records durably that an item that is not idempotent was started; then the lease must still be held."""
-        if not item.repeatable and index not in job.started:
-            assert job.leaseholder is not None
+        if not item.repeatable and index not in batch.started:
+            assert batch.leaseholder is not None
             record = LogRecord(started=Started(item=index))
-            await job.leaseholder.append([record.SerializeToString()], reserved=True)
-            job.started.add(index)
-        self._check_owned(job)
+            await batch.leaseholder.append([record.SerializeToString()], reserved=True)
+            batch.started.add(index)
+        self._check_owned(batch)
 
-    def _check_owned(self, job: OpenJob) -> None:
+    def _check_owned(self, batch: OpenBatch) -> None:
         """Raises LeaseNotHeld where this gateway does not own the job any more."""
-        if job.leaseholder is None or not job.leaseholder.is_held() or job.leaseholder.final:
-            raise LeaseNotHeld(f"{job.id}: the lease ended before the item was sent")
+        if batch.leaseholder is None or not batch.leaseholder.is_held() or batch.leaseholder.final:
+            raise LeaseNotHeld(f"{batch.id}: the lease ended before the item was sent")
 
 
-def _urgency(job: OpenJob, now_ms: int) -> int:
+def _urgency(batch: OpenBatch, now_ms: int) -> int:
     """Returns steps of time left: jobs due within seconds go before those due within minutes, hours, days."""
-    left_ms = max(0, job.spec.limit_ms - now_ms)
+    left_ms = max(0, batch.spec.limit_ms - now_ms)
     for step, bound_ms in enumerate(URGENCY_STEPS_MS):
         if left_ms < bound_ms:
             return step
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -15,6 +15,12 @@
 from ..timers import ms, secs
 from ..web import Site, listen, send_error, send_json
 from .admission import Admission
+from .batch_api import BatchApi
+from .batch_capacity import BatchCapacity
+from .batch_intake import BatchIntake
+from .batch_log import BatchLog
+from .batch_log_follower import BatchLogFollower
+from .batch_ownership import BatchOwnership
 from .engine_api import EngineApi
 from .engine_candidates import EngineCandidates
 from .engine_registry import EngineRegistry
@@ -25,14 +31,8 @@
 from .fetch_relay import FetchRelay
 from .idempotency_keys import IdempotencyKeys
 from .item_dispatcher import ItemDispatcher
-from .job_api import JobApi
-from .job_capacity import JobCapacity
-from .job_intake import JobIntake
-from .job_log import JobLog
-from .job_log_follower import JobLogFollower
-from .job_ownership import JobOwnership
 from .live_api import LiveApi
-from .open_jobs import OpenJobs
+from .open_batches import OpenBatches
 from .rate_limits import RateLimits
 from .request_pipeline import PipelineStep, RequestPipeline, prepare_send
 from .request_record import RequestKind
@@ -59,7 +59,7 @@
     - `engines` and `slots` know the engines and this gateway's share of their capacity.
     - `pipeline` takes each request of `table` through its steps: admission, choice of an engine, relay.
     - `runs` finds live requests by id, here and at other gateways.
-    - `job_intake` stores jobs, `open_jobs` are kept up to date from the job logs, `job_ownership` and
+    - `batch_intake` stores batches, `open_batches` are kept up to date from the batch logs, `batch_ownership` and
       `item_dispatcher` run them, and `results` reads what became of them.
     - The `..._api` parts serve callers over HTTP.
     """
@@ -72,11 +72,11 @@
         self.slots = EngineSlots(ctx, self.engines)
         self.candidates = EngineCandidates(ctx, self.engines)
         self._compose_requests()
-        self._compose_jobs()
+        self._compose_batches()
         self.live_api = LiveApi(ctx, self.table, self.pipeline, self.runs)
         self.engine_api = EngineApi(ctx, self.engines)
         self.fetch_api = FetchApi(ctx, self.pipeline)
-        self.job_api = JobApi(ctx, self.job_intake, self.open_jobs, self.results, self.job_ownership)
+        self.batch_api = BatchApi(ctx, self.batch_intake, self.open_batches, self.results, self.batch_ownership)
 
     def _compose_requests(self) -> None:
         ctx = self._ctx
@@ -100,18 +100,18 @@
         """Makes the relay to engines; a simulated gateway overrides this."""
         return EngineRelay(self._ctx, self.engines, sender)
 
-    def _compose_jobs(self) -> None:
+    def _compose_batches(self) -> None:
         ctx = self._ctx
-        own_log = JobLog(ctx)
-        self.open_jobs = OpenJobs()
-        self.idempotency_keys = IdempotencyKeys(ctx, self.open_jobs)
-        self.job_intake = JobIntake(ctx, self.serving, self.open_jobs, own_log, self.idempotency_keys)
-        self.job_log_follower = JobLogFollower(ctx, self.open_jobs, own_log)
-        self.results = ResultReader(ctx, self.open_jobs)
-        self.job_ownership = JobOwnership(ctx, self.serving, self.open_jobs)
-        capacity = JobCapacity(self.slots, self.candidates)
+        own_log = BatchLog(ctx)
+        self.open_batches = OpenBatches()
+        self.idempotency_keys = IdempotencyKeys(ctx, self.open_batches)
+        self.batch_intake = BatchIntake(ctx, self.serving, self.open_batches, own_log, self.idempotency_keys)
+        self.batch_log_follower = BatchLogFollower(ctx, self.open_batches, own_log)
+        self.results = ResultReader(ctx, self.open_batches)
+        self.batch_ownership = BatchOwnership(ctx, self.serving, self.open_batches)
+        capacity = BatchCapacity(self.slots, self.candidates)
         self.item_dispatcher = ItemDispatcher(
-            ctx, self.serving, self.open_jobs, self.job_ownership, capacity, self.table, self.pipeline
+            ctx, self.serving, self.open_batches, self.batch_ownership, capacity, self.table, self.pipeline
         )
 
     def open(self) -> None:
@@ -121,9 +121,9 @@
         self.rate_limits.start()
         self.runs.start()
         self.idempotency_keys.start()
-        self.job_log_follower.start()
+        self.batch_log_follower.start()
         self.results.start()
-        self.job_ownership.start()
+        self.batch_ownership.start()
         self.item_dispatcher.start()
 
     async def listen(self, host: str, port: int) -> int:
@@ -140,10 +140,10 @@
         route("/v1/engines", methods=["POST"])(self.engine_api.announce)
         route("/v1/fetch/<pool>/", methods=["GET"])(self.fetch_api.fetch)
         route("/v1/fetch/<pool>/<path:path>", methods=["GET"])(self.fetch_api.fetch)
-        route("/v1/lots", methods=["POST"])(self.job_api.submit_job)
-        route("/v1/lots/<job_id>", methods=["GET"])(self.job_api.show_job)
-        route("/v1/lots/<job_id>/results", methods=["GET"])(self.job_api.show_results)
-        route("/v1/lots/<job_id>", methods=["DELETE"])(self.job_api.cancel_job)
+        route("/v1/lots", methods=["POST"])(self.batch_api.submit_batch)
+        route("/v1/lots/<batch_id>", methods=["GET"])(self.batch_api.show_batch)
+        route("/v1/lots/<batch_id>/results", methods=["GET"])(self.batch_api.show_results)
+        route("/v1/lots/<batch_id>", methods=["DELETE"])(self.batch_api.cancel_batch)
         route("/v1/ready", methods=["GET"])(self.show_ready)
         route("/v1/live", methods=["GET"])(self.show_live)
         route("/", defaults={"path": ""})(self._not_found)
@@ -189,11 +189,11 @@
         gauges: dict[str, tuple[str, float]] = {
             f"cache_{name}": (f"Chunks or reads: {name}", cache.counts[name]) for name in CACHE_COUNTS
         }
-        owned_jobs = sum(job.leaseholder is not None for job in self.open_jobs.all())
+        owned_batches = sum(batch.leaseholder is not None for batch in self.open_batches.all())
         running = sum(engine.local_requests for engine in self.engines.all())
         gauges["asks"] = ("Requests in the table", len(self.table.requests))
-        gauges["open_lots"] = ("Lots known to be open", len(self.open_jobs))
-        gauges["owned_lots"] = ("Lots this gateway owns", owned_jobs)
+        gauges["open_lots"] = ("Lots known to be open", len(self.open_batches))
+        gauges["owned_lots"] = ("Lots this gateway owns", owned_batches)
         gauges["running"] = ("Requests on engines from here", running)
         gauges["cache_bytes"] = ("Bytes in the data cache here", cache.chunks.size)
         return gauges
@@ -212,7 +212,7 @@
         give_up_at = timers.now() + DRAIN_TIMEOUT
         while self.table.has_unsettled() and timers.now() < give_up_at:
             await timers.sleep(DRAIN_POLL_INTERVAL)
-        self.job_ownership.give_up_all()
+        self.batch_ownership.give_up_all()
         replicated_log = self._ctx.replicated_log
         await replicated_log.release(list(replicated_log.leaseholders.values()))
         await self._ctx.membership.leave()
--- a/pipitlink/gateway/open_jobs.py
+++ b/pipitlink/gateway/open_batches.py
@@ -12,11 +12,11 @@
 from ..timers import ZERO, RepeatingCall
 from ..wire.lots_pb2 import LogRecord, Lot, Result
 
-__all__ = ["OpenJob", "OpenJobs"]
+__all__ = ["OpenBatch", "OpenBatches"]
 
 
 @attrs.define(eq=False)
-class OpenJob:
+class OpenBatch:
     """A job as a gateway knows it: its items and, where this gateway owns it, what has become of each.
 
     Items are numbered by their place in the job. `attempts` counts those of this owner that may have run.
@@ -61,14 +61,14 @@
         return self.leaseholder is not None and self.leaseholder.epoch > 1
 
 
-class OpenJobs:
+class OpenBatches:
     """The jobs that are known here to be open, and which ones were closed.
 
     Timers that have nothing to do without open jobs are woken when one is added.
     """
 
     def __init__(self) -> None:
-        self._jobs: dict[str, OpenJob] = {}
+        self._batches: dict[str, OpenBatch] = {}
         self._closed: set[str] = set()
         self._timers: list[RepeatingCall] = []
 
@@ -76,42 +76,42 @@
         """Has a timer woken for each job that is added."""
         self._timers.append(timer)
 
-    def add(self, job_id: str, spec: Lot) -> None:
+    def add(self, batch_id: str, spec: Lot) -> None:
         """Enters a job, unless it is known already or closed."""
-        if job_id in self._closed or job_id in self._jobs:
+        if batch_id in self._closed or batch_id in self._batches:
             return
-        self._jobs[job_id] = OpenJob(job_id, spec)
+        self._batches[batch_id] = OpenBatch(batch_id, spec)
         for timer in self._timers:
             timer.wake()
 
-    def close(self, job_id: str) -> None:
+    def close(self, batch_id: str) -> None:
         """Removes a job that is done or ended."""
-        self._closed.add(job_id)
-        self._jobs.pop(job_id, None)
+        self._closed.add(batch_id)
+        self._batches.pop(batch_id, None)
 
-    def forget_closed(self, job_ids: set[str]) -> None:
+    def forget_closed(self, batch_ids: set[str]) -> None:
         """Forgets closed jobs that no log names any more."""
-        self._closed -= job_ids
+        self._closed -= batch_ids
 
-    def get(self, job_id: str) -> OpenJob | None:
+    def get(self, batch_id: str) -> OpenBatch | None:
         """Returns an open job, None where it is not known to be open."""
-        return self._jobs.get(job_id)
+        return self._batches.get(batch_id)
 
-    def is_closed(self, job_id: str) -> bool:
+    def is_closed(self, batch_id: str) -> bool:
         """Returns whether a job is known to be closed."""
-        return job_id in self._closed
+        return batch_id in self._closed
 
-    def all_closed(self, job_ids: set[str]) -> bool:
+    def all_closed(self, batch_ids: set[str]) -> bool:
         """Returns whether all of some jobs are known to be closed."""
-        return not job_ids - self._closed
+        return not batch_ids - self._closed
 
-    def all(self) -> list[OpenJob]:
+    def all(self) -> list[OpenBatch]:
         """Returns the open jobs in the order in which they were added."""
-        return list(self._jobs.values())
+        return list(self._batches.values())
 
     def idle_wait(self) -> timedelta | None:
         """Returns for how long timers that serve open jobs have nothing to do: until woken where there is none."""
-        return ZERO if self._jobs else None
+        return ZERO if self._batches else None
 
     def __len__(self) -> int:
-        return len(self._jobs)
+        return len(self._batches)
--- a/pipitlink/gateway/request_bodies.py
+++ b/pipitlink/gateway/request_bodies.py
@@ -12,7 +12,7 @@
 
 from ..errors import BadRequest
 
-__all__ = ["read_json", "GenerateBody", "JobBody", "ItemBody", "EngineBody", "structure"]
+__all__ = ["read_json", "GenerateBody", "BatchBody", "ItemBody", "EngineBody", "structure"]
 
 MAX_NAME_LENGTH = 200
 MAX_ZONE_LENGTH = 64
@@ -20,15 +20,15 @@
 MAX_ITEM_PROMPT_LENGTH = 256 * 1024
 MAX_TOKENS = 32_768
 DEFAULT_MAX_TOKENS = 256
-MAX_JOB_ITEMS = 100_000
+MAX_BATCH_ITEMS = 100_000
 MAX_PRIORITY = 100
 MAX_ENGINE_MODELS = 256
 MAX_ENGINE_CAPACITY = 10_000
 MAX_INCARNATION = 2**63
 DEFAULT_LIVE_LIMIT_MS = 30_000
 MAX_LIVE_LIMIT_MS = 3_600_000
-DEFAULT_JOB_LIMIT_MS = 86_400_000
-MAX_JOB_LIMIT_MS = 30 * 86_400_000
+DEFAULT_BATCH_LIMIT_MS = 86_400_000
+MAX_BATCH_LIMIT_MS = 30 * 86_400_000
 MAX_PORT = 65_535
 
 BodyT = TypeVar("BodyT")
@@ -93,13 +93,13 @@
 
 
 @attrs.frozen(kw_only=True)
-class JobBody:
+class BatchBody:
     """A submitted job; `limit_ms` is how long after its arrival items may still be started, in milliseconds."""
 
-    items: list[ItemBody] = attrs.field(validator=_sized(MAX_JOB_ITEMS, 1))
+    items: list[ItemBody] = attrs.field(validator=_sized(MAX_BATCH_ITEMS, 1))
     customer: str = attrs.field(default="", validator=_sized(MAX_NAME_LENGTH))
     priority: int = attrs.field(default=0, validator=_between(-MAX_PRIORITY, MAX_PRIORITY))
-    limit_ms: int = attrs.field(default=DEFAULT_JOB_LIMIT_MS, validator=_between(1, MAX_JOB_LIMIT_MS))
+    limit_ms: int = attrs.field(default=DEFAULT_BATCH_LIMIT_MS, validator=_between(1, MAX_BATCH_LIMIT_MS))
     idempotency_key: str = attrs.field(default="", validator=_sized(MAX_NAME_LENGTH))
 
 
--- a/pipitlink/gateway/request_record.py
+++ b/pipitlink/gateway/request_record.py
@@ -84,7 +84,7 @@
         self._init_state_machine()
 
     @property
-    def is_job_item(self) -> bool:
+    def is_batch_item(self) -> bool:
         """Whether it is an item of a job."""
         return self.kind == RequestKind.ITEM
 
--- a/pipitlink/gateway/request_table.py
+++ b/pipitlink/gateway/request_table.py
@@ -45,7 +45,7 @@
 
     def unsettled_live_requests(self) -> int:
         """Returns how many requests run that are no items of jobs."""
-        return sum(not request.settled and not request.is_job_item for request in self.requests.values())
+        return sum(not request.settled and not request.is_batch_item for request in self.requests.values())
 
     def has_unsettled(self) -> bool:
         """Returns whether any request is still running."""
@@ -54,7 +54,7 @@
     def unassigned_items(self, model: str) -> int:
         """Returns how many started items for a model have no engine yet."""
         return sum(
-            request.is_job_item and request.model == model and request.engine is None
+            request.is_batch_item and request.model == model and request.engine is None
             for request in self.requests.values()
         )
 
--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -12,10 +12,10 @@
 from ..errors import NotFound, ServiceUnavailable
 from ..timers import ms, secs
 from ..wire.lots_pb2 import LogRecord, Lot, Result
-from .job_ids import JobLocation, parse_job_id, result_log
-from .open_jobs import OpenJobs
+from .batch_ids import BatchLocation, parse_batch_id, result_log
+from .open_batches import OpenBatches
 
-__all__ = ["JobResults", "ResultReader"]
+__all__ = ["BatchResults", "ResultReader"]
 
 KEEP_SPAN = secs(30)
 EXPIRY_INTERVAL = secs(5)
@@ -28,7 +28,7 @@
 
 
 @attrs.define(eq=False)
-class JobResults:
+class BatchResults:
     """The results of one job, read in order and kept while callers ask for them."""
 
     tail: Tail
@@ -51,27 +51,27 @@
 class ResultReader:
     """Reads jobs from job logs and results from result logs, through the caches."""
 
-    def __init__(self, ctx: Context, open_jobs: OpenJobs) -> None:
+    def __init__(self, ctx: Context, open_batches: OpenBatches) -> None:
         self._ctx = ctx
-        self._open_jobs = open_jobs
-        self._results: dict[str, JobResults] = {}
+        self._open_batches = open_batches
+        self._results: dict[str, BatchResults] = {}
         self._spec_cache: dict[str, Lot] = {}
 
     def start(self) -> None:
         """Starts to drop results that nobody asks for any more."""
         self._ctx.timers.call_repeatedly(EXPIRY_INTERVAL, self._drop_unused, self._ctx.error_reporter("expire_readers"))
 
-    async def find_job(self, job_id: str) -> Lot:
+    async def find_batch(self, batch_id: str) -> Lot:
         """Returns a job by its id.
 
         Raises BadRequest or NotFound where there is none, ServiceUnavailable where that cannot be known.
         """
-        open_job = self._open_jobs.get(job_id)
-        if open_job is not None:
-            return open_job.spec
-        if job_id in self._spec_cache:
-            return self._spec_cache[job_id]
-        location = parse_job_id(job_id)
+        open_batch = self._open_batches.get(batch_id)
+        if open_batch is not None:
+            return open_batch.spec
+        if batch_id in self._spec_cache:
+            return self._spec_cache[batch_id]
+        location = parse_batch_id(batch_id)
         tail = self._ctx.cache.tail(location.log)
         try:
             spec = await self._read_spec(tail, location)
@@ -79,19 +79,19 @@
             tail.close()
         if len(self._spec_cache) > MAX_CACHED_SPECS:
             self._spec_cache.clear()
-        self._spec_cache[job_id] = spec
+        self._spec_cache[batch_id] = spec
         return spec
 
-    async def read_results(self, job_id: str) -> JobResults:
+    async def read_results(self, batch_id: str) -> BatchResults:
         """Reads a job's results at least to the end that their log surely had when this was called.
 
         Raises ServiceUnavailable where that end cannot be known, NotFound where the results were removed.
         """
         now = self._ctx.timers.now()
-        results = self._results.get(job_id)
+        results = self._results.get(batch_id)
         if results is None:
-            tail = self._ctx.cache.tail(result_log(job_id), TAIL_LIMIT)
-            results = self._results[job_id] = JobResults(tail, now)
+            tail = self._ctx.cache.tail(result_log(batch_id), TAIL_LIMIT)
+            results = self._results[batch_id] = BatchResults(tail, now)
         results.used_at = now
         lengths = results.tail.lengths
         if lengths.confirmed_at is None or now - lengths.confirmed_at > FRESH_SPAN:
@@ -104,7 +104,7 @@
             await self.read_to(results, lengths.durable)
         return results
 
-    async def read_to(self, results: JobResults, end: int) -> None:
+    async def read_to(self, results: BatchResults, end: int) -> None:
         """Reads results at least to an offset of their log, and what is cached beyond it."""
         tail = results.tail
         lengths = tail.lengths
@@ -115,12 +115,12 @@
             if tail.position == before:
                 await tail.wait_for_growth()
 
-    async def _read_spec(self, tail: Tail, location: JobLocation) -> Lot:
+    async def _read_spec(self, tail: Tail, location: BatchLocation) -> Lot:
         await self._ctx.cache.poller.confirm_durable([location.log])
         if tail.lengths.confirmed_at is None:
             raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
         if tail.lengths.durable <= location.offset:
-            raise _no_such_job()
+            raise _no_such_batch()
         tail.position = location.offset
         for _ in range(MAX_SPEC_READS):
             for offset, body in await tail.read_records():
@@ -131,15 +131,15 @@
                 break
             if tail.readable_end() <= tail.position:
                 await tail.wait_for_growth()
-        raise _no_such_job()
+        raise _no_such_batch()
 
     def _drop_unused(self) -> None:
         now = self._ctx.timers.now()
-        for job_id, results in list(self._results.items()):
+        for batch_id, results in list(self._results.items()):
             if now - results.used_at > KEEP_SPAN:
                 results.tail.close()
-                del self._results[job_id]
+                del self._results[batch_id]
 
 
-def _no_such_job() -> NotFound:
+def _no_such_batch() -> NotFound:
     return NotFound("there is no such lot", code="no_such_lot", field="lot")
--- a/testbed/simulator/simulated_clients.py
+++ b/testbed/simulator/simulated_clients.py
@@ -6,7 +6,7 @@
 from twisted.internet import defer
 
 from pipitlink.errors import ApiError, PipitlinkError
-from pipitlink.gateway.job_api import results_page
+from pipitlink.gateway.batch_api import results_page
 from pipitlink.gateway.request_record import RequestRecord
 from pipitlink.timers import ms, secs, spawn, wall_ms
 from pipitlink.wire.lots_pb2 import Item, Lot
@@ -63,28 +63,28 @@
         name = f"lot{self._sent}"
         now = wall_ms(self.timers.utc_now())
         prompts = [f"{name}/{i}" for i in range(items)]
-        job = Lot(
+        batch = Lot(
             customer=name,
             taken_ms=now,
             limit_ms=now + 3_600_000,
             items=[Item(model="m", prompt=prompt, repeatable=repeatable) for prompt in prompts],
         )
         asked = self.simulation.clock.seconds()
-        job_id, fault = await self._request(lambda part: part.job_intake.store(job))
+        batch_id, fault = await self._request(lambda part: part.batch_intake.store(batch))
         event = self.note(
             "lot",
             name=name,
-            lot=job_id or "",
-            status=201 if job_id else 503,
+            lot=batch_id or "",
+            status=201 if batch_id else 503,
             prompts=prompts,
             asked=asked,
             repeatable=repeatable,
             retry=str(fault.retry_after or 1) if fault else None,
             fault=fault and {"outcome": fault.outcome, "code": fault.code},
         )
-        if job_id:
-            self.lots[job_id] = event
-        return str(job_id) if job_id else None
+        if batch_id:
+            self.lots[batch_id] = event
+        return str(batch_id) if batch_id else None
 
     async def read(self) -> None:
         """Reads results of random jobs until `over` is set."""
@@ -98,7 +98,7 @@
         asked = self.simulation.clock.seconds()
 
         async def read(part: Any) -> dict[str, Any]:
-            found = await part.results.find_job(lot)
+            found = await part.results.find_batch(lot)
             results = await part.results.read_results(lot)
             return results_page(lot, found, results, 0)
 
@@ -124,7 +124,7 @@
                 await self._cancel(self.simulation.rng.choice(list(self.lots)))
 
     async def _cancel(self, lot: str) -> None:
-        state, _ = await self._request(lambda part: part.job_api.cancel_anywhere(lot), 9.0)
+        state, _ = await self._request(lambda part: part.batch_api.cancel_anywhere(lot), 9.0)
         self.note("lot_ended", lot=lot, status=200 if state else 503, said={"state": state})
 
     async def live(self) -> None:
--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -129,6 +129,6 @@
     def fill(self, ask):
         n = 0
         while (e := self.selector.select(ask)) is not None:
-            self.slots.acquire(e, job_item=ask.is_job_item)
+            self.slots.acquire(e, batch_item=ask.is_batch_item)
             n += 1
         return n
--- a/tests/guard_scenarios.py
+++ b/tests/guard_scenarios.py
@@ -3,12 +3,12 @@
 from pipitlink.cluster import ClusterFollower, ClusterState
 from pipitlink.controller.log_replication import LogReplication
 from pipitlink.errors import PipitlinkError
+from pipitlink.gateway.batch_ids import result_log
+from pipitlink.gateway.batch_ownership import BatchOwnership, CancelStatus
 from pipitlink.gateway.engine_registry import EngineRegistry
 from pipitlink.gateway.engine_slots import EngineSlots
 from pipitlink.gateway.item_dispatcher import ItemDispatcher
-from pipitlink.gateway.job_ids import result_log
-from pipitlink.gateway.job_ownership import CancelStatus, JobOwnership
-from pipitlink.gateway.open_jobs import OpenJob
+from pipitlink.gateway.open_batches import OpenBatch
 from pipitlink.gateway.request_record import RequestRecord
 from pipitlink.gateway.result_reader import ResultReader
 from pipitlink.gateway.retry_policy import RetryPolicy
@@ -48,7 +48,7 @@
             (
                 a
                 for a in self.simulation.role("gateway", alive=True)
-                if result_log(lot) in a.ctx.replicated_log.leaseholders and a.part.open_jobs.get(lot)
+                if result_log(lot) in a.ctx.replicated_log.leaseholders and a.part.open_batches.get(lot)
             ),
             None,
         )
@@ -93,7 +93,7 @@
 def lot_ended(s):
     lot = s.lot(6)
     s.simulation.until(lambda: len(s.runs("lot")) >= 2, 20, "items run")
-    got, _ = s.simulation.do(s.c._request(lambda part: part.job_api.cancel_anywhere(lot), 9.0), 10)
+    got, _ = s.simulation.do(s.c._request(lambda part: part.batch_api.cancel_anywhere(lot), 9.0), 10)
     s.c.note("lot_ended", lot=lot, status=200, said={"state": got})
     s.simulation.run(34)
     s.close(lot)
@@ -274,9 +274,9 @@
 
 
 async def _end_and_run_on(self, lot_id):
-    o = self._open_jobs.get(lot_id)
+    o = self._open_batches.get(lot_id)
     if o is None or o.leaseholder is None:
-        return CancelStatus.CLOSED if self._open_jobs.is_closed(lot_id) else CancelStatus.NOT_OWNED
+        return CancelStatus.CLOSED if self._open_batches.is_closed(lot_id) else CancelStatus.NOT_OWNED
     h = o.leaseholder
     await self._end_log(h, "ended")
     o.pending, self.kept = [], o
@@ -303,8 +303,8 @@
     "an ended lot's running items are stopped": (
         lot_ended,
         {"step": 2.0},
-        JobOwnership,
-        "cancel_local_job",
+        BatchOwnership,
+        "cancel_local_batch",
         _end_and_run_on,
         "an item ran on",
     ),
@@ -367,7 +367,7 @@
     "a new owner learns what is in the log": (
         owner_killed,
         {},
-        OpenJob,
+        OpenBatch,
         "apply",
         lambda self, record: None,
         "may not be repeated",
--- a/tests/test_job_end_logged_once.py
+++ b/tests/test_batch_end_logged_once.py
@@ -5,8 +5,8 @@
 
 from twisted.internet import defer
 
-from pipitlink.gateway.job_ownership import JobOwnership
-from pipitlink.gateway.open_jobs import OpenJobs
+from pipitlink.gateway.batch_ownership import BatchOwnership
+from pipitlink.gateway.open_batches import OpenBatches
 from pipitlink.timers import spawn
 
 
@@ -39,7 +39,7 @@
 class LotEnd(unittest.TestCase):
     def test_it_is_told_once(self):
         ctx, leaseholder = _Context(), _Leaseholder()
-        ownership = JobOwnership(ctx, None, OpenJobs())
+        ownership = BatchOwnership(ctx, None, OpenBatches())
         lot = SimpleNamespace(id="l", leaseholder=leaseholder, results={}, running={}, spec=SimpleNamespace(items=[]))
         for _ in range(2):
             spawn(ownership.finish_if_done(lot))
--- a/tests/test_gateway_components.py
+++ b/tests/test_gateway_components.py
@@ -16,9 +16,9 @@
 from pipitlink.command import main
 from pipitlink.controller.table_rows import parse_rows
 from pipitlink.errors import InvalidRows, ServiceUnavailable, SettingsError
+from pipitlink.gateway.batch_capacity import BatchCapacity
 from pipitlink.gateway.item_dispatcher import ItemDispatcher
-from pipitlink.gateway.job_capacity import JobCapacity
-from pipitlink.gateway.open_jobs import OpenJob, OpenJobs
+from pipitlink.gateway.open_batches import OpenBatch, OpenBatches
 from pipitlink.gateway.request_record import RequestKind
 from pipitlink.gateway.request_table import RequestTable
 from pipitlink.gateway.retry_after import RetryAfterEstimator
@@ -115,7 +115,7 @@
         for _ in range(9):
             e = g.selector.select(g.ask("tour"))
             picked.append(e.name)
-            g.slots.acquire(e, job_item=False)
+            g.slots.acquire(e, batch_item=False)
         self.assertEqual(picked[0], first)
         self.assertGreater(len(set(picked)), 1)
 
@@ -183,7 +183,7 @@
                 g.news("cold", capacity=8)
                 e = next(e for e in g.engines.all() if e.name == "cold")
                 if g.slots.free_slots(e) > 0:
-                    g.slots.acquire(e, job_item=False)
+                    g.slots.acquire(e, batch_item=False)
             ramp = max(1, int(8 * min(1.0, 0.1 + 0.9 * (f.clock.seconds() - came) / 8)))
             over.append(sum(e.local_requests for g in f.up() for e in g.engines.all() if e.name == "cold") - ramp)
 
@@ -266,21 +266,21 @@
     """Notes which items are started, each of which takes a slot for good."""
 
     def __init__(self, gateway, *parts):
-        super().__init__(gateway, gateway.serving, gateway.open_jobs, None, *parts)
+        super().__init__(gateway, gateway.serving, gateway.open_batches, None, *parts)
         self._gateway = gateway
 
-    async def _run_item(self, job, index, item, overdue):
-        self._gateway.began.append("late" if overdue else job.id)
-        self._gateway.slots.acquire(self._gateway.engines.all()[0], job_item=True)
+    async def _run_item(self, batch, index, item, overdue):
+        self._gateway.began.append("late" if overdue else batch.id)
+        self._gateway.slots.acquire(self._gateway.engines.all()[0], batch_item=True)
         await defer.Deferred()
 
 
-class _JobOwner(Gateway):
+class _BatchOwner(Gateway):
     def __init__(self):
         super().__init__()
         self.settings = type("Settings", (), {"lot_reserve": 0.25, "zone": "z", "resume_hold_s": 5})
-        self.open_jobs, self.began = OpenJobs(), []
-        capacity = JobCapacity(self.slots, self.candidates)
+        self.open_batches, self.began = OpenBatches(), []
+        capacity = BatchCapacity(self.slots, self.candidates)
         self.dispatcher = _Dispatcher(self, capacity, RequestTable(self), None)
 
     def dispatch(self):
@@ -291,11 +291,11 @@
 
     def lot(self, name, customer, items, due_s, priority=0):
         wall = wall_ms(self.timers.utc_now())
-        self.open_jobs.add(
+        self.open_batches.add(
             name,
             Lot(customer=customer, priority=priority, limit_ms=wall + due_s * 1000, items=[Item(model="m")] * items),
         )
-        o = self.open_jobs.get(name)
+        o = self.open_batches.get(name)
         o.leaseholder = type(
             "Leaseholder", (), {"is_held": lambda self: True, "lost": "", "epoch": 1, "final": False}
         )()
@@ -305,7 +305,7 @@
 
 class OrderOfLots(unittest.TestCase):
     def test_soon_due_first_then_priority_then_customers_by_turns_and_only_into_the_room(self):
-        g = _JobOwner()
+        g = _BatchOwner()
         g.later(10, "e", capacity=16)
         g.lot("night-a", "a", 20, 30_000)
         g.lot("night-b", "b", 20, 30_000)
@@ -316,13 +316,13 @@
         self.assertEqual(sorted(g.began[4:]), ["night-a"] * 3 + ["night-b"] * 5)
         g.dispatch()
         self.assertEqual(len(g.began), 12)
-        g.engines.all()[0].job_items = 0
+        g.engines.all()[0].batch_items = 0
         g.engines.all()[0].live_requests = 14
         g.dispatch()
         self.assertEqual(len(g.began), 12)
 
     def test_a_few_items_are_started_in_each_turn_of_the_reactor(self):
-        g = _JobOwner()
+        g = _BatchOwner()
         g.later(10, "e", capacity=16)
         g.lot("night", "a", 20, 30_000)
         g.dispatcher.dispatch()
@@ -333,7 +333,7 @@
         self.assertEqual(begun, [4, 8, 12, 12, 12])
 
     def test_what_is_past_its_limit_is_listed_and_takes_no_room(self):
-        g = _JobOwner()
+        g = _BatchOwner()
         g.later(10, "e", capacity=4)
         g.lot("past", "a", 2, -1)
         g.dispatch()
@@ -343,7 +343,7 @@
 class Listed(unittest.TestCase):
     def test_an_item_that_may_have_run_is_never_listed_as_not_run(self):
         def listed(repeatable, tries, epoch, outcome="not_run"):
-            o = OpenJob("x", Lot(items=[Item(model="m", repeatable=repeatable)]))
+            o = OpenBatch("x", Lot(items=[Item(model="m", repeatable=repeatable)]))
             o.attempts[0] = tries
             o.leaseholder = type("Leaseholder", (), {"epoch": epoch})
             return o.provable_outcome(0, outcome)
--- a/tests/test_simulated_jobs.py
+++ b/tests/test_simulated_batches.py
@@ -69,13 +69,13 @@
         """What each gateway knows of a lot that does not get done."""
         out = []
         for a in simulation.role("gateway"):
-            o = a.part.open_jobs.get(lot)
+            o = a.part.open_batches.get(lot)
             h = o and o.leaseholder
             out.append(
                 (
                     a.name,
                     a.node,
-                    "closed" if a.part.open_jobs.is_closed(lot) else "",
+                    "closed" if a.part.open_batches.is_closed(lot) else "",
                     o
                     and (
                         choose_owner(a.ctx, lot),
@@ -114,7 +114,7 @@
                 (
                     a
                     for a in simulation.role("gateway", alive=True)
-                    if (o := a.part.open_jobs.get(lot)) and o.leaseholder
+                    if (o := a.part.open_batches.get(lot)) and o.leaseholder
                 ),
                 None,
             )
@@ -136,14 +136,16 @@
         lot = simulation.until(lambda: simulation.do(c.one_lot(12)), 20, "a lot is taken")
         owner = simulation.until(
             lambda: next(
-                (a for a in simulation.role("gateway") if (o := a.part.open_jobs.get(lot)) and o.leaseholder), None
+                (a for a in simulation.role("gateway") if (o := a.part.open_batches.get(lot)) and o.leaseholder), None
             ),
             30,
             "a gateway owns it",
         )
         storage_nodes = [a.name for a in simulation.role("storage")]
         simulation.cut([owner.name], storage_nodes)
-        got, fault = simulation.do(c._request(lambda part: part.job_ownership.cancel_local_job(lot), 9.0, owner), 12)
+        got, fault = simulation.do(
+            c._request(lambda part: part.batch_ownership.cancel_local_batch(lot), 9.0, owner), 12
+        )
         self.assertIsNone(got)
         simulation.heal()
         simulation.until(
