--- a/testbed/benchmarks/batch_impact.py
+++ b/testbed/benchmarks/batch_impact.py
@@ -48,7 +48,7 @@
                 for kind, spans in windows.items():
                     began, before = time.monotonic(), self._counts(FIRST)
                     if kind == "beside_lots":
-                        self._lots()
+                        self._batches()
                     time.sleep(max(0.0, self.window - (time.monotonic() - began)))
                     spans.append((began, time.monotonic()))
                     for le, n in self._counts(FIRST).items():
@@ -63,32 +63,32 @@
             self.calls.stop()
             self.fleet.stop()
 
-    def _lots(self):
+    def _batches(self):
         for _ in range(4):
             self._n += 1
-            e = self.calls.lot(f"bench-{self._n}", 40, watch=False)
+            e = self.calls.batch(f"bench-{self._n}", 40, watch=False)
             threading.Thread(target=self._watch, args=(e["lot"],), daemon=True).start()
 
-    def _watch(self, lot):
+    def _watch(self, batch):
         """Notes when each item is first visible at a gateway that need not own the lot."""
         start, gateway = 0, self.calls.gateway()
         until = time.monotonic() + 60
         while time.monotonic() < until:
-            status, said, _ = self.fleet.call(gateway, "GET", f"/v1/lots/{lot}/results?from={start}")
+            status, said, _ = self.fleet.call(gateway, "GET", f"/v1/lots/{batch}/results?from={start}")
             now = time.monotonic()
             if status == 200:
                 for r in said["results"]:
-                    self.calls.note("visible", lot=lot, item=r["item"], seen=now)
+                    self.calls.note("visible", lot=batch, item=r["item"], seen=now)
                 start = said["next"]
                 if said["state"] == "done":
                     return
             time.sleep(0.03)
 
     def _drain(self):
-        lots = [e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]]
+        batches = [e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]]
         gateway = self.fleet.nodes("gateway")[0]
-        for lot in lots[-4:]:
-            wait_for(lambda: self.fleet.call(gateway, "GET", f"/v1/lots/{lot}")[1].get("state") == "done", 60, "done")
+        for batch in batches[-4:]:
+            wait_for(lambda: self.fleet.call(gateway, "GET", f"/v1/lots/{batch}")[1].get("state") == "done", 60, "done")
 
     def _edit(self, n) -> dict:
         """From the request to its response, and to the moment when every gateway is seen to have it."""
@@ -129,16 +129,16 @@
     def _say(self, windows, edits):
         events, notes = self.calls.taken(), self.fleet.notes()
         live_requests = [e for e in events if e["event"] == "told" and e["end"] and e["prompt"] != "warm"]
-        lots = {e["lot"]: e for e in events if e["event"] == "lot" and e["lot"]}
+        batches = {e["lot"]: e for e in events if e["event"] == "lot" and e["lot"]}
         done = {}
         prompts = {n["run"]: n["prompt"] for n in notes if n["event"] == "run"}
         for n in notes:
             if n["event"] == "done":
                 done[prompts.get(n["run"])] = n["at"]
         visible = sorted(
-            e["seen"] - done[lots[e["lot"]]["prompts"][e["item"]]]
+            e["seen"] - done[batches[e["lot"]]["prompts"][e["item"]]]
             for e in events
-            if e["event"] == "visible" and lots[e["lot"]]["prompts"][e["item"]] in done
+            if e["event"] == "visible" and batches[e["lot"]]["prompts"][e["item"]] in done
         )
         out = {"profile": self.p, "windows": self.rounds}
         for kind, spans in windows.items():
@@ -150,7 +150,7 @@
             out[f"first_piece_{kind}_in_gateways_share_within_s"] = {
                 le: round(n / max(1, self.inside[kind]["+Inf"]), 4) for le, n in self.inside[kind].items()
             }
-        out["lot_accept"] = spread(e["took"] for e in lots.values())
+        out["lot_accept"] = spread(e["took"] for e in batches.values())
         out["result_visible_after_engine"] = spread(visible)
         out["edit_acked"] = spread(e["acked"] for e in edits)
         out["edit_everywhere"] = spread(e["everywhere"] for e in edits)
--- a/testbed/benchmarks/recovery_times.py
+++ b/testbed/benchmarks/recovery_times.py
@@ -40,7 +40,7 @@
             c = self.calls
             c.start(Caller(c, "walk", 1 / self.profile["live"] / 2, lambda c, n: c.generate(n)))
             c.start(Caller(c, "card", 1 / self.profile["fetch"], lambda c, n: c.fetch(n)))
-            c.start(Caller(c, "night", 6, lambda c, n: self.lot(n, 40, 3_600_000)))
+            c.start(Caller(c, "night", 6, lambda c, n: self.batch(n, 40, 3_600_000)))
             for name in self.names:
                 took = [v for n in range(self.times) for v in getattr(self, "_measure_" + name)(n)]
                 limit = PROMISES[name]
@@ -103,14 +103,14 @@
         the lot.
         """
         p = self.fleet.programs[self.fleet.nodes("storage")[n % 4]]
-        e = self.calls.lot(f"reading-{n}", 4, watch=False)
+        e = self.calls.batch(f"reading-{n}", 4, watch=False)
         acked, took = time.monotonic(), []
         if not e["lot"]:
             return [99.0]
         (p.freeze if n % 2 else p.kill)()
 
         def read(g):
-            wait_for(lambda: self.calls.read_lot(e["lot"], g)["status"] == 200, 20, f"{g} shows it")
+            wait_for(lambda: self.calls.read_batch(e["lot"], g)["status"] == 200, 20, f"{g} shows it")
             took.append(time.monotonic() - acked)
 
         threads = [threading.Thread(target=read, args=(g,)) for g in self.fleet.nodes("gateway")]
@@ -128,13 +128,13 @@
         """
         down = self.fleet.nodes("gateway")[n % len(self.fleet.nodes("gateway"))]
         g = self.calls.gateway(but=down)
-        e = self.calls.lot(f"result-{n}", 6, watch=False, gateway=g)
+        e = self.calls.batch(f"result-{n}", 6, watch=False, gateway=g)
         self.calls.down.add(down)
         self.fleet.programs[down].kill()
         seen: dict[int, float] = {}
 
         def all_seen():
-            r = self.calls.read_lot(e["lot"], g)
+            r = self.calls.read_batch(e["lot"], g)
             for x in r["results"] or ():
                 seen.setdefault(x["item"], time.monotonic())
             return len(seen) == 6
@@ -149,9 +149,9 @@
         return [at - done[p] for i, at in seen.items() if (p := f"result-{n}/{i}") in done]
 
     def _measure_ended(self, n):
-        e = self.calls.lot(f"ended-{n}", 120, 3_600_000, watch=False)
+        e = self.calls.batch(f"ended-{n}", 120, 3_600_000, watch=False)
         time.sleep(0.8)
-        self.calls.end_lot(e["lot"])
+        self.calls.end_batch(e["lot"])
         acked = time.monotonic()
         time.sleep(4)
         notes = self.fleet.notes()
--- a/testbed/benchmarks/soak.py
+++ b/testbed/benchmarks/soak.py
@@ -51,7 +51,7 @@
         self.calls = Callers(self.fleet, Random(seed + 1))
         self.profile = p
         self.history: list[str] = []
-        self._lots: list[str] = []
+        self._batches: list[str] = []
         self._n = self._fresh = 0
         self._began = 0.0
         self._claims: dict[int, list[str]] = {}
@@ -146,9 +146,9 @@
         c.start(Caller(c, "leaver", 0.7, self._leave_and_resume))
         c.start(Caller(c, "slow", 2, lambda c, n: c.generate(n, slow=0.15, limit=25)))
         c.start(Caller(c, "stuck", 6, lambda c, n: c.stuck(n, 4)))
-        c.start(Caller(c, "night", 20, lambda c, n: self.lot(n, 60, 3_600_000)))
-        c.start(Caller(c, "brief", 1.2, lambda c, n: self.lot(n, 5, 20_000, priority=5)))
-        c.start(Caller(c, "reader", 0.5, lambda c, n: self._lots and c.read_lot(rng.choice(self._lots[-12:]))))
+        c.start(Caller(c, "night", 20, lambda c, n: self.batch(n, 60, 3_600_000)))
+        c.start(Caller(c, "brief", 1.2, lambda c, n: self.batch(n, 5, 20_000, priority=5)))
+        c.start(Caller(c, "reader", 0.5, lambda c, n: self._batches and c.read_batch(rng.choice(self._batches[-12:]))))
         c.start(Caller(c, "operator", 1.2, self._edit))
         c.start(Caller(c, "gate", 6, lambda c, n: c.gate("gated", int(n[5:]) % 2 == 0, self._any(rng, "controller"))))
         c.start(Caller(c, "gated", 0.3, lambda c, n: c.generate(n, model="gated")))
@@ -159,14 +159,14 @@
         gateway = c.gateway()
         c.generate(name, gateway=gateway, leave_at=2, then=gateway if int(name[7:]) % 2 else c.gateway(but=gateway))
 
-    def lot(self, name, items, limit_ms, priority=0):
+    def batch(self, name, items, limit_ms, priority=0):
         self._n += 1
-        e = self.calls.lot(name, items, limit_ms, repeatable=self._n % 3 == 0, priority=priority)
+        e = self.calls.batch(name, items, limit_ms, repeatable=self._n % 3 == 0, priority=priority)
         if e["lot"]:
             self.remember(e["lot"])
 
-    def remember(self, lot):
-        self._lots.append(lot)
+    def remember(self, batch):
+        self._batches.append(batch)
 
     def _edit(self, c, name):
         controller = c.rng.choice(self.fleet.nodes("controller"))
@@ -204,9 +204,9 @@
         return [n for n in names if self.fleet.zones[n] == zone]
 
     def _report(self) -> int:
-        for lot in {e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]}:
+        for batch in {e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]}:
             for g in self.fleet.nodes("gateway")[:2]:
-                self.calls.read_lot(lot, g)
+                self.calls.read_batch(batch, g)
         events, notes = self.calls.taken(), self.fleet.notes()
         bad = check(events, notes, self.fleet.zones, floors=self.floors, capacity=self.fleet.capacity, limits=LIMITS)
         bad += [e["text"] for e in events if e["event"] in ("late", "fault_failed", "caller_failed")]
--- a/testbed/checks/checker.py
+++ b/testbed/checks/checker.py
@@ -33,7 +33,7 @@
     _check_live(events, runs, spans, out)
     _check_cards(events, out)
     _check_responses(events, spans, out)
-    _check_lots(events, notes, runs, spans, out, finished)
+    _check_batches(events, notes, runs, spans, out, finished)
     check_engines(events, notes, zones, capacity, limits or {}, spans, out)
     check_cluster(events, notes, spans, out)
     if floors:
@@ -93,8 +93,8 @@
             out.append(f"{name}: the answer {fault.get('code')} was held back for {took:.1f} s")
 
 
-def _check_lots(events, notes, runs, spans, out, finished):
-    lots = {e["lot"]: e for e in events if e["event"] == "lot" and e["lot"]}
+def _check_batches(events, notes, runs, spans, out, finished):
+    batches = {e["lot"]: e for e in events if e["event"] == "lot" and e["lot"]}
     for e in events:
         if e["event"] == "lot" and (e["fault"] or {}).get("outcome") == "not_run":
             ran = [p for p in e["prompts"] if runs.get(p)]
@@ -107,44 +107,44 @@
     }
     asked = {e["lot"] for e in events if e["event"] == "lot_ended"}
     over = {e["lot"] for e in events if e["event"] == "results" and e.get("state") == "ended"}
-    out += [f"lot {lot}: ended, and nobody asked for that" for lot in sorted(over - asked)]
+    out += [f"lot {batch}: ended, and nobody asked for that" for batch in sorted(over - asked)]
     shown: dict[str, dict[int, tuple]] = defaultdict(dict)
     reads = defaultdict(list)
     for e in events:
-        if e["event"] == "results" and e["lot"] in lots:
+        if e["event"] == "results" and e["lot"] in batches:
             reads[e["lot"]].append(e)
-    for lot, es in reads.items():
+    for batch, es in reads.items():
         for e in es:
-            _check_readable(lot, lots[lot], e, spans, out)
+            _check_readable(batch, batches[batch], e, spans, out)
             for r in e["results"] or ():
                 now = (r["item"], r["outcome"], r["text"])
-                if shown[lot].setdefault(r["n"], now) != now:
-                    out.append(f"lot {lot}: place {r['n']} changed from {shown[lot][r['n']]} to {now}")
-        _check_kept_reading(lot, es, out)
-    for lot, e in lots.items():
-        items = Counter(item for item, _, _ in shown[lot].values())
+                if shown[batch].setdefault(r["n"], now) != now:
+                    out.append(f"lot {batch}: place {r['n']} changed from {shown[batch][r['n']]} to {now}")
+        _check_kept_reading(batch, es, out)
+    for batch, e in batches.items():
+        items = Counter(item for item, _, _ in shown[batch].values())
         doubled = [i for i, k in items.items() if k > 1]
         if doubled:
-            out.append(f"lot {lot}: items {doubled} are listed twice")
-        for item, outcome, text in shown[lot].values():
+            out.append(f"lot {batch}: items {doubled} are listed twice")
+        for item, outcome, text in shown[batch].values():
             prompt = e["prompts"][item]
             if outcome == "done" and text != "".join(answer_pieces(prompt, 256)):
-                out.append(f"lot {lot} item {item}: not the engine's own answer")
+                out.append(f"lot {batch} item {item}: not the engine's own answer")
             if outcome == "not_run" and runs.get(prompt):
-                out.append(f"lot {lot} item {item}: listed as not_run and ran")
+                out.append(f"lot {batch} item {item}: listed as not_run and ran")
             if outcome == "done" and not runs.get(prompt):
-                out.append(f"lot {lot} item {item}: done without a run")
+                out.append(f"lot {batch} item {item}: done without a run")
         if not e["repeatable"]:
             for p in e["prompts"]:
                 if len(runs.get(p, ())) > 1:
-                    out.append(f"lot {lot}: {p} may not be repeated and ran {len(runs[p])} times")
-        if lot in ended:
-            _check_ended(lot, e, ended[lot], notes, out)
-        elif finished and lot not in over and len(items) != len(e["prompts"]):
-            out.append(f"lot {lot}: {len(items)} of {len(e['prompts'])} items are listed at the end")
+                    out.append(f"lot {batch}: {p} may not be repeated and ran {len(runs[p])} times")
+        if batch in ended:
+            _check_ended(batch, e, ended[batch], notes, out)
+        elif finished and batch not in over and len(items) != len(e["prompts"]):
+            out.append(f"lot {batch}: {len(items)} of {len(e['prompts'])} items are listed at the end")
 
 
-def _check_readable(lot, accepted, e, spans, out):
+def _check_readable(batch, accepted, e, spans, out):
     """Any gateway that is not down, cut or frozen shows an accepted lot from a second after it was accepted."""
     if e["asked"] < accepted["at"] + 1 or spans.hurt(e["asked"], e["at"], e.get("gateway")):
         return
@@ -153,33 +153,33 @@
     code = (e.get("fault") or {}).get("code", "")
     if e["status"] != 200:
         out.append(
-            f"lot {lot}: accepted and not readable ({e['status']} {code} at {e.get('gateway')}, "
+            f"lot {batch}: accepted and not readable ({e['status']} {code} at {e.get('gateway')}, "
             f"{e['asked'] - accepted['at']:.1f} s after)"
         )
     elif e.get("took", 0) > READ_SPAN:
-        out.append(f"lot {lot}: reading it took {e['took']:.1f} s")
+        out.append(f"lot {batch}: reading it took {e['took']:.1f} s")
 
 
-def _check_kept_reading(lot, es, out):
+def _check_kept_reading(batch, es, out):
     """What was shown to one caller is shown to any that asks a second later."""
     most = 0
     at = 0.0
     for e in sorted((e for e in es if e["status"] == 200), key=lambda e: e["asked"]):
         have = e["start"] + len(e["results"])
         if have < most and e["asked"] > at + 1 + SLACK:
-            out.append(f"lot {lot}: {most} results were shown at {at:.2f}, {have} at {e['asked']:.2f}")
+            out.append(f"lot {batch}: {most} results were shown at {at:.2f}, {have} at {e['asked']:.2f}")
         if have > most:
             most, at = have, e["at"]
 
 
-def _check_ended(lot, e, at, notes, out):
+def _check_ended(batch, e, at, notes, out):
     mine = set(e["prompts"])
     open_runs = {}
     for n in notes:
         if n["event"] == "run" and n["prompt"] in mine:
             open_runs[n["run"]] = n
             if n["at"] > at + 3 + SLACK:
-                out.append(f"lot {lot}: {n['prompt']} started {n['at'] - at:.1f} s after its end")
+                out.append(f"lot {batch}: {n['prompt']} started {n['at'] - at:.1f} s after its end")
         elif n["event"] in ("done", "left", "cut") and n.get("run") in open_runs:
             if n["at"] > at + 3 + SLACK:
-                out.append(f"lot {lot}: an item ran on {n['at'] - at:.1f} s after its end")
+                out.append(f"lot {batch}: an item ran on {n['at'] - at:.1f} s after its end")
--- a/testbed/faults/component_failures.py
+++ b/testbed/faults/component_failures.py
@@ -68,12 +68,12 @@
         names, do = self._down("power", [self.busiest()], 2 * c.random(), power=c)
 
         def at_once():
-            e = self.calls.lot(f"power-{time.monotonic()}", 8, watch=False)
+            e = self.calls.batch(f"power-{time.monotonic()}", 8, watch=False)
             do()
             if e["lot"]:
                 self.remember(e["lot"])
                 for g in self.fleet.nodes("gateway")[:2]:
-                    self.calls.read_lot(e["lot"], g)
+                    self.calls.read_batch(e["lot"], g)
 
         return names, at_once
 
--- a/testbed/faults/final_fault.py
+++ b/testbed/faults/final_fault.py
@@ -33,9 +33,9 @@
         self.calls.down.clear()
         self.calls.stop()
         wait_for(self._all_known, 60, "every edit's outcome is known")
-        lots = {e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]}
+        batches = {e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]}
         self.calls.over.clear()
-        wait_for(lambda: all(self._done(lot) for lot in lots), 240, "every lot is done or ended")
+        wait_for(lambda: all(self._done(batch) for batch in batches), 240, "every lot is done or ended")
         for n in self.fleet.nodes("controller"):
             self.calls.read_table(n)
 
@@ -73,7 +73,7 @@
         controllers = [o for o in self.fleet.nodes("controller") if o not in names]
         checks = [lambda g=g: self._streams(g) for g in gateways] + [
             lambda: self._edits(controllers),
-            lambda: self._lots_again(gateways),
+            lambda: self._batches_again(gateways),
             self._cards,
         ]
         back: list[float] = []
@@ -98,14 +98,14 @@
     def _cards(self) -> bool:
         return self.calls.fetch(f"closing-{time.monotonic()}", limit=5)["status"] == 200
 
-    def _lots_again(self, gateways) -> bool:
-        e = self.calls.lot(f"closing-{time.monotonic()}", 3, watch=False, gateway=gateways[0])
+    def _batches_again(self, gateways) -> bool:
+        e = self.calls.batch(f"closing-{time.monotonic()}", 3, watch=False, gateway=gateways[0])
         if not e["lot"]:
             return False
         self.remember(e["lot"])
         until = time.monotonic() + 10
         while time.monotonic() < until:
-            r = self.calls.read_lot(e["lot"], gateways[-1])
+            r = self.calls.read_batch(e["lot"], gateways[-1])
             if r["state"] == "done" and len(r["results"]) == 3:
                 return True
             time.sleep(0.1)
@@ -123,6 +123,6 @@
                 return False
         return True
 
-    def _done(self, lot):
-        status, said, _ = self.fleet.call(self.fleet.nodes("gateway")[0], "GET", f"/v1/lots/{lot}")
+    def _done(self, batch):
+        status, said, _ = self.fleet.call(self.fleet.nodes("gateway")[0], "GET", f"/v1/lots/{batch}")
         return status == 200 and said["state"] in ("done", "ended")
--- a/testbed/faults/overload.py
+++ b/testbed/faults/overload.py
@@ -107,7 +107,7 @@
             self.say("many lots at once")
             with self.calls.hurting("lots", []):
                 for n in range(6):
-                    self.lot(f"crowd-{n}-{time.monotonic()}", 25, 600_000)
+                    self.batch(f"crowd-{n}-{time.monotonic()}", 25, 600_000)
 
         return ["lots"], do
 
@@ -145,7 +145,7 @@
             with self.calls.hurting("backlog", []):
                 self.calls.edit("pause", row, f"pause-{time.monotonic()}", self.leader())
                 for n in range(5):
-                    self.lot(f"late-{n}-{time.monotonic()}", 20, 600_000)
+                    self.batch(f"late-{n}-{time.monotonic()}", 20, 600_000)
                     time.sleep(1)
                 wait_for(
                     lambda: (
@@ -161,11 +161,11 @@
     def plan_end_lot(self, c):
         def do():
             self.say("a lot is ended")
-            e = self.calls.lot(f"ending-{time.monotonic()}", 200, 3_600_000, watch=False)
+            e = self.calls.batch(f"ending-{time.monotonic()}", 200, 3_600_000, watch=False)
             if e["lot"]:
                 self.remember(e["lot"])
                 time.sleep(c.random() * 2)
-                self.calls.end_lot(e["lot"])
+                self.calls.end_batch(e["lot"])
 
         return ["ending"], do
 
--- a/testbed/simulator/simulated_clients.py
+++ b/testbed/simulator/simulated_clients.py
@@ -23,7 +23,7 @@
         self.simulation, self.timers = simulation, simulation.timers()
         self.events: list[dict[str, Any]] = []
         self.over = False
-        self.lots: dict[str, dict[str, Any]] = {}
+        self.batches: dict[str, dict[str, Any]] = {}
         self._sent = 0
 
     def note(self, event: str, **details: Any) -> dict[str, Any]:
@@ -55,9 +55,9 @@
         rng = self.simulation.rng
         while not self.over:
             await self.timers.sleep(ms(300 + rng.randrange(1200)))
-            await self.one_lot(2 + rng.randrange(8), rng.random() < 0.3)
+            await self.one_batch(2 + rng.randrange(8), rng.random() < 0.3)
 
-    async def one_lot(self, items: int, repeatable: bool = False) -> str | None:
+    async def one_batch(self, items: int, repeatable: bool = False) -> str | None:
         """Submits one job; returns its id, or None where that failed."""
         self._sent += 1
         name = f"lot{self._sent}"
@@ -83,29 +83,29 @@
             fault=fault and {"outcome": fault.outcome, "code": fault.code},
         )
         if batch_id:
-            self.lots[batch_id] = event
+            self.batches[batch_id] = event
         return str(batch_id) if batch_id else None
 
     async def read(self) -> None:
         """Reads results of random jobs until `over` is set."""
         while not self.over:
             await self.timers.sleep(ms(100 + self.simulation.rng.randrange(300)))
-            if self.lots:
-                await self.one_read(self.simulation.rng.choice(list(self.lots)))
+            if self.batches:
+                await self.one_read(self.simulation.rng.choice(list(self.batches)))
 
-    async def one_read(self, lot: str, gateway: SimulatedNode | None = None) -> dict[str, Any]:
+    async def one_read(self, batch: str, gateway: SimulatedNode | None = None) -> dict[str, Any]:
         """Reads the results of one job."""
         asked = self.simulation.clock.seconds()
 
         async def read(part: Any) -> dict[str, Any]:
-            found = await part.results.find_batch(lot)
-            results = await part.results.read_results(lot)
-            return results_page(lot, found, results, 0)
+            found = await part.results.find_batch(batch)
+            results = await part.results.read_results(batch)
+            return results_page(batch, found, results, 0)
 
         page, fault = await self._request(read, gateway=gateway)
         return self.note(
             "results",
-            lot=lot,
+            lot=batch,
             asked=asked,
             start=0,
             status=200 if fault is None else fault.status,
@@ -120,12 +120,12 @@
         """Cancels random jobs until `over` is set."""
         while not self.over:
             await self.timers.sleep(ms(2000 + self.simulation.rng.randrange(4000)))
-            if self.lots:
-                await self._cancel(self.simulation.rng.choice(list(self.lots)))
+            if self.batches:
+                await self._cancel(self.simulation.rng.choice(list(self.batches)))
 
-    async def _cancel(self, lot: str) -> None:
-        state, _ = await self._request(lambda part: part.batch_api.cancel_anywhere(lot), 9.0)
-        self.note("lot_ended", lot=lot, status=200 if state else 503, said={"state": state})
+    async def _cancel(self, batch: str) -> None:
+        state, _ = await self._request(lambda part: part.batch_api.cancel_anywhere(batch), 9.0)
+        self.note("lot_ended", lot=batch, status=200 if state else 503, said={"state": state})
 
     async def live(self) -> None:
         """Sends live requests until `over` is set."""
--- a/testbed/standins/clients.py
+++ b/testbed/standins/clients.py
@@ -217,7 +217,7 @@
             retry=heads.get("Retry-After"),
         )
 
-    def lot(self, name: str, items: int, limit_ms=600_000, repeatable=False, priority=0, watch=True, gateway=None):
+    def batch(self, name: str, items: int, limit_ms=600_000, repeatable=False, priority=0, watch=True, gateway=None):
         prompts = [f"{name}/{i}" for i in range(items)]
         body = {
             "items": [{"model": "pipit-small", "prompt": p, "repeatable": repeatable} for p in prompts],
@@ -228,11 +228,11 @@
         gateway = gateway or self.gateway()
         asked = time.monotonic()
         status, said, heads = self.fleet.call(gateway, "POST", "/v1/lots", body, limit=15)
-        lot = said["lot"] if status == 201 else ""
+        batch = said["lot"] if status == 201 else ""
         event = self.note(
             "lot",
             name=name,
-            lot=lot,
+            lot=batch,
             status=status,
             prompts=prompts,
             gateway=gateway,
@@ -242,18 +242,18 @@
             retry=heads.get("Retry-After"),
             fault=_error(said) if status != 201 else None,
         )
-        if lot and watch:
+        if batch and watch:
             self.over.wait(1.0)
-            self.read_lot(lot)
+            self.read_batch(batch)
         return event
 
-    def read_lot(self, lot: str, gateway=None, start=0):
+    def read_batch(self, batch: str, gateway=None, start=0):
         gateway = gateway or self.gateway()
         asked = time.monotonic()
-        status, said, _ = self.fleet.call(gateway, "GET", f"/v1/lots/{lot}/results?from={start}", limit=15)
+        status, said, _ = self.fleet.call(gateway, "GET", f"/v1/lots/{batch}/results?from={start}", limit=15)
         return self.note(
             "results",
-            lot=lot,
+            lot=batch,
             status=status,
             gateway=gateway,
             asked=asked,
@@ -264,6 +264,6 @@
             fault=_error(said) if status != 200 else None,
         )
 
-    def end_lot(self, lot: str):
-        status, said, _ = self.fleet.call(self.gateway(), "DELETE", f"/v1/lots/{lot}", limit=15)
-        return self.note("lot_ended", lot=lot, status=status, said=said)
+    def end_batch(self, batch: str):
+        status, said, _ = self.fleet.call(self.gateway(), "DELETE", f"/v1/lots/{batch}", limit=15)
+        return self.note("lot_ended", lot=batch, status=status, said=said)
--- a/tests/batch_builders.py
+++ b/tests/batch_builders.py
@@ -127,7 +127,7 @@
         self.wrong: list[str] = []
         self._n = 0
 
-    def lot(self, items=6, tokens=10, path="/bulk/x", name=None):
+    def batch(self, items=6, tokens=10, path="/bulk/x", name=None):
         self._n += 1
         name = name or f"lot{self._n}"
         self.items[name] = [
@@ -222,7 +222,7 @@
         rng = self.simulation.rng
         while not self.over:
             await self.timers.sleep(ms(300 + rng.randrange(900)))
-            name, said = self.lot(2 + rng.randrange(8)), []
+            name, said = self.batch(2 + rng.randrange(8)), []
             for _ in range(4):
                 said.append(await self.hand_in(name))
                 if said[-1] == 202:
--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -207,7 +207,7 @@
             seen.note(e["event"], *(e[field] for field in CUSTOMER_FIELDS[e["event"]]), at=at)
 
 
-def lots(seed):
+def gateway_batches(seed):
     """SimulatedClients' lots, live requests, and engines that come and go, while everything fails."""
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
     simulation.with_engines(SimulatedGateway, SimulatedEngine, 3)
@@ -217,15 +217,15 @@
         random_faults.during([c.hand_in(), c.read(), c.read(), c.end_some(), c.live(), c.engines()], faults=8)
         c.over = True
         simulation.run(9)
-        _read_all_lots(simulation, c)
+        _read_all_batches(simulation, c)
         _note_customers(c, simulation, seen)
     return seen.lines, network.lines
 
 
-def _read_all_lots(simulation, customers):
-    for lot in list(customers.lots):
+def _read_all_batches(simulation, customers):
+    for batch in list(customers.batches):
         for gateway in simulation.role("gateway"):
-            simulation.do(customers.one_read(lot, gateway), 10)
+            simulation.do(customers.one_read(batch, gateway), 10)
 
 
 class _RecordedCallers(batch_builders.Callers):
@@ -345,7 +345,7 @@
         simulation.run(3)
         operators.over = c.over = True
         simulation.run(9)
-        _read_all_lots(simulation, c)
+        _read_all_batches(simulation, c)
         _note_control_paths(simulation, operators.caller, seen)
         _note_history(operators, seen)
         _note_customers(c, simulation, seen)
@@ -494,7 +494,7 @@
 SCENARIOS = {
     "controllers": controllers,
     "logs": logs,
-    "lots": lots,
+    "lots": gateway_batches,
     "batches": batches,
     "orders": orders,
     "everything": everything,
--- a/tests/guard_scenarios.py
+++ b/tests/guard_scenarios.py
@@ -37,25 +37,25 @@
         self.capacity = capacity
         self.simulation.run(9)
 
-    def lot(self, items=8):
-        return self.simulation.until(lambda: self.simulation.do(self.c.one_lot(items)), 10, "a lot is taken")
+    def batch(self, items=8):
+        return self.simulation.until(lambda: self.simulation.do(self.c.one_batch(items)), 10, "a lot is taken")
 
     def runs(self, prompt=""):
         return [n for n in self.simulation.notes if n["event"] == "run" and n["prompt"].startswith(prompt)]
 
-    def owner(self, lot):
+    def owner(self, batch):
         return next(
             (
                 a
                 for a in self.simulation.role("gateway", alive=True)
-                if result_log(lot) in a.ctx.replicated_log.leaseholders and a.part.open_batches.get(lot)
+                if result_log(batch) in a.ctx.replicated_log.leaseholders and a.part.open_batches.get(batch)
             ),
             None,
         )
 
-    def close(self, lot):
+    def close(self, batch):
         self.simulation.until(
-            lambda: self.simulation.do(self.c.one_read(lot), 10)["state"] in ("done", "ended"), 60, "it is done"
+            lambda: self.simulation.do(self.c.one_read(batch), 10)["state"] in ("done", "ended"), 60, "it is done"
         )
 
     def live(self, n=1, repeatable=False):
@@ -72,31 +72,31 @@
 
 
 def owner_killed(s):
-    lot = s.lot(12)
+    batch = s.batch(12)
     s.simulation.until(lambda: len(s.runs("lot")) >= 3, 20, "items run")
-    s.owner(lot).kill()
-    s.close(lot)
+    s.owner(batch).kill()
+    s.close(batch)
 
 
 def owner_frozen(s):
-    lot = s.lot(12)
+    batch = s.batch(12)
     s.simulation.until(lambda: len(s.runs("lot")) >= 3, 20, "items run")
-    owner = s.owner(lot)
+    owner = s.owner(batch)
     owner.freeze()
     s.simulation.run(7)
     owner.thaw()
-    s.close(lot)
+    s.close(batch)
     for _ in range(6):
-        s.simulation.do(s.c.one_read(lot))
+        s.simulation.do(s.c.one_read(batch))
 
 
-def lot_ended(s):
-    lot = s.lot(6)
+def batch_ended(s):
+    batch = s.batch(6)
     s.simulation.until(lambda: len(s.runs("lot")) >= 2, 20, "items run")
-    got, _ = s.simulation.do(s.c._request(lambda part: part.batch_api.cancel_anywhere(lot), 9.0), 10)
-    s.c.note("lot_ended", lot=lot, status=200, said={"state": got})
+    got, _ = s.simulation.do(s.c._request(lambda part: part.batch_api.cancel_anywhere(batch), 9.0), 10)
+    s.c.note("lot_ended", lot=batch, status=200, said={"state": got})
     s.simulation.run(34)
-    s.close(lot)
+    s.close(batch)
 
 
 def engine_leaves(s):
@@ -120,9 +120,9 @@
     for e in s.simulation.engines.values():
         e.open()
     s.simulation.run(1.2)
-    lot = s.lot(40)
+    batch = s.batch(40)
     s.simulation.run(2)
-    s.close(lot)
+    s.close(batch)
 
 
 def cut_after_the_first_piece(s):
@@ -160,8 +160,8 @@
 
 
 def closing_power(s):
-    lot = s.lot(4)
-    s.close(lot)
+    batch = s.batch(4)
+    s.close(batch)
     for a in s.simulation.role("storage") + s.simulation.role("controller"):
         a.disk._rng = type("Whole", (), {"randrange": lambda self, n: 0})()
         a.kill(power=True)
@@ -176,23 +176,23 @@
     s.simulation.ready()
     s.c.events[:] = [e for e in s.c.events if e["event"] != "table_read"]
     for _ in range(3):
-        s.simulation.do(s.c.one_read(lot))
+        s.simulation.do(s.c.one_read(batch))
 
 
 def gateway_cut_off(s):
     """A gateway is cut off from all others after it read a list; meanwhile the list grows for everybody else."""
-    lot, gateways = s.lot(10), s.simulation.role("gateway")
-    s.simulation.do(s.c.one_read(lot, gateways[0]))
+    batch, gateways = s.batch(10), s.simulation.role("gateway")
+    s.simulation.do(s.c.one_read(batch, gateways[0]))
     s.simulation.cut(["gateway0"], [a for a in s.simulation.simulated_nodes if a != "gateway0"])
     s.simulation.until(
-        lambda: len(s.simulation.do(s.c.one_read(lot, gateways[1]), 10)["results"] or ()) > 3, 60, "it grows"
+        lambda: len(s.simulation.do(s.c.one_read(batch, gateways[1]), 10)["results"] or ()) > 3, 60, "it grows"
     )
     s.simulation.run(2)
-    s.simulation.do(s.c.one_read(lot, gateways[0]), 10)
+    s.simulation.do(s.c.one_read(batch, gateways[0]), 10)
     s.c.note("hurt", id=1, nodes=["gateway0"], bearable=True)
     s.c.events[-1]["at"] = 0
     s.simulation.heal()
-    s.close(lot)
+    s.close(batch)
 
 
 def operators_race(s):
@@ -253,11 +253,11 @@
     return _nothing()
 
 
-async def _read_on(self, lot_id):
+async def _read_on(self, batch_id):
     """Reads what is here, and asks no storage node first."""
-    r = self._results.get(lot_id)
+    r = self._results.get(batch_id)
     if r is None:
-        return await _read_results(self, lot_id)
+        return await _read_results(self, batch_id)
     await self.read_to(r, r.tail.lengths.durable)
     return r
 
@@ -273,10 +273,10 @@
 _apply_table = ClusterState._apply_table
 
 
-async def _end_and_run_on(self, lot_id):
-    o = self._open_batches.get(lot_id)
+async def _end_and_run_on(self, batch_id):
+    o = self._open_batches.get(batch_id)
     if o is None or o.leaseholder is None:
-        return CancelStatus.CLOSED if self._open_batches.is_closed(lot_id) else CancelStatus.NOT_OWNED
+        return CancelStatus.CLOSED if self._open_batches.is_closed(batch_id) else CancelStatus.NOT_OWNED
     h = o.leaseholder
     await self._end_log(h, "ended")
     o.pending, self.kept = [], o
@@ -301,7 +301,7 @@
         "may not be repeated",
     ),
     "an ended lot's running items are stopped": (
-        lot_ended,
+        batch_ended,
         {"step": 2.0},
         BatchOwnership,
         "cancel_local_batch",
--- a/tests/test_append_copies.py
+++ b/tests/test_append_copies.py
@@ -294,7 +294,7 @@
         self.addCleanup(simulation.end)
         gateway = simulation.role("gateway")[0]
         callers = Callers(simulation)
-        name = callers.lot(items=140, path="/bulk/" + "x" * 1_300)
+        name = callers.batch(items=140, path="/bulk/" + "x" * 1_300)
         gateway.uplink = Uplink(simulation.clock, LINK_BYTES_PER_S)
         started_at, answers = simulation.clock.seconds(), []
         spawn(callers.hand_in(name, gateway)).addBoth(answers.append)
@@ -308,7 +308,7 @@
         gateway = simulation.role("gateway")[0]
         gateway.part.places = 200
         callers = Callers(simulation)
-        name = callers.lot(items=140, path="/bulk/" + "x" * 1_300)
+        name = callers.batch(items=140, path="/bulk/" + "x" * 1_300)
         cache_writes = []
         simulation.watch_calls = lambda sender, method: method == "cache.put" and cache_writes.append(sender.name)
         at_answer = []
--- a/tests/test_batch_end_logged_once.py
+++ b/tests/test_batch_end_logged_once.py
@@ -36,13 +36,13 @@
         super().__init__(timers=timers, logger=SimpleNamespace(info=lambda event, **_: self.told.append(event)))
 
 
-class LotEnd(unittest.TestCase):
+class BatchEnd(unittest.TestCase):
     def test_it_is_told_once(self):
         ctx, leaseholder = _Context(), _Leaseholder()
         ownership = BatchOwnership(ctx, None, OpenBatches())
-        lot = SimpleNamespace(id="l", leaseholder=leaseholder, results={}, running={}, spec=SimpleNamespace(items=[]))
+        batch = SimpleNamespace(id="l", leaseholder=leaseholder, results={}, running={}, spec=SimpleNamespace(items=[]))
         for _ in range(2):
-            spawn(ownership.finish_if_done(lot))
+            spawn(ownership.finish_if_done(batch))
         for durable in leaseholder.durable:
             durable.callback(None)
         self.assertEqual(ctx.told, ["lot_completed"])
--- a/tests/test_batch_timings.py
+++ b/tests/test_batch_timings.py
@@ -57,7 +57,7 @@
         self.addCleanup(simulation.end)
         simulation.breaks = 0
         callers = Callers(simulation)
-        simulation.do(callers.hand_in(callers.lot(items=3)))
+        simulation.do(callers.hand_in(callers.batch(items=3)))
         simulation.until(
             lambda: any("event=batch_closed" in line for line in simulation.sink.lines), 10, "the batch ends"
         )
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -25,7 +25,7 @@
 
     def test_a_batch_is_taken_run_and_listed_whole(self):
         simulation, c = self.simulation()
-        name = c.lot(8)
+        name = c.batch(8)
         self.assertEqual(simulation.do(c.hand_in(name)), 202)
         doc = simulation.until(lambda: c.whole(name), 20, "all is listed")
         self.assertEqual({o["state"] for o in doc["outputs"]}, {"done"})
@@ -45,7 +45,7 @@
         simulation, c = self.simulation()
         simulation.breaks = 0
         for n in range(5):
-            name = c.lot(4)
+            name = c.batch(4)
             some = [[], []]
             for a, box in zip(simulation.role("gateway"), some):
                 simulation.timers().with_timeout(ms(5000), c.hand_in(name, a)).addBoth(box.append)
@@ -57,15 +57,15 @@
 
     def test_another_batch_under_a_taken_id_is_refused(self):
         simulation, c = self.simulation()
-        name = c.lot(3)
+        name = c.batch(3)
         self.assertEqual(simulation.do(c.hand_in(name)), 202)
-        c.lot(4, name=name)
+        c.batch(4, name=name)
         for a in simulation.role("gateway"):
             self.assertEqual(simulation.do(c.hand_in(name, a)), 409)
 
     def test_nothing_is_lost_where_all_storage_nodes_lose_power_right_after_the_answer(self):
         simulation, c = self.simulation(2)
-        name = c.lot(6)
+        name = c.batch(6)
         self.assertEqual(simulation.do(c.hand_in(name)), 202)
         for a in simulation.role("storage") + simulation.role("gateway"):
             a.kill(power=a.role == "storage")
@@ -77,7 +77,7 @@
 
     def test_another_gateway_goes_on_where_an_owner_was_killed(self):
         simulation, c = self.simulation(3)
-        name = c.lot(30)
+        name = c.batch(30)
         self.assertEqual(simulation.do(c.hand_in(name)), 202)
         simulation.until(
             lambda: len((simulation.do(c.read(name))[1] or {"outputs": ()})["outputs"]) >= 8, 20, "some are listed"
@@ -90,7 +90,7 @@
     def test_a_held_read_is_answered_as_soon_as_there_is_one_more(self):
         simulation, c = self.simulation(4)
         simulation.step, simulation.breaks = ms(300), 0
-        name = c.lot(2)
+        name = c.batch(2)
         self.assertEqual(simulation.do(c.hand_in(name)), 202)
         asked = simulation.clock.seconds()
         for a in simulation.role("gateway"):
@@ -105,7 +105,7 @@
     def test_an_end_stops_the_items_and_is_final_and_may_be_repeated(self):
         simulation, c = self.simulation(5)
         simulation.step = ms(400)
-        name = c.lot(40)
+        name = c.batch(40)
         owner = simulation.role("gateway")[0]
         self.assertEqual(simulation.do(c.hand_in(name, owner)), 202)
         simulation.run(3.2)
@@ -127,14 +127,14 @@
     def test_what_is_not_there_is_404_and_what_nobody_can_know_is_503(self):
         simulation, c = self.simulation(6)
         gateway = simulation.role("gateway")[1]
-        name = c.lot(3)
+        name = c.batch(3)
         self.assertEqual(simulation.do(c.read(name, gateway=gateway))[0], 404)
         self.assertEqual(simulation.do(c.end(name, gateway)), 404)
         self.assertEqual(simulation.do(c.read("../x", gateway=gateway))[0], 404)
         self.assertEqual(simulation.do(c.hand_in(name)), 202)
         self.assertEqual(simulation.do(c.body(name, 1, gateway)), 200)
         simulation.cut([gateway.name], [a.name for a in simulation.role("storage")])
-        other = c.lot(3)
+        other = c.batch(3)
         self.assertEqual(simulation.do(c.read(other, gateway=gateway))[0], 503)
         self.assertEqual(simulation.do(c.hand_in(other, gateway)), 503)
         simulation.heal()
@@ -145,7 +145,7 @@
     def test_bytes_that_one_storage_node_alone_has_are_not_told_as_nothing(self):
         simulation, c = self.simulation(7)
         gateway = simulation.role("gateway")[0]
-        name = c.lot(3)
+        name = c.batch(3)
         placement_group = gateway.ctx.replicated_log.placement_group(f"batch/{name}")
         storage_nodes = [a for a in simulation.role("storage") if a.node in placement_group.all_nodes]
 
@@ -168,8 +168,8 @@
 
     def test_items_are_abandoned_for_their_causes_only(self):
         simulation, c = self.simulation(8, routes=[route(), route("brief", retain_ms=4000), route("gone")])
-        never, failing, dead = c.lot(2, path="/bulk/422"), c.lot(2, path="/bulk/500"), c.lot(2, path="/bulk/503")
-        late, gone = c.lot(2, path="/brief/503"), c.lot(2, path="/gone/503")
+        never, failing, dead = c.batch(2, path="/bulk/422"), c.batch(2, path="/bulk/500"), c.batch(2, path="/bulk/503")
+        late, gone = c.batch(2, path="/brief/503"), c.batch(2, path="/gone/503")
         for name, row in ((never, "bulk"), (failing, "bulk"), (dead, "bulk"), (late, "brief"), (gone, "gone")):
             self.assertEqual(simulation.do(c.hand_in(name, row=row)), 202)
 
@@ -196,7 +196,7 @@
     def test_texts_are_whole_where_runs_break_off_again_and_again(self):
         simulation, c = self.simulation(9)
         simulation.breaks = 0.4
-        name = c.lot(12)
+        name = c.batch(12)
         self.assertEqual(simulation.do(c.hand_in(name)), 202)
         doc = simulation.until(lambda: c.whole(name), 60, "all is listed")
         for out in doc["outputs"]:
@@ -207,11 +207,11 @@
     def test_a_gateway_that_leaves_in_order_hands_its_batches_over_at_once(self):
         simulation, c = self.simulation(10)
         simulation.step, simulation.breaks = ms(150), 0
-        name = c.lot(40)
+        name = c.batch(40)
         owner = simulation.role("gateway")[2]
         self.assertEqual(simulation.do(c.hand_in(name, owner)), 202)
         simulation.run(2)
-        other = c.lot(2)
+        other = c.batch(2)
         simulation.do(owner.part.service.table.drain())
         self.assertEqual(simulation.do(c.hand_in(other, owner)), 202)
         left = simulation.clock.seconds()
@@ -226,7 +226,7 @@
     def test_lengths_are_polled_only_while_somebody_reads(self):
         simulation, c = self.simulation(11)
         simulation.step, simulation.breaks = ms(600), 0
-        name = c.lot(3)
+        name = c.batch(3)
         owner, reader = simulation.role("gateway")[:2]
         self.assertEqual(simulation.do(c.hand_in(name, owner)), 202)
         status, doc = simulation.do(c.read(name, 0, 6000, reader))
--- a/tests/test_batches_formats.py
+++ b/tests/test_batches_formats.py
@@ -34,15 +34,15 @@
     def read(self, *items):
         return self.batch_format.parse_batch(json.dumps({self.items: list(items)}).encode())
 
-    def test_a_lot_is_read_as_it_was_sent(self):
-        lot = self.read(self.item(), self.item(id="a2", body=""))
-        one = lot.items[0]
+    def test_a_batch_is_read_as_it_was_sent(self):
+        batch = self.read(self.item(), self.item(id="a2", body=""))
+        one = batch.items[0]
         self.assertEqual((one.id, one.path, one.tokens), ("a1", "/p/1", 940))
         self.assertEqual(one.body, base64.b64decode("q83vEjRWeJA="))
         self.assertEqual([(h.name, h.value) for h in one.headers], [("M", "m")])
         self.assertEqual(len(self.read(*(self.item(id=f"i{n}") for n in range(200))).items), 200)
 
-    def test_a_lot_that_is_not_as_it_must_be_is_refused(self):
+    def test_a_batch_that_is_not_as_it_must_be_is_refused(self):
         for raw in (
             b"",
             b"[]",
@@ -89,14 +89,14 @@
             self.read("x")
 
     def test_an_answer_holds_at_least_one_output_and_a_megabyte_at_most(self):
-        lot = self.read(*(self.item(id=f"i{n}") for n in range(6)))
+        batch = self.read(*(self.item(id=f"i{n}") for n in range(6)))
         outputs = [
             Output(item=n, state="done", text=b"x" * size)
             for n, size in enumerate((10, 1_500_000, 600_000, 300_000, 300_000))
         ]
         shown, start = [], 0
         while start < len(outputs):
-            raw = self.batch_format.format_outputs(lot, outputs, start)
+            raw = self.batch_format.format_outputs(batch, outputs, start)
             doc = json.loads(raw)
             self.assertEqual(doc[self.total], 6)
             self.assertGreater(doc[self.next], start)
@@ -105,7 +105,8 @@
             start = doc[self.next]
         self.assertEqual(shown, [["i0"], ["i1"], ["i2", "i3"], ["i4"]])
         self.assertEqual(
-            json.loads(self.batch_format.format_outputs(lot, outputs, 9)), {self.total: 6, self.next: 9, "outputs": []}
+            json.loads(self.batch_format.format_outputs(batch, outputs, 9)),
+            {self.total: 6, self.next: 9, "outputs": []},
         )
 
 
@@ -131,10 +132,10 @@
             self.assertIsNone(self.call(method, path), path)
 
     def test_an_output(self):
-        lot = self.read(self.item(), self.item(id="a2"))
+        batch = self.read(self.item(), self.item(id="a2"))
         doc = json.loads(
             self.batch_format.format_outputs(
-                lot, [Output(item=1, state="done", text="é\nb".encode()), Output(item=0, state="abandoned")], 0
+                batch, [Output(item=1, state="done", text="é\nb".encode()), Output(item=0, state="abandoned")], 0
             )
         )
         self.assertEqual(
@@ -179,10 +180,10 @@
                 self.call(b"GET", "/lots/7c41", {"pipitlink-poll-wait-ms": bad})
 
     def test_an_output(self):
-        lot = self.read(self.item(), self.item(id="a2"))
+        batch = self.read(self.item(), self.item(id="a2"))
         doc = json.loads(
             self.batch_format.format_outputs(
-                lot, [Output(item=1, state="done", text=b"a\nb"), Output(item=0, state="abandoned")], 0
+                batch, [Output(item=1, state="done", text=b"a\nb"), Output(item=0, state="abandoned")], 0
             )
         )
         self.assertEqual(
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -47,7 +47,7 @@
         self.addCleanup(lambda: self.assertEqual([r for r in self.reads if not 0 <= r[1] < r[2] <= r[3]], []))
 
     def large(self, c, items=40, name=None, size=BODY, pad=0):
-        name = c.lot(items, name=name)
+        name = c.batch(items, name=name)
         for i in c.items[name]:
             i["id"] += "x" * pad
             i["body"] = base64.b64encode(c.simulation.rng.randbytes(size)).decode()
--- a/tests/test_batches_quota.py
+++ b/tests/test_batches_quota.py
@@ -35,7 +35,7 @@
             a.part.places = 0
         said = []
         for n in range(18):
-            spawn(c.hand_in(c.lot(5), simulation.role("gateway")[n % 3])).addBoth(said.append)
+            spawn(c.hand_in(c.batch(5), simulation.role("gateway")[n % 3])).addBoth(said.append)
         simulation.until(lambda: len(said) == 18, 15, "all are answered")
         self.assertEqual(sorted(said), [202] * 6 + [429] * 12)
         self.assertEqual(self.waiting(simulation, c), CAP)
@@ -44,28 +44,28 @@
     def test_room_that_was_freed_is_given_again_within_a_second(self):
         simulation, c = self.simulation(2)
         simulation.step = ms(40)
-        names = [c.lot(5) for _ in range(6)]
+        names = [c.batch(5) for _ in range(6)]
         for name in names:
             self.assertEqual(simulation.do(c.hand_in(name)), 202)
         for name in names:
             simulation.until(lambda: c.whole(name), 30, "all is listed")
         simulation.run(1)
-        self.assertEqual(simulation.do(c.hand_in(c.lot(30))), 202)
+        self.assertEqual(simulation.do(c.hand_in(c.batch(30))), 202)
 
     def test_an_ended_batch_waits_no_more(self):
         simulation, c = self.simulation(3)
         for a in simulation.role("gateway"):
             a.part.places = 0
-        name = c.lot(30)
+        name = c.batch(30)
         self.assertEqual(simulation.do(c.hand_in(name, simulation.role("gateway")[1])), 202)
-        self.assertEqual(simulation.do(c.hand_in(c.lot(1))), 429)
+        self.assertEqual(simulation.do(c.hand_in(c.batch(1))), 429)
         self.assertEqual(simulation.do(c.end(name)), 200)
         simulation.run(0.6)
-        self.assertEqual(simulation.do(c.hand_in(c.lot(30))), 202)
+        self.assertEqual(simulation.do(c.hand_in(c.batch(30))), 202)
 
     def test_a_batch_above_the_cap_alone_is_refused_with_a_time_to_come_back(self):
         simulation, c = self.simulation(4)
-        name = c.lot(31)
+        name = c.batch(31)
         raw = json.dumps({"items": c.items[name]}).encode()
         part = simulation.role("gateway")[0].part
         response = simulation.do(part.submit(simulation.routes["bulk"], "/bulk/", name, raw, ms(3000)))
@@ -75,13 +75,13 @@
         simulation, c = self.simulation(5)
         for a in simulation.role("gateway"):
             a.part.places = 0
-        name, other = c.lot(20), c.lot(10)
+        name, other = c.batch(20), c.batch(10)
         for a in simulation.role("gateway"):
             self.assertEqual(simulation.do(c.hand_in(name, a)), 202)
         self.assertEqual(simulation.do(c.hand_in(other)), 202)
         for a in simulation.role("gateway"):
             self.assertEqual(simulation.do(c.hand_in(name, a)), 202)
-        self.assertEqual(simulation.do(c.hand_in(c.lot(1))), 429)
+        self.assertEqual(simulation.do(c.hand_in(c.batch(1))), 429)
 
     def test_a_new_steward_knows_what_waits_and_what_is_free(self):
         for seed in (6, 7):
@@ -89,7 +89,7 @@
             for a in simulation.role("gateway"):
                 a.part.places = 0
             for a in simulation.role("gateway"):
-                self.assertEqual(simulation.do(c.hand_in(c.lot(5), a)), 202)
+                self.assertEqual(simulation.do(c.hand_in(c.batch(5), a)), 202)
             self.steward(simulation).kill()
             self.assertEqual(self.until_sure(simulation, c, 16), 429)
             self.assertEqual(self.until_sure(simulation, c, 15), 202)
@@ -100,7 +100,7 @@
         for a in simulation.role("gateway"):
             a.part.places = 0
         steward = self.steward(simulation)
-        self.assertEqual(simulation.do(c.hand_in(c.lot(25), steward)), 202)
+        self.assertEqual(simulation.do(c.hand_in(c.batch(25), steward)), 202)
         steward.kill()
         self.assertEqual(self.until_sure(simulation, c, 6), 429)
         self.assertEqual(self.until_sure(simulation, c, 5), 202)
@@ -109,7 +109,7 @@
         simulation, c = self.simulation(9)
         for a in simulation.role("gateway"):
             a.part.places = 0
-        self.assertEqual(simulation.do(c.hand_in(c.lot(25))), 202)
+        self.assertEqual(simulation.do(c.hand_in(c.batch(25))), 202)
         for a in simulation.role("gateway"):
             a.kill()
         for a in simulation.role("gateway"):
@@ -122,7 +122,7 @@
     def until_sure(self, simulation, c, items):
         """The first answer that is not 503; it must come within a few seconds."""
         said = []
-        name = c.lot(items)
+        name = c.batch(items)
 
         def sure():
             said.append(simulation.do(c.hand_in(name)))
@@ -139,7 +139,7 @@
 
             async def callers():
                 while not c.over:
-                    name = c.lot(1 + simulation.rng.randrange(8))
+                    name = c.batch(1 + simulation.rng.randrange(8))
                     before = len(c.taken)
                     await c.hand_in(name)
                     if len(c.taken) == before:
@@ -176,5 +176,5 @@
                 lambda: steward.ctx.membership.status(gone.node) != "alive", 5, "the steward misses the gateway"
             )
             at = simulation.clock.seconds()
-            self.assertEqual(simulation.do(c.hand_in(c.lot(3), steward)), 202)
+            self.assertEqual(simulation.do(c.hand_in(c.batch(3), steward)), 202)
             self.assertLess(simulation.clock.seconds() - at, 0.9, f"seed {seed}")
--- a/tests/test_batches_taken_up.py
+++ b/tests/test_batches_taken_up.py
@@ -27,7 +27,7 @@
             with self.subTest(seed=seed):
                 simulation, c = self.fleet(seed)
                 simulation.step = simulation.step * 20
-                name = c.lot(30)
+                name = c.batch(30)
                 self.assertEqual(simulation.do(c.hand_in(name)), 202)
                 simulation.run(0.4)
                 first = self.owner(simulation, name)
@@ -47,7 +47,7 @@
             with self.subTest(seed=seed):
                 simulation, c = self.fleet(seed)
                 simulation.step = simulation.step * 20
-                name = c.lot(30)
+                name = c.batch(30)
                 self.assertEqual(simulation.do(c.hand_in(name)), 202)
                 simulation.run(0.3)
                 for a in simulation.simulated_nodes.values():
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -25,7 +25,7 @@
         "gateway": "g",
         "model": "pipit-small",
     }
-    lot = {
+    batch = {
         "at": 13,
         "event": "lot",
         "name": "l",
@@ -51,7 +51,7 @@
     }
     events = [
         told,
-        lot,
+        batch,
         {
             "at": 20,
             "event": "results",
--- a/tests/test_gateway_components.py
+++ b/tests/test_gateway_components.py
@@ -59,7 +59,7 @@
         g.cluster.cluster_state.empty_zones.add("z")
         self.assertIsNone(g.selector.select(g.ask()))
 
-    def test_lots_leave_the_reserve_and_a_rows_share_goes_before_it(self):
+    def test_batches_leave_the_reserve_and_a_rows_share_goes_before_it(self):
         g = Gateway()
         g.later(10, "e", capacity=20)
         self.assertEqual(g.fill(g.ask(kind=RequestKind.ITEM)), 15)
@@ -289,7 +289,7 @@
         while not dispatched.called:
             self.clock.advance(TURN_PAUSE.total_seconds())
 
-    def lot(self, name, customer, items, due_s, priority=0):
+    def batch(self, name, customer, items, due_s, priority=0):
         wall = wall_ms(self.timers.utc_now())
         self.open_batches.add(
             name,
@@ -303,14 +303,14 @@
         return o
 
 
-class OrderOfLots(unittest.TestCase):
+class OrderOfBatches(unittest.TestCase):
     def test_soon_due_first_then_priority_then_customers_by_turns_and_only_into_the_room(self):
         g = _BatchOwner()
         g.later(10, "e", capacity=16)
-        g.lot("night-a", "a", 20, 30_000)
-        g.lot("night-b", "b", 20, 30_000)
-        g.lot("raised", "a", 2, 30_000, priority=3)
-        g.lot("due", "c", 2, 4)
+        g.batch("night-a", "a", 20, 30_000)
+        g.batch("night-b", "b", 20, 30_000)
+        g.batch("raised", "a", 2, 30_000, priority=3)
+        g.batch("due", "c", 2, 4)
         g.dispatch()
         self.assertEqual(g.began[:4], ["due", "due", "raised", "raised"])
         self.assertEqual(sorted(g.began[4:]), ["night-a"] * 3 + ["night-b"] * 5)
@@ -324,7 +324,7 @@
     def test_a_few_items_are_started_in_each_turn_of_the_reactor(self):
         g = _BatchOwner()
         g.later(10, "e", capacity=16)
-        g.lot("night", "a", 20, 30_000)
+        g.batch("night", "a", 20, 30_000)
         g.dispatcher.dispatch()
         begun = [len(g.began)]
         for _ in range(4):
@@ -335,7 +335,7 @@
     def test_what_is_past_its_limit_is_listed_and_takes_no_room(self):
         g = _BatchOwner()
         g.later(10, "e", capacity=4)
-        g.lot("past", "a", 2, -1)
+        g.batch("past", "a", 2, -1)
         g.dispatch()
         self.assertEqual(g.began, ["late", "late"])
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -235,13 +235,13 @@
 
 
 class Draining(unittest.TestCase):
-    def test_a_gateway_told_to_end_finishes_its_streams_and_hands_its_lots_over(self):
+    def test_a_gateway_told_to_end_finishes_its_streams_and_hands_its_batches_over(self):
         fleet = ProcessCluster(gateways=2, storage_nodes=3, controllers=3, engines=2, cards=0, step=0.15)
         self.addCleanup(fleet.stop)
         fleet.start()
         calls = Callers(fleet, Random(1))
         wait_for(lambda: calls.generate("warm", gateway="gateway0")["end"], 20, "an engine is known")
-        lot = fleet.call(
+        batch = fleet.call(
             "gateway0", "POST", "/v1/lots", {"items": [{"model": "pipit-small", "prompt": f"d{n}"} for n in range(20)]}
         )[1]["lot"]
         results = []
@@ -252,8 +252,8 @@
         t.join(10)
         self.assertTrue(results[0]["end"], results)
         wait_for(
-            lambda: fleet.call("gateway1", "GET", f"/v1/lots/{lot}")[1].get("state") == "done", 30, "the lot is done"
+            lambda: fleet.call("gateway1", "GET", f"/v1/lots/{batch}")[1].get("state") == "done", 30, "the lot is done"
         )
-        listed = fleet.call("gateway1", "GET", f"/v1/lots/{lot}/results")[1]["results"]
+        listed = fleet.call("gateway1", "GET", f"/v1/lots/{batch}/results")[1]["results"]
         self.assertEqual({r["outcome"] for r in listed}, {"done"})
         self.assertEqual(len(listed), 20)
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -83,11 +83,11 @@
         wait_for(lambda: self.fleet.call("gateway0", "GET", "/v1/fetch/cards/cards/a")[0] == 200, 10, "cards are known")
         self.assertEqual(self.fleet.call("gateway2", "GET", "/v1/fetch/cards/cards/delos")[1], card_bytes("delos"))
 
-    def test_a_lot_goes_in_and_any_gateway_shows_its_results(self):
+    def test_a_batch_goes_in_and_any_gateway_shows_its_results(self):
         items = [{"model": "pipit-small", "prompt": f"brief {n}"} for n in range(12)]
-        status, lot, _ = self.fleet.call("gateway0", "POST", "/v1/lots", {"items": items})
+        status, batch, _ = self.fleet.call("gateway0", "POST", "/v1/lots", {"items": items})
         self.assertEqual(status, 201)
-        path = f"/v1/lots/{lot['lot']}"
+        path = f"/v1/lots/{batch['lot']}"
         wait_for(lambda: self.fleet.call("gateway1", "GET", path)[1].get("state") == "done", 20, "the lot is done")
         shown = self.fleet.call("gateway2", "GET", path + "/results")[1]["results"]
         self.assertEqual(sorted(r["item"] for r in shown), list(range(12)))
@@ -95,15 +95,15 @@
             self.assertEqual(r["text"], "".join(answer_pieces(f"brief {r['item']}", 256)))
 
     def test_changes_are_told_as_cloudevents(self):
-        lot = self.fleet.call("gateway0", "POST", "/v1/lots", {"items": [{"model": "pipit-small", "prompt": "told"}]})[
-            1
-        ]["lot"]
+        batch = self.fleet.call(
+            "gateway0", "POST", "/v1/lots", {"items": [{"model": "pipit-small", "prompt": "told"}]}
+        )[1]["lot"]
 
         def told(kind):
             return [e for e in _Listener.told if e.get_type() == f"pipitlink.{kind}"]
 
         done = wait_for(
-            lambda: [e for e in told("lot_done") if e.get_data()["lot"] == lot], 20, "the lot's end is told"
+            lambda: [e for e in told("lot_done") if e.get_data()["lot"] == batch], 20, "the lot's end is told"
         )
         self.assertEqual(len(done), 1)
         self.assertTrue(done[0].get_source().startswith("/pipit/zone-"))
@@ -145,7 +145,7 @@
         self.assertEqual(compare(at("gateway0"), f"127.0.0.1:{free}").returncode, 2)
         until_alike("storage0", "storage1")
 
-    def test_a_lot_sent_twice_with_one_key_is_taken_once(self):
+    def test_a_batch_sent_twice_with_one_key_is_taken_once(self):
         body = {"items": [{"model": "pipit-small", "prompt": "keyed"}], "customer": "c", "idempotency_key": "k1"}
         first = self.fleet.call("gateway0", "POST", "/v1/lots", body)
         again = self.fleet.call("gateway1", "POST", "/v1/lots", body)
--- a/tests/test_quota_restarts.py
+++ b/tests/test_quota_restarts.py
@@ -46,7 +46,7 @@
                 if self.coordinator(simulation) is not coordinator:
                     break  # the restarted one is the coordinator by its new id
                 began = simulation.clock.seconds()
-                answers.append(simulation.do(callers.hand_in(callers.lot(1), taker)))
+                answers.append(simulation.do(callers.hand_in(callers.batch(1), taker)))
                 took.append(simulation.clock.seconds() - began)
                 simulation.run(RESTART_INTERVAL_S / 2)
             self.assertEqual(set(answers), {202}, f"seed {seed}: {answers}")
@@ -58,14 +58,14 @@
             gateway.part.places = 0
         coordinator = self.coordinator(simulation)
         taker = next(gateway for gateway in simulation.role("gateway") if gateway is not coordinator)
-        self.assertEqual(simulation.do(callers.hand_in(callers.lot(25), taker)), 202)
+        self.assertEqual(simulation.do(callers.hand_in(callers.batch(25), taker)), 202)
         taker.kill()
         simulation.run(0.1)
-        self.assertNotEqual(simulation.do(callers.hand_in(callers.lot(6), coordinator)), 202)
+        self.assertNotEqual(simulation.do(callers.hand_in(callers.batch(6), coordinator)), 202)
         for _ in range(40):
             simulation.run(0.25)
             answered = []
-            spawn(callers.hand_in(callers.lot(6), coordinator)).addBoth(answered.append)
+            spawn(callers.hand_in(callers.batch(6), coordinator)).addBoth(answered.append)
             simulation.until(lambda: answered, 4, "an answer")
             self.assertNotEqual(answered, [202])
 
--- a/tests/test_simulated_batches.py
+++ b/tests/test_simulated_batches.py
@@ -37,7 +37,7 @@
     return simulation
 
 
-class LotsUnderFaults(unittest.TestCase):
+class BatchesUnderFaults(unittest.TestCase):
     def run_seed(self, seed, bring):
         simulation = start_simulation(seed)
         self.addCleanup(simulation.end)
@@ -52,33 +52,33 @@
         c.over = True
         simulation.run(9)
         c.note("healed", id=0, settle=0)
-        for lot in c.lots:
+        for batch in c.batches:
 
             def closed():
-                return simulation.do(c.one_read(lot), 10, "a read")["state"] in ("done", "ended")
+                return simulation.do(c.one_read(batch), 10, "a read")["state"] in ("done", "ended")
 
             try:
-                simulation.until(closed, 90, f"{lot} is done or ended: {random_faults.injected}")
+                simulation.until(closed, 90, f"{batch} is done or ended: {random_faults.injected}")
             except AssertionError as e:
-                raise AssertionError(f"{e}\n{self.known(simulation, lot)}") from None
+                raise AssertionError(f"{e}\n{self.known(simulation, batch)}") from None
         bad = check(c.events, simulation.notes, {}, capacity=4)
         self.assertEqual(bad, [], f"seed {seed}: {random_faults.injected}")
-        return len(c.lots), sum(n["event"] == "run" for n in simulation.notes)
+        return len(c.batches), sum(n["event"] == "run" for n in simulation.notes)
 
-    def known(self, simulation, lot):
+    def known(self, simulation, batch):
         """What each gateway knows of a lot that does not get done."""
         out = []
         for a in simulation.role("gateway"):
-            o = a.part.open_batches.get(lot)
+            o = a.part.open_batches.get(batch)
             h = o and o.leaseholder
             out.append(
                 (
                     a.name,
                     a.node,
-                    "closed" if a.part.open_batches.is_closed(lot) else "",
+                    "closed" if a.part.open_batches.is_closed(batch) else "",
                     o
                     and (
-                        choose_owner(a.ctx, lot),
+                        choose_owner(a.ctx, batch),
                         sorted(o.results),
                         sorted(o.started),
                         o.pending,
@@ -91,22 +91,22 @@
                 )
             )
         return (
-            "\n".join(map(str, out)) + "\n" + "\n".join(line for line in simulation.sink.lines if lot in line)[-4000:]
+            "\n".join(map(str, out)) + "\n" + "\n".join(line for line in simulation.sink.lines if batch in line)[-4000:]
         )
 
     def judge(self, bring, few=SEEDS):
         done = [self.run_seed(s, bring) for s in few]
-        self.assertGreater(sum(lots for lots, _ in done), 3 * len(done))
+        self.assertGreater(sum(batches for batches, _ in done), 3 * len(done))
         self.assertGreater(sum(runs for _, runs in done), 20 * len(done))
 
-    def test_lots_hold_under_trouble(self):
+    def test_batches_hold_under_trouble(self):
         self.judge(lambda simulation, random_faults, work: random_faults.during(work, 10))
 
     def test_a_new_owner_whose_storage_nodes_are_slow_lists_what_was_started_and_runs_the_rest(self):
         simulation = start_simulation(5)
         self.addCleanup(simulation.end)
         c = SimulatedClients(simulation)
-        lot = simulation.until(lambda: simulation.do(c.one_lot(12)), 20, "a lot is taken")
+        batch = simulation.until(lambda: simulation.do(c.one_batch(12)), 20, "a lot is taken")
         simulation.until(lambda: sum(n["event"] == "run" for n in simulation.notes) >= 3, 30, "items run")
 
         def owner():
@@ -114,7 +114,7 @@
                 (
                     a
                     for a in simulation.role("gateway", alive=True)
-                    if (o := a.part.open_batches.get(lot)) and o.leaseholder
+                    if (o := a.part.open_batches.get(batch)) and o.leaseholder
                 ),
                 None,
             )
@@ -126,17 +126,17 @@
         simulation.run(6)
         for a in simulation.role("storage"):
             a.slow = 0.0
-        simulation.until(lambda: simulation.do(c.one_read(lot), 10)["state"] == "done", 60, "it is done")
+        simulation.until(lambda: simulation.do(c.one_read(batch), 10)["state"] == "done", 60, "it is done")
         self.assertEqual(check(c.events, simulation.notes, {}, capacity=4), [])
 
-    def test_an_end_that_did_not_get_durable_leaves_the_lot_open_for_its_next_owner(self):
+    def test_an_end_that_did_not_get_durable_leaves_the_batch_open_for_its_next_owner(self):
         simulation = start_simulation(6)
         self.addCleanup(simulation.end)
         c = SimulatedClients(simulation)
-        lot = simulation.until(lambda: simulation.do(c.one_lot(12)), 20, "a lot is taken")
+        batch = simulation.until(lambda: simulation.do(c.one_batch(12)), 20, "a lot is taken")
         owner = simulation.until(
             lambda: next(
-                (a for a in simulation.role("gateway") if (o := a.part.open_batches.get(lot)) and o.leaseholder), None
+                (a for a in simulation.role("gateway") if (o := a.part.open_batches.get(batch)) and o.leaseholder), None
             ),
             30,
             "a gateway owns it",
@@ -144,14 +144,14 @@
         storage_nodes = [a.name for a in simulation.role("storage")]
         simulation.cut([owner.name], storage_nodes)
         got, fault = simulation.do(
-            c._request(lambda part: part.batch_ownership.cancel_local_batch(lot), 9.0, owner), 12
+            c._request(lambda part: part.batch_ownership.cancel_local_batch(batch), 9.0, owner), 12
         )
         self.assertIsNone(got)
         simulation.heal()
         simulation.until(
-            lambda: simulation.do(c.one_read(lot), 10)["state"] in ("done", "ended"), 60, "it is done or ended"
+            lambda: simulation.do(c.one_read(batch), 10)["state"] in ("done", "ended"), 60, "it is done or ended"
         )
-        c.note("lot_ended", lot=lot, status=503, said={})
+        c.note("lot_ended", lot=batch, status=503, said={})
         self.assertEqual(
             check(
                 [
--- a/tests/test_simulated_disk_lost.py
+++ b/tests/test_simulated_disk_lost.py
@@ -35,7 +35,7 @@
                 simulation.until(
                     lambda: all(a.ctx.cluster.ready() for a in simulation.role("gateway", alive=True)), 10, "ready"
                 )
-                names = [c.lot(8) for _ in range(6)]
+                names = [c.batch(8) for _ in range(6)]
                 for name in names:
                     self.assertEqual(simulation.do(c.hand_in(name)), 202)
                 simulation.until(
--- a/tests/test_simulated_large.py
+++ b/tests/test_simulated_large.py
@@ -54,7 +54,7 @@
         self.addCleanup(s.end)
         s.step = ms(3000)
         callers = Callers(s)
-        name = callers.lot(6)
+        name = callers.batch(6)
         self.assertEqual(s.do(callers.hand_in(name)), 202)
         s.run(1)
         depots = len(s.role("storage"))
--- a/tests/test_simulated_logs.py
+++ b/tests/test_simulated_logs.py
@@ -192,7 +192,7 @@
         self.simulation.until(lambda: h.committed == len(h.data), 5, "the append is known to be durable")
         self.assertTrue(h.is_held())
 
-    def test_a_full_disk_refuses_lots_but_keeps_room_for_ends(self):
+    def test_a_full_disk_refuses_batches_but_keeps_room_for_ends(self):
         h = self.simulation.do(self.one.ctx.replicated_log.acquire("results/c"))
         for a in self.simulation.role("storage"):
             log_store = a.part.log_store
--- a/tests/test_uncached_records.py
+++ b/tests/test_uncached_records.py
@@ -37,7 +37,7 @@
         self.addCleanup(simulation.end)
         callers = Callers(simulation)
         owner, reader = simulation.role("gateway")[:2]
-        name = callers.lot(items=20, path="/bulk/" + "x" * 2000)
+        name = callers.batch(items=20, path="/bulk/" + "x" * 2000)
         self.assertEqual(simulation.do(callers.hand_in(name, owner)), 202)
         simulation.until(lambda: callers.whole(name), 30, "all is listed")
         simulation.run(1)
