--- a/pipitlink/gateway/batch_log.py
+++ b/pipitlink/gateway/batch_log.py
@@ -27,11 +27,11 @@
     async def leaseholder(self) -> Leaseholder:
         """Returns the leaseholder of the log to write to now. Raises PipitlinkError where none can be had."""
         leaseholder = self._leaseholder
-        if leaseholder is None or self._is_used_up(leaseholder):
+        if leaseholder is None or self._needs_rotation(leaseholder):
             leaseholder = await self._opening.run("lots", self._open)
         return leaseholder
 
-    def _is_used_up(self, leaseholder: Leaseholder) -> bool:
+    def _needs_rotation(self, leaseholder: Leaseholder) -> bool:
         if leaseholder.lost or len(leaseholder.data) >= MAX_LOG_BYTES:
             return True
         return self._ctx.timers.now() - self._opened_at > MAX_LOG_AGE
--- a/pipitlink/gateway/batch_log_follower.py
+++ b/pipitlink/gateway/batch_log_follower.py
@@ -61,9 +61,11 @@
 
     async def _close_finished_batches(self) -> None:
         """Closes jobs that another gateway finished or ended."""
-        foreign = [batch.id for batch in self._open_batches.all() if batch.leaseholder is None and not batch.acquiring]
-        for start in range(0, len(foreign), MAX_LOGS_PER_CALL):
-            logs = [result_log(batch_id) for batch_id in foreign[start : start + MAX_LOGS_PER_CALL]]
+        not_owned = [
+            batch.id for batch in self._open_batches.all() if batch.leaseholder is None and not batch.acquiring
+        ]
+        for start in range(0, len(not_owned), MAX_LOGS_PER_CALL):
+            logs = [result_log(batch_id) for batch_id in not_owned[start : start + MAX_LOGS_PER_CALL]]
             for log, state in (await self._ctx.replicated_log.states(logs)).items():
                 if state.final:
                     self._open_batches.close(batch_of_result_log(log))
@@ -114,13 +116,13 @@
         while not self._ctx.timers.stopped and self._followed.get(log) is followed:
             try:
                 for offset, body in await tail.read_records():
-                    self._take_record(log, followed, offset, body)
+                    self._process_record(log, followed, offset, body)
             except PipitlinkError as error:
                 self._ctx.logger.failure("lot_log_unreadable", error, log=log)
                 await self._ctx.timers.sleep(READ_BACKOFF)
             await tail.wait_for_growth()
 
-    def _take_record(self, log: str, followed: _FollowedLog, offset: int, body: bytes) -> None:
+    def _process_record(self, log: str, followed: _FollowedLog, offset: int, body: bytes) -> None:
         record = LogRecord.FromString(body)
         if record.WhichOneof("of") == "lot":
             batch_id = batch_id_at(log, offset)
--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -27,7 +27,7 @@
 SLOT_POLL_INTERVAL = ms(100)
 MAX_WAITING = 128
 STARTUP_SPAN = secs(4)
-UNHEARD_RETRY_AFTER_S = 2
+UNANNOUNCED_RETRY_AFTER_S = 2
 LOAD_BOUND = 1.25
 RANK_VALUES = 2**64
 
@@ -108,7 +108,7 @@
         wanted = request.pool or request.model
         if not candidates and self._may_be_announced_soon(request):
             raise ServiceUnavailable(
-                f"nothing that serves {wanted!r} is heard now", code="none_heard", retry_after=UNHEARD_RETRY_AFTER_S
+                f"nothing that serves {wanted!r} is heard now", code="none_heard", retry_after=UNANNOUNCED_RETRY_AFTER_S
             )
         if not candidates:
             raise NotFound(f"nothing serves {wanted!r}", field="pool" if request.pool else "model")
--- a/pipitlink/gateway/idempotency_keys.py
+++ b/pipitlink/gateway/idempotency_keys.py
@@ -133,7 +133,7 @@
             raise ServiceUnavailable(
                 f"the owner of this key could not take it: {error}",
                 code="no_owner",
-                outcome="not_run" if _surely_not_stored(error) else "unknown",
+                outcome="not_run" if _definitely_not_stored(error) else "unknown",
             ) from error
 
     async def _store_here(self, spec: Lot) -> KeyedLotResponse:
@@ -172,7 +172,7 @@
         return shard_log
 
 
-def _surely_not_stored(error: WireError) -> bool:
+def _definitely_not_stored(error: WireError) -> bool:
     if isinstance(error, ConnectionFailed):
         return not error.sent
     return isinstance(error, RemoteError) and error.remote_code == LeaseNotHeld.code
--- a/pipitlink/gateway/item_dispatcher.py
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -89,18 +89,18 @@
         """Starts items while there are free slots, as many as may be started in one turn; returns how many."""
         if not self._serving.is_current() or self._ctx.cluster.zone_empty(self._ctx.settings.zone):
             return 0
-        current = self._begin_round()
+        dispatch_round = self._begin_round()
         started = 0
-        while current.batches and started < MAX_STARTS_PER_TURN:
-            batch = min(current.batches, key=lambda batch: self._order_key(batch, current))
-            index = self._next_item(batch, current)
+        while dispatch_round.batches and started < MAX_STARTS_PER_TURN:
+            batch = min(dispatch_round.batches, key=lambda batch: self._order_key(batch, dispatch_round))
+            index = self._next_item(batch, dispatch_round)
             if index is None or batch.leaseholder is None or not batch.leaseholder.is_held():
-                current.batches.remove(batch)
+                dispatch_round.batches.remove(batch)
                 continue
-            overdue = batch.spec.limit_ms <= current.wall_ms
-            if not overdue and not self._reserve_slot(batch.spec.items[index].model, current):
+            overdue = batch.spec.limit_ms <= dispatch_round.wall_ms
+            if not overdue and not self._reserve_slot(batch.spec.items[index].model, dispatch_round):
                 continue
-            self._start_item(batch, index, overdue, current)
+            self._start_item(batch, index, overdue, dispatch_round)
             started += 1
         return started
 
@@ -117,11 +117,11 @@
         ]
         return _DispatchRound(self._ctx.timers.now(), wall_ms(self._ctx.timers.utc_now()), owned, running_by_customer)
 
-    def _order_key(self, batch: OpenBatch, current: _DispatchRound) -> tuple[int, int, int, int]:
+    def _order_key(self, batch: OpenBatch, dispatch_round: _DispatchRound) -> tuple[int, int, int, int]:
         return (
-            _urgency(batch, current.wall_ms),
+            _urgency(batch, dispatch_round.wall_ms),
             -self._priority(batch),
-            current.running_by_customer[batch.spec.customer],
+            dispatch_round.running_by_customer[batch.spec.customer],
             batch.spec.limit_ms,
         )
 
@@ -130,30 +130,30 @@
         row = self._ctx.cluster.row(batch.spec.items[batch.pending[0]].model, "") if batch.pending else None
         return batch.spec.priority + (row.priority if row is not None else 0)
 
-    def _next_item(self, batch: OpenBatch, current: _DispatchRound) -> int | None:
+    def _next_item(self, batch: OpenBatch, dispatch_round: _DispatchRound) -> int | None:
         """Returns the first pending item that may be tried now and whose model is not known to be full."""
         for index in batch.pending:
-            may_run = batch.retry_at.get(index, current.now) <= current.now
-            if may_run and batch.spec.items[index].model not in current.full_models:
+            may_run = batch.retry_at.get(index, dispatch_round.now) <= dispatch_round.now
+            if may_run and batch.spec.items[index].model not in dispatch_round.full_models:
                 return index
         return None
 
-    def _reserve_slot(self, model: str, current: _DispatchRound) -> bool:
-        if model not in current.free_slots:
-            current.free_slots[model] = self._capacity.free_slots(model) - self._table.unassigned_items(model)
-        if current.free_slots[model] <= 0:
-            current.full_models.add(model)
+    def _reserve_slot(self, model: str, dispatch_round: _DispatchRound) -> bool:
+        if model not in dispatch_round.free_slots:
+            dispatch_round.free_slots[model] = self._capacity.free_slots(model) - self._table.unassigned_items(model)
+        if dispatch_round.free_slots[model] <= 0:
+            dispatch_round.full_models.add(model)
             return False
-        current.free_slots[model] -= 1
+        dispatch_round.free_slots[model] -= 1
         return True
 
-    def _start_item(self, batch: OpenBatch, index: int, overdue: bool, current: _DispatchRound) -> None:
+    def _start_item(self, batch: OpenBatch, index: int, overdue: bool, dispatch_round: _DispatchRound) -> None:
         batch.pending.remove(index)
-        current.running_by_customer[batch.spec.customer] += 1
+        dispatch_round.running_by_customer[batch.spec.customer] += 1
         batch.running[index] = work = spawn(self._run_item(batch, index, batch.spec.items[index], overdue))
         work.addBoth(self._item_ended, batch, index)
         if not batch.pending:
-            current.batches.remove(batch)
+            dispatch_round.batches.remove(batch)
 
     def _item_ended(self, result: Any, batch: OpenBatch, index: int) -> None:
         batch.running.pop(index, None)
--- a/pipitlink/gateway/live_api.py
+++ b/pipitlink/gateway/live_api.py
@@ -94,7 +94,7 @@
         try:
             first = await self._runs.read_remote(run, address)
         except RemoteError as error:
-            raise _refused_resume(error) from error
+            raise _resume_error(error) from error
         except WireError as error:
             raise NotFound(
                 f"the gateway that holds the run is not heard: {error}", code="run_not_held", outcome="unknown"
@@ -103,7 +103,7 @@
         return await RunStream(self._ctx, self._table, request, run, position).write()
 
 
-def _refused_resume(error: RemoteError) -> BadRequest | NotFound:
+def _resume_error(error: RemoteError) -> BadRequest | NotFound:
     if error.remote_code == "bad_field":
         return BadRequest(error.message, code=error.remote_code, field="from", status=RANGE_NOT_SATISFIABLE)
     return NotFound(error.message, code="run_not_held", outcome="unknown")
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -48,7 +48,7 @@
         self._rows: dict[str, RowLimits] = {}
         self._permits: dict[str, str] = {}
         self._known_gateways: frozenset[str] = frozenset()
-        self._fleet_changed_at = self._checked_at = ctx.timers.now()
+        self._gateways_changed_at = self._checked_at = ctx.timers.now()
 
     def start(self) -> None:
         """Registers the coordinator's handler, and has permits reported with the loads."""
@@ -90,7 +90,7 @@
 
     def fill_loads(self, loads: Loads) -> None:
         """Adds the permits that this gateway holds to its report."""
-        self._check_fleet()
+        self._detect_gateway_changes()
         loads.permits.extend(Permit(row=row, id=permit_id) for permit_id, row in self._permits.items())
 
     def absorb_loads(self, loads: Loads) -> None:
@@ -135,7 +135,7 @@
     async def _call_coordinator(self, request: PermitRequest) -> PermitResponse:
         coordinator = self.coordinator(request.row)
         if coordinator == self._ctx.node:
-            return self._answer(coordinator, request)
+            return self._decide(coordinator, request)
         member = self._ctx.membership.find(coordinator)
         assert member is not None
         address = (member.host, member.port)
@@ -145,9 +145,9 @@
             return PermitResponse(wait_ms=UNKNOWN_WAIT_MS)
 
     async def _handle_permit_request(self, node: str, request: PermitRequest) -> PermitResponse:
-        return self._answer(node, request)
+        return self._decide(node, request)
 
-    def _answer(self, node: str, request: PermitRequest) -> PermitResponse:
+    def _decide(self, node: str, request: PermitRequest) -> PermitResponse:
         """Grants, rejects or releases as the coordinator of the row."""
         limits = self._limits_of(request.row)
         if request.release:
@@ -162,10 +162,10 @@
         if request.id:
             granted = not row.concurrency or limits.grant_permit(row.concurrency, request.id, node, now)
             return PermitResponse(granted=granted, wait_ms=UNKNOWN_WAIT_MS)
-        wait = limits.take_token(row.rate, now, self._fleet_changed_at) if row.rate else ZERO
+        wait = limits.take_token(row.rate, now, self._gateways_changed_at) if row.rate else ZERO
         return PermitResponse(granted=not wait, wait_ms=math.ceil(wait / ms(1)))
 
-    def _check_fleet(self) -> None:
+    def _detect_gateway_changes(self) -> None:
         """Notes whether the gateways changed, or this one was suspended, since the last call.
 
         A new coordinator may not have heard of all permits that are out.
@@ -174,18 +174,18 @@
         gateways = frozenset(member.node for member in self._ctx.membership.members("gateway", statuses=("alive",)))
         if gateways != self._known_gateways or now - self._checked_at > SUSPENSION_THRESHOLD:
             self._known_gateways = gateways
-            self._fleet_changed_at = now
+            self._gateways_changed_at = now
         self._checked_at = now
 
     def _may_grant(self) -> bool:
         """Not while gateways change, nor on the smaller side of a partition, nor with a stale cluster state."""
-        self._check_fleet()
+        self._detect_gateway_changes()
         alive = self._ctx.membership.members("gateway", statuses=("alive",))
         missing = self._missing_gateways({(member.host, member.port) for member in alive})
         return (
             self._ctx.cluster.ready()
             and len(alive) >= missing
-            and self._ctx.timers.now() - self._fleet_changed_at >= SETTLE_SPAN
+            and self._ctx.timers.now() - self._gateways_changed_at >= SETTLE_SPAN
         )
 
     def _missing_gateways(self, alive_addresses: set[Address]) -> int:
--- a/pipitlink/gateway/remote_run.py
+++ b/pipitlink/gateway/remote_run.py
@@ -27,7 +27,7 @@
         """What may be told of it if it failed: `not_run`, `unknown` or `failed`."""
         return self.error.outcome if self.error is not None else "failed"
 
-    def take(self, response: RunResponse) -> None:
+    def add_response(self, response: RunResponse) -> None:
         """Adds what its gateway responded."""
         self.chunks += response.pieces
         if response.settled:
--- a/pipitlink/gateway/request_bodies.py
+++ b/pipitlink/gateway/request_bodies.py
@@ -165,8 +165,10 @@
     try:
         return _converter.structure(raw, body_type)
     except (ClassValidationError, IterableValidationError) as error:
-        wrong = _first_field_error(error)
-        raise BadRequest(f"{wrong.path}: {wrong.reason}", code="bad_field", field=wrong.path) from error
+        field_error = _first_field_error(error)
+        raise BadRequest(
+            f"{field_error.path}: {field_error.reason}", code="bad_field", field=field_error.path
+        ) from error
     except (TypeError, ValueError, AttributeError) as error:
         raise BadRequest(f"the body must be an object: {error}", code="bad_body") from error
 
--- a/pipitlink/gateway/request_pipeline.py
+++ b/pipitlink/gateway/request_pipeline.py
@@ -56,8 +56,8 @@
 
     async def _run_steps(self, request: RequestRecord) -> None:
         for step in self._steps[request.kind]:
-            begin_again = await step(request)
-            if begin_again:
+            restart = await step(request)
+            if restart:
                 return
 
     def _log_end(self, request: RequestRecord) -> None:
--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -17,11 +17,11 @@
 
 __all__ = ["BatchResults", "ResultReader"]
 
-KEEP_SPAN = secs(30)
+UNUSED_READER_RETENTION = secs(30)
 EXPIRY_INTERVAL = secs(5)
 FRESH_SPAN = ms(400)
 MAX_STALENESS = secs(1)
-TAIL_LIMIT = secs(1)
+MAX_TAIL_LAG = secs(1)
 MAX_CACHED_SPECS = 256
 MAX_SPEC_READS = 20
 GONE = 410
@@ -90,7 +90,7 @@
         now = self._ctx.timers.now()
         results = self._results.get(batch_id)
         if results is None:
-            tail = self._ctx.cache.tail(result_log(batch_id), TAIL_LIMIT)
+            tail = self._ctx.cache.tail(result_log(batch_id), MAX_TAIL_LAG)
             results = self._results[batch_id] = BatchResults(tail, now)
         results.used_at = now
         lengths = results.tail.lengths
@@ -136,7 +136,7 @@
     def _drop_unused(self) -> None:
         now = self._ctx.timers.now()
         for batch_id, results in list(self._results.items()):
-            if now - results.used_at > KEEP_SPAN:
+            if now - results.used_at > UNUSED_READER_RETENTION:
                 results.tail.close()
                 del self._results[batch_id]
 
--- a/pipitlink/gateway/run_registry.py
+++ b/pipitlink/gateway/run_registry.py
@@ -49,10 +49,10 @@
 
     async def follow_remote(self, run: RemoteRun, address: Address, first: RunResponse) -> None:
         """Reads a run on, after its first response, while it has readers here."""
-        run.take(first)
+        run.add_response(first)
         try:
             while not run.settled and run.readers:
-                run.take(await self.read_remote(run, address))
+                run.add_response(await self.read_remote(run, address))
         except (WireError, RemoteError) as error:
             lost = ApiError(f"the gateway that holds the run was lost: {error}", code="run_lost", outcome="unknown")
             run.finish(lost)
--- a/pipitlink/gateway/token_stream.py
+++ b/pipitlink/gateway/token_stream.py
@@ -59,7 +59,7 @@
         elif data == END_MARKER:
             self._end_marker_seen = True
         else:
-            self._take_chunk(data)
+            self._process_chunk(data)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002, N802 - twisted's interface
         """A line has no end."""
@@ -77,7 +77,7 @@
         else:
             self.finished.errback(EngineError("the engine's token stream was cut short", code="cut_short"))
 
-    def _take_chunk(self, data: bytes) -> None:
+    def _process_chunk(self, data: bytes) -> None:
         try:
             chunk = json.loads(data)
             choice = _only_choice(chunk)
