--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -25,29 +25,29 @@
 class _Rpc:
     """Calls between gateways of one test, carried at once."""
 
-    def __init__(self, node, bus):
-        self.node, self.handlers, self.bus, self.address = node, {}, bus, ("h", int(node[1:]))
-        bus[self.address] = self
+    def __init__(self, node, network):
+        self.node, self.handlers, self.network, self.address = node, {}, network, ("h", int(node[1:]))
+        network[self.address] = self
 
-    def register_handler(self, method, kind, do):
-        self.handlers[method] = do
+    def register_handler(self, method, kind, handler):
+        self.handlers[method] = handler
 
-    async def call(self, place, method, ask, kind, limit):
-        if place not in self.bus:
+    async def call(self, address, method, request, kind, timeout):
+        if address not in self.network:
             raise ConnectionFailed("nobody is there")
-        return await self.bus[place].handlers[method](self.node, ask)
+        return await self.network[address].handlers[method](self.node, request)
 
 
 class _Membership:
-    def __init__(self, me, gateways):
-        self.me, self.gateways, self.away = me, gateways, ()
+    def __init__(self, node, gateways):
+        self.node, self.gateways, self.unreachable = node, gateways, ()
 
     def members(self, role=None, statuses=("alive",), include_self=True):
         names = [f"g{i}" for i in range(self.gateways)]
         return [
             Member(node=n, host="h", port=int(n[1:]))
             for n in names
-            if ("gone" if n in self.away else "alive") in statuses and (include_self or n != self.me)
+            if ("gone" if n in self.unreachable else "alive") in statuses and (include_self or n != self.node)
         ]
 
     def find(self, node):
@@ -60,10 +60,10 @@
 class _Cluster:
     def __init__(self):
         self.cluster_state = ClusterState()
-        self.proved = True
+        self.state_confirmed = True
 
     def ready(self):
-        return self.proved
+        return self.state_confirmed
 
     def row(self, model, pool):
         return self.cluster_state.row(model, pool)
@@ -75,13 +75,13 @@
 class Gateway:
     """The parts of a gateway that choose engines and keep to limits; the context of its parts as well."""
 
-    def __init__(self, gateways=1, n=0, clock=None, bus=None):
+    def __init__(self, gateways=1, n=0, clock=None, network=None):
         self.clock = clock or Clock()
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
         self.timers.utc_now = lambda: datetime.fromtimestamp(self.clock.seconds(), UTC)
         self.logger = StructuredLogger(self)
         self.node, self.rng = f"g{n}", Random(1)
-        self.rpc = _Rpc(self.node, {} if bus is None else bus)
+        self.rpc = _Rpc(self.node, {} if network is None else network)
         self.membership, self.cluster = _Membership(self.node, gateways), _Cluster()
         self.settings = type("Settings", (), {"lot_reserve": 0.25})
         self.engines = EngineRegistry(self)
@@ -102,7 +102,7 @@
     def log(self, *args):
         pass
 
-    def news(self, name, state="ready", incarnation=1, capacity=10, zone="z", age_ms=0):
+    def announce_engine(self, name, state="ready", incarnation=1, capacity=10, zone="z", age_ms=0):
         self.engines.merge(
             EngineUpdate(
                 engine=name,
@@ -117,18 +117,18 @@
             )
         )
 
-    def ask(self, prefix="", kind=RequestKind.LIVE):
+    def make_request(self, prefix="", kind=RequestKind.LIVE):
         return RequestRecord(model="m", prompt="", prefix_key=prefix, kind=kind, deadline=self.timers.now())
 
-    def later(self, seconds, *names, **more):
+    def advance(self, seconds, *names, **fields):
         for _ in range(seconds):
             self.clock.advance(1)
             for n in names:
-                self.news(n, **more)
+                self.announce_engine(n, **fields)
 
-    def fill(self, ask):
+    def fill_slots(self, request):
         n = 0
-        while (e := self.selector.select(ask)) is not None:
-            self.slots.acquire(e, batch_item=ask.is_batch_item)
+        while (engine := self.selector.select(request)) is not None:
+            self.slots.acquire(engine, batch_item=request.is_batch_item)
             n += 1
         return n
--- a/tests/guard_scenarios.py
+++ b/tests/guard_scenarios.py
@@ -29,257 +29,261 @@
         self.simulation = Simulation(7, controllers=3, storage_nodes=4, gateways=3, placement_groups=2)
         test.addCleanup(self.simulation.end)
         self.simulation.with_engines(SimulatedGateway, SimulatedEngine, engines)
-        for e in self.simulation.engines.values():
-            e.step, e.capacity = step, capacity
+        for engine in self.simulation.engines.values():
+            engine.step, engine.capacity = step, capacity
         self.simulation.start()
         self.simulation.ready()
-        self.c = SimulatedClients(self.simulation)
+        self.clients = SimulatedClients(self.simulation)
         self.capacity = capacity
         self.simulation.run(9)
 
-    def batch(self, items=8):
-        return self.simulation.until(lambda: self.simulation.do(self.c.one_batch(items)), 10, "a lot is taken")
+    def submit_batch(self, items=8):
+        return self.simulation.until(lambda: self.simulation.do(self.clients.one_batch(items)), 10, "a lot is taken")
 
-    def runs(self, prompt=""):
+    def engine_runs(self, prompt=""):
         return [n for n in self.simulation.notes if n["event"] == "run" and n["prompt"].startswith(prompt)]
 
     def owner(self, batch):
         return next(
             (
-                a
-                for a in self.simulation.role("gateway", alive=True)
-                if result_log(batch) in a.ctx.replicated_log.leaseholders and a.part.open_batches.get(batch)
+                node
+                for node in self.simulation.role("gateway", alive=True)
+                if result_log(batch) in node.ctx.replicated_log.leaseholders and node.part.open_batches.get(batch)
             ),
             None,
         )
 
-    def close(self, batch):
+    def wait_until_closed(self, batch):
         self.simulation.until(
-            lambda: self.simulation.do(self.c.one_read(batch), 10)["state"] in ("done", "ended"), 60, "it is done"
+            lambda: self.simulation.do(self.clients.one_read(batch), 10)["state"] in ("done", "ended"), 60, "it is done"
         )
 
-    def live(self, n=1, repeatable=False):
+    def send_live(self, n=1, repeatable=False):
         for i in range(n):
-            self.c._sent += 1
-            self.simulation.do(self.c._one_live(f"live{self.c._sent}", repeatable), 10)
+            self.clients._sent += 1
+            self.simulation.do(self.clients._one_live(f"live{self.clients._sent}", repeatable), 10)
 
     def edit(self, command):
         return self.simulation.do(self.simulation.leader().part.state_delivery.edit(command), 10, "an edit")
 
-    def bad(self):
-        zones = {e.name: e.zone for e in self.simulation.engines.values()}
-        return check(self.c.events, self.simulation.notes, zones, capacity=self.capacity)
+    def violations(self):
+        zones = {engine.name: engine.zone for engine in self.simulation.engines.values()}
+        return check(self.clients.events, self.simulation.notes, zones, capacity=self.capacity)
 
 
-def owner_killed(s):
-    batch = s.batch(12)
-    s.simulation.until(lambda: len(s.runs("lot")) >= 3, 20, "items run")
-    s.owner(batch).kill()
-    s.close(batch)
+def owner_killed(scenario):
+    batch = scenario.submit_batch(12)
+    scenario.simulation.until(lambda: len(scenario.engine_runs("lot")) >= 3, 20, "items run")
+    scenario.owner(batch).kill()
+    scenario.wait_until_closed(batch)
 
 
-def owner_frozen(s):
-    batch = s.batch(12)
-    s.simulation.until(lambda: len(s.runs("lot")) >= 3, 20, "items run")
-    owner = s.owner(batch)
+def owner_frozen(scenario):
+    batch = scenario.submit_batch(12)
+    scenario.simulation.until(lambda: len(scenario.engine_runs("lot")) >= 3, 20, "items run")
+    owner = scenario.owner(batch)
     owner.freeze()
-    s.simulation.run(7)
+    scenario.simulation.run(7)
     owner.thaw()
-    s.close(batch)
+    scenario.wait_until_closed(batch)
     for _ in range(6):
-        s.simulation.do(s.c.one_read(batch))
+        scenario.simulation.do(scenario.clients.one_read(batch))
 
 
-def batch_ended(s):
-    batch = s.batch(6)
-    s.simulation.until(lambda: len(s.runs("lot")) >= 2, 20, "items run")
-    got, _ = s.simulation.do(s.c._request(lambda part: part.batch_api.cancel_anywhere(batch), 9.0), 10)
-    s.c.note("lot_ended", lot=batch, status=200, said={"state": got})
-    s.simulation.run(34)
-    s.close(batch)
+def batch_ended(scenario):
+    batch = scenario.submit_batch(6)
+    scenario.simulation.until(lambda: len(scenario.engine_runs("lot")) >= 2, 20, "items run")
+    state, _ = scenario.simulation.do(
+        scenario.clients._request(lambda part: part.batch_api.cancel_anywhere(batch), 9.0), 10
+    )
+    scenario.clients.note("lot_ended", lot=batch, status=200, said={"state": state})
+    scenario.simulation.run(34)
+    scenario.wait_until_closed(batch)
 
 
-def engine_leaves(s):
-    s.simulation.engines["engine0"].leave()
-    s.simulation.run(2.5)
-    s.live(6)
+def engine_leaves(scenario):
+    scenario.simulation.engines["engine0"].leave()
+    scenario.simulation.run(2.5)
+    scenario.send_live(6)
 
 
-def zone_emptied(s):
-    zone = s.simulation.engines["engine0"].zone
-    s.edit(Command(edit="z", zone=ZoneEdit(zone=zone, empty=True)))
-    s.c.note("zone_edit", zone=zone, empty=True, status=200)
-    s.simulation.run(5.5)
-    s.live(8)
+def zone_emptied(scenario):
+    zone = scenario.simulation.engines["engine0"].zone
+    scenario.edit(Command(edit="z", zone=ZoneEdit(zone=zone, empty=True)))
+    scenario.clients.note("zone_edit", zone=zone, empty=True, status=200)
+    scenario.simulation.run(5.5)
+    scenario.send_live(8)
 
 
-def cold_engine(s):
-    for e in s.simulation.engines.values():
-        e.crash()
-    s.simulation.run(1.5)
-    for e in s.simulation.engines.values():
-        e.open()
-    s.simulation.run(1.2)
-    batch = s.batch(40)
-    s.simulation.run(2)
-    s.close(batch)
+def cold_engine(scenario):
+    for engine in scenario.simulation.engines.values():
+        engine.crash()
+    scenario.simulation.run(1.5)
+    for engine in scenario.simulation.engines.values():
+        engine.open()
+    scenario.simulation.run(1.2)
+    batch = scenario.submit_batch(40)
+    scenario.simulation.run(2)
+    scenario.wait_until_closed(batch)
 
 
-def cut_after_the_first_piece(s):
+def cut_after_the_first_piece(scenario):
     for n in range(6):
-        before = len(s.runs())
-        box = []
-        s.c._sent += 1
-        spawn(s.c._one_live(f"live{s.c._sent}", True)).addBoth(box.append)
-        s.simulation.until(lambda: len(s.runs()) > before or box, 10, "it runs")
-        if box:
+        before = len(scenario.engine_runs())
+        result = []
+        scenario.clients._sent += 1
+        spawn(scenario.clients._one_live(f"live{scenario.clients._sent}", True)).addBoth(result.append)
+        scenario.simulation.until(lambda: len(scenario.engine_runs()) > before or result, 10, "it runs")
+        if result:
             continue
-        s.simulation.run(0.1)
-        e = s.simulation.engines[s.runs()[-1]["engine"]]
-        e.crash()
-        s.simulation.until(lambda: box, 10, "it is told")
-        e.open()
-        s.simulation.run(2)
+        scenario.simulation.run(0.1)
+        engine = scenario.simulation.engines[scenario.engine_runs()[-1]["engine"]]
+        engine.crash()
+        scenario.simulation.until(lambda: result, 10, "it is told")
+        engine.open()
+        scenario.simulation.run(2)
 
 
-def weight_zero(s):
+def weight_zero(scenario):
     """An edit that only some gateways could follow: those that cannot prove theirs admit nothing."""
-    s.simulation.cut(["gateway0"], [a for a in s.simulation.simulated_nodes if a != "gateway0"])
-    s.edit(
+    scenario.simulation.cut(["gateway0"], [node for node in scenario.simulation.simulated_nodes if node != "gateway0"])
+    scenario.edit(
         Command(
             edit="w",
             table=TableEdit(
-                base=s.simulation.leader().part.consensus.cluster_state.table_sequence,
+                base=scenario.simulation.leader().part.consensus.cluster_state.table_sequence,
                 upserts=[Row(name="m", model="m", weight=0)],
             ),
         )
     )
-    s.c.note("gate", model="m", open=False, done=True)
-    s.simulation.run(2.4)
-    s.live(9)
-
-
-def closing_power(s):
-    batch = s.batch(4)
-    s.close(batch)
-    for a in s.simulation.role("storage") + s.simulation.role("controller"):
-        a.disk._rng = type("Whole", (), {"randrange": lambda self, n: 0})()
-        a.kill(power=True)
-    s.simulation.run(1)
-    for a in s.simulation.role("storage") + s.simulation.role("controller"):
-        a.start()
-    s.simulation.run(8)
-    for a in s.simulation.role("gateway"):
-        a.kill()
-        a.start()
-    s.simulation.run(6)
-    s.simulation.ready()
-    s.c.events[:] = [e for e in s.c.events if e["event"] != "table_read"]
+    scenario.clients.note("gate", model="m", open=False, done=True)
+    scenario.simulation.run(2.4)
+    scenario.send_live(9)
+
+
+def closing_power(scenario):
+    batch = scenario.submit_batch(4)
+    scenario.wait_until_closed(batch)
+    for node in scenario.simulation.role("storage") + scenario.simulation.role("controller"):
+        node.disk._rng = type("Whole", (), {"randrange": lambda self, n: 0})()
+        node.kill(power=True)
+    scenario.simulation.run(1)
+    for node in scenario.simulation.role("storage") + scenario.simulation.role("controller"):
+        node.start()
+    scenario.simulation.run(8)
+    for node in scenario.simulation.role("gateway"):
+        node.kill()
+        node.start()
+    scenario.simulation.run(6)
+    scenario.simulation.ready()
+    scenario.clients.events[:] = [event for event in scenario.clients.events if event["event"] != "table_read"]
     for _ in range(3):
-        s.simulation.do(s.c.one_read(batch))
+        scenario.simulation.do(scenario.clients.one_read(batch))
 
 
-def gateway_cut_off(s):
+def gateway_cut_off(scenario):
     """A gateway is cut off from all others after it read a list; meanwhile the list grows for everybody else."""
-    batch, gateways = s.batch(10), s.simulation.role("gateway")
-    s.simulation.do(s.c.one_read(batch, gateways[0]))
-    s.simulation.cut(["gateway0"], [a for a in s.simulation.simulated_nodes if a != "gateway0"])
-    s.simulation.until(
-        lambda: len(s.simulation.do(s.c.one_read(batch, gateways[1]), 10)["results"] or ()) > 3, 60, "it grows"
+    batch, gateways = scenario.submit_batch(10), scenario.simulation.role("gateway")
+    scenario.simulation.do(scenario.clients.one_read(batch, gateways[0]))
+    scenario.simulation.cut(["gateway0"], [node for node in scenario.simulation.simulated_nodes if node != "gateway0"])
+    scenario.simulation.until(
+        lambda: len(scenario.simulation.do(scenario.clients.one_read(batch, gateways[1]), 10)["results"] or ()) > 3,
+        60,
+        "it grows",
     )
-    s.simulation.run(2)
-    s.simulation.do(s.c.one_read(batch, gateways[0]), 10)
-    s.c.note("hurt", id=1, nodes=["gateway0"], bearable=True)
-    s.c.events[-1]["at"] = 0
-    s.simulation.heal()
-    s.close(batch)
+    scenario.simulation.run(2)
+    scenario.simulation.do(scenario.clients.one_read(batch, gateways[0]), 10)
+    scenario.clients.note("hurt", id=1, nodes=["gateway0"], bearable=True)
+    scenario.clients.events[-1]["at"] = 0
+    scenario.simulation.heal()
+    scenario.wait_until_closed(batch)
 
 
-def operators_race(s):
+def operators_race(scenario):
     """Two edits build on one sequence; then the leader is cut off, another takes an edit, and the old one is read."""
-    old = s.simulation.leader()
+    old = scenario.simulation.leader()
     base = old.part.consensus.cluster_state.table_sequence
 
     def edit(part, name, base):
-        asked = s.simulation.clock.seconds()
-        out = s.simulation.do(
+        asked_at = scenario.simulation.clock.seconds()
+        result = scenario.simulation.do(
             part.state_delivery.edit(
                 Command(edit=name, table=TableEdit(base=base, upserts=[Row(name="r", model=name)]))
             ),
             10,
         )
-        good = out.code == "done"
-        s.c.note(
+        accepted = result.code == "done"
+        scenario.clients.note(
             "edit",
             edit=name,
             row="r",
             value={"model": name},
             base=base,
-            asked=asked,
-            status=200 if good else 412,
-            sequence=out.sequence if good else None,
-            outcome=None if good else "not_run",
+            asked=asked_at,
+            status=200 if accepted else 412,
+            sequence=result.sequence if accepted else None,
+            outcome=None if accepted else "not_run",
         )
 
     edit(old.part, "first", base)
     edit(old.part, "second", base)
-    rest = [a for a in s.simulation.role("controller") if a is not old]
-    s.simulation.cut([old.name], [a for a in s.simulation.simulated_nodes if a != old.name])
-    new = s.simulation.until(
-        lambda: next((a for a in rest if a.part.consensus.role == "leader"), None), 20, "another leads"
+    rest = [node for node in scenario.simulation.role("controller") if node is not old]
+    scenario.simulation.cut([old.name], [node for node in scenario.simulation.simulated_nodes if node != old.name])
+    new = scenario.simulation.until(
+        lambda: next((node for node in rest if node.part.consensus.role == "leader"), None), 20, "another leads"
     )
-    s.simulation.run(2)
+    scenario.simulation.run(2)
     edit(new.part, "third", new.part.consensus.cluster_state.table_sequence)
-    s.simulation.run(0.1)
-    for a in (new, old):
-        asked = s.simulation.clock.seconds()
+    scenario.simulation.run(0.1)
+    for node in (new, old):
+        asked_at = scenario.simulation.clock.seconds()
         try:
-            s.simulation.do(a.part.log_replication.confirm_leadership(), 10)
+            scenario.simulation.do(node.part.log_replication.confirm_leadership(), 10)
         except PipitlinkError:
             continue
-        s.c.note(
+        scenario.clients.note(
             "table_read",
-            sequence=a.part.consensus.cluster_state.table_sequence,
-            asked=asked,
-            rows={r.name: {"model": r.model} for r in a.part.consensus.cluster_state.rows.values()},
+            sequence=node.part.consensus.cluster_state.table_sequence,
+            asked=asked_at,
+            rows={row.name: {"model": row.model} for row in node.part.consensus.cluster_state.rows.values()},
         )
 
 
-async def _nothing(*_):
+async def _do_nothing(*_):
     pass
 
 
-def _no_record(self, o, i, item):
-    return _nothing()
+def _record_nothing(self, batch, i, item):
+    return _do_nothing()
 
 
-async def _read_on(self, batch_id):
+async def _read_without_confirming(self, batch_id):
     """Reads what is here, and asks no storage node first."""
-    r = self._results.get(batch_id)
-    if r is None:
+    results = self._results.get(batch_id)
+    if results is None:
         return await _read_results(self, batch_id)
-    await self.read_to(r, r.tail.lengths.durable)
-    return r
+    await self.read_to(results, results.tail.lengths.durable)
+    return results
 
 
 _read_results = ResultReader.read_results
 
 
-def _any_base(self, e, sequence):
-    e.base = self.table_sequence
-    return _apply_table(self, e, sequence)
+def _accept_any_base(self, edit, sequence):
+    edit.base = self.table_sequence
+    return _apply_table(self, edit, sequence)
 
 
 _apply_table = ClusterState._apply_table
 
 
-async def _end_and_run_on(self, batch_id):
-    o = self._open_batches.get(batch_id)
-    if o is None or o.leaseholder is None:
+async def _cancel_but_keep_running(self, batch_id):
+    batch = self._open_batches.get(batch_id)
+    if batch is None or batch.leaseholder is None:
         return CancelStatus.CLOSED if self._open_batches.is_closed(batch_id) else CancelStatus.NOT_OWNED
-    h = o.leaseholder
-    await self._end_log(h, "ended")
-    o.pending, self.kept = [], o
+    leaseholder = batch.leaseholder
+    await self._end_log(leaseholder, "ended")
+    batch.pending, self.kept_batch = [], batch
     return CancelStatus.CANCELLED
 
 
@@ -289,7 +293,7 @@
         {},
         ItemDispatcher,
         "_record_start",
-        _no_record,
+        _record_nothing,
         "may not be repeated",
     ),
     "a new owner lists what was started as unknown": (
@@ -297,7 +301,7 @@
         {},
         ItemDispatcher,
         "_record_start",
-        _no_record,
+        _record_nothing,
         "may not be repeated",
     ),
     "an ended lot's running items are stopped": (
@@ -305,7 +309,7 @@
         {"step": 2.0},
         BatchOwnership,
         "cancel_local_batch",
-        _end_and_run_on,
+        _cancel_but_keep_running,
         "an item ran on",
     ),
     "a leaving engine is not picked": (
@@ -313,7 +317,7 @@
         {},
         EngineRegistry,
         "status",
-        lambda self, e: "ready",
+        lambda self, engine: "ready",
         "after it said it leaves",
     ),
     "an emptied zone's engines are no candidates": (
@@ -329,7 +333,7 @@
         {"capacity": 16},
         EngineSlots,
         "capacity",
-        lambda self, e: e.update.capacity,
+        lambda self, engine: engine.update.capacity,
         "was cold and flooded",
     ),
     "no second try once a piece was shown": (
@@ -377,7 +381,7 @@
         {"step": 0.1},
         ResultReader,
         "read_results",
-        _read_on,
+        _read_without_confirming,
         "results were shown",
     ),
     "an edit takes effect only on the base that it states": (
@@ -385,7 +389,7 @@
         {},
         ClusterState,
         "_apply_table",
-        _any_base,
+        _accept_any_base,
         "edits took effect on base",
     ),
     "a table is read only after a majority answered": (
@@ -393,7 +397,7 @@
         {},
         LogReplication,
         "confirm_leadership",
-        _nothing,
+        _do_nothing,
         "was acknowledged",
     ),
 }
--- a/tests/test_fetch_answers.py
+++ b/tests/test_fetch_responses.py
@@ -8,9 +8,9 @@
 from pipitlink.gateway.request_record import RequestKind, RequestRecord
 from pipitlink.timers import secs, spawn
 
-from .test_first_byte import Relayer
+from .test_first_byte import PipelineGateway
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n%s"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n%s"
 
 
 class _Request(SimpleNamespace):
@@ -35,29 +35,29 @@
         self.written += data
 
 
-class _Fetcher(Relayer):
+class _FetchGateway(PipelineGateway):
     def fetch_card(self, name):
-        limit = self.timers.now() + secs(10)
-        ask = RequestRecord(
-            kind=RequestKind.FETCH, model=name, prompt="", pool="models", idempotent=True, deadline=limit
+        deadline = self.timers.now() + secs(10)
+        request = RequestRecord(
+            kind=RequestKind.FETCH, model=name, prompt="", pool="models", idempotent=True, deadline=deadline
         )
-        ask.client_request = _Request()
-        ask.task = spawn(self.pipeline.run(ask))
-        return ask
+        request.client_request = _Request()
+        request.task = spawn(self.pipeline.run(request))
+        return request
 
 
-class FetchAnswers(unittest.TestCase):
+class FetchResponses(unittest.TestCase):
     def test_a_second_answer_reaches_nobody(self):
-        g = _Fetcher()
-        first = g.fetch_card("one")
-        wire = g.connect()
-        wire.protocol.dataReceived(ANSWER % b"first")
+        gateway = _FetchGateway()
+        first = gateway.fetch_card("one")
+        connection = gateway.connect()
+        connection.protocol.dataReceived(RESPONSE % b"first")
         self.assertEqual((first.client_request.written, first.state), (b"first", "done"))
-        second = g.fetch_card("two")
-        if not wire.disconnecting:
-            wire.protocol.dataReceived(ANSWER % b"first")
+        second = gateway.fetch_card("two")
+        if not connection.disconnecting:
+            connection.protocol.dataReceived(RESPONSE % b"first")
         self.assertEqual(second.client_request.written, b"", "the answer of the first came to the second")
-        g.connect().protocol.dataReceived(ANSWER % b"other")
+        gateway.connect().protocol.dataReceived(RESPONSE % b"other")
         self.assertEqual(second.client_request.written, b"other")
 
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -21,12 +21,12 @@
 from tests.gateway_builders import Gateway
 
 
-class _Wire(StringTransport):
+class _Connection(StringTransport):
     def abortConnection(self):
         self.disconnected = True
 
 
-class Relayer(Gateway):
+class PipelineGateway(Gateway):
     """All parts that a request goes through."""
 
     def __init__(self):
@@ -43,128 +43,130 @@
             RequestKind.FETCH: (admission.admit, self.selector.choose_engine, FetchRelay(sender).relay),
         }
         self.pipeline = RequestPipeline(self, table, steps)
-        self.held = True
-        self.later(10, "e")
+        self.lease_held = True
+        self.advance(10, "e")
 
-    def begin(self, kind=RequestKind.LIVE, limit=20):
-        ask = self.ask(kind=kind)
-        ask.deadline = self.timers.now() + secs(limit)
-        ask.check_before_send = self.still if kind == RequestKind.ITEM else None
-        ask.task = spawn(self.pipeline.run(ask))
-        return ask
+    def start_request(self, kind=RequestKind.LIVE, limit=20):
+        request = self.make_request(kind=kind)
+        request.deadline = self.timers.now() + secs(limit)
+        request.check_before_send = self.check_lease if kind == RequestKind.ITEM else None
+        request.task = spawn(self.pipeline.run(request))
+        return request
 
-    def edit(self, row):
+    def edit_row(self, row):
         self.cluster.cluster_state.apply(1, Command(table=TableEdit(upserts=[row])))
 
-    def still(self):
-        if not self.held:
+    def check_lease(self):
+        if not self.lease_held:
             raise LeaseNotHeld("the lease is gone")
 
-    def connect(self) -> _Wire:
+    def connect(self) -> _Connection:
         """The connect that began last comes through now."""
         factory = self.reactor.tcpClients[-1][2]
-        wire = _Wire()
-        wire.protocol = factory.buildProtocol(None)
-        wire.protocol.makeConnection(wire)
-        return wire
+        connection = _Connection()
+        connection.protocol = factory.buildProtocol(None)
+        connection.protocol.makeConnection(connection)
+        return connection
 
 
 CHANGES = {
-    "the engine is leaving": lambda g: g.news("e", state="leaving"),
-    "the engine came back at another address": lambda g: g.news("e", incarnation=2),
-    "its zone is emptied": lambda g: g.cluster.cluster_state.empty_zones.add("z"),
-    "its weight is 0": lambda g: g.edit(Row(name="r", model="m", weight=0)),
-    "the cluster state is not proved": lambda g: setattr(g.cluster, "proved", False),
-    "it slept, and the engine is silent since": lambda g: g.reactor.advance(3.5),
-    "it slept for less than that, and the engine may have said anything": lambda g: g.reactor.advance(2),
-    "the lease is lost, or the lot ended": lambda g: setattr(g, "held", False),
+    "the engine is leaving": lambda gateway: gateway.announce_engine("e", state="leaving"),
+    "the engine came back at another address": lambda gateway: gateway.announce_engine("e", incarnation=2),
+    "its zone is emptied": lambda gateway: gateway.cluster.cluster_state.empty_zones.add("z"),
+    "its weight is 0": lambda gateway: gateway.edit_row(Row(name="r", model="m", weight=0)),
+    "the cluster state is not proved": lambda gateway: setattr(gateway.cluster, "state_confirmed", False),
+    "it slept, and the engine is silent since": lambda gateway: gateway.reactor.advance(3.5),
+    "it slept for less than that, and the engine may have said anything": lambda gateway: gateway.reactor.advance(2),
+    "the lease is lost, or the lot ended": lambda gateway: setattr(gateway, "lease_held", False),
 }
 
 
 class FirstByte(unittest.TestCase):
-    def sent(self, change) -> tuple:
-        g = Relayer()
-        ask = g.begin(RequestKind.ITEM)
-        self.assertEqual(len(g.reactor.tcpClients), 1)
-        change(g)
-        return g, ask, g.connect()
+    def connect_after(self, change) -> tuple:
+        gateway = PipelineGateway()
+        request = gateway.start_request(RequestKind.ITEM)
+        self.assertEqual(len(gateway.reactor.tcpClients), 1)
+        change(gateway)
+        return gateway, request, gateway.connect()
 
     def test_nothing_is_written_once_it_may_not_be(self):
         for name, change in CHANGES.items():
             with self.subTest(name):
-                g, ask, wire = self.sent(change)
-                self.assertEqual(wire.value(), b"")
-                self.assertTrue(wire.disconnected)
+                gateway, request, connection = self.connect_after(change)
+                self.assertEqual(connection.value(), b"")
+                self.assertTrue(connection.disconnected)
                 for _ in range(40):
-                    g.reactor.advance(0.05)
-                if ask.error is not None:
-                    self.assertEqual(ask.outcome, "not_run")
-                self.assertEqual(ask.attempts, 1)
+                    gateway.reactor.advance(0.05)
+                if request.error is not None:
+                    self.assertEqual(request.outcome, "not_run")
+                self.assertEqual(request.attempts, 1)
 
     def test_without_the_check_each_would_be_written(self):
         with unittest.mock.patch.object(RequestSender, "check_still_valid", lambda *_: None):
             for name, change in CHANGES.items():
                 with self.subTest(name):
-                    self.assertIn(b"POST /v1/completions", self.sent(change)[2].value())
+                    self.assertIn(b"POST /v1/completions", self.connect_after(change)[2].value())
 
     def test_unchanged_it_is_written_whole_in_one_step(self):
-        wire = self.sent(lambda g: None)[2]
-        self.assertIn(b"POST /v1/completions", wire.value())
-        self.assertIn(b'"max_tokens": 256', wire.value())
+        connection = self.connect_after(lambda gateway: None)[2]
+        self.assertIn(b"POST /v1/completions", connection.value())
+        self.assertIn(b'"max_tokens": 256', connection.value())
 
     def test_a_second_try_is_admitted_anew(self):
-        g = Relayer()
-        g.later(1, "e", "f")
-        ask = g.begin()
-        first = ask.engine.name
-        g.news(first, state="leaving")
-        g.cluster.proved = False
-        g.connect()
-        self.assertEqual(len(g.reactor.tcpClients), 1)
-        g.cluster.proved = True
-        g.reactor.advance(0.1)
-        self.assertEqual(len(g.reactor.tcpClients), 2)
-        self.assertNotEqual(ask.engine.name, first)
-        self.assertIn(b"POST", g.connect().value())
-        self.assertEqual(ask.outcome, "unknown")
+        gateway = PipelineGateway()
+        gateway.advance(1, "e", "f")
+        request = gateway.start_request()
+        first = request.engine.name
+        gateway.announce_engine(first, state="leaving")
+        gateway.cluster.state_confirmed = False
+        gateway.connect()
+        self.assertEqual(len(gateway.reactor.tcpClients), 1)
+        gateway.cluster.state_confirmed = True
+        gateway.reactor.advance(0.1)
+        self.assertEqual(len(gateway.reactor.tcpClients), 2)
+        self.assertNotEqual(request.engine.name, first)
+        self.assertIn(b"POST", gateway.connect().value())
+        self.assertEqual(request.outcome, "unknown")
 
     def test_an_engine_that_falls_silent_is_given_up_and_may_have_run(self):
         """Sooner where it does not announce itself either; a gateway that slept reads first what came meanwhile."""
-        for heard, span in ((True, 30), (False, 5)):
-            for answer in (b"", b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"):
-                g = Relayer()
-                ask = g.begin(limit=100)
-                wire = g.connect()
-                wire.protocol.dataReceived(answer)
-                for n in range(span):
-                    self.assertIsNone(ask.error)
-                    g.later(1, *(["e"] if heard else []))
-                g.later(3)
-                self.assertEqual((ask.error.code, ask.error.status, ask.outcome), ("silent", 502, "unknown"))
-                self.assertTrue(wire.disconnected)
-        g = Relayer()
-        ask = g.begin(limit=100)
-        wire = g.connect()
-        g.reactor.advance(9)
-        wire.protocol.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
-        g.later(3, "e")
-        self.assertIsNone(ask.error)
+        for announced, seconds in ((True, 30), (False, 5)):
+            for response_head in (b"", b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"):
+                gateway = PipelineGateway()
+                request = gateway.start_request(limit=100)
+                connection = gateway.connect()
+                connection.protocol.dataReceived(response_head)
+                for n in range(seconds):
+                    self.assertIsNone(request.error)
+                    gateway.advance(1, *(["e"] if announced else []))
+                gateway.advance(3)
+                self.assertEqual(
+                    (request.error.code, request.error.status, request.outcome), ("silent", 502, "unknown")
+                )
+                self.assertTrue(connection.disconnected)
+        gateway = PipelineGateway()
+        request = gateway.start_request(limit=100)
+        connection = gateway.connect()
+        gateway.reactor.advance(9)
+        connection.protocol.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
+        gateway.advance(3, "e")
+        self.assertIsNone(request.error)
 
     def test_a_request_that_is_ended_ends_its_stream(self):
-        g = Relayer()
-        ask = g.begin()
-        wire = g.connect()
-        wire.protocol.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
-        ask.task.cancel()
-        self.assertTrue(wire.disconnected)
-        self.assertEqual((ask.error.code, ask.outcome), ("ended", "unknown"))
+        gateway = PipelineGateway()
+        request = gateway.start_request()
+        connection = gateway.connect()
+        connection.protocol.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
+        request.task.cancel()
+        self.assertTrue(connection.disconnected)
+        self.assertEqual((request.error.code, request.outcome), ("ended", "unknown"))
 
     def test_a_connect_that_outlasts_the_limit_is_given_up_and_never_sent(self):
-        g = Relayer()
-        ask = g.begin()
-        connector = g.reactor.connectors[-1]
+        gateway = PipelineGateway()
+        request = gateway.start_request()
+        connector = gateway.reactor.connectors[-1]
         self.assertFalse(connector.stoppedConnecting)
         for _ in range(30):
-            g.reactor.advance(1)
+            gateway.reactor.advance(1)
         self.assertTrue(connector.stoppedConnecting)
-        self.assertEqual((ask.error.outcome, ask.outcome), ("not_run", "not_run"))
+        self.assertEqual((request.error.outcome, request.outcome), ("not_run", "not_run"))
--- a/tests/test_gateway_components.py
+++ b/tests/test_gateway_components.py
@@ -31,235 +31,248 @@
 from .gateway_builders import Gateway
 
 
-class Picks(unittest.TestCase):
+class EngineSelection(unittest.TestCase):
     def test_a_cold_engine_is_filled_step_by_step_and_again_when_it_returns(self):
-        g = Gateway()
-        g.news("e")
-        self.assertEqual(g.fill(g.ask()), 1)
-        g.later(4, "e")
-        self.assertEqual(g.fill(g.ask()), 4)
-        g.later(6, "e")
-        self.assertEqual(g.fill(g.ask()), 5)
-        g.later(1, "e", incarnation=2)
-        e = g.engines.all()[0]
-        e.live_requests = 0
-        self.assertEqual(g.fill(g.ask()), 1)
+        gateway = Gateway()
+        gateway.announce_engine("e")
+        self.assertEqual(gateway.fill_slots(gateway.make_request()), 1)
+        gateway.advance(4, "e")
+        self.assertEqual(gateway.fill_slots(gateway.make_request()), 4)
+        gateway.advance(6, "e")
+        self.assertEqual(gateway.fill_slots(gateway.make_request()), 5)
+        gateway.advance(1, "e", incarnation=2)
+        engine = gateway.engines.all()[0]
+        engine.live_requests = 0
+        self.assertEqual(gateway.fill_slots(gateway.make_request()), 1)
 
     def test_a_leaving_or_silent_engine_and_an_emptied_zone_get_nothing(self):
-        g = Gateway()
-        g.later(10, "e")
-        g.news("e", state="leaving")
-        g.news("e", state="ready")
-        self.assertIsNone(g.selector.select(g.ask()))
-        g.later(10, "f")
-        self.assertIsNotNone(g.selector.select(g.ask()))
-        g.clock.advance(3.5)
-        self.assertIsNone(g.selector.select(g.ask()))
-        g.news("f")
-        g.cluster.cluster_state.empty_zones.add("z")
-        self.assertIsNone(g.selector.select(g.ask()))
+        gateway = Gateway()
+        gateway.advance(10, "e")
+        gateway.announce_engine("e", state="leaving")
+        gateway.announce_engine("e", state="ready")
+        self.assertIsNone(gateway.selector.select(gateway.make_request()))
+        gateway.advance(10, "f")
+        self.assertIsNotNone(gateway.selector.select(gateway.make_request()))
+        gateway.clock.advance(3.5)
+        self.assertIsNone(gateway.selector.select(gateway.make_request()))
+        gateway.announce_engine("f")
+        gateway.cluster.cluster_state.empty_zones.add("z")
+        self.assertIsNone(gateway.selector.select(gateway.make_request()))
 
     def test_batches_leave_the_reserve_and_a_rows_share_goes_before_it(self):
-        g = Gateway()
-        g.later(10, "e", capacity=20)
-        self.assertEqual(g.fill(g.ask(kind=RequestKind.ITEM)), 15)
-        self.assertEqual(g.fill(g.ask()), 5)
-        g = Gateway()
-        g.later(10, "e", capacity=20)
-        g.cluster.cluster_state.rows["r"] = Row(name="r", model="m", weight=1, lot_share=0.5)
-        self.assertEqual(g.fill(g.ask(kind=RequestKind.ITEM)), 10)
+        gateway = Gateway()
+        gateway.advance(10, "e", capacity=20)
+        self.assertEqual(gateway.fill_slots(gateway.make_request(kind=RequestKind.ITEM)), 15)
+        self.assertEqual(gateway.fill_slots(gateway.make_request()), 5)
+        gateway = Gateway()
+        gateway.advance(10, "e", capacity=20)
+        gateway.cluster.cluster_state.rows["r"] = Row(name="r", model="m", weight=1, lot_share=0.5)
+        self.assertEqual(gateway.fill_slots(gateway.make_request(kind=RequestKind.ITEM)), 10)
 
     def test_gateways_with_late_news_together_fill_an_engine_and_do_not_pass_its_limit(self):
         for capacity in (3, 8, 10, 41):
             gateways = [Gateway(gateways=4) for _ in range(4)]
-            for i, g in enumerate(gateways):
-                g.node = f"g{i}"
-                g.later(10, "e", capacity=capacity)
-            self.assertEqual(sum(g.fill(g.ask()) for g in gateways), capacity)
+            for i, gateway in enumerate(gateways):
+                gateway.node = f"g{i}"
+                gateway.advance(10, "e", capacity=capacity)
+            self.assertEqual(sum(gateway.fill_slots(gateway.make_request()) for gateway in gateways), capacity)
 
     def test_a_cut_does_not_double_what_a_cold_engine_gets(self):
         gateways = [Gateway(gateways=4) for _ in range(4)]
-        for i, g in enumerate(gateways):
-            g.node = f"g{i}"
-            g.membership.away = ("g2", "g3") if i < 2 else ("g0", "g1")
-            g.news("e", capacity=40)
-            g.later(4, "e", capacity=40)
-        self.assertLessEqual(sum(g.fill(g.ask()) for g in gateways), 22)
+        for i, gateway in enumerate(gateways):
+            gateway.node = f"g{i}"
+            gateway.membership.unreachable = ("g2", "g3") if i < 2 else ("g0", "g1")
+            gateway.announce_engine("e", capacity=40)
+            gateway.advance(4, "e", capacity=40)
+        self.assertLessEqual(sum(gateway.fill_slots(gateway.make_request()) for gateway in gateways), 22)
 
     def test_an_odd_place_goes_round_so_that_every_gateway_can_use_it(self):
-        g = Gateway(gateways=4)
-        g.later(10, "e", capacity=1)
+        gateway = Gateway(gateways=4)
+        gateway.advance(10, "e", capacity=1)
         turns = []
         for _ in range(8):
-            turns.append(g.slots.free_slots(g.engines.all()[0]))
-            g.clock.advance(0.1)
+            turns.append(gateway.slots.free_slots(gateway.engines.all()[0]))
+            gateway.clock.advance(0.1)
         self.assertEqual((sum(turns), turns[:4]), (2, turns[4:]))
 
     def test_what_others_leave_is_borrowed_by_parts(self):
-        g = Gateway(gateways=4)
-        g.later(10, "e", capacity=40)
-        self.assertEqual(g.fill(g.ask()), 10)
+        gateway = Gateway(gateways=4)
+        gateway.advance(10, "e", capacity=40)
+        self.assertEqual(gateway.fill_slots(gateway.make_request()), 10)
         granted = []
         for _ in range(12):
-            g.slots.report_loads()
-            granted.append(g.fill(g.ask()))
+            gateway.slots.report_loads()
+            granted.append(gateway.fill_slots(gateway.make_request()))
         self.assertIn(granted[0], (7, 8))
         self.assertGreater(10 + sum(granted), 34)
 
     def test_one_prefix_keeps_to_one_engine_until_that_is_loaded(self):
-        g = Gateway()
-        g.later(10, "a", "b", "c", capacity=8)
-        first = g.selector.select(g.ask("tour")).name
-        self.assertEqual({g.selector.select(g.ask("tour")).name for _ in range(20)}, {first})
+        gateway = Gateway()
+        gateway.advance(10, "a", "b", "c", capacity=8)
+        first = gateway.selector.select(gateway.make_request("tour")).name
+        self.assertEqual({gateway.selector.select(gateway.make_request("tour")).name for _ in range(20)}, {first})
         picked = []
         for _ in range(9):
-            e = g.selector.select(g.ask("tour"))
-            picked.append(e.name)
-            g.slots.acquire(e, batch_item=False)
+            engine = gateway.selector.select(gateway.make_request("tour"))
+            picked.append(engine.name)
+            gateway.slots.acquire(engine, batch_item=False)
         self.assertEqual(picked[0], first)
         self.assertGreater(len(set(picked)), 1)
 
     def test_weights_from_the_table(self):
-        g = Gateway()
-        g.later(10, "a")
-        g.cluster.cluster_state.rows["r"] = Row(name="r", model="m", pool="models", weight=0)
-        self.assertEqual(g.candidates.find("m"), [])
+        gateway = Gateway()
+        gateway.advance(10, "a")
+        gateway.cluster.cluster_state.rows["r"] = Row(name="r", model="m", pool="models", weight=0)
+        self.assertEqual(gateway.candidates.find("m"), [])
 
     def test_second_tries_have_a_budget(self):
-        b = RetryBudget(ratio=0.5, max_saved=2)
-        self.assertEqual([b.take() for _ in range(3)], [True, True, False])
-        b.earn()
-        b.earn()
-        self.assertTrue(b.take())
+        budget = RetryBudget(ratio=0.5, max_saved=2)
+        self.assertEqual([budget.take() for _ in range(3)], [True, True, False])
+        budget.earn()
+        budget.earn()
+        self.assertTrue(budget.take())
 
 
-class _Fleet:
+class _GatewayGroup:
     """Several gateways on one clock, each with engines that have room, and a row with limits."""
 
     def __init__(self, n, **row):
-        self.clock, self.bus, self.rng = Clock(), {}, Random(3)
-        self.gateways = [Gateway(n, i, self.clock, self.bus) for i in range(n)]
-        for g in self.gateways:
-            g.cluster.cluster_state.rows["r"] = Row(name="r", model="m", weight=1, **row)
+        self.clock, self.network, self.rng = Clock(), {}, Random(3)
+        self.gateways = [Gateway(n, i, self.clock, self.network) for i in range(n)]
+        for gateway in self.gateways:
+            gateway.cluster.cluster_state.rows["r"] = Row(name="r", model="m", weight=1, **row)
         self.run(12)
 
     def run(self, seconds, each=lambda: None):
         for _ in range(int(seconds * 20)):
             self.clock.advance(0.05)
-            for g in self.up():
+            for gateway in self.alive():
                 if round(self.clock.seconds() / 0.05) % 4 == 0:
-                    g.news("e", capacity=100)
-                    g.slots.report_loads()
+                    gateway.announce_engine("e", capacity=100)
+                    gateway.slots.report_loads()
             each()
 
-    def up(self):
-        return [g for g in self.gateways if g.rpc.address in self.bus]
+    def alive(self):
+        return [gateway for gateway in self.gateways if gateway.rpc.address in self.network]
 
-    def lose(self, g):
-        del self.bus[g.rpc.address]
-        for o in self.gateways:
-            o.membership.away = (*o.membership.away, g.node)
+    def remove(self, gateway):
+        del self.network[gateway.rpc.address]
+        for other in self.gateways:
+            other.membership.unreachable = (*other.membership.unreachable, gateway.node)
 
-    def passed(self, g) -> bool:
-        box = []
-        spawn(g.rate_limits.check_rate(g.ask())).addBoth(box.append)
-        return not isinstance(getattr(box[0], "value", None), ServiceUnavailable)
+    def admits(self, gateway) -> bool:
+        outcomes = []
+        spawn(gateway.rate_limits.check_rate(gateway.make_request())).addBoth(outcomes.append)
+        return not isinstance(getattr(outcomes[0], "value", None), ServiceUnavailable)
 
 
-class LimitsOfRows(unittest.TestCase):
+class RowLimits(unittest.TestCase):
     def test_a_rate_holds_over_the_fleet_and_is_usable_at_one_gateway(self):
-        for callers in (lambda f: f.up(), lambda f: f.up()[:1]):
-            f, passed = _Fleet(8, rate=4), []
-            f.run(10, lambda: passed.extend(g for g in callers(f) if f.passed(g)))
-            self.assertGreaterEqual(len(passed), 36)
-            self.assertLessEqual(len(passed), 44)
+        for gateways_used in (lambda group: group.alive(), lambda group: group.alive()[:1]):
+            group, admitted = _GatewayGroup(8, rate=4), []
+            group.run(10, lambda: admitted.extend(gateway for gateway in gateways_used(group) if group.admits(gateway)))
+            self.assertGreaterEqual(len(admitted), 36)
+            self.assertLessEqual(len(admitted), 44)
 
     def test_gateways_by_turns_do_not_fill_a_cold_engine_beyond_its_ramp(self):
-        f = _Fleet(8)
-        came, over = f.clock.seconds(), []
+        group = _GatewayGroup(8)
+        announced_at, excess = group.clock.seconds(), []
 
         def each():
-            for g in f.up():
-                g.news("cold", capacity=8)
-                e = next(e for e in g.engines.all() if e.name == "cold")
-                if g.slots.free_slots(e) > 0:
-                    g.slots.acquire(e, batch_item=False)
-            ramp = max(1, int(8 * min(1.0, 0.1 + 0.9 * (f.clock.seconds() - came) / 8)))
-            over.append(sum(e.local_requests for g in f.up() for e in g.engines.all() if e.name == "cold") - ramp)
-
-        f.run(7, each)
-        self.assertLessEqual(max(over), 1)
-        self.assertGreaterEqual(min(over[30:]), -1)
+            for gateway in group.alive():
+                gateway.announce_engine("cold", capacity=8)
+                engine = next(engine for engine in gateway.engines.all() if engine.name == "cold")
+                if gateway.slots.free_slots(engine) > 0:
+                    gateway.slots.acquire(engine, batch_item=False)
+            ramp = max(1, int(8 * min(1.0, 0.1 + 0.9 * (group.clock.seconds() - announced_at) / 8)))
+            excess.append(
+                sum(
+                    engine.local_requests
+                    for gateway in group.alive()
+                    for engine in gateway.engines.all()
+                    if engine.name == "cold"
+                )
+                - ramp
+            )
+
+        group.run(7, each)
+        self.assertLessEqual(max(excess), 1)
+        self.assertGreaterEqual(min(excess[30:]), -1)
 
     def test_a_new_or_lost_gateway_brings_no_burst(self):
-        f, passed = _Fleet(4, rate=2), []
-        steward = next(g for g in f.gateways if g.rate_limits.coordinator("r") == g.node)
-        f.run(3, lambda: passed.extend(g for g in f.up() if f.passed(g)))
-        f.lose(steward)
-        f.run(7, lambda: passed.extend(g for g in f.up() if f.passed(g)))
-        self.assertGreaterEqual(len(passed), 15)
-        self.assertLessEqual(len(passed), 22)
+        group, admitted = _GatewayGroup(4, rate=2), []
+        coordinator = next(
+            gateway for gateway in group.gateways if gateway.rate_limits.coordinator("r") == gateway.node
+        )
+        group.run(3, lambda: admitted.extend(gateway for gateway in group.alive() if group.admits(gateway)))
+        group.remove(coordinator)
+        group.run(7, lambda: admitted.extend(gateway for gateway in group.alive() if group.admits(gateway)))
+        self.assertGreaterEqual(len(admitted), 15)
+        self.assertLessEqual(len(admitted), 22)
 
     def test_a_concurrency_holds_over_the_fleet_while_gateways_come_and_go(self):
-        f = _Fleet(8, concurrency=3)
-        out, most, began = [], [], []
+        group = _GatewayGroup(8, concurrency=3)
+        held, held_counts, acquired = [], [], []
 
         def each():
-            for g in f.up():
-                if f.rng.random() < 0.1:
-                    a = g.ask()
-                    a.deadline = g.timers.now() + secs(5)
-                    spawn(g.rate_limits.acquire_permit(a)).addCallbacks(
-                        lambda _, a=a: (out.append(a), began.append(a)), lambda f: f.trap(ServiceUnavailable) and None
+            for gateway in group.alive():
+                if group.rng.random() < 0.1:
+                    request = gateway.make_request()
+                    request.deadline = gateway.timers.now() + secs(5)
+                    spawn(gateway.rate_limits.acquire_permit(request)).addCallbacks(
+                        lambda _, request=request: (held.append(request), acquired.append(request)),
+                        lambda failure: failure.trap(ServiceUnavailable) and None,
                     )
-            for a in [a for a in out if f.rng.random() < 0.05]:
-                out.remove(a)
-                a.release()
-            most.append(len(out))
-
-        f.run(8, each)
-        before = len(began)
-        f.lose(next(g for g in f.gateways if g.rate_limits.coordinator("r") == g.node))
-        f.run(10, each)
-        self.assertEqual(max(most), 3)
+            for request in [request for request in held if group.rng.random() < 0.05]:
+                held.remove(request)
+                request.release()
+            held_counts.append(len(held))
+
+        group.run(8, each)
+        before = len(acquired)
+        group.remove(
+            next(gateway for gateway in group.gateways if gateway.rate_limits.coordinator("r") == gateway.node)
+        )
+        group.run(10, each)
+        self.assertEqual(max(held_counts), 3)
         self.assertGreater(before, 12)
-        self.assertGreater(len(began) - before, 6)
+        self.assertGreater(len(acquired) - before, 6)
 
     def test_the_smaller_side_of_a_cut_and_a_gateway_that_slept_grant_nothing(self):
-        f = _Fleet(8, rate=100)
-        g = next(g for g in f.gateways if g.rate_limits.coordinator("r") == g.node)
-        self.assertTrue(f.passed(g))
-        g.membership.away = tuple(o.node for o in f.gateways if o is not g)[:6]
-        f.run(1)
-        self.assertFalse(f.passed(g))
-        g.membership.away = ()
-        f.run(1)
-        self.assertTrue(f.passed(g))
-        f.clock.advance(5)
-        self.assertFalse(f.passed(g))
+        group = _GatewayGroup(8, rate=100)
+        gateway = next(gateway for gateway in group.gateways if gateway.rate_limits.coordinator("r") == gateway.node)
+        self.assertTrue(group.admits(gateway))
+        gateway.membership.unreachable = tuple(other.node for other in group.gateways if other is not gateway)[:6]
+        group.run(1)
+        self.assertFalse(group.admits(gateway))
+        gateway.membership.unreachable = ()
+        group.run(1)
+        self.assertTrue(group.admits(gateway))
+        group.clock.advance(5)
+        self.assertFalse(group.admits(gateway))
 
     def test_a_crowd_that_obeys_comes_back_in_the_order_of_the_room(self):
         """600 callers, 20 places a second: how many of their tries are in vain, with and without the derived delay."""
 
-        def tries(derived):
+        def rejected_attempts(derived):
             clock = Clock()
-            back = RetryAfterEstimator(Timers(clock, seconds=clock.seconds))
-            due, vain, served = {0.0: 600}, 0, 0
+            estimator = RetryAfterEstimator(Timers(clock, seconds=clock.seconds))
+            due, rejected, served = {0.0: 600}, 0, 0
             while served < 600:
                 now = round(clock.seconds(), 3)
                 free = 5
                 for _ in range(due.pop(now, 0)):
                     if free:
                         free, served = free - 1, served + 1
-                        back.record_release()
+                        estimator.record_release()
                     else:
-                        vain += 1
-                        at = round(now + (back.seconds() if derived else 1), 3)
+                        rejected += 1
+                        at = round(now + (estimator.seconds() if derived else 1), 3)
                         due[at] = due.get(at, 0) + 1
                 clock.advance(0.25)
-            return vain
+            return rejected
 
-        self.assertLess(tries(True), tries(False) / 3)
+        self.assertLess(rejected_attempts(True), rejected_attempts(False) / 3)
 
 
 class _Dispatcher(ItemDispatcher):
@@ -270,7 +283,7 @@
         self._gateway = gateway
 
     async def _run_item(self, batch, index, item, overdue):
-        self._gateway.began.append("late" if overdue else batch.id)
+        self._gateway.started.append("late" if overdue else batch.id)
         self._gateway.slots.acquire(self._gateway.engines.all()[0], batch_item=True)
         await defer.Deferred()
 
@@ -279,7 +292,7 @@
     def __init__(self):
         super().__init__()
         self.settings = type("Settings", (), {"lot_reserve": 0.25, "zone": "z", "resume_hold_s": 5})
-        self.open_batches, self.began = OpenBatches(), []
+        self.open_batches, self.started = OpenBatches(), []
         capacity = BatchCapacity(self.slots, self.candidates)
         self.dispatcher = _Dispatcher(self, capacity, RequestTable(self), None)
 
@@ -289,74 +302,74 @@
         while not dispatched.called:
             self.clock.advance(TURN_PAUSE.total_seconds())
 
-    def batch(self, name, customer, items, due_s, priority=0):
+    def add_batch(self, name, customer, items, due_s, priority=0):
         wall = wall_ms(self.timers.utc_now())
         self.open_batches.add(
             name,
             Lot(customer=customer, priority=priority, limit_ms=wall + due_s * 1000, items=[Item(model="m")] * items),
         )
-        o = self.open_batches.get(name)
-        o.leaseholder = type(
+        batch = self.open_batches.get(name)
+        batch.leaseholder = type(
             "Leaseholder", (), {"is_held": lambda self: True, "lost": "", "epoch": 1, "final": False}
         )()
-        o.pending = list(range(items))
-        return o
+        batch.pending = list(range(items))
+        return batch
 
 
-class OrderOfBatches(unittest.TestCase):
+class BatchOrder(unittest.TestCase):
     def test_soon_due_first_then_priority_then_customers_by_turns_and_only_into_the_room(self):
-        g = _BatchOwner()
-        g.later(10, "e", capacity=16)
-        g.batch("night-a", "a", 20, 30_000)
-        g.batch("night-b", "b", 20, 30_000)
-        g.batch("raised", "a", 2, 30_000, priority=3)
-        g.batch("due", "c", 2, 4)
-        g.dispatch()
-        self.assertEqual(g.began[:4], ["due", "due", "raised", "raised"])
-        self.assertEqual(sorted(g.began[4:]), ["night-a"] * 3 + ["night-b"] * 5)
-        g.dispatch()
-        self.assertEqual(len(g.began), 12)
-        g.engines.all()[0].batch_items = 0
-        g.engines.all()[0].live_requests = 14
-        g.dispatch()
-        self.assertEqual(len(g.began), 12)
+        gateway = _BatchOwner()
+        gateway.advance(10, "e", capacity=16)
+        gateway.add_batch("night-a", "a", 20, 30_000)
+        gateway.add_batch("night-b", "b", 20, 30_000)
+        gateway.add_batch("raised", "a", 2, 30_000, priority=3)
+        gateway.add_batch("due", "c", 2, 4)
+        gateway.dispatch()
+        self.assertEqual(gateway.started[:4], ["due", "due", "raised", "raised"])
+        self.assertEqual(sorted(gateway.started[4:]), ["night-a"] * 3 + ["night-b"] * 5)
+        gateway.dispatch()
+        self.assertEqual(len(gateway.started), 12)
+        gateway.engines.all()[0].batch_items = 0
+        gateway.engines.all()[0].live_requests = 14
+        gateway.dispatch()
+        self.assertEqual(len(gateway.started), 12)
 
     def test_a_few_items_are_started_in_each_turn_of_the_reactor(self):
-        g = _BatchOwner()
-        g.later(10, "e", capacity=16)
-        g.batch("night", "a", 20, 30_000)
-        g.dispatcher.dispatch()
-        begun = [len(g.began)]
+        gateway = _BatchOwner()
+        gateway.advance(10, "e", capacity=16)
+        gateway.add_batch("night", "a", 20, 30_000)
+        gateway.dispatcher.dispatch()
+        started = [len(gateway.started)]
         for _ in range(4):
-            g.clock.advance(TURN_PAUSE.total_seconds())
-            begun.append(len(g.began))
-        self.assertEqual(begun, [4, 8, 12, 12, 12])
+            gateway.clock.advance(TURN_PAUSE.total_seconds())
+            started.append(len(gateway.started))
+        self.assertEqual(started, [4, 8, 12, 12, 12])
 
     def test_what_is_past_its_limit_is_listed_and_takes_no_room(self):
-        g = _BatchOwner()
-        g.later(10, "e", capacity=4)
-        g.batch("past", "a", 2, -1)
-        g.dispatch()
-        self.assertEqual(g.began, ["late", "late"])
+        gateway = _BatchOwner()
+        gateway.advance(10, "e", capacity=4)
+        gateway.add_batch("past", "a", 2, -1)
+        gateway.dispatch()
+        self.assertEqual(gateway.started, ["late", "late"])
 
 
-class Listed(unittest.TestCase):
+class ReportedOutcomes(unittest.TestCase):
     def test_an_item_that_may_have_run_is_never_listed_as_not_run(self):
-        def listed(repeatable, tries, epoch, outcome="not_run"):
-            o = OpenBatch("x", Lot(items=[Item(model="m", repeatable=repeatable)]))
-            o.attempts[0] = tries
-            o.leaseholder = type("Leaseholder", (), {"epoch": epoch})
-            return o.provable_outcome(0, outcome)
+        def reported(repeatable, attempts, epoch, outcome="not_run"):
+            batch = OpenBatch("x", Lot(items=[Item(model="m", repeatable=repeatable)]))
+            batch.attempts[0] = attempts
+            batch.leaseholder = type("Leaseholder", (), {"epoch": epoch})
+            return batch.provable_outcome(0, outcome)
 
-        self.assertEqual(listed(False, 0, 1), "not_run")
-        self.assertEqual(listed(False, 0, 5), "not_run")
-        self.assertEqual(listed(True, 0, 1), "not_run")
-        self.assertEqual(listed(True, 0, 2), "unknown")
-        self.assertEqual(listed(True, 2, 1), "unknown")
-        self.assertEqual(listed(True, 2, 1, "failed"), "failed")
+        self.assertEqual(reported(False, 0, 1), "not_run")
+        self.assertEqual(reported(False, 0, 5), "not_run")
+        self.assertEqual(reported(True, 0, 1), "not_run")
+        self.assertEqual(reported(True, 0, 2), "unknown")
+        self.assertEqual(reported(True, 2, 1), "unknown")
+        self.assertEqual(reported(True, 2, 1, "failed"), "failed")
 
 
-class Checked(unittest.TestCase):
+class Validation(unittest.TestCase):
     def test_every_bad_prop_is_told_in_one_line(self):
         err = io.StringIO()
         with contextlib.redirect_stderr(err):
@@ -365,33 +378,33 @@
             err.seek(0)
             self.assertEqual(main(["storage", "--port", "x", "--zone", "A B", "--seeds", "nowhere"]), 2)
         self.assertEqual([line.partition(":")[0] for line in err.getvalue().splitlines()], ["zone", "port", "seeds"])
-        with tempfile.TemporaryDirectory() as d:
-            path = Path(d) / "p.toml"
+        with tempfile.TemporaryDirectory() as directory:
+            path = Path(directory) / "p.toml"
             path.write_text("colour = 1\nport = 7\n")
-            with self.assertRaises(SettingsError) as no:
+            with self.assertRaises(SettingsError) as raised:
                 read_settings("gateway", str(path), {})
-            self.assertEqual(no.exception.lines, ["colour: no such setting"])
+            self.assertEqual(raised.exception.lines, ["colour: no such setting"])
             path.write_text("shelves = 4\n")
-            with self.assertRaises(SettingsError) as no:
+            with self.assertRaises(SettingsError) as raised:
                 read_settings("gateway", str(path), {})
-            self.assertEqual(no.exception.lines, ["shelves: this setting is now called placement_groups"])
+            self.assertEqual(raised.exception.lines, ["shelves: this setting is now called placement_groups"])
             path.write_text('port = 7\nzone = "b"\n')
             settings = read_settings("gateway", str(path), {"port": "8"})
             self.assertEqual((settings.port, settings.zone), (8, "b"))
 
     def test_every_documented_prop_exists_and_every_prop_is_documented(self):
-        docs, granted = Path(__file__).parent.parent / "docs" / "settings", set()
+        docs, documented = Path(__file__).parent.parent / "docs" / "settings", set()
         for role in ROLES:
             text = (docs / f"{role}.toml").read_text()
             self.assertEqual(read_settings(role, str(docs / f"{role}.toml"), {}).fleet, "tours")
             lines = re.findall(r"^(?:# )?([a-z_]+) = (.+?)(?:\s+#.*)?$", text, re.M)
             for name, value in lines:
                 read_settings(role, None, {"data": "x", name: tomllib.loads(f"v = {value}")["v"]})
-            granted |= {name for name, _ in lines}
-        self.assertEqual({a.name for a in attrs.fields(Settings)} - granted, {"plug"})
+            documented |= {name for name, _ in lines}
+        self.assertEqual({field.name for field in attrs.fields(Settings)} - documented, {"plug"})
 
     def test_a_bad_cluster_state_names_each_row_and_field(self):
-        with self.assertRaises(InvalidRows) as no:
+        with self.assertRaises(InvalidRows) as raised:
             parse_rows(
                 {
                     "a": {"model": "m", "weight": -1},
@@ -402,6 +415,6 @@
                 }
             )
         self.assertEqual(
-            [(f["row"], f["field"]) for f in no.exception.faults],
+            [(fault["row"], fault["field"]) for fault in raised.exception.faults],
             [("a", "weight"), ("b", "model"), ("c", "rate"), ("e", "model")],
         )
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,19 +8,19 @@
 
 class Guards(unittest.TestCase):
     def test_with_the_guard_nothing_is_found(self):
-        for name, (bring, args, *_) in GUARDS.items():
+        for name, (drive, options, *_) in GUARDS.items():
             with self.subTest(name):
-                s = Scenario(self, **args)
-                bring(s)
-                self.assertEqual(s.bad(), [])
+                scenario = Scenario(self, **options)
+                drive(scenario)
+                self.assertEqual(scenario.violations(), [])
 
     def test_without_the_guard_it_is_found(self):
-        for name, (bring, args, owner, part, instead, said) in GUARDS.items():
-            with self.subTest(name), unittest.mock.patch.object(owner, part, instead):
-                s = Scenario(self, **args)
+        for name, (drive, options, target, attribute, replacement, expected) in GUARDS.items():
+            with self.subTest(name), unittest.mock.patch.object(target, attribute, replacement):
+                scenario = Scenario(self, **options)
                 try:
-                    bring(s)
-                except AssertionError as e:
-                    s.c.note("stuck", text=str(e))
-                found = s.bad()
-                self.assertTrue(any(said in line for line in found), found)
+                    drive(scenario)
+                except AssertionError as error:
+                    scenario.clients.note("stuck", text=str(error))
+                violations = scenario.violations()
+                self.assertTrue(any(expected in line for line in violations), violations)
