--- a/pipitlink/cache/log_writer.py
+++ b/pipitlink/cache/log_writer.py
@@ -11,7 +11,7 @@
 from ..context import Context
 from ..timers import ms, spawn
 from ..wire.cache_pb2 import Lengths
-from .chunks import CHUNK, chunk_key
+from .chunks import CHUNK_BYTES, chunk_key
 from .uncached_records import UncachedRecords
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
 
     async def _write_range(self, start: int, end: int) -> None:
         self._uncached.scan(self._log.data, self._log.committed)
-        first, last = start // CHUNK, (end - 1) // CHUNK
+        first, last = start // CHUNK_BYTES, (end - 1) // CHUNK_BYTES
         durable = Lengths(path=self._path, durable=end, writer=self._ctx.node)
         spawn(self._publish(durable)).addErrback(self._log_failure)
         writes = [spawn(self._write_in_turn(number)) for number in {first, last}]
@@ -104,12 +104,12 @@
 
     async def _write(self, number: int) -> None:
         """Writes a chunk as far as it is committed, again and again until a majority of its replicas has it."""
-        if self._uncached.cover(number * CHUNK, (number + 1) * CHUNK):
-            self._written[number] = CHUNK
+        if self._uncached.cover(number * CHUNK_BYTES, (number + 1) * CHUNK_BYTES):
+            self._written[number] = CHUNK_BYTES
             return
         while not self._log.lost:
-            end = min((number + 1) * CHUNK, self._log.committed)
-            data = bytes(self._log.data[number * CHUNK : end])
+            end = min((number + 1) * CHUNK_BYTES, self._log.committed)
+            data = bytes(self._log.data[number * CHUNK_BYTES : end])
             if self._written.get(number, 0) >= len(data):
                 return
             key = chunk_key(self._path, number)
@@ -124,7 +124,7 @@
         if cached <= self._cached:
             return
         self._cached = cached
-        for number in [number for number in self._written if (number + 1) * CHUNK <= cached]:
+        for number in [number for number in self._written if (number + 1) * CHUNK_BYTES <= cached]:
             del self._written[number]
         durable = self._log.committed
         await self._publish(Lengths(path=self._path, durable=durable, cached=cached, writer=self._ctx.node))
@@ -133,12 +133,12 @@
         """The length up to which every chunk is written."""
         length = self._cached
         while True:
-            number = length // CHUNK
-            written_to = number * CHUNK + self._written.get(number, 0)
+            number = length // CHUNK_BYTES
+            written_to = number * CHUNK_BYTES + self._written.get(number, 0)
             if written_to <= length:
                 return length
             length = written_to
-            if length < (number + 1) * CHUNK:
+            if length < (number + 1) * CHUNK_BYTES:
                 return length
 
     async def _publish(self, lengths: Lengths) -> None:
--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -9,7 +9,7 @@
 from ..disk import FRAME_HEADER_BYTES, decode_frames
 from ..errors import CorruptData
 from ..timers import ms, secs
-from .chunks import CHUNK, chunk_key
+from .chunks import CHUNK_BYTES, chunk_key
 from .hedged_read import HedgedRead
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
 
 __all__ = ["Tail"]
 
-MAX_READ_BYTES = 64 * CHUNK
+MAX_READ_BYTES = 64 * CHUNK_BYTES
 MAX_RECORD_BYTES = 72 * 1024 * 1024
 DEFAULT_LIMIT = secs(1)
 # A reader postpones reads of durable bytes for its limit divided by these: without progress of the cache, and in all.
@@ -128,21 +128,23 @@
 
     async def read(self, start: int, end: int) -> bytes:
         """Returns the log's bytes from `start` to `end`, which must be durable."""
-        numbers = range(start // CHUNK, (end - 1) // CHUNK + 1)
+        numbers = range(start // CHUNK_BYTES, (end - 1) // CHUNK_BYTES + 1)
         keys = {number: chunk_key(self.path, number) for number in numbers}
-        needed = {number: min(CHUNK, end - number * CHUNK) for number in numbers}
+        needed = {number: min(CHUNK_BYTES, end - number * CHUNK_BYTES) for number in numbers}
         found = await self._read_cached(keys, needed)
         missing = [number for number in numbers if len(found.get(keys[number], b"")) < needed[number]]
         durable = await self._read_missing(missing, needed) if missing else {}
         data = bytearray()
         for number in numbers:
             data += durable[number] if number in durable else found[keys[number]][: needed[number]]
-        return bytes(data[start - numbers[0] * CHUNK :])
+        return bytes(data[start - numbers[0] * CHUNK_BYTES :])
 
     async def _read_cached(self, keys: dict[int, bytes], needed: dict[int, int]) -> dict[bytes, bytes]:
         """What the cache has of the chunks, by key, which may be less than is needed of them."""
         counts = self._cache.counts
-        cached = {keys[number]: size for number, size in needed.items() if number * CHUNK + size <= self.lengths.cached}
+        cached = {
+            keys[number]: size for number, size in needed.items() if number * CHUNK_BYTES + size <= self.lengths.cached
+        }
         found = await HedgedRead(self._ctx, self._cache, cached).run()
         short = [key for key, size in cached.items() if len(found.get(key, b"")) < size]
         counts["relaxed"] += len(cached) - len(short)
@@ -155,11 +157,14 @@
 
     async def _read_missing(self, missing: list[int], needed: dict[int, int]) -> dict[int, bytes]:
         """The chunks that the cache lacks, by number, in one read from the first of them to the last."""
-        start = missing[0] * CHUNK
-        end = missing[-1] * CHUNK + needed[missing[-1]]
+        start = missing[0] * CHUNK_BYTES
+        end = missing[-1] * CHUNK_BYTES + needed[missing[-1]]
         self._cache.counts["durable"] += len(missing)
         data = await self._cache.read_durable(self.path, start, end - start)
-        return {number: data[number * CHUNK - start : number * CHUNK - start + needed[number]] for number in missing}
+        return {
+            number: data[number * CHUNK_BYTES - start : number * CHUNK_BYTES - start + needed[number]]
+            for number in missing
+        }
 
     def _take_records(self) -> list[tuple[int, bytes]]:
         """Removes the complete records from the bytes that were read."""
--- a/pipitlink/router/batch_follower.py
+++ b/pipitlink/router/batch_follower.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import defer
 
-from ..cache.chunks import CHUNK
+from ..cache.chunks import CHUNK_BYTES
 from ..cache.poller import KnownLengths
 from ..cache.tail import Tail
 from ..wire.lots_pb2 import LogRecord
@@ -81,7 +81,7 @@
     async def _read_head(self) -> None:
         """Reads as little as it takes to know the batch's items, and skips their bodies."""
         missing = self.tail.missing_bytes()
-        max_bytes = missing if self.progress.announced is not None else max(CHUNK, missing)
+        max_bytes = missing if self.progress.announced is not None else max(CHUNK_BYTES, missing)
         self._apply(await self.tail.read_records(max_bytes))
         if self.progress.head is None and self.progress.announced is not None:
             self._batch_extent = self.tail.skip_record(BATCH_RECORD_PREFIX)
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.task import Clock
 
-from pipitlink.cache.chunks import CHUNK
+from pipitlink.cache.chunks import CHUNK_BYTES
 from pipitlink.cache.poller import KnownLengths
 from pipitlink.cache.tail import Tail
 from pipitlink.disk import encode_frame
@@ -109,7 +109,7 @@
                 ahead, behind = simulation.role("gateway")[1:]
                 at_once = self.read_anew(simulation, c, name, ahead)
                 simulation.until(lambda: self.is_cached(simulation, name), 1, "all is cached")
-                self.assertLess(at_once, self.read_anew(simulation, c, name, behind) + CHUNK + CHUNK_OVERHEAD)
+                self.assertLess(at_once, self.read_anew(simulation, c, name, behind) + CHUNK_BYTES + CHUNK_OVERHEAD)
 
     def is_cached(self, simulation, name):
         """Whether the cache has all that is durable of a batch's log."""
@@ -358,7 +358,7 @@
         self.assertEqual([o.item for o in r.progress.outputs], [1, 0])
         self.assertTrue(r.has_ended())
         if r.progress.batch is None:
-            self.assertLess(self.got, len(data) - body + 2 * CHUNK)
+            self.assertLess(self.got, len(data) - body + 2 * CHUNK_BYTES)
             box = []
             spawn(r.read_bodies()).addBoth(box.append)
             self.assertEqual(box, [None])
@@ -366,18 +366,18 @@
         return r
 
     def test_the_head_may_end_anywhere_in_a_chunk(self):
-        for pad in range(CHUNK - 60, CHUNK + 12):
-            for body in (0, 30, 3 * CHUNK):
+        for pad in range(CHUNK_BYTES - 60, CHUNK_BYTES + 12):
+            for body in (0, 30, 3 * CHUNK_BYTES):
                 self.check(pad, body, 10**6)
-        for pad in (10, 3 * CHUNK, 100 * CHUNK):
-            self.check(pad, 50 * CHUNK, 10**6)
+        for pad in (10, 3 * CHUNK_BYTES, 100 * CHUNK_BYTES):
+            self.check(pad, 50 * CHUNK_BYTES, 10**6)
 
     def test_lengths_may_grow_by_any_steps(self):
-        for step in (1, 7, 900, CHUNK, 5001, 30_000):
+        for step in (1, 7, 900, CHUNK_BYTES, 5001, 30_000):
             for behind in (0, 2500):
-                for pad in (10, CHUNK - 30):
-                    self.check(pad, 2 * CHUNK, step, behind)
-                    self.check(pad, 2 * CHUNK, step, behind, with_head=False)
+                for pad in (10, CHUNK_BYTES - 30):
+                    self.check(pad, 2 * CHUNK_BYTES, step, behind)
+                    self.check(pad, 2 * CHUNK_BYTES, step, behind, with_head=False)
 
 
 if __name__ == "__main__":
--- a/tests/test_simulated_cache.py
+++ b/tests/test_simulated_cache.py
@@ -5,7 +5,7 @@
 from twisted.internet import defer
 from twisted.internet.task import Clock
 
-from pipitlink.cache.chunks import CHUNK, chunk_key
+from pipitlink.cache.chunks import CHUNK_BYTES, chunk_key
 from pipitlink.cache.log_writer import MAX_WRITES_PER_TURN, WRITE_DELAY, LogCacheWriter
 from pipitlink.cache.stores import DataStore, LengthStore
 from pipitlink.structured_log import StructuredLogger
@@ -84,7 +84,7 @@
                 chunks, _ = self.cache.waiting[0]
                 n = self.number(0)
                 data = chunks[chunk_key("log", n)]
-                self.assertEqual(data, bytes(self.held.data[n * CHUNK : n * CHUNK + len(data)]))
+                self.assertEqual(data, bytes(self.held.data[n * CHUNK_BYTES : n * CHUNK_BYTES + len(data)]))
                 self.cache.let(0)
         self.assertEqual(self.cache.cached, 14100)
 
@@ -100,7 +100,7 @@
         self.assertEqual((self.cache.waiting, self.cache.cached), ([], 300))
 
     def test_the_cached_length_waits_for_every_chunk_below_it(self):
-        self.grow(5 * CHUNK + 10)
+        self.grow(5 * CHUNK_BYTES + 10)
         self.assertEqual(len(self.cache.waiting), 6)
         self.cache.waiting.sort(key=lambda w: -len(next(iter(w[0].values()))))
         order = [self.number(i) for i in range(6)]
@@ -109,7 +109,7 @@
             self.cache.let(i)
             self.assertEqual(self.cache.cached, 0)
         self.cache.let(0)
-        self.assertEqual((self.cache.cached, self.cache.durable), (5 * CHUNK + 10, 5 * CHUNK + 10))
+        self.assertEqual((self.cache.cached, self.cache.durable), (5 * CHUNK_BYTES + 10, 5 * CHUNK_BYTES + 10))
 
     def test_a_write_that_too_few_replicas_took_is_made_again(self):
         self.grow(10)
@@ -127,7 +127,7 @@
         self.assertEqual([len(data) for chunks, _ in self.cache.waiting for data in chunks.values()], [300])
 
     def test_the_writes_of_a_long_record_begin_a_few_in_a_turn(self):
-        self.grow(20 * CHUNK)
+        self.grow(20 * CHUNK_BYTES)
         begun = [len(self.cache.waiting)]
         while len(self.cache.waiting) < 20:
             self.ctx.clock.advance(TURN_PAUSE.total_seconds())
--- a/tests/test_uncached_records.py
+++ b/tests/test_uncached_records.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from pipitlink.cache.chunks import CHUNK, chunk_key
+from pipitlink.cache.chunks import CHUNK_BYTES, chunk_key
 from pipitlink.cache.uncached_records import UncachedRecords
 from pipitlink.disk import encode_frame
 from pipitlink.router.batch_progress import batch_log
@@ -44,7 +44,7 @@
         leaseholder_data = 20 * 2000
         cached = [
             number
-            for number in range(leaseholder_data // CHUNK)
+            for number in range(leaseholder_data // CHUNK_BYTES)
             if any(
                 gateway.ctx.cache.chunks.get(chunk_key(batch_log(name), number))
                 for gateway in simulation.role("gateway")
