--- a/pipitlink/cache/poller.py
+++ b/pipitlink/cache/poller.py
@@ -82,18 +82,18 @@
     def open(self) -> None:
         """Polls from now on whenever a log is followed."""
         settings = self._ctx.settings
-        self._repeat(settings.poll_ms, self._poll, "poll", self._run_while_followed)
-        self._repeat(settings.hot_poll_ms, self._poll_waiting, "hot_poll", self._run_while_waited_for)
-        self._repeat(settings.durable_poll_ms, self._poll_durable, "durable_poll", self._run_while_followed)
+        self._start_polling(settings.poll_ms, self._poll, "poll", self._idle_unless_followed)
+        self._start_polling(settings.hot_poll_ms, self._poll_awaited_logs, "hot_poll", self._idle_unless_awaited)
+        self._start_polling(settings.durable_poll_ms, self._poll_durable, "durable_poll", self._idle_unless_followed)
 
-    def join(self, path: str) -> KnownLengths:
+    def add_reader(self, path: str) -> KnownLengths:
         """Follows a log for one more reader; returns its lengths, which the poller updates."""
         known = self._known.setdefault(path, KnownLengths(path))
         known.readers += 1
         self._wake()
         return known
 
-    def leave(self, path: str) -> None:
+    def remove_reader(self, path: str) -> None:
         """Follows a log for one reader less."""
         known = self._known.get(path)
         if known is not None:
@@ -102,7 +102,7 @@
                 del self._known[path]
 
     @contextmanager
-    def waiting(self, known: KnownLengths) -> Iterator[None]:
+    def polling_fast(self, known: KnownLengths) -> Iterator[None]:
         """Polls a log at the shortest interval meanwhile."""
         known.waiting_readers += 1
         self._waiting_readers += 1
@@ -113,9 +113,9 @@
             known.waiting_readers -= 1
             self._waiting_readers -= 1
 
-    def restore(self, known: KnownLengths, before: KnownLengths) -> None:
+    def restore_lengths(self, known: KnownLengths, before: KnownLengths) -> None:
         """Takes over what was known of a log before it was last left, as lengths only grow."""
-        self._grow(known, before.durable, before.cached, before.final)
+        self._raise_lengths(known, before.durable, before.cached, before.final)
         if known.confirmed_at is None:
             known.confirmed_at = before.confirmed_at
 
@@ -138,23 +138,23 @@
             if waiter in self._growth_waiters:
                 self._growth_waiters.remove(waiter)
 
-    def _repeat(
-        self, interval_ms: float, poll: Callable[[], Any], name: str, next_run: Callable[[], timedelta | None]
+    def _start_polling(
+        self, interval_ms: float, poll: Callable[[], Any], name: str, idle_time: Callable[[], timedelta | None]
     ) -> None:
         report = self._ctx.error_reporter(name)
-        self._calls.append(self._ctx.timers.call_repeatedly(ms(interval_ms), poll, report, idle_time=next_run))
+        self._calls.append(self._ctx.timers.call_repeatedly(ms(interval_ms), poll, report, idle_time=idle_time))
 
-    def _run_while_followed(self) -> timedelta | None:
+    def _idle_unless_followed(self) -> timedelta | None:
         return ZERO if self._known else None
 
-    def _run_while_waited_for(self) -> timedelta | None:
+    def _idle_unless_awaited(self) -> timedelta | None:
         return ZERO if self._waiting_readers else None
 
     def _wake(self) -> None:
         for call in self._calls:
             call.wake()
 
-    def _grow(self, known: KnownLengths, durable: int, cached: int, final: bool = False) -> bool:
+    def _raise_lengths(self, known: KnownLengths, durable: int, cached: int, final: bool = False) -> bool:
         """Raises known lengths to those of an answer; returns whether the answer told anything new."""
         grew = durable > known.durable or cached > known.cached or (final and not known.final)
         if durable > known.durable:
@@ -178,7 +178,7 @@
     async def _poll(self) -> None:
         await self._poll_cache(list(self._known))
 
-    async def _poll_waiting(self) -> None:
+    async def _poll_awaited_logs(self) -> None:
         await self._poll_cache([path for path, known in self._known.items() if known.waiting_readers])
 
     async def _poll_cache(self, paths: list[str]) -> None:
@@ -195,7 +195,7 @@
         for update in updates:
             known = self._known.get(update.path)
             if known is not None:
-                grew = self._grow(known, update.durable, update.cached, update.final) or grew
+                grew = self._raise_lengths(known, update.durable, update.cached, update.final) or grew
         if grew:
             waiters, self._growth_waiters = self._growth_waiters, []
             for waiter in waiters:
--- a/pipitlink/cache/ring.py
+++ b/pipitlink/cache/ring.py
@@ -11,7 +11,7 @@
 REPLICAS = 3
 POINTS_PER_NODE = 48
 POINT_BYTES = 8
-CACHED_KEYS = 8192
+PLACEMENT_CACHE_SIZE = 8192
 
 
 def _point(data: bytes) -> int:
@@ -28,7 +28,7 @@
         self.nodes = dict(nodes)
         self._ring = sorted((_point(f"{node}/{i}".encode()), node) for node in nodes for i in range(POINTS_PER_NODE))
         self._points = [point for point, _ in self._ring]
-        self.replicas = lru_cache(maxsize=CACHED_KEYS)(self._replicas)
+        self.replicas = lru_cache(maxsize=PLACEMENT_CACHE_SIZE)(self._replicas)
 
     def _replicas(self, key: bytes) -> tuple[str, ...]:
         picked: list[str] = []
--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -36,7 +36,7 @@
         self._cache = cache
         self.path = path
         self._limit = limit or DEFAULT_LIMIT
-        self.lengths = cache.poller.join(path)
+        self.lengths = cache.poller.add_reader(path)
         self.position = 0
         self._partial = bytearray()
         self._bytes_per_s = ctx.settings.reader_kb_s * 1024
@@ -51,14 +51,14 @@
         """Lets the log's lengths no longer be polled until `resume`."""
         if not self._is_paused:
             self._is_paused = True
-            self._cache.poller.leave(self.path)
+            self._cache.poller.remove_reader(self.path)
 
     def resume(self) -> None:
         """Has the log's lengths polled again after `pause`."""
         if self._is_paused:
             self._is_paused = False
-            before, self.lengths = self.lengths, self._cache.poller.join(self.path)
-            self._cache.poller.restore(self.lengths, before)
+            before, self.lengths = self.lengths, self._cache.poller.add_reader(self.path)
+            self._cache.poller.restore_lengths(self.lengths, before)
 
     def readable_end(self) -> int:
         """Returns up to where the log can be read now, at least `position`."""
@@ -121,7 +121,7 @@
         """Waits until there may be more to read."""
         settings = self._ctx.settings
         if self.lengths.durable > self.position and self.lengths.cached <= self.position:
-            with self._cache.poller.waiting(self.lengths):
+            with self._cache.poller.polling_fast(self.lengths):
                 await self._cache.poller.wait_for_growth(ms(settings.poll_ms))
         else:
             await self._cache.poller.wait_for_growth(ms(settings.durable_poll_ms))
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -299,10 +299,10 @@
         self.data, self._step, self._behind = data, step, behind
         self.seen = KnownLengths("log")
 
-    def join(self, path):
+    def add_reader(self, path):
         return self.seen
 
-    def leave(self, path):
+    def remove_reader(self, path):
         pass
 
     def grow(self):
