--- a/pipitlink/cache/cache.py
+++ b/pipitlink/cache/cache.py
@@ -51,14 +51,14 @@
     """The responses of several nodes to a call; `done` fires when they are enough, or none is outstanding."""
 
     outstanding: int
-    are_enough: Callable[[dict[str, Any]], bool]
+    is_sufficient: Callable[[dict[str, Any]], bool]
     by_node: dict[str, Any] = attrs.field(factory=dict)
     done: defer.Deferred[None] = attrs.field(factory=defer.Deferred)
 
-    def end_one(self) -> None:
+    def request_ended(self) -> None:
         """Notes that a node has answered or failed to."""
         self.outstanding -= 1
-        if not self.done.called and (self.outstanding == 0 or self.are_enough(self.by_node)):
+        if not self.done.called and (self.outstanding == 0 or self.is_sufficient(self.by_node)):
             self.done.callback(None)
 
 
@@ -103,9 +103,9 @@
         """
         return LogCacheWriter(self._ctx, self, path, log, uncached_prefix)
 
-    def tail(self, path: str, limit: timedelta | None = None) -> Tail:
-        """Returns a reader at the start of a log; `limit` is the time that it may lag behind, 1 s by default."""
-        return Tail(self._ctx, self, path, limit)
+    def tail(self, path: str, max_lag: timedelta | None = None) -> Tail:
+        """Returns a reader at the start of a log; `max_lag` is the time that it may lag behind, 1 s by default."""
+        return Tail(self._ctx, self, path, max_lag)
 
     async def read_durable(self, path: str, start: int, length: int) -> bytes:
         """Returns bytes of the durable log; readers that want the same bytes meanwhile share the read."""
@@ -191,7 +191,7 @@
             responses.by_node[node] = await self._call(node, method, request, kind)
         except WireError:
             self.counts["unheard"] += 1
-        responses.end_one()
+        responses.request_ended()
 
     def _keys_by_node(self, keys: Collection[Key]) -> dict[str, list[Key]]:
         """The keys that each gateway has replicas of."""
--- a/pipitlink/cache/log_writer.py
+++ b/pipitlink/cache/log_writer.py
@@ -53,7 +53,7 @@
         self._path = path
         self._log = log
         self._uncached = UncachedRecords(uncached_prefix)
-        self._started_to = 0
+        self._scheduled_end = 0
         self._is_write_scheduled = False
         self._cached = 0
         self._last_writes: dict[int, defer.Deferred[None]] = {}
@@ -62,15 +62,15 @@
         self._log_changed(log)
 
     def _log_changed(self, log: CommittedLog) -> None:
-        if log.committed > self._started_to and not log.lost and not self._is_write_scheduled:
+        if log.committed > self._scheduled_end and not log.lost and not self._is_write_scheduled:
             self._is_write_scheduled = True
             self._ctx.timers.call_later(WRITE_DELAY, self._start_write)
 
     def _start_write(self) -> None:
         self._is_write_scheduled = False
         if not self._log.lost:
-            start, self._started_to = self._started_to, self._log.committed
-            spawn(self._write_range(start, self._started_to)).addErrback(self._log_failure)
+            start, self._scheduled_end = self._scheduled_end, self._log.committed
+            spawn(self._write_range(start, self._scheduled_end)).addErrback(self._log_failure)
 
     def _log_failure(self, failure: Failure) -> None:
         self._ctx.logger.failure("cache_write_failed", failure.value, path=self._path)
@@ -80,15 +80,15 @@
         first, last = start // CHUNK_BYTES, (end - 1) // CHUNK_BYTES
         durable = Lengths(path=self._path, durable=end, writer=self._ctx.node)
         spawn(self._publish(durable)).addErrback(self._log_failure)
-        writes = [spawn(self._write_in_turn(number)) for number in {first, last}]
+        writes = [spawn(self._write_serialized(number)) for number in {first, last}]
         for number in range(first + 1, last):
             if len(writes) % MAX_WRITES_PER_TURN == 0:
                 await self._ctx.timers.next_turn()
             writes.append(spawn(self._write(number)))
         await defer.gatherResults(writes)
-        await self._raise_cached_length()
+        await self._advance_cached_length()
 
-    async def _write_in_turn(self, number: int) -> None:
+    async def _write_serialized(self, number: int) -> None:
         """Writes a chunk that is not complete after the writes before, so that its prefix is always right."""
         done: defer.Deferred[None] = defer.Deferred()
         before = self._last_writes.get(number)
@@ -104,7 +104,7 @@
 
     async def _write(self, number: int) -> None:
         """Writes a chunk as far as it is committed, again and again until a majority of its replicas has it."""
-        if self._uncached.cover(number * CHUNK_BYTES, (number + 1) * CHUNK_BYTES):
+        if self._uncached.covers(number * CHUNK_BYTES, (number + 1) * CHUNK_BYTES):
             self._written[number] = CHUNK_BYTES
             return
         while not self._log.lost:
@@ -118,7 +118,7 @@
                 return
             await self._ctx.timers.sleep(RETRY_INTERVAL)
 
-    async def _raise_cached_length(self) -> None:
+    async def _advance_cached_length(self) -> None:
         """Publishes the length up to which every chunk is written, where that has grown."""
         cached = self._written_length()
         if cached <= self._cached:
--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -19,7 +19,7 @@
 
 MAX_READ_BYTES = 64 * CHUNK_BYTES
 MAX_RECORD_BYTES = 72 * 1024 * 1024
-DEFAULT_LIMIT = secs(1)
+DEFAULT_MAX_LAG = secs(1)
 # A reader postpones reads of durable bytes for its limit divided by these: without progress of the cache, and in all.
 POSTPONE_IDLE_DIVISOR = 5
 POSTPONE_DIVISOR = 2
@@ -31,11 +31,11 @@
     `position` is up to where the log has been read, `lengths` what is known of its lengths.
     """
 
-    def __init__(self, ctx: Context, cache: Cache, path: str, limit: timedelta | None) -> None:
+    def __init__(self, ctx: Context, cache: Cache, path: str, max_lag: timedelta | None) -> None:
         self._ctx = ctx
         self._cache = cache
         self.path = path
-        self._limit = limit or DEFAULT_LIMIT
+        self._max_lag = max_lag or DEFAULT_MAX_LAG
         self.lengths = cache.poller.add_reader(path)
         self.position = 0
         self._partial = bytearray()
@@ -100,7 +100,7 @@
 
         Raises CorruptData where none is there.
         """
-        await self._keep_rate(end - start)
+        await self._throttle(end - start)
         for _, payload, frame_end in decode_frames(await self._cache.read_durable(self.path, start, end - start)):
             if frame_end == end - start:
                 return bytes(payload)
@@ -112,10 +112,10 @@
         if end <= self.position:
             return []
         end = min(end, self.position + min(max_bytes, MAX_READ_BYTES))
-        await self._keep_rate(end - self.position)
+        await self._throttle(end - self.position)
         self._partial += await self.read(self.position, end)
         self.position = end
-        return self._take_records()
+        return self._extract_records()
 
     async def wait_for_growth(self) -> None:
         """Waits until there may be more to read."""
@@ -166,7 +166,7 @@
             for number in missing
         }
 
-    def _take_records(self) -> list[tuple[int, bytes]]:
+    def _extract_records(self) -> list[tuple[int, bytes]]:
         """Removes the complete records from the bytes that were read."""
         base = self.position - len(self._partial)
         records = []
@@ -187,10 +187,10 @@
         now = self._ctx.timers.now()
         uncached_since = self.lengths.uncached_since(now)
         idle = now - max(uncached_since, self.lengths.cached_at)
-        max_idle = min(ms(self._ctx.settings.postpone_ms), self._limit / POSTPONE_IDLE_DIVISOR)
-        return idle < max_idle and now - uncached_since < self._limit / POSTPONE_DIVISOR
+        max_idle = min(ms(self._ctx.settings.postpone_ms), self._max_lag / POSTPONE_IDLE_DIVISOR)
+        return idle < max_idle and now - uncached_since < self._max_lag / POSTPONE_DIVISOR
 
-    async def _keep_rate(self, size: int) -> None:
+    async def _throttle(self, size: int) -> None:
         """Waits until bytes may be read by the settings' rate of a reader."""
         now = self._ctx.timers.now()
         if self._next_read_at > now:
--- a/pipitlink/cache/uncached_records.py
+++ b/pipitlink/cache/uncached_records.py
@@ -21,22 +21,22 @@
 
     def __init__(self, prefix: bytes) -> None:
         self._prefix = prefix
-        self._scanned_to = 0
+        self._scanned_end = 0
         self._extents: list[_Extent] = []
 
     def scan(self, data: bytearray, committed: int) -> None:
         """Looks through the frames of a log that have been committed since the last scan."""
-        payload_at = self._scanned_to + FRAME_HEADER_BYTES
+        payload_at = self._scanned_end + FRAME_HEADER_BYTES
         while self._prefix and payload_at <= committed:
-            size = int.from_bytes(data[self._scanned_to : self._scanned_to + LENGTH_BYTES], "big")
+            size = int.from_bytes(data[self._scanned_end : self._scanned_end + LENGTH_BYTES], "big")
             end = payload_at + size
             if end > committed:
                 return
             if data.startswith(self._prefix, payload_at):
-                self._extents.append(_Extent(self._scanned_to, end))
-            self._scanned_to = end
+                self._extents.append(_Extent(self._scanned_end, end))
+            self._scanned_end = end
             payload_at = end + FRAME_HEADER_BYTES
 
-    def cover(self, start: int, end: int) -> bool:
+    def covers(self, start: int, end: int) -> bool:
         """Returns whether all bytes from `start` to `end` are of one such record."""
         return any(extent.start <= start and end <= extent.end for extent in self._extents)
--- a/pipitlink/router/backlog_counter.py
+++ b/pipitlink/router/backlog_counter.py
@@ -86,7 +86,7 @@
     async def count(self, batch_id: str) -> None:
         """Counts the unfinished tokens of a batch from its log."""
         try:
-            progress = await self._followers.progress_of(batch_id)
+            progress = await self._followers.get_progress(batch_id)
         except PipitlinkError as error:
             self._ctx.logger.debug("batch_not_counted", batch=batch_id, text=error)
             await self._ctx.timers.sleep(COUNT_RETRY_DELAY)
--- a/pipitlink/router/batch_calls.py
+++ b/pipitlink/router/batch_api.py
@@ -9,7 +9,7 @@
 from ..wire.cluster_pb2 import Route
 from .http_response import HttpResponse
 
-__all__ = ["BatchCalls", "Submission"]
+__all__ = ["BatchApi", "Submission"]
 
 
 class Submission(NamedTuple):
@@ -27,11 +27,11 @@
     began_at: timedelta
 
 
-class BatchCalls(Protocol):
+class BatchApi(Protocol):
     """Makes the calls on batches."""
 
     async def submit(self, submission: Submission) -> HttpResponse:
         """Takes a batch in."""
 
-    async def call(self, request: BatchRequest) -> HttpResponse:
+    async def handle(self, request: BatchRequest) -> HttpResponse:
         """Makes the call on a batch that the dialect has read from a request."""
--- a/pipitlink/router/batch_follower.py
+++ b/pipitlink/router/batch_follower.py
@@ -30,7 +30,7 @@
         self.is_closed = False
         self._batch_extent: tuple[int, int] | None = None
         self._lock = defer.DeferredLock()
-        self._users = 0
+        self._reader_count = 0
 
     def close(self) -> None:
         """Reads no more."""
@@ -40,32 +40,32 @@
     @contextmanager
     def in_use(self) -> Iterator[None]:
         """Has the lengths of the log polled, which are not while nobody waits for more."""
-        self._users += 1
+        self._reader_count += 1
         if not self.is_closed:
             self.tail.resume()
         try:
             yield
         finally:
-            self._users -= 1
-            if not self._users:
+            self._reader_count -= 1
+            if not self._reader_count:
                 self.tail.pause()
 
     def has_ended(self) -> bool:
         """Returns whether all of it is known, but for the bodies of its items."""
         return bool(self.progress.end_reason) and self.progress.head is not None
 
-    def is_head_alone(self) -> bool:
+    def has_only_head(self) -> bool:
         """Returns whether all that is durable is a head, whose batch was never appended as far as is known."""
         return self.progress.announced is not None and self.tail.at_record_boundary()
 
-    async def catch_up(self, seen: KnownLengths) -> None:
+    async def catch_up(self, known: KnownLengths) -> None:
         """Reads all that is known to be durable once it is this reader's turn, and what else is cached."""
         async with self._lock:
-            await self._read_up_to(seen.durable)
+            await self._read_up_to(known.durable)
 
-    async def _read_up_to(self, goal: int) -> None:
-        seen = self.tail.lengths
-        while not self.is_closed and (self.tail.position < goal or seen.cached > self.tail.position):
+    async def _read_up_to(self, end: int) -> None:
+        known = self.tail.lengths
+        while not self.is_closed and (self.tail.position < end or known.cached > self.tail.position):
             before = self.tail.position
             if self.progress.head is None:
                 await self._read_head()
--- a/pipitlink/router/batch_followers.py
+++ b/pipitlink/router/batch_followers.py
@@ -13,16 +13,16 @@
 from .batch_progress import BatchProgress, batch_log, is_valid_batch_id
 from .batch_table import BatchTable
 
-__all__ = ["BatchFollowers", "HEAD_ALONE"]
+__all__ = ["BatchFollowers", "HEAD_ONLY"]
 
-HEAD_ALONE = "head_alone"
+HEAD_ONLY = "head_alone"
 # A follower that nobody has used for so long is dropped.
-KEEP_UNUSED = secs(30)
+UNUSED_FOLLOWER_TTL = secs(30)
 DROP_INTERVAL = secs(5)
 READ_TIMEOUT = ms(1200)
-TAIL_TIMEOUT = secs(1)
+TAIL_MAX_LAG = secs(1)
 # Lengths that storage nodes confirmed a shorter time ago are not asked for again.
-FRESHNESS = ms(400)
+RECONFIRM_AFTER = ms(400)
 # An owned batch is looked at so often, since its lease may be lost.
 MAX_WAIT_OWNED = secs(1)
 # Lengths that were confirmed longer ago than this prove nothing.
@@ -47,7 +47,7 @@
     def _drop_unused(self) -> None:
         now = self._ctx.timers.now()
         for batch_id, follower in list(self.followers.items()):
-            if now - follower.last_used > KEEP_UNUSED:
+            if now - follower.last_used > UNUSED_FOLLOWER_TTL:
                 self.drop(batch_id, follower)
 
     def drop(self, batch_id: str, follower: BatchFollower) -> None:
@@ -56,7 +56,7 @@
         if self.followers.get(batch_id) is follower:
             del self.followers[batch_id]
 
-    async def progress_of(self, batch_id: str) -> BatchProgress:
+    async def get_progress(self, batch_id: str) -> BatchProgress:
         """Returns a batch as it surely is by now, with its head set.
 
         Raises NotFound where it surely does not exist, another PipitlinkError where nothing is sure.
@@ -64,14 +64,14 @@
         owned = self._table.get_valid(batch_id)
         if owned is not None:
             return owned.progress
-        return (await self._follow(batch_id)).progress
+        return (await self._updated_follower(batch_id)).progress
 
-    async def batch_of(self, batch_id: str) -> Batch:
-        """Returns a batch with its items' bodies. Raises as `progress_of` does."""
+    async def get_batch(self, batch_id: str) -> Batch:
+        """Returns a batch with its items' bodies. Raises as `get_progress` does."""
         owned = self._table.get_valid(batch_id)
         if owned is not None:
             return owned.progress.complete_batch
-        follower = await self._follow(batch_id)
+        follower = await self._updated_follower(batch_id)
         if follower.progress.batch is None:
             try:
                 await self._ctx.timers.with_timeout(READ_TIMEOUT, follower.read_bodies())
@@ -81,13 +81,13 @@
                 raise
         return follower.progress.complete_batch
 
-    async def _follow(self, batch_id: str) -> BatchFollower:
+    async def _updated_follower(self, batch_id: str) -> BatchFollower:
         """Returns the follower of a batch, after it has read all that is durable."""
         if not is_valid_batch_id(batch_id):
             raise NotFound("there is no such batch", code="no_such_batch", field="id")
         follower = self.followers.get(batch_id)
         if follower is None:
-            tail = self._ctx.cache.tail(batch_log(batch_id), TAIL_TIMEOUT)
+            tail = self._ctx.cache.tail(batch_log(batch_id), TAIL_MAX_LAG)
             follower = self.followers[batch_id] = BatchFollower(tail, self._ctx.timers.now())
         follower.last_used = self._ctx.timers.now()
         if not follower.has_ended():
@@ -101,33 +101,33 @@
         return follower
 
     async def _read(self, batch_id: str, follower: BatchFollower) -> None:
-        seen = follower.tail.lengths
-        await self._confirm_lengths(follower, seen)
-        if not seen.durable:
-            await self._raise_absent(batch_id, seen)
-        await follower.catch_up(seen)
+        known = follower.tail.lengths
+        await self._confirm_lengths(follower, known)
+        if not known.durable:
+            await self._raise_absent(batch_id, known)
+        await follower.catch_up(known)
         if follower.progress.head is None:
             raise ServiceUnavailable(
                 "the batch cannot be read now",
-                code=HEAD_ALONE if follower.is_head_alone() else "unread",
+                code=HEAD_ONLY if follower.has_only_head() else "unread",
                 outcome="unknown",
             )
         if follower.has_ended():
             follower.close()
 
-    async def _confirm_lengths(self, follower: BatchFollower, seen: KnownLengths) -> None:
+    async def _confirm_lengths(self, follower: BatchFollower, known: KnownLengths) -> None:
         """Has storage nodes confirm the lengths of the log. Raises ServiceUnavailable where too few answer."""
-        if seen.confirmed_at is None or self._ctx.timers.now() - seen.confirmed_at > FRESHNESS:
+        if known.confirmed_at is None or self._ctx.timers.now() - known.confirmed_at > RECONFIRM_AFTER:
             await self._ctx.cache.poller.confirm_durable([follower.tail.path])
-        if seen.confirmed_at is None or self._ctx.timers.now() - seen.confirmed_at > MAX_STALENESS:
+        if known.confirmed_at is None or self._ctx.timers.now() - known.confirmed_at > MAX_STALENESS:
             raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
 
-    async def _raise_absent(self, batch_id: str, seen: KnownLengths) -> None:
+    async def _raise_absent(self, batch_id: str, known: KnownLengths) -> None:
         """Raises NotFound, or ServiceUnavailable where a batch may yet be durable.
 
         It surely is absent only where a majority of the storage nodes has not one byte of it.
         """
-        if seen.final:
+        if known.final:
             raise NotFound("the batch was removed after its retention", code="batch_removed", status=410)
         log = batch_log(batch_id)
         state = (await self._ctx.replicated_log.states([log])).get(log)
@@ -150,4 +150,4 @@
         tail = follower.tail
         with follower.in_use():
             while tail.readable_end() <= tail.position and self._ctx.timers.now() < deadline and not follower.is_closed:
-                await self._ctx.cache.poller.wait_for_growth(min(deadline - self._ctx.timers.now(), FRESHNESS))
+                await self._ctx.cache.poller.wait_for_growth(min(deadline - self._ctx.timers.now(), RECONFIRM_AFTER))
--- a/pipitlink/router/batch_intake.py
+++ b/pipitlink/router/batch_intake.py
@@ -18,8 +18,8 @@
 from ..timers import ZERO, SingleFlight, ms, secs, wall_ms
 from ..wire.cluster_pb2 import Route
 from ..wire.lots_pb2 import Batch, LogRecord
-from .batch_calls import Submission
-from .batch_followers import HEAD_ALONE, BatchFollowers
+from .batch_api import Submission
+from .batch_followers import HEAD_ONLY, BatchFollowers
 from .batch_progress import batch_head, batch_log, is_valid_batch_id
 from .batch_table import BatchTable
 from .batch_timings import IntakePhase
@@ -38,7 +38,7 @@
 RETRY_AFTER_S = 0.2
 
 
-class _TakenBatch(NamedTuple):
+class _AcceptedBatch(NamedTuple):
     """A batch that surely is durable; `batch` is None where it could not be read."""
 
     batch: Batch | None = None
@@ -52,9 +52,9 @@
     return ApiError(text, code="unknown_outcome", status=status, outcome="unknown")
 
 
-def _is_same(taken: Batch, submitted: Batch) -> bool:
-    is_same_route = (taken.host, taken.path) == (submitted.host, submitted.path)
-    return is_same_route and list(taken.items) == list(submitted.items)
+def _is_same(accepted: Batch, submitted: Batch) -> bool:
+    is_same_route = (accepted.host, accepted.path) == (submitted.host, submitted.path)
+    return is_same_route and list(accepted.items) == list(submitted.items)
 
 
 class BatchIntake:
@@ -68,7 +68,7 @@
         self._table = table
         self._quota = quota
         self._followers = followers
-        self._submissions: SingleFlight[str, _TakenBatch] = SingleFlight()
+        self._submissions: SingleFlight[str, _AcceptedBatch] = SingleFlight()
 
     async def submit(self, submission: Submission) -> HttpResponse:
         """Takes a batch in, or answers for one that was taken under its id before."""
@@ -78,8 +78,8 @@
         try:
             batch = self._parse(submission)
             timings.end_phase(IntakePhase.PARSE)
-            taken = await self._take_in_time(batch, submission, timings)
-            if taken.batch is not None and not _is_same(taken.batch, batch):
+            accepted = await self._accept_before_deadline(batch, submission, timings)
+            if accepted.batch is not None and not _is_same(accepted.batch, batch):
                 raise ApiError(
                     "this id was used for another batch", code="id_in_use", field="id", status=409, outcome="not_run"
                 )
@@ -120,22 +120,24 @@
             items=parsed.items,
         )
 
-    async def _take_in_time(self, batch: Batch, submission: Submission, timings: PhaseTimings) -> _TakenBatch:
+    async def _accept_before_deadline(
+        self, batch: Batch, submission: Submission, timings: PhaseTimings
+    ) -> _AcceptedBatch:
         deadline = submission.deadline - RESPONSE_MARGIN
         remaining = deadline - self._ctx.timers.now()
         if remaining <= ZERO:
             raise _unavailable("the deadline has passed", "deadline_passed")
-        work = self._submissions.run(batch.id, lambda: self._take(batch, submission.route, deadline, timings))
+        work = self._submissions.run(batch.id, lambda: self._accept(batch, submission.route, deadline, timings))
         return await self._ctx.timers.with_timeout(remaining, work)
 
-    async def _take(self, batch: Batch, route: Route, deadline: timedelta, timings: PhaseTimings) -> _TakenBatch:
+    async def _accept(self, batch: Batch, route: Route, deadline: timedelta, timings: PhaseTimings) -> _AcceptedBatch:
         """Returns the batch as it is durable under its id now."""
         owned = self._table.get(batch.id)
         if owned is None or owned.leaseholder.lost:
             try:
                 await self._admit(batch, route, deadline)
             except ApiError as error:
-                return await self._taken_before(batch.id, error)
+                return await self._accepted_earlier(batch.id, error)
             timings.end_phase(IntakePhase.RESERVE)
         try:
             return await self._table.run_exclusively(batch.id, lambda: self._write(batch, deadline, timings))
@@ -153,17 +155,17 @@
         if self._table.is_closing and owned is not None and owned.is_idle():
             self._ctx.run_in_background(self._ctx.replicated_log.release([owned.leaseholder]), "hand_over")
 
-    async def _taken_before(self, batch_id: str, refusal: ApiError) -> _TakenBatch:
+    async def _accepted_earlier(self, batch_id: str, refusal: ApiError) -> _AcceptedBatch:
         """Returns what an earlier attempt has taken, and raises the refusal of this one where none has."""
         try:
-            taken = await self._find_taken(batch_id)
+            accepted = await self._find_accepted(batch_id)
         except ServiceUnavailable:
             raise refusal from None
-        if taken is None:
+        if accepted is None:
             raise refusal
-        return taken
+        return accepted
 
-    async def _find_taken(self, batch_id: str) -> _TakenBatch | None:
+    async def _find_accepted(self, batch_id: str) -> _AcceptedBatch | None:
         """Returns what is durable under an id; None where that is nothing but a head.
 
         Raises ServiceUnavailable where too few storage nodes answer.
@@ -175,47 +177,47 @@
         if not state.committed and not state.final:
             return None
         try:
-            batch = await self._ctx.timers.with_timeout(COMPARE_TIMEOUT, self._followers.batch_of(batch_id))
+            batch = await self._ctx.timers.with_timeout(COMPARE_TIMEOUT, self._followers.get_batch(batch_id))
         except PipitlinkError as error:
-            is_head_alone = isinstance(error, ApiError) and error.code == HEAD_ALONE
-            return None if is_head_alone else _TakenBatch()
-        return _TakenBatch(batch)
+            is_head_only = isinstance(error, ApiError) and error.code == HEAD_ONLY
+            return None if is_head_only else _AcceptedBatch()
+        return _AcceptedBatch(batch)
 
-    async def _write(self, batch: Batch, deadline: timedelta, timings: PhaseTimings) -> _TakenBatch:
+    async def _write(self, batch: Batch, deadline: timedelta, timings: PhaseTimings) -> _AcceptedBatch:
         owned = await self._acquire(batch.id, deadline)
         timings.end_phase(IntakePhase.ACQUIRE)
-        if isinstance(owned, _TakenBatch):
+        if isinstance(owned, _AcceptedBatch):
             return owned
         if owned.batch is None:
             if owned.leaseholder.final:
                 await self._ctx.replicated_log.release([owned.leaseholder])
-                return _TakenBatch()
+                return _AcceptedBatch()
             await self._append(owned, batch)
         elif not owned.is_durable():
             await self._wait_durable(owned)
         timings.end_phase(IntakePhase.APPEND)
-        return _TakenBatch(owned.batch)
+        return _AcceptedBatch(owned.batch)
 
-    async def _acquire(self, batch_id: str, deadline: timedelta) -> OwnedBatch | _TakenBatch:
+    async def _acquire(self, batch_id: str, deadline: timedelta) -> OwnedBatch | _AcceptedBatch:
         """Returns the batch with its lease held here, or as another gateway has taken it.
 
         Waits while another gateway may be about to. Raises ServiceUnavailable.
         """
         while True:
-            fault: PipitlinkError
+            last_error: PipitlinkError
             try:
                 return await self._table.acquire(batch_id)
             except (ReplicatedLogError, WireError) as error:
-                fault = error
+                last_error = error
             try:
-                taken = await self._find_taken(batch_id)
-                if taken is not None:
-                    return taken
+                accepted = await self._find_accepted(batch_id)
+                if accepted is not None:
+                    return accepted
             except ServiceUnavailable as error:
-                fault = error
+                last_error = error
             has_time = self._ctx.timers.now() + 2 * RETRY_INTERVAL < deadline
-            if not isinstance(fault, LeaseNotHeld) or not has_time:
-                raise _unavailable(f"the batch cannot be taken here now: {fault}", "store")
+            if not isinstance(last_error, LeaseNotHeld) or not has_time:
+                raise _unavailable(f"the batch cannot be taken here now: {last_error}", "store")
             await self._ctx.timers.sleep(RETRY_INTERVAL)
 
     async def _append(self, owned: OwnedBatch, batch: Batch) -> None:
--- a/pipitlink/router/batch_reader.py
+++ b/pipitlink/router/batch_reader.py
@@ -42,7 +42,7 @@
         progress: BatchProgress | None = None
         while True:
             try:
-                progress = await self._followers.progress_of(batch_id)
+                progress = await self._followers.get_progress(batch_id)
             except PipitlinkError:
                 if progress is None:
                     raise
@@ -56,7 +56,7 @@
     async def read_item(self, batch_id: str, item_id: str) -> HttpResponse:
         """Answers with the body of one item as it was submitted."""
         try:
-            batch = await self._followers.batch_of(batch_id)
+            batch = await self._followers.get_batch(batch_id)
             item = next((item for item in batch.items if item.id == item_id), None)
             if item is None:
                 raise NotFound("there is no such item", code="no_such_item", field="id")
--- a/pipitlink/router/batch_service.py
+++ b/pipitlink/router/batch_service.py
@@ -6,7 +6,7 @@
 from ..dialect.batches import BatchRequest, ReadItem, ReadOutputs
 from .backlog_counter import BacklogCounter
 from .batch_adopter import BatchAdopter
-from .batch_calls import Submission
+from .batch_api import Submission
 from .batch_canceller import BatchCanceller
 from .batch_followers import BatchFollowers
 from .batch_intake import BatchIntake
@@ -72,7 +72,7 @@
         """Takes a batch in."""
         return await self.intake.submit(submission)
 
-    async def call(self, request: BatchRequest) -> HttpResponse:
+    async def handle(self, request: BatchRequest) -> HttpResponse:
         """Makes the call on a batch that the dialect has read from a request."""
         if isinstance(request, ReadOutputs):
             return await self.reader.read_outputs(request.batch_id, request.start, request.wait)
--- a/pipitlink/router/http_frontend.py
+++ b/pipitlink/router/http_frontend.py
@@ -16,7 +16,7 @@
 from ..errors import ApiError, BadRequest, NotFound, ServiceUnavailable
 from ..timers import ms
 from ..wire.cluster_pb2 import Route
-from .batch_calls import BatchCalls, Submission
+from .batch_api import BatchApi, Submission
 from .call import HOP_HEADERS, Call, CallPhase, parse_prompt_parts
 from .call_relay import CallRelay
 from .http_response import HttpResponse
@@ -51,10 +51,10 @@
     Owns `channels`, the connections of callers, and `refused`, counts of refusals by code.
     """
 
-    def __init__(self, ctx: Context, relay: CallRelay, batch_calls: BatchCalls) -> None:
+    def __init__(self, ctx: Context, relay: CallRelay, batch_api: BatchApi) -> None:
         self._ctx = ctx
         self._relay = relay
-        self._batch_calls = batch_calls
+        self._batch_api = batch_api
         self._opened_at = ctx.timers.now()
         self._ports: list[Any] = []
         self.channels: set[CallerChannel] = set()
@@ -123,7 +123,7 @@
                 "this gateway cannot prove its cluster state now", code="not_current", retry_after=self._retry_after()
             )
         if batch_call is not None:
-            request.respond(await self._batch_calls.call(batch_call))
+            request.respond(await self._batch_api.handle(batch_call))
             return
         host = (request.header(b"host") or b"").decode("latin-1").partition(":")[0]
         route = self._match_route(host, path)
@@ -132,7 +132,7 @@
         body = request.take_body()
         if route.kind == RouteKind.BATCH:
             submission = Submission(route, host, path, call_id.decode("latin-1"), body, deadline, request.began_at)
-            request.respond(await self._batch_calls.submit(submission))
+            request.respond(await self._batch_api.submit(submission))
             return
         request.call = self._make_call(request, route, call_id, body, deadline)
         request.call.end_phase(CallPhase.READ)
--- a/tests/batch_builders.py
+++ b/tests/batch_builders.py
@@ -6,7 +6,7 @@
 from twisted.internet import defer
 
 from pipitlink.errors import PipitlinkError
-from pipitlink.router.batch_calls import Submission
+from pipitlink.router.batch_api import Submission
 from pipitlink.router.batch_service import BatchService
 from pipitlink.router.engine_registry import EngineRegistry
 from pipitlink.router.item_runner import ItemResult
--- a/tests/test_uncached_records.py
+++ b/tests/test_uncached_records.py
@@ -17,18 +17,18 @@
         start, end = len(records[0]), len(records[0]) + len(records[1])
         uncached = UncachedRecords(b"b")
         uncached.scan(data, end - 1)
-        self.assertFalse(uncached.cover(start, end))
+        self.assertFalse(uncached.covers(start, end))
         for committed in (end, end + 3, len(data)):
             uncached.scan(data, committed)
-            self.assertTrue(uncached.cover(start, end))
-        self.assertFalse(uncached.cover(start - 1, end))
-        self.assertFalse(uncached.cover(start, end + 1))
-        self.assertFalse(uncached.cover(end, end + 10))
+            self.assertTrue(uncached.covers(start, end))
+        self.assertFalse(uncached.covers(start - 1, end))
+        self.assertFalse(uncached.covers(start, end + 1))
+        self.assertFalse(uncached.covers(end, end + 10))
 
     def test_without_a_prefix_all_is_cached(self):
         uncached = UncachedRecords(b"")
         uncached.scan(bytearray(encode_frame(b"")), 8)
-        self.assertFalse(uncached.cover(0, 8))
+        self.assertFalse(uncached.covers(0, 8))
 
 
 class Bodies(unittest.TestCase):
