--- a/pipitlink/router/batch_adopter.py
+++ b/pipitlink/router/batch_adopter.py
@@ -44,7 +44,7 @@
         self._table = table
         self._waiting = waiting
         self._gateway_watch = gateway_watch
-        self._slots = defer.DeferredSemaphore(MAX_CONCURRENT_ADOPTIONS)
+        self._adoption_semaphore = defer.DeferredSemaphore(MAX_CONCURRENT_ADOPTIONS)
         self._orphaned_at: dict[str, timedelta] = {}
         self.adopting: set[str] = set()
         self._list_timer: RepeatingCall | None = None
@@ -84,8 +84,8 @@
         alive = self._ctx.membership.members("gateway", statuses=("alive",))
         gateways = [member.node for member in alive]
         for batch_id in sorted(orphans):
-            position = self._position(batch_id, gateways)
-            if now - self._orphaned_at[batch_id] >= position * ADOPTION_STAGGER:
+            adoption_rank = self._adoption_rank(batch_id, gateways)
+            if now - self._orphaned_at[batch_id] >= adoption_rank * ADOPTION_STAGGER:
                 self._orphaned_at[batch_id] = now
                 self._ctx.run_in_background(self._adopt(batch_id), "adopt_batch")
 
@@ -100,7 +100,7 @@
             return False
         return bool(self._ctx.membership.status(state.leaseholder) != "gone")
 
-    def _position(self, batch_id: str, gateways: list[str]) -> int:
+    def _adoption_rank(self, batch_id: str, gateways: list[str]) -> int:
         """Returns this gateway's place in the order in which gateways try to adopt a batch."""
         ranked = sorted(gateways, key=lambda gateway: rank(batch_id, gateway), reverse=True)
         return ranked.index(self._ctx.node)
@@ -108,7 +108,7 @@
     async def _adopt(self, batch_id: str) -> None:
         self.adopting.add(batch_id)
         try:
-            async with self._slots:
+            async with self._adoption_semaphore:
                 await self._table.run_exclusively(batch_id, lambda: self._acquire(batch_id))
         finally:
             self.adopting.discard(batch_id)
--- a/pipitlink/router/batch_capacity.py
+++ b/pipitlink/router/batch_capacity.py
@@ -13,13 +13,13 @@
 __all__ = ["BatchCapacity"]
 
 # How far engines are filled by items of batches, in parts of their slots; the rest is left to live requests that come.
-BATCH_FILL = 0.85
+MAX_FILL_FRACTION = 0.85
 # How many items may wait for their engines' first event, in parts of the engines' slots, shared as these are. While
 # engines are crowded and answer late, fewer start, and other gateways have heard of them before the next ones.
-STARTING_FRACTION = 0.3
+MAX_STARTING_FRACTION = 0.3
 # What each gateway may run, and start at once, even where its share is less, so that no batch comes to rest.
 MIN_OWN_SLOTS = 1
-MIN_STARTING = 2
+MIN_STARTING_ITEMS = 2
 
 
 class BatchCapacity:
@@ -38,19 +38,23 @@
         wait at it, so that what the others have started since their last reports does not matter, and in a crowd of
         batches none waits behind the slots that others hold.
         """
-        slots = all_slots = running = 0
-        engines = [engine for share in weighted_pools(route) for engine in self._selector.ready_engines(share.pool)]
+        slots = total_slots = running = 0
+        engines = [
+            engine
+            for weighted_pool in weighted_pools(route)
+            for engine in self._selector.ready_engines(weighted_pool.pool)
+        ]
         for engine in engines:
             if self._slow_start.is_warming_up(engine):
                 slots += self._slow_start.admits(engine)
                 continue
-            all_slots += engine.slots
+            total_slots += engine.slots
             load, batch_items = engine.load(self._ctx.timers.now())
-            slots += max(0, int(BATCH_FILL * engine.slots) - (load - batch_items))
+            slots += max(0, int(MAX_FILL_FRACTION * engine.slots) - (load - batch_items))
             running += engine.batch_items
         if not engines:
             return 0
-        share = backlog.own_tokens / backlog.total_tokens if backlog.total_tokens else 1.0
-        own_slots = max(MIN_OWN_SLOTS, int(slots * share))
-        max_starting = max(MIN_STARTING, int(STARTING_FRACTION * all_slots * share))
+        fraction = backlog.own_tokens / backlog.total_tokens if backlog.total_tokens else 1.0
+        own_slots = max(MIN_OWN_SLOTS, int(slots * fraction))
+        max_starting = max(MIN_STARTING_ITEMS, int(MAX_STARTING_FRACTION * total_slots * fraction))
         return min(own_slots - running, max_starting - self._engines.starting_items)
--- a/pipitlink/router/batch_intake.py
+++ b/pipitlink/router/batch_intake.py
@@ -225,7 +225,7 @@
         leaseholder = owned.leaseholder
         length_before = len(leaseholder.data)
         owned.batch = batch
-        owned.prepare()
+        owned.queue_unfinished()
         self._table.add(owned)
         records = [LogRecord(head=batch_head(batch)), LogRecord(batch=batch)]
         try:
--- a/pipitlink/router/batch_scheduler.py
+++ b/pipitlink/router/batch_scheduler.py
@@ -35,12 +35,12 @@
 ROUTE_GONE_AFTER = secs(3)
 
 
-class _Round(Enum):
+class _RoundOutcome(Enum):
     """How one look for items to start has ended."""
 
-    NOTHING_WAITS = auto()
+    NO_WORK = auto()
     NO_CAPACITY = auto()
-    TURN_OVER = auto()
+    TURN_LIMIT_REACHED = auto()
     """There may be capacity for more, in another turn of the reactor."""
 
 
@@ -49,7 +49,7 @@
 
     is_late: bool
     deadline_class: int
-    last_turn: int
+    last_start: int
     taken_ms: int
 
 
@@ -73,7 +73,7 @@
     deadline_ms = batch.content.taken_ms + route.due_ms
     is_late = deadline_ms < wall_clock_ms
     return _Urgency(
-        is_late, 0 if is_late else deadline_ms // DEADLINE_CLASS_MS, batch.last_turn, batch.content.taken_ms
+        is_late, 0 if is_late else deadline_ms // DEADLINE_CLASS_MS, batch.last_start, batch.content.taken_ms
     )
 
 
@@ -98,7 +98,7 @@
         self._attempts = attempts
         self._routes = routes
         self._wake: defer.Deferred[None] | None = None
-        self._turn = 0
+        self._start_count = 0
 
     def open(self) -> None:
         """Begins to start items."""
@@ -113,29 +113,29 @@
     async def _run(self) -> None:
         while not self._ctx.timers.stopped:
             outcome = self._start_items_safely()
-            if outcome == _Round.TURN_OVER:
+            if outcome == _RoundOutcome.TURN_LIMIT_REACHED:
                 await self._ctx.timers.next_turn()
                 continue
             wake: defer.Deferred[None] = defer.Deferred()
             self._wake = wake
-            if outcome == _Round.NO_CAPACITY:
+            if outcome == _RoundOutcome.NO_CAPACITY:
                 self._engines.wait_for_capacity(wake)
                 await self._ctx.timers.wait_at_most(wake, INTERVAL)
             else:
                 interval = IDLE_INTERVAL if self._table.batches else IDLE_INTERVAL_WITHOUT_BATCHES
                 await self._ctx.timers.wait_at_most(wake, interval)
 
-    def _start_items_safely(self) -> _Round:
+    def _start_items_safely(self) -> _RoundOutcome:
         try:
             return self._start_items()
         except Exception as error:
             self._ctx.logger.failure("schedule_batches", error)
-            return _Round.NO_CAPACITY
+            return _RoundOutcome.NO_CAPACITY
 
-    def _start_items(self) -> _Round:
+    def _start_items(self) -> _RoundOutcome:
         """Starts items while there is capacity, as many as may be started in one turn."""
         if self._table.is_closing or not self._ctx.cluster.usable():
-            return _Round.NO_CAPACITY if self._table.batches else _Round.NOTHING_WAITS
+            return _RoundOutcome.NO_CAPACITY if self._table.batches else _RoundOutcome.NO_WORK
         moment = _Moment(self._ctx.timers.now(), wall_ms(self._ctx.timers.utc_now()))
         routes = self._routes()
         slots: dict[str, int] = {}
@@ -154,8 +154,8 @@
             if slots[route.name] > 0:
                 ready.append(_ReadyBatch(_urgency(batch, route, moment.wall_ms), batch.id, batch, route))
         if self._fill_slots(ready, slots, moment) == MAX_STARTS_PER_TURN:
-            return _Round.TURN_OVER
-        return _Round.NO_CAPACITY if has_waiting else _Round.NOTHING_WAITS
+            return _RoundOutcome.TURN_LIMIT_REACHED
+        return _RoundOutcome.NO_CAPACITY if has_waiting else _RoundOutcome.NO_WORK
 
     def _fill_slots(self, ready: list[_ReadyBatch], slots: dict[str, int], moment: _Moment) -> int:
         """Starts one item after the other, of the most urgent batch whose route has slots left; returns how many."""
@@ -168,8 +168,8 @@
                 continue
             slots[route.name] -= 1
             batch.waiting.remove(index)
-            self._turn += 1
-            batch.last_turn = self._turn
+            self._start_count += 1
+            batch.last_start = self._start_count
             self._attempts.start(batch, index, route)
             started += 1
             heappush(ready, _ReadyBatch(_urgency(batch, route, moment.wall_ms), batch.id, batch, route))
--- a/pipitlink/router/batch_table.py
+++ b/pipitlink/router/batch_table.py
@@ -91,7 +91,7 @@
         batch.read_durable()
         batch.batch = batch.progress.batch
         if batch.batch is not None:
-            batch.prepare()
+            batch.queue_unfinished()
             self.add(batch)
             self._log_adoption(batch)
             self._announce_adoption(batch)
--- a/pipitlink/router/batch_timings.py
+++ b/pipitlink/router/batch_timings.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define
-class _PresentPhase:
+class _CurrentPhase:
     """The phase that an item is in, and since when."""
 
     phase: ItemPhase
@@ -47,7 +47,7 @@
     def __init__(self, timers: Timers) -> None:
         self._timers = timers
         self._durable_at = timers.now()
-        self._present: dict[int, _PresentPhase] = {}
+        self._current: dict[int, _CurrentPhase] = {}
         self._durations_ms: dict[ItemPhase, list[int]] = {phase: [] for phase in ItemPhase}
         self.attempts = 0
 
@@ -58,13 +58,13 @@
     def attempt_started(self, index: int) -> None:
         """Notes that an attempt at an item begins."""
         self.attempts += 1
-        self._present.setdefault(index, _PresentPhase(ItemPhase.WAITING, self._durable_at))
+        self._current.setdefault(index, _CurrentPhase(ItemPhase.WAITING, self._durable_at))
         self._enter(index, ItemPhase.FIRST_EVENT)
 
     def event_received(self, index: int) -> None:
         """Notes an event of an item's output."""
-        present = self._present.get(index)
-        if present is not None and present.phase == ItemPhase.FIRST_EVENT:
+        current = self._current.get(index)
+        if current is not None and current.phase == ItemPhase.FIRST_EVENT:
             self._enter(index, ItemPhase.RUNNING)
 
     def attempt_failed(self, index: int) -> None:
@@ -78,15 +78,15 @@
     def appended(self, indexes: Iterable[int]) -> None:
         """Notes that the outputs of items are durable."""
         for index in indexes:
-            self._leave(self._present.pop(index, None))
+            self._leave(self._current.pop(index, None))
 
     def _enter(self, index: int, phase: ItemPhase) -> None:
-        self._leave(self._present.get(index))
-        self._present[index] = _PresentPhase(phase, self._timers.now())
+        self._leave(self._current.get(index))
+        self._current[index] = _CurrentPhase(phase, self._timers.now())
 
-    def _leave(self, present: _PresentPhase | None) -> None:
-        if present is not None:
-            self._durations_ms[present.phase].append(to_ms(self._timers.now() - present.since))
+    def _leave(self, current: _CurrentPhase | None) -> None:
+        if current is not None:
+            self._durations_ms[current.phase].append(to_ms(self._timers.now() - current.since))
 
     def summary(self, phase: ItemPhase) -> str:
         """Returns mean and maximum of a phase in whole milliseconds, as in `120/340`; `0/0` where none has ended."""
--- a/pipitlink/router/item_attempts.py
+++ b/pipitlink/router/item_attempts.py
@@ -78,12 +78,12 @@
             return
         if result.is_complete:
             self._writer.finish_item(batch, index, ItemState.DONE, b"\n".join(call.texts))
-        elif self._is_hopeless(batch, index, call, result.status):
+        elif self._should_abandon(batch, index, call, result.status):
             self._writer.finish_item(batch, index, ItemState.ABANDONED)
         else:
             self._back_off(batch, index, result, has_progressed=call.last_event != first_event)
 
-    def _is_hopeless(self, batch: OwnedBatch, index: int, call: ItemCall, status: int) -> bool:
+    def _should_abandon(self, batch: OwnedBatch, index: int, call: ItemCall, status: int) -> bool:
         """Counts failures of the engine, and returns whether an item is not to be retried."""
         if status == HTTPStatus.UNPROCESSABLE_ENTITY:
             return True
--- a/pipitlink/router/output_writer.py
+++ b/pipitlink/router/output_writer.py
@@ -75,7 +75,7 @@
                 await self._ctx.timers.sleep(BATCHING_DELAY)
             await self._write_pending(batch)
         except ReplicatedLogError as error:
-            self._give_up(batch, error)
+            self._invalidate_lease(batch, error)
         finally:
             batch.is_writing = False
 
@@ -96,7 +96,7 @@
                 await batch.wait_durable()
             batch.timings.appended(output.item for output in outputs)
 
-    def _give_up(self, batch: OwnedBatch, error: ReplicatedLogError) -> None:
+    def _invalidate_lease(self, batch: OwnedBatch, error: ReplicatedLogError) -> None:
         """Gives up the lease after outputs could not be appended; the next owner finishes the batch."""
         leaseholder = batch.leaseholder
         if not isinstance(error, (StaleEpoch, LeaseNotHeld)):
--- a/pipitlink/router/owned_batch.py
+++ b/pipitlink/router/owned_batch.py
@@ -44,7 +44,7 @@
     pending_outputs: list[Output] = attrs.field(factory=list)
     is_writing: bool = False
     is_closing: bool = False
-    last_turn: int = 0
+    last_start: int = 0
     route_missing_since: timedelta | None = None
     waiters: list[defer.Deferred[None]] = attrs.field(factory=list)
 
@@ -92,7 +92,7 @@
         """Returns the indexes of the items whose output was not decided on."""
         return [index for index in range(len(self.content.items)) if index not in self.finished]
 
-    def prepare(self) -> None:
+    def queue_unfinished(self) -> None:
         """Has all items wait whose output is not durable."""
         items = self.content.items
         self.finished = set(self.progress.finished_items)
--- a/pipitlink/router/waiting_tokens.py
+++ b/pipitlink/router/waiting_tokens.py
@@ -127,14 +127,14 @@
     def record(self, gateway: str, entries: Iterable[WaitingLot]) -> None:
         """Takes in all that a gateway reports; what it reported before and does now not has no owner that reports."""
         now = self._ctx.timers.now()
-        names = set()
+        batch_ids = set()
         for entry in entries:
-            names.add(entry.lot)
+            batch_ids.add(entry.lot)
             self.reported[entry.lot] = ReportedBatch(entry.route, entry.tokens, gateway, now)
             self.grants.pop(entry.lot, None)
             self.uncounted.pop(entry.lot, None)
         for batch_id, reported in self.reported.items():
-            if reported.gateway == gateway and batch_id not in names:
+            if reported.gateway == gateway and batch_id not in batch_ids:
                 reported.gateway, reported.reported_at = "", now
 
     def count(self, batch_id: str, route: str, tokens: int) -> None:
@@ -142,7 +142,7 @@
         self.reported[batch_id] = ReportedBatch(route, tokens, "", self._ctx.timers.now())
         del self.uncounted[batch_id]
 
-    def apply_listing(self, names: set[str], started_at: timedelta, is_complete: bool) -> None:
+    def apply_listing(self, batch_ids: set[str], started_at: timedelta, is_complete: bool) -> None:
         """Takes in a list of the open batches: which nobody has reported yet and, where it is complete, which ended.
 
         What was granted and is not reported yet counts by its grant.
@@ -150,7 +150,7 @@
         now = self._ctx.timers.now()
         granted = {batch_id for batch_id, grant in self.grants.items() if grant.valid_until > started_at}
         counted = granted.union(self.reported, self._table.batches)
-        self.uncounted = {batch_id: self.uncounted.get(batch_id, now) for batch_id in names - counted}
+        self.uncounted = {batch_id: self.uncounted.get(batch_id, now) for batch_id in batch_ids - counted}
         if not is_complete:
             return
         self.listed_at = started_at
@@ -158,7 +158,7 @@
             if self._has_lost_reporter(reported):
                 reported.gateway, reported.reported_at = "", now
             is_unreported = not reported.gateway or not reported.tokens
-            if batch_id not in names and is_unreported and started_at - reported.reported_at >= LISTING_DELAY:
+            if batch_id not in batch_ids and is_unreported and started_at - reported.reported_at >= LISTING_DELAY:
                 del self.reported[batch_id]
 
     def _has_lost_reporter(self, reported: ReportedBatch) -> bool:
--- a/tests/test_batch_capacity.py
+++ b/tests/test_batch_capacity.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from pipitlink.router.batch_capacity import MIN_STARTING, STARTING_FRACTION, BatchCapacity
+from pipitlink.router.batch_capacity import MAX_STARTING_FRACTION, MIN_STARTING_ITEMS, BatchCapacity
 from pipitlink.router.waiting_tokens import RouteBacklog
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Pool
@@ -54,13 +54,13 @@
     def test_few_items_wait_for_their_first_event_at_once(self):
         for own in (100, 50):
             self.setUp()
-            most = int(STARTING_FRACTION * 2 * SLOTS * own / 100)
+            most = int(MAX_STARTING_FRACTION * 2 * SLOTS * own / 100)
             self.assertEqual(self.available(own, 100), most)
             self.start(most, first_event=False)
             self.assertEqual(self.available(own, 100), 0)
 
     def test_a_gateway_with_little_of_the_backlog_starts_a_few_at_once(self):
-        self.assertEqual(self.available(10, 100), MIN_STARTING)
+        self.assertEqual(self.available(10, 100), MIN_STARTING_ITEMS)
 
     def test_a_batch_goes_on_by_one_item_where_live_requests_take_all(self):
         self.peers(running=SLOTS, batch=0)
