--- a/pipitlink/dialect/batches.py
+++ b/pipitlink/dialect/batches.py
@@ -19,7 +19,7 @@
 
 MAX_ITEMS = 200
 MAX_RESPONSE_BYTES = 1_000_000
-RESPONSE_FRAME_BYTES = 200
+RESPONSE_ENVELOPE_BYTES = 200
 """What a page of outputs takes beside the outputs, at most."""
 
 MAX_WAIT_MS = 60_000
@@ -173,7 +173,7 @@
     def format_outputs(self, batch: Batch, outputs: Sequence[Output], start: int) -> bytes:
         """Returns a page of outputs from a position on: at least one if there is one, within the size of a response."""
         page: list[bytes] = []
-        size = RESPONSE_FRAME_BYTES
+        size = RESPONSE_ENVELOPE_BYTES
         for output in outputs[start:]:
             text = self._format_output(batch, output)
             size += len(text) + 1
--- a/pipitlink/dialect/json_fields.py
+++ b/pipitlink/dialect/json_fields.py
@@ -29,7 +29,7 @@
 MAX_UINT32 = 2**32 - 1
 MAX_LONG = 2**63
 MAX_AMOUNT = 1e300
-MAX_TEXT = 2000
+MAX_TEXT_LENGTH = 2000
 MAX_FIELD_IN_ERROR = 100
 MS_PER_S = 1000
 
@@ -75,7 +75,7 @@
     return tuple(attrs.evolve(field, scale=MS_PER_S) if field.key in in_seconds else field for field in renamed)
 
 
-def _unique_pairs(pairs: list[tuple[str, Any]]) -> JsonObject:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> JsonObject:
     result = dict(pairs)
     if len(result) != len(pairs):
         raise ValueError("a name stands twice in one object")
@@ -101,7 +101,7 @@
     try:
         document = json.loads(
             body.decode("utf-8"),
-            object_pairs_hook=_unique_pairs,
+            object_pairs_hook=_reject_duplicate_keys,
             parse_constant=_reject_constant,
             parse_float=_finite_float,
         )
@@ -132,7 +132,7 @@
     Raises BadRequest where it is missing or anything else.
     """
     value = document.get(field)
-    if not isinstance(value, str) or not _is_text(value) or not 1 <= len(value) <= MAX_TEXT:
+    if not isinstance(value, str) or not _is_text(value) or not 1 <= len(value) <= MAX_TEXT_LENGTH:
         raise _bad_field(location + field, "must be a text that is not empty")
     return value
 
@@ -183,7 +183,12 @@
 
 
 def _checked_text(field: JsonField, value: Any, location: str) -> str:
-    if not isinstance(value, str) or not _is_text(value) or len(value) > MAX_TEXT or (field.required and not value):
+    if (
+        not isinstance(value, str)
+        or not _is_text(value)
+        or len(value) > MAX_TEXT_LENGTH
+        or (field.required and not value)
+    ):
         raise _bad_field(location, "must be a text")
     return value
 
