--- a/tests/batch_builders.py
+++ b/tests/batch_builders.py
@@ -15,7 +15,7 @@
 from pipitlink.wire.cluster_pb2 import Route
 from testbed.simulator.simulation import Simulation
 
-__all__ = ["BatchGateway", "Callers", "start_simulation", "route", "text_of"]
+__all__ = ["BatchClients", "BatchGateway", "expected_text", "route", "start_simulation"]
 
 EVENTS = 6
 
@@ -35,7 +35,7 @@
     )
 
 
-def text_of(item: str) -> str:
+def expected_text(item: str) -> str:
     return "\n".join(f"{item} event {n}" for n in range(1, EVENTS + 1))
 
 
@@ -49,8 +49,8 @@
         self.engines = EngineRegistry(ctx)
         self.loads = LoadExchange(ctx, self.engines)
         self.service = BatchService(ctx, self.engines, self.loads, self, self, lambda: self.simulation.routes)
-        self.busy = 0
-        self.places = 6
+        self.running_items = 0
+        self.slots = 6
 
     def open(self):
         self.engines.open()
@@ -62,7 +62,7 @@
         return self.service.table.batches
 
     def available(self, route, backlog):
-        return self.places - self.busy
+        return self.slots - self.running_items
 
     def submit(self, route, path, name, raw, span):
         """Hands a batch in, `span` before its deadline."""
@@ -70,7 +70,7 @@
         return self.service.submit(Submission(route, "h", path, name, raw, now + span, now))
 
     async def run(self, call):
-        self.busy += 1
+        self.running_items += 1
         simulation = self.simulation
         try:
             await self._ctx.timers.sleep(ms(simulation.rng.choice((1, 5, 40, 300))))
@@ -91,21 +91,21 @@
                     await self._ctx.timers.sleep(ms(20))
                     return ItemResult(status=status, not_run=status == 503)
             for n in range(call.last_event + 1, EVENTS + 1):
-                await self._ctx.timers.sleep(simulation.step)
-                if simulation.rng.random() < simulation.breaks:
+                await self._ctx.timers.sleep(simulation.event_interval)
+                if simulation.rng.random() < simulation.break_probability:
                     return ItemResult(status=200)
                 call.texts.append(f"{call.id} event {n}".encode())
                 call.last_event = n
             simulation.finished.append({"at": simulation.clock.seconds(), "item": call.id})
             return ItemResult(status=200, is_complete=True)
         finally:
-            self.busy -= 1
+            self.running_items -= 1
 
 
 def start_simulation(seed, gateways=3, routes=None, settle=2.0, **args):
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=gateways, placement_groups=2, **args)
-    simulation.routes = {r.name: r for r in routes or [route()]}
-    simulation.runs, simulation.finished, simulation.step, simulation.breaks = [], [], ms(40), 0.05
+    simulation.routes = {route_config.name: route_config for route_config in routes or [route()]}
+    simulation.runs, simulation.finished, simulation.event_interval, simulation.break_probability = [], [], ms(40), 0.05
     simulation.with_engines(BatchGateway, None, 0)
     simulation.start()
     simulation.ready()
@@ -113,21 +113,21 @@
     return simulation
 
 
-class Callers:
+class BatchClients:
     """Hands batches in, reads and ends them at any gateway; notes what was answered, and what of it was wrong."""
 
     def __init__(self, simulation):
         self.simulation, self.timers = simulation, simulation.timers()
-        self.over = False
+        self.stopped = False
         self.items: dict[str, list[dict]] = {}
-        self.taken: dict[str, float] = {}
-        self.refused: set[str] = set()
-        self.ended: dict[str, float] = {}
+        self.accepted: dict[str, float] = {}
+        self.rejected: set[str] = set()
+        self.cancelled: dict[str, float] = {}
         self.seen: dict[str, dict[int, dict]] = {}
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self._n = 0
 
-    def lot(self, items=6, tokens=10, path="/bulk/x", name=None):
+    def new_batch(self, items=6, tokens=10, path="/bulk/x", name=None):
         self._n += 1
         name = name or f"lot{self._n}"
         self.items[name] = [
@@ -143,103 +143,105 @@
         return name
 
     def gateway(self):
-        up = self.simulation.role("gateway", alive=True)
-        return self.simulation.rng.choice(up) if up else None
+        alive = self.simulation.role("gateway", alive=True)
+        return self.simulation.rng.choice(alive) if alive else None
 
-    async def ask(self, do, gateway=None, limit=6.0):
+    async def call(self, do, gateway=None, timeout_s=6.0):
         """(status, headers, body), with status 0 where no answer came."""
-        g = gateway or self.gateway()
-        if g is None:
+        chosen = gateway or self.gateway()
+        if chosen is None:
             return 0, {}, b""
-        start_count = g.start_count
+        start_count = chosen.start_count
         try:
-            response = await self.timers.with_timeout(secs(limit), do(g.part))
+            response = await self.timers.with_timeout(secs(timeout_s), do(chosen.part))
             return response.status, response.headers, response.body
         except (PipitlinkError, defer.CancelledError):
             return 0, {}, b""
         except RuntimeError:
-            if g.alive and g.start_count == start_count:
+            if chosen.alive and chosen.start_count == start_count:
                 raise
             return 0, {}, b""
 
-    async def hand_in(self, name, gateway=None, limit=3.0, row="bulk"):
+    async def submit_batch(self, name, gateway=None, timeout_s=3.0, route_name="bulk"):
         raw = json.dumps({"items": self.items[name]}).encode()
-        r = self.simulation.routes[row]
-        status, _, _ = await self.ask(lambda p: p.submit(r, f"/{row}/", name, raw, secs(limit)), gateway, limit + 1)
+        route_config = self.simulation.routes[route_name]
+        status, _, _ = await self.call(
+            lambda p: p.submit(route_config, f"/{route_name}/", name, raw, secs(timeout_s)), gateway, timeout_s + 1
+        )
         if status == 202:
-            self.taken.setdefault(name, self.simulation.clock.seconds())
+            self.accepted.setdefault(name, self.simulation.clock.seconds())
         return status
 
-    async def read(self, name, start=0, wait=0, gateway=None):
+    async def read(self, name, start=0, wait_ms=0, gateway=None):
         asked = self.simulation.clock.seconds()
-        status, _, body = await self.ask(
-            lambda p: p.service.reader.read_outputs(name, start, ms(wait)), gateway, 6 + wait / 1000
+        status, _, body = await self.call(
+            lambda p: p.service.reader.read_outputs(name, start, ms(wait_ms)), gateway, 6 + wait_ms / 1000
         )
         if status != 200:
-            if status in (404, 410) and asked - self.taken.get(name, asked) > 0:
-                self.wrong.append(f"{asked:.3f} {name}: {status} though it was taken")
+            if status in (404, 410) and asked - self.accepted.get(name, asked) > 0:
+                self.violations.append(f"{asked:.3f} {name}: {status} though it was taken")
             return status, None
         doc = json.loads(body)
-        self._judge(name, start, doc)
+        self._check_outputs(name, start, doc)
         return status, doc
 
-    def _judge(self, name, start, doc):
+    def _check_outputs(self, name, start, doc):
         seen = self.seen.setdefault(name, {})
         ids = [i["id"] for i in self.items[name]]
         if doc["total"] != len(ids) or doc["next"] != start + len(doc["outputs"]):
-            self.wrong.append(f"{name}: {doc['total']} items, next {doc['next']} after {start}")
+            self.violations.append(f"{name}: {doc['total']} items, next {doc['next']} after {start}")
         for n, out in enumerate(doc["outputs"], start):
             if seen.setdefault(n, out) != out:
-                self.wrong.append(f"{name}: position {n} moved")
+                self.violations.append(f"{name}: position {n} moved")
             if out["id"] not in ids or any(o["id"] == out["id"] and k != n for k, o in seen.items()):
-                self.wrong.append(f"{name}: {out['id']} is not of it, or stands there twice")
-            if out["state"] == "done" and out["text"] != text_of(out["id"]):
-                self.wrong.append(f"{name}: the text of {out['id']} is not whole: {out['text']!r}")
+                self.violations.append(f"{name}: {out['id']} is not of it, or stands there twice")
+            if out["state"] == "done" and out["text"] != expected_text(out["id"]):
+                self.violations.append(f"{name}: the text of {out['id']} is not whole: {out['text']!r}")
             path = next(i["path"] for i in self.items[name] if i["id"] == out["id"])
-            if out["state"] == "abandoned" and path.endswith("x") and name not in self.ended:
-                self.wrong.append(f"{name}: {out['id']} was abandoned without a cause")
+            if out["state"] == "abandoned" and path.endswith("x") and name not in self.cancelled:
+                self.violations.append(f"{name}: {out['id']} was abandoned without a cause")
 
-    async def body(self, name, n, gateway=None):
+    async def read_body(self, name, n, gateway=None):
         item = self.items[name][n]
-        status, _, body = await self.ask(lambda p: p.service.reader.read_item(name, item["id"]), gateway)
+        status, _, body = await self.call(lambda p: p.service.reader.read_item(name, item["id"]), gateway)
         if status == 200 and body != base64.b64decode(item["body"]):
-            self.wrong.append(f"{name}: the body of {item['id']} came back wrong")
+            self.violations.append(f"{name}: the body of {item['id']} came back wrong")
         return status
 
-    async def end(self, name, gateway=None):
-        self.ended.setdefault(name, float("inf"))
-        status, _, _ = await self.ask(lambda p: p.service.canceller.cancel(name), gateway, 10)
+    async def cancel(self, name, gateway=None):
+        self.cancelled.setdefault(name, float("inf"))
+        status, _, _ = await self.call(lambda p: p.service.canceller.cancel(name), gateway, 10)
         if status == 200:
-            self.ended[name] = min(self.ended[name], self.simulation.clock.seconds())
+            self.cancelled[name] = min(self.cancelled[name], self.simulation.clock.seconds())
         return status
 
-    def whole(self, name):
+    def read_if_complete(self, name):
         status, doc = self.simulation.do(self.read(name))
         return status == 200 and len(doc["outputs"]) == len(self.items[name]) and doc
 
-    async def hand_in_all(self):
+    async def submit_repeatedly(self):
         """Each batch again at other gateways, until it is taken or surely refused."""
         rng = self.simulation.rng
-        while not self.over:
+        while not self.stopped:
             await self.timers.sleep(ms(300 + rng.randrange(900)))
-            name, said = self.lot(2 + rng.randrange(8)), []
+            name, statuses = self.new_batch(2 + rng.randrange(8)), []
             for _ in range(4):
-                said.append(await self.hand_in(name))
-                if said[-1] == 202:
+                statuses.append(await self.submit_batch(name))
+                if statuses[-1] == 202:
                     break
-            if set(said) <= {429, 503}:
-                self.refused.add(name)
+            if set(statuses) <= {429, 503}:
+                self.rejected.add(name)
 
     async def read_some(self):
-        while not self.over:
+        while not self.stopped:
             await self.timers.sleep(ms(100 + self.simulation.rng.randrange(300)))
-            if self.taken:
-                name = self.simulation.rng.choice(list(self.taken))
+            if self.accepted:
+                name = self.simulation.rng.choice(list(self.accepted))
                 start = self.simulation.rng.choice((0, len(self.seen.get(name, ()))))
                 await self.read(name, start, self.simulation.rng.choice((0, 1000)))
 
-    async def end_some(self):
-        while not self.over:
+    async def cancel_some(self):
+        while not self.stopped:
             await self.timers.sleep(ms(2500 + self.simulation.rng.randrange(4000)))
-            if self.taken:
-                await self.end(self.simulation.rng.choice(list(self.taken)))
+            if self.accepted:
+                await self.cancel(self.simulation.rng.choice(list(self.accepted)))
--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -228,17 +228,17 @@
             simulation.do(customers.one_read(lot, gateway), 10)
 
 
-class _RecordedCallers(batch_builders.Callers):
+class _RecordedBatchClients(batch_builders.BatchClients):
     """Notes each answer, and which gateway gave it."""
 
     def __init__(self, simulation, seen):
         super().__init__(simulation)
         self._seen = seen
 
-    async def ask(self, do, gateway=None, limit=6.0):
+    async def call(self, do, gateway=None, timeout_s=6.0):
         gateway = gateway or self.gateway()
         asked = self.simulation.clock.seconds()
-        status, headers, body = await super().ask(do, gateway, limit)
+        status, headers, body = await super().call(do, gateway, timeout_s)
         name = gateway.name if gateway else ""
         self._seen.note("answer", name, asked, status, dict(headers), _error_code(status, body))
         return status, headers, body
@@ -258,22 +258,24 @@
     """Batches of the routes interface that are handed in, read and ended at any gateway, while everything fails."""
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
     simulation.routes = {"bulk": batch_builders.route()}
-    simulation.runs, simulation.finished, simulation.breaks = [], [], 0.05
-    simulation.step = batch_builders.ms(40)
+    simulation.runs, simulation.finished, simulation.break_probability = [], [], 0.05
+    simulation.event_interval = batch_builders.ms(40)
     simulation.with_engines(batch_builders.BatchGateway, None, 0)
     with _played(simulation) as (seen, network):
         simulation.run(2)
-        c = _RecordedCallers(simulation, seen)
+        c = _RecordedBatchClients(simulation, seen)
         random_faults = RandomFaults(simulation)
-        random_faults.during([c.hand_in_all(), c.hand_in_all(), c.read_some(), c.read_some(), c.end_some()], 8)
-        c.over = True
+        random_faults.during(
+            [c.submit_repeatedly(), c.submit_repeatedly(), c.read_some(), c.read_some(), c.cancel_some()], 8
+        )
+        c.stopped = True
         simulation.run(9)
-        for name in list(c.taken):
+        for name in list(c.accepted):
             for a in simulation.role("gateway"):
                 simulation.do(c.read(name, gateway=a))
-                simulation.do(c.body(name, 0, a))
+                simulation.do(c.read_body(name, 0, a))
         _note_runs(simulation, seen)
-        seen.note("wrong", c.wrong, sorted(c.refused))
+        seen.note("wrong", c.violations, sorted(c.rejected))
     return seen.lines, network.lines
 
 
--- a/tests/test_append_copies.py
+++ b/tests/test_append_copies.py
@@ -13,7 +13,7 @@
 from testbed.simulator.simulation import Simulation
 from testbed.simulator.uplink import Uplink
 from testbed.simulator.virtual_time import VirtualTime
-from tests.batch_builders import Callers, start_simulation
+from tests.batch_builders import BatchClients, start_simulation
 
 LINK_BYTES_PER_S = 15_000_000 / 8
 RECORD_BYTES = 190_000
@@ -293,28 +293,28 @@
         simulation = start_simulation(5, gateways=2, settings={"machine_losses": 2})
         self.addCleanup(simulation.end)
         gateway = simulation.role("gateway")[0]
-        callers = Callers(simulation)
-        name = callers.lot(items=140, path="/bulk/" + "x" * 1_300)
+        clients = BatchClients(simulation)
+        name = clients.new_batch(items=140, path="/bulk/" + "x" * 1_300)
         gateway.uplink = Uplink(simulation.clock, LINK_BYTES_PER_S)
         started_at, answers = simulation.clock.seconds(), []
-        spawn(callers.hand_in(name, gateway)).addBoth(answers.append)
+        spawn(clients.submit_batch(name, gateway)).addBoth(answers.append)
         simulation.until(lambda: answers, 5, "the batch is acknowledged")
-        self.assertIn(name, callers.taken)
+        self.assertIn(name, clients.accepted)
         self.assertLess(simulation.clock.seconds() - started_at, seconds_for(1, 140 * 1_400) + ROUND_TRIPS_S)
 
     def test_a_batch_is_acknowledged_before_its_items_are_started_and_its_log_is_cached(self):
         simulation = start_simulation(5, gateways=3)
         self.addCleanup(simulation.end)
         gateway = simulation.role("gateway")[0]
-        gateway.part.places = 200
-        callers = Callers(simulation)
-        name = callers.lot(items=140, path="/bulk/" + "x" * 1_300)
+        gateway.part.slots = 200
+        clients = BatchClients(simulation)
+        name = clients.new_batch(items=140, path="/bulk/" + "x" * 1_300)
         cache_writes = []
         simulation.watch_calls = lambda sender, method: method == "cache.put" and cache_writes.append(sender.name)
         at_answer = []
 
         async def submit():
-            await callers.hand_in(name, gateway)
+            await clients.submit_batch(name, gateway)
             at_answer.append((len(gateway.part.batches[name].running), len(cache_writes)))
 
         spawn(submit())
--- a/tests/test_batch_timings.py
+++ b/tests/test_batch_timings.py
@@ -7,7 +7,7 @@
 from pipitlink.router.phase_timings import PhaseTimings
 from pipitlink.timers import Timers, ms
 from testbed.simulator.virtual_time import VirtualTime
-from tests.batch_builders import Callers, start_simulation
+from tests.batch_builders import BatchClients, start_simulation
 
 INTAKE_MS = ("receive_ms", "parse_ms", "reserve_ms", "acquire_ms", "append_ms", "total_ms")
 ITEM_MS = ("waiting_ms", "first_event_ms", "running_ms", "append_ms")
@@ -55,9 +55,9 @@
     def test_an_owner_logs_the_phases_of_a_batch_and_of_its_items(self):
         simulation = start_simulation(3)
         self.addCleanup(simulation.end)
-        simulation.breaks = 0
-        callers = Callers(simulation)
-        simulation.do(callers.hand_in(callers.lot(items=3)))
+        simulation.break_probability = 0
+        clients = BatchClients(simulation)
+        simulation.do(clients.submit_batch(clients.new_batch(items=3)))
         simulation.until(
             lambda: any("event=batch_closed" in line for line in simulation.sink.lines), 10, "the batch ends"
         )
--- a/tests/test_batches_faults.py
+++ b/tests/test_batches_faults.py
@@ -4,7 +4,7 @@
 
 from testbed.simulator.random_faults import RandomFaults, seeds
 
-from .batch_builders import Callers, start_simulation
+from .batch_builders import BatchClients, start_simulation
 
 SEEDS = seeds(5)
 CANCEL = 3.0
@@ -14,40 +14,60 @@
     def run_seed(self, seed, **args):
         simulation = start_simulation(seed, gateways=4)
         self.addCleanup(simulation.end)
-        c = Callers(simulation)
+        clients = BatchClients(simulation)
         random_faults = RandomFaults(simulation, **args)
-        random_faults.during([c.hand_in_all(), c.hand_in_all(), c.read_some(), c.read_some(), c.end_some()], 10)
-        c.over = True
+        random_faults.during(
+            [
+                clients.submit_repeatedly(),
+                clients.submit_repeatedly(),
+                clients.read_some(),
+                clients.read_some(),
+                clients.cancel_some(),
+            ],
+            10,
+        )
+        clients.stopped = True
         simulation.run(9)
-        for name in c.taken:
-            if name not in c.ended:
+        for name in clients.accepted:
+            if name not in clients.cancelled:
                 try:
-                    simulation.until(lambda: c.whole(name), 60, f"{name} is whole: {random_faults.injected}")
+                    simulation.until(
+                        lambda: clients.read_if_complete(name), 60, f"{name} is whole: {random_faults.injected}"
+                    )
                 except AssertionError as e:
-                    raise AssertionError(f"{e}\n{self.known(simulation, name)}") from None
-        for name in c.ended:
-            simulation.until(lambda: simulation.do(c.end(name), 12) in (200, 404), 30, f"{name} is ended")
-        for a in simulation.role("gateway"):
-            for name in c.taken:
-                status, doc = simulation.do(c.read(name, gateway=a))
-                self.assertEqual(status, 200, f"seed {seed} {name} at {a.name}")
-                missed = [n for n in c.seen[name] if n >= len(doc["outputs"])]
-                self.assertEqual(missed, [], f"seed {seed}: {name} at {a.name} no longer shows what was read")
-                self.assertEqual(simulation.do(c.body(name, 0, a)), 200)
-        self.assertEqual(c.wrong, [], f"seed {seed}: {random_faults.injected}")
+                    raise AssertionError(f"{e}\n{self.describe_state(simulation, name)}") from None
+        for name in clients.cancelled:
+            simulation.until(lambda: simulation.do(clients.cancel(name), 12) in (200, 404), 30, f"{name} is ended")
+        for node in simulation.role("gateway"):
+            for name in clients.accepted:
+                status, doc = simulation.do(clients.read(name, gateway=node))
+                self.assertEqual(status, 200, f"seed {seed} {name} at {node.name}")
+                missed = [n for n in clients.seen[name] if n >= len(doc["outputs"])]
+                self.assertEqual(missed, [], f"seed {seed}: {name} at {node.name} no longer shows what was read")
+                self.assertEqual(simulation.do(clients.read_body(name, 0, node)), 200)
+        self.assertEqual(clients.violations, [], f"seed {seed}: {random_faults.injected}")
         ran = {r["item"].partition("i")[0] for r in simulation.runs}
-        self.assertEqual(ran & c.refused, set(), f"seed {seed}: refused at every try, and run")
-        late = [r for r in simulation.runs if r["at"] > c.ended.get(r["item"].partition("i")[0], float("inf")) + CANCEL]
+        self.assertEqual(ran & clients.rejected, set(), f"seed {seed}: refused at every try, and run")
+        late = [
+            r
+            for r in simulation.runs
+            if r["at"] > clients.cancelled.get(r["item"].partition("i")[0], float("inf")) + CANCEL
+        ]
         self.assertEqual(late, [], f"seed {seed}: run after their end: {random_faults.injected}")
-        whole = sum(name not in c.ended for name in c.taken)
-        return len(c.taken), whole, len(simulation.runs), sum(len(c.items[n]) for n in c.taken)
+        completed = sum(name not in clients.cancelled for name in clients.accepted)
+        return (
+            len(clients.accepted),
+            completed,
+            len(simulation.runs),
+            sum(len(clients.items[n]) for n in clients.accepted),
+        )
 
-    def known(self, simulation, name):
-        out = [
+    def describe_state(self, simulation, name):
+        states = [
             (
-                a.name,
-                a.node,
-                (o := a.part.batches.get(name))
+                node.name,
+                node.node,
+                (o := node.part.batches.get(name))
                 and (
                     o.leaseholder.epoch,
                     o.leaseholder.lost,
@@ -62,14 +82,14 @@
                     len(o.pending_outputs),
                 ),
             )
-            for a in simulation.role("gateway")
+            for node in simulation.role("gateway")
         ]
-        return "\n".join(map(str, out)) + "\n" + "\n".join(x for x in simulation.sink.lines if name in x)[-4000:]
+        return "\n".join(map(str, states)) + "\n" + "\n".join(x for x in simulation.sink.lines if name in x)[-4000:]
 
     def test_batches_hold_under_trouble(self):
         done = [self.run_seed(s) for s in SEEDS]
         self.assertGreater(sum(taken for taken, *_ in done), 5 * len(done))
-        self.assertGreater(sum(whole for _, whole, *_ in done), 3 * len(done))
+        self.assertGreater(sum(completed for _, completed, *_ in done), 3 * len(done))
 
     def test_batches_hold_while_gateways_come_and_go(self):
         for s in SEEDS:
--- a/tests/test_batches_formats.py
+++ b/tests/test_batches_formats.py
@@ -23,26 +23,26 @@
 
 
 class _Format:
-    def call(self, method, path, headers=None, **query):
+    def parse_request(self, method, path, headers=None, **query):
         return self.batch_format.parse_batch_request(method, path, query, (headers or {}).get)
 
     def item(self, **changes):
-        out = {"id": "a1", "path": "/p/1", "headers": {"M": "m"}, "body": "q83vEjRWeJA=", self.tokens: 940}
-        out.update(changes)
-        return {k: v for k, v in out.items() if v is not ...}
+        item = {"id": "a1", "path": "/p/1", "headers": {"M": "m"}, "body": "q83vEjRWeJA=", self.tokens: 940}
+        item.update(changes)
+        return {k: v for k, v in item.items() if v is not ...}
 
-    def read(self, *items):
+    def parse_batch(self, *items):
         return self.batch_format.parse_batch(json.dumps({self.items: list(items)}).encode())
 
-    def test_a_lot_is_read_as_it_was_sent(self):
-        lot = self.read(self.item(), self.item(id="a2", body=""))
-        one = lot.items[0]
-        self.assertEqual((one.id, one.path, one.tokens), ("a1", "/p/1", 940))
-        self.assertEqual(one.body, base64.b64decode("q83vEjRWeJA="))
-        self.assertEqual([(h.name, h.value) for h in one.headers], [("M", "m")])
-        self.assertEqual(len(self.read(*(self.item(id=f"i{n}") for n in range(200))).items), 200)
+    def test_a_batch_is_parsed_as_it_was_sent(self):
+        batch = self.parse_batch(self.item(), self.item(id="a2", body=""))
+        first = batch.items[0]
+        self.assertEqual((first.id, first.path, first.tokens), ("a1", "/p/1", 940))
+        self.assertEqual(first.body, base64.b64decode("q83vEjRWeJA="))
+        self.assertEqual([(h.name, h.value) for h in first.headers], [("M", "m")])
+        self.assertEqual(len(self.parse_batch(*(self.item(id=f"i{n}") for n in range(200))).items), 200)
 
-    def test_a_lot_that_is_not_as_it_must_be_is_refused(self):
+    def test_a_malformed_batch_is_refused(self):
         for raw in (
             b"",
             b"[]",
@@ -80,23 +80,23 @@
             {self.tokens: 2**60},
         ):
             with self.assertRaises(BadRequest, msg=changes):
-                self.read(self.item(id="b1"), self.item(**changes))
+                self.parse_batch(self.item(id="b1"), self.item(**changes))
         with self.assertRaises(BadRequest):
-            self.read(self.item(), self.item())
+            self.parse_batch(self.item(), self.item())
         with self.assertRaises(BadRequest):
-            self.read(*(self.item(id=f"i{n}") for n in range(201)))
+            self.parse_batch(*(self.item(id=f"i{n}") for n in range(201)))
         with self.assertRaises(BadRequest):
-            self.read("x")
+            self.parse_batch("x")
 
     def test_an_answer_holds_at_least_one_output_and_a_megabyte_at_most(self):
-        lot = self.read(*(self.item(id=f"i{n}") for n in range(6)))
+        batch = self.parse_batch(*(self.item(id=f"i{n}") for n in range(6)))
         outputs = [
             Output(item=n, state="done", text=b"x" * size)
             for n, size in enumerate((10, 1_500_000, 600_000, 300_000, 300_000))
         ]
         shown, start = [], 0
         while start < len(outputs):
-            raw = self.batch_format.format_outputs(lot, outputs, start)
+            raw = self.batch_format.format_outputs(batch, outputs, start)
             doc = json.loads(raw)
             self.assertEqual(doc[self.total], 6)
             self.assertGreater(doc[self.next], start)
@@ -105,7 +105,8 @@
             start = doc[self.next]
         self.assertEqual(shown, [["i0"], ["i1"], ["i2", "i3"], ["i4"]])
         self.assertEqual(
-            json.loads(self.batch_format.format_outputs(lot, outputs, 9)), {self.total: 6, self.next: 9, "outputs": []}
+            json.loads(self.batch_format.format_outputs(batch, outputs, 9)),
+            {self.total: 6, self.next: 9, "outputs": []},
         )
 
 
@@ -115,11 +116,11 @@
 
     def test_calls(self):
         self.assertEqual(
-            self.call(b"GET", "/v1/batches/a1/outputs", {"x-poll-wait-ms": "250"}, **{"from": "3"}),
+            self.parse_request(b"GET", "/v1/batches/a1/outputs", {"x-poll-wait-ms": "250"}, **{"from": "3"}),
             ReadOutputs("a1", start=3, wait=timedelta(milliseconds=250)),
         )
-        self.assertEqual(self.call(b"GET", "/v1/batches/a1/items/b2"), ReadItem("a1", "b2"))
-        self.assertEqual(self.call(b"DELETE", "/v1/batches/a1"), CancelBatch("a1"))
+        self.assertEqual(self.parse_request(b"GET", "/v1/batches/a1/items/b2"), ReadItem("a1", "b2"))
+        self.assertEqual(self.parse_request(b"DELETE", "/v1/batches/a1"), CancelBatch("a1"))
         for method, path in (
             (b"POST", "/v1/batches/a1"),
             (b"GET", "/v1/batches/a1"),
@@ -128,13 +129,13 @@
             (b"DELETE", "/v1/batches/a1/outputs"),
             (b"GET", "/"),
         ):
-            self.assertIsNone(self.call(method, path), path)
+            self.assertIsNone(self.parse_request(method, path), path)
 
     def test_an_output(self):
-        lot = self.read(self.item(), self.item(id="a2"))
+        batch = self.parse_batch(self.item(), self.item(id="a2"))
         doc = json.loads(
             self.batch_format.format_outputs(
-                lot, [Output(item=1, state="done", text="é\nb".encode()), Output(item=0, state="abandoned")], 0
+                batch, [Output(item=1, state="done", text="é\nb".encode()), Output(item=0, state="abandoned")], 0
             )
         )
         self.assertEqual(
@@ -156,12 +157,12 @@
 
     def test_calls(self):
         self.assertEqual(
-            self.call(b"GET", "/lots/7c41", {"pipitlink-poll-wait-ms": "1000"}, last_seen="12"),
+            self.parse_request(b"GET", "/lots/7c41", {"pipitlink-poll-wait-ms": "1000"}, last_seen="12"),
             ReadOutputs("7c41", start=12, wait=timedelta(seconds=1)),
         )
-        self.assertEqual(self.call(b"GET", "/lots/7c41"), ReadOutputs("7c41", start=0, wait=timedelta(0)))
-        self.assertEqual(self.call(b"GET", "/items/7c41", id="e5"), ReadItem("7c41", "e5"))
-        self.assertEqual(self.call(b"DELETE", "/lots/7c41"), CancelBatch("7c41"))
+        self.assertEqual(self.parse_request(b"GET", "/lots/7c41"), ReadOutputs("7c41", start=0, wait=timedelta(0)))
+        self.assertEqual(self.parse_request(b"GET", "/items/7c41", id="e5"), ReadItem("7c41", "e5"))
+        self.assertEqual(self.parse_request(b"DELETE", "/lots/7c41"), CancelBatch("7c41"))
         for method, path in (
             (b"POST", "/lots/7c41"),
             (b"GET", "/lots"),
@@ -171,18 +172,18 @@
             (b"GET", "/x/7c41"),
             (b"GET", "x/lots/a"),
         ):
-            self.assertIsNone(self.call(method, path), path)
+            self.assertIsNone(self.parse_request(method, path), path)
         for bad in ("-1", "x", "1.5", "9" * 20):
             with self.assertRaises(BadRequest):
-                self.call(b"GET", "/lots/7c41", last_seen=bad)
+                self.parse_request(b"GET", "/lots/7c41", last_seen=bad)
             with self.assertRaises(BadRequest):
-                self.call(b"GET", "/lots/7c41", {"pipitlink-poll-wait-ms": bad})
+                self.parse_request(b"GET", "/lots/7c41", {"pipitlink-poll-wait-ms": bad})
 
     def test_an_output(self):
-        lot = self.read(self.item(), self.item(id="a2"))
+        batch = self.parse_batch(self.item(), self.item(id="a2"))
         doc = json.loads(
             self.batch_format.format_outputs(
-                lot, [Output(item=1, state="done", text=b"a\nb"), Output(item=0, state="abandoned")], 0
+                batch, [Output(item=1, state="done", text=b"a\nb"), Output(item=0, state="abandoned")], 0
             )
         )
         self.assertEqual(
--- a/tests/test_simulated_cache.py
+++ b/tests/test_simulated_cache.py
@@ -14,22 +14,22 @@
 from testbed.simulator.simulation import Simulation
 
 
-class _Held:
+class _FakeLog:
     def __init__(self):
         self.data, self.committed, self.lost = bytearray(), 0, ""
-        self._do = None
+        self._callback = None
 
-    def watch(self, do):
-        self._do = do
+    def watch(self, callback):
+        self._callback = callback
 
     def grow(self, n: int):
         start = len(self.data)
         self.data += bytes((start + i) % 251 for i in range(n))
         self.committed = len(self.data)
-        self._do(self)
+        self._callback(self)
 
 
-class _Cache:
+class _FakeCache:
     """Takes chunk writes and holds each until the test lets it through."""
 
     def __init__(self):
@@ -41,9 +41,9 @@
         self.waiting.append((chunks, d))
         return d
 
-    def let(self, i: int, took: bool = True):
+    def complete_write(self, i: int, is_stored: bool = True):
         chunks, d = self.waiting.pop(i)
-        d.callback(set(chunks) if took else set())
+        d.callback(set(chunks) if is_stored else set())
 
     async def store_lengths(self, lengths):
         for one in lengths.values():
@@ -52,7 +52,7 @@
             self.durable = max(self.durable, one.durable)
 
 
-class _Ctx:
+class _FakeContext:
     def __init__(self):
         self.clock = Clock()
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
@@ -65,12 +65,12 @@
 
 class ChunkOrder(unittest.TestCase):
     def setUp(self):
-        self.ctx, self.cache, self.held = _Ctx(), _Cache(), _Held()
-        self.writer = LogCacheWriter(self.ctx, self.cache, "log", self.held)
+        self.ctx, self.cache, self.log = _FakeContext(), _FakeCache(), _FakeLog()
+        self.writer = LogCacheWriter(self.ctx, self.cache, "log", self.log)
 
     def grow(self, n):
         """Commits so many bytes more, and lets the cache come behind."""
-        self.held.grow(n)
+        self.log.grow(n)
         self.ctx.clock.advance(WRITE_DELAY.total_seconds())
 
     def number(self, i):
@@ -84,8 +84,8 @@
                 chunks, _ = self.cache.waiting[0]
                 n = self.number(0)
                 data = chunks[chunk_key("log", n)]
-                self.assertEqual(data, bytes(self.held.data[n * CHUNK_BYTES : n * CHUNK_BYTES + len(data)]))
-                self.cache.let(0)
+                self.assertEqual(data, bytes(self.log.data[n * CHUNK_BYTES : n * CHUNK_BYTES + len(data)]))
+                self.cache.complete_write(0)
         self.assertEqual(self.cache.cached, 14100)
 
     def test_writes_of_a_partial_chunk_wait_for_one_another(self):
@@ -93,10 +93,10 @@
         self.grow(100)
         self.grow(100)
         self.assertEqual(len(self.cache.waiting), 1)
-        self.cache.let(0)
+        self.cache.complete_write(0)
         self.assertEqual(len(self.cache.waiting), 1)
         self.assertEqual(len(next(iter(self.cache.waiting[0][0].values()))), 300)
-        self.cache.let(0)
+        self.cache.complete_write(0)
         self.assertEqual((self.cache.waiting, self.cache.cached), ([], 300))
 
     def test_the_cached_length_waits_for_every_chunk_below_it(self):
@@ -106,22 +106,22 @@
         order = [self.number(i) for i in range(6)]
         lowest = order.index(0)
         for i in reversed([i for i in range(6) if i != lowest]):
-            self.cache.let(i)
+            self.cache.complete_write(i)
             self.assertEqual(self.cache.cached, 0)
-        self.cache.let(0)
+        self.cache.complete_write(0)
         self.assertEqual((self.cache.cached, self.cache.durable), (5 * CHUNK_BYTES + 10, 5 * CHUNK_BYTES + 10))
 
     def test_a_write_that_too_few_replicas_took_is_made_again(self):
         self.grow(10)
-        self.cache.let(0, took=False)
+        self.cache.complete_write(0, is_stored=False)
         self.assertEqual(self.cache.cached, 0)
         self.ctx.clock.advance(1)
-        self.cache.let(0)
+        self.cache.complete_write(0)
         self.assertEqual(self.cache.cached, 10)
 
     def test_nothing_is_written_in_the_turn_of_a_commit_and_commits_that_follow_share_a_write(self):
         for _ in range(3):
-            self.held.grow(100)
+            self.log.grow(100)
             self.assertEqual(self.cache.waiting, [])
         self.ctx.clock.advance(WRITE_DELAY.total_seconds())
         self.assertEqual([len(data) for chunks, _ in self.cache.waiting for data in chunks.values()], [300])
@@ -198,10 +198,10 @@
         self.write(records)
         self.simulation.run(0.5)
         ctx = self.others[0].ctx
-        got, took = self.read(ctx, 40)
+        got, duration_s = self.read(ctx, 40)
         self.assertEqual(got, records)
         self.assertEqual((ctx.cache.counts["durable"], ctx.cache.counts["relaxed"] > 10), (0, True))
-        self.assertLess(took, 0.3)
+        self.assertLess(duration_s, 0.3)
 
     def test_with_every_cache_gone_reads_are_slower_and_still_right(self):
         records = [f"{n}".encode() * 700 for n in range(40)]
@@ -212,10 +212,10 @@
             a.ctx.cache.chunks._chunks.clear()
             a.ctx.cache.lengths._lengths.clear()
         ctx = self.others[0].ctx
-        got, took = self.read(ctx, 40)
+        got, duration_s = self.read(ctx, 40)
         self.assertEqual(got, records)
         self.assertGreater(ctx.cache.counts["durable"], 10)
-        self.assertLess(took, 1.0)
+        self.assertLess(duration_s, 1.0)
 
     def test_missing_chunks_come_in_one_span_and_a_lost_replica_costs_no_durable_read(self):
         records = [f"{n}".encode() * 700 for n in range(40)]
--- a/tests/test_simulated_disk_lost.py
+++ b/tests/test_simulated_disk_lost.py
@@ -6,7 +6,7 @@
 
 from testbed.simulator.random_faults import seeds
 
-from .batch_builders import Callers, start_simulation
+from .batch_builders import BatchClients, start_simulation
 
 SEEDS = seeds(3)
 
@@ -22,8 +22,8 @@
                     20,
                     "names are in the cluster state",
                 )
-                c = Callers(simulation)
-                simulation.breaks, simulation.step = 0, simulation.step * 5
+                clients = BatchClients(simulation)
+                simulation.break_probability, simulation.event_interval = 0, simulation.event_interval * 5
                 for a in simulation.simulated_nodes.values():
                     a.kill(power=True)
                 lost = simulation.role("storage")[seed % 3]
@@ -35,9 +35,9 @@
                 simulation.until(
                     lambda: all(a.ctx.cluster.ready() for a in simulation.role("gateway", alive=True)), 10, "ready"
                 )
-                names = [c.lot(8) for _ in range(6)]
+                names = [clients.new_batch(8) for _ in range(6)]
                 for name in names:
-                    self.assertEqual(simulation.do(c.hand_in(name)), 202)
+                    self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
                 simulation.until(
                     lambda: (
                         not any(
@@ -48,10 +48,10 @@
                     6,
                     "no placement group counts on the lost storage node",
                 )
-                simulation.until(lambda: all(c.whole(n) for n in names), 40, "all is listed")
+                simulation.until(lambda: all(clients.read_if_complete(n) for n in names), 40, "all is listed")
                 ran_out = [x for x in simulation.sink.lines if "lease_lost" in x and "ran out" in x]
                 self.assertEqual(ran_out, [])
-                self.assertEqual(c.wrong, [])
+                self.assertEqual(clients.violations, [])
 
     def _leader(self, simulation):
         return simulation.until(simulation.leader, 5, "a leader").part
--- a/tests/test_simulated_large.py
+++ b/tests/test_simulated_large.py
@@ -6,7 +6,7 @@
 from pipitlink.timers import ms
 from testbed.simulator.simulation import Simulation
 
-from .batch_builders import Callers, start_simulation
+from .batch_builders import BatchClients, start_simulation
 
 SPAN = 8
 GATEWAYS = 48
@@ -24,48 +24,50 @@
     def test_a_dead_node_is_gone_at_every_node_in_time(self):
         """It took 1.9 to 4.1 s over 4 seeds; in the simulation all probe at the same moments, which spreads it most."""
         for seed in range(3):
-            s = Simulation(seed, controllers=3, storage_nodes=5, gateways=GATEWAYS)
-            self.addCleanup(s.end)
-            s.start()
-            s.ready(60)
-            s.run(6)
-            dead = [s.simulated_nodes["storage1"], s.simulated_nodes["gateway7"]]
-            for a in dead:
-                a.kill()
-            rest = [a for a in s.simulated_nodes.values() if a.alive]
-            s.until(
-                lambda: all(a.ctx.membership.status(d.node) == "gone" for a in rest for d in dead), 4, "they are gone"
+            simulation = Simulation(seed, controllers=3, storage_nodes=5, gateways=GATEWAYS)
+            self.addCleanup(simulation.end)
+            simulation.start()
+            simulation.ready(60)
+            simulation.run(6)
+            dead = [simulation.simulated_nodes["storage1"], simulation.simulated_nodes["gateway7"]]
+            for node in dead:
+                node.kill()
+            rest = [node for node in simulation.simulated_nodes.values() if node.alive]
+            simulation.until(
+                lambda: all(node.ctx.membership.status(d.node) == "gone" for node in rest for d in dead),
+                4,
+                "they are gone",
             )
 
     def test_a_nodes_messages_at_rest(self):
-        s = Simulation(5, controllers=3, storage_nodes=5, gateways=GATEWAYS)
-        self.addCleanup(s.end)
-        s.start()
-        s.ready(60)
-        s.run(12)
-        c = self.count(s)
+        simulation = Simulation(5, controllers=3, storage_nodes=5, gateways=GATEWAYS)
+        self.addCleanup(simulation.end)
+        simulation.start()
+        simulation.ready(60)
+        simulation.run(12)
+        rates = self.count(simulation)
         for role in ("controller", "storage", "gateway"):
-            self.assertLessEqual(c[role, "membership.probe"], 2.6, role)
-        self.assertLessEqual(c["gateway", "controller.follow"], 2.0)
-        self.assertLessEqual(sum(n for (role, _), n in c.items() if role == "gateway"), 4.8)
+            self.assertLessEqual(rates[role, "membership.probe"], 2.6, role)
+        self.assertLessEqual(rates["gateway", "controller.follow"], 2.0)
+        self.assertLessEqual(sum(n for (role, _), n in rates.items() if role == "gateway"), 4.8)
 
     def test_open_batches_are_listed_as_often_by_all_together_and_what_is_left_over_is_taken_up(self):
-        s = start_simulation(6, gateways=GATEWAYS, settle=14.0)
-        self.addCleanup(s.end)
-        s.step = ms(3000)
-        callers = Callers(s)
-        name = callers.lot(6)
-        self.assertEqual(s.do(callers.hand_in(name)), 202)
-        s.run(1)
-        depots = len(s.role("storage"))
-        self.assertLessEqual(self.count(s)["gateway", "replicated_log.list"], depots / 3 + 0.1)
-        owner = next(a for a in s.role("gateway") if name in a.part.batches)
+        simulation = start_simulation(6, gateways=GATEWAYS, settle=14.0)
+        self.addCleanup(simulation.end)
+        simulation.event_interval = ms(3000)
+        clients = BatchClients(simulation)
+        name = clients.new_batch(6)
+        self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
+        simulation.run(1)
+        storage_nodes = len(simulation.role("storage"))
+        self.assertLessEqual(self.count(simulation)["gateway", "replicated_log.list"], storage_nodes / 3 + 0.1)
+        owner = next(node for node in simulation.role("gateway") if name in node.part.batches)
         owner.kill()
 
         def taken_up():
-            return any(name in a.part.batches for a in s.role("gateway", alive=True))
+            return any(name in node.part.batches for node in simulation.role("gateway", alive=True))
 
-        s.until(taken_up, 8, "another gateway has it")
+        simulation.until(taken_up, 8, "another gateway has it")
 
 
 if __name__ == "__main__":
--- a/tests/test_uncached_records.py
+++ b/tests/test_uncached_records.py
@@ -7,7 +7,7 @@
 from pipitlink.disk import encode_frame
 from pipitlink.router.batch_progress import batch_log
 
-from .batch_builders import Callers, start_simulation
+from .batch_builders import BatchClients, start_simulation
 
 
 class Scanning(unittest.TestCase):
@@ -35,11 +35,11 @@
     def test_chunks_of_bodies_are_not_written_and_bodies_and_outputs_are_read_all_the_same(self):
         simulation = start_simulation(3, gateways=4)
         self.addCleanup(simulation.end)
-        callers = Callers(simulation)
+        clients = BatchClients(simulation)
         owner, reader = simulation.role("gateway")[:2]
-        name = callers.lot(items=20, path="/bulk/" + "x" * 2000)
-        self.assertEqual(simulation.do(callers.hand_in(name, owner)), 202)
-        simulation.until(lambda: callers.whole(name), 30, "all is listed")
+        name = clients.new_batch(items=20, path="/bulk/" + "x" * 2000)
+        self.assertEqual(simulation.do(clients.submit_batch(name, owner)), 202)
+        simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
         simulation.run(1)
         leaseholder_data = 20 * 2000
         cached = [
@@ -51,9 +51,9 @@
             )
         ]
         self.assertEqual(cached, [0], "chunks inside of the bodies that some gateway has")
-        self.assertEqual(simulation.do(callers.body(name, 19, reader)), 200)
-        status, _ = simulation.do(callers.read(name, 0, 0, reader))
-        self.assertEqual((status, callers.wrong), (200, []))
+        self.assertEqual(simulation.do(clients.read_body(name, 19, reader)), 200)
+        status, _ = simulation.do(clients.read(name, 0, 0, reader))
+        self.assertEqual((status, clients.violations), (200, []))
 
 
 if __name__ == "__main__":
