--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -9,7 +9,7 @@
 from ..disk import FRAME_HEADER_BYTES, decode_frames
 from ..errors import CorruptData
 from ..timers import ms, secs
-from .chunks import CHUNK, chunk_key
+from .chunks import CHUNK_BYTES, chunk_key
 from .hedged_read import HedgedRead
 
 if TYPE_CHECKING:
@@ -17,9 +17,9 @@
 
 __all__ = ["Tail"]
 
-MAX_READ_BYTES = 64 * CHUNK
+MAX_READ_BYTES = 64 * CHUNK_BYTES
 MAX_RECORD_BYTES = 72 * 1024 * 1024
-DEFAULT_LIMIT = secs(1)
+DEFAULT_MAX_LAG = secs(1)
 # A reader postpones reads of durable bytes for its limit divided by these: without progress of the cache, and in all.
 POSTPONE_IDLE_DIVISOR = 5
 POSTPONE_DIVISOR = 2
@@ -31,12 +31,12 @@
     `position` is up to where the log has been read, `lengths` what is known of its lengths.
     """
 
-    def __init__(self, ctx: Context, cache: Cache, path: str, limit: timedelta | None) -> None:
+    def __init__(self, ctx: Context, cache: Cache, path: str, max_lag: timedelta | None) -> None:
         self._ctx = ctx
         self._cache = cache
         self.path = path
-        self._limit = limit or DEFAULT_LIMIT
-        self.lengths = cache.poller.join(path)
+        self._max_lag = max_lag or DEFAULT_MAX_LAG
+        self.lengths = cache.poller.add_reader(path)
         self.position = 0
         self._partial = bytearray()
         self._bytes_per_s = ctx.settings.reader_kb_s * 1024
@@ -51,14 +51,14 @@
         """Lets the log's lengths no longer be polled until `resume`."""
         if not self._is_paused:
             self._is_paused = True
-            self._cache.poller.leave(self.path)
+            self._cache.poller.remove_reader(self.path)
 
     def resume(self) -> None:
         """Has the log's lengths polled again after `pause`."""
         if self._is_paused:
             self._is_paused = False
-            before, self.lengths = self.lengths, self._cache.poller.join(self.path)
-            self._cache.poller.restore(self.lengths, before)
+            before, self.lengths = self.lengths, self._cache.poller.add_reader(self.path)
+            self._cache.poller.restore_lengths(self.lengths, before)
 
     def readable_end(self) -> int:
         """Returns up to where the log can be read now, at least `position`."""
@@ -100,7 +100,7 @@
 
         Raises CorruptData where none is there.
         """
-        await self._keep_rate(end - start)
+        await self._throttle(end - start)
         for _, payload, frame_end in decode_frames(await self._cache.read_durable(self.path, start, end - start)):
             if frame_end == end - start:
                 return bytes(payload)
@@ -112,37 +112,39 @@
         if end <= self.position:
             return []
         end = min(end, self.position + min(max_bytes, MAX_READ_BYTES))
-        await self._keep_rate(end - self.position)
+        await self._throttle(end - self.position)
         self._partial += await self.read(self.position, end)
         self.position = end
-        return self._take_records()
+        return self._extract_records()
 
     async def wait_for_growth(self) -> None:
         """Waits until there may be more to read."""
         settings = self._ctx.settings
         if self.lengths.durable > self.position and self.lengths.cached <= self.position:
-            with self._cache.poller.waiting(self.lengths):
+            with self._cache.poller.polling_fast(self.lengths):
                 await self._cache.poller.wait_for_growth(ms(settings.poll_ms))
         else:
             await self._cache.poller.wait_for_growth(ms(settings.durable_poll_ms))
 
     async def read(self, start: int, end: int) -> bytes:
         """Returns the log's bytes from `start` to `end`, which must be durable."""
-        numbers = range(start // CHUNK, (end - 1) // CHUNK + 1)
+        numbers = range(start // CHUNK_BYTES, (end - 1) // CHUNK_BYTES + 1)
         keys = {number: chunk_key(self.path, number) for number in numbers}
-        needed = {number: min(CHUNK, end - number * CHUNK) for number in numbers}
+        needed = {number: min(CHUNK_BYTES, end - number * CHUNK_BYTES) for number in numbers}
         found = await self._read_cached(keys, needed)
         missing = [number for number in numbers if len(found.get(keys[number], b"")) < needed[number]]
         durable = await self._read_missing(missing, needed) if missing else {}
         data = bytearray()
         for number in numbers:
             data += durable[number] if number in durable else found[keys[number]][: needed[number]]
-        return bytes(data[start - numbers[0] * CHUNK :])
+        return bytes(data[start - numbers[0] * CHUNK_BYTES :])
 
     async def _read_cached(self, keys: dict[int, bytes], needed: dict[int, int]) -> dict[bytes, bytes]:
         """What the cache has of the chunks, by key, which may be less than is needed of them."""
         counts = self._cache.counts
-        cached = {keys[number]: size for number, size in needed.items() if number * CHUNK + size <= self.lengths.cached}
+        cached = {
+            keys[number]: size for number, size in needed.items() if number * CHUNK_BYTES + size <= self.lengths.cached
+        }
         found = await HedgedRead(self._ctx, self._cache, cached).run()
         short = [key for key, size in cached.items() if len(found.get(key, b"")) < size]
         counts["relaxed"] += len(cached) - len(short)
@@ -155,13 +157,16 @@
 
     async def _read_missing(self, missing: list[int], needed: dict[int, int]) -> dict[int, bytes]:
         """The chunks that the cache lacks, by number, in one read from the first of them to the last."""
-        start = missing[0] * CHUNK
-        end = missing[-1] * CHUNK + needed[missing[-1]]
+        start = missing[0] * CHUNK_BYTES
+        end = missing[-1] * CHUNK_BYTES + needed[missing[-1]]
         self._cache.counts["durable"] += len(missing)
         data = await self._cache.read_durable(self.path, start, end - start)
-        return {number: data[number * CHUNK - start : number * CHUNK - start + needed[number]] for number in missing}
+        return {
+            number: data[number * CHUNK_BYTES - start : number * CHUNK_BYTES - start + needed[number]]
+            for number in missing
+        }
 
-    def _take_records(self) -> list[tuple[int, bytes]]:
+    def _extract_records(self) -> list[tuple[int, bytes]]:
         """Removes the complete records from the bytes that were read."""
         base = self.position - len(self._partial)
         records = []
@@ -182,10 +187,10 @@
         now = self._ctx.timers.now()
         uncached_since = self.lengths.uncached_since(now)
         idle = now - max(uncached_since, self.lengths.cached_at)
-        max_idle = min(ms(self._ctx.settings.postpone_ms), self._limit / POSTPONE_IDLE_DIVISOR)
-        return idle < max_idle and now - uncached_since < self._limit / POSTPONE_DIVISOR
+        max_idle = min(ms(self._ctx.settings.postpone_ms), self._max_lag / POSTPONE_IDLE_DIVISOR)
+        return idle < max_idle and now - uncached_since < self._max_lag / POSTPONE_DIVISOR
 
-    async def _keep_rate(self, size: int) -> None:
+    async def _throttle(self, size: int) -> None:
         """Waits until bytes may be read by the settings' rate of a reader."""
         now = self._ctx.timers.now()
         if self._next_read_at > now:
