--- a/pipitlink/controller/control_api.py
+++ b/pipitlink/controller/control_api.py
@@ -17,11 +17,11 @@
 from ..web import Site, http_handler, listen, send_error, send_json
 from ..wire.cluster_pb2 import Command, ConfigEdit, ZoneEdit
 from ..wire.membership_pb2 import EngineUpdate
+from .edit_fencing import EditFencing
 from .edit_requests import edit_base, edit_id, read_body
 from .edit_submission import EditSubmission
 from .engine_announcements import EngineAnnouncements
 from .engine_registry import EngineState
-from .order_fencing import OrderFencing
 from .storage_retirement import StorageRetirement
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
     """The parts of a controller that serve operators and engines."""
 
     submission: EditSubmission
-    orders: OrderFencing
+    edit_fencing: EditFencing
     retirement: StorageRetirement
     announcements: EngineAnnouncements
 
@@ -101,7 +101,7 @@
         if replace:
             _check_config(edit)
         command = Command(edit=edit_id(request, _default_edit_id(request, base, body)), config=edit)
-        outcome = await self._services.orders.submit(command)
+        outcome = await self._services.edit_fencing.submit(command)
         if outcome.code == OutcomeCode.WRONG_BASE:
             raise ApiError(
                 f"the configuration is at version {outcome.sequence}",
@@ -126,7 +126,7 @@
 
     async def _edit_zone(self, request: Request, zone: str, empty: bool) -> bytes:
         command = Command(edit=edit_id(request), zone=ZoneEdit(zone=zone, empty=empty))
-        outcome = await self._services.orders.submit(command)
+        outcome = await self._services.edit_fencing.submit(command)
         if outcome.code != OutcomeCode.DONE:
             raise ApiError(f"the edit was refused: {outcome.code}", code=outcome.code, status=422, outcome="not_run")
         return send_json(request, {"sequence": outcome.sequence, "edit": command.edit})
--- a/pipitlink/controller/order_fencing.py
+++ b/pipitlink/controller/edit_fencing.py
@@ -12,21 +12,21 @@
 from .edit_submission import EditSubmission
 from .interfaces import ConsensusView
 
-__all__ = ["CALLER_TIMEOUT", "HANG_UP_DELAY", "OrderFencing"]
+__all__ = ["CLIENT_TIMEOUT", "DISCONNECT_CHECK_DELAY", "EditFencing"]
 
-CALLER_TIMEOUT = ms(1000)
+CLIENT_TIMEOUT = ms(1000)
 """Callers wait at least this long before they send an order that got no answer to another controller."""
-HANG_UP_DELAY = ms(20)
+DISCONNECT_CHECK_DELAY = ms(20)
 """An order waits this long, so that a caller's hanging up that arrives together with it cancels it."""
-RUN_CHECK_INTERVAL = ms(200)
+PAUSE_CHECK_INTERVAL = ms(200)
 PAUSE_THRESHOLD = ms(500)
 """A process that did not run for longer than this was paused, and may read orders that have waited in a socket."""
-DRAIN_TIME = ms(500)
+SOCKET_DRAIN_TIME = ms(500)
 """How long after a pause the orders that have waited in a socket are still being read."""
-ORDER_TIMEOUT = CALLER_TIMEOUT - PAUSE_THRESHOLD - ms(100)
+SUBMISSION_TIMEOUT = CLIENT_TIMEOUT - PAUSE_THRESHOLD - ms(100)
 
 
-class OrderFencing:
+class EditFencing:
     """Fences the operators' orders, so that a copy that was delayed anywhere cannot undo a later order.
 
     It owns when this process last ran, and when it last resumed after a pause.
@@ -43,10 +43,10 @@
         """Starts the timer that notices when the process was paused."""
         self._last_ran_at = self._ctx.timers.now()
         self._ctx.timers.call_repeatedly(
-            RUN_CHECK_INTERVAL, self._record_running, self._ctx.error_reporter("run_check")
+            PAUSE_CHECK_INTERVAL, self._check_for_pause, self._ctx.error_reporter("run_check")
         )
 
-    def _record_running(self) -> None:
+    def _check_for_pause(self) -> None:
         now = self._ctx.timers.now()
         paused = now - self._last_ran_at
         if paused > PAUSE_THRESHOLD:
@@ -56,12 +56,12 @@
 
     def _has_just_resumed(self) -> bool:
         """Returns whether an order that is read now may have waited in a socket while the process was paused."""
-        self._record_running()
-        return self._resumed_at is not None and self._ctx.timers.now() - self._resumed_at < DRAIN_TIME
+        self._check_for_pause()
+        return self._resumed_at is not None and self._ctx.timers.now() - self._resumed_at < SOCKET_DRAIN_TIME
 
     def check_timely(self, arrived_at: timedelta) -> None:
         """Raises ServiceUnavailable for an order that its caller may have sent to another controller meanwhile."""
-        if self._has_just_resumed() or self._ctx.timers.now() - arrived_at > ORDER_TIMEOUT:
+        if self._has_just_resumed() or self._ctx.timers.now() - arrived_at > SUBMISSION_TIMEOUT:
             raise ServiceUnavailable(
                 "this controller was held up and did not carry the order out; send it again", code="late"
             )
@@ -73,7 +73,7 @@
         """
         arrived_at = self._ctx.timers.now()
         self.check_timely(arrived_at)
-        await self._ctx.timers.sleep(HANG_UP_DELAY)
+        await self._ctx.timers.sleep(DISCONNECT_CHECK_DELAY)
         return arrived_at
 
     async def submit(self, command: Command) -> Outcome:
--- a/pipitlink/controller/edit_submission.py
+++ b/pipitlink/controller/edit_submission.py
@@ -66,7 +66,7 @@
         return self._consensus.cluster_state.data()
 
     async def _edit_here(self, command: Command) -> Outcome:
-        return await self._delivery.edit(command, self._delivery.order_time_limit())
+        return await self._delivery.edit(command, self._delivery.operator_edit_timeout())
 
     async def newest_cluster_state(self) -> ClusterState:
         """Returns the newest committed cluster state, confirmed by the leader; never an older one.
--- a/pipitlink/controller/interfaces.py
+++ b/pipitlink/controller/interfaces.py
@@ -95,7 +95,7 @@
     def is_in_effect(self, sequence: int) -> bool:
         """Returns whether no live gateway works by a cluster state older than `sequence`."""
 
-    def order_time_limit(self) -> timedelta:
+    def operator_edit_timeout(self) -> timedelta:
         """Returns how long an operator's edit may be held."""
 
 
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -17,6 +17,7 @@
 from .control_api import ControlApi
 from .controller_client import ControllerClient
 from .durable_log import DurableLog
+from .edit_fencing import EditFencing
 from .edit_submission import EditSubmission
 from .elections import Elections
 from .engine_announcements import EngineAnnouncements
@@ -24,7 +25,6 @@
 from .load_aggregator import LoadAggregator
 from .log_receiver import LogReceiver
 from .log_replication import LogReplication
-from .order_fencing import OrderFencing
 from .placement import PlacementController
 from .placement_planner import PlacementPlanner
 from .snapshot_transfer import SnapshotManager
@@ -49,7 +49,7 @@
       while this node leads, and LogReceiver takes the leader's entries while it follows; SnapshotManager compacts the
       log.
     - StateDelivery leases the cluster state to followers, and turns a committed command into an edit in effect.
-    - EditSubmission forwards edits and reads to the leader. OrderFencing sees to it that no copy of an operator's order
+    - EditSubmission forwards edits and reads to the leader. EditFencing sees to it that no copy of an operator's order
       takes effect late. StorageRetirement, TableApi and ControlApi serve operators, at any controller.
     - EngineAnnouncements passes announcements of engines on to gateways, and LoadAggregator sums of loads; both depend
       on neither leader nor majority.
@@ -77,9 +77,9 @@
         ctx, consensus, log, delivery = self._ctx, self.consensus, self.log_replication, self.state_delivery
         storage_nodes = StorageNodeView(ctx, consensus, log)
         self.submission = EditSubmission(ctx, consensus, log, delivery, self.calls)
-        self.orders = OrderFencing(ctx, consensus, self.submission)
-        self.retirement = StorageRetirement(ctx, self.submission, self.orders, storage_nodes)
-        self.table_api = TableApi(ctx, self.submission, self.orders)
+        self.edit_fencing = EditFencing(ctx, consensus, self.submission)
+        self.retirement = StorageRetirement(ctx, self.submission, self.edit_fencing, storage_nodes)
+        self.table_api = TableApi(ctx, self.submission, self.edit_fencing)
         self.announcements = EngineAnnouncements(ctx, log)
         self.load_aggregator = LoadAggregator(ctx)
         self.placement = PlacementController(
@@ -113,7 +113,7 @@
 
     def _open_services(self) -> None:
         self.submission.open()
-        self.orders.open()
+        self.edit_fencing.open()
         self.placement.open()
         self.announcements.open()
         self.load_aggregator.open()
--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -23,8 +23,8 @@
 
 QUORUM_TIMEOUT = ms(500)
 """The state is delivered only where a majority was heard within this time."""
-EDIT_TIME_LIMIT = secs(5)
-ORDER_TIME_LIMIT = ms(900)
+EDIT_TIMEOUT = secs(5)
+OPERATOR_EDIT_TIMEOUT = ms(900)
 LEASE_MARGIN = ms(500)
 CONTACT_CHECK_INTERVAL = ms(50)
 EFFECT_CHECK_INTERVAL = ms(50)
@@ -232,12 +232,12 @@
         follower = self._followers.get(storage_node)
         return follower is not None and follower.sequence >= sequence
 
-    def order_time_limit(self) -> timedelta:
+    def operator_edit_timeout(self) -> timedelta:
         """Returns how long an operator's edit may be held: until a former leader's leases end, else 900 ms."""
         lease_end = self._replication.elected_at + LEASE_SPAN
-        return max(ORDER_TIME_LIMIT, lease_end + LEASE_MARGIN - self._ctx.timers.now())
+        return max(OPERATOR_EDIT_TIMEOUT, lease_end + LEASE_MARGIN - self._ctx.timers.now())
 
-    async def edit(self, command: Command, limit: timedelta = EDIT_TIME_LIMIT) -> Outcome:
+    async def edit(self, command: Command, limit: timedelta = EDIT_TIMEOUT) -> Outcome:
         """Proposes an edit; returns its outcome once it is committed and in effect everywhere.
 
         Where no majority was heard of late it is rejected with NotLeader, not run; where none is heard any more, its
--- a/pipitlink/controller/storage_retirement.py
+++ b/pipitlink/controller/storage_retirement.py
@@ -7,8 +7,8 @@
 from ..errors import ApiError, NotFound
 from ..timers import secs
 from ..wire.cluster_pb2 import Command, StorageNodeEdit
+from .edit_fencing import EditFencing
 from .edit_submission import EditSubmission
-from .order_fencing import OrderFencing
 from .storage_nodes import StorageNodeView, StorageStatus
 
 __all__ = ["StorageRetirement"]
@@ -21,11 +21,11 @@
     """Retires storage nodes by their ids or by their names, which outlive their processes."""
 
     def __init__(
-        self, ctx: Context, submission: EditSubmission, orders: OrderFencing, storage_nodes: StorageNodeView
+        self, ctx: Context, submission: EditSubmission, edit_fencing: EditFencing, storage_nodes: StorageNodeView
     ) -> None:
         self._ctx = ctx
         self._submission = submission
-        self._orders = orders
+        self._edit_fencing = edit_fencing
         self._storage_nodes = storage_nodes
 
     async def retire(self, name: str, edit: str) -> int:
@@ -34,14 +34,14 @@
         To ask again changes nothing. The capacity that is left is checked again where any storage node changed before
         this took effect. Raises ApiError.
         """
-        arrived_at = await self._orders.admit()
+        arrived_at = await self._edit_fencing.admit()
         while True:
             cluster_state = await self._submission.newest_cluster_state()
             serving = self._serving_nodes_named(cluster_state, name)
             if not serving:
                 return cluster_state.sequence
             self.check_capacity(cluster_state, serving[0])
-            self._orders.check_timely(arrived_at)
+            self._edit_fencing.check_timely(arrived_at)
             await self._retire_node(serving[0], f"{edit}/{serving[0]}", cluster_state.sequence)
 
     async def status(self, name: str) -> StorageStatus:
--- a/pipitlink/controller/table_api.py
+++ b/pipitlink/controller/table_api.py
@@ -12,9 +12,9 @@
 from ..errors import ApiError, BadRequest, NotFound, VersionConflict
 from ..web import http_handler, send_json
 from ..wire.cluster_pb2 import Command, TableEdit, ZoneEdit
+from .edit_fencing import EditFencing
 from .edit_requests import edit_base, edit_id, read_json_object
 from .edit_submission import EditSubmission
-from .order_fencing import OrderFencing
 from .table_rows import parse_row, parse_rows, row_to_json
 
 __all__ = ["TableApi"]
@@ -27,10 +27,10 @@
 class TableApi:
     """HTTP handlers for the weight table, zones and storage nodes, the same at every controller."""
 
-    def __init__(self, ctx: Context, submission: EditSubmission, orders: OrderFencing) -> None:
+    def __init__(self, ctx: Context, submission: EditSubmission, edit_fencing: EditFencing) -> None:
         self._ctx = ctx
         self._submission = submission
-        self._orders = orders
+        self._edit_fencing = edit_fencing
 
     def add_routes(self, add: Callable[..., Any]) -> None:
         """Registers the handlers with the decorator factory of a klein app."""
@@ -45,7 +45,7 @@
 
     async def _submit(self, request: Request, command: Command) -> bytes:
         """Submits an edit and returns the response's body. Raises VersionConflict, NotFound or another ApiError."""
-        outcome = await self._orders.submit(command)
+        outcome = await self._edit_fencing.submit(command)
         if outcome.code == OutcomeCode.WRONG_BASE:
             raise VersionConflict(outcome.sequence)
         if outcome.code == OutcomeCode.NO_SUCH_ROW:
--- a/tests/test_order_guards.py
+++ b/tests/test_order_guards.py
@@ -6,8 +6,8 @@
 from unittest import mock
 
 from pipitlink.cluster import ClusterState, cluster_state
-from pipitlink.controller import order_fencing
-from pipitlink.controller.order_fencing import OrderFencing
+from pipitlink.controller import edit_fencing
+from pipitlink.controller.edit_fencing import EditFencing
 from pipitlink.timers import ZERO
 from testbed.checks.linearizability import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen, check_history
 
@@ -160,11 +160,16 @@
     "an order is fenced": (held_on_its_way_to_the_leader, ClusterState, "_is_fenced", lambda self, c, what: False),
     "a controller that woke takes no order": (
         held_in_a_frozen_socket,
-        OrderFencing,
+        EditFencing,
         "check_timely",
         lambda self, at: None,
     ),
-    "an order's caller is still there": (arrived_after_its_caller_had_left, order_fencing, "HANG_UP_DELAY", ZERO),
+    "an order's caller is still there": (
+        arrived_after_its_caller_had_left,
+        edit_fencing,
+        "DISCONNECT_CHECK_DELAY",
+        ZERO,
+    ),
     "a change builds on the version in force": (two_on_one_base, ClusterState, "_apply_config", _apply_on_any_base),
     "what was taken is remembered": (sent_again, ClusterState, "recorded_outcome", lambda self, c: None),
     "an id stands for one content": (two_under_one_id, cluster_state, "_content_digest", lambda c: b""),
--- a/tests/test_simulated_partition.py
+++ b/tests/test_simulated_partition.py
@@ -158,7 +158,7 @@
         self.assertTrue(any("PUT config" in line for line in found), found)
 
     def test_orders_are_held_for_seconds_without_a_bound(self):
-        with unittest.mock.patch.object(state_delivery, "ORDER_TIME_LIMIT", secs(5)):
+        with unittest.mock.patch.object(state_delivery, "OPERATOR_EDIT_TIMEOUT", secs(5)):
             s = Scenario(self)
             leader = s.controller("leader")
             s.simulation.cut(
