--- a/pipitlink/cluster/cluster_state.py
+++ b/pipitlink/cluster/cluster_state.py
@@ -229,7 +229,7 @@
         if edit.version <= self.routes.version:
             return OutcomeCode.OLD_VERSION
         routes = self.routes.with_edit(edit)
-        if routes.validation_faults():
+        if routes.validation_problems():
             return OutcomeCode.INVALID
         self.routes = routes
         self.config_changed_at = sequence
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -16,7 +16,7 @@
 from ..wire.membership_pb2 import Gossip, Member
 from .cluster_state import ClusterState
 from .currency import Currency
-from .state_transfer import StateReceipt
+from .state_transfer import StateReceiver
 from .witnesses import Witnesses
 
 __all__ = ["MAX_FOLLOW_WAIT", "MIN_FOLLOW_WAIT", "ClusterFollower"]
@@ -58,7 +58,7 @@
         self._controller = ""
         self._caught_up = False
         self._listeners: list[Callable[[], object]] = []
-        self._receipt = StateReceipt()
+        self._receiver = StateReceiver()
         self._retry_pause: defer.Deferred[None] | None = None
 
     def open(self) -> None:
@@ -132,7 +132,7 @@
         nodes = len(self._ctx.membership.members())
         return max(MIN_FOLLOW_WAIT, min(MAX_FOLLOW_WAIT, MIN_FOLLOW_WAIT * nodes / NODES_PER_FOLLOW_WAIT))
 
-    def absorb(self, response: FollowResponse) -> bool:
+    def apply_response(self, response: FollowResponse) -> bool:
         """Takes over what is newer in a response; returns whether this node now has all that its sender has."""
         before = self.sequence
         self._install_state(response)
@@ -162,7 +162,7 @@
             self.cluster_state = ClusterState(response.cluster_state)
         if not response.HasField("chunk"):
             return
-        state = self._receipt.add(response.chunk)
+        state = self._receiver.add(response.chunk)
         if state is not None and (state.sequence > self.sequence or not self.sequence):
             self.cluster_state = state
 
@@ -175,7 +175,7 @@
                 failures = 0
             except WireError as error:
                 failures += 1
-                leader = _leader_named_by(error)
+                leader = _leader_from_error(error)
                 if leader and leader != self._controller:
                     self._controller = leader
                     failures = 0
@@ -196,13 +196,13 @@
             role=self._ctx.role,
             sequence=self.sequence,
             no_wait=self.currency.leased_at is None,
-            received=self._receipt.received(),
+            received=self._receiver.received(),
             max_wait_ms=to_ms(self.max_follow_wait()),
         )
         response = await self._ask(source.member, source.method, request)
         if response.controller and source.method == FOLLOW_CONTROLLER:
             self._controller = response.controller
-        if not self.absorb(response):
+        if not self.apply_response(response):
             return
         if response.leased:
             self.currency.leased_at = min(asked_at + ms(response.waited_ms), self._ctx.timers.now())
@@ -241,7 +241,7 @@
         return await self._ask(controller, FOLLOW_CONTROLLER, request)
 
 
-def _leader_named_by(error: WireError) -> str:
+def _leader_from_error(error: WireError) -> str:
     """The leader that a controller names which does not lead itself; "" where it knows none."""
     if isinstance(error, RemoteError) and error.remote_code == "not_leading":
         return error.message
--- a/pipitlink/cluster/routes.py
+++ b/pipitlink/cluster/routes.py
@@ -7,12 +7,12 @@
 
 from ..wire.cluster_pb2 import Config, ConfigEdit, Pool, Route
 
-__all__ = ["KINDS", "ConfigFault", "RouteTable"]
+__all__ = ["KINDS", "ConfigProblem", "RouteTable"]
 
 KINDS = ("streaming", "idempotent", "mutating", "bulk")
 
 
-class ConfigFault(TypedDict):
+class ConfigProblem(TypedDict):
     """What is wrong with one field of a route, as operators get it."""
 
     row: str
@@ -56,36 +56,36 @@
         config.pools.extend(pools.values())
         return RouteTable(config)
 
-    def validation_faults(self) -> list[ConfigFault]:
+    def validation_problems(self) -> list[ConfigProblem]:
         """Returns what is wrong with this table; nothing where it may be put in force."""
-        faults: list[ConfigFault] = []
+        problems: list[ConfigProblem] = []
         owners: dict[tuple[str, str], str] = {}
         for route in self.routes.values():
             owner = owners.setdefault((route.host, route.prefix), route.name)
-            faults.extend(self._faults_of(route, owner))
-        return faults
+            problems.extend(self._route_problems(route, owner))
+        return problems
 
-    def _faults_of(self, route: Route, owner: str) -> Iterator[ConfigFault]:
-        """The faults of one route; `owner` is the first route with its host and prefix."""
+    def _route_problems(self, route: Route, owner: str) -> Iterator[ConfigProblem]:
+        """The problems of one route; `owner` is the first route with its host and prefix."""
         if route.kind not in KINDS:
-            yield _fault(route, "kind", f"must be one of {', '.join(KINDS)}")
+            yield _problem(route, "kind", f"must be one of {', '.join(KINDS)}")
         if not route.host or not route.prefix.startswith("/") or not route.prefix.endswith("/"):
-            yield _fault(route, "prefix", "must have a host, and a prefix that begins and ends with a slash")
+            yield _problem(route, "prefix", "must have a host, and a prefix that begins and ends with a slash")
         if owner != route.name:
-            yield _fault(route, "prefix", f"route {owner} has the same host and prefix")
+            yield _problem(route, "prefix", f"route {owner} has the same host and prefix")
         if not route.deadline_ms:
-            yield _fault(route, "deadline_ms", "must be above 0")
+            yield _problem(route, "deadline_ms", "must be above 0")
         if not sum(target.share for target in route.shares) > 0 or any(
             not target.share >= 0 for target in route.shares
         ):
-            yield _fault(route, "shares", "must add up to more than 0, and none may be below 0")
+            yield _problem(route, "shares", "must add up to more than 0, and none may be below 0")
         for target in route.shares:
             if target.pool not in self.pools:
-                yield _fault(route, "shares", f"pool {target.pool} is not known")
+                yield _problem(route, "shares", f"pool {target.pool} is not known")
 
 
-def _fault(route: Route, field: str, message: str) -> ConfigFault:
-    return ConfigFault(row=route.name, field=field, message=message)
+def _problem(route: Route, field: str, message: str) -> ConfigProblem:
+    return ConfigProblem(row=route.name, field=field, message=message)
 
 
 def _longest_prefix_first(route: Route) -> int:
--- a/pipitlink/cluster/state_transfer.py
+++ b/pipitlink/cluster/state_transfer.py
@@ -9,7 +9,7 @@
 from ..wire.cluster_pb2 import ClusterStateData, StateChunk
 from .cluster_state import ClusterState
 
-__all__ = ["StateReceipt", "StateTransfer"]
+__all__ = ["StateReceiver", "StateTransfer"]
 
 CHUNK_BYTES = 128 * 1024
 COMPRESSION_LEVEL = 1
@@ -24,7 +24,7 @@
     data: bytes
 
     @classmethod
-    def of(cls, state: ClusterState, term: int) -> StateTransfer:
+    def compress(cls, state: ClusterState, term: int) -> StateTransfer:
         """Compresses a state as it is now."""
         return cls(state.sequence, term, zlib.compress(state.data().SerializeToString(), COMPRESSION_LEVEL))
 
@@ -41,7 +41,7 @@
         return StateChunk(sequence=self.sequence, term=self.term, offset=offset, total=len(self.data), data=data)
 
 
-class StateReceipt:
+class StateReceiver:
     """The chunks of a state that a follower has received."""
 
     def __init__(self) -> None:
--- a/pipitlink/controller/bootstrap.py
+++ b/pipitlink/controller/bootstrap.py
@@ -14,8 +14,8 @@
 
 __all__ = ["Bootstrap"]
 
-CALL_LIMIT = ms(400)
-INTERVAL = ms(300)
+CALL_TIMEOUT = ms(400)
+BOOTSTRAP_INTERVAL = ms(300)
 
 
 class Bootstrap:
@@ -36,7 +36,7 @@
     def start_timer(self) -> None:
         """Tries to bootstrap from now on, until this controller is no newcomer any more."""
         self._ctx.timers.call_repeatedly(
-            INTERVAL,
+            BOOTSTRAP_INTERVAL,
             self._attempt_bootstrap,
             self._ctx.error_reporter("bootstrap"),
             idle_time=lambda: ZERO if self._consensus.is_newcomer else None,
@@ -60,7 +60,7 @@
     async def _ask(self, address: Address) -> BootstrapResponse | None:
         try:
             response: BootstrapResponse = await self._ctx.rpc.call(
-                address, "controller.empty", Empty(), BootstrapResponse, CALL_LIMIT
+                address, "controller.empty", Empty(), BootstrapResponse, CALL_TIMEOUT
             )
         except WireError:
             return None
--- a/pipitlink/controller/control_api.py
+++ b/pipitlink/controller/control_api.py
@@ -58,7 +58,7 @@
 
 def _check_config(edit: ConfigEdit) -> None:
     """Raises BadRequest where a whole configuration is not consistent in itself."""
-    problems = RouteTable().with_edit(edit).validation_faults()
+    problems = RouteTable().with_edit(edit).validation_problems()
     if problems:
         shown = problems[:MAX_SHOWN_PROBLEMS]
         text = "; ".join(f"{problem['row']}.{problem['field']}: {problem['message']}" for problem in shown)
--- a/pipitlink/controller/controller_client.py
+++ b/pipitlink/controller/controller_client.py
@@ -22,16 +22,16 @@
         self._ctx = ctx
 
     async def call(
-        self, node: str, method: str, request: Message, response_type: type[ResponseT], limit: timedelta
+        self, node: str, method: str, request: Message, response_type: type[ResponseT], timeout: timedelta
     ) -> ResponseT:
         """Calls a method at a controller and returns the response.
 
-        Raises WireError where the node is not in the membership, is not reached or does not answer within `limit`, and
-        where another node answers at its address.
+        Raises WireError if the node is not in the membership, cannot be reached or does not respond within `timeout`,
+        or if another node responds at its address.
         """
         member = self._ctx.membership.find(node)
         if member is None:
             raise WireError(f"controller {node} is not on the membership")
         address = (member.host, member.port)
-        response: ResponseT = await self._ctx.rpc.call(address, method, request, response_type, limit, node=node)
+        response: ResponseT = await self._ctx.rpc.call(address, method, request, response_type, timeout, node=node)
         return response
--- a/pipitlink/controller/elections.py
+++ b/pipitlink/controller/elections.py
@@ -52,7 +52,7 @@
         self._replication = replication
         self._calls = calls
         self._full_restart_over = False
-        self._full_restart_turn: timedelta | None = None
+        self._full_restart_election_at: timedelta | None = None
         self.election_timeout = MAX_ELECTION_TIMEOUT
         self._timer: RepeatingCall | None = None
 
@@ -82,8 +82,8 @@
             return None
         if not self._consensus.is_follower or not self._consensus.is_voter():
             return None
-        if self._just_started() and now >= self._next_full_restart_turn():
-            self._full_restart_turn = now + FULL_RESTART_STEP * len(self._consensus.voters())
+        if self._just_started() and now >= self._next_full_restart_election_at():
+            self._full_restart_election_at = now + FULL_RESTART_STEP * len(self._consensus.voters())
             return self._start_election(full_restart=True)
         if now - self._contact.election_timer_reset_at > self.election_timeout:
             self.election_timeout = self._random_timeout()
@@ -122,11 +122,11 @@
             return False
         return self._ctx.timers.now() - self._contact.started_at < LEADER_STICKINESS
 
-    def _next_full_restart_turn(self) -> timedelta:
-        if self._full_restart_turn is None:
+    def _next_full_restart_election_at(self) -> timedelta:
+        if self._full_restart_election_at is None:
             position = self._consensus.voters().index(self._ctx.node)
-            self._full_restart_turn = self._contact.started_at + FULL_RESTART_STEP * (1 + position)
-        return self._full_restart_turn
+            self._full_restart_election_at = self._contact.started_at + FULL_RESTART_STEP * (1 + position)
+        return self._full_restart_election_at
 
     async def _run_election(self, full_restart: bool) -> None:
         term = self._consensus.term + 1
@@ -172,7 +172,7 @@
             return VoteResponse(term=self._consensus.term)
         full_restart = self._confirms_full_restart(request)
         outdated = request.term < self._consensus.term
-        if outdated or self._keeps_leader(full_restart) or not self._log_up_to_date(request):
+        if outdated or self._has_sticky_leader(full_restart) or not self._log_up_to_date(request):
             return VoteResponse(term=self._consensus.term, full_restart=full_restart)
         if request.pre_vote:
             granted = request.term > self._consensus.term
@@ -197,7 +197,7 @@
     def _confirms_full_restart(self, request: VoteRequest) -> bool:
         return request.full_restart and self._just_started() and tuple(request.voters) == self._consensus.voters()
 
-    def _keeps_leader(self, full_restart: bool) -> bool:
+    def _has_sticky_leader(self, full_restart: bool) -> bool:
         """Leader stickiness: whether this controller leads, or heard a leader too lately to help elect another."""
         if self._consensus.is_leader:
             return True
--- a/pipitlink/controller/gateway_notifier.py
+++ b/pipitlink/controller/gateway_notifier.py
@@ -15,10 +15,10 @@
 
 __all__ = ["GatewayNotifier"]
 
-CALL_LIMIT = ms(400)
+CALL_TIMEOUT = ms(400)
 RETRY_INTERVAL = ms(200)
 RETRY_TIMEOUT = secs(3)
-LOSS_MEMORY = secs(60)
+LOST_GATEWAY_RETENTION = secs(60)
 """Gateways that were lost within this time still count when a majority of the gateways is asked for."""
 REACHABLE = ("alive", "suspect")
 KNOWN = ("alive", "suspect", "gone")
@@ -38,7 +38,7 @@
         self._renewed: set[str] = set()
         self._pending: dict[str, set[str]] = {}
         self._unreachable: set[str] = set()
-        self._turn = 0
+        self._call_rotation = 0
 
     def live_gateways(self) -> set[str]:
         """Returns the nodes of the gateways that are alive by the membership."""
@@ -53,7 +53,8 @@
         addresses = {
             (member.host, member.port)
             for member in self._gateways(KNOWN)
-            if membership.status(member.node) != "gone" or membership.time_in_status(member.node) < LOSS_MEMORY
+            if membership.status(member.node) != "gone"
+            or membership.time_in_status(member.node) < LOST_GATEWAY_RETENTION
         }
         found = [member for node in nodes if (member := membership.find(node)) is not None]
         return 2 * len({(member.host, member.port) for member in found} & addresses) > len(addresses)
@@ -99,7 +100,7 @@
                     return
                 await self._ctx.timers.sleep(RETRY_INTERVAL)
         finally:
-            propagation.end_one()
+            propagation.finish_gateway()
 
     async def _push(self, gateway: str, engines: Iterable[str]) -> bool:
         """Calls a gateway once; returns whether it has acknowledged."""
@@ -109,7 +110,7 @@
         address = (member.host, member.port)
         message = self._registry.engine_list(engines)
         try:
-            await self._ctx.rpc.call(address, UPDATE_METHOD, message, Empty, CALL_LIMIT, node=gateway)
+            await self._ctx.rpc.call(address, UPDATE_METHOD, message, Empty, CALL_TIMEOUT, node=gateway)
         except WireError as error:
             self._ctx.logger.debug("engine_push_failed", gateway=gateway, text=error)
             self._unreachable.add(gateway)
@@ -125,14 +126,14 @@
 
         Renewals go as notifications: what is lost of a batch is made good by the engines' next renewals, before they
         count as silent. A gateway that has not acknowledged a change is called until it does, and so are those of
-        `_to_call`.
+        `_gateways_to_call`.
         """
-        self._forget_unknown_gateways()
+        self._remove_unknown_gateways()
         renewed, self._renewed = self._renewed, set()
         pending, self._pending = self._pending, {}
         gateways = self._gateways()
         if renewed:
-            pending |= {member.node: pending.get(member.node, set()) for member in self._to_call(gateways)}
+            pending |= {member.node: pending.get(member.node, set()) for member in self._gateways_to_call(gateways)}
         addresses = [(member.host, member.port) for member in gateways if member.node not in pending]
         if renewed and addresses:
             self._ctx.rpc.notify(addresses, UPDATE_METHOD, self._registry.engine_list(sorted(renewed)))
@@ -141,7 +142,7 @@
                 work = self._push_pending(member.node, renewed | pending[member.node])
                 self._ctx.run_in_background(work, "push_engines")
 
-    def _to_call(self, gateways: list[Member]) -> list[Member]:
+    def _gateways_to_call(self, gateways: list[Member]) -> list[Member]:
         """Returns those that get renewals by a call, since only an answer shows that they are reached.
 
         One of them in turn; all where one did not answer, or where this controller is out of touch with the leader.
@@ -150,13 +151,13 @@
             return gateways
         if any(member.node in self._unreachable for member in gateways):
             return gateways
-        self._turn += 1
-        return [gateways[self._turn % len(gateways)]] if gateways else []
+        self._call_rotation += 1
+        return [gateways[self._call_rotation % len(gateways)]] if gateways else []
 
     async def _push_pending(self, gateway: str, engines: set[str]) -> None:
         if not await self._push(gateway, sorted(engines)):
             self._add_pending(gateway, engines)
 
-    def _forget_unknown_gateways(self) -> None:
+    def _remove_unknown_gateways(self) -> None:
         membership = self._ctx.membership
         self._unreachable = {node for node in self._unreachable if membership.find(node) is not None}
--- a/pipitlink/controller/interfaces.py
+++ b/pipitlink/controller/interfaces.py
@@ -89,7 +89,7 @@
     def followers(self) -> Mapping[str, FollowerView]:
         """The followers that have asked this leader, by node."""
 
-    async def edit(self, command: Command, limit: timedelta = ...) -> Outcome:
+    async def edit(self, command: Command, timeout: timedelta = ...) -> Outcome:
         """Proposes an edit; returns once it is committed and in effect everywhere."""
 
     def is_in_effect(self, sequence: int) -> bool:
@@ -103,6 +103,6 @@
     """RPC calls to other controllers, by node."""
 
     async def call(
-        self, node: str, method: str, request: Message, response_type: type[ResponseT], limit: timedelta
+        self, node: str, method: str, request: Message, response_type: type[ResponseT], timeout: timedelta
     ) -> ResponseT:
         """Calls a method at a controller. Raises WireError."""
--- a/pipitlink/controller/load_aggregator.py
+++ b/pipitlink/controller/load_aggregator.py
@@ -14,7 +14,7 @@
 __all__ = ["LoadAggregator"]
 
 TOTALS_INTERVAL = ms(200)
-TOTALS_AT_LEAST_EVERY = secs(1)
+MAX_TOTALS_INTERVAL = secs(1)
 REPORT_EXPIRY = secs(2.5)
 
 
@@ -87,7 +87,7 @@
         totals = self._totals()
         batches, self._changed_batches = self._changed_batches, {}
         unchanged = totals == self._sent_totals and not batches
-        if unchanged and now - self._sent_at < TOTALS_AT_LEAST_EVERY:
+        if unchanged and now - self._sent_at < MAX_TOTALS_INTERVAL:
             return
         self._sent_totals, self._sent_at = totals, now
         message = LoadTotals(
--- a/pipitlink/controller/log_replication.py
+++ b/pipitlink/controller/log_replication.py
@@ -21,7 +21,7 @@
 __all__ = ["LogReplication", "SenderKey"]
 
 HEARTBEAT_INTERVAL = ms(100)
-CALL_LIMIT = ms(500)
+CALL_TIMEOUT = ms(500)
 """The limit of an append call, besides the time for its bytes at MIN_BYTES_PER_S."""
 MIN_BYTES_PER_S = 250_000
 CONTACT_TIMEOUT = ms(700)
@@ -155,9 +155,9 @@
         if progress.outgoing is None and self._needs_snapshot(progress):
             progress.begin_snapshot(self._durable_log.snapshot)
         request = self._append_request(node, progress)
-        limit = CALL_LIMIT + secs(request.ByteSize() / MIN_BYTES_PER_S)
+        timeout = CALL_TIMEOUT + secs(request.ByteSize() / MIN_BYTES_PER_S)
         try:
-            return await self._calls.call(node, "controller.append", request, AppendResponse, limit)
+            return await self._calls.call(node, "controller.append", request, AppendResponse, timeout)
         except WireError:
             return None
 
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -69,10 +69,10 @@
         self.log_receiver = LogReceiver(ctx, self.consensus, self.durable_log, contact, self.snapshots)
         self.elections = Elections(ctx, self.consensus, self.durable_log, contact, self.log_replication, self.calls)
         self.state_delivery = StateDelivery(ctx, self.consensus, self.durable_log, self.log_replication)
-        self.lead_timers: list[RepeatingCall] = []
-        self._compose_services()
+        self.leader_timers: list[RepeatingCall] = []
+        self._create_services()
 
-    def _compose_services(self) -> None:
+    def _create_services(self) -> None:
         """Puts the parts together that serve operators, engines and gateways, at any controller."""
         ctx, consensus, log, delivery = self._ctx, self.consensus, self.log_replication, self.state_delivery
         storage_nodes = StorageNodeView(ctx, consensus, log)
@@ -95,7 +95,7 @@
         self._open_consensus()
         self._open_services()
         if self.durable_log.snapshot.cluster_state.voters:
-            self.consensus.bootstrapped()
+            self.consensus.mark_bootstrapped()
         self.elections.start_timer()
         self.bootstrap.start_timer()
         self._start_leader_timers()
@@ -121,7 +121,7 @@
     def _start_leader_timers(self) -> None:
         self._start_leader_timer(REPLICATION_INTERVAL, self._replicate, "replicate")
         self._start_leader_timer(VOTERS_INTERVAL, self.voter_changes.update_voters, "check_voters")
-        self.lead_timers += [self.placement.start_timer(), self.witnesses.start_timer()]
+        self.leader_timers += [self.placement.start_timer(), self.witnesses.start_timer()]
 
     def _start_leader_timer(self, interval: timedelta, work: Callable[[], object], event: str) -> None:
         """Runs work repeatedly from now on while this controller leads."""
@@ -131,16 +131,16 @@
             self._ctx.error_reporter(event),
             idle_time=lambda: ZERO if self.consensus.is_leader else None,
         )
-        self.lead_timers.append(timer)
+        self.leader_timers.append(timer)
 
     def _wake_leader_timers(self) -> None:
-        for timer in self.lead_timers:
+        for timer in self.leader_timers:
             timer.wake()
 
     def _replicate(self) -> None:
         if self.consensus.is_leader:
             self.log_replication.send_to_all()
-            self.state_delivery.forget_followers()
+            self.state_delivery.remove_expired_followers()
 
     @property
     def cluster_state(self) -> ClusterState:
--- a/pipitlink/controller/placement_planner.py
+++ b/pipitlink/controller/placement_planner.py
@@ -17,7 +17,7 @@
 
 __all__ = ["CaughtUpReplica", "PlacementPlanner", "replicas_per_node"]
 
-MAX_MOVES = 16
+MAX_CONCURRENT_CHANGES = 16
 """At most so many placement groups change their storage nodes at the same time."""
 MAX_CAUGHT_UP = 10_000
 
@@ -41,7 +41,7 @@
     )
 
 
-def _with_change(group: PlacementGroupRow, leaving: str, joining: str) -> PlacementGroupRow:
+def _start_change(group: PlacementGroupRow, leaving: str, joining: str) -> PlacementGroupRow:
     """Returns the placement group at the beginning of a change: one node leaves, one joins, or both."""
     return PlacementGroupRow(
         number=group.number,
@@ -88,33 +88,33 @@
         """Returns changes that can end now, else those that can begin, else one that balances the replicas."""
         groups = sorted(self._consensus.cluster_state.placement_groups.values(), key=lambda group: group.number)
         changing = [group for group in groups if group.joining or group.leaving]
-        ending = [ended for group in changing if (ended := self._ended(group)) is not None]
-        if ending:
-            return ending
+        finished_changes = [finished for group in changing if (finished := self._finished_change(group)) is not None]
+        if finished_changes:
+            return finished_changes
         load = replicas_per_node(self._consensus.cluster_state)
-        beginning = self._beginning(groups, changing, load)
-        if beginning or changing:
-            return beginning
+        startable = self._startable_changes(groups, changing, load)
+        if startable or changing:
+            return startable
         return self._rebalance(load, self._storage_nodes.serving())
 
-    def _beginning(
+    def _startable_changes(
         self, groups: list[PlacementGroupRow], changing: list[PlacementGroupRow], load: Counter[str]
     ) -> list[PlacementGroupRow]:
         """Returns the changes that begin now: repairs first, then what is retired, then the number of replicas."""
-        beginning: dict[int, PlacementGroupRow] = {}
-        for begin in (self._replace_lost, self._replace_retiring, self._resize):
+        startable: dict[int, PlacementGroupRow] = {}
+        for plan_change in (self._replace_lost, self._replace_retiring, self._resize):
             for group in groups:
-                if len(changing) + len(beginning) >= MAX_MOVES:
+                if len(changing) + len(startable) >= MAX_CONCURRENT_CHANGES:
                     break
-                if group in changing or group.number in beginning:
+                if group in changing or group.number in startable:
                     continue
-                change = begin(group, load)
+                change = plan_change(group, load)
                 if change is not None:
                     load[change.joining] += 1
-                    beginning[group.number] = change
-        return list(beginning.values())
+                    startable[group.number] = change
+        return list(startable.values())
 
-    def _ended(self, row: PlacementGroupRow) -> PlacementGroupRow | None:
+    def _finished_change(self, row: PlacementGroupRow) -> PlacementGroupRow | None:
         """Returns the placement group after its change, or as it was before where the joining node was lost meanwhile.
 
         None while the change has to go on.
@@ -144,16 +144,16 @@
         staying = [node for node in group.storage_nodes if node != leaving]
         free = [node for node in self._storage_nodes.serving() if node not in group.storage_nodes]
         joining = self._pick_storage_node(free, staying, load)
-        return _with_change(group, leaving, joining) if joining else None
+        return _start_change(group, leaving, joining) if joining else None
 
     def _resize(self, group: PlacementGroupRow, load: Counter[str]) -> PlacementGroupRow | None:
         """Returns the change by one replica, where the settings ask for another number than the group has, or None."""
         replicas = self._ctx.settings.replica_count
         if len(group.storage_nodes) < replicas:
             joining = self._pick_storage_node(self._storage_nodes.serving(), group.storage_nodes, load)
-            return _with_change(group, "", joining) if joining else None
+            return _start_change(group, "", joining) if joining else None
         if len(group.storage_nodes) > replicas and self._all_alive(group):
-            return _with_change(group, self._most_crowded(group, load), "")
+            return _start_change(group, self._most_crowded(group, load), "")
         return None
 
     def _rebalance(self, load: Counter[str], serving: list[str]) -> list[PlacementGroupRow]:
@@ -175,7 +175,7 @@
             crowded = self._most_crowded(group, load)
             joining = self._pick_storage_node(serving, group.storage_nodes, load)
             if joining and zones[self._zone(joining)] + 1 < zones[self._zone(crowded)]:
-                return [_with_change(group, crowded, joining)]
+                return [_start_change(group, crowded, joining)]
         return []
 
     def _rebalance_load(self, load: Counter[str], serving: list[str]) -> list[PlacementGroupRow]:
@@ -186,7 +186,7 @@
                 return []
             for group in self._consensus.cluster_state.placement_groups.values():
                 if self._may_replace(group, node, least_loaded):
-                    return [_with_change(group, node, least_loaded)]
+                    return [_start_change(group, node, least_loaded)]
         return []
 
     def _may_replace(self, group: PlacementGroupRow, leaving: str, joining: str) -> bool:
@@ -204,12 +204,12 @@
         zones = self._zone_counts(group.storage_nodes)
         return max(group.storage_nodes, key=lambda node: (zones[self._zone(node)], load[node], node))
 
-    def _pick_storage_node(self, storage_nodes: Iterable[str], beside: Iterable[str], load: Counter[str]) -> str:
+    def _pick_storage_node(self, storage_nodes: Iterable[str], existing: Iterable[str], load: Counter[str]) -> str:
         """Returns the best node to join these others, in a zone with few of them and with a low load.
 
         An empty string where all candidates are among the others.
         """
-        taken = list(beside)
+        taken = list(existing)
         zones = self._zone_counts(taken)
         free = [node for node in storage_nodes if node not in taken]
         return min(free, key=lambda node: (zones[self._zone(node)], load[node], node), default="")
--- a/pipitlink/controller/propagation.py
+++ b/pipitlink/controller/propagation.py
@@ -29,7 +29,7 @@
         """Notes that a gateway has acknowledged the change."""
         self.acknowledged.add(gateway)
 
-    def end_one(self) -> None:
+    def finish_gateway(self) -> None:
         """Notes that the calls to one gateway have ended, and wakes those that wait."""
         self.running -= 1
         waiters, self._waiters = self._waiters, []
--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -28,7 +28,7 @@
 LEASE_MARGIN = ms(500)
 CONTACT_CHECK_INTERVAL = ms(50)
 EFFECT_CHECK_INTERVAL = ms(50)
-FORGET_FOLLOWER_AFTER = secs(60)
+FOLLOWER_RETENTION = secs(60)
 DISK_USE_LIMIT = 0.9
 DISK_BYTES_PER_EDIT_BYTE = 3
 """An edit is written as an entry, and may be written again in a snapshot while the one before still stands."""
@@ -65,9 +65,9 @@
             if not woken.called:
                 woken.callback(None)
 
-    async def wait(self, limit: timedelta, condition: Callable[[], bool]) -> bool:
+    async def wait(self, timeout: timedelta, condition: Callable[[], bool]) -> bool:
         """Returns True once the condition holds, which is checked on each wake, and False after the limit."""
-        deadline = self._ctx.timers.now() + limit
+        deadline = self._ctx.timers.now() + timeout
         while not condition():
             remaining = deadline - self._ctx.timers.now()
             if remaining <= ZERO:
@@ -140,8 +140,8 @@
 
     async def _wait_for_newer_state(self, request: FollowRequest) -> None:
         """Returns once there is something newer, or this controller leads no more, or after a while."""
-        limit = min(ms(request.max_wait_ms) or MIN_FOLLOW_WAIT, MAX_FOLLOW_WAIT)
-        await self.pending_requests.wait(limit, lambda: self._is_outdated(request))
+        timeout = min(ms(request.max_wait_ms) or MIN_FOLLOW_WAIT, MAX_FOLLOW_WAIT)
+        await self.pending_requests.wait(timeout, lambda: self._is_outdated(request))
 
     def _is_outdated(self, request: FollowRequest) -> bool:
         return self._consensus.cluster_state.sequence > request.sequence or not self._consensus.is_leader
@@ -177,7 +177,7 @@
         if continued is None:
             newest = self._consensus.cluster_state
             if not transfers or newest.sequence - transfers[-1].sequence > MAX_TRANSFER_LAG:
-                transfers.append(StateTransfer.of(newest, self._consensus.term))
+                transfers.append(StateTransfer.compress(newest, self._consensus.term))
             continued = transfers[-1]
         self._transfers = transfers[-MAX_TRANSFERS:]
         return continued.chunk_after(received)
@@ -214,19 +214,19 @@
             return False
         if any(self._is_behind(follower, sequence, now) for follower in self._followers.values()):
             return False
-        return self._witnesses_have(sequence)
+        return self._enough_witnesses_have(sequence)
 
     def _is_behind(self, follower: Follower, sequence: int, now: timedelta) -> bool:
         return follower.role == "gateway" and follower.leased_until > now and follower.sequence < sequence
 
-    def _witnesses_have(self, sequence: int) -> bool:
+    def _enough_witnesses_have(self, sequence: int) -> bool:
         cluster_state = self._consensus.cluster_state
         witnesses = cluster_state.witnesses()
         confirmed = sum(self._has_sequence(witness, sequence) for witness in witnesses)
         if 2 * confirmed > len(witnesses) or not witnesses:
             return True
-        change_is_settled: bool = cluster_state.confirmed_witness_change == cluster_state.witnesses_changed_at
-        return 2 * confirmed == len(witnesses) and change_is_settled
+        change_is_confirmed: bool = cluster_state.confirmed_witness_change == cluster_state.witnesses_changed_at
+        return 2 * confirmed == len(witnesses) and change_is_confirmed
 
     def _has_sequence(self, storage_node: str, sequence: int) -> bool:
         follower = self._followers.get(storage_node)
@@ -237,7 +237,7 @@
         lease_end = self._replication.elected_at + LEASE_SPAN
         return max(OPERATOR_EDIT_TIMEOUT, lease_end + LEASE_MARGIN - self._ctx.timers.now())
 
-    async def edit(self, command: Command, limit: timedelta = EDIT_TIMEOUT) -> Outcome:
+    async def edit(self, command: Command, timeout: timedelta = EDIT_TIMEOUT) -> Outcome:
         """Proposes an edit; returns its outcome once it is committed and in effect everywhere.
 
         Where no majority was heard of late it is rejected with NotLeader, not run; where none is heard any more, its
@@ -246,12 +246,12 @@
         """
         if self._consensus.is_leader and not self._replication.has_contact():
             raise NotLeader("a majority of the controllers was not heard")
-        deadline = self._ctx.timers.now() + limit
+        deadline = self._ctx.timers.now() + timeout
         self._require_disk_space(command)
         known = self._consensus.cluster_state.recorded_outcome(command)
         outcome = known
         if outcome is None:
-            outcome = await self._ctx.timers.with_timeout(limit, self._propose(command))
+            outcome = await self._ctx.timers.with_timeout(timeout, self._propose(command))
         if known is not None or outcome.code != "done":
             await self._replication.confirm_leadership()
         if outcome.code == "done":
@@ -284,9 +284,9 @@
             raise Unconfirmed("a majority of the controllers was not heard before the edit was agreed") from None
         return outcome
 
-    def forget_followers(self) -> None:
+    def remove_expired_followers(self) -> None:
         """Forgets followers that have not asked for a long time."""
         now = self._ctx.timers.now()
         for node, follower in list(self._followers.items()):
-            if follower.leased_until + FORGET_FOLLOWER_AFTER < now:
+            if follower.leased_until + FOLLOWER_RETENTION < now:
                 del self._followers[node]
--- a/pipitlink/controller/storage_nodes.py
+++ b/pipitlink/controller/storage_nodes.py
@@ -15,9 +15,9 @@
 
 REPAIR_DELAY = secs(5)
 """How long a storage node that nothing replaces must be away until its replicas are placed elsewhere."""
-SUCCESSOR_TIME = secs(15)
+SUCCESSOR_MAX_AGE = secs(15)
 """Only a storage node that was met less than this long ago is taken for another one's successor."""
-MET_TOGETHER = secs(2)
+SIMULTANEOUS_DISCOVERY_SPAN = secs(2)
 """Nodes that were met within this time of each other count as met at once, as after a start of this process."""
 
 
@@ -82,14 +82,14 @@
         known_for = self._ctx.membership.known_for(node)
         if known_for is None:
             return False
-        limit = min(known_for - MET_TOGETHER, SUCCESSOR_TIME)
+        limit = min(known_for - SIMULTANEOUS_DISCOVERY_SPAN, SUCCESSOR_MAX_AGE)
         return any(
-            self._was_met_within(member.node, limit)
+            self._was_discovered_within(member.node, limit)
             and self._consensus.cluster_state.storage_nodes.get(member.node) == StorageStatus.SERVING
             for member in self._ctx.membership.members("storage", statuses=("alive",))
         )
 
-    def _was_met_within(self, node: str, limit: timedelta) -> bool:
+    def _was_discovered_within(self, node: str, limit: timedelta) -> bool:
         known_for = self._ctx.membership.known_for(node)
         return known_for is not None and known_for < limit
 
--- a/pipitlink/controller/storage_retirement.py
+++ b/pipitlink/controller/storage_retirement.py
@@ -13,7 +13,7 @@
 
 __all__ = ["StorageRetirement"]
 
-RETURN_TIME = secs(15)
+RECENT_LOSS_SPAN = secs(15)
 """A storage node that was lost more recently than this may be back at any time."""
 
 
@@ -79,7 +79,7 @@
         """Returns how many were removed from the cluster state a short while ago, and may be back at any time."""
         return sum(
             member.node not in cluster_state.storage_nodes
-            and self._ctx.membership.time_in_status(member.node) < RETURN_TIME
+            and self._ctx.membership.time_in_status(member.node) < RECENT_LOSS_SPAN
             and not self._storage_nodes.is_replaced(member.node)
             for member in self._ctx.membership.members("storage", statuses=("gone",))
         )
--- a/pipitlink/controller/vote_poll.py
+++ b/pipitlink/controller/vote_poll.py
@@ -13,7 +13,7 @@
 
 __all__ = ["VotePoll"]
 
-CALL_LIMIT = ms(400)
+CALL_TIMEOUT = ms(400)
 
 
 class VotePoll:
@@ -49,7 +49,7 @@
 
     async def _ask(self, voter: str) -> None:
         try:
-            response = await self._calls.call(voter, "controller.vote", self._request, VoteResponse, CALL_LIMIT)
+            response = await self._calls.call(voter, "controller.vote", self._request, VoteResponse, CALL_TIMEOUT)
             await self._take_response(voter, response)
         except WrongPeer:
             self._just_started.add(voter)
--- a/pipitlink/controller/voter_changes.py
+++ b/pipitlink/controller/voter_changes.py
@@ -16,8 +16,8 @@
 
 Voters = tuple[str, ...]
 
-CAUGHT_UP_TIME = secs(1)
-CAUGHT_UP_ENTRIES = 50
+MAX_RESPONSE_AGE = secs(1)
+MAX_CAUGHT_UP_LAG = 50
 NO_MATCH_INDEX = -1
 LOSS_TIMEOUTS = {"gone": secs(1), "unknown": secs(2), "suspect": secs(3)}
 """How long a voter must be silent, by what the membership says of it, until it is replaced."""
@@ -56,27 +56,27 @@
 
     def _next_voters(self, voters: Voters) -> Voters | None:
         """Returns the next set of voters, one more or one less, or None where nothing is to be changed or can be."""
-        wanted = self._ctx.settings.replica_count
+        target_count = self._ctx.settings.replica_count
         lost = [voter for voter in voters if self._is_lost(voter)]
         live = [voter for voter in voters if voter not in lost]
-        if len(voters) > wanted:
-            return self._without(voters, live, lost[0] if lost else self._spare_voter(voters))
+        if len(voters) > target_count:
+            return self._remove_voter(voters, live, lost[0] if lost else self._removable_voter(voters))
         standbys = self._standbys(voters, live)
         if lost and standbys and len(voters) % 2:
-            return self._without(voters, live, lost[0])
-        if standbys and (len(voters) < wanted or self._evens_zones(live, standbys[0])):
-            return self._with(voters, live, standbys[0])
+            return self._remove_voter(voters, live, lost[0])
+        if standbys and (len(voters) < target_count or self._improves_zone_balance(live, standbys[0])):
+            return self._add_voter(voters, live, standbys[0])
         return None
 
     def _is_caught_up(self, node: str) -> bool:
         """Returns whether a controller has answered lately, and its log is not far behind."""
         responded_at = self._leader_log.last_response_at(node)
-        if responded_at is None or self._ctx.timers.now() - responded_at >= CAUGHT_UP_TIME:
+        if responded_at is None or self._ctx.timers.now() - responded_at >= MAX_RESPONSE_AGE:
             return False
         match_index = self._leader_log.match_index(node)
         if match_index is None:
             match_index = NO_MATCH_INDEX
-        return match_index >= self._consensus.commit_index - CAUGHT_UP_ENTRIES
+        return match_index >= self._consensus.commit_index - MAX_CAUGHT_UP_LAG
 
     def _is_lost(self, voter: str) -> bool:
         status = self._ctx.membership.status(voter)
@@ -92,12 +92,12 @@
         lost: bool = self._ctx.timers.now() - last_contact_at > LOSS_TIMEOUTS[status]
         return lost
 
-    def _without(self, voters: Voters, live: list[str], leaving: str) -> Voters | None:
+    def _remove_voter(self, voters: Voters, live: list[str], leaving: str) -> Voters | None:
         """Returns the voters without one, or None where the live ones would be no majority of them."""
         remaining = tuple(voter for voter in voters if voter != leaving)
         return remaining if 2 * sum(voter in live for voter in remaining) > len(remaining) else None
 
-    def _with(self, voters: Voters, live: list[str], joining: str) -> Voters | None:
+    def _add_voter(self, voters: Voters, live: list[str], joining: str) -> Voters | None:
         """Returns the voters and one more, or None where the live ones would be no majority of them."""
         return tuple(sorted((*voters, joining))) if 2 * (len(live) + 1) > len(voters) + 1 else None
 
@@ -112,12 +112,12 @@
         members.sort(key=lambda member: (zones[member.zone], member.node))
         return [member.node for member in members]
 
-    def _evens_zones(self, voters: list[str], standby: str) -> bool:
+    def _improves_zone_balance(self, voters: list[str], standby: str) -> bool:
         """Returns whether a zone has fewer voters once this standby has replaced one of them."""
         zones = self._zone_counts(voters)
         return max(zones.values()) > zones[self._zone(standby)] + 1
 
-    def _spare_voter(self, voters: Voters) -> str:
+    def _removable_voter(self, voters: Voters) -> str:
         """Returns the voter that can be spared best: another one than the leader, in the zone with the most voters."""
         zones = self._zone_counts(voters)
         others = [voter for voter in voters if voter != self._ctx.node]
--- a/tests/test_currency_orders.py
+++ b/tests/test_currency_orders.py
@@ -108,7 +108,7 @@
         self.response = box[0] if box else None
 
     def absorb(self):
-        if self.response is not None and self.gateway.absorb(self.response) and self.response.leased:
+        if self.response is not None and self.gateway.apply_response(self.response) and self.response.leased:
             self.gateway.currency.leased_at = self.asked
 
     def elect(self):
--- a/tests/test_loss_guards.py
+++ b/tests/test_loss_guards.py
@@ -126,7 +126,7 @@
             unittest.mock.patch.object(VoterChanges, "_zone_counts", _no_zones),
             unittest.mock.patch.object(PlacementPlanner, "_zone_counts", _no_zones),
             unittest.mock.patch.object(PlacementPlanner, "_rebalance_zones", lambda self, load, serving: []),
-            unittest.mock.patch.object(VoterChanges, "_evens_zones", lambda self, live, standby: False),
+            unittest.mock.patch.object(VoterChanges, "_improves_zone_balance", lambda self, live, standby: False),
         )
 
 
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -113,7 +113,7 @@
         )
         self.assertEqual((q.warmup_ms, q.slow_start_rate, q.slots), (0, 0, 0))
         self.assertEqual({f: getattr(e.bounds, f) for f in LIMITS}, LIMITS)
-        self.assertEqual(RouteTable().with_edit(e).validation_faults(), [])
+        self.assertEqual(RouteTable().with_edit(e).validation_problems(), [])
 
     def test_it_comes_back_as_it_was_sent_also_after_a_patch(self):
         table = RouteTable().with_edit(self.read(WHOLE))
@@ -155,7 +155,7 @@
             {**WHOLE, "routes": [ROUTES[0], {**ROUTES[1], "path_prefix": "/lohu930/"}]},
             {**WHOLE, "routes": [{**ROUTES[0], "weighted_backends": [{"backend": "huvo11a", "share": 0}]}]},
         ):
-            self.assertNotEqual(RouteTable().with_edit(self.read(body)).validation_faults(), [], body)
+            self.assertNotEqual(RouteTable().with_edit(self.read(body)).validation_problems(), [], body)
 
     def test_an_engines_announcement(self):
         raw = {
--- a/tests/test_simulated_follow.py
+++ b/tests/test_simulated_follow.py
@@ -26,10 +26,10 @@
         self.addCleanup(simulation.end)
         simulation.start()
         founded = ClusterState(ClusterStateData(voters=["a", "b", "c"]))
-        piece = StateTransfer.of(founded, 1).chunk_after(StateChunk())
+        piece = StateTransfer.compress(founded, 1).chunk_after(StateChunk())
         first = Delta(sequence=1, command=edit_of("r", 0, "m"))
         follower = ClusterFollower(simulation.role("gateway")[0].ctx)
-        self.assertTrue(follower.absorb(FollowResponse(sequence=1, chunk=piece, deltas=[first])))
+        self.assertTrue(follower.apply_response(FollowResponse(sequence=1, chunk=piece, deltas=[first])))
         self.assertEqual((follower.sequence, follower.cluster_state.voters), (1, ("a", "b", "c")))
 
 
--- a/tests/test_simulated_partition.py
+++ b/tests/test_simulated_partition.py
@@ -135,7 +135,7 @@
                 self.assertLess(self.last_acknowledged(role), 2.5)
 
     def test_without_the_guard_notes_that_nobody_answers_are_taken_for_told(self):
-        with unittest.mock.patch.object(GatewayNotifier, "_to_call", lambda self, gateways: []):
+        with unittest.mock.patch.object(GatewayNotifier, "_gateways_to_call", lambda self, gateways: []):
             for role in (None, "gateway"):
                 self.assertGreater(self.last_acknowledged(role), 2.5)
 
