--- a/tests/test_simulated_orders.py
+++ b/tests/test_simulated_edits.py
@@ -8,7 +8,7 @@
 from testbed.simulator.random_faults import RandomFaults, seeds
 
 from .order_simulation import DelayingSimulation, Operators
-from .test_order_guards import GUARDS
+from .test_edit_guards import GUARDS
 
 SEEDS = seeds(3)
 OPERATORS = 4
