--- a/pipitlink/cluster/witnesses.py
+++ b/pipitlink/cluster/witnesses.py
@@ -72,7 +72,7 @@
         newest = max(sequences, key=lambda node: sequences[node], default="")
         if newest and sequences[newest] > self._follower.sequence:
             response = await self._ctx.replicated_log.call(newest, "cluster.cluster_state", Empty(), FollowResponse)
-            self._follower.absorb(response)
+            self._follower.apply_response(response)
 
     def _is_proof(self, sequences: dict[str, int], witnesses: list[str]) -> bool:
         """Whether a majority answered, none is newer, and the witnesses have not changed meanwhile."""
--- a/pipitlink/controller/consensus_state.py
+++ b/pipitlink/controller/consensus_state.py
@@ -119,7 +119,7 @@
             self.step_down()
             await self._durable_log.save_hard_state(term, "")
 
-    def bootstrapped(self) -> None:
+    def mark_bootstrapped(self) -> None:
         """Makes a newcomer a follower, once it has a first cluster state."""
         self.trigger("bootstrapped")
 
--- a/pipitlink/controller/snapshot_transfer.py
+++ b/pipitlink/controller/snapshot_transfer.py
@@ -150,7 +150,7 @@
             self._consensus.restore(snapshot)
         await synced
         if self._consensus.is_newcomer:
-            self._consensus.bootstrapped()
+            self._consensus.mark_bootstrapped()
 
     def receive_chunk(self, request: AppendRequest) -> int:
         """Keeps a chunk, and installs the snapshot once it is complete, while appends go on.
