--- a/tests/partition_scenario.py
+++ b/tests/partition_scenario.py
@@ -7,14 +7,14 @@
 
 from .control_calls import Caller, config_of, route_of
 
-CUT_SPAN = 20.0
-LONGEST_ANSWER = 1.0
-SETTLED_AFTER = 1.5
-AT_ONCE = 0.05
-BACK_WITHIN = 1.5
-CALLS_AT = (0.0, 0.2, 0.5, 0.9, 1.6, 2.5, 4.0, 7.0, 12.0, 19.0)
+CUT_S = 20.0
+MAX_RESPONSE_S = 1.0
+CUT_DETECTED_S = 1.5
+IMMEDIATE_RESPONSE_S = 0.05
+RECOVERY_S = 1.5
+CALL_TIMES_S = (0.0, 0.2, 0.5, 0.9, 1.6, 2.5, 4.0, 7.0, 12.0, 19.0)
 ENGINE = {"pool": "p", "address": "10.9.0.1:80", "zone": "zone-a", "capacity": 4, "state": "ready"}
-WAYS = ("both", "in", "out")
+CUT_DIRECTIONS = ("both", "in", "out")
 
 
 @attrs.define
@@ -23,12 +23,12 @@
 
     what: str
     at: float
-    floor: int
-    box: list
-    span: float | None = None
+    min_version: int
+    pending: list
+    duration_s: float | None = None
 
     def __str__(self):
-        return f"{self.what} at {self.at:.1f} s: {self.box[:1]} after {self.span} s"
+        return f"{self.what} at {self.at:.1f} s: {self.pending[:1]} after {self.duration_s} s"
 
 
 class Scenario:
@@ -39,7 +39,7 @@
         test.addCleanup(self.simulation.end)
         self.simulation.start()
         for gateway in self.simulation.role("gateway"):
-            self.listen(gateway)
+            self.register_engine_handler(gateway)
         self.simulation.ready()
         self.simulation.run(3)
         self.caller = Caller(self.simulation)
@@ -47,13 +47,13 @@
         self.calls: list[_Call] = []
         self.change(self.simulation.leader())
 
-    def listen(self, gateway):
+    def register_engine_handler(self, gateway):
         """Stands in for a gateway's list of engines."""
 
-        async def told(node, engines):
+        async def accept(node, engines):
             pass
 
-        gateway.ctx.rpc.register_handler("engines.tell", EngineList, told)
+        gateway.ctx.rpc.register_handler("engines.tell", EngineList, accept)
 
     def now(self) -> float:
         return self.simulation.clock.seconds()
@@ -76,14 +76,14 @@
             self.version += 1
         return status
 
-    def cut(self, simulated_node, way: str, others=None):
+    def cut(self, simulated_node, direction: str, others=None):
         names = others or [a for a in self.simulation.simulated_nodes if a != simulated_node.name]
-        if way in ("both", "out"):
+        if direction in ("both", "out"):
             self.simulation.cut([simulated_node.name], names, one_way=True)
-        if way in ("both", "in"):
+        if direction in ("both", "in"):
             self.simulation.cut(names, [simulated_node.name], one_way=True)
 
-    def call_all(self, simulated_node, began: float):
+    def call_all(self, simulated_node, started_at: float):
         """Every kind of call at once."""
         n = len(self.calls)
         config = config_of(10_000 + n, route_of(f"lone{n}"))
@@ -96,57 +96,61 @@
             ("DELETE engine", "DELETE", f"/v1/engines/d{n}"),
             ("POST retire", "POST", f"/v1/storage_nodes/{self.simulation.role('storage')[3].node}/retire"),
         ):
-            box = self.caller.begin(simulated_node, *args)
-            self.calls.append(_Call(what, self.now() - began, self.version, box))
+            pending = self.caller.begin(simulated_node, *args)
+            self.calls.append(_Call(what, self.now() - started_at, self.version, pending))
 
-    def watch(self, span: float):
-        end = self.now() + span
+    def run_and_record(self, duration_s: float):
+        end = self.now() + duration_s
         while self.now() < end:
             self.simulation.run(0.01)
             for call in self.calls:
-                if call.box and call.span is None:
-                    call.span = self.now() - self.began - call.at
+                if call.pending and call.duration_s is None:
+                    call.duration_s = self.now() - self.started_at - call.at
 
-    def play(self, simulated_node, way: str, others=None, changing=True):
+    def run_calls(self, simulated_node, direction: str, others=None, changing=True):
         """Cuts the controller off, calls it again and again, and has the others confirm changes meanwhile."""
-        self.began = self.now()
-        self.cut(simulated_node, way, others)
-        for at, after in zip(CALLS_AT, (*CALLS_AT[1:], CUT_SPAN)):
-            self.call_all(simulated_node, self.began)
-            self.watch(after - at)
+        self.started_at = self.now()
+        self.cut(simulated_node, direction, others)
+        for at, after in zip(CALL_TIMES_S, (*CALL_TIMES_S[1:], CUT_S)):
+            self.call_all(simulated_node, self.started_at)
+            self.run_and_record(after - at)
             leader = self.simulation.leader()
             if changing and leader is not None and leader is not simulated_node:
                 self.change(leader)
 
-    def slow(self) -> list[str]:
+    def slow_calls(self) -> list[str]:
         """Calls that were held for over a second, or not refused at once though the cut was known."""
-        held = [str(c) for c in self.calls if c.span is None or c.span > LONGEST_ANSWER]
-        late = [str(c) for c in self.calls if c.at > SETTLED_AFTER and c.span is not None and c.span > AT_ONCE]
+        held = [str(c) for c in self.calls if c.duration_s is None or c.duration_s > MAX_RESPONSE_S]
+        late = [
+            str(c)
+            for c in self.calls
+            if c.at > CUT_DETECTED_S and c.duration_s is not None and c.duration_s > IMMEDIATE_RESPONSE_S
+        ]
         return held + late
 
-    def wrong(self) -> list[str]:
+    def unexpected_responses(self) -> list[str]:
         """Orders and announcements that were confirmed, and reads older than what was confirmed before them."""
         out = []
         for c in self.calls:
-            status, body = c.box[0] if c.box else (None, None)
+            status, body = c.pending[0] if c.pending else (None, None)
             if c.what == "GET config" and status == 200:
-                if body["version"] < c.floor:
+                if body["version"] < c.min_version:
                     out.append(f"old configuration: {c}")
-            elif status != 503 and not (c.what == "PUT engine" and c.at < SETTLED_AFTER):
+            elif status != 503 and not (c.what == "PUT engine" and c.at < CUT_DETECTED_S):
                 out.append(f"not refused: {c}")
         return out
 
-    def back(self, simulated_node) -> float:
+    def heal_and_time_recovery(self, simulated_node) -> float:
         """Heals the cut; returns how long the controller took to take an order again."""
         self.simulation.heal()
         healed = self.now()
-        while self.change_newest(simulated_node) != 200:
+        while self.change_on_newest(simulated_node) != 200:
             if self.now() - healed > 10:
                 raise AssertionError("it takes no order")
             self.simulation.run(0.05)
         return self.now() - healed
 
-    def change_newest(self, simulated_node) -> int:
+    def change_on_newest(self, simulated_node) -> int:
         """A change on top of what stands: one of the refused orders may have been taken before the cut was known."""
         leader = self.simulation.leader()
         if leader is not None:
--- a/tests/test_config_faults.py
+++ b/tests/test_config_faults.py
@@ -31,50 +31,50 @@
         controller = self.simulation.rng.choice(self.simulation.role("controller"))
         if not controller.alive or controller.frozen:
             return None
-        box = self.caller.begin(controller, *args)
+        pending = self.caller.begin(controller, *args)
         for _ in range(100):
-            if box:
-                return box[0] if box[0][0] < 500 else None
+            if pending:
+                return pending[0] if pending[0][0] < 500 else None
             await self.timers.sleep(ms(10))
         return None
 
-    async def operate(self, who: int):
+    async def operate(self, operator: int):
         while not self.over:
             await self.timers.sleep(ms(100 + self.simulation.rng.randrange(500)))
-            floor = self.newest()
-            got = await self.call("GET", "/v1/config")
-            if got is None:
+            min_version = self.newest()
+            current = await self.call("GET", "/v1/config")
+            if current is None:
                 continue
-            base = got[1]["version"]
-            if base < floor:
-                self.faults.append(f"read {base} after {floor} was acknowledged")
-            if base and got[1] != self.sent[base]:
+            base = current[1]["version"]
+            if base < min_version:
+                self.faults.append(f"read {base} after {min_version} was acknowledged")
+            if base and current[1] != self.sent[base]:
                 self.faults.append(f"version {base} is not what was sent")
             self.version += 1 + self.simulation.rng.randrange(3)
             version = self.version
-            config = self.sent[version] = config_of(version, route_of(f"r{who}", note=version))
+            config = self.sent[version] = config_of(version, route_of(f"r{operator}", note=version))
             for _ in range(8):
-                answer = await self.call("PUT", "/v1/config", config, {"If-Match": str(base)})
-                if answer is not None:
+                response = await self.call("PUT", "/v1/config", config, {"If-Match": str(base)})
+                if response is not None:
                     break
                 await self.timers.sleep(ms(100))
-            if answer is None:
+            if response is None:
                 continue
-            if answer[0] == 200:
+            if response[0] == 200:
                 self.acked.append((self.simulation.clock.seconds(), version))
                 self.bases.setdefault(base, []).append(version)
-            elif answer[0] in (400, 412):
+            elif response[0] in (400, 412):
                 self.refused.add(version)
             else:
-                self.faults.append(f"{answer}")
+                self.faults.append(f"{response}")
 
-    def watch(self):
+    def check_gateways(self):
         now = self.simulation.clock.seconds()
-        old = max((v for at, v in self.acked if now - at > IN_EFFECT), default=0)
+        min_version = max((v for at, v in self.acked if now - at > IN_EFFECT), default=0)
         for a in self.simulation.role("gateway", alive=True):
-            held = a.ctx.cluster.cluster_state.routes.version
-            if a.ctx.cluster.ready() and held < old:
-                self.faults.append(f"{a.name} admits at version {held}, {old} is in effect")
+            applied = a.ctx.cluster.cluster_state.routes.version
+            if a.ctx.cluster.ready() and applied < min_version:
+                self.faults.append(f"{a.name} admits at version {applied}, {min_version} is in effect")
 
 
 class ConfigUnderFaults(unittest.TestCase):
@@ -83,38 +83,38 @@
         self.addCleanup(simulation.end)
         simulation.start()
         simulation.ready()
-        ops = _Operators(simulation)
-        plain_run = simulation.run
+        operators = _Operators(simulation)
+        original_run = simulation.run
 
         def run(seconds, step=0.005):
             for _ in range(int(seconds / 0.05)):
-                plain_run(0.05, step)
-                ops.watch()
+                original_run(0.05, step)
+                operators.check_gateways()
 
         simulation.run = run
         random_faults = RandomFaults(simulation, roles=roles)
-        random_faults.during([ops.operate(0), ops.operate(1)], faults=12)
+        random_faults.during([operators.operate(0), operators.operate(1)], faults=12)
         simulation.run(6)
-        ops.over = True
+        operators.over = True
         simulation.run(10)
         simulation.ready()
-        what = f"seed {seed}: {random_faults.injected}"
-        self.assertEqual(ops.faults, [], what)
+        context = f"seed {seed}: {random_faults.injected}"
+        self.assertEqual(operators.faults, [], context)
         self.assertEqual([t for t in random_faults.injected if "work ended" in t], [])
-        self.assertEqual({b: v for b, v in ops.bases.items() if len(v) > 1}, {}, what)
+        self.assertEqual({b: v for b, v in operators.bases.items() if len(v) > 1}, {}, context)
         last = Caller(simulation).get(simulation.leader())[1]
-        self.assertEqual(last, ops.sent[last["version"]], what)
-        self.assertGreaterEqual(last["version"], ops.newest(), what)
-        self.assertNotIn(last["version"], ops.refused, what)
+        self.assertEqual(last, operators.sent[last["version"]], context)
+        self.assertGreaterEqual(last["version"], operators.newest(), context)
+        self.assertNotIn(last["version"], operators.refused, context)
         done = {
             o.sequence for o in simulation.leader().part.consensus.cluster_state.outcomes.values() if o.code == "done"
         }
-        self.assertLessEqual({v for _, v in ops.acked}, done, what)
-        self.assertFalse(ops.refused & done, what)
+        self.assertLessEqual({v for _, v in operators.acked}, done, context)
+        self.assertFalse(operators.refused & done, context)
         self.assertEqual(
-            {a.ctx.cluster.cluster_state.routes.version for a in simulation.role("gateway")}, {last["version"]}, what
+            {a.ctx.cluster.cluster_state.routes.version for a in simulation.role("gateway")}, {last["version"]}, context
         )
-        return len(ops.acked)
+        return len(operators.acked)
 
     def test_configurations_hold_while_controllers_fail(self):
         self.assertGreater(sum(self.run_seed(s, ("controller",)) for s in SEEDS), 5 * len(SEEDS))
--- a/tests/test_currency_interleavings.py
+++ b/tests/test_currency_interleavings.py
@@ -73,7 +73,7 @@
         super().__init__(ctx, self.consensus, self.consensus, _Replication(ctx, elected_at, contact_until))
 
 
-class _Play:
+class _Schedule:
     """One order of steps on the real admission and delivery code; `cut` takes the gateway off the first leader's
     voters.
     """
@@ -89,27 +89,27 @@
         self.gateway = ClusterFollower(self.ctx)
         self.gateway.cluster_state = ClusterState(BASE)
         self.change_leader = change_leader
-        self.asked = self.ask = self.response = None
-        self.acked = False
+        self.asked_at = self.request = self.response = None
+        self.acknowledged = False
 
     def tick(self):
         self.ctx.now += TICK
 
     def send(self):
-        self.asked = self.ctx.timers.now()
-        self.ask = FollowRequest(node="g", role="gateway", sequence=self.gateway.sequence, no_wait=True)
+        self.asked_at = self.ctx.timers.now()
+        self.request = FollowRequest(node="g", role="gateway", sequence=self.gateway.sequence, no_wait=True)
 
-    def answer(self):
-        box = []
+    def respond(self):
+        responses = []
         for leader in reversed(self.leaders):
-            spawn(leader.follow("g", self.ask)).addCallbacks(box.append, lambda f: f.trap(NotLeader) and None)
-            if box:
+            spawn(leader.follow("g", self.request)).addCallbacks(responses.append, lambda f: f.trap(NotLeader) and None)
+            if responses:
                 break
-        self.response = box[0] if box else None
+        self.response = responses[0] if responses else None
 
-    def absorb(self):
+    def apply_response(self):
         if self.response is not None and self.gateway.apply_response(self.response) and self.response.leased:
-            self.gateway.currency.leased_at = self.asked
+            self.gateway.currency.leased_at = self.asked_at
 
     def elect(self):
         """Voters refuse another leader for 600 ms after they heard theirs."""
@@ -123,54 +123,54 @@
     def acknowledge(self):
         leader = self.leaders[-1]
         if leader.consensus.cluster_state.sequence == 2 and leader.is_in_effect(2) and leader.has_recent_quorum():
-            self.acked = True
+            self.acknowledged = True
 
-    def broken(self) -> bool:
-        return self.acked and self.gateway.ready() and self.gateway.sequence < 2
+    def violates_rule(self) -> bool:
+        return self.acknowledged and self.gateway.ready() and self.gateway.sequence < 2
 
 
-def orders(*lines):
+def interleavings(*sequences):
     """All ways of running through these lines, each in its own order."""
-    if not any(lines):
+    if not any(sequences):
         yield ()
         return
-    for i, line in enumerate(lines):
-        if line:
-            for rest in orders(*lines[:i], line[1:], *lines[i + 1 :]):
-                yield (line[0], *rest)
-
-
-class CurrencyOrders(unittest.TestCase):
-    def play(self, change_leader, lines):
-        seen = acked = admitted = 0
-        for order in orders(*lines):
-            p = _Play(change_leader)
-            seen += 1
-            for step in order:
-                getattr(p, step)()
-                self.assertFalse(p.broken(), order)
-            acked += p.acked
-            admitted += p.gateway.ready()
-        return seen, acked, admitted
-
-    def test_no_order_admits_work_without_an_acknowledged_edit(self):
-        gateway = ("send", "answer", "absorb", "send", "answer", "absorb")
-        seen, acked, admitted = self.play(False, (gateway, ("commit", "acknowledge"), ("tick",) * 3))
-        self.assertEqual(seen, 4620)
-        self.assertGreater(min(acked, admitted), 500)
-
-    def test_nor_with_a_change_of_leader_in_between(self):
-        gateway = ("send", "answer", "absorb")
-        seen, acked, _ = self.play(True, (gateway, ("elect", "commit", "acknowledge"), ("tick",) * 5))
-        self.assertEqual(seen, 9240)
-        self.assertGreater(acked, 20)
-
-    def test_a_leader_that_does_not_wait_is_caught(self):
+    for i, sequence in enumerate(sequences):
+        if sequence:
+            for rest in interleavings(*sequences[:i], sequence[1:], *sequences[i + 1 :]):
+                yield (sequence[0], *rest)
+
+
+class CurrencyInterleavings(unittest.TestCase):
+    def explore(self, change_leader, sequences):
+        explored = acknowledged = admitted = 0
+        for steps in interleavings(*sequences):
+            schedule = _Schedule(change_leader)
+            explored += 1
+            for step in steps:
+                getattr(schedule, step)()
+                self.assertFalse(schedule.violates_rule(), steps)
+            acknowledged += schedule.acknowledged
+            admitted += schedule.gateway.ready()
+        return explored, acknowledged, admitted
+
+    def test_no_interleaving_admits_work_without_an_acknowledged_edit(self):
+        gateway = ("send", "respond", "apply_response", "send", "respond", "apply_response")
+        explored, acknowledged, admitted = self.explore(False, (gateway, ("commit", "acknowledge"), ("tick",) * 3))
+        self.assertEqual(explored, 4620)
+        self.assertGreater(min(acknowledged, admitted), 500)
+
+    def test_no_interleaving_with_a_leader_change_admits_work_without_an_acknowledged_edit(self):
+        gateway = ("send", "respond", "apply_response")
+        explored, acknowledged, _ = self.explore(True, (gateway, ("elect", "commit", "acknowledge"), ("tick",) * 5))
+        self.assertEqual(explored, 9240)
+        self.assertGreater(acknowledged, 20)
+
+    def test_a_leader_that_does_not_wait_for_gateways_is_detected(self):
         with unittest.mock.patch.object(_Leader, "is_in_effect", lambda self, sequence: True):
             with self.assertRaises(AssertionError):
-                self.play(False, (("send", "answer", "absorb"), ("commit", "acknowledge"), ("tick",) * 2))
+                self.explore(False, (("send", "respond", "apply_response"), ("commit", "acknowledge"), ("tick",) * 2))
 
-    def test_witnesses_meet(self):
+    def test_majorities_of_witnesses_intersect_across_one_change(self):
         """A majority of storage nodes meets any majority of the set before or after one change, whichever of them has
         the edit.
         """
--- a/tests/test_durable_log_power_loss.py
+++ b/tests/test_durable_log_power_loss.py
@@ -19,7 +19,7 @@
 from testbed.simulator.random_faults import seeds
 
 SEEDS = seeds(2)
-ROLL_BYTES = 400
+SEGMENT_BYTES = 400
 
 
 class _PowerLost(BaseException):
@@ -34,27 +34,27 @@
         self.calls = 0
         self.stop_at = stop_at
 
-    def _ends(self) -> bool:
+    def _is_stopped(self) -> bool:
         self.calls += 1
         return self.stop_at is not None and self.calls >= self.stop_at
 
-    def _step(self):
-        if self._ends():
+    def _count_call(self):
+        if self._is_stopped():
             raise _PowerLost
 
     def append(self, fd, data):
-        if self._ends():
+        if self._is_stopped():
             if self.calls == self.stop_at and data:
                 super().append(fd, data[: self._rng.randrange(len(data))])
             raise _PowerLost
         super().append(fd, data)
 
     def sync(self, fd):
-        self._step()
+        self._count_call()
         super().sync(fd)
 
     def sync_folder(self, folder):
-        self._step()
+        self._count_call()
         super().sync_folder(folder)
 
 
@@ -82,7 +82,7 @@
         self._held.append((d, do, args))
         return d
 
-    def step(self):
+    def run_held_calls(self):
         while self._held:
             d, do, args = self._held.pop(0)
             try:
@@ -102,78 +102,78 @@
     return Snapshot(index=index, term=term, cluster_state=state)
 
 
-class _Member:
+class _Controller:
     """Plays a member's calls and remembers what it has promised: synced entries and terms."""
 
     def __init__(self, folder: Path, disk):
         self.ctx, self.folder = _Context(), folder
         self.durable_log = DurableLog(self.ctx, folder, disk)
-        self.promised: dict[int, int] = {}
+        self.acknowledged: dict[int, int] = {}
         self.term = 0
 
     def start(self) -> "_Member":
         self.durable_log.recover()
         return self
 
-    def put(self, e: ControllerEntry):
-        for n in [n for n in self.promised if n >= e.index]:
-            del self.promised[n]
+    def append(self, e: ControllerEntry):
+        for n in [n for n in self.acknowledged if n >= e.index]:
+            del self.acknowledged[n]
         d = self.durable_log.append(e)
-        d.addCallback(lambda _: self._promise(e))
+        d.addCallback(lambda _: self._acknowledge(e))
         d.addErrback(lambda f: f.trap(StorageFull, _PowerLost))
 
-    def _promise(self, e):
+    def _acknowledge(self, e):
         if self.durable_log.term_at(e.index) == e.term:
-            self.promised[e.index] = e.term
+            self.acknowledged[e.index] = e.term
 
     def vote(self, term):
         d = self.durable_log.save_hard_state(term, "a")
         d.addCallback(lambda _: setattr(self, "term", term))
         d.addErrback(lambda f: f.trap(StorageFull, _PowerLost))
 
-    def take(self, s: Snapshot):
-        if self.promised.get(s.index, s.term) != s.term:
-            self.promised = {n: t for n, t in self.promised.items() if n < s.index}
+    def install(self, s: Snapshot):
+        if self.acknowledged.get(s.index, s.term) != s.term:
+            self.acknowledged = {n: t for n, t in self.acknowledged.items() if n < s.index}
         self.durable_log.save_snapshot(s)
         d = self.durable_log.use_snapshot(s)
         d.addErrback(lambda f: f.trap(StorageFull, _PowerLost))
-        self.promised = {n: t for n, t in self.promised.items() if self.durable_log.term_at(n) == t}
+        self.acknowledged = {n: t for n, t in self.acknowledged.items() if self.durable_log.term_at(n) == t}
 
-        def promise(_):
-            self.promised[s.index] = s.term
+        def acknowledge(_):
+            self.acknowledged[s.index] = s.term
 
-        d.addCallback(promise)
+        d.addCallback(acknowledge)
 
-    def play(self):
+    def run_history(self):
         """Founding, a roll, a trim with writes around it, another branch, and a snapshot from a leader over it."""
-        self.take(snapshot(0, 0))
-        self.ctx.step()
+        self.install(snapshot(0, 0))
+        self.ctx.run_held_calls()
         self.vote(1)
         for n in range(1, 9):
-            self.put(entry(n, 1))
+            self.append(entry(n, 1))
             if n % 3 == 0:
-                self.ctx.step()
-        self.ctx.step()
-        self.put(entry(9, 1))
-        self.take(snapshot(5, 1))
-        self.put(entry(10, 1))
-        self.ctx.step()
+                self.ctx.run_held_calls()
+        self.ctx.run_held_calls()
+        self.append(entry(9, 1))
+        self.install(snapshot(5, 1))
+        self.append(entry(10, 1))
+        self.ctx.run_held_calls()
         self.vote(2)
         for n in range(8, 13):
-            self.put(entry(n, 2))
-        self.ctx.step()
-        self.take(snapshot(10, 3))
-        self.ctx.step()
+            self.append(entry(n, 2))
+        self.ctx.run_held_calls()
+        self.install(snapshot(10, 3))
+        self.ctx.run_held_calls()
         self.vote(4)
         for n in range(11, 16):
-            self.put(entry(n, 4))
-        self.ctx.step()
-        self.take(snapshot(30, 5))
-        self.put(entry(31, 5))
-        self.ctx.step()
+            self.append(entry(n, 4))
+        self.ctx.run_held_calls()
+        self.install(snapshot(30, 5))
+        self.append(entry(31, 5))
+        self.ctx.run_held_calls()
 
 
-def _always_cut(replay, e):
+def _always_truncate(replay, e):
     replay._truncate_after(e.index - 1)
     replay._entries[e.index] = e
     replay._last_index = e.index
@@ -186,101 +186,101 @@
         "_sync_folder_names",
         lambda self: self._disk.sync_folder(self._folder),
     ),
-    "an entry written again cuts nothing off": (LogReplay, "_add_entry", _always_cut),
+    "an entry written again cuts nothing off": (LogReplay, "_add_entry", _always_truncate),
     "entries follow a snapshot only behind its marker": (LogReplay, "has_marker_of", lambda self, snapshot: True),
     "another branch ends at a snapshot": (LogReplay, "_conflicts", lambda self, snapshot: False),
 }
 
 
-class PowerLost(unittest.TestCase):
+class PowerLoss(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        patch = mock.patch.object(segments, "MAX_SEGMENT_BYTES", ROLL_BYTES)
+        patch = mock.patch.object(segments, "MAX_SEGMENT_BYTES", SEGMENT_BYTES)
         patch.start()
         self.addCleanup(patch.stop)
 
-    def run_to(self, stop_at, seed):
+    def run_until(self, stop_at, seed):
         folder = Path(tempfile.mkdtemp(dir=self.folder))
         disk = _StoppingDisk(Random(f"{seed}.{stop_at}"), stop_at)
         disk.save_names(folder)
-        member = _Member(folder, disk)
+        controller = _Controller(folder, disk)
         try:
-            member.start()
-            member.play()
+            controller.start()
+            controller.run_history()
         except _PowerLost:
             pass
         disk.lose_power()
         disk.stop_at = None
-        return member, disk, folder
-
-    def check(self, member, again):
-        self.assertEqual(member.ctx.logger.faults, [])
-        self.assertGreaterEqual(again.hard_state.term, member.term)
-        for index, term in member.promised.items():
-            if index >= again.snapshot.index:
-                self.assertEqual(again.term_at(index), term, f"{index} was promised: {member.promised}")
-        wrong = {n: e for n, e in enumerate(again.entries, again.snapshot.index + 1) if e.index != n}
-        self.assertEqual(wrong, {})
-        terms = [again.snapshot.term, *(e.term for e in again.entries)]
+        return controller, disk, folder
+
+    def check(self, controller, restarted):
+        self.assertEqual(controller.ctx.logger.faults, [])
+        self.assertGreaterEqual(restarted.hard_state.term, controller.term)
+        for index, term in controller.acknowledged.items():
+            if index >= restarted.snapshot.index:
+                self.assertEqual(restarted.term_at(index), term, f"{index} was promised: {controller.acknowledged}")
+        misplaced = {n: e for n, e in enumerate(restarted.entries, restarted.snapshot.index + 1) if e.index != n}
+        self.assertEqual(misplaced, {})
+        terms = [restarted.snapshot.term, *(e.term for e in restarted.entries)]
         self.assertEqual(terms, sorted(terms), "entries of another branch behind a snapshot")
 
-    def lose_twice(self, stop_at, seed):
+    def lose_power_twice(self, stop_at, seed):
         """Loses power at a call, starts again, writes one entry, and loses power once more."""
-        member, disk, folder = self.run_to(stop_at, seed)
-        again = _Member(folder, disk).start()
-        self.check(member, again.durable_log)
-        last = again.durable_log.last_index()
-        again.put(entry(last + 1, 6))
-        again.ctx.step()
-        again.durable_log.close()
+        controller, disk, folder = self.run_until(stop_at, seed)
+        restarted = _Controller(folder, disk).start()
+        self.check(controller, restarted.durable_log)
+        last = restarted.durable_log.last_index()
+        restarted.append(entry(last + 1, 6))
+        restarted.ctx.run_held_calls()
+        restarted.durable_log.close()
         disk.lose_power()
-        third = _Member(folder, disk).start().durable_log
-        self.assertEqual(third.term_at(last + 1), 6)
-        self.check(member, third)
-        third.close()
+        restarted_twice = _Controller(folder, disk).start().durable_log
+        self.assertEqual(restarted_twice.term_at(last + 1), 6)
+        self.check(controller, restarted_twice)
+        restarted_twice.close()
 
     def test_whatever_was_promised_is_there_after_a_loss_of_power_at_any_call(self):
         for seed in SEEDS:
-            whole, disk, _ = self.run_to(None, seed)
-            self.assertEqual(whole.promised[31], 5)
+            complete, disk, _ = self.run_until(None, seed)
+            self.assertEqual(complete.acknowledged[31], 5)
             for stop_at in range(1, disk.calls + 1):
                 with self.subTest(seed=seed, stop_at=stop_at):
-                    self.lose_twice(stop_at, seed)
+                    self.lose_power_twice(stop_at, seed)
 
-    def lost(self) -> bool:
+    def loses_acknowledged_data(self) -> bool:
         """Whether some loss of power breaks a promise, over the same few seeds each time."""
         for seed in range(1, 13):
-            _, disk, _ = self.run_to(None, seed)
+            _, disk, _ = self.run_until(None, seed)
             for stop_at in range(1, disk.calls + 1):
                 try:
-                    self.lose_twice(stop_at, seed)
+                    self.lose_power_twice(stop_at, seed)
                 except (AssertionError, CorruptData):
                     return True
         return False
 
     def test_without_a_guard_something_promised_is_lost(self):
-        for name, (owner, part, instead) in GUARDS.items():
-            with self.subTest(name), mock.patch.object(owner, part, instead):
-                self.assertTrue(self.lost())
+        for name, (owner, method, replacement) in GUARDS.items():
+            with self.subTest(name), mock.patch.object(owner, method, replacement):
+                self.assertTrue(self.loses_acknowledged_data())
 
 
-class RejectedCalls(unittest.TestCase):
+class RejectedWrites(unittest.TestCase):
     def test_what_is_queued_while_a_refusal_is_told_goes_to_the_disk(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         disk = PowerLossDisk(Random(1))
-        member = _Member(Path(folder.name), disk).start()
+        controller = _Controller(Path(folder.name), disk).start()
         disk.full = True
-        notified = []
+        synced = []
 
-        def again(f):
+        def write_again(f):
             f.trap(StorageFull)
             disk.full = False
-            member.durable_log.save_hard_state(3, "b").addCallback(lambda _: notified.append("hard state"))
+            controller.durable_log.save_hard_state(3, "b").addCallback(lambda _: synced.append("hard state"))
 
-        member.durable_log.append(entry(1, 1)).addErrback(again)
-        member.ctx.step()
-        self.assertEqual(notified, ["hard state"])
-        member.durable_log.close()
+        controller.durable_log.append(entry(1, 1)).addErrback(write_again)
+        controller.ctx.run_held_calls()
+        self.assertEqual(synced, ["hard state"])
+        controller.durable_log.close()
--- a/tests/test_edit_guards.py
+++ b/tests/test_edit_guards.py
@@ -31,23 +31,23 @@
         self.caller = Caller(self.simulation)
         self.records: list = []
         self.leader = self.simulation.leader()
-        self.held, self.other, *_ = [a for a in self.simulation.role("controller") if a is not self.leader]
+        self.delayed, self.other, *_ = [a for a in self.simulation.role("controller") if a is not self.leader]
 
     def config(self, content, base, version, **headers):
         self.simulation.run(0.01)
-        began = self.simulation.clock.seconds()
+        started_at = self.simulation.clock.seconds()
         body = config_of(version, route_of(content))
         args = ("PUT", "/v1/config", body, {"If-Match": str(base), **headers})
         answer = ANSWERS[self.caller.ask(self.other, *args)[0]]
-        self.records.append(ConfigOrder(content, base, version, began, self.simulation.clock.seconds(), answer))
+        self.records.append(ConfigOrder(content, base, version, started_at, self.simulation.clock.seconds(), answer))
 
     def zone(self, empty: bool):
         self.simulation.run(0.01)
-        began = self.simulation.clock.seconds()
+        started_at = self.simulation.clock.seconds()
         answer = ANSWERS[self.caller.ask(self.other, "PUT" if empty else "DELETE", PATH)[0]]
-        self.records.append(ZoneOrder(ZONE, empty, began, self.simulation.clock.seconds(), answer))
+        self.records.append(ZoneOrder(ZONE, empty, started_at, self.simulation.clock.seconds(), answer))
 
-    def look(self):
+    def record_gateways(self):
         now = self.simulation.clock.seconds()
         for a in self.simulation.role("gateway"):
             state = a.ctx.cluster.cluster_state
@@ -55,7 +55,7 @@
             self.records.append(ConfigSeen(state.routes.version, content, now, now, a.node))
             self.records.append(ZoneSeen(ZONE, ZONE in state.empty_zones, now, now, a.node))
 
-    def note_copy(self):
+    def record_unanswered_copy(self):
         """A copy of the order that empties the zone; its caller gives it up after a second and sends it again."""
         now = self.simulation.clock.seconds()
         self.records.append(ZoneOrder(ZONE, True, now, now + 1.1, Answer.UNKNOWN))
@@ -66,63 +66,63 @@
         self.zone(True)
         self.zone(False)
         self.simulation.run(2)
-        self.look()
+        self.record_gateways()
 
 
-def early_sent_again(s):
+def early_edit_sent_again(s):
     s.config("first", 0, 3)
     s.config("early", 5, 9)
     s.config("between", 3, 5)
     s.config("early", 5, 9)
 
 
-def held_on_its_way_to_the_leader(s):
-    s.simulation.cut([s.held.name], [s.leader.name], one_way=True)
-    s.note_copy()
-    s.caller.begin(s.held, "PUT", PATH)
+def delayed_on_the_way_to_the_leader(s):
+    s.simulation.cut([s.delayed.name], [s.leader.name], one_way=True)
+    s.record_unanswered_copy()
+    s.caller.begin(s.delayed, "PUT", PATH)
     s.empty_and_fill()
     s.simulation.heal()
     s.simulation.run(1)
-    s.look()
+    s.record_gateways()
 
 
-def held_in_a_frozen_socket(s):
-    s.held.freeze()
-    s.note_copy()
-    s.held.clock.callLater(0, s.caller.begin, s.held, "PUT", PATH)
+def delayed_in_a_frozen_socket(s):
+    s.delayed.freeze()
+    s.record_unanswered_copy()
+    s.delayed.clock.callLater(0, s.caller.begin, s.delayed, "PUT", PATH)
     s.empty_and_fill()
     s.simulation.run(3)
-    s.held.thaw()
+    s.delayed.thaw()
     s.simulation.run(1)
-    s.look()
+    s.record_gateways()
 
 
-def arrived_after_its_caller_had_left(s):
+def arrived_after_its_client_disconnected(s):
     """A copy waits in a cut link together with its caller's leaving."""
     s.empty_and_fill()
-    late = s.caller.begin(s.held, "PUT", PATH)
+    late = s.caller.begin(s.delayed, "PUT", PATH)
     s.simulation.clock.callLater(0.005, late.hang_up)
     s.simulation.run(1)
-    s.look()
+    s.record_gateways()
 
 
-def two_on_one_base(s):
+def two_edits_on_one_base(s):
     s.config("a", 0, 3)
     s.config("b", 3, 5)
     s.config("c", 3, 6)
 
 
-def sent_again(s):
+def edit_sent_again(s):
     s.config("a", 0, 3)
     s.config("a", 0, 3)
 
 
-def two_under_one_id(s):
+def two_edits_under_one_id(s):
     s.config("a", 0, 3, **{"Edit-Id": "mine"})
     s.config("b", 0, 3, **{"Edit-Id": "mine"})
 
 
-def sent_again_after_many_others(s):
+def edit_sent_again_after_many_others(s):
     with mock.patch.object(cluster_state, "MAX_OUTCOMES", 10):
         s.config("a", 0, 3)
         for _ in range(6):
@@ -131,64 +131,79 @@
         s.config("a", 0, 3)
 
 
-def _apply_and_remember(self, sequence, c):
-    out = _apply(self, sequence, c)
-    if c.edit and out.code not in ("done", "late"):
-        self.outcomes[c.edit] = out
-    return out
+def _apply_and_record_rejections(self, sequence, command):
+    outcome = _apply(self, sequence, command)
+    if command.edit and outcome.code not in ("done", "late"):
+        self.outcomes[command.edit] = outcome
+    return outcome
 
 
 _apply = ClusterState.apply
 
 
-def _apply_on_any_base(self, e, sequence):
-    e.base = self.routes.version
-    return _apply_config(self, e, sequence)
+def _apply_on_any_base(self, edit, sequence):
+    edit.base = self.routes.version
+    return _apply_config(self, edit, sequence)
 
 
 _apply_config = ClusterState._apply_config
 
 
-def _remember_the_last(self, out, c, what):
-    self.outcomes[c.edit] = out
+def _record_only_the_newest(self, outcome, command, kind):
+    self.outcomes[command.edit] = outcome
     while len(self.outcomes) > cluster_state.MAX_OUTCOMES:
         self.outcomes.popitem(last=False)
 
 
 GUARDS = {
-    "a refusal is judged anew": (early_sent_again, ClusterState, "apply", _apply_and_remember),
-    "an order is fenced": (held_on_its_way_to_the_leader, ClusterState, "_is_fenced", lambda self, c, what: False),
+    "a refusal is judged anew": (early_edit_sent_again, ClusterState, "apply", _apply_and_record_rejections),
+    "an order is fenced": (
+        delayed_on_the_way_to_the_leader,
+        ClusterState,
+        "_is_fenced",
+        lambda self, command, kind: False,
+    ),
     "a controller that woke takes no order": (
-        held_in_a_frozen_socket,
+        delayed_in_a_frozen_socket,
         EditFencing,
         "check_timely",
         lambda self, at: None,
     ),
     "an order's caller is still there": (
-        arrived_after_its_caller_had_left,
+        arrived_after_its_client_disconnected,
         edit_fencing,
         "DISCONNECT_CHECK_DELAY",
         ZERO,
     ),
-    "a change builds on the version in force": (two_on_one_base, ClusterState, "_apply_config", _apply_on_any_base),
-    "what was taken is remembered": (sent_again, ClusterState, "recorded_outcome", lambda self, c: None),
-    "an id stands for one content": (two_under_one_id, cluster_state, "_content_digest", lambda c: b""),
-    "the newest is not forgotten": (sent_again_after_many_others, ClusterState, "_record_outcome", _remember_the_last),
+    "a change builds on the version in force": (
+        two_edits_on_one_base,
+        ClusterState,
+        "_apply_config",
+        _apply_on_any_base,
+    ),
+    "what was taken is remembered": (edit_sent_again, ClusterState, "recorded_outcome", lambda self, command: None),
+    "an id stands for one content": (two_edits_under_one_id, cluster_state, "_content_digest", lambda command: b""),
+    "the newest is not forgotten": (
+        edit_sent_again_after_many_others,
+        ClusterState,
+        "_record_outcome",
+        _record_only_the_newest,
+    ),
 }
 
 
-class OrderGuards(unittest.TestCase):
-    def found(self, bring) -> list[str]:
+class EditGuards(unittest.TestCase):
+    def violations(self, run_scenario) -> list[str]:
         s = Scenario(self)
-        bring(s)
+        run_scenario(s)
         return check_history(s.records)
 
     def test_with_the_guard_nothing_is_found(self):
-        for name, (bring, *_) in GUARDS.items():
+        for name, (run_scenario, *_) in GUARDS.items():
             with self.subTest(name):
-                self.assertEqual(self.found(bring), [])
+                self.assertEqual(self.violations(run_scenario), [])
 
     def test_without_the_guard_it_is_found(self):
-        for name, (bring, owner, part, instead) in GUARDS.items():
-            with self.subTest(name), mock.patch.object(owner, part, instead):
-                self.assertNotEqual(self.found(bring), [])
+        for name, (run_scenario, owner, attribute, replacement) in GUARDS.items():
+            with self.subTest(name), mock.patch.object(owner, attribute, replacement):
+                self.assertNotEqual(self.violations(run_scenario), [])
--- a/tests/test_operator_edits.py
+++ b/tests/test_operator_edits.py
@@ -24,7 +24,7 @@
     return Command(edit=edit, config=ConfigEdit(base=base, version=version, replace_all=True), **more)
 
 
-class _Orders(unittest.TestCase):
+class _OperatorEdits(unittest.TestCase):
     def setUp(self):
         self.simulation = Simulation(41, placement_groups=2)
         self.addCleanup(self.simulation.end)
@@ -39,7 +39,7 @@
         self.caller = Caller(self.simulation)
         self.controllers = self.simulation.role("controller")
         self.leader = self.simulation.leader()
-        self.held, self.other, *_ = [a for a in self.controllers if a is not self.leader]
+        self.delayed, self.other, *_ = [a for a in self.controllers if a is not self.leader]
 
     def put(self, config, base, controller=None):
         return self.caller.put(controller or self.other, config, base)
@@ -67,12 +67,12 @@
 
     def arriving_while_frozen(self, controller, *args):
         """A call whose bytes wait in the controller's socket until it is run again."""
-        box = []
-        controller.clock.callLater(0, lambda: box.append(self.caller.begin(controller, *args)))
-        return box
+        pending = []
+        controller.clock.callLater(0, lambda: pending.append(self.caller.begin(controller, *args)))
+        return pending
 
 
-class Repeats(_Orders):
+class RepeatedEdits(_OperatorEdits):
     def test_an_order_that_came_before_its_base_is_taken_when_it_is_sent_again_once_its_base_is_in_force(self):
         early = config_of(9, route_of("early"))
         self.put(config_of(3), 0)
@@ -124,14 +124,14 @@
         self.assertEqual(self.caller.get(self.other)[1]["routes"], [route_of("won")])
 
 
-class Races(_Orders):
+class ConcurrentEdits(_OperatorEdits):
     def test_two_changes_under_one_edit_id_are_not_both_confirmed(self):
         headers = {"If-Match": "0", "Edit-Id": "mine"}
         first = self.caller.ask(self.other, "PUT", CONFIG, config_of(4, route_of("a")), headers)
-        second = self.caller.ask(self.held, "PUT", CONFIG, config_of(4, route_of("b")), headers)
+        second = self.caller.ask(self.delayed, "PUT", CONFIG, config_of(4, route_of("b")), headers)
         self.assertEqual(first[0], 200)
         self.assertEqual((second[0], second[1]["error"]["code"]), (409, "edit_id_used"))
-        self.assertEqual(self.caller.ask(self.held, "PUT", CONFIG, config_of(4, route_of("a")), headers)[0], 200)
+        self.assertEqual(self.caller.ask(self.delayed, "PUT", CONFIG, config_of(4, route_of("a")), headers)[0], 200)
 
     def test_a_zone_order_under_the_id_of_another_order_is_refused_and_not_confirmed_for_it(self):
         headers = {"Edit-Id": "mine"}
@@ -151,7 +151,7 @@
                 )
                 simulation.run(2)
                 caller = Caller(simulation)
-                boxes = [
+                pending_calls = [
                     caller.begin(
                         simulation.role("controller")[(n + i) % 4],
                         "POST",
@@ -159,39 +159,39 @@
                     )
                     for i, s in enumerate(("storage1", "storage2"))
                 ]
-                simulation.until(lambda: all(boxes), 10, "both are answered")
-                self.assertEqual(sorted(b[0][0] for b in boxes), [200, 409])
+                simulation.until(lambda: all(pending_calls), 10, "both are answered")
+                self.assertEqual(sorted(b[0][0] for b in pending_calls), [200, 409])
                 statuses = simulation.leader().part.consensus.cluster_state.storage_nodes.values()
                 self.assertEqual(sum(s != "serving" for s in statuses), 1)
 
     def test_eight_orders_at_once_on_two_zones_are_all_taken(self):
-        boxes = [
+        pending_calls = [
             self.caller.begin(
                 self.controllers[n % 4], "PUT" if n % 3 else "DELETE", f"/v1/zones/zone-{'ab'[n % 2]}/empty"
             )
             for n in range(8)
         ]
-        self.simulation.until(lambda: all(boxes), 3, "all are answered")
-        self.assertEqual([b[0][0] for b in boxes], [200] * 8)
+        self.simulation.until(lambda: all(pending_calls), 3, "all are answered")
+        self.assertEqual([b[0][0] for b in pending_calls], [200] * 8)
 
 
-class Late(_Orders):
+class DelayedCopies(_OperatorEdits):
     def test_an_emptied_zone_is_not_emptied_again_by_a_copy_that_waited_in_a_frozen_controllers_socket(self):
-        self.held.freeze()
+        self.delayed.freeze()
         self.simulation.run(0.1)
-        late = self.arriving_while_frozen(self.held, "PUT", ZONE)
+        late = self.arriving_while_frozen(self.delayed, "PUT", ZONE)
         self.simulation.run(1.2)
         self.assertEqual(self.zone("PUT"), 200)
         self.assertEqual(self.zone("DELETE"), 200)
         self.simulation.run(8)
-        self.held.thaw()
+        self.delayed.thaw()
         self.simulation.run(3)
         self.assertFalse(self.empty())
         self.assertEqual(late[0][0][0], 503)
-        self.assertEqual(self.zone("PUT", self.held), 200)
+        self.assertEqual(self.zone("PUT", self.delayed), 200)
 
     def test_nor_by_one_that_was_frozen_just_after_the_order_was_read(self):
-        for controller in (self.held, self.leader):
+        for controller in (self.delayed, self.leader):
             late = self.caller.begin(controller, "PUT", ZONE)
             self.simulation.run(0.005)
             controller.freeze()
@@ -205,16 +205,16 @@
             self.assertGreaterEqual(late[0][0], 500)
 
     def test_nor_by_one_that_was_held_up_on_its_way_to_the_leader(self):
-        fenced = self.held.part.consensus.cluster_state.sequence
+        fenced = self.delayed.part.consensus.cluster_state.sequence
         self.assertEqual(self.zone("PUT"), 200)
         self.assertEqual(self.zone("DELETE"), 200)
         late = Command(edit="late", zone=ZoneEdit(zone="zone-b", empty=True), fencing_token=fenced)
-        out = self.simulation.do(self.leader.part.state_delivery.edit(late))
-        self.assertEqual(out.code, "late")
+        outcome = self.simulation.do(self.leader.part.state_delivery.edit(late))
+        self.assertEqual(outcome.code, "late")
         self.assertFalse(self.empty())
 
     def test_an_order_whose_caller_has_hung_up_is_not_carried_out(self):
-        late = self.caller.begin(self.held, "PUT", ZONE)
+        late = self.caller.begin(self.delayed, "PUT", ZONE)
         self.simulation.run(0.01)
         late.hang_up()
         self.simulation.run(2)
@@ -223,10 +223,10 @@
     def test_an_order_that_was_refused_as_early_does_not_come_in_force_by_a_copy_that_was_held_up(self):
         early = config_of(9, route_of("early"))
         self.put(config_of(3), 0)
-        held = config_command("early", 5, 9, fencing_token=self.held.part.consensus.cluster_state.sequence)
+        delayed = config_command("early", 5, 9, fencing_token=self.delayed.part.consensus.cluster_state.sequence)
         self.assertEqual(self.put(early, 5)[0], 412)
         self.assertEqual(self.put(config_of(5), 3)[0], 200)
-        self.assertEqual(self.simulation.do(self.leader.part.state_delivery.edit(held)).code, "late")
+        self.assertEqual(self.simulation.do(self.leader.part.state_delivery.edit(delayed)).code, "late")
         self.assertEqual(self.version(), 5)
 
     def test_a_retirement_that_was_held_up_does_not_take_a_retired_storage_node_back(self):
@@ -239,21 +239,21 @@
         self.assertEqual(state.storage_nodes, {"s": "retired"})
 
     def test_a_controller_that_lags_takes_an_order_at_once(self):
-        self.simulation.cut([self.leader.name], [self.held.name], one_way=True)
+        self.simulation.cut([self.leader.name], [self.delayed.name], one_way=True)
         self.simulation.run(0.2)
         self.assertEqual(self.zone("PUT"), 200)
         self.assertLess(
-            self.held.part.consensus.cluster_state.zones_changed_at,
+            self.delayed.part.consensus.cluster_state.zones_changed_at,
             self.leader.part.consensus.cluster_state.zones_changed_at,
         )
         self.simulation.heal()
         before = self.simulation.clock.seconds()
-        self.assertEqual(self.zone("DELETE", self.held), 200)
+        self.assertEqual(self.zone("DELETE", self.delayed), 200)
         self.assertLess(self.simulation.clock.seconds() - before, 0.3)
 
     def test_an_order_whose_bytes_arrive_together_with_its_callers_leaving_is_not_carried_out(self):
         app = Klein()
-        ControlApi(self.held.ctx, self.held.part, self.caller.control_format).add_routes(app.route)
+        ControlApi(self.delayed.ctx, self.delayed.part, self.caller.control_format).add_routes(app.route)
         for leaves in (True, False):
             connection = Site(app.resource(), 1000).buildProtocol(None)
             transport = StringTransport()
@@ -276,23 +276,25 @@
         self.assertGreaterEqual(part.log_replication.synced_index, index)
 
 
-class Kept(unittest.TestCase):
+class SnapshotRoundTrip(unittest.TestCase):
     def test_marks_and_outcomes_come_back_from_a_snapshot(self):
         state = ClusterState()
         state.apply(3, config_command("c", 0, 4))
         state.apply(5, Command(edit="z", zone=ZoneEdit(zone="a", empty=True)))
         state.apply(7, Command(storage_node=StorageNodeEdit(storage_node="s", status="serving")))
-        again = ClusterState(state.data())
-        self.assertEqual((again.config_changed_at, again.zones_changed_at, again.storage_nodes_changed_at), (3, 5, 7))
+        restored = ClusterState(state.data())
+        self.assertEqual(
+            (restored.config_changed_at, restored.zones_changed_at, restored.storage_nodes_changed_at), (3, 5, 7)
+        )
         for late in (
             config_command("n", 4, 9, fencing_token=2),
             Command(edit="n", zone=ZoneEdit(zone="a"), fencing_token=4),
             Command(edit="n", storage_node=StorageNodeEdit(storage_node="s", status="retiring"), fencing_token=6),
         ):
-            self.assertEqual(again.apply(8, late).code, "late")
-        self.assertEqual(again.apply(9, config_command("c", 0, 4, fencing_token=8)).code, "done")
-        self.assertEqual(again.apply(9, config_command("c", 0, 5, fencing_token=8)).code, "edit_id_used")
-        self.assertEqual(again.data().outcomes, state.data().outcomes)
+            self.assertEqual(restored.apply(8, late).code, "late")
+        self.assertEqual(restored.apply(9, config_command("c", 0, 4, fencing_token=8)).code, "done")
+        self.assertEqual(restored.apply(9, config_command("c", 0, 5, fencing_token=8)).code, "edit_id_used")
+        self.assertEqual(restored.data().outcomes, state.data().outcomes)
 
 
-del _Orders
+del _OperatorEdits
--- a/tests/test_simulated_config.py
+++ b/tests/test_simulated_config.py
@@ -11,7 +11,7 @@
 from .control_calls import Caller, config_of, route_of
 
 
-class Config(unittest.TestCase):
+class Configuration(unittest.TestCase):
     def setUp(self):
         self.simulation = Simulation(17, placement_groups=2)
         self.addCleanup(self.simulation.end)
@@ -47,17 +47,17 @@
         self.caller.put(self.other, config_of(1), 0)
         for n in range(1, 6):
             first, second = self.simulation.rng.sample(self.controllers, 2)
-            boxes = [
+            pending_calls = [
                 self.caller.begin(controller, "PUT", "/v1/config", config_of(10 * n + i), {"If-Match": str(base)})
                 for base in [max(self.versions("gateway"))]
                 for i, controller in enumerate((first, second))
             ]
-            self.simulation.until(lambda: all(boxes), 8, "both are answered")
-            answer = sorted(b[0][0] for b in boxes)
-            self.assertEqual(answer, [200, 412])
-            won = 10 * n + [b[0][0] for b in boxes].index(200)
-            self.assertEqual(self.versions("gateway"), {won})
-            self.assertEqual(self.caller.get(self.controllers[n % 4])[1], config_of(won))
+            self.simulation.until(lambda: all(pending_calls), 8, "both are answered")
+            response = sorted(b[0][0] for b in pending_calls)
+            self.assertEqual(response, [200, 412])
+            winner = 10 * n + [b[0][0] for b in pending_calls].index(200)
+            self.assertEqual(self.versions("gateway"), {winner})
+            self.assertEqual(self.caller.get(self.controllers[n % 4])[1], config_of(winner))
 
     def test_a_stale_base_and_an_old_version_are_refused(self):
         self.caller.put(self.other, config_of(5), 0)
@@ -67,10 +67,10 @@
             (5, 5, 400, "old_version"),
             (5, 4, 400, "old_version"),
         ):
-            answer = self.caller.put(self.other, config_of(version), base)
-            self.assertEqual((answer[0], answer[1]["error"]["code"]), (status, code))
-            answer = self.caller.patch(self.other, {"version": version}, base)
-            self.assertEqual((answer[0], answer[1]["error"]["code"]), (status, code))
+            response = self.caller.put(self.other, config_of(version), base)
+            self.assertEqual((response[0], response[1]["error"]["code"]), (status, code))
+            response = self.caller.patch(self.other, {"version": version}, base)
+            self.assertEqual((response[0], response[1]["error"]["code"]), (status, code))
         self.assertEqual(self.caller.get(self.controllers[0])[1], config_of(5))
 
     def test_an_edit_without_its_base_or_with_a_bad_one_is_refused(self):
@@ -85,7 +85,7 @@
 
     def test_nothing_is_proposed_for_what_cannot_be_read_or_is_invalid(self):
         self.caller.put(self.other, config_of(5), 0)
-        agreed = self.simulation.leader().part.consensus.commit_index
+        commit_index = self.simulation.leader().part.consensus.commit_index
         whole = json.dumps(config_of(6)).encode()
 
         def with_route(**more):
@@ -94,7 +94,7 @@
         def without(field):
             return config_of(6, {k: v for k, v in route_of("r").items() if k != field})
 
-        bad = {
+        invalid_bodies = {
             "empty": b"",
             "cut short": whole[:-9],
             "not UTF-8": whole[:-1] + b'"\xff"}',
@@ -131,10 +131,10 @@
             "a half letter": with_route(host="\ud800"),
             **{f"no {f}": without(f) for f in ("name", "host", "prefix", "deadline_ms", "pool")},
         }
-        for what, body in bad.items():
-            with self.subTest(what):
+        for case, body in invalid_bodies.items():
+            with self.subTest(case):
                 self.assertEqual(self.caller.put(self.other, body, 5)[0], 400)
-        self.assertEqual(self.simulation.leader().part.consensus.commit_index, agreed)
+        self.assertEqual(self.simulation.leader().part.consensus.commit_index, commit_index)
         self.assertEqual(self.caller.get(self.controllers[0])[1], config_of(5))
 
     def test_a_patch_that_would_leave_an_invalid_whole_is_refused(self):
@@ -214,10 +214,10 @@
 
     def test_the_same_edit_sent_over_and_over_grows_the_log_once(self):
         self.caller.put(self.other, config_of(4), 0)
-        agreed = self.simulation.leader().part.consensus.commit_index
+        commit_index = self.simulation.leader().part.consensus.commit_index
         for _ in range(20):
             self.assertEqual(self.caller.put(self.other, config_of(4), 0)[0], 200)
-        self.assertEqual(self.simulation.leader().part.consensus.commit_index, agreed)
+        self.assertEqual(self.simulation.leader().part.consensus.commit_index, commit_index)
 
     def test_the_configuration_outlives_a_loss_of_power_at_every_controller(self):
         self.caller.put(self.other, config_of(4), 0)
@@ -236,16 +236,16 @@
         self.caller.put(self.other, config_of(4), 0)
         leader = self.simulation.leader()
 
-        async def many():
+        async def append_entries():
             for n in range(2700):
                 await leader.part.log_replication.propose(Command(no_op=True))
 
-        self.simulation.do(many(), 600)
+        self.simulation.do(append_entries(), 600)
         self.simulation.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "trimmed")
-        late = self.simulation.add("controller", "controller9", "zone-a", 1900)
-        late.start()
+        newcomer = self.simulation.add("controller", "controller9", "zone-a", 1900)
+        newcomer.start()
         self.simulation.until(
-            lambda: late.part.consensus.cluster_state.sequence == leader.part.consensus.cluster_state.sequence,
+            lambda: newcomer.part.consensus.cluster_state.sequence == leader.part.consensus.cluster_state.sequence,
             10,
             "the newcomer follows",
         )
@@ -253,7 +253,7 @@
             a.kill(power=True)
             a.start()
         self.simulation.ready()
-        for a in (leader, late):
+        for a in (leader, newcomer):
             self.simulation.until(lambda: a.part.consensus.leader_id, 2, "it hears who leads")
             self.assertEqual(self.caller.get(a)[1], config_of(4))
             self.assertEqual(self.caller.put(a, config_of(4), 0)[0], 200)
@@ -272,11 +272,11 @@
                 held = sum(e.ByteSize() for e in a.part.durable_log.entries)
                 self.assertLess(held, 400_000)
                 self.assertEqual(held, a.part.durable_log.entry_bytes)
-            late = self.simulation.add("controller", "controller9", "zone-a", 1900)
-            late.start()
+            newcomer = self.simulation.add("controller", "controller9", "zone-a", 1900)
+            newcomer.start()
             self.simulation.until(
                 lambda: (
-                    late.part.consensus.cluster_state.sequence
+                    newcomer.part.consensus.cluster_state.sequence
                     == self.simulation.leader().part.consensus.cluster_state.sequence
                 ),
                 10,
@@ -286,16 +286,16 @@
                 a.kill(power=True)
                 a.start()
             self.simulation.ready()
-            self.simulation.until(lambda: late.part.consensus.leader_id, 2, "the newcomer hears who leads")
-            self.assertEqual(self.caller.get(late)[1], config_of(30, *big))
+            self.simulation.until(lambda: newcomer.part.consensus.leader_id, 2, "the newcomer hears who leads")
+            self.assertEqual(self.caller.get(newcomer)[1], config_of(30, *big))
 
     def test_a_controller_without_a_leader_says_so_at_once(self):
-        rest = [a.name for a in self.simulation.simulated_nodes.values() if a is not self.other]
-        self.simulation.cut([self.other.name], rest)
+        others = [a.name for a in self.simulation.simulated_nodes.values() if a is not self.other]
+        self.simulation.cut([self.other.name], others)
         self.simulation.run(2)
         before = self.simulation.clock.seconds()
-        for box in (self.caller.put(self.other, config_of(4), 0), self.caller.get(self.other)):
-            self.assertEqual((box[0], box[1]["error"]["outcome"]), (503, box[1]["error"]["outcome"]))
+        for response in (self.caller.put(self.other, config_of(4), 0), self.caller.get(self.other)):
+            self.assertEqual((response[0], response[1]["error"]["outcome"]), (503, response[1]["error"]["outcome"]))
         self.assertLess(self.simulation.clock.seconds() - before, 0.1)
         self.simulation.heal()
         self.simulation.run(3)
@@ -308,7 +308,7 @@
                 self.assertEqual({a.ctx.cluster.zone_empty("zone-b") for a in self.simulation.role("gateway")}, {empty})
 
 
-class Retire(unittest.TestCase):
+class Retirement(unittest.TestCase):
     def setUp(self):
         self.simulation = Simulation(23, storage_nodes=4, placement_groups=4)
         self.addCleanup(self.simulation.end)
@@ -366,8 +366,8 @@
         for method in ("POST", "GET"):
             self.assertEqual(self.ask(method, "box-9")[0], 404)
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
-        rest = [a for a in self.simulation.role("storage") if a is not self.storage_node]
-        answer = self.ask("POST", rest[0].node)
-        self.assertEqual((answer[0], answer[1]["error"]["code"]), (409, "too_few_copies"))
+        others = [a for a in self.simulation.role("storage") if a is not self.storage_node]
+        response = self.ask("POST", others[0].node)
+        self.assertEqual((response[0], response[1]["error"]["code"]), (409, "too_few_copies"))
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
         self.assertEqual(self.ask("POST", self.storage_node.node)[0], 200)
--- a/tests/test_simulated_controllers.py
+++ b/tests/test_simulated_controllers.py
@@ -35,7 +35,7 @@
     def newest(self) -> int:
         return self.acked[-1][1] if self.acked else 0
 
-    async def operate(self, who: int):
+    async def operate(self, operator: int):
         rng, timers = self.simulation.rng, self.timers
         while not self.over:
             await timers.sleep(ms(100 + rng.randrange(500)))
@@ -44,24 +44,24 @@
                 continue
             part = controller.part
             try:
-                floor = self.newest()
+                min_sequence = self.newest()
                 await part.log_replication.confirm_leadership()
                 table = part.consensus.cluster_state.table_sequence
                 self.reads += 1
-                if table < floor:
-                    self.faults.append(f"read {table} after {floor} was acknowledged")
+                if table < min_sequence:
+                    self.faults.append(f"read {table} after {min_sequence} was acknowledged")
                 self.n += 1
                 text = f"edit{self.n}"
-                out = await part.state_delivery.edit(edit_of(f"row{who}", table, text))
-                if out.code == "done":
-                    self.acked.append((self.simulation.clock.seconds(), out.sequence, text))
+                outcome = await part.state_delivery.edit(edit_of(f"row{operator}", table, text))
+                if outcome.code == "done":
+                    self.acked.append((self.simulation.clock.seconds(), outcome.sequence, text))
                     self.acked.sort(key=lambda a: a[1])
                 else:
                     self.refused.add(text)
             except (NotLeader, Unconfirmed, WireError, PipitlinkError):
                 pass
 
-    def watch(self):
+    def check_gateways(self):
         """Every gateway that would admit work now has all that was acknowledged two seconds ago."""
         now = self.simulation.clock.seconds()
         old = max((seq for at, seq, _ in self.acked if now - at > IN_EFFECT), default=0)
@@ -81,12 +81,12 @@
         simulation.ready()
         ops = _Operators(simulation)
         ops.timers = simulation.timers()
-        plain_run = simulation.run
+        original_run = simulation.run
 
         def run(seconds, step=0.005):
             for _ in range(int(seconds / 0.05)):
-                plain_run(0.05, step)
-                ops.watch()
+                original_run(0.05, step)
+                ops.check_gateways()
 
         simulation.run = run
         random_faults = RandomFaults(simulation, roles=roles)
@@ -154,8 +154,8 @@
 
     def test_a_lone_side_refuses_edits_and_reads(self):
         leader = self.simulation.leader()
-        rest = [a.name for a in self.simulation.simulated_nodes.values() if a is not leader]
-        self.simulation.cut([leader.name], rest)
+        others = [a.name for a in self.simulation.simulated_nodes.values() if a is not leader]
+        self.simulation.cut([leader.name], others)
         with self.assertRaises(PipitlinkError):
             self.simulation.do(leader.part.state_delivery.edit(edit_of("r", 0, "lone")), 10)
         with self.assertRaises(PipitlinkError):
@@ -254,25 +254,25 @@
         part = self.simulation.leader().part
         with (
             unittest.mock.patch.object(part.durable_log, "used_bytes", lambda: 10**12),
-            self.assertRaises(StorageFull) as no,
+            self.assertRaises(StorageFull) as raised,
         ):
             self.simulation.do(part.state_delivery.edit(edit_of("r", 0, "no room")))
-        self.assertFalse(no.exception.sent)
+        self.assertFalse(raised.exception.sent)
         self.assertEqual(self.simulation.do(part.state_delivery.edit(edit_of("r", 0, "room"))).code, "done")
 
     def test_a_leader_whose_disk_refuses_an_entry_yields_and_never_puts_another_in_its_place(self):
         leader = self.simulation.leader()
         leader.disk.full = True
-        with self.assertRaises(PipitlinkError) as no:
+        with self.assertRaises(PipitlinkError) as raised:
             self.simulation.do(leader.part.state_delivery.edit(edit_of("r", 0, "refused by its disk")))
         leader.disk.full = False
         for n in range(3):
             part = self.simulation.until(self.simulation.leader, 10, "a controller leads").part
             self.simulation.do(part.log_replication.confirm_leadership())
-            out = self.simulation.do(
+            outcome = self.simulation.do(
                 part.state_delivery.edit(edit_of("s", part.consensus.cluster_state.table_sequence, f"next{n}"))
             )
-            self.assertEqual(out.code, "done")
+            self.assertEqual(outcome.code, "done")
         self.simulation.run(3)
         cluster_states = {
             (
@@ -282,7 +282,7 @@
             for a in self.simulation.role("controller")
         }
         self.assertEqual(len(cluster_states), 1, cluster_states)
-        self.assertIsInstance(no.exception, Unconfirmed)
+        self.assertIsInstance(raised.exception, Unconfirmed)
 
     def test_a_leader_does_not_count_what_its_own_disk_has_not_synced_in_this_term(self):
         """Its mark from an earlier term may lie beyond a log that was cut back since."""
@@ -339,21 +339,21 @@
     def test_a_long_log_is_trimmed_and_a_newcomer_takes_the_snapshot(self):
         leader = self.simulation.leader()
 
-        async def many():
+        async def append_entries():
             for n in range(2700):
                 await leader.part.log_replication.propose(Command(no_op=True))
 
-        self.simulation.do(many(), 600)
+        self.simulation.do(append_entries(), 600)
         self.simulation.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "trimmed")
-        late = self.simulation.add("controller", "controller9", "zone-a", 1900)
-        late.start()
+        newcomer = self.simulation.add("controller", "controller9", "zone-a", 1900)
+        newcomer.start()
         self.simulation.until(
-            lambda: late.part.consensus.cluster_state.sequence == leader.part.consensus.cluster_state.sequence,
+            lambda: newcomer.part.consensus.cluster_state.sequence == leader.part.consensus.cluster_state.sequence,
             10,
             "the newcomer follows",
         )
-        for a in (leader, late):
+        for a in (leader, newcomer):
             a.kill(power=True)
             a.start()
         self.simulation.ready()
-        self.assertGreater(late.part.durable_log.snapshot.index, 0)
+        self.assertGreater(newcomer.part.durable_log.snapshot.index, 0)
--- a/tests/test_simulated_edits.py
+++ b/tests/test_simulated_edits.py
@@ -12,9 +12,9 @@
 
 SEEDS = seeds(3)
 OPERATORS = 4
-LEAST_TAKEN = 10
-IN_ALL_VIEWS = 3.0
-LATE_GUARDS = (
+MIN_CONFIRMED_EDITS = 10
+GATEWAY_DELIVERY_S = 3.0
+DELAYED_COPY_GUARDS = (
     "an order is fenced",
     "a controller that woke takes no order",
     "an order's caller is still there",
@@ -25,12 +25,12 @@
     """Runs one seed; returns what is wrong with its history."""
     simulation = DelayingSimulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
     try:
-        return [f"seed {seed}: {line}" for line in _played(simulation, roles, faults)]
+        return [f"seed {seed}: {line}" for line in _run(simulation, roles, faults)]
     finally:
         simulation.end()
 
 
-def _played(simulation, roles, faults) -> list[str]:
+def _run(simulation, roles, faults) -> list[str]:
     simulation.start()
     simulation.ready()
     operators = Operators(simulation)
@@ -44,13 +44,13 @@
     simulation.ready()
     for a in simulation.role("controller"):
         simulation.until(lambda a=a: simulation.do(operators.read(a), 5), 10, f"{a.name} is read")
-    simulation.run(IN_ALL_VIEWS)
-    found = (
+    simulation.run(GATEWAY_DELIVERY_S)
+    violations = (
         operators.faults + [t for t in random_faults.injected if "work ended" in t] + check_history(operators.records)
     )
-    if operators.taken() < LEAST_TAKEN:
-        found.append(f"only {operators.taken()} orders were confirmed")
-    return found
+    if operators.taken() < MIN_CONFIRMED_EDITS:
+        violations.append(f"only {operators.taken()} orders were confirmed")
+    return violations
 
 
 def _lose_power(simulation):
@@ -63,7 +63,7 @@
         a.start()
 
 
-class Histories(unittest.TestCase):
+class EditHistories(unittest.TestCase):
     def test_histories_hold_while_controllers_fail(self):
         self.assertEqual([line for s in SEEDS for line in run_history(s)], [])
 
@@ -72,8 +72,8 @@
         self.assertEqual([line for s in SEEDS for line in run_history(1000 + s, roles)], [])
 
     def test_without_the_guards_against_late_copies_some_history_is_found_wrong(self):
-        with ExitStack() as out:
-            for name in LATE_GUARDS:
-                _, owner, part, instead = GUARDS[name]
-                out.enter_context(mock.patch.object(owner, part, instead))
+        with ExitStack() as patches:
+            for name in DELAYED_COPY_GUARDS:
+                _, owner, attribute, replacement = GUARDS[name]
+                patches.enter_context(mock.patch.object(owner, attribute, replacement))
             self.assertTrue(any(run_history(s) for s in range(1, 13)))
--- a/tests/test_simulated_follow.py
+++ b/tests/test_simulated_follow.py
@@ -15,25 +15,25 @@
 from .test_simulated_controllers import edit_of
 
 
-def held_long():
+def long_follow_waits():
     return mock.patch("pipitlink.cluster.follower.MIN_FOLLOW_WAIT", MAX_FOLLOW_WAIT)
 
 
-class FirstState(unittest.TestCase):
+class InitialState(unittest.TestCase):
     def test_what_the_founders_agreed_before_the_first_change_is_followed_too(self):
         """The leader had made its transfer before any change was agreed; the changes come with it."""
         simulation = Simulation(4, controllers=3, storage_nodes=1, gateways=1, placement_groups=1)
         self.addCleanup(simulation.end)
         simulation.start()
-        founded = ClusterState(ClusterStateData(voters=["a", "b", "c"]))
-        piece = StateTransfer.compress(founded, 1).chunk_after(StateChunk())
+        initial = ClusterState(ClusterStateData(voters=["a", "b", "c"]))
+        chunk = StateTransfer.compress(initial, 1).chunk_after(StateChunk())
         first = Delta(sequence=1, command=edit_of("r", 0, "m"))
         follower = ClusterFollower(simulation.role("gateway")[0].ctx)
-        self.assertTrue(follower.apply_response(FollowResponse(sequence=1, chunk=piece, deltas=[first])))
+        self.assertTrue(follower.apply_response(FollowResponse(sequence=1, chunk=chunk, deltas=[first])))
         self.assertEqual((follower.sequence, follower.cluster_state.voters), (1, ("a", "b", "c")))
 
 
-class HeldQuestions(unittest.TestCase):
+class LongFollowWaits(unittest.TestCase):
     def simulation(self, gateways=3, seed=4):
         simulation = Simulation(seed, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
         self.addCleanup(simulation.end)
@@ -42,21 +42,21 @@
         simulation.run(2)
         return simulation
 
-    def asked(self, simulation, seconds) -> float:
+    def request_rate(self, simulation, seconds) -> float:
         """Questions of one gateway in a second."""
-        asks = []
+        requests = []
         simulation.watch_calls = lambda sender, method: (
-            sender.role == "gateway" and method == "controller.follow" and asks.append(sender.name)
+            sender.role == "gateway" and method == "controller.follow" and requests.append(sender.name)
         )
         simulation.run(seconds)
         simulation.watch_calls = None
-        return len(asks) / seconds / len(simulation.role("gateway"))
+        return len(requests) / seconds / len(simulation.role("gateway"))
 
     def test_a_large_cluster_asks_less_often_and_never_without_a_proof(self):
-        few = self.asked(self.simulation(4), 5)
-        self.assertAlmostEqual(few, 1 / MIN_FOLLOW_WAIT.total_seconds(), delta=0.2)
+        small_cluster_rate = self.request_rate(self.simulation(4), 5)
+        self.assertAlmostEqual(small_cluster_rate, 1 / MIN_FOLLOW_WAIT.total_seconds(), delta=0.2)
         simulation = self.simulation(60)
-        self.assertAlmostEqual(self.asked(simulation, 5), 1 / MAX_FOLLOW_WAIT.total_seconds(), delta=0.2)
+        self.assertAlmostEqual(self.request_rate(simulation, 5), 1 / MAX_FOLLOW_WAIT.total_seconds(), delta=0.2)
         for _ in range(40):
             simulation.run(0.05)
             self.assertEqual(
@@ -64,49 +64,49 @@
             )
 
     def test_an_edit_is_in_effect_as_soon_while_questions_are_held_long(self):
-        with held_long():
+        with long_follow_waits():
             simulation = self.simulation()
             leader = simulation.leader().part
             for n in range(5):
                 simulation.run(0.13)
-                began = simulation.clock.seconds()
+                started_at = simulation.clock.seconds()
                 simulation.do(
                     leader.state_delivery.edit(
                         edit_of("row", leader.consensus.cluster_state.table_sequence, f"edit{n}")
                     )
                 )
-                self.assertLess(simulation.clock.seconds() - began, 0.1)
+                self.assertLess(simulation.clock.seconds() - started_at, 0.1)
 
     def test_an_edit_waits_for_a_gateway_that_was_answered_last_just_before_it_was_cut_off(self):
         """The lease is counted from the answer on both sides: the gateway's own end of it comes before the leader's."""
-        with held_long():
+        with long_follow_waits():
             simulation = self.simulation()
-            one, leader = simulation.role("gateway")[0], simulation.leader()
-            cluster = one.ctx.cluster
-            others = [a for a in simulation.simulated_nodes if a != one.name]
-            for told in ("a question is held", "it was answered, and its next question is lost"):
+            gateway, leader = simulation.role("gateway")[0], simulation.leader()
+            cluster = gateway.ctx.cluster
+            others = [a for a in simulation.simulated_nodes if a != gateway.name]
+            for event in ("a question is held", "it was answered, and its next question is lost"):
                 before = cluster.currency.leased_at
-                simulation.until(lambda before=before: cluster.currency.leased_at != before, 2, told)
+                simulation.until(lambda before=before: cluster.currency.leased_at != before, 2, event)
                 simulation.run(0.02)
-                simulation.cut([one.name], others, one_way=True)
-            simulation.cut([one.name], others)
-            box = []
+                simulation.cut([gateway.name], others, one_way=True)
+            simulation.cut([gateway.name], others)
+            results = []
             spawn(
                 leader.part.state_delivery.edit(edit_of("row", leader.part.consensus.cluster_state.table_sequence, "e"))
-            ).addBoth(box.append)
-            led = 0
-            while not box:
+            ).addBoth(results.append)
+            led_steps = 0
+            while not results:
                 simulation.run(0.01)
-                led += cluster.ready() and cluster.state == "led"
-            self.assertEqual(box[0].code, "done")
+                led_steps += cluster.ready() and cluster.state == "led"
+            self.assertEqual(results[0].code, "done")
             self.assertLess(cluster.sequence, leader.part.consensus.cluster_state.sequence)
             self.assertFalse(cluster.ready() and cluster.state == "led", "it lacks an edit that was acknowledged")
             self.assertGreater(
-                led * 0.01, FOLLOWER_LEASE_SPAN.total_seconds() - 0.1, "its lease counts from the answer"
+                led_steps * 0.01, FOLLOWER_LEASE_SPAN.total_seconds() - 0.1, "its lease counts from the answer"
             )
 
     def test_a_leader_that_yields_lets_go_of_the_questions_that_it_holds(self):
-        with held_long():
+        with long_follow_waits():
             simulation = self.simulation()
             leader = simulation.leader()
             simulation.until(lambda: len(leader.part.state_delivery.pending_requests) >= 5, 2, "questions are held")
@@ -115,11 +115,11 @@
             self.assertEqual(len(leader.part.state_delivery.pending_requests), 0)
 
 
-class LongHeldUnderFaults(under_faults.ClusterUnderFaults):
+class LongFollowWaitsUnderFaults(under_faults.ClusterUnderFaults):
     """The same troubles as with short holds."""
 
     def setUp(self):
-        patched = held_long()
+        patched = long_follow_waits()
         patched.start()
         self.addCleanup(patched.stop)
 
--- a/tests/test_simulated_long_logs.py
+++ b/tests/test_simulated_long_logs.py
@@ -18,13 +18,13 @@
 SEEDS = seeds(2)
 CATCH_UP_S = 4.7
 SETTLE_S = 0.5
-LOOK_S = 0.02
-WRITE_S = 3
+CHECK_INTERVAL_S = 0.02
+WRITE_TIMEOUT_S = 3
 """A writer gives up on a controller that was ended with its order: nothing that it began goes on."""
-WHOLE_S = 10
-TROUBLES = 8
+VOTERS_RESTORED_S = 10
+FAULTS = 8
 WRITERS = 4
-KINDS = ("kill", "power", "wipe", "replace", "freeze")
+FAULT_KINDS = ("kill", "power", "wipe", "replace", "freeze")
 
 
 def digest(state) -> int:
@@ -34,109 +34,113 @@
     return zlib.crc32(repr((state.table_sequence, state.voters, rows, len(state.outcomes), newest)).encode())
 
 
-class _Judge:
+class _InvariantChecker:
     """Reads, all through a run, what each controller has applied, voted, led with and served."""
 
     def __init__(self, simulation):
         self.simulation = simulation
-        self.faults: list[str] = []
+        self.violations: list[str] = []
         self.states: dict[int, int] = {}
         self.sequences: dict[str, int] = {}
         self.votes: dict[tuple[str, int], str] = {}
         self.leaders: dict[int, str] = {}
-        self.agreed: list[tuple[float, int]] = []
+        self.commits: list[tuple[float, int]] = []
         self.trims = 0
 
-    def fault(self, text: str):
-        self.faults.append(f"{self.simulation.clock.seconds():.3f} {text}")
+    def add_violation(self, text: str):
+        self.violations.append(f"{self.simulation.clock.seconds():.3f} {text}")
 
-    def admit(self, simulated_node):
+    def start_checking(self, simulated_node):
         """A life begins: its votes are read from now on, and its state may be older than that of the life before."""
         part = simulated_node.part
         self.sequences[simulated_node.name] = 0
         vote = part.elections.vote
 
-        async def judged(ask):
-            r = await vote(ask)
-            if r.granted and not ask.pre_vote:
-                self._voted(simulated_node.node, part, ask)
+        async def checked(request):
+            r = await vote(request)
+            if r.granted and not request.pre_vote:
+                self._voted(simulated_node.node, part, request)
             return r
 
-        part.elections.vote = judged
+        part.elections.vote = checked
 
-    def _voted(self, node, part, ask):
+    def _voted(self, node, part, request):
         if part.consensus.role == "newcomer":
-            self.fault(f"{node} is empty and votes")
-        before = self.votes.setdefault((node, ask.term), ask.candidate)
-        if before != ask.candidate:
-            self.fault(f"{node} votes for {before} and {ask.candidate} in {ask.term}")
+            self.add_violation(f"{node} is empty and votes")
+        before = self.votes.setdefault((node, request.term), request.candidate)
+        if before != request.candidate:
+            self.add_violation(f"{node} votes for {before} and {request.candidate} in {request.term}")
 
-    def look(self):
+    def check(self):
         for simulated_node in self.simulation.role("controller", alive=True):
-            self._look_at(simulated_node)
+            self._check_controller(simulated_node)
         leader = self.simulation.leader()
         if leader is not None:
-            self.agreed.append((self.simulation.clock.seconds(), leader.part.consensus.commit_index))
+            self.commits.append((self.simulation.clock.seconds(), leader.part.consensus.commit_index))
 
-    def _look_at(self, simulated_node):
+    def _check_controller(self, simulated_node):
         part = simulated_node.part
         state = part.consensus.cluster_state
         if state.sequence < self.sequences[simulated_node.name]:
-            self.fault(
+            self.add_violation(
                 f"{simulated_node.name} goes back from {self.sequences[simulated_node.name]} to {state.sequence}"
             )
         if state.sequence == self.sequences[simulated_node.name]:
             return
         self.sequences[simulated_node.name] = state.sequence
-        sum_of = digest(state)
-        if self.states.setdefault(state.sequence, sum_of) != sum_of:
-            self.fault(f"{simulated_node.name} has another state at {state.sequence}")
+        state_digest = digest(state)
+        if self.states.setdefault(state.sequence, state_digest) != state_digest:
+            self.add_violation(f"{simulated_node.name} has another state at {state.sequence}")
         if (
             part.consensus.role == "leader"
             and self.leaders.setdefault(part.consensus.term, simulated_node.node) != simulated_node.node
         ):
-            self.fault(f"{simulated_node.node} and {self.leaders[part.consensus.term]} lead in {part.consensus.term}")
+            self.add_violation(
+                f"{simulated_node.node} and {self.leaders[part.consensus.term]} lead in {part.consensus.term}"
+            )
 
-    def agreed_at(self, at: float) -> int:
-        return max((commit for when, commit in self.agreed if when <= at), default=0)
+    def commit_index_at(self, at: float) -> int:
+        return max((commit for when, commit in self.commits if when <= at), default=0)
 
 
 class _Writers:
     """Operators that edit and read at whichever controller leads, one edit after another."""
 
     def __init__(self, simulation, checker):
-        self.simulation, self.judge = simulation, checker
+        self.simulation, self.checker = simulation, checker
         self.timers = simulation.timers()
         self.over = False
         self.acked: dict[str, int] = {}
-        self.floor = 0
+        self.min_sequence = 0
         self.n = 0
 
-    async def write(self, who: int):
+    async def write(self, writer: int):
         while not self.over:
             await self.timers.sleep(ms(40 + self.simulation.rng.randrange(80)))
             leaders = [a for a in self.simulation.role("controller", alive=True) if a.part.consensus.role == "leader"]
             if leaders:
                 try:
-                    work = self._write_at(self.simulation.rng.choice(leaders).part, who)
-                    await self.timers.with_timeout(secs(WRITE_S), work)
+                    work = self._write_at(self.simulation.rng.choice(leaders).part, writer)
+                    await self.timers.with_timeout(secs(WRITE_TIMEOUT_S), work)
                 except PipitlinkError:
                     pass
 
-    async def _write_at(self, part, who: int):
-        floor = self.floor
+    async def _write_at(self, part, writer: int):
+        min_sequence = self.min_sequence
         await part.log_replication.confirm_leadership()
-        if part.consensus.cluster_state.table_sequence < floor:
-            self.judge.fault(f"read {part.consensus.cluster_state.table_sequence} after {floor} was acknowledged")
+        if part.consensus.cluster_state.table_sequence < min_sequence:
+            self.checker.add_violation(
+                f"read {part.consensus.cluster_state.table_sequence} after {min_sequence} was acknowledged"
+            )
         self.n += 1
         edit = TableEdit(
             base=part.consensus.cluster_state.table_sequence,
             upserts=[Row(name=f"row{self.n % 40}", model=f"m{self.n}")],
         )
-        out = await part.state_delivery.edit(Command(edit=f"edit{self.n}", table=edit))
-        if out.code == "done":
-            self.acked[out.edit] = out.sequence
-            self.floor = max(self.floor, out.sequence)
+        outcome = await part.state_delivery.edit(Command(edit=f"edit{self.n}", table=edit))
+        if outcome.code == "done":
+            self.acked[outcome.edit] = outcome.sequence
+            self.min_sequence = max(self.min_sequence, outcome.sequence)
 
 
 class LongLogs(unittest.TestCase):
@@ -152,59 +156,59 @@
             patch.start()
             self.addCleanup(patch.stop)
 
-    def fleet(self, seed):
+    def start_cluster(self, seed):
         simulation = Simulation(seed, controllers=4, storage_nodes=0, gateways=0)
         self.addCleanup(simulation.end)
-        checker = _Judge(simulation)
+        checker = _InvariantChecker(simulation)
         for simulated_node in simulation.role("controller"):
-            self._judge_lives(simulated_node, checker)
+            self._check_each_start(simulated_node, checker)
         simulation.start()
         simulation.until(simulation.leader, 10, "a leader")
         writers = _Writers(simulation, checker)
-        for who in range(WRITERS):
-            spawn(writers.write(who))
+        for writer in range(WRITERS):
+            spawn(writers.write(writer))
         return simulation, checker, writers
 
-    def _judge_lives(self, simulated_node, checker):
+    def _check_each_start(self, simulated_node, checker):
         start = simulated_node.start
 
-        def judged():
+        def checked():
             start()
-            checker.admit(simulated_node)
+            checker.start_checking(simulated_node)
 
-        simulated_node.start = judged
+        simulated_node.start = checked
 
     def run_for(self, simulation, checker, seconds):
         end = simulation.clock.seconds() + seconds
         while simulation.clock.seconds() < end:
-            simulation.run(LOOK_S)
-            checker.look()
+            simulation.run(CHECK_INTERVAL_S)
+            checker.check()
 
-    def trouble(self, simulation, checker, kind, simulated_node, away):
+    def inject_fault(self, simulation, checker, kind, simulated_node, outage_s):
         """One member is lost and comes back; returns whoever must be current now."""
         if kind == "freeze":
             simulated_node.freeze()
-            self.run_for(simulation, checker, away)
+            self.run_for(simulation, checker, outage_s)
             simulated_node.thaw()
             return simulated_node
         simulated_node.kill(power=kind != "kill")
-        self.run_for(simulation, checker, away)
+        self.run_for(simulation, checker, outage_s)
         if kind == "wipe":
             simulated_node.wipe()
         if kind == "replace":
             del simulation.simulated_nodes[simulated_node.name]
             name = f"controller-{simulation.fresh()}"
             simulated_node = simulation.add("controller", name, simulated_node.zone, 2000 + int(simulation.fresh()))
-            self._judge_lives(simulated_node, checker)
+            self._check_each_start(simulated_node, checker)
         simulation.seeds = tuple(
             f"{a.address[0]}:{a.address[1]}" for a in simulation.role("controller") if a is not simulated_node
         )
         simulated_node.start()
         return simulated_node
 
-    def until_voters_are_whole(self, simulation, checker):
+    def wait_until_voters_are_restored(self, simulation, checker):
         """A second loss before that is another test's matter: here each member lost is made good first."""
-        end = simulation.clock.seconds() + WHOLE_S
+        end = simulation.clock.seconds() + VOTERS_RESTORED_S
         while simulation.clock.seconds() < end:
             nodes = {a.node for a in simulation.role("controller", alive=True)}
             leader = simulation.leader()
@@ -214,29 +218,34 @@
                 and nodes.issuperset(leader.part.consensus.voters())
             ):
                 return
-            self.run_for(simulation, checker, LOOK_S)
-        checker.fault(f"the voters are not whole after {WHOLE_S} s")
+            self.run_for(simulation, checker, CHECK_INTERVAL_S)
+        checker.add_violation(f"the voters are not whole after {VOTERS_RESTORED_S} s")
 
-    def run_seed(self, seed, troubles=TROUBLES):
-        simulation, checker, writers = self.fleet(seed)
+    def run_seed(self, seed, faults=FAULTS):
+        simulation, checker, writers = self.start_cluster(seed)
         self.run_for(simulation, checker, 2.5)
         history = []
-        for _ in range(troubles):
-            kind, simulated_node = simulation.rng.choice(KINDS), simulation.rng.choice(simulation.role("controller"))
-            away = simulation.rng.choice((0.05, 0.4, 1.5, 5.0))
-            history.append(f"{simulation.clock.seconds():.2f} {kind} {simulated_node.name} {away}")
-            back = self.trouble(simulation, checker, kind, simulated_node, away)
+        for _ in range(faults):
+            kind, simulated_node = (
+                simulation.rng.choice(FAULT_KINDS),
+                simulation.rng.choice(simulation.role("controller")),
+            )
+            outage_s = simulation.rng.choice((0.05, 0.4, 1.5, 5.0))
+            history.append(f"{simulation.clock.seconds():.2f} {kind} {simulated_node.name} {outage_s}")
+            restarted = self.inject_fault(simulation, checker, kind, simulated_node, outage_s)
             self.run_for(simulation, checker, CATCH_UP_S)
-            expected = checker.agreed_at(simulation.clock.seconds() - SETTLE_S)
-            if back.part.consensus.cluster_state.sequence < expected:
-                checker.fault(f"{back.name} is at {back.part.consensus.cluster_state.sequence}, {expected} was agreed")
-            self.until_voters_are_whole(simulation, checker)
+            expected = checker.commit_index_at(simulation.clock.seconds() - SETTLE_S)
+            if restarted.part.consensus.cluster_state.sequence < expected:
+                checker.add_violation(
+                    f"{restarted.name} is at {restarted.part.consensus.cluster_state.sequence}, {expected} was agreed"
+                )
+            self.wait_until_voters_are_restored(simulation, checker)
         writers.over = True
         self.run_for(simulation, checker, 2)
-        self.assertEqual(checker.faults, [], f"seed {seed}: {history}")
+        self.assertEqual(checker.violations, [], f"seed {seed}: {history}")
         done = simulation.leader().part.consensus.cluster_state.outcomes
-        kept = {e: sequence for e, sequence in writers.acked.items() if e in done or len(done) < MAX_OUTCOMES}
-        lost = [e for e, sequence in kept.items() if e not in done or done[e].sequence != sequence]
+        retained = {e: sequence for e, sequence in writers.acked.items() if e in done or len(done) < MAX_OUTCOMES}
+        lost = [e for e, sequence in retained.items() if e not in done or done[e].sequence != sequence]
         self.assertEqual(lost, [], f"seed {seed}: {history}")
         return len(writers.acked), simulation.leader().part.durable_log.snapshot.index
 
--- a/tests/test_simulated_partition.py
+++ b/tests/test_simulated_partition.py
@@ -12,21 +12,21 @@
 from testbed.simulator.simulation import Simulation
 
 from .control_calls import config_of, route_of
-from .partition_scenario import BACK_WITHIN, CUT_SPAN, ENGINE, LONGEST_ANSWER, SETTLED_AFTER, WAYS, Scenario
+from .partition_scenario import CUT_DETECTED_S, CUT_DIRECTIONS, CUT_S, ENGINE, MAX_RESPONSE_S, RECOVERY_S, Scenario
 
 
-class CutOffForTwentySeconds(unittest.TestCase):
-    def check(self, role, way):
+class IsolatedController(unittest.TestCase):
+    def check(self, role, direction):
         s = Scenario(self)
         simulated_node = s.controller(role)
-        s.play(simulated_node, way)
-        self.assertEqual(s.slow(), [])
-        self.assertEqual(s.wrong(), [])
+        s.run_calls(simulated_node, direction)
+        self.assertEqual(s.slow_calls(), [])
+        self.assertEqual(s.unexpected_responses(), [])
         self.assertIsNot(s.simulation.leader(), None)
         led, term = s.simulation.leader(), s.simulation.leader().part.consensus.term
         self.assertIsNot(led, simulated_node)
-        self.assertEqual(s.change_newest(led), 200)
-        self.assertLess(s.back(simulated_node), BACK_WITHIN)
+        self.assertEqual(s.change_on_newest(led), 200)
+        self.assertLess(s.heal_and_time_recovery(simulated_node), RECOVERY_S)
         self.assertEqual(s.caller.get(simulated_node)[1]["version"], s.version)
         s.simulation.run(3)
         self.assertEqual(
@@ -38,19 +38,19 @@
         self.assertEqual(s.caller.ask(simulated_node, "DELETE", "/v1/engines/e9")[0], 200)
 
     def test_a_leader(self):
-        for way in WAYS:
-            with self.subTest(way):
-                self.check("leader", way)
+        for direction in CUT_DIRECTIONS:
+            with self.subTest(direction):
+                self.check("leader", direction)
 
     def test_a_voter(self):
-        for way in WAYS:
-            with self.subTest(way):
-                self.check("voter", way)
+        for direction in CUT_DIRECTIONS:
+            with self.subTest(direction):
+                self.check("voter", direction)
 
     def test_a_standby(self):
-        for way in WAYS:
-            with self.subTest(way):
-                self.check("standby", way)
+        for direction in CUT_DIRECTIONS:
+            with self.subTest(direction):
+                self.check("standby", direction)
 
     def test_a_leader_whose_wall_clock_is_stepped(self):
         s = Scenario(self)
@@ -59,42 +59,44 @@
             simulated_node.ctx.timers.utc_now = lambda shift=shift: datetime.fromtimestamp(
                 1_700_000_000 + shift + s.now(), UTC
             )
-            s.play(simulated_node, "both")
-            s.back(simulated_node)
-        self.assertEqual(s.slow(), [])
+            s.run_calls(simulated_node, "both")
+            s.heal_and_time_recovery(simulated_node)
+        self.assertEqual(s.slow_calls(), [])
 
     def test_a_voter_and_the_leader_from_each_other_only(self):
         """The others hear both: no election comes of it, and the voter refuses what it cannot pass on."""
-        for way in WAYS:
-            with self.subTest(way):
+        for direction in CUT_DIRECTIONS:
+            with self.subTest(direction):
                 s = Scenario(self)
                 leader, voter = s.controller("leader"), s.controller("voter")
                 term = leader.part.consensus.term
-                s.play(voter, way, [leader.name])
+                s.run_calls(voter, direction, [leader.name])
                 self.assertEqual((s.simulation.leader(), leader.part.consensus.term), (leader, term))
                 orders = [c for c in s.calls if c.what in ("GET config", "PUT config", "PUT empty")]
-                self.assertEqual([str(c) for c in orders if c.span is None or c.span > LONGEST_ANSWER], [])
-                self.assertEqual([str(c) for c in orders if c.at > SETTLED_AFTER and c.box[0][0] != 503], [])
-                self.assertLess(s.back(voter), BACK_WITHIN)
+                self.assertEqual([str(c) for c in orders if c.duration_s is None or c.duration_s > MAX_RESPONSE_S], [])
+                self.assertEqual([str(c) for c in orders if c.at > CUT_DETECTED_S and c.pending[0][0] != 503], [])
+                self.assertLess(s.heal_and_time_recovery(voter), RECOVERY_S)
 
     def test_a_leader_that_is_frozen_answers_what_waited_with_503_when_it_is_thawed(self):
         s = Scenario(self)
         leader = s.controller("leader")
         leader.freeze()
-        s.began = s.now()
-        leader.clock.callLater(0, s.call_all, leader, s.began)
+        s.started_at = s.now()
+        leader.clock.callLater(0, s.call_all, leader, s.started_at)
         new = s.simulation.until(s.simulation.leader, 10, "another leads")
         for _ in range(3):
             self.assertEqual(s.change(new), 200)
-        s.watch(CUT_SPAN - 5)
-        floor = s.version
+        s.run_and_record(CUT_S - 5)
+        min_version = s.version
         leader.thaw()
-        s.watch(1)
+        s.run_and_record(1)
         for c in s.calls:
-            c.floor = floor
-        self.assertEqual([str(c) for c in s.calls if not c.box], [])
-        self.assertEqual([line for line in s.wrong() if "engine" not in line and "leaving" not in line], [])
-        self.assertLess(s.back(leader), BACK_WITHIN)
+            c.min_version = min_version
+        self.assertEqual([str(c) for c in s.calls if not c.pending], [])
+        self.assertEqual(
+            [line for line in s.unexpected_responses() if "engine" not in line and "leaving" not in line], []
+        )
+        self.assertLess(s.heal_and_time_recovery(leader), RECOVERY_S)
         self.assertEqual(s.caller.get(leader)[1]["version"], s.version)
 
     def test_a_leader_that_reaches_the_controllers_alone_does_not_hold_orders(self):
@@ -106,9 +108,9 @@
         )
         s.simulation.run(3)
         order = (leader, "PUT", "/v1/config", config_of(2, route_of("r2")), {"If-Match": "1"})
-        began = s.now()
+        started_at = s.now()
         self.assertEqual(s.caller.ask(*order)[0], 503)
-        self.assertLess(s.now() - began, LONGEST_ANSWER)
+        self.assertLess(s.now() - started_at, MAX_RESPONSE_S)
         s.simulation.heal()
         s.simulation.run(2)
         self.assertEqual(s.caller.ask(*order)[0], 200)
@@ -140,21 +142,23 @@
                 self.assertGreater(self.last_acknowledged(role), 2.5)
 
 
-class WithoutItsGuard(unittest.TestCase):
+class DisabledGuards(unittest.TestCase):
     """Each guard is taken out: then the scenario shows the failure that it prevents."""
 
-    def slow(self, role, way, *patch):
+    def slow_calls(self, role, direction, *patch):
         s = Scenario(self)
         with unittest.mock.patch.object(*patch):
-            s.play(s.controller(role), way, changing=False)
-        return s.slow()
+            s.run_calls(s.controller(role), direction, changing=False)
+        return s.slow_calls()
 
     def test_orders_are_held_where_contact_is_not_asked_for(self):
-        found = self.slow("voter", "both", LogReplication, "has_contact", lambda self: bool(self._consensus.leader_id))
+        found = self.slow_calls(
+            "voter", "both", LogReplication, "has_contact", lambda self: bool(self._consensus.leader_id)
+        )
         self.assertTrue(any("PUT config" in line for line in found), found)
 
     def test_orders_are_held_where_only_one_way_counts_as_contact(self):
-        found = self.slow("voter", "out", LogReplication, "_last_response_age_ms", lambda self, node: 0)
+        found = self.slow_calls("voter", "out", LogReplication, "_last_response_age_ms", lambda self, node: 0)
         self.assertTrue(any("PUT config" in line for line in found), found)
 
     def test_orders_are_held_for_seconds_without_a_bound(self):
@@ -165,26 +169,26 @@
                 [leader.name], [a.name for a in s.simulation.simulated_nodes.values() if a.role != "controller"]
             )
             s.simulation.run(3)
-            began = s.now()
+            started_at = s.now()
             order = (leader, "PUT", "/v1/config", config_of(2, route_of("r2")), {"If-Match": "1"})
             self.assertEqual(s.caller.ask(*order)[0], 503)
-            self.assertGreater(s.now() - began, LONGEST_ANSWER)
+            self.assertGreater(s.now() - started_at, MAX_RESPONSE_S)
 
     def test_announcements_are_acknowledged_that_no_gateway_hears(self):
         s = Scenario(self)
         with unittest.mock.patch.object(GatewayNotifier, "reaches_majority", lambda self: True):
-            s.play(s.controller("voter"), "both", changing=False)
-        self.assertTrue(any("PUT engine" in line for line in s.wrong()), s.wrong())
+            s.run_calls(s.controller("voter"), "both", changing=False)
+        self.assertTrue(any("PUT engine" in line for line in s.unexpected_responses()), s.unexpected_responses())
 
 
-class Leaving(unittest.TestCase):
+class LeavingEngines(unittest.TestCase):
     """Engines that leave, at a controller that reaches only some of the gateways."""
 
-    def acknowledged(self, seen=1):
+    def leaving_statuses(self, reached=1):
         """Whether one gateway of three, cut off together with the controller, is enough for an engine that leaves."""
         s = Scenario(self)
         controller = s.controller("voter")
-        side = [controller.name, *(g.name for g in s.simulation.role("gateway")[:seen])]
+        side = [controller.name, *(g.name for g in s.simulation.role("gateway")[:reached])]
         s.simulation.cut(side, [a for a in s.simulation.simulated_nodes if a not in side])
         out = []
         for n in range(4):
@@ -193,15 +197,15 @@
         return [status for status, _ in out]
 
     def test_leaving_is_acknowledged_only_once_most_gateways_know(self):
-        self.assertEqual(self.acknowledged(seen=1), [503] * 4)
-        self.assertEqual(self.acknowledged(seen=2)[0], 200)
+        self.assertEqual(self.leaving_statuses(reached=1), [503] * 4)
+        self.assertEqual(self.leaving_statuses(reached=2)[0], 200)
 
     def test_without_the_guard_one_gateway_is_enough(self):
         with unittest.mock.patch.object(GatewayNotifier, "is_majority", lambda self, nodes: bool(list(nodes))):
-            self.assertIn(200, self.acknowledged(seen=1))
+            self.assertIn(200, self.leaving_statuses(reached=1))
 
 
-class Starting(unittest.TestCase):
+class StartingNodes(unittest.TestCase):
     def test_a_gateway_that_starts_and_reaches_only_the_controller_that_is_cut_off_does_not_serve(self):
         for role in ("leader", "voter"):
             with self.subTest(role):
@@ -211,7 +215,7 @@
                 side = [controller.name, gateway.name]
                 s.simulation.cut(side, [a for a in s.simulation.simulated_nodes if a not in side])
                 gateway.start()
-                for _ in range(int(CUT_SPAN)):
+                for _ in range(int(CUT_S)):
                     s.simulation.run(1)
                     self.assertFalse(gateway.ctx.cluster.usable())
                 s.simulation.heal()
@@ -227,13 +231,13 @@
         simulation.ready()
         simulation.run(6)
         group = simulation.leader().part.consensus.cluster_state.placement_group(0)
-        kept = {a.node: a for a in simulation.role("storage")}
-        first, _, behind = (kept[n] for n in group.storage_nodes)
+        storage_nodes = {a.node: a for a in simulation.role("storage")}
+        first, _, isolated = (storage_nodes[n] for n in group.storage_nodes)
         old, new = simulation.role("gateway")
-        side = [behind.name, old.name]
+        side = [isolated.name, old.name]
         simulation.cut(side, [a for a in simulation.simulated_nodes if a not in side])
         simulation.until(
-            lambda: behind.node not in simulation.leader().part.consensus.cluster_state.placement_group(0).all_nodes,
+            lambda: isolated.node not in simulation.leader().part.consensus.cluster_state.placement_group(0).all_nodes,
             40,
             "its copy is moved",
         )
--- a/tests/test_simulated_slow_link.py
+++ b/tests/test_simulated_slow_link.py
@@ -14,12 +14,12 @@
 
 LINK_BYTES_PER_S = 15_000_000 / 8
 CATCH_UP_S = 4.7
-LARGE_EDIT = 60_000
-LEAD_AGAIN_S = 3.5
+LARGE_EDIT_BYTES = 60_000
+REELECTION_S = 3.5
 
 
 class SlowLink(unittest.TestCase):
-    def fleet(self, controllers=3, gateways=0, storage_nodes=0):
+    def start_cluster(self, controllers=3, gateways=0, storage_nodes=0):
         simulation = Simulation(
             5, controllers=controllers, storage_nodes=storage_nodes, gateways=gateways, placement_groups=2
         )
@@ -42,20 +42,20 @@
             20,
         )
 
-    def current(self, simulation, simulated_node) -> bool:
+    def is_current(self, simulation, simulated_node) -> bool:
         leader = simulation.leader()
         return leader is not None and simulated_node.part.consensus.commit_index == leader.part.consensus.commit_index
 
     def test_a_log_of_large_edits_reaches_a_member_that_the_leader_needs(self):
-        simulation = self.fleet()
-        late, other = (a for a in simulation.role("controller") if a is not simulation.leader())
-        late.kill()
+        simulation = self.start_cluster()
+        lagging, other = (a for a in simulation.role("controller") if a is not simulation.leader())
+        lagging.kill()
         for n in range(40):
-            self.change(simulation, f"row{n % 3}", LARGE_EDIT)
+            self.change(simulation, f"row{n % 3}", LARGE_EDIT_BYTES)
         other.kill()
-        late.start()
-        simulation.until(lambda: self.current(simulation, late), CATCH_UP_S, "the member is current")
-        self.change(simulation, "row", LARGE_EDIT)
+        lagging.start()
+        simulation.until(lambda: self.is_current(simulation, lagging), CATCH_UP_S, "the member is current")
+        self.change(simulation, "row", LARGE_EDIT_BYTES)
 
     def test_a_leader_that_needs_a_member_without_its_log_keeps_leading_while_that_gets_the_snapshot(self):
         self.leader_needs_a_member_without_its_log()
@@ -65,18 +65,18 @@
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
         ):
-            simulation = self.fleet()
+            simulation = self.start_cluster()
             leader = simulation.leader()
-            late, other = (a for a in simulation.role("controller") if a is not leader)
-            late.kill()
+            lagging, other = (a for a in simulation.role("controller") if a is not leader)
+            lagging.kill()
             for n in range(80):
-                self.change(simulation, f"row{n}", 2 * LARGE_EDIT)
+                self.change(simulation, f"row{n}", 2 * LARGE_EDIT_BYTES)
             simulation.run(1)
             self.assertGreater(simulation.leader().part.durable_log.snapshot.ByteSize(), 4_000_000)
             term = simulation.leader().part.consensus.term
             other.kill()
-            late.start()
-            simulation.until(lambda: self.current(simulation, late), CATCH_UP_S, "the member is current")
+            lagging.start()
+            simulation.until(lambda: self.is_current(simulation, lagging), CATCH_UP_S, "the member is current")
             self.assertEqual(simulation.leader().part.consensus.term, term, "the leader had to be elected again")
 
     def test_a_snapshot_arrives_while_changes_go_on(self):
@@ -84,15 +84,15 @@
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 8),
         ):
-            simulation = self.fleet()
-            late = next(a for a in simulation.role("controller") if a is not simulation.leader())
-            late.kill()
+            simulation = self.start_cluster()
+            lagging = next(a for a in simulation.role("controller") if a is not simulation.leader())
+            lagging.kill()
             for n in range(40):
-                self.change(simulation, f"row{n}", LARGE_EDIT)
-            over, timers = [], simulation.timers()
+                self.change(simulation, f"row{n}", LARGE_EDIT_BYTES)
+            stopped, timers = [], simulation.timers()
 
-            async def on():
-                while not over:
+            async def propose_continuously():
+                while not stopped:
                     await timers.sleep(ms(100))
                     leader = simulation.leader()
                     if leader is not None:
@@ -101,63 +101,63 @@
                         except PipitlinkError:
                             pass
 
-            spawn(on())
-            late.start()
+            spawn(propose_continuously())
+            lagging.start()
             simulation.run(CATCH_UP_S)
-            behind = simulation.leader().part.consensus.commit_index - late.part.consensus.commit_index
-            over.append(True)
+            behind = simulation.leader().part.consensus.commit_index - lagging.part.consensus.commit_index
+            stopped.append(True)
             simulation.run(1)
             self.assertLess(behind, 3)
-            self.assertGreater(late.part.durable_log.snapshot.index, 0)
+            self.assertGreater(lagging.part.durable_log.snapshot.index, 0)
 
     def test_a_broken_transfer_goes_on_where_it_was(self):
         with (
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
         ):
-            simulation = self.fleet()
+            simulation = self.start_cluster()
             leader = simulation.leader()
-            late = next(a for a in simulation.role("controller") if a is not leader)
-            late.kill()
+            lagging = next(a for a in simulation.role("controller") if a is not leader)
+            lagging.kill()
             for n in range(60):
-                self.change(simulation, f"row{n}", 2 * LARGE_EDIT)
+                self.change(simulation, f"row{n}", 2 * LARGE_EDIT_BYTES)
             simulation.run(1)
-            late.start()
+            lagging.start()
             simulation.until(
-                lambda: late.part.snapshots.incoming and len(late.part.snapshots.incoming.data) > 10**6,
+                lambda: lagging.part.snapshots.incoming and len(lagging.part.snapshots.incoming.data) > 10**6,
                 5,
                 "a part arrives",
             )
-            simulation.cut([leader.name], [late.name])
+            simulation.cut([leader.name], [lagging.name])
             simulation.run(0.3)
-            before = len(late.part.snapshots.incoming.data)
+            before = len(lagging.part.snapshots.incoming.data)
             simulation.heal()
             sizes = []
-            while late.part.snapshots.incoming:
-                sizes.append(len(late.part.snapshots.incoming.data))
+            while lagging.part.snapshots.incoming:
+                sizes.append(len(lagging.part.snapshots.incoming.data))
                 simulation.run(0.02)
             self.assertGreaterEqual(min(sizes), before)
-            simulation.until(lambda: self.current(simulation, late), CATCH_UP_S, "the member is current")
+            simulation.until(lambda: self.is_current(simulation, lagging), CATCH_UP_S, "the member is current")
 
     def test_a_call_that_hangs_does_not_hold_up_the_same_leader_in_its_next_term(self):
         self.elected_again_while_a_call_hangs()
 
     def elected_again_while_a_call_hangs(self):
-        simulation = self.fleet()
+        simulation = self.start_cluster()
         leader = simulation.leader()
         needed, other = (a for a in simulation.role("controller") if a is not leader)
         other.kill()
         simulation.cut([leader.name], [needed.name])
-        row = Row(name="large", model="x" * 20 * LARGE_EDIT)
-        lost = leader.part.log_replication.propose(
+        row = Row(name="large", model="x" * 20 * LARGE_EDIT_BYTES)
+        lost_proposal = leader.part.log_replication.propose(
             Command(table=TableEdit(base=leader.part.consensus.cluster_state.table_sequence, upserts=[row]))
         )
-        spawn(lost).addErrback(lambda f: f.trap(PipitlinkError))
+        spawn(lost_proposal).addErrback(lambda f: f.trap(PipitlinkError))
         simulation.run(0.8)
         simulation.heal()
         leader.part.consensus.step_down()
         needed.part.elections.election_timeout = secs(60)
-        simulation.until(lambda: simulation.leader() is leader, LEAD_AGAIN_S, "the same one leads again")
+        simulation.until(lambda: simulation.leader() is leader, REELECTION_S, "the same one leads again")
         self.change(simulation, "row", 100)
 
     def test_senders_by_node_alone_would_be_held_up(self):
@@ -167,7 +167,7 @@
         ):
             self.elected_again_while_a_call_hangs()
 
-    def gateway_is_current(self, simulation, gateway):
+    def wait_until_gateway_is_current(self, simulation, gateway):
         cluster = gateway.ctx.cluster
         simulation.until(
             lambda: cluster.ready() and cluster.sequence == simulation.leader().part.consensus.commit_index,
@@ -179,13 +179,13 @@
         self.gateway_far_behind()
 
     def gateway_far_behind(self):
-        simulation = self.fleet(controllers=3, gateways=2, storage_nodes=3)
-        late = simulation.role("gateway")[0]
-        simulation.cut([late.name], [a for a in simulation.simulated_nodes if a != late.name])
+        simulation = self.start_cluster(controllers=3, gateways=2, storage_nodes=3)
+        lagging = simulation.role("gateway")[0]
+        simulation.cut([lagging.name], [a for a in simulation.simulated_nodes if a != lagging.name])
         for n in range(50):
-            self.change(simulation, f"row{n}", LARGE_EDIT)
+            self.change(simulation, f"row{n}", LARGE_EDIT_BYTES)
         simulation.heal()
-        self.gateway_is_current(simulation, late)
+        self.wait_until_gateway_is_current(simulation, lagging)
 
     def test_a_gateway_that_starts_gets_a_large_state_in_time(self):
         self.gateway_starts()
@@ -195,32 +195,32 @@
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
         ):
-            simulation = self.fleet(controllers=3, gateways=2, storage_nodes=3)
+            simulation = self.start_cluster(controllers=3, gateways=2, storage_nodes=3)
             for n in range(60):
-                self.change(simulation, f"row{n}", 2 * LARGE_EDIT)
-            late = simulation.role("gateway")[0]
-            late.kill()
-            late.start()
-            self.gateway_is_current(simulation, late)
+                self.change(simulation, f"row{n}", 2 * LARGE_EDIT_BYTES)
+            lagging = simulation.role("gateway")[0]
+            lagging.kill()
+            lagging.start()
+            self.wait_until_gateway_is_current(simulation, lagging)
 
     def test_without_a_bound_on_one_message_they_do_not_arrive(self):
-        for module, bound, scenario in (
+        for module, limit, scenario in (
             (snapshot_transfer, "CHUNK_BYTES", self.leader_needs_a_member_without_its_log),
             (durable_log, "MAX_BATCH_BYTES", self.gateway_far_behind),
             (state_transfer, "CHUNK_BYTES", self.gateway_starts),
         ):
-            with self.subTest(bound), mock.patch.object(module, bound, 10**9), self.assertRaises(AssertionError):
+            with self.subTest(limit), mock.patch.object(module, limit, 10**9), self.assertRaises(AssertionError):
                 scenario()
 
 
-class Pieces(unittest.TestCase):
+class SnapshotChunks(unittest.TestCase):
     def test_the_pieces_make_the_snapshot_and_none_is_larger_than_its_bound(self):
         data = Random(2).randbytes(300_000)
-        out = snapshot_transfer.OutgoingSnapshot(7, 2, data)
-        got = b""
-        while out.offset < len(data):
-            piece = out.next_chunk()
-            self.assertLessEqual(len(piece.data), snapshot_transfer.CHUNK_BYTES)
-            got += piece.data
-            out.offset += len(piece.data)
-        self.assertEqual(got, data)
+        transfer = snapshot_transfer.OutgoingSnapshot(7, 2, data)
+        received = b""
+        while transfer.offset < len(data):
+            chunk = transfer.next_chunk()
+            self.assertLessEqual(len(chunk.data), snapshot_transfer.CHUNK_BYTES)
+            received += chunk.data
+            transfer.offset += len(chunk.data)
+        self.assertEqual(received, data)
--- a/tests/test_snapshot_interleavings.py
+++ b/tests/test_snapshot_interleavings.py
@@ -18,18 +18,18 @@
 LEADER = "the leader"
 OLD_TERM = 1
 TERM = 2
-OLD_LAST = 3
-NEWEST = 13
-SNAPSHOT_AT = 10
+OLD_TERM_LAST_INDEX = 3
+NEWEST_INDEX = 13
+SNAPSHOT_INDEX = 10
 STEP_S = 0.003
-MOST_STEPS = 60
+MAX_STEPS = 60
 
 
 def term_of(index: int) -> int:
     """The agreed log's first entries are of an earlier leader."""
     if index == 0:
         return 0
-    return OLD_TERM if index <= OLD_LAST else TERM
+    return OLD_TERM if index <= OLD_TERM_LAST_INDEX else TERM
 
 
 class _History:
@@ -40,12 +40,12 @@
         self.entries: dict[int, ControllerEntry] = {}
         self.states: dict[int, bytes] = {}
         state = self.first()
-        for n in range(1, NEWEST + 1):
+        for n in range(1, NEWEST_INDEX + 1):
             edit = TableEdit(base=state.table_sequence, upserts=[Row(name=f"row{n}", model=f"m{n}")])
             self.entries[n] = ControllerEntry(index=n, term=term_of(n), command=Command(edit=f"e{n}", table=edit))
             state.apply(n, self.entries[n].command)
-            self.states[n] = told(state)
-            if n == SNAPSHOT_AT:
+            self.states[n] = serialized(state)
+            if n == SNAPSHOT_INDEX:
                 self.snapshot = Snapshot(index=n, term=TERM, cluster_state=state.data())
 
     def first(self) -> ClusterState:
@@ -63,32 +63,32 @@
         """What the earlier leader wrote on and never got agreed."""
         entries = [
             ControllerEntry(index=n, term=OLD_TERM, command=Command(edit=f"lost{n}", no_op=True))
-            for n in range(OLD_LAST + 1, last + 1)
+            for n in range(OLD_TERM_LAST_INDEX + 1, last + 1)
         ]
         return AppendRequest(
             term=OLD_TERM,
             leader=LEADER,
-            prev_index=OLD_LAST,
+            prev_index=OLD_TERM_LAST_INDEX,
             prev_term=OLD_TERM,
             entries=entries,
-            commit_index=OLD_LAST,
+            commit_index=OLD_TERM_LAST_INDEX,
         )
 
     def poll(self) -> AppendRequest:
         """What the leader sends once all pieces are there, until they are adopted."""
-        ask = self.whole()
-        ask.chunk.offset, ask.chunk.data = ask.chunk.total, b""
-        return ask
+        request = self.whole()
+        request.chunk.offset, request.chunk.data = request.chunk.total, b""
+        return request
 
     def whole(self) -> AppendRequest:
         data = zlib.compress(self.snapshot.SerializeToString())
-        chunk = SnapshotChunk(index=SNAPSHOT_AT, term=TERM, total=len(data), data=data)
-        ask = self.append(SNAPSHOT_AT, SNAPSHOT_AT)
-        ask.chunk.CopyFrom(chunk)
-        return ask
+        chunk = SnapshotChunk(index=SNAPSHOT_INDEX, term=TERM, total=len(data), data=data)
+        request = self.append(SNAPSHOT_INDEX, SNAPSHOT_INDEX)
+        request.chunk.CopyFrom(chunk)
+        return request
 
 
-def told(state: ClusterState) -> bytes:
+def serialized(state: ClusterState) -> bytes:
     data = state.data()
     data.rows.sort(key=lambda r: r.name)
     return data.SerializeToString(deterministic=True)
@@ -108,12 +108,12 @@
         self._begin()
         self.choices = choices
         if other_branch:
-            self.simulation.do(self.part.log_receiver.append(LEADER, self.history.other_branch(NEWEST)))
-        self._jobs: list = []
-        self.simulated_node.ctx.run_in_thread = self._hold
+            self.simulation.do(self.part.log_receiver.append(LEADER, self.history.other_branch(NEWEST_INDEX)))
+        self._disk_calls: list = []
+        self.simulated_node.ctx.run_in_thread = self._hold_disk_call
         self.results: list = []
         self.sequence = 0
-        self.refusals = 0
+        self.rejected_writes = 0
 
     def _begin(self):
         """Three voters, none of whom it hears, and the first three entries."""
@@ -126,19 +126,19 @@
         part.consensus.commit_index = 0
         part.durable_log.snapshot = s
         part.consensus.restore(s)
-        first = self.history.append(0, OLD_LAST)
+        first = self.history.append(0, OLD_TERM_LAST_INDEX)
         first.term = OLD_TERM
         self.simulation.do(part.log_receiver.append(LEADER, first))
 
-    def _hold(self, do, *args):
+    def _hold_disk_call(self, do, *args):
         d = defer.Deferred()
-        self._jobs.append((d, do, args))
+        self._disk_calls.append((d, do, args))
         return d
 
-    def play(self, messages):
+    def deliver(self, messages):
         messages = list(messages)
-        for _ in range(MOST_STEPS):
-            options = [*messages, *self._jobs]
+        for _ in range(MAX_STEPS):
+            options = [*messages, *self._disk_calls]
             if not options:
                 break
             chosen = options[self.choices.pick(len(options)) if len(options) > 1 else 0]
@@ -146,19 +146,19 @@
                 messages.remove(chosen)
                 spawn(self.part.log_receiver.append(LEADER, chosen)).addBoth(self.results.append)
             else:
-                self._jobs.remove(chosen)
-                self._end(*chosen)
+                self._disk_calls.remove(chosen)
+                self._run_disk_call(*chosen)
             self.simulation.clock.advance(STEP_S)
             self.check()
-        assert not messages and not self._jobs, "it goes on for ever"
+        assert not messages and not self._disk_calls, "it goes on for ever"
 
-    def _end(self, d, do, args):
+    def _run_disk_call(self, d, do, args):
         try:
             d.callback(do(*args))
         except Exception as e:
             d.errback(e)
 
-    def faults(self) -> list[str]:
+    def logged_failures(self) -> list[str]:
         """What the logger says of snapshots and trims that failed."""
         return [
             line
@@ -167,41 +167,41 @@
         ]
 
     def check(self):
-        part, kept = self.part, self.part.durable_log
+        part, log = self.part, self.part.durable_log
         sequence = part.consensus.cluster_state.sequence
         assert sequence >= self.sequence, f"back from {self.sequence} to {sequence}"
         self.sequence = sequence
-        assert told(part.consensus.cluster_state) == self.history.states[sequence], f"another state at {sequence}"
-        assert part.consensus.commit_index <= kept.last_index(), (
-            f"commit {part.consensus.commit_index} beyond {kept.last_index()}"
+        assert serialized(part.consensus.cluster_state) == self.history.states[sequence], f"another state at {sequence}"
+        assert part.consensus.commit_index <= log.last_index(), (
+            f"commit {part.consensus.commit_index} beyond {log.last_index()}"
         )
-        assert kept.snapshot.index <= sequence, f"snapshot {kept.snapshot.index} beyond the state {sequence}"
-        indexes = [e.index for e in kept.entries]
-        first = kept.snapshot.index + 1
+        assert log.snapshot.index <= sequence, f"snapshot {log.snapshot.index} beyond the state {sequence}"
+        indexes = [e.index for e in log.entries]
+        first = log.snapshot.index + 1
         assert indexes == list(range(first, first + len(indexes))), indexes
-        assert self.refusals or not self.faults(), self.faults()
+        assert self.rejected_writes or not self.logged_failures(), self.logged_failures()
         for r in self.results:
             assert not isinstance(getattr(r, "value", None), Exception), r
 
     def restart(self):
         """What is on the disk after all that is the same history as well."""
-        told_last = max((r.last_index for r in self.results if r.success), default=0)
+        acknowledged_index = max((r.last_index for r in self.results if r.success), default=0)
         self.simulated_node.kill(power=True)
         self.simulated_node.start()
-        kept = self.simulated_node.part.durable_log
-        assert kept.last_index() >= told_last, f"{told_last} was answered, {kept.last_index()} is kept"
+        log = self.simulated_node.part.durable_log
+        assert log.last_index() >= acknowledged_index, f"{acknowledged_index} was answered, {log.last_index()} is kept"
         state = self.simulated_node.part.consensus.cluster_state
-        assert state.sequence == 0 or told(state) == self.history.states[state.sequence]
+        assert state.sequence == 0 or serialized(state) == self.history.states[state.sequence]
 
 
-async def _state_after_the_disk(self, s):
+async def _restore_after_disk_write(self, s):
     if self.is_needed(s):
         await self._ctx.run_in_thread(self._durable_log.save_snapshot, s)
         await self._durable_log.use_snapshot(s)
         self._consensus.restore(s)
 
 
-async def _state_always_taken(self, s):
+async def _restore_always(self, s):
     if self.is_needed(s):
         await self._ctx.run_in_thread(self._durable_log.save_snapshot, s)
         synced = self._durable_log.use_snapshot(s)
@@ -209,35 +209,35 @@
         await synced
 
 
-async def _install_beside_a_compaction(self, s):
+async def _install_without_lock(self, s):
     await self._install_locked(s)
 
 
 GUARDS = {
-    "the state is taken in the same step as the snapshot": ("_install_locked", _state_after_the_disk),
-    "a state that has gone further stays": ("_install_locked", _state_always_taken),
-    "one snapshot at a time": ("install", _install_beside_a_compaction),
+    "the state is taken in the same step as the snapshot": ("_install_locked", _restore_after_disk_write),
+    "a state that has gone further stays": ("_install_locked", _restore_always),
+    "one snapshot at a time": ("install", _install_without_lock),
 }
 
 
-class SnapshotOrders(unittest.TestCase):
+class SnapshotInterleavings(unittest.TestCase):
     def setUp(self):
         for name, value in (("COMPACTION_ENTRIES", 3), ("RETAINED_ENTRIES", 1)):
             patch = mock.patch.object(durable_log, name, value)
             patch.start()
             self.addCleanup(patch.stop)
 
-    def explore(self, make, most=20_000, other_branch=False) -> int:
+    def explore(self, make_messages, max_runs=20_000, other_branch=False) -> int:
         def run(choices):
             follower = _Follower(self, choices, other_branch)
             try:
-                follower.play(make(follower.history))
-                assert not other_branch or follower.sequence >= SNAPSHOT_AT, "the snapshot was not taken"
+                follower.deliver(make_messages(follower.history))
+                assert not other_branch or follower.sequence >= SNAPSHOT_INDEX, "the snapshot was not taken"
                 follower.restart()
             finally:
                 follower.simulation.end()
 
-        return Choices.explore(run, most)
+        return Choices.explore(run, max_runs)
 
     def all_messages(self, history):
         return [history.whole(), history.append(3, 8), history.append(8, 11), history.append(10, 13)]
@@ -246,7 +246,7 @@
         self.assertGreater(self.explore(self.all_messages), 500)
 
     def snapshot_and_on(self, history):
-        return [history.whole(), history.append(SNAPSHOT_AT, NEWEST)]
+        return [history.whole(), history.append(SNAPSHOT_INDEX, NEWEST_INDEX)]
 
     def test_a_snapshot_replaces_another_branch_that_is_longer(self):
         self.assertGreater(self.explore(self.snapshot_and_on, other_branch=True), 1)
@@ -260,30 +260,30 @@
 
     def test_a_disk_that_refuses_a_snapshot_is_tried_again_without_sending_it_again(self):
         follower = _Follower(self, Choices([]))
-        follower.refusals = 2
-        keep = follower.part.durable_log.save_snapshot
-        tries = []
+        follower.rejected_writes = 2
+        save = follower.part.durable_log.save_snapshot
+        attempts = []
 
-        def refusing(s):
-            tries.append(s.index)
-            if len(tries) <= follower.refusals:
+        def rejecting(s):
+            attempts.append(s.index)
+            if len(attempts) <= follower.rejected_writes:
                 raise OSError(28, "No space left on device")
-            keep(s)
-
-        with mock.patch.object(follower.part.durable_log, "save_snapshot", refusing):
-            for ask in (follower.history.whole(), follower.history.poll(), follower.history.poll()):
-                follower.play([ask])
-        self.assertEqual(len(follower.faults()), follower.refusals)
-        self.assertEqual(tries, [SNAPSHOT_AT] * 3)
-        self.assertEqual(follower.part.consensus.cluster_state.sequence, SNAPSHOT_AT)
+            save(s)
+
+        with mock.patch.object(follower.part.durable_log, "save_snapshot", rejecting):
+            for request in (follower.history.whole(), follower.history.poll(), follower.history.poll()):
+                follower.deliver([request])
+        self.assertEqual(len(follower.logged_failures()), follower.rejected_writes)
+        self.assertEqual(attempts, [SNAPSHOT_INDEX] * 3)
+        self.assertEqual(follower.part.consensus.cluster_state.sequence, SNAPSHOT_INDEX)
         follower.restart()
-        self.assertEqual(follower.part.durable_log.snapshot.index, SNAPSHOT_AT)
+        self.assertEqual(follower.part.durable_log.snapshot.index, SNAPSHOT_INDEX)
 
     def test_without_a_guard_some_order_breaks_it(self):
-        for name, (part, instead) in GUARDS.items():
+        for name, (part, replacement) in GUARDS.items():
             with (
                 self.subTest(name),
-                mock.patch.object(SnapshotManager, part, instead),
+                mock.patch.object(SnapshotManager, part, replacement),
                 self.assertRaises(AssertionError),
             ):
                 self.explore(self.all_messages)
