--- a/tests/test_durable_log_power_loss.py
+++ b/tests/test_durable_log_power_loss.py
@@ -111,7 +111,7 @@
         self.acknowledged: dict[int, int] = {}
         self.term = 0
 
-    def start(self) -> "_Member":
+    def start(self) -> "_Controller":
         self.durable_log.recover()
         return self
 
