--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -48,7 +48,7 @@
         self._rows: dict[str, RowLimits] = {}
         self._permits: dict[str, str] = {}
         self._known_gateways: frozenset[str] = frozenset()
-        self._fleet_changed_at = self._checked_at = ctx.timers.now()
+        self._cluster_changed_at = self._checked_at = ctx.timers.now()
 
     def start(self) -> None:
         """Registers the coordinator's handler, and has permits reported with the loads."""
@@ -90,7 +90,7 @@
 
     def fill_loads(self, loads: Loads) -> None:
         """Adds the permits that this gateway holds to its report."""
-        self._check_fleet()
+        self._check_cluster()
         loads.permits.extend(Permit(row=row, id=permit_id) for permit_id, row in self._permits.items())
 
     def absorb_loads(self, loads: Loads) -> None:
@@ -162,10 +162,10 @@
         if request.id:
             granted = not row.concurrency or limits.grant_permit(row.concurrency, request.id, node, now)
             return PermitResponse(granted=granted, wait_ms=UNKNOWN_WAIT_MS)
-        wait = limits.take_token(row.rate, now, self._fleet_changed_at) if row.rate else ZERO
+        wait = limits.take_token(row.rate, now, self._cluster_changed_at) if row.rate else ZERO
         return PermitResponse(granted=not wait, wait_ms=math.ceil(wait / ms(1)))
 
-    def _check_fleet(self) -> None:
+    def _check_cluster(self) -> None:
         """Notes whether the gateways changed, or this one was suspended, since the last call.
 
         A new coordinator may not have heard of all permits that are out.
@@ -174,18 +174,18 @@
         gateways = frozenset(member.node for member in self._ctx.membership.members("gateway", statuses=("alive",)))
         if gateways != self._known_gateways or now - self._checked_at > SUSPENSION_THRESHOLD:
             self._known_gateways = gateways
-            self._fleet_changed_at = now
+            self._cluster_changed_at = now
         self._checked_at = now
 
     def _may_grant(self) -> bool:
         """Not while gateways change, nor on the smaller side of a partition, nor with a stale cluster state."""
-        self._check_fleet()
+        self._check_cluster()
         alive = self._ctx.membership.members("gateway", statuses=("alive",))
         missing = self._missing_gateways({(member.host, member.port) for member in alive})
         return (
             self._ctx.cluster.ready()
             and len(alive) >= missing
-            and self._ctx.timers.now() - self._fleet_changed_at >= SETTLE_SPAN
+            and self._ctx.timers.now() - self._cluster_changed_at >= SETTLE_SPAN
         )
 
     def _missing_gateways(self, alive_addresses: set[Address]) -> int:
--- a/pipitlink/gateway/row_limits.py
+++ b/pipitlink/gateway/row_limits.py
@@ -30,19 +30,19 @@
 
     tokens: float = 0.0
     refilled_at: timedelta = ZERO
-    fleet_changed_at: timedelta | None = None
+    cluster_changed_at: timedelta | None = None
     last_retry_at: timedelta = ZERO
     permits: dict[str, GrantedPermit] = attrs.field(factory=dict)
 
-    def take_token(self, rate: float, now: timedelta, fleet_changed_at: timedelta) -> timedelta:
+    def take_token(self, rate: float, now: timedelta, cluster_changed_at: timedelta) -> timedelta:
         """Returns zero where a request may run now, else after what time to retry, later for each one rejected.
 
         `rate` is in requests a second. The bucket begins empty where the gateways changed since the last call.
         """
-        if fleet_changed_at != self.fleet_changed_at:
+        if cluster_changed_at != self.cluster_changed_at:
             self.tokens = 0.0
-            self.refilled_at = max(fleet_changed_at, now - MAX_REFILL_SPAN)
-            self.fleet_changed_at = fleet_changed_at
+            self.refilled_at = max(cluster_changed_at, now - MAX_REFILL_SPAN)
+            self.cluster_changed_at = cluster_changed_at
         refill = rate * (now - self.refilled_at).total_seconds()
         self.tokens = min(max(1.0, rate), self.tokens + refill)
         self.refilled_at = now
--- a/pipitlink/storage/node_identity.py
+++ b/pipitlink/storage/node_identity.py
@@ -14,7 +14,7 @@
 FILE_NAME = "node.json"
 
 
-def node_id(folder: Path, fleet: str) -> str:
+def node_id(folder: Path, cluster_name: str) -> str:
     """Returns the id of the node that a data folder belongs to; an empty folder gets a new one.
 
     Raises SettingsError where the folder belongs to another fleet.
@@ -23,9 +23,9 @@
     path = folder / FILE_NAME
     if path.exists():
         identity: dict[str, str] = json.loads(path.read_text())
-        if identity["fleet"] != fleet:
-            raise SettingsError([f"data: {folder} belongs to fleet {identity['fleet']!r}, not {fleet!r}"])
+        if identity["fleet"] != cluster_name:
+            raise SettingsError([f"data: {folder} belongs to fleet {identity['fleet']!r}, not {cluster_name!r}"])
         return identity["node"]
     node = random_id()
-    replace_file(path, json.dumps({"fleet": fleet, "node": node}).encode())
+    replace_file(path, json.dumps({"fleet": cluster_name, "node": node}).encode())
     return node
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -85,14 +85,14 @@
         reactor: Reactor,
         timers: Timers,
         logger: StructuredLogger,
-        fleet: str,
+        cluster_name: str,
         node: str,
         traffic: TrafficCounter | None = None,
     ) -> None:
         self._reactor = reactor
         self._timers = timers
         self.logger = logger
-        self._fleet = fleet
+        self._cluster_name = cluster_name
         self.node = node
         self.incarnation = 1
         # Where peers reach this node; set once it listens.
@@ -241,7 +241,7 @@
         """Returns the handshake message of this node."""
         host, port = self.address
         return Hello(
-            fleet=self._fleet,
+            fleet=self._cluster_name,
             protocol_version=PROTOCOL_VERSION,
             node=self.node,
             incarnation=self.incarnation,
@@ -252,8 +252,8 @@
 
     def check_hello(self, hello: Hello) -> None:
         """Raises WireError where a peer belongs to another fleet or speaks another version of the protocol."""
-        if hello.fleet != self._fleet:
-            raise WireError(f"peer of fleet {hello.fleet!r}, this is {self._fleet!r}")
+        if hello.fleet != self._cluster_name:
+            raise WireError(f"peer of fleet {hello.fleet!r}, this is {self._cluster_name!r}")
         if hello.protocol_version != PROTOCOL_VERSION:
             raise WireError(f"peer speaks wire sequence {hello.protocol_version}, this is {PROTOCOL_VERSION}")
 
--- a/testbed/benchmarks/batch_impact.py
+++ b/testbed/benchmarks/batch_impact.py
@@ -21,7 +21,7 @@
         self.p = PROFILES[profile]
         self.rounds, self.window = rounds, window
         p = self.p
-        self.fleet = ProcessCluster(
+        self.cluster = ProcessCluster(
             gateways=p["gateways"],
             storage_nodes=p["storage_nodes"],
             controllers=p["controllers"],
@@ -30,13 +30,13 @@
             capacity=8,
             step=0.02,
         )
-        self.calls = Callers(self.fleet, Random(seed))
+        self.calls = Callers(self.cluster, Random(seed))
         self._n = 0
         self._seen: list[float] = []
 
     def run(self) -> int:
         try:
-            self.fleet.start(60)
+            self.cluster.start(60)
             wait_for(lambda: self.calls.generate("warm")["end"], 20, "an engine is known")
             time.sleep(9)
             c = self.calls
@@ -61,7 +61,7 @@
             return 0
         finally:
             self.calls.stop()
-            self.fleet.stop()
+            self.cluster.stop()
 
     def _lots(self):
         for _ in range(4):
@@ -74,7 +74,7 @@
         start, gateway = 0, self.calls.gateway()
         until = time.monotonic() + 60
         while time.monotonic() < until:
-            status, said, _ = self.fleet.call(gateway, "GET", f"/v1/lots/{lot}/results?from={start}")
+            status, said, _ = self.cluster.call(gateway, "GET", f"/v1/lots/{lot}/results?from={start}")
             now = time.monotonic()
             if status == 200:
                 for r in said["results"]:
@@ -86,16 +86,16 @@
 
     def _drain(self):
         lots = [e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]]
-        gateway = self.fleet.nodes("gateway")[0]
+        gateway = self.cluster.nodes("gateway")[0]
         for lot in lots[-4:]:
-            wait_for(lambda: self.fleet.call(gateway, "GET", f"/v1/lots/{lot}")[1].get("state") == "done", 60, "done")
+            wait_for(lambda: self.cluster.call(gateway, "GET", f"/v1/lots/{lot}")[1].get("state") == "done", 60, "done")
 
     def _edit(self, n) -> dict:
         """From the request to its response, and to the moment when every gateway is seen to have it."""
-        controller = self.fleet.nodes("controller")[n % len(self.fleet.nodes("controller"))]
-        base = self.fleet.call(controller, "GET", "/v1/table")[1]["sequence"]
+        controller = self.cluster.nodes("controller")[n % len(self.cluster.nodes("controller"))]
+        base = self.cluster.call(controller, "GET", "/v1/table")[1]["sequence"]
         began = time.monotonic()
-        status, said, _ = self.fleet.call(
+        status, said, _ = self.cluster.call(
             controller, "PUT", "/v1/table/rows/bench", {**ROW, "weight": n + 1}, {"If-Match": str(base)}
         )
         acked = time.monotonic()
@@ -103,8 +103,8 @@
 
         def everywhere():
             return all(
-                self.fleet.call(g, "GET", "/v1/ready")[1]["cluster"] >= said["sequence"]
-                for g in self.fleet.nodes("gateway")
+                self.cluster.call(g, "GET", "/v1/ready")[1]["cluster"] >= said["sequence"]
+                for g in self.cluster.nodes("gateway")
             )
 
         wait_for(everywhere, 5, "every gateway has the edit")
@@ -112,7 +112,7 @@
 
     def _counts(self, shape=r"^pipitlink_cache_(\w+) (\S+)$") -> dict:
         out: dict[str, float] = {}
-        for g in self.fleet.nodes("gateway"):
+        for g in self.cluster.nodes("gateway"):
             status, text, _ = self._metrics(g)
             for name, value in re.findall(shape, text.decode(), re.M):
                 out[name] = out.get(name, 0) + float(value)
@@ -121,13 +121,13 @@
     def _metrics(self, gateway):
         import http.client
 
-        c = http.client.HTTPConnection("127.0.0.1", self.fleet.programs[gateway].ports[2], timeout=5)
+        c = http.client.HTTPConnection("127.0.0.1", self.cluster.programs[gateway].ports[2], timeout=5)
         c.request("GET", "/metrics")
         r = c.getresponse()
         return r.status, r.read(), r.headers
 
     def _say(self, windows, edits):
-        events, notes = self.calls.taken(), self.fleet.notes()
+        events, notes = self.calls.taken(), self.cluster.notes()
         live_requests = [e for e in events if e["event"] == "told" and e["end"] and e["prompt"] != "warm"]
         lots = {e["lot"]: e for e in events if e["event"] == "lot" and e["lot"]}
         done = {}
--- a/testbed/benchmarks/capacity.py
+++ b/testbed/benchmarks/capacity.py
@@ -130,24 +130,24 @@
     def _point(self, name: str, x: int, pace: float) -> dict:
         series = SERIES[name]
         sets = dict(series.sets(x))
-        fleet = LightweightCluster(sets.pop("gateways"), series.kind, pace)
+        cluster = LightweightCluster(sets.pop("gateways"), series.kind, pace)
         span = min(series.span, LONGEST_POINT / self._windows / pace)
         try:
-            fleet.start()
-            fleet.load(**sets)
+            cluster.start()
+            cluster.load(**sets)
             if sets.get("rows"):
-                fleet.rows(sets["rows"])
+                cluster.rows(sets["rows"])
             if sets.get("held"):
-                fleet.holding(sets["held"])
+                cluster.holding(sets["held"])
             if sets.get("burst"):
-                fleet.settled()
+                cluster.settled()
             time.sleep(3 * min(pace, 10))
-            cores, kept = fleet.busy(3.0 / max(1.0, pace / 4))
+            cores, kept = cluster.busy(3.0 / max(1.0, pace / 4))
             if cores > self._cores or kept < LEAST_KEPT and series.kind != "whole":
                 raise MachineOverloaded(f"{cores:.1f} cores busy, {kept:.2f} of the timers came in time")
-            windows = [fleet.window(span) for _ in range(self._windows)]
+            windows = [cluster.window(span) for _ in range(self._windows)]
         finally:
-            fleet.end()
+            cluster.end()
         return {
             "series": name,
             "x": x,
--- a/testbed/benchmarks/recovery_times.py
+++ b/testbed/benchmarks/recovery_times.py
@@ -33,7 +33,7 @@
 
     def run(self) -> int:
         try:
-            self.fleet.start(60)
+            self.cluster.start(60)
             self._began = time.monotonic()
             wait_for(lambda: self.calls.generate("warm")["end"], 20, "an engine is known")
             time.sleep(9)
@@ -53,14 +53,14 @@
             return 0
         finally:
             self.calls.stop()
-            self.fleet.stop()
+            self.cluster.stop()
 
     def _last_run(self, since, engines, until=None) -> float:
         """Seconds from a moment to the last run that began at any of these engines; 0 where none did."""
         return max(
             (
                 n["at"] - since
-                for n in self.fleet.notes()
+                for n in self.cluster.notes()
                 if n["event"] in ("run", "card")
                 and n["engine"] in engines
                 and n["at"] > since
@@ -70,13 +70,13 @@
         )
 
     def _measure_leaving(self, n):
-        name = self.fleet.engines[n % len(self.fleet.engines)]
-        self.fleet.call(name, "POST", "/mode/leaving")
+        name = self.cluster.engines[n % len(self.cluster.engines)]
+        self.cluster.call(name, "POST", "/mode/leaving")
         notified_at = time.monotonic()
         time.sleep(3)
         until = time.monotonic()
-        self.fleet.programs[name].kill()
-        self.fleet.programs[name].start()
+        self.cluster.programs[name].kill()
+        self.cluster.programs[name].start()
         time.sleep(1)
         return [self._last_run(notified_at, [name], until)]
 
@@ -90,8 +90,8 @@
             return [99.0]
         wait_for(
             lambda: all(
-                self.fleet.call(g, "GET", "/v1/ready")[1]["cluster"] >= e["sequence"]
-                for g in self.fleet.nodes("gateway")
+                self.cluster.call(g, "GET", "/v1/ready")[1]["cluster"] >= e["sequence"]
+                for g in self.cluster.nodes("gateway")
             ),
             10,
             "every gateway has it",
@@ -102,7 +102,7 @@
         """A storage node is killed, or freezes, as a lot is accepted; until every gateway, asked at once, has shown
         the lot.
         """
-        p = self.fleet.programs[self.fleet.nodes("storage")[n % 4]]
+        p = self.cluster.programs[self.cluster.nodes("storage")[n % 4]]
         e = self.calls.lot(f"reading-{n}", 4, watch=False)
         acked, took = time.monotonic(), []
         if not e["lot"]:
@@ -113,7 +113,7 @@
             wait_for(lambda: self.calls.read_lot(e["lot"], g)["status"] == 200, 20, f"{g} shows it")
             took.append(time.monotonic() - acked)
 
-        threads = [threading.Thread(target=read, args=(g,)) for g in self.fleet.nodes("gateway")]
+        threads = [threading.Thread(target=read, args=(g,)) for g in self.cluster.nodes("gateway")]
         for t in threads:
             t.start()
         for t in threads:
@@ -126,11 +126,11 @@
         """From the end of an item's run to its place in the list at another gateway, with one gateway killed
         meanwhile.
         """
-        down = self.fleet.nodes("gateway")[n % len(self.fleet.nodes("gateway"))]
+        down = self.cluster.nodes("gateway")[n % len(self.cluster.nodes("gateway"))]
         g = self.calls.gateway(but=down)
         e = self.calls.lot(f"result-{n}", 6, watch=False, gateway=g)
         self.calls.down.add(down)
-        self.fleet.programs[down].kill()
+        self.cluster.programs[down].kill()
         seen: dict[int, float] = {}
 
         def all_seen():
@@ -140,10 +140,10 @@
             return len(seen) == 6
 
         wait_for(all_seen, 40, "all are listed")
-        self.fleet.programs[down].start()
+        self.cluster.programs[down].start()
         self._wait_up([down])
         self.calls.down.discard(down)
-        notes = self.fleet.notes()
+        notes = self.cluster.notes()
         prompts = {x["run"]: x["prompt"] for x in notes if x["event"] == "run"}
         done = {prompts.get(x["run"]): x["at"] for x in notes if x["event"] == "done"}
         return [at - done[p] for i, at in seen.items() if (p := f"result-{n}/{i}") in done]
@@ -154,7 +154,7 @@
         self.calls.end_lot(e["lot"])
         acked = time.monotonic()
         time.sleep(4)
-        notes = self.fleet.notes()
+        notes = self.cluster.notes()
         mine = {x["run"] for x in notes if x["event"] == "run" and x["prompt"].startswith(f"ended-{n}/")}
         return [max((x["at"] - acked for x in notes if x.get("run") in mine and x["at"] > acked), default=0.0)]
 
@@ -166,7 +166,7 @@
         time.sleep(6)
         until = time.monotonic()
         took = self._last_run(
-            acked, [e for e in self.fleet.engines + self.fleet.cards if self.fleet.zones[e] == zone], until
+            acked, [e for e in self.cluster.engines + self.cluster.cards if self.cluster.zones[e] == zone], until
         )
         self.calls.zone(zone, False, self.leader())
         time.sleep(2)
@@ -174,12 +174,12 @@
 
     def _measure_repair(self, n):
         """A storage node comes back empty; until each of its placement groups has three copies again."""
-        name = self.fleet.nodes("storage")[n % 4]
+        name = self.cluster.nodes("storage")[n % 4]
         lost = self.storage_node_id(name)
-        self.fleet.programs[name].kill()
-        self.fleet.wipe(name)
+        self.cluster.programs[name].kill()
+        self.cluster.wipe(name)
         began = time.monotonic()
-        self.fleet.programs[name].start()
+        self.cluster.programs[name].start()
         self._wait_placed(lost)
         took = time.monotonic() - began
         time.sleep(3)
--- a/testbed/benchmarks/soak.py
+++ b/testbed/benchmarks/soak.py
@@ -36,7 +36,7 @@
         p = PROFILES[profile]
         self.quiet, self.floors = quiet, floors
         self.seed, self.minutes, self.faults, self.together = seed, minutes, faults, together
-        self.fleet = ProcessCluster(
+        self.cluster = ProcessCluster(
             gateways=p["gateways"],
             storage_nodes=p["storage_nodes"],
             controllers=p["controllers"],
@@ -48,7 +48,7 @@
             level=level,
             models="pipit-small,gated,metered,narrow",
         )
-        self.calls = Callers(self.fleet, Random(seed + 1))
+        self.calls = Callers(self.cluster, Random(seed + 1))
         self.profile = p
         self.history: list[str] = []
         self._lots: list[str] = []
@@ -64,7 +64,7 @@
 
     def run(self) -> int:
         try:
-            self.fleet.start(60)
+            self.cluster.start(60)
             self._began = time.monotonic()
             self._limits()
             self._load()
@@ -75,7 +75,7 @@
             return self._report()
         finally:
             self.calls.stop()
-            self.fleet.stop()
+            self.cluster.stop()
 
     def _limits(self):
         wait_for(lambda: self.calls.generate("warm")["end"], 20, "an engine is known")
@@ -131,10 +131,10 @@
         return (
             not set(have) & set(names)
             and not (have and "core" in both and disks and ("core" in have) != ("core" in names))
-            and ("core" in both or len({self.fleet.zones[x] for x in disks}) <= 1)
-            and kinds["gateway"] <= len(self.fleet.nodes("gateway")) / 2
-            and kinds["engine"] <= len(self.fleet.engines) / 2
-            and kinds["card"] <= len(self.fleet.cards) / 2
+            and ("core" in both or len({self.cluster.zones[x] for x in disks}) <= 1)
+            and kinds["gateway"] <= len(self.cluster.nodes("gateway")) / 2
+            and kinds["engine"] <= len(self.cluster.engines) / 2
+            and kinds["card"] <= len(self.cluster.cards) / 2
         )
 
     def _load(self):
@@ -169,46 +169,48 @@
         self._lots.append(lot)
 
     def _edit(self, c, name):
-        controller = c.rng.choice(self.fleet.nodes("controller"))
+        controller = c.rng.choice(self.cluster.nodes("controller"))
         c.settle_unknown(controller)
         row = None if int(name[9:]) % 9 == 0 else {"model": f"m-{name}", "weight": 1 + c.rng.randrange(5)}
         c.edit(f"row-{c.rng.randrange(4)}", row, name, controller)
 
     def leader(self):
-        for n in self.fleet.nodes("controller"):
-            status, said, _ = self.fleet.call(n, "GET", "/v1/ready", limit=1)
+        for n in self.cluster.nodes("controller"):
+            status, said, _ = self.cluster.call(n, "GET", "/v1/ready", limit=1)
             if status == 200 and said["state"] == "leader":
                 return n
-        return self.fleet.nodes("controller")[0]
+        return self.cluster.nodes("controller")[0]
 
     def storage_nodes(self) -> dict:
-        status, said, _ = self.fleet.call(self.leader(), "GET", "/v1/storage_nodes")
+        status, said, _ = self.cluster.call(self.leader(), "GET", "/v1/storage_nodes")
         return said["storage_nodes"] if status == 200 else {}
 
     def storage_node_id(self, name) -> str:
         return wait_for(
-            lambda: next((d for d, v in self.storage_nodes().items() if v["place"] == self.fleet.place(name)), ""),
+            lambda: next((d for d, v in self.storage_nodes().items() if v["place"] == self.cluster.place(name)), ""),
             20,
             f"{name} is known",
         )
 
     def busiest(self) -> str:
-        used = {n: self.fleet.call(n, "GET", "/v1/ready")[1] for n in self.fleet.nodes("storage")}
+        used = {n: self.cluster.call(n, "GET", "/v1/ready")[1] for n in self.cluster.nodes("storage")}
         return max(used, key=lambda n: used[n]["used"] if isinstance(used[n], dict) else 0)
 
     def nodes(self):
-        return [n for r in ("gateway", "storage", "controller") for n in self.fleet.nodes(r)]
+        return [n for r in ("gateway", "storage", "controller") for n in self.cluster.nodes(r)]
 
     def inside(self, zone, back_ends):
-        names = self.nodes() + (self.fleet.engines + self.fleet.cards if back_ends else [])
-        return [n for n in names if self.fleet.zones[n] == zone]
+        names = self.nodes() + (self.cluster.engines + self.cluster.cards if back_ends else [])
+        return [n for n in names if self.cluster.zones[n] == zone]
 
     def _report(self) -> int:
         for lot in {e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]}:
-            for g in self.fleet.nodes("gateway")[:2]:
+            for g in self.cluster.nodes("gateway")[:2]:
                 self.calls.read_lot(lot, g)
-        events, notes = self.calls.taken(), self.fleet.notes()
-        bad = check(events, notes, self.fleet.zones, floors=self.floors, capacity=self.fleet.capacity, limits=LIMITS)
+        events, notes = self.calls.taken(), self.cluster.notes()
+        bad = check(
+            events, notes, self.cluster.zones, floors=self.floors, capacity=self.cluster.capacity, limits=LIMITS
+        )
         bad += [e["text"] for e in events if e["event"] in ("late", "fault_failed", "caller_failed")]
         live = [e for e in events if e["event"] == "told"]
         whole = [e for e in live if e["end"]]
--- a/testbed/faults/component_failures.py
+++ b/testbed/faults/component_failures.py
@@ -21,16 +21,16 @@
             with self.calls.hurting(what, names, settle=settle):
                 self.calls.down |= gateways
                 for n in names:
-                    if power is not None and self.fleet.zones[n] and not n.startswith(("gateway", "engine", "card")):
-                        lost = self.fleet.power(n, power)
+                    if power is not None and self.cluster.zones[n] and not n.startswith(("gateway", "engine", "card")):
+                        lost = self.cluster.power(n, power)
                         self.say(f"{n} lost {lost} bytes that were not synced")
                     else:
-                        self.fleet.programs[n].kill()
+                        self.cluster.programs[n].kill()
                     if wiped:
-                        self.fleet.wipe(n)
+                        self.cluster.wipe(n)
                 time.sleep(span)
                 for n in names:
-                    self.fleet.programs[n].start()
+                    self.cluster.programs[n].start()
                 self._wait_up(names)
                 self.calls.down -= gateways
 
@@ -39,14 +39,14 @@
     def _wait_up(self, names):
         for n in names:
             if n.startswith("gateway"):
-                wait_for(lambda: self.fleet.call(n, "GET", "/v1/ready")[0] == 200, 30, f"{n} is ready again")
+                wait_for(lambda: self.cluster.call(n, "GET", "/v1/ready")[0] == 200, 30, f"{n} is ready again")
             elif n.startswith(("storage", "controller")):
-                wait_for(lambda: self.fleet.call(n, "GET", "/v1/live")[0] == 200, 30, f"{n} lives again")
+                wait_for(lambda: self.cluster.call(n, "GET", "/v1/live")[0] == 200, 30, f"{n} lives again")
         if any(n.startswith(("storage", "controller")) for n in names):
             time.sleep(REPAIRED)
 
     def _any(self, rng, role):
-        return rng.choice(self.fleet.nodes(role))
+        return rng.choice(self.cluster.nodes(role))
 
     def plan_kill_gateway(self, c):
         return self._down("kill", [self._any(c, "gateway")], 2 * c.random())
@@ -72,7 +72,7 @@
             do()
             if e["lot"]:
                 self.remember(e["lot"])
-                for g in self.fleet.nodes("gateway")[:2]:
+                for g in self.cluster.nodes("gateway")[:2]:
                     self.calls.read_lot(e["lot"], g)
 
         return names, at_once
@@ -90,10 +90,10 @@
             self.say(f"freeze {','.join(names)} for {span:.1f} s")
             with self.calls.hurting("freeze", names):
                 for n in names:
-                    self.fleet.programs[n].freeze()
+                    self.cluster.programs[n].freeze()
                 time.sleep(span)
                 for n in names:
-                    self.fleet.programs[n].thaw()
+                    self.cluster.programs[n].thaw()
 
         return names, do
 
@@ -110,10 +110,10 @@
         return self._roll([self._any(c, "gateway"), self._any(c, "gateway")])
 
     def plan_storage_node_roll(self, c):
-        return self._roll(self.fleet.nodes("storage"))
+        return self._roll(self.cluster.nodes("storage"))
 
     def plan_controller_roll(self, c):
-        return self._roll(self.fleet.nodes("controller"))
+        return self._roll(self.cluster.nodes("controller"))
 
     def _roll(self, names):
         names = sorted(set(names))
@@ -123,8 +123,8 @@
             for name in names:
                 with self.calls.hurting("roll", [name]):
                     self.calls.down.add(name)
-                    self.fleet.programs[name].end()
-                    self.fleet.programs[name].start()
+                    self.cluster.programs[name].end()
+                    self.cluster.programs[name].start()
                     self._wait_up([name])
                     self.calls.down.discard(name)
 
@@ -142,22 +142,22 @@
 
     def plan_replace_seeds(self, c):
         """The three machines of the seeds are swapped for empty ones at new addresses; the others keep old seeds."""
-        olds = [next(n for n in self.fleet.nodes(r)) for r in ("controller", "storage", "gateway")]
+        olds = [next(n for n in self.cluster.nodes(r)) for r in ("controller", "storage", "gateway")]
 
         def do():
             self.say(f"{','.join(olds)} are replaced by empty machines at new addresses")
             lost = self.storage_node_id(olds[1])
-            seeds = [self.fleet.place(self.fleet.nodes(r)[1]) for r in ("controller", "storage", "gateway")]
+            seeds = [self.cluster.place(self.cluster.nodes(r)[1]) for r in ("controller", "storage", "gateway")]
             with self.calls.hurting("replaced", olds, settle=4):
                 self.calls.down.add(olds[2])
                 news = []
                 for old in olds:
-                    role, zone = old.rstrip("0123456789"), self.fleet.zones[old]
-                    self.fleet.remove(old)
+                    role, zone = old.rstrip("0123456789"), self.cluster.zones[old]
+                    self.cluster.remove(old)
                     self._fresh += 1
                     news.append(f"{role}{100 + self._fresh}")
                     self.calls.down.add(news[-1])
-                    self.fleet.add_node(role, news[-1], zone, seeds).start()
+                    self.cluster.add_node(role, news[-1], zone, seeds).start()
                 self._wait_up(news)
                 self.calls.down -= set(news)
             self._wait_placed(lost)
@@ -168,21 +168,21 @@
         """A storage node is added and another retired; while its placement groups move, a third one is killed for a
         while.
         """
-        old, other = c.sample(self.fleet.nodes("storage"), 2)
+        old, other = c.sample(self.cluster.nodes("storage"), 2)
 
         def do():
             self._fresh += 1
             new = f"storage{100 + self._fresh}"
             self.say(f"{new} is added, {old} is retired and {other} is killed meanwhile")
-            self.fleet.add_node("storage", new, self.fleet.zones[old]).start()
+            self.cluster.add_node("storage", new, self.cluster.zones[old]).start()
             wait_for(
-                lambda: any(d["place"] == self.fleet.place(new) for d in self.storage_nodes().values()),
+                lambda: any(d["place"] == self.cluster.place(new) for d in self.storage_nodes().values()),
                 30,
                 "it is admitted",
             )
             gone = self.storage_node_id(old)
             wait_for(
-                lambda: self.fleet.call(self.leader(), "POST", f"/v1/storage_nodes/{gone}/retire", {})[0] == 200,
+                lambda: self.cluster.call(self.leader(), "POST", f"/v1/storage_nodes/{gone}/retire", {})[0] == 200,
                 30,
                 "retirement is taken",
             )
@@ -190,22 +190,22 @@
             wait_for(lambda: self.storage_nodes().get(gone, {}).get("status") == "retired", 120, f"{old} is retired")
             self.say(f"{old} is retired")
             with self.calls.hurting("retired", [old]):
-                self.fleet.remove(old)
+                self.cluster.remove(old)
             self._wait_placed(gone, retired=True)
 
         return [old, other, "core"], do
 
     def plan_disk_full(self, c):
         """One storage node's disk refuses; then two storage nodes' do, which may refuse lots but loses nothing."""
-        names = c.sample(self.fleet.nodes("storage"), 2)
+        names = c.sample(self.cluster.nodes("storage"), 2)
 
         def do():
             for full, bearable in ((names[:1], True), (names, False)):
                 self.say(f"the disks of {','.join(full)} are full")
                 with self.calls.hurting("disk full", full, bearable=bearable, settle=4):
-                    self.fleet.tell(full=[self.fleet.place(n) for n in full])
+                    self.cluster.tell(full=[self.cluster.place(n) for n in full])
                     time.sleep(3)
-                    self.fleet.tell(full=[])
+                    self.cluster.tell(full=[])
             time.sleep(REPAIRED)
 
         return [*names, "core"], do
@@ -214,14 +214,14 @@
         def do():
             self.say(f"{what} for {span:.1f} s: {','.join(some)} | {','.join(others)}")
             with self.calls.hurting(what, hurt if hurt is not None else some, settle=3):
-                self.fleet.cut(some, others, one_way)
+                self.cluster.cut(some, others, one_way)
                 time.sleep(span)
-                self.fleet.heal()
+                self.cluster.heal()
 
         return ["core", "net"], do
 
     def plan_split_controllers(self, c):
-        controllers = self.fleet.nodes("controller")
+        controllers = self.cluster.nodes("controller")
         c.shuffle(controllers)
         k = c.choice((1, 2))
         return self._cut("controllers split", controllers[:k], controllers[k:], 2 + 4 * c.random())
@@ -229,7 +229,7 @@
     def plan_controllers_away(self, c):
         return self._cut(
             "controllers away",
-            self.fleet.nodes("controller"),
+            self.cluster.nodes("controller"),
             [n for n in self.nodes() if "controller" not in n],
             2 + 5 * c.random(),
         )
@@ -260,9 +260,9 @@
         def do():
             self.say(f"links of {','.join(inside)} take {delay * 1000:.0f} ms more for {span:.1f} s")
             with self.calls.hurting("slow links", inside):
-                self.fleet.tell(delays={self.fleet.place(n): delay for n in inside})
+                self.cluster.tell(delays={self.cluster.place(n): delay for n in inside})
                 time.sleep(span)
-                self.fleet.tell(delays={})
+                self.cluster.tell(delays={})
 
         return ["net"], do
 
--- a/testbed/faults/final_fault.py
+++ b/testbed/faults/final_fault.py
@@ -36,7 +36,7 @@
         lots = {e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]}
         self.calls.over.clear()
         wait_for(lambda: all(self._done(lot) for lot in lots), 240, "every lot is done or ended")
-        for n in self.fleet.nodes("controller"):
+        for n in self.cluster.nodes("controller"):
             self.calls.read_table(n)
 
     def _all_known(self):
@@ -49,28 +49,28 @@
         self.calls.down |= {n for n in names if n.startswith("gateway")}
         if kind == "split":
             rest = [n for n in self.nodes() if n not in names]
-            self.fleet.cut(names, rest)
-            return self.fleet.heal
+            self.cluster.cut(names, rest)
+            return self.cluster.heal
         for n in names:
             if kind == "freeze":
-                self.fleet.programs[n].freeze()
+                self.cluster.programs[n].freeze()
             elif kind == "power" and n.startswith(("storage", "controller")):
-                self.fleet.power(n, c)
+                self.cluster.power(n, c)
             else:
-                self.fleet.programs[n].kill()
+                self.cluster.programs[n].kill()
         if kind == "emptied":
-            self.fleet.wipe(names[1])
+            self.cluster.wipe(names[1])
 
         def heal():
             for n in names:
-                (self.fleet.programs[n].thaw if kind == "freeze" else self.fleet.programs[n].start)()
+                (self.cluster.programs[n].thaw if kind == "freeze" else self.cluster.programs[n].start)()
 
         return heal
 
     def _wait_served(self, names, began) -> float:
         """Until each kind of service works at every node that is left."""
-        gateways = [g for g in self.fleet.nodes("gateway") if g not in names]
-        controllers = [o for o in self.fleet.nodes("controller") if o not in names]
+        gateways = [g for g in self.cluster.nodes("gateway") if g not in names]
+        controllers = [o for o in self.cluster.nodes("controller") if o not in names]
         checks = [lambda g=g: self._streams(g) for g in gateways] + [
             lambda: self._edits(controllers),
             lambda: self._lots_again(gateways),
@@ -118,11 +118,11 @@
         if e.get("status") != 200:
             return False
         for n in controllers:
-            status, said, _ = self.fleet.call(n, "GET", "/v1/table/rows/closing", limit=3)
+            status, said, _ = self.cluster.call(n, "GET", "/v1/table/rows/closing", limit=3)
             if status != 200 or said["sequence"] < e["sequence"]:
                 return False
         return True
 
     def _done(self, lot):
-        status, said, _ = self.fleet.call(self.fleet.nodes("gateway")[0], "GET", f"/v1/lots/{lot}")
+        status, said, _ = self.cluster.call(self.cluster.nodes("gateway")[0], "GET", f"/v1/lots/{lot}")
         return status == 200 and said["state"] in ("done", "ended")
--- a/testbed/faults/overload.py
+++ b/testbed/faults/overload.py
@@ -15,20 +15,20 @@
         def do():
             self.say(f"{name} {mode} for {span:.1f} s")
             with self.calls.hurting(mode, [name]):
-                self.fleet.call(name, "POST", f"/mode/{mode}")
+                self.cluster.call(name, "POST", f"/mode/{mode}")
                 time.sleep(span)
-                self.fleet.call(name, "POST", "/mode/well")
+                self.cluster.call(name, "POST", "/mode/well")
 
         return [name], do
 
     def _engine(self, c):
-        return c.choice(self.fleet.engines)
+        return c.choice(self.cluster.engines)
 
     def plan_engine_crash(self, c):
         return self._down("kill", [self._engine(c)], 1 + 2 * c.random())
 
     def plan_engine_cut(self, c):
-        return self._mode(c.choice(self.fleet.engines + self.fleet.cards), "cut", 2)
+        return self._mode(c.choice(self.cluster.engines + self.cluster.cards), "cut", 2)
 
     def plan_engine_refuse(self, c):
         return self._mode(self._engine(c), "refuse", 2)
@@ -51,10 +51,10 @@
             span = 3 + 3 * c.random()
             self.say(f"{name} vanishes for {span:.1f} s")
             with self.calls.hurting("vanished", [name]):
-                self.fleet.programs[name].freeze()
+                self.cluster.programs[name].freeze()
                 time.sleep(span)
-                self.fleet.programs[name].kill()
-                self.fleet.programs[name].start()
+                self.cluster.programs[name].kill()
+                self.cluster.programs[name].start()
 
         return [name], do
 
@@ -63,7 +63,7 @@
         name = self._engine(c)
 
         def do():
-            p = self.fleet.programs[name]
+            p = self.cluster.programs[name]
             (port,) = free_ports(1)
             self.say(f"{name} comes back at port {port}")
             with self.calls.hurting("moved", [name]):
@@ -76,15 +76,15 @@
         return [name], do
 
     def plan_engine_leaving(self, c):
-        name = c.choice(self.fleet.engines + self.fleet.cards)
+        name = c.choice(self.cluster.engines + self.cluster.cards)
 
         def do():
             self.say(f"{name} is leaving, then replaced")
             with self.calls.hurting("leaving", [name]):
-                self.fleet.call(name, "POST", "/mode/leaving")
+                self.cluster.call(name, "POST", "/mode/leaving")
                 time.sleep(4)
-                self.fleet.programs[name].kill()
-                self.fleet.programs[name].start()
+                self.cluster.programs[name].kill()
+                self.cluster.programs[name].start()
 
         return [name], do
 
@@ -94,13 +94,13 @@
         def do():
             self.say(f"empty {zone}, then fill it")
             with self.calls.hurting(
-                "zone emptied", [n for n in self.fleet.engines + self.fleet.cards if self.fleet.zones[n] == zone]
+                "zone emptied", [n for n in self.cluster.engines + self.cluster.cards if self.cluster.zones[n] == zone]
             ):
                 if self.calls.zone(zone, True, self.leader()) == 200:
                     time.sleep(7)
                 wait_for(lambda: self.calls.zone(zone, False, self.leader()) == 200, 30, f"{zone} is filled again")
 
-        return [n for n in self.fleet.engines + self.fleet.cards if self.fleet.zones[n] == zone] + ["zones"], do
+        return [n for n in self.cluster.engines + self.cluster.cards if self.cluster.zones[n] == zone] + ["zones"], do
 
     def plan_lots_crowd(self, c):
         def do():
@@ -115,7 +115,7 @@
         """Far more live requests at once than the engines have room for: each gets an answer or an honest no."""
 
         def do():
-            n = 3 * self.fleet.capacity * len(self.fleet.engines)
+            n = 3 * self.cluster.capacity * len(self.cluster.engines)
             mark = f"crowd-{time.monotonic()}"
             self.say(f"a crowd of {n}")
             began = time.monotonic()
@@ -172,7 +172,7 @@
     def plan_two_editors(self, c):
         def do():
             self.say("two operators edit at once, a row against the whole cluster state")
-            controllers = self.fleet.nodes("controller")
+            controllers = self.cluster.nodes("controller")
             args = [
                 (f"row-{c.randrange(4)}", {"model": f"m-{time.monotonic()}", "weight": 2}, None),
                 ("", None, lambda rows: {**rows, "both": {"model": f"both-{time.monotonic()}"}}),
--- a/testbed/standins/clients.py
+++ b/testbed/standins/clients.py
@@ -41,8 +41,8 @@
 
 
 class Callers(OperatorWorkload):
-    def __init__(self, fleet, rng):
-        self.fleet = fleet
+    def __init__(self, cluster, rng):
+        self.cluster = cluster
         self.rng = rng
         self.over = threading.Event()
         self._lock = threading.Lock()
@@ -86,12 +86,12 @@
 
     def gateway(self, but: str = "") -> str:
         """A gateway that the platform would send a caller to: it moves clients off gateways that it took down."""
-        up = [g for g in self.fleet.nodes("gateway") if g not in self.down and g != but]
+        up = [g for g in self.cluster.nodes("gateway") if g not in self.down and g != but]
         with self._lock:
-            return self.rng.choice(up or self.fleet.nodes("gateway"))
+            return self.rng.choice(up or self.cluster.nodes("gateway"))
 
     def _connect(self, gateway, limit):
-        return http.client.HTTPConnection("127.0.0.1", self.fleet.programs[gateway].ports[1], timeout=limit)
+        return http.client.HTTPConnection("127.0.0.1", self.cluster.programs[gateway].ports[1], timeout=limit)
 
     def generate(
         self,
@@ -203,7 +203,7 @@
 
     def fetch(self, path: str, limit=15):
         asked, gateway = time.monotonic(), self.gateway()
-        status, body, heads = self.fleet.call(gateway, "GET", f"/v1/fetch/cards/cards/{path}", limit=limit)
+        status, body, heads = self.cluster.call(gateway, "GET", f"/v1/fetch/cards/cards/{path}", limit=limit)
         return self.note(
             "fetched",
             path=path,
@@ -227,7 +227,7 @@
         }
         gateway = gateway or self.gateway()
         asked = time.monotonic()
-        status, said, heads = self.fleet.call(gateway, "POST", "/v1/lots", body, limit=15)
+        status, said, heads = self.cluster.call(gateway, "POST", "/v1/lots", body, limit=15)
         lot = said["lot"] if status == 201 else ""
         event = self.note(
             "lot",
@@ -250,7 +250,7 @@
     def read_lot(self, lot: str, gateway=None, start=0):
         gateway = gateway or self.gateway()
         asked = time.monotonic()
-        status, said, _ = self.fleet.call(gateway, "GET", f"/v1/lots/{lot}/results?from={start}", limit=15)
+        status, said, _ = self.cluster.call(gateway, "GET", f"/v1/lots/{lot}/results?from={start}", limit=15)
         return self.note(
             "results",
             lot=lot,
@@ -265,5 +265,5 @@
         )
 
     def end_lot(self, lot: str):
-        status, said, _ = self.fleet.call(self.gateway(), "DELETE", f"/v1/lots/{lot}", limit=15)
+        status, said, _ = self.cluster.call(self.gateway(), "DELETE", f"/v1/lots/{lot}", limit=15)
         return self.note("lot_ended", lot=lot, status=status, said=said)
--- a/testbed/standins/operators.py
+++ b/testbed/standins/operators.py
@@ -34,7 +34,7 @@
 
     def read_table(self, controller: str) -> tuple[int | None, dict]:
         asked = time.monotonic()
-        status, said, _ = self.fleet.call(controller, "GET", "/v1/table", limit=8)
+        status, said, _ = self.cluster.call(controller, "GET", "/v1/table", limit=8)
         self.note("table_asked", controller=controller, status=status, asked=asked)
         if status != 200:
             return None, {}
@@ -43,7 +43,7 @@
 
     def _send_edit(self, controller, request, base, edit_id, name, row, whole, limit):
         asked = time.monotonic()
-        status, said, heads = self.fleet.call(
+        status, said, heads = self.cluster.call(
             controller, *request, {"If-Match": str(base), "Edit-Id": edit_id}, limit=limit
         )
         bad = said.get("error") if isinstance(said, dict) else None
@@ -83,10 +83,10 @@
         """Empties or fills a zone and reads all zones back."""
         asked = time.monotonic()
         self.note("zone_asked", zone=zone, empty=empty)
-        status = self.fleet.call(controller, "PUT", f"/v1/zones/{zone}", {"empty": empty}, limit=12)[0]
+        status = self.cluster.call(controller, "PUT", f"/v1/zones/{zone}", {"empty": empty}, limit=12)[0]
         self.note("zone_edit", zone=zone, empty=empty, status=status, asked=asked)
         asked = time.monotonic()
-        read, said, _ = self.fleet.call(controller, "GET", "/v1/zones", limit=8)
+        read, said, _ = self.cluster.call(controller, "GET", "/v1/zones", limit=8)
         if read == 200:
             self.note("zones_read", zones={z: v["empty"] for z, v in said["zones"].items()}, asked=asked)
         return status
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -16,7 +16,7 @@
 from pipitlink.wire.cluster_pb2 import Bounds, Command, ConfigEdit, Pool, PoolShare, Route, Row, TableEdit, ZoneEdit
 from testbed.simulator.simulation import Simulation
 
-from .stored_state import FLEET, read_controller, read_peers, read_storage_node
+from .stored_state import CLUSTER_NAME, read_controller, read_peers, read_storage_node
 
 __all__ = ["write"]
 
@@ -94,7 +94,7 @@
     simulation = Simulation(SEED, controllers=3, storage_nodes=3, gateways=2, placement_groups=2, settings=settings)
     for simulated_node in (*simulation.role("controller"), *simulation.role("storage")):
         (simulated_node.folder / "id").parent.mkdir()
-        (simulated_node.folder / "id").write_text(node_id(simulated_node.folder, FLEET))
+        (simulated_node.folder / "id").write_text(node_id(simulated_node.folder, CLUSTER_NAME))
     simulation.start()
     simulation.ready()
     return simulation
--- a/tests/stored_state.py
+++ b/tests/stored_state.py
@@ -15,9 +15,9 @@
 from pipitlink.storage import node_id
 from pipitlink.storage.log_store import LogStore
 
-__all__ = ["FLEET", "read_controller", "read_peers", "read_state", "read_storage_node"]
+__all__ = ["CLUSTER_NAME", "read_controller", "read_peers", "read_state", "read_storage_node"]
 
-FLEET = "pipit"
+CLUSTER_NAME = "pipit"
 BUDGET_BYTES = 64 * 1024 * 1024
 RESERVE_BYTES = 1024 * 1024
 
@@ -57,7 +57,7 @@
     for entry in durable_log.entries:
         state.apply(entry.index, entry.command)
     read = {
-        "node": node_id(folder, FLEET),
+        "node": node_id(folder, CLUSTER_NAME),
         "term": durable_log.hard_state.term,
         "vote": durable_log.hard_state.voted_for,
         "snapshot": [durable_log.snapshot.index, durable_log.snapshot.term, _message_digest(durable_log.snapshot)],
@@ -88,7 +88,7 @@
         }
     files = len(store.segments.segment_numbers())
     store.close()
-    return {"node": node_id(folder, FLEET), "files": files, "logs": logs}
+    return {"node": node_id(folder, CLUSTER_NAME), "files": files, "logs": logs}
 
 
 def read_peers(folder: Path) -> list[list]:
--- a/tests/test_batches_taken_up.py
+++ b/tests/test_batches_taken_up.py
@@ -6,7 +6,7 @@
 
 
 class TakenUp(unittest.TestCase):
-    def fleet(self, seed):
+    def start_cluster(self, seed):
         simulation = start_simulation(seed)
         self.addCleanup(simulation.end)
         simulation.breaks = 0
@@ -25,7 +25,7 @@
     def test_a_killed_owner_is_followed_as_soon_as_the_membership_has_it_for_gone(self):
         for seed in (1, 2, 3, 4):
             with self.subTest(seed=seed):
-                simulation, c = self.fleet(seed)
+                simulation, c = self.start_cluster(seed)
                 simulation.step = simulation.step * 20
                 name = c.lot(30)
                 self.assertEqual(simulation.do(c.hand_in(name)), 202)
@@ -45,7 +45,7 @@
     def test_after_all_lost_power_it_is_taken_up_without_waiting_out_leases(self):
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
-                simulation, c = self.fleet(seed)
+                simulation, c = self.start_cluster(seed)
                 simulation.step = simulation.step * 20
                 name = c.lot(30)
                 self.assertEqual(simulation.do(c.hand_in(name)), 202)
--- a/tests/test_gateway_components.py
+++ b/tests/test_gateway_components.py
@@ -133,7 +133,7 @@
         self.assertTrue(b.take())
 
 
-class _Fleet:
+class _Cluster:
     """Several gateways on one clock, each with engines that have room, and a row with limits."""
 
     def __init__(self, n, **row):
@@ -169,13 +169,13 @@
 class LimitsOfRows(unittest.TestCase):
     def test_a_rate_holds_over_the_fleet_and_is_usable_at_one_gateway(self):
         for callers in (lambda f: f.up(), lambda f: f.up()[:1]):
-            f, passed = _Fleet(8, rate=4), []
+            f, passed = _Cluster(8, rate=4), []
             f.run(10, lambda: passed.extend(g for g in callers(f) if f.passed(g)))
             self.assertGreaterEqual(len(passed), 36)
             self.assertLessEqual(len(passed), 44)
 
     def test_gateways_by_turns_do_not_fill_a_cold_engine_beyond_its_ramp(self):
-        f = _Fleet(8)
+        f = _Cluster(8)
         came, over = f.clock.seconds(), []
 
         def each():
@@ -192,7 +192,7 @@
         self.assertGreaterEqual(min(over[30:]), -1)
 
     def test_a_new_or_lost_gateway_brings_no_burst(self):
-        f, passed = _Fleet(4, rate=2), []
+        f, passed = _Cluster(4, rate=2), []
         steward = next(g for g in f.gateways if g.rate_limits.coordinator("r") == g.node)
         f.run(3, lambda: passed.extend(g for g in f.up() if f.passed(g)))
         f.lose(steward)
@@ -201,7 +201,7 @@
         self.assertLessEqual(len(passed), 22)
 
     def test_a_concurrency_holds_over_the_fleet_while_gateways_come_and_go(self):
-        f = _Fleet(8, concurrency=3)
+        f = _Cluster(8, concurrency=3)
         out, most, began = [], [], []
 
         def each():
@@ -226,7 +226,7 @@
         self.assertGreater(len(began) - before, 6)
 
     def test_the_smaller_side_of_a_cut_and_a_gateway_that_slept_grant_nothing(self):
-        f = _Fleet(8, rate=100)
+        f = _Cluster(8, rate=100)
         g = next(g for g in f.gateways if g.rate_limits.coordinator("r") == g.node)
         self.assertTrue(f.passed(g))
         g.membership.away = tuple(o.node for o in f.gateways if o is not g)[:6]
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -13,7 +13,7 @@
 
 
 class Loads(unittest.TestCase):
-    def fleet(self, gateways):
+    def start_cluster(self, gateways):
         s = start_simulation(3, gateways=gateways, settle=1.0)
         self.addCleanup(s.end)
         s.sequence = 0
@@ -61,7 +61,7 @@
     def test_every_gateway_knows_what_all_run(self):
         for gateways in (FEW, MANY):
             with self.subTest(gateways=gateways):
-                s = self.fleet(gateways)
+                s = self.start_cluster(gateways)
                 give = self.put_on(s, 3)
                 s.until(lambda s=s: self.all_see_what_runs(s), 0.6, "all see what runs")
                 for back in give[: len(give) // 2]:
@@ -85,7 +85,7 @@
         return {k: n / SPAN / len(s.role(k[0])) for k, n in counts.items() if k[1].startswith("engines.")}
 
     def test_few_gateways_tell_each_other_at_once(self):
-        c = self.messages(self.fleet(FEW))
+        c = self.messages(self.start_cluster(FEW))
         self.assertGreater(c["gateway", "engines.loads"], 2 * (FEW - 1))
         self.assertLessEqual(c["gateway", "engines.loads"], 5.2 * (FEW - 1))
         self.assertNotIn(("controller", "engines.totals"), c)
@@ -93,13 +93,13 @@
     def test_many_gateways_send_the_same_as_one_to_one(self):
         for gateways in (MANY, 2 * MANY):
             with self.subTest(gateways=gateways):
-                s = self.fleet(gateways)
+                s = self.start_cluster(gateways)
                 c = self.messages(s)
                 self.assertLessEqual(c["gateway", "engines.loads"], 5.2)
                 self.assertLessEqual(c["controller", "engines.totals"] * 3, 5.3 * gateways)
 
     def test_the_totals_go_on_when_the_controller_that_sums_them_ends(self):
-        s = self.fleet(MANY)
+        s = self.start_cluster(MANY)
         self.put_on(s, 2)
         s.until(lambda: self.all_see_what_runs(s), 0.6, "all see what runs")
         hubs = [a for a in s.role("controller") if a.part.load_aggregator._reports]
@@ -112,7 +112,7 @@
         s.until(lambda: self.all_see_what_runs(s), 3, "all see what runs, by another controller")
 
     def test_without_any_controller_gateways_tell_each_other(self):
-        s = self.fleet(MANY)
+        s = self.start_cluster(MANY)
         for a in s.role("controller"):
             a.kill()
         s.until(
@@ -123,7 +123,7 @@
         s.until(lambda: self.all_see_what_runs(s), 3.5, "all see what runs")
 
     def test_what_a_gateway_that_is_gone_ran_is_taken_out_of_the_totals(self):
-        s = self.fleet(MANY)
+        s = self.start_cluster(MANY)
         self.put_on(s, 2)
         s.until(lambda: self.all_see_what_runs(s), 0.6, "all see what runs")
         for a in s.role("gateway")[:4]:
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -55,14 +55,14 @@
 class Outcomes(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        cls.fleet = ProcessCluster(gateways=1, storage_nodes=3, controllers=3, engines=0, cards=1)
-        cls.addClassCleanup(cls.fleet.stop)
-        cls.fleet.start()
+        cls.cluster = ProcessCluster(gateways=1, storage_nodes=3, controllers=3, engines=0, cards=1)
+        cls.addClassCleanup(cls.cluster.stop)
+        cls.cluster.start()
         cls.n = 0
 
     def announce(self, port, model, pool="models"):
         Outcomes.n += 1
-        status, said, _ = self.fleet.call(
+        status, said, _ = self.cluster.call(
             "gateway0",
             "POST",
             "/v1/engines",
@@ -78,7 +78,7 @@
         self.assertEqual(status, 200, said)
 
     def ask(self, model, stream=False, repeatable=False, limit_ms=1500):
-        return self.fleet.call(
+        return self.cluster.call(
             "gateway0",
             "POST",
             "/v1/generate",
@@ -177,7 +177,7 @@
         raw = _Raw(HEAD + piece("a") + piece("b"))
         self.addCleanup(raw.close)
         self.announce(raw.port, "cut")
-        c = socket.create_connection(("127.0.0.1", self.fleet.programs["gateway0"].ports[1]), timeout=5)
+        c = socket.create_connection(("127.0.0.1", self.cluster.programs["gateway0"].ports[1]), timeout=5)
         body = json.dumps({"model": "cut", "prompt": "p"})
         c.sendall(f"POST /v1/generate HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         data = b""
@@ -193,7 +193,7 @@
         raw = _Raw(HEAD + piece("a") + piece("b"), hold=True)
         self.addCleanup(raw.close)
         self.announce(raw.port, "resumed")
-        c = socket.create_connection(("127.0.0.1", self.fleet.programs["gateway0"].ports[1]), timeout=5)
+        c = socket.create_connection(("127.0.0.1", self.cluster.programs["gateway0"].ports[1]), timeout=5)
         body = json.dumps({"model": "resumed", "prompt": "p", "limit_ms": 20000})
         c.sendall(f"POST /v1/generate HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
         data = b""
@@ -203,57 +203,59 @@
         c.close()
         for conn in raw._kept:
             conn.sendall(piece("c") + chunk("data: [DONE]\n\n") + b"0\r\n\r\n")
-        status, shown, _ = self.fleet.call("gateway0", "GET", f"/v1/generate/{run}?from=1")
+        status, shown, _ = self.cluster.call("gateway0", "GET", f"/v1/generate/{run}?from=1")
         self.assertEqual(status, 200)
         texts = [json.loads(e.partition("data: ")[2]) for e in shown.decode().split("\n\n") if "event: piece" in e]
         self.assertEqual(texts, [{"n": 1, "text": "b"}, {"n": 2, "text": "c"}])
         self.assertIn(b"event: end", shown)
-        self.assertEqual(self.fleet.call("gateway0", "GET", f"/v1/generate/{run}?from=9")[0], 416)
-        self.assertEqual(self.fleet.call("gateway0", "GET", "/v1/generate/nobody?from=0")[0], 404)
+        self.assertEqual(self.cluster.call("gateway0", "GET", f"/v1/generate/{run}?from=9")[0], 416)
+        self.assertEqual(self.cluster.call("gateway0", "GET", "/v1/generate/nobody?from=0")[0], 404)
 
     def test_a_card_cut_short_never_ends_cleanly(self):
-        wait_for(lambda: self.fleet.call("gateway0", "GET", "/v1/fetch/cards/cards/a")[0] == 200, 10, "cards are known")
-        self.fleet.call("card0", "POST", "/mode/cut")
+        wait_for(
+            lambda: self.cluster.call("gateway0", "GET", "/v1/fetch/cards/cards/a")[0] == 200, 10, "cards are known"
+        )
+        self.cluster.call("card0", "POST", "/mode/cut")
         try:
             for n in range(5):
-                status, body, _ = self.fleet.call("gateway0", "GET", f"/v1/fetch/cards/cards/{n}")
+                status, body, _ = self.cluster.call("gateway0", "GET", f"/v1/fetch/cards/cards/{n}")
                 self.assertEqual(status, 0, body)
         finally:
-            self.fleet.call("card0", "POST", "/mode/well")
+            self.cluster.call("card0", "POST", "/mode/well")
 
     def test_bodies_are_bounded(self):
-        status, said, _ = self.fleet.call("gateway0", "POST", "/v1/generate", b"x" * (1024 * 1024 + 1))
+        status, said, _ = self.cluster.call("gateway0", "POST", "/v1/generate", b"x" * (1024 * 1024 + 1))
         self.assertIn(status, (0, 413))
         if status:
             self.assertEqual(said["error"]["code"], "body_too_long")
-        self.assertEqual(self.fleet.call("gateway0", "POST", "/v1/generate", b"[1")[1]["error"]["code"], "bad_json")
-        self.assertEqual(self.fleet.call("gateway0", "GET", "/v1/lots/zz")[1]["error"]["code"], "bad_id")
-        self.assertEqual(self.fleet.call("gateway0", "GET", "/v1/lots/ab.1.0")[1]["error"]["code"], "no_such_lot")
+        self.assertEqual(self.cluster.call("gateway0", "POST", "/v1/generate", b"[1")[1]["error"]["code"], "bad_json")
+        self.assertEqual(self.cluster.call("gateway0", "GET", "/v1/lots/zz")[1]["error"]["code"], "bad_id")
+        self.assertEqual(self.cluster.call("gateway0", "GET", "/v1/lots/ab.1.0")[1]["error"]["code"], "no_such_lot")
         self.assertEqual(
-            self.fleet.call("gateway0", "GET", "/v1/lots/ab.1.0/results?from=x")[1]["error"]["field"], "from"
+            self.cluster.call("gateway0", "GET", "/v1/lots/ab.1.0/results?from=x")[1]["error"]["field"], "from"
         )
 
 
 class Draining(unittest.TestCase):
     def test_a_gateway_told_to_end_finishes_its_streams_and_hands_its_lots_over(self):
-        fleet = ProcessCluster(gateways=2, storage_nodes=3, controllers=3, engines=2, cards=0, step=0.15)
-        self.addCleanup(fleet.stop)
-        fleet.start()
-        calls = Callers(fleet, Random(1))
+        cluster = ProcessCluster(gateways=2, storage_nodes=3, controllers=3, engines=2, cards=0, step=0.15)
+        self.addCleanup(cluster.stop)
+        cluster.start()
+        calls = Callers(cluster, Random(1))
         wait_for(lambda: calls.generate("warm", gateway="gateway0")["end"], 20, "an engine is known")
-        lot = fleet.call(
+        lot = cluster.call(
             "gateway0", "POST", "/v1/lots", {"items": [{"model": "pipit-small", "prompt": f"d{n}"} for n in range(20)]}
         )[1]["lot"]
         results = []
         t = threading.Thread(target=lambda: results.append(calls.generate("draining", gateway="gateway0")))
         t.start()
-        wait_for(lambda: any(n["event"] == "run" and n["prompt"] == "draining" for n in fleet.notes()), 10, "it runs")
-        self.assertEqual(fleet.programs["gateway0"].end(), 0)
+        wait_for(lambda: any(n["event"] == "run" and n["prompt"] == "draining" for n in cluster.notes()), 10, "it runs")
+        self.assertEqual(cluster.programs["gateway0"].end(), 0)
         t.join(10)
         self.assertTrue(results[0]["end"], results)
         wait_for(
-            lambda: fleet.call("gateway1", "GET", f"/v1/lots/{lot}")[1].get("state") == "done", 30, "the lot is done"
+            lambda: cluster.call("gateway1", "GET", f"/v1/lots/{lot}")[1].get("state") == "done", 30, "the lot is done"
         )
-        listed = fleet.call("gateway1", "GET", f"/v1/lots/{lot}/results")[1]["results"]
+        listed = cluster.call("gateway1", "GET", f"/v1/lots/{lot}/results")[1]["results"]
         self.assertEqual({r["outcome"] for r in listed}, {"done"})
         self.assertEqual(len(listed), 20)
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -39,21 +39,21 @@
         cls.addClassCleanup(listener.server_close)
         cls.addClassCleanup(listener.shutdown)
         place = f"127.0.0.1:{listener.server_address[1]}/changes"
-        cls.fleet = ProcessCluster(
+        cls.cluster = ProcessCluster(
             gateways=3, storage_nodes=3, controllers=3, engines=2, cards=1, settings={"changes_to": place}
         )
-        cls.addClassCleanup(cls.fleet.stop)
-        cls.fleet.start()
+        cls.addClassCleanup(cls.cluster.stop)
+        cls.cluster.start()
         wait_for(lambda: cls.generate("warm")[0] == 200, 10, "an engine is known")
 
     @classmethod
     def generate(cls, prompt, gateway="gateway0", **more):
-        return cls.fleet.call(
+        return cls.cluster.call(
             gateway, "POST", "/v1/generate", {"model": "pipit-small", "prompt": prompt, "stream": False, **more}
         )
 
     def test_a_stream_is_the_engines_own_and_ends_with_a_record(self):
-        status, raw, headers = self.fleet.call(
+        status, raw, headers = self.cluster.call(
             "gateway1", "POST", "/v1/generate", {"model": "pipit-small", "prompt": "where is the ferry"}
         )
         self.assertEqual(status, 200)
@@ -64,40 +64,42 @@
         self.assertTrue(events[-1].startswith("event: end\n"))
 
     def test_a_caller_that_was_moved_goes_on_at_any_gateway_exactly_where_it_stopped(self):
-        calls = Callers(self.fleet, Random(1))
+        calls = Callers(self.cluster, Random(1))
         for then in ("gateway0", "gateway1", "gateway2"):
             prompt = f"moved to {then}"
             e = calls.generate(prompt, gateway="gateway0", leave_at=2, then=then)
             self.assertEqual((e["end"], e["fault"]), (True, None))
             self.assertEqual(e["pieces"], list(enumerate(answer_pieces(prompt, 256))))
         run = e["run"]
-        self.assertEqual(self.fleet.call("gateway1", "GET", f"/v1/generate/{run}?from=99")[0], 416)
-        self.assertEqual(check(calls.taken(), self.fleet.notes(), {}), [])
+        self.assertEqual(self.cluster.call("gateway1", "GET", f"/v1/generate/{run}?from=99")[0], 416)
+        self.assertEqual(check(calls.taken(), self.cluster.notes(), {}), [])
         for gone in (f"{'0' * 16}-{run[17:]}", f"{run[:16]}-{'0' * 16}"):
-            status, said, _ = self.fleet.call("gateway1", "GET", f"/v1/generate/{gone}?from=0")
+            status, said, _ = self.cluster.call("gateway1", "GET", f"/v1/generate/{gone}?from=0")
             self.assertEqual(
                 (status, said["error"]["code"], said["error"]["outcome"]), (404, "run_not_held", "unknown")
             )
 
     def test_a_card_passes_unchanged(self):
-        wait_for(lambda: self.fleet.call("gateway0", "GET", "/v1/fetch/cards/cards/a")[0] == 200, 10, "cards are known")
-        self.assertEqual(self.fleet.call("gateway2", "GET", "/v1/fetch/cards/cards/delos")[1], card_bytes("delos"))
+        wait_for(
+            lambda: self.cluster.call("gateway0", "GET", "/v1/fetch/cards/cards/a")[0] == 200, 10, "cards are known"
+        )
+        self.assertEqual(self.cluster.call("gateway2", "GET", "/v1/fetch/cards/cards/delos")[1], card_bytes("delos"))
 
     def test_a_lot_goes_in_and_any_gateway_shows_its_results(self):
         items = [{"model": "pipit-small", "prompt": f"brief {n}"} for n in range(12)]
-        status, lot, _ = self.fleet.call("gateway0", "POST", "/v1/lots", {"items": items})
+        status, lot, _ = self.cluster.call("gateway0", "POST", "/v1/lots", {"items": items})
         self.assertEqual(status, 201)
         path = f"/v1/lots/{lot['lot']}"
-        wait_for(lambda: self.fleet.call("gateway1", "GET", path)[1].get("state") == "done", 20, "the lot is done")
-        shown = self.fleet.call("gateway2", "GET", path + "/results")[1]["results"]
+        wait_for(lambda: self.cluster.call("gateway1", "GET", path)[1].get("state") == "done", 20, "the lot is done")
+        shown = self.cluster.call("gateway2", "GET", path + "/results")[1]["results"]
         self.assertEqual(sorted(r["item"] for r in shown), list(range(12)))
         for r in shown:
             self.assertEqual(r["text"], "".join(answer_pieces(f"brief {r['item']}", 256)))
 
     def test_changes_are_told_as_cloudevents(self):
-        lot = self.fleet.call("gateway0", "POST", "/v1/lots", {"items": [{"model": "pipit-small", "prompt": "told"}]})[
-            1
-        ]["lot"]
+        lot = self.cluster.call(
+            "gateway0", "POST", "/v1/lots", {"items": [{"model": "pipit-small", "prompt": "told"}]}
+        )[1]["lot"]
 
         def told(kind):
             return [e for e in _Listener.told if e.get_type() == f"pipitlink.{kind}"]
@@ -115,11 +117,11 @@
             ({"model": 3, "prompt": ""}, "model"),
             ({"model": "m", "prompt": "", "colour": 1}, "colour"),
         ):
-            status, said, _ = self.fleet.call("gateway0", "POST", "/v1/generate", body)
+            status, said, _ = self.cluster.call("gateway0", "POST", "/v1/generate", body)
             self.assertEqual((status, said["error"].get("field")), (400, field), said)
 
     def test_compare_tells_where_two_nodes_differ(self):
-        at = self.fleet.operator
+        at = self.cluster.operator
 
         def compare(*args):
             return subprocess.run(
@@ -147,20 +149,20 @@
 
     def test_a_lot_sent_twice_with_one_key_is_taken_once(self):
         body = {"items": [{"model": "pipit-small", "prompt": "keyed"}], "customer": "c", "idempotency_key": "k1"}
-        first = self.fleet.call("gateway0", "POST", "/v1/lots", body)
-        again = self.fleet.call("gateway1", "POST", "/v1/lots", body)
+        first = self.cluster.call("gateway0", "POST", "/v1/lots", body)
+        again = self.cluster.call("gateway1", "POST", "/v1/lots", body)
         self.assertEqual((first[0], again[0], again[1]["lot"]), (201, 200, first[1]["lot"]))
-        other = self.fleet.call("gateway2", "POST", "/v1/lots", {**body, "items": body["items"] * 2})
+        other = self.cluster.call("gateway2", "POST", "/v1/lots", {**body, "items": body["items"] * 2})
         self.assertEqual((other[0], other[1]["error"]["code"]), (409, "key_in_use"))
         path = f"/v1/lots/{first[1]['lot']}"
-        wait_for(lambda: self.fleet.call("gateway1", "GET", path)[1].get("state") == "done", 20, "the lot is done")
-        self.assertEqual(len([n for n in self.fleet.notes() if n["event"] == "run" and n["prompt"] == "keyed"]), 1)
+        wait_for(lambda: self.cluster.call("gateway1", "GET", path)[1].get("state") == "done", 20, "the lot is done")
+        self.assertEqual(len([n for n in self.cluster.notes() if n["event"] == "run" and n["prompt"] == "keyed"]), 1)
 
     def test_a_row_limits_the_rate_and_says_when_to_come_back(self):
-        base = self.fleet.call("controller0", "GET", "/v1/table")[1]["sequence"]
+        base = self.cluster.call("controller0", "GET", "/v1/table")[1]["sequence"]
         row = {"model": "pipit-small", "pool": "models", "rate": 1.5}
         self.assertEqual(
-            self.fleet.call("controller1", "PUT", "/v1/table/rows/slow", row, {"If-Match": str(base)})[0], 200
+            self.cluster.call("controller1", "PUT", "/v1/table/rows/slow", row, {"If-Match": str(base)})[0], 200
         )
         try:
             results = [self.generate(f"rate {n}") for n in range(3)]
@@ -171,6 +173,6 @@
             ]
             self.assertIn((429, "rate_limited", "not_run", True), limited)
         finally:
-            base = self.fleet.call("controller0", "GET", "/v1/table")[1]["sequence"]
-            said = self.fleet.call("controller2", "DELETE", "/v1/table/rows/slow", None, {"If-Match": str(base)})
+            base = self.cluster.call("controller0", "GET", "/v1/table")[1]["sequence"]
+            said = self.cluster.call("controller2", "DELETE", "/v1/table/rows/slow", None, {"If-Match": str(base)})
             self.assertEqual(said[0], 200)
--- a/tests/test_process_cluster_faults.py
+++ b/tests/test_process_cluster_faults.py
@@ -29,15 +29,15 @@
         self.assertEqual(Soak("small", 4, 0.5, faults=FAULTS, quiet=4, floors=False).run(), 0)
 
     def test_a_peer_of_another_fleet_or_with_rubbish_is_refused(self):
-        fleet = ProcessCluster(gateways=1, storage_nodes=3, controllers=3, engines=0, cards=0)
-        self.addCleanup(fleet.stop)
-        fleet.start()
+        cluster = ProcessCluster(gateways=1, storage_nodes=3, controllers=3, engines=0, cards=0)
+        self.addCleanup(cluster.stop)
+        cluster.start()
         for hello in (
             Hello(fleet="other", protocol_version=1, node="x").SerializeToString(),
             Hello(fleet="pipit", protocol_version=9, node="x").SerializeToString(),
             b"\xff" * 40,
         ):
-            with socket.create_connection(("127.0.0.1", fleet.programs["storage0"].ports[0]), timeout=5) as c:
+            with socket.create_connection(("127.0.0.1", cluster.programs["storage0"].ports[0]), timeout=5) as c:
                 c.sendall(len(hello).to_bytes(4, "big") + hello)
                 data = b""
                 try:
@@ -46,4 +46,4 @@
                 except ConnectionResetError:
                     pass
                 self.assertLess(len(data), 200)
-        self.assertEqual(fleet.call("gateway0", "GET", "/v1/ready")[0], 200)
+        self.assertEqual(cluster.call("gateway0", "GET", "/v1/ready")[0], 200)
--- a/tests/test_simulated_idle.py
+++ b/tests/test_simulated_idle.py
@@ -8,7 +8,7 @@
 from testbed.simulator.simulation import Simulation
 
 SPAN = 5
-FLEETS = ((3, 3, 2), (3, 3, 10), (4, 4, 24))
+CLUSTERS = ((3, 3, 2), (3, 3, 10), (4, 4, 24))
 PROBE_BYTES = 400
 GATEWAY_BYTES = 500
 GATEWAY_MESSAGES = 19
@@ -52,7 +52,7 @@
 
 class AtRest(unittest.TestCase):
     def test_a_nodes_share_does_not_grow_with_the_fleet(self):
-        for sizes in FLEETS:
+        for sizes in CLUSTERS:
             with self.subTest(nodes=sum(sizes)):
                 c = _Counted(*sizes)
                 self.addCleanup(c.simulation.end)
--- a/tests/test_simulated_long_logs.py
+++ b/tests/test_simulated_long_logs.py
@@ -152,7 +152,7 @@
             patch.start()
             self.addCleanup(patch.stop)
 
-    def fleet(self, seed):
+    def start_cluster(self, seed):
         simulation = Simulation(seed, controllers=4, storage_nodes=0, gateways=0)
         self.addCleanup(simulation.end)
         checker = _Judge(simulation)
@@ -218,7 +218,7 @@
         checker.fault(f"the voters are not whole after {WHOLE_S} s")
 
     def run_seed(self, seed, troubles=TROUBLES):
-        simulation, checker, writers = self.fleet(seed)
+        simulation, checker, writers = self.start_cluster(seed)
         self.run_for(simulation, checker, 2.5)
         history = []
         for _ in range(troubles):
--- a/tests/test_simulated_restart.py
+++ b/tests/test_simulated_restart.py
@@ -9,7 +9,7 @@
 
 
 class Restart(unittest.TestCase):
-    def _fleet(self, seed):
+    def _start_cluster(self, seed):
         simulation = Simulation(seed, controllers=4, storage_nodes=3, gateways=1)
         self.addCleanup(simulation.end)
         simulation.start()
@@ -27,14 +27,14 @@
     def test_all_controllers_that_started_together_lead_within_half_a_second(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                simulation = self._fleet(seed)
+                simulation = self._start_cluster(seed)
                 self._restart(simulation, simulation.role("controller"))
                 simulation.until(simulation.leader, 0.55, "a leader after a restart of all controllers")
 
     def test_a_voter_that_came_back_empty_need_not_be_waited_out(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                simulation = self._fleet(seed)
+                simulation = self._start_cluster(seed)
                 voters = [
                     a for a in simulation.role("controller") if a.node in simulation.leader().part.consensus.voters()
                 ]
@@ -49,7 +49,7 @@
     def test_a_controller_that_starts_alone_does_not_put_the_leader_aside(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                simulation = self._fleet(seed)
+                simulation = self._start_cluster(seed)
                 leader = simulation.leader()
                 term = leader.part.consensus.term
                 others = [
@@ -67,7 +67,7 @@
     def test_two_that_started_wait_out_a_leader_that_they_cannot_hear(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                simulation = self._fleet(seed)
+                simulation = self._start_cluster(seed)
                 leader = simulation.leader()
                 others = [a for a in simulation.role("controller") if a is not leader]
                 simulation.cut([leader.name], [a.name for a in others])
--- a/tests/test_simulated_slow_link.py
+++ b/tests/test_simulated_slow_link.py
@@ -19,7 +19,7 @@
 
 
 class SlowLink(unittest.TestCase):
-    def fleet(self, controllers=3, gateways=0, storage_nodes=0):
+    def start_cluster(self, controllers=3, gateways=0, storage_nodes=0):
         simulation = Simulation(
             5, controllers=controllers, storage_nodes=storage_nodes, gateways=gateways, placement_groups=2
         )
@@ -47,7 +47,7 @@
         return leader is not None and simulated_node.part.consensus.commit_index == leader.part.consensus.commit_index
 
     def test_a_log_of_large_edits_reaches_a_member_that_the_leader_needs(self):
-        simulation = self.fleet()
+        simulation = self.start_cluster()
         late, other = (a for a in simulation.role("controller") if a is not simulation.leader())
         late.kill()
         for n in range(40):
@@ -65,7 +65,7 @@
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
         ):
-            simulation = self.fleet()
+            simulation = self.start_cluster()
             leader = simulation.leader()
             late, other = (a for a in simulation.role("controller") if a is not leader)
             late.kill()
@@ -84,7 +84,7 @@
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 8),
         ):
-            simulation = self.fleet()
+            simulation = self.start_cluster()
             late = next(a for a in simulation.role("controller") if a is not simulation.leader())
             late.kill()
             for n in range(40):
@@ -115,7 +115,7 @@
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
         ):
-            simulation = self.fleet()
+            simulation = self.start_cluster()
             leader = simulation.leader()
             late = next(a for a in simulation.role("controller") if a is not leader)
             late.kill()
@@ -143,7 +143,7 @@
         self.elected_again_while_a_call_hangs()
 
     def elected_again_while_a_call_hangs(self):
-        simulation = self.fleet()
+        simulation = self.start_cluster()
         leader = simulation.leader()
         needed, other = (a for a in simulation.role("controller") if a is not leader)
         other.kill()
@@ -179,7 +179,7 @@
         self.gateway_far_behind()
 
     def gateway_far_behind(self):
-        simulation = self.fleet(controllers=3, gateways=2, storage_nodes=3)
+        simulation = self.start_cluster(controllers=3, gateways=2, storage_nodes=3)
         late = simulation.role("gateway")[0]
         simulation.cut([late.name], [a for a in simulation.simulated_nodes if a != late.name])
         for n in range(50):
@@ -195,7 +195,7 @@
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
         ):
-            simulation = self.fleet(controllers=3, gateways=2, storage_nodes=3)
+            simulation = self.start_cluster(controllers=3, gateways=2, storage_nodes=3)
             for n in range(60):
                 self.change(simulation, f"row{n}", 2 * LARGE_EDIT)
             late = simulation.role("gateway")[0]
