--- a/testbed/benchmarks/soak.py
+++ b/testbed/benchmarks/soak.py
@@ -187,7 +187,7 @@
 
     def storage_node_id(self, name) -> str:
         return wait_for(
-            lambda: next((d for d, v in self.storage_nodes().items() if v["place"] == self.cluster.place(name)), ""),
+            lambda: next((d for d, v in self.storage_nodes().items() if v["place"] == self.cluster.address(name)), ""),
             20,
             f"{name} is known",
         )
--- a/testbed/faults/component_failures.py
+++ b/testbed/faults/component_failures.py
@@ -147,7 +147,7 @@
         def do():
             self.say(f"{','.join(olds)} are replaced by empty machines at new addresses")
             lost = self.storage_node_id(olds[1])
-            seeds = [self.cluster.place(self.cluster.nodes(r)[1]) for r in ("controller", "storage", "gateway")]
+            seeds = [self.cluster.address(self.cluster.nodes(r)[1]) for r in ("controller", "storage", "gateway")]
             with self.calls.hurting("replaced", olds, settle=4):
                 self.calls.down.add(olds[2])
                 news = []
@@ -176,7 +176,7 @@
             self.say(f"{new} is added, {old} is retired and {other} is killed meanwhile")
             self.cluster.add_node("storage", new, self.cluster.zones[old]).start()
             wait_for(
-                lambda: any(d["place"] == self.cluster.place(new) for d in self.storage_nodes().values()),
+                lambda: any(d["place"] == self.cluster.address(new) for d in self.storage_nodes().values()),
                 30,
                 "it is admitted",
             )
@@ -203,7 +203,7 @@
             for full, bearable in ((names[:1], True), (names, False)):
                 self.say(f"the disks of {','.join(full)} are full")
                 with self.calls.hurting("disk full", full, bearable=bearable, settle=4):
-                    self.cluster.tell(full=[self.cluster.place(n) for n in full])
+                    self.cluster.tell(full=[self.cluster.address(n) for n in full])
                     time.sleep(3)
                     self.cluster.tell(full=[])
             time.sleep(REPAIRED)
@@ -260,7 +260,7 @@
         def do():
             self.say(f"links of {','.join(inside)} take {delay * 1000:.0f} ms more for {span:.1f} s")
             with self.calls.hurting("slow links", inside):
-                self.cluster.tell(delays={self.cluster.place(n): delay for n in inside})
+                self.cluster.tell(delays={self.cluster.address(n): delay for n in inside})
                 time.sleep(span)
                 self.cluster.tell(delays={})
 
--- a/testbed/processes/process_cluster.py
+++ b/testbed/processes/process_cluster.py
@@ -242,12 +242,12 @@
         finally:
             c.close()
 
-    def place(self, name: str) -> str:
+    def address(self, name: str) -> str:
         return f"127.0.0.1:{self.programs[name].ports[0]}"
 
     def cut(self, some, others, one_way: bool = False):
         """Cuts the peers' calls between two sets of nodes, until the next cut or `heal`."""
-        pairs = [[self.place(a), self.place(b)] for a in some for b in others]
+        pairs = [[self.address(a), self.address(b)] for a in some for b in others]
         if not one_way:
             pairs += [[b, a] for a, b in pairs]
         self.tell(cuts=pairs)
--- a/tests/batch_builders.py
+++ b/tests/batch_builders.py
@@ -50,7 +50,7 @@
         self.loads = LoadExchange(ctx, self.engines)
         self.service = BatchService(ctx, self.engines, self.loads, self, self, lambda: self.simulation.routes)
         self.busy = 0
-        self.places = 6
+        self.slots = 6
 
     def open(self):
         self.engines.open()
@@ -62,7 +62,7 @@
         return self.service.table.batches
 
     def available(self, route, backlog):
-        return self.places - self.busy
+        return self.slots - self.busy
 
     def submit(self, route, path, name, raw, span):
         """Hands a batch in, `span` before its deadline."""
--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -95,10 +95,10 @@
     """The simulation's one way for messages, with a note for each request and for what came back to its sender."""
     plain_carry = Simulation.carry
 
-    def carry(simulation, sender, place, method, body, node=""):
-        goal = next((a.name for a in simulation.simulated_nodes.values() if a.address == place), str(place))
+    def carry(simulation, sender, address, method, body, node=""):
+        goal = next((a.name for a in simulation.simulated_nodes.values() if a.address == address), str(address))
         network.note("request", sender.name, goal, method, node, len(body), _short_digest(body))
-        return plain_carry(simulation, sender, place, method, body, node).addBoth(back, sender.name, goal, method)
+        return plain_carry(simulation, sender, address, method, body, node).addBoth(back, sender.name, goal, method)
 
     def back(result, sender, goal, method):
         if not isinstance(result, Failure):
--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -32,10 +32,10 @@
     def register_handler(self, method, kind, do):
         self.handlers[method] = do
 
-    async def call(self, place, method, ask, kind, limit):
-        if place not in self.bus:
+    async def call(self, address, method, ask, kind, limit):
+        if address not in self.bus:
             raise ConnectionFailed("nobody is there")
-        return await self.bus[place].handlers[method](self.node, ask)
+        return await self.bus[address].handlers[method](self.node, ask)
 
 
 class _Membership:
--- a/tests/order_simulation.py
+++ b/tests/order_simulation.py
@@ -22,11 +22,11 @@
 class DelayingSimulation(Simulation):
     """Edits that controllers pass on wait in a cut connection and arrive once it is healed."""
 
-    def carry(self, sender, place, method, body, node=""):
-        goal = next((a for a in self.simulated_nodes.values() if a.address == place), None)
+    def carry(self, sender, address, method, body, node=""):
+        goal = next((a for a in self.simulated_nodes.values() if a.address == address), None)
         if method == "controller.edit" and goal is not None and (sender.name, goal.name) in self.cuts:
             self._hold(sender, goal, method, body, sender.ctx, goal.ctx, self.clock.seconds() + HOLD_LIMIT)
-        return super().carry(sender, place, method, body, node)
+        return super().carry(sender, address, method, body, node)
 
     def _hold(self, sender, goal, method, body, sending, receiving, end):
         if goal.ctx is not receiving or not goal.alive or sender.ctx is not sending or self.clock.seconds() > end:
--- a/tests/rpc_scenarios.py
+++ b/tests/rpc_scenarios.py
@@ -14,9 +14,9 @@
 from pipitlink.wire.frame_pb2 import Frame, Hello
 from pipitlink.wire.rpc import RpcEndpoint
 
-__all__ = ["PLACE", "RpcScenario"]
+__all__ = ["ADDRESS", "RpcScenario"]
 
-PLACE = ("h", 1)
+ADDRESS = ("h", 1)
 CALLS = 3
 
 
@@ -101,7 +101,7 @@
     def _call(self):
         name = f"q{len(self.results)}"
         result = self.results[name] = []
-        spawn(self.endpoint.call(PLACE, "echo", Hello(node=name), Hello, secs(1))).addBoth(result.append)
+        spawn(self.endpoint.call(ADDRESS, "echo", Hello(node=name), Hello, secs(1))).addBoth(result.append)
         self._take_in()
 
     def _take_in(self):
--- a/tests/test_append_copies.py
+++ b/tests/test_append_copies.py
@@ -306,7 +306,7 @@
         simulation = start_simulation(5, gateways=3)
         self.addCleanup(simulation.end)
         gateway = simulation.role("gateway")[0]
-        gateway.part.places = 200
+        gateway.part.slots = 200
         callers = Callers(simulation)
         name = callers.lot(items=140, path="/bulk/" + "x" * 1_300)
         cache_writes = []
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -65,8 +65,8 @@
         got = []
         call = gateway.ctx.rpc.call
 
-        async def counted(place, method, ask, kind, limit, node=""):
-            r = await call(place, method, ask, kind, limit, node=node)
+        async def counted(address, method, ask, kind, limit, node=""):
+            r = await call(address, method, ask, kind, limit, node=node)
             if method in ("cache.get", "replicated_log.read"):
                 got.append(len(r.SerializeToString()))
             return r
@@ -279,7 +279,7 @@
     def test_a_batch_that_nobody_told_of_is_counted_without_its_bodies(self):
         simulation, c = self.simulation(12, routes=[route(max_waiting_tokens=1000)])
         for a in simulation.role("gateway"):
-            a.part.places = 0
+            a.part.slots = 0
         name = self.large(c)
         self.assertEqual(simulation.do(c.hand_in(name, simulation.role("gateway")[0])), 202)
         a = simulation.role("gateway")[1]
--- a/tests/test_batches_quota.py
+++ b/tests/test_batches_quota.py
@@ -32,7 +32,7 @@
     def test_the_cap_holds_and_is_used_up_while_gateways_race(self):
         simulation, c = self.simulation()
         for a in simulation.role("gateway"):
-            a.part.places = 0
+            a.part.slots = 0
         said = []
         for n in range(18):
             spawn(c.hand_in(c.lot(5), simulation.role("gateway")[n % 3])).addBoth(said.append)
@@ -55,7 +55,7 @@
     def test_an_ended_batch_waits_no_more(self):
         simulation, c = self.simulation(3)
         for a in simulation.role("gateway"):
-            a.part.places = 0
+            a.part.slots = 0
         name = c.lot(30)
         self.assertEqual(simulation.do(c.hand_in(name, simulation.role("gateway")[1])), 202)
         self.assertEqual(simulation.do(c.hand_in(c.lot(1))), 429)
@@ -74,7 +74,7 @@
     def test_a_batch_taken_again_is_counted_once(self):
         simulation, c = self.simulation(5)
         for a in simulation.role("gateway"):
-            a.part.places = 0
+            a.part.slots = 0
         name, other = c.lot(20), c.lot(10)
         for a in simulation.role("gateway"):
             self.assertEqual(simulation.do(c.hand_in(name, a)), 202)
@@ -87,7 +87,7 @@
         for seed in (6, 7):
             simulation, c = self.simulation(seed)
             for a in simulation.role("gateway"):
-                a.part.places = 0
+                a.part.slots = 0
             for a in simulation.role("gateway"):
                 self.assertEqual(simulation.do(c.hand_in(c.lot(5), a)), 202)
             self.steward(simulation).kill()
@@ -98,7 +98,7 @@
     def test_what_the_old_steward_granted_last_is_counted_by_the_new_one(self):
         simulation, c = self.simulation(8)
         for a in simulation.role("gateway"):
-            a.part.places = 0
+            a.part.slots = 0
         steward = self.steward(simulation)
         self.assertEqual(simulation.do(c.hand_in(c.lot(25), steward)), 202)
         steward.kill()
@@ -108,13 +108,13 @@
     def test_after_a_start_of_all_gateways_what_is_open_is_counted_first(self):
         simulation, c = self.simulation(9)
         for a in simulation.role("gateway"):
-            a.part.places = 0
+            a.part.slots = 0
         self.assertEqual(simulation.do(c.hand_in(c.lot(25))), 202)
         for a in simulation.role("gateway"):
             a.kill()
         for a in simulation.role("gateway"):
             a.start()
-            a.part.places = 0
+            a.part.slots = 0
         simulation.ready()
         self.assertEqual(self.until_sure(simulation, c, 6), 429)
         self.assertEqual(self.until_sure(simulation, c, 5), 202)
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -38,9 +38,9 @@
         threading.Thread(target=listener.serve_forever, daemon=True).start()
         cls.addClassCleanup(listener.server_close)
         cls.addClassCleanup(listener.shutdown)
-        place = f"127.0.0.1:{listener.server_address[1]}/changes"
+        address = f"127.0.0.1:{listener.server_address[1]}/changes"
         cls.cluster = ProcessCluster(
-            gateways=3, storage_nodes=3, controllers=3, engines=2, cards=1, settings={"changes_to": place}
+            gateways=3, storage_nodes=3, controllers=3, engines=2, cards=1, settings={"changes_to": address}
         )
         cls.addClassCleanup(cls.cluster.stop)
         cls.cluster.start()
--- a/tests/test_quota_restarts.py
+++ b/tests/test_quota_restarts.py
@@ -29,13 +29,13 @@
         gateway.kill()
         gateway.start()
         if gateway.part is not None:
-            gateway.part.places = 0
+            gateway.part.slots = 0
 
     def test_a_reservation_does_not_wait_while_other_gateways_restart(self):
         for seed in (1, 2, 3):
             simulation, callers = self.simulation(seed)
             for gateway in simulation.role("gateway"):
-                gateway.part.places = 0
+                gateway.part.slots = 0
             coordinator = self.coordinator(simulation)
             taker = next(gateway for gateway in simulation.role("gateway") if gateway is not coordinator)
             others = [gateway for gateway in simulation.role("gateway") if gateway not in (coordinator, taker)]
@@ -55,7 +55,7 @@
     def test_a_grant_to_a_gateway_that_is_lost_counts_until_its_batch_was_looked_for(self):
         simulation, callers = self.simulation(4)
         for gateway in simulation.role("gateway"):
-            gateway.part.places = 0
+            gateway.part.slots = 0
         coordinator = self.coordinator(simulation)
         taker = next(gateway for gateway in simulation.role("gateway") if gateway is not coordinator)
         self.assertEqual(simulation.do(callers.hand_in(callers.lot(25), taker)), 202)
--- a/tests/test_rpc_notifications.py
+++ b/tests/test_rpc_notifications.py
@@ -90,9 +90,9 @@
     def test_a_peer_is_called_over_the_connection_that_it_opened(self):
         box = []
         self.ends[0].register_handler("engines.loads", Loads, self.take)
-        for end, place in ((1, ("h", 1)), (0, ("h", 2))):
+        for end, address in ((1, ("h", 1)), (0, ("h", 2))):
             spawn(
-                self.ends[end].call(place, "engines.loads", Loads(gateway="one"), Empty, ms(100))
+                self.ends[end].call(address, "engines.loads", Loads(gateway="one"), Empty, ms(100))
             ).addBoth(box.append)  # fmt: skip
         self.pump.flush()
         self.assertEqual(box, [Empty(), Empty()])
@@ -101,17 +101,17 @@
             self.assertEqual(e._reactor.tcpClients, [])
 
     def test_another_life_at_a_place_takes_its_connection_over(self):
-        first, place = self.connections[1], ("h", 1)
+        first, address = self.connections[1], ("h", 1)
         again, other = self.endpoint("a"), self.endpoint("a")
         other.node = "c"
         for peer, expected in ((again, False), (other, True)):
             s, t = RpcConnection(self.ends[1]), RpcConnection(peer)
             self.ends[1].connection_opened(s)
             iosim.connect(t, iosim.FakeTransport(t, False), s, iosim.FakeTransport(s, True)).flush()
-            self.assertEqual(self.ends[1]._connections[place] is s, expected)
+            self.assertEqual(self.ends[1]._connections[address] is s, expected)
         first.transport.loseConnection()
         self.pump.flush()
-        self.assertIs(self.ends[1]._connections[place], s)
+        self.assertIs(self.ends[1]._connections[address], s)
 
     def test_a_note_where_no_connection_is_open_opens_one(self):
         self.ends[0].notify([("h", 9)], "engines.loads", Loads(gateway="one"))
--- a/tests/test_rpc_orders.py
+++ b/tests/test_rpc_orders.py
@@ -9,7 +9,7 @@
 from pipitlink.wire.frame_pb2 import Hello
 from testbed.simulator.interleavings import explore_events, walk_events
 
-from .rpc_scenarios import PLACE, RpcScenario
+from .rpc_scenarios import ADDRESS, RpcScenario
 
 
 class RpcOrders(unittest.TestCase):
@@ -23,7 +23,7 @@
         scenario = RpcScenario()
 
         def call(name):
-            return spawn(scenario.endpoint.call(PLACE, "echo", Hello(node=name), Hello, secs(1)))
+            return spawn(scenario.endpoint.call(ADDRESS, "echo", Hello(node=name), Hello, secs(1)))
 
         called_again = call("first").addErrback(lambda _: call("second"))
         scenario._cut(scenario.endpoint.opened[0])
--- a/tests/test_simulated_idle.py
+++ b/tests/test_simulated_idle.py
@@ -31,10 +31,10 @@
         s.run(SPAN)
         self._at_rest = False
 
-    def _count(self, sender, place, method, body, node=""):
-        d = self._carry(sender, place, method, body, node)
+    def _count(self, sender, address, method, body, node=""):
+        d = self._carry(sender, address, method, body, node)
         if self._at_rest:
-            goal = next(a for a in self.simulation.simulated_nodes.values() if a.address == place)
+            goal = next(a for a in self.simulation.simulated_nodes.values() if a.address == address)
             self.asks[method] += 1
             self._add(sender, method, body)
             d.addCallback(lambda response: self._add(goal, method, response) or response)
--- a/tests/test_stalled_connections.py
+++ b/tests/test_stalled_connections.py
@@ -13,7 +13,7 @@
 from pipitlink.wire.membership_pb2 import IndirectProbeRequest, ProbeResponse
 from pipitlink.wire.rpc import RpcEndpoint
 
-PLACE = ("10.0.0.2", 7)
+ADDRESS = ("10.0.0.2", 7)
 LIMIT = ms(400)
 
 
@@ -63,7 +63,7 @@
 
     def call(self, target, body=""):
         box = []
-        work = self.caller.call(PLACE, "probe", IndirectProbeRequest(target=target + body), ProbeResponse, LIMIT)
+        work = self.caller.call(ADDRESS, "probe", IndirectProbeRequest(target=target + body), ProbeResponse, LIMIT)
         spawn(work).addBoth(box.append)
         return box
 
@@ -126,6 +126,6 @@
         self.calls(1)
         self.cut = True
         self.calls(4, body="x" * 1024 * 1024)
-        self.assertIn(PLACE, self.caller._connections)
+        self.assertIn(ADDRESS, self.caller._connections)
         self.calls(30)
-        self.assertNotIn(PLACE, self.caller._connections)
+        self.assertNotIn(ADDRESS, self.caller._connections)
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -17,7 +17,7 @@
 from pipitlink.wire.rpc import RpcEndpoint
 from testbed.simulator.simulation import Simulation
 
-PLACE = ("10.0.0.2", 7)
+ADDRESS = ("10.0.0.2", 7)
 LOG = "log"
 
 
@@ -36,7 +36,7 @@
         self.callee.register_handler("probe", IndirectProbeRequest, self._probe)
         here, there = RpcConnection(self.caller), RpcConnection(self.callee)
         self.pump = iosim.connect(there, iosim.makeFakeServer(there), here, iosim.makeFakeClient(here))
-        self.caller._connections[PLACE] = here
+        self.caller._connections[ADDRESS] = here
 
     def _endpoint(self, node):
         return RpcEndpoint(None, self.timers, StructuredLogger(_Quiet()), "pipit", node)
@@ -45,28 +45,28 @@
         self.asked.append(ask.target)
         return ProbeResponse(alive=True)
 
-    def call(self, endpoint, place, target, **kwargs):
+    def call(self, endpoint, address, target, **kwargs):
         box = []
-        work = endpoint.call(place, "probe", IndirectProbeRequest(target=target), ProbeResponse, secs(1), **kwargs)
+        work = endpoint.call(address, "probe", IndirectProbeRequest(target=target), ProbeResponse, secs(1), **kwargs)
         spawn(work).addBoth(box.append)
         self.pump.flush()
         return box[0]
 
     def test_the_named_node_and_whoever_is_there_answer(self):
-        self.assertTrue(self.call(self.caller, PLACE, "a", node="callee").alive)
-        self.assertTrue(self.call(self.caller, PLACE, "b").alive)
+        self.assertTrue(self.call(self.caller, ADDRESS, "a", node="callee").alive)
+        self.assertTrue(self.call(self.caller, ADDRESS, "b").alive)
         self.assertEqual(self.asked, ["a", "b"])
 
     def test_another_node_refuses_and_does_not_run_it(self):
-        f = self.call(self.caller, PLACE, "a", node="its predecessor")
+        f = self.call(self.caller, ADDRESS, "a", node="its predecessor")
         self.assertIsInstance(f.value, WrongPeer)
         self.assertFalse(f.value.sent)
         self.assertEqual(self.asked, [])
 
     def test_a_node_at_its_own_place_does_not_answer_for_its_predecessor(self):
-        self.callee.address = PLACE
-        self.assertTrue(self.call(self.callee, PLACE, "a", node="callee").alive)
-        self.assertIsInstance(self.call(self.callee, PLACE, "b", node="its predecessor").value, WrongPeer)
+        self.callee.address = ADDRESS
+        self.assertTrue(self.call(self.callee, ADDRESS, "a", node="callee").alive)
+        self.assertIsInstance(self.call(self.callee, ADDRESS, "b", node="its predecessor").value, WrongPeer)
         self.assertEqual(self.asked, ["a"])
 
 
@@ -162,10 +162,10 @@
         kwargs = []
         plain = self.simulation.carry
 
-        def carry(sender, place, method, body, node=""):
+        def carry(sender, address, method, body, node=""):
             if method in ("controller.follow", "cluster.pass_on"):
                 kwargs.append(node)
-            return plain(sender, place, method, body, node)
+            return plain(sender, address, method, body, node)
 
         with unittest.mock.patch.object(self.simulation, "carry", carry):
             self.simulation.run(1)
