--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -65,7 +65,7 @@
         """Follows the cluster state from now on, and answers peers; membership must be open."""
         self._ctx.rpc.register_handler(FOLLOW_PEER, FollowRequest, self._forward_follow)
         self._witnesses.open()
-        self._ctx.membership.add_gossip_carrier(self)
+        self._ctx.membership.add_gossip_extension(self)
         self._ctx.run_in_background(self._follow(), "follow_cluster")
         if self._ctx.role == "gateway":
             self._witnesses.start_polling()
@@ -147,11 +147,11 @@
                 listener()
         return self.sequence >= response.sequence
 
-    def fill_gossip(self, gossip: Gossip) -> None:
+    def extend_gossip(self, gossip: Gossip) -> None:
         """Adds the sequence of this node's cluster state to a message."""
         gossip.cluster_sequence = self.sequence
 
-    def absorb_gossip(self, gossip: Gossip) -> None:
+    def merge_gossip(self, gossip: Gossip) -> None:
         """Ends the pause before the next attempt where a peer has a newer cluster state."""
         if gossip.cluster_sequence > self.sequence and self._retry_pause is not None:
             pause, self._retry_pause = self._retry_pause, None
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -40,7 +40,7 @@
     def start(self) -> None:
         """Registers the handler of pushes, and has the engines carried by the gossip of the membership."""
         self._ctx.rpc.register_handler("engines.tell", EngineList, self._handle_update)
-        self._ctx.membership.add_gossip_carrier(self)
+        self._ctx.membership.add_gossip_extension(self)
 
     def add_new_engine_listener(self, listener: Callable[[], None]) -> None:
         """Has a function called for each incarnation of an engine that is heard of first."""
@@ -119,7 +119,7 @@
             for update in engines.engines:
                 self.merge(update)
 
-    def fill_gossip(self, gossip: Gossip) -> None:
+    def extend_gossip(self, gossip: Gossip) -> None:
         """Adds all known engines to outgoing gossip."""
         now = self._ctx.timers.now()
         for engine in self._engines.values():
@@ -127,7 +127,7 @@
             update.CopyFrom(engine.update)
             update.age_ms = to_ms(now - engine.renewed_at)
 
-    def absorb_gossip(self, gossip: Gossip) -> None:
+    def merge_gossip(self, gossip: Gossip) -> None:
         """Merges the engines of received gossip."""
         if not self._just_resumed():
             for update in gossip.engines[:MAX_GOSSIPED_ENGINES]:
--- a/pipitlink/membership/failure_detector.py
+++ b/pipitlink/membership/failure_detector.py
@@ -18,9 +18,9 @@
 LARGE_CLUSTER_PEERS = 40
 MAX_TICKS_PER_PROBE = 2
 SUSPICION_TIMEOUT = secs(1.5)
-FORGET_TIMEOUT = secs(600)
+GONE_RETENTION = secs(600)
 # The share of the members that are gone which a round of probes includes, to find those that came back.
-GONE_PROBE_SHARE = 0.2
+GONE_PROBE_FRACTION = 0.2
 MAX_INDIRECT_PROBES = 3
 INDIRECT_PROBE_TIMEOUT = PROBE_TIMEOUT * 2
 
@@ -57,18 +57,18 @@
             return
         peer = self._next_peer()
         if peer is not None:
-            checking = spawn(self._check(peer))
-            checking.addErrback(lambda failure: self._ctx.logger.failure("probe_error", failure.value))
+            check = spawn(self._check_peer(peer))
+            check.addErrback(lambda failure: self._ctx.logger.failure("probe_error", failure.value))
 
     def _expire_peers(self) -> None:
         """Ends suspicions that were not refuted in time, and forgets members that have been gone for long."""
         now = self._ctx.timers.now()
         for peer in list(self._table.peers.values()):
-            in_status = now - peer.status_since
-            if peer.state == MemberStatus.SUSPECT and in_status > SUSPICION_TIMEOUT:
+            time_in_status = now - peer.status_since
+            if peer.state == MemberStatus.SUSPECT and time_in_status > SUSPICION_TIMEOUT:
                 peer.transition("confirm_gone", now)
                 self._table.peer_changed(peer)
-            elif peer.state == MemberStatus.GONE and in_status > FORGET_TIMEOUT:
+            elif peer.state == MemberStatus.GONE and time_in_status > GONE_RETENTION:
                 self._table.forget(peer.member.node)
 
     def _next_peer(self) -> Peer | None:
@@ -87,38 +87,38 @@
         self._probe_round = [
             node
             for node, peer in self._table.peers.items()
-            if peer.state != MemberStatus.GONE or rng.random() < GONE_PROBE_SHARE
+            if peer.state != MemberStatus.GONE or rng.random() < GONE_PROBE_FRACTION
         ]
         rng.shuffle(self._probe_round)
 
-    async def _check(self, peer: Peer) -> None:
+    async def _check_peer(self, peer: Peer) -> None:
         """Probes a peer, and suspects it where it answers neither this node nor others."""
         incarnation = peer.member.incarnation
-        answering = await self._gossiper.probe(peer.address)
-        if answering == peer.member.node:
+        responder = await self._gossiper.probe(peer.address)
+        if responder == peer.member.node:
             return
-        if answering:
+        if responder:
             # Another node has its address, so this one cannot come back.
             peer.transition("confirm_gone", self._ctx.timers.now())
             self._table.peer_changed(peer)
             return
-        if await self._answers_others(peer):
+        if await self._responds_to_others(peer):
             return
         if peer.state == MemberStatus.ALIVE and peer.member.incarnation == incarnation:
             peer.transition("suspect", self._ctx.timers.now())
             self._table.peer_changed(peer)
             self._gossiper.broadcast()
 
-    async def _answers_others(self, peer: Peer) -> bool:
+    async def _responds_to_others(self, peer: Peer) -> bool:
         """Asks a few other members, one after the other, whether the peer answers them."""
         alive = self._table.members(None, (MemberStatus.ALIVE,), False)
         others = [member for member in alive if member.node != peer.member.node]
         for other in self._ctx.rng.sample(others, min(MAX_INDIRECT_PROBES, len(others))):
-            if await self._probe_through(other, peer.member.node):
+            if await self._probe_indirectly(other, peer.member.node):
                 return True
         return False
 
-    async def _probe_through(self, other: Member, target: str) -> bool:
+    async def _probe_indirectly(self, other: Member, target: str) -> bool:
         try:
             response = await self._ctx.rpc.call(
                 (other.host, other.port),
@@ -129,8 +129,8 @@
             )
         except WireError:
             return False
-        answered: bool = response.alive
-        return answered
+        alive: bool = response.alive
+        return alive
 
     async def _probe_for_peer(self, _node: str, request: IndirectProbeRequest) -> ProbeResponse:
         peer = self._table.peers.get(request.target)
--- a/pipitlink/membership/gossip_carrier.py
+++ b/pipitlink/membership/gossip_extension.py
@@ -6,14 +6,14 @@
 
 from ..wire.membership_pb2 import Gossip
 
-__all__ = ["GossipCarrier"]
+__all__ = ["GossipExtension"]
 
 
-class GossipCarrier(Protocol):
+class GossipExtension(Protocol):
     """A part of a node whose data is exchanged with each gossip message."""
 
-    def fill_gossip(self, gossip: Gossip) -> None:
+    def extend_gossip(self, gossip: Gossip) -> None:
         """Adds this part's data to a message that is about to be sent."""
 
-    def absorb_gossip(self, gossip: Gossip) -> None:
+    def merge_gossip(self, gossip: Gossip) -> None:
         """Takes this part's data from a message that was received."""
--- a/pipitlink/membership/gossiper.py
+++ b/pipitlink/membership/gossiper.py
@@ -12,7 +12,7 @@
 from ..timers import ms, spawn
 from ..wire.frame_pb2 import Empty
 from ..wire.membership_pb2 import Gossip, Member
-from .gossip_carrier import GossipCarrier
+from .gossip_extension import GossipExtension
 from .member_status import LIVE, MemberStatus
 from .member_table import MemberTable
 from .peer import Peer
@@ -35,81 +35,81 @@
     def __init__(self, ctx: Context, table: MemberTable) -> None:
         self._ctx = ctx
         self._table = table
-        self._carriers: list[GossipCarrier] = []
+        self._extensions: list[GossipExtension] = []
 
     def open(self) -> None:
         """Answers gossip of peers from now on."""
-        self._ctx.rpc.register_handler("membership.probe", Gossip, self._answer_probe)
-        self._ctx.rpc.register_handler("membership.tell", Gossip, self._take_gossip)
+        self._ctx.rpc.register_handler("membership.probe", Gossip, self._handle_probe)
+        self._ctx.rpc.register_handler("membership.tell", Gossip, self._handle_gossip)
 
-    def add_carrier(self, carrier: GossipCarrier) -> None:
+    def add_extension(self, extension: GossipExtension) -> None:
         """Has a part of this node add its data to each message and read that of each message received."""
-        self._carriers.append(carrier)
+        self._extensions.append(extension)
 
     async def probe(self, address: tuple[str, int]) -> str:
         """Exchanges gossip with the node at an address; returns its id, or "" where none answers in time."""
         try:
-            gossip = await self._ctx.rpc.call(address, "membership.probe", self._compose(), Gossip, PROBE_TIMEOUT)
+            gossip = await self._ctx.rpc.call(address, "membership.probe", self._recent_gossip(), Gossip, PROBE_TIMEOUT)
         except WireError:
             return ""
-        self._absorb(gossip)
+        self._merge_gossip(gossip)
         if gossip.digest != self._table.digest():
-            self._start(self._send(address, self._compose_full()))
+            self._send_in_background(self._send(address, self._full_gossip()))
         sender: str = gossip.sender
         return sender
 
     def broadcast(self) -> list[defer.Deferred[None]]:
         """Sends the recent changes to all live peers; the Deferreds fire when each has answered or failed to."""
-        gossip = self._compose()
+        gossip = self._recent_gossip()
         peers = self._table.members(None, LIVE, False)
-        return [self._start(self._send((peer.host, peer.port), gossip)) for peer in peers]
+        return [self._send_in_background(self._send((peer.host, peer.port), gossip)) for peer in peers]
 
-    async def _answer_probe(self, _node: str, gossip: Gossip) -> Gossip:
-        self._absorb(gossip)
+    async def _handle_probe(self, _node: str, gossip: Gossip) -> Gossip:
+        self._merge_gossip(gossip)
         if gossip.digest != self._table.digest():
-            return self._compose_full()
-        return self._compose()
+            return self._full_gossip()
+        return self._recent_gossip()
 
-    async def _take_gossip(self, _node: str, gossip: Gossip) -> Empty:
-        self._absorb(gossip)
+    async def _handle_gossip(self, _node: str, gossip: Gossip) -> Empty:
+        self._merge_gossip(gossip)
         return Empty()
 
     async def _send(self, address: tuple[str, int], gossip: Gossip) -> None:
         await self._ctx.rpc.call(address, "membership.tell", gossip, Empty, PROBE_TIMEOUT)
 
-    def _start(self, sending: Coroutine[Any, Any, None]) -> defer.Deferred[None]:
+    def _send_in_background(self, sending: Coroutine[Any, Any, None]) -> defer.Deferred[None]:
         """Starts to send; a message that is lost is made up for by a later exchange."""
         return spawn(sending).addErrback(lambda _: None)
 
-    def _compose(self) -> Gossip:
-        return self._message(self._table.recently_changed(), self._table.local_changed_recently())
+    def _recent_gossip(self) -> Gossip:
+        return self._build_gossip(self._table.recently_changed(), self._table.local_changed_recently())
 
-    def _compose_full(self) -> Gossip:
-        return self._message(list(self._table.peers.values()), True)
+    def _full_gossip(self) -> Gossip:
+        return self._build_gossip(list(self._table.peers.values()), True)
 
-    def _message(self, peers: list[Peer], include_self: bool) -> Gossip:
+    def _build_gossip(self, peers: list[Peer], include_self: bool) -> Gossip:
         gossip = Gossip(sender=self._table.local.node, digest=self._table.digest())
         if include_self:
             gossip.members.append(self._table.local)
-        gossip.members.extend(peer.member for peer in self._limited(peers))
-        for carrier in self._carriers:
-            carrier.fill_gossip(gossip)
+        gossip.members.extend(peer.member for peer in self._limit_peers(peers))
+        for extension in self._extensions:
+            extension.extend_gossip(gossip)
         return gossip
 
-    def _limited(self, peers: list[Peer]) -> list[Peer]:
+    def _limit_peers(self, peers: list[Peer]) -> list[Peer]:
         """Returns the peers, or of too many the half that changed last and as many at random."""
         if len(peers) <= MAX_GOSSIPED_PEERS:
             return peers
         newest = sorted(peers, key=lambda peer: -peer.changed_at)[: MAX_GOSSIPED_PEERS // 2]
         return newest + self._ctx.rng.sample(peers, MAX_GOSSIPED_PEERS // 2)
 
-    def _absorb(self, gossip: Gossip) -> None:
+    def _merge_gossip(self, gossip: Gossip) -> None:
         for member in gossip.members[: MAX_GOSSIPED_PEERS * 2]:
-            self._merge(member)
-        for carrier in self._carriers:
-            carrier.absorb_gossip(gossip)
+            self._merge_member(member)
+        for extension in self._extensions:
+            extension.merge_gossip(gossip)
 
-    def _merge(self, reported: Member) -> None:
+    def _merge_member(self, reported: Member) -> None:
         """Takes over what a peer reports of a member, where that is newer than what is known here."""
         if not reported.node or reported.status not in _PRECEDENCE:
             return
--- a/pipitlink/membership/member_table.py
+++ b/pipitlink/membership/member_table.py
@@ -122,7 +122,7 @@
     def known_for(self, node: str) -> timedelta | None:
         """Returns how long ago a peer was first heard of, or None where it is not known."""
         peer = self.peers.get(node)
-        return self._timers.now() - peer.met_at if peer else None
+        return self._timers.now() - peer.first_seen_at if peer else None
 
     def _local_changed(self) -> None:
         self._local_changed_at = self._timers.now()
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -11,7 +11,7 @@
 from ..timers import secs, spawn
 from ..wire.membership_pb2 import Member
 from .failure_detector import FailureDetector
-from .gossip_carrier import GossipCarrier
+from .gossip_extension import GossipExtension
 from .gossiper import Gossiper
 from .member_status import LIVE, MemberStatus
 from .member_table import MemberListener, MemberTable
@@ -61,9 +61,9 @@
         """Has `listener` called with each peer whose status or incarnation changes from now on."""
         self.table.add_listener(listener)
 
-    def add_gossip_carrier(self, carrier: GossipCarrier) -> None:
+    def add_gossip_extension(self, extension: GossipExtension) -> None:
         """Has a part of this node exchange data with each gossip message from now on."""
-        self._gossiper.add_carrier(carrier)
+        self._gossiper.add_extension(extension)
 
     @property
     def local_member(self) -> Member:
--- a/pipitlink/membership/peer.py
+++ b/pipitlink/membership/peer.py
@@ -15,7 +15,7 @@
 class Peer(StateMachineMixin):
     """Another member, its status, and when that changed; times are on the timers' clock.
 
-    `met_at` is when it was first heard of, `status_since` when its status last changed, and `changed_at` when anything
+    `first_seen_at` is when it was first heard of, `status_since` when its status last changed, and `changed_at` when anything
     that gossip passes on last changed.
     """
 
@@ -23,7 +23,7 @@
 
     def __init__(self, member: Member, now: timedelta, logger: StructuredLogger) -> None:
         self.member = member
-        self.met_at = self.status_since = self.changed_at = now
+        self.first_seen_at = self.status_since = self.changed_at = now
         self._logger = logger
         self._init_state_machine()
         if member.status == MemberStatus.SUSPECT:
