--- a/pipitlink/wire/compression.py
+++ b/pipitlink/wire/compression.py
@@ -6,36 +6,36 @@
 
 from ..errors import WireError
 
-__all__ = ["compressed_body", "decompressed_body"]
+__all__ = ["compress_body", "decompress_body"]
 
 # Shorter bodies gain less than a call costs.
-MIN_BYTES = 400
+MIN_BODY_BYTES = 400
 SAMPLE_BYTES = 1024
 # What does not shrink to this part of its size is sent as it is.
-MAX_RATIO = 0.9
-LEVEL = 1
+MAX_COMPRESSED_RATIO = 0.9
+ZLIB_LEVEL = 1
 
 
-def compressed_body(body: bytes) -> bytes | None:
+def compress_body(body: bytes) -> bytes | None:
     """Returns a body compressed, or None where that gains too little.
 
     Of a long body a sample from its middle tells first, so that random bytes cost no more than the sample.
     """
-    if len(body) < MIN_BYTES:
+    if len(body) < MIN_BODY_BYTES:
         return None
     if len(body) > 4 * SAMPLE_BYTES:
         middle = len(body) // 2
-        if _shrunk(body[middle : middle + SAMPLE_BYTES]) is None:
+        if _compress_if_smaller(body[middle : middle + SAMPLE_BYTES]) is None:
             return None
-    return _shrunk(body)
+    return _compress_if_smaller(body)
 
 
-def _shrunk(data: bytes) -> bytes | None:
-    shrunk = zlib.compress(data, LEVEL)
-    return shrunk if len(shrunk) <= MAX_RATIO * len(data) else None
+def _compress_if_smaller(data: bytes) -> bytes | None:
+    compressed = zlib.compress(data, ZLIB_LEVEL)
+    return compressed if len(compressed) <= MAX_COMPRESSED_RATIO * len(data) else None
 
 
-def decompressed_body(data: bytes, max_bytes: int) -> bytes:
+def decompress_body(data: bytes, max_bytes: int) -> bytes:
     """Returns what was compressed. Raises WireError where it is damaged, or longer than `max_bytes`."""
     decompressor = zlib.decompressobj()
     try:
--- a/pipitlink/wire/connection.py
+++ b/pipitlink/wire/connection.py
@@ -11,7 +11,7 @@
 
 from ..errors import ConnectionFailed, PipitlinkError, WireError
 from ..timers import secs, spawn
-from .compression import compressed_body, decompressed_body
+from .compression import compress_body, decompress_body
 from .frame_pb2 import Frame, Hello
 
 if TYPE_CHECKING:
@@ -32,14 +32,14 @@
 MAX_CONCURRENT_CALLS = 256
 OVERLOADED_CODE = "crowded"
 # As what the first frame of each side counts in the traffic of a node.
-HELLO_PURPOSE = "hello"
+HELLO_TRAFFIC_LABEL = "hello"
 STALL_TIMEOUT = secs(1)
 MIN_LINK_BYTES_PER_S = 512 * 1024
 
 
 def _compress(frame: Frame) -> None:
     """Compresses the body of a frame where that gains enough."""
-    body = compressed_body(frame.body)
+    body = compress_body(frame.body)
     if body is not None:
         frame.body, frame.compressed = body, True
 
@@ -48,7 +48,7 @@
     """Returns a frame with its body as it was before compression. Raises WireError or DecodeError."""
     frame = Frame.FromString(data)
     if frame.compressed:
-        frame.body, frame.compressed = decompressed_body(frame.body, MAX_FRAME_BYTES), False
+        frame.body, frame.compressed = decompress_body(frame.body, MAX_FRAME_BYTES), False
     return frame
 
 
@@ -98,7 +98,7 @@
         self._last_call_id = 0
         # Since when calls have been sent without anything coming from the peer, and how many bytes they had.
         self._unanswered_since: timedelta | None = None
-        self._bytes_unanswered = 0
+        self._unanswered_bytes = 0
 
     @property
     def tcp(self) -> TcpTransport:
@@ -108,19 +108,19 @@
     def connectionMade(self) -> None:  # noqa: N802 - twisted's interface
         """Sends this side's Hello and starts to read."""
         self.tcp.setTcpNoDelay(True)
-        self._write(HELLO_PURPOSE, self._rpc.hello().SerializeToString())
+        self._write(HELLO_TRAFFIC_LABEL, self._rpc.hello().SerializeToString())
         self._reader = spawn(self._read_frames())
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
         """Takes bytes from the peer, which shows that it is there."""
         self._unanswered_since = None
-        self._bytes_unanswered = 0
+        self._unanswered_bytes = 0
         super().dataReceived(data)  # type: ignore[no-untyped-call] # twisted has no types here
 
     def stringReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
         """Queues a frame, and pauses reading while too many are queued or running."""
         self._inbound_frames.append(data)
-        if self._inbound_load() >= MAX_INBOUND_FRAMES and not self._reading_paused:
+        if self._inbound_count() >= MAX_INBOUND_FRAMES and not self._reading_paused:
             self._reading_paused = True
             self.tcp.pauseProducing()
         self._wake_reader()
@@ -149,7 +149,7 @@
         """Returns whether nothing has come since a call was sent, for longer than its bytes take on a slow link."""
         if self._unanswered_since is None or self.closed:
             return False
-        timeout = STALL_TIMEOUT + secs(self._bytes_unanswered / MIN_LINK_BYTES_PER_S)
+        timeout = STALL_TIMEOUT + secs(self._unanswered_bytes / MIN_LINK_BYTES_PER_S)
         return self._rpc.now() - self._unanswered_since > timeout
 
     def call(self, method: str, body: bytes) -> defer.Deferred[Frame]:
@@ -162,14 +162,14 @@
         self._pending_calls[call_id] = pending_call
         if self._unanswered_since is None:
             self._unanswered_since = self._rpc.now()
-        self._bytes_unanswered += len(body)
+        self._unanswered_bytes += len(body)
         self._send(method, Frame(call_id=call_id, method=method, body=body))
         return pending_call
 
     def notify(self, notification: Notification) -> None:
         """Writes the frame of a notification; it is dropped where the connection is closed."""
         if not self.closed:
-            frame = notification.compressed_frame if self._compresses() else notification.plain_frame
+            frame = notification.compressed_frame if self._should_compress() else notification.plain_frame
             self._write(notification.method, frame)
 
     async def _read_frames(self) -> None:
@@ -194,12 +194,12 @@
             self._reader_wakeup = defer.Deferred()
             await self._reader_wakeup
         data = self._inbound_frames.pop(0)
-        if self._reading_paused and self._inbound_load() < MAX_INBOUND_FRAMES // 2 and not self.closed:
+        if self._reading_paused and self._inbound_count() < MAX_INBOUND_FRAMES // 2 and not self.closed:
             self._reading_paused = False
             self.tcp.resumeProducing()
         return data
 
-    def _inbound_load(self) -> int:
+    def _inbound_count(self) -> int:
         return len(self._inbound_frames) + self._running_calls
 
     def _wake_reader(self) -> None:
@@ -209,7 +209,7 @@
 
     def _accept_hello(self, data: bytes) -> None:
         self.peer.ParseFromString(data)
-        self._rpc.check_hello(self.peer)
+        self._rpc.validate_hello(self.peer)
         self._rpc.handshake_done(self)
         self.ready.callback(self)
 
@@ -260,11 +260,11 @@
     def _send(self, method: str, frame: Frame) -> None:
         if self.closed:
             return
-        if self._compresses():
+        if self._should_compress():
             _compress(frame)
         self._write(method, frame.SerializeToString())
 
-    def _compresses(self) -> bool:
+    def _should_compress(self) -> bool:
         """Returns whether frames go compressed: to peers of other zones that can read them."""
         return self.peer.accepts_compressed and self._rpc.is_in_other_zone(self.peer.node)
 
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -40,7 +40,7 @@
 
 CONNECT_TIMEOUT = ms(600)
 # How long a stalled connection is left to read what the kernel has buffered.
-READ_BEFORE_DROP = ms(50)
+STALLED_DROP_DELAY = ms(50)
 
 
 def require_peer(expected: str, actual: str) -> None:
@@ -53,7 +53,7 @@
     return ""
 
 
-def _text(address: Address) -> str:
+def _format_address(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
@@ -184,8 +184,8 @@
         except DeadlineExceeded as error:
             connection = self._connections.get(address)
             if connection is not None and connection.is_stalled():
-                self._timers.call_later(READ_BEFORE_DROP, self._drop_if_stalled, connection)
-            raise DeadlineExceeded(f"{method} to {_text(address)}: {error}") from error
+                self._timers.call_later(STALLED_DROP_DELAY, self._drop_if_stalled, connection)
+            raise DeadlineExceeded(f"{method} to {_format_address(address)}: {error}") from error
 
     async def _call(
         self, address: Address, method: str, request: Message, response_type: type[ResponseT], node: str = ""
@@ -229,7 +229,7 @@
             connection = await self._timers.with_timeout(CONNECT_TIMEOUT, self._connection_to(address))
             connection.notify(notification)
         except WireError as error:
-            self.logger.debug("notification_not_sent", address=_text(address), method=method, text=error)
+            self.logger.debug("notification_not_sent", address=_format_address(address), method=method, text=error)
 
     def run_in_background(self, work: Coroutine[Any, Any, object], method: str) -> defer.Deferred[Any]:
         """Starts work on a notification that nobody waits for; an error is logged."""
@@ -250,7 +250,7 @@
             accepts_compressed=True,
         )
 
-    def check_hello(self, hello: Hello) -> None:
+    def validate_hello(self, hello: Hello) -> None:
         """Raises WireError where a peer belongs to another fleet or speaks another version of the protocol."""
         if hello.fleet != self._cluster_name:
             raise WireError(f"peer of fleet {hello.fleet!r}, this is {self._cluster_name!r}")
@@ -298,7 +298,7 @@
                 connection.tcp.abortConnection()
             raise
         except Exception as error:
-            raise ConnectionFailed(f"{_text(address)}: {error}", sent=False) from error
+            raise ConnectionFailed(f"{_format_address(address)}: {error}", sent=False) from error
         self._connections[address] = connection
         return connection
 
--- a/tests/test_compression.py
+++ b/tests/test_compression.py
@@ -11,7 +11,7 @@
 from pipitlink.errors import WireError
 from pipitlink.structured_log import StructuredLogger
 from pipitlink.timers import Timers, ms, spawn
-from pipitlink.wire.compression import compressed_body, decompressed_body
+from pipitlink.wire.compression import compress_body, decompress_body
 from pipitlink.wire.connection import RpcConnection
 from pipitlink.wire.frame_pb2 import Frame
 from pipitlink.wire.replicated_log_pb2 import ReadRequest, ReadResponse
@@ -23,19 +23,19 @@
 
 class Bodies(unittest.TestCase):
     def test_what_gains_comes_back_as_it_was(self):
-        shrunk = compressed_body(TEXT)
+        shrunk = compress_body(TEXT)
         self.assertLess(len(shrunk), len(TEXT) / 4)
-        self.assertEqual(decompressed_body(shrunk, len(TEXT)), TEXT)
+        self.assertEqual(decompress_body(shrunk, len(TEXT)), TEXT)
 
     def test_what_gains_little_stays(self):
         for body in (b"", b"short", RANDOM, RANDOM[:2000]):
-            self.assertIsNone(compressed_body(body))
+            self.assertIsNone(compress_body(body))
 
     def test_a_body_over_the_limit_or_damaged_is_an_error(self):
-        shrunk = compressed_body(TEXT)
+        shrunk = compress_body(TEXT)
         for data, limit in ((shrunk, len(TEXT) - 1), (shrunk[:-3], len(TEXT)), (b"y" + shrunk[1:], len(TEXT))):
             with self.assertRaises(WireError):
-                decompressed_body(data, limit)
+                decompress_body(data, limit)
 
 
 class Connections(unittest.TestCase):
