--- a/pipitlink/membership/peer.py
+++ b/pipitlink/membership/peer.py
@@ -15,8 +15,8 @@
 class Peer(StateMachineMixin):
     """Another member, its status, and when that changed; times are on the timers' clock.
 
-    `first_seen_at` is when it was first heard of, `status_since` when its status last changed, and `changed_at` when anything
-    that gossip passes on last changed.
+    `first_seen_at` is when this node first heard of the member, `status_since` when its status last changed, and
+    `changed_at` when any field that gossip carries last changed.
     """
 
     state_machine = "member"
--- a/pipitlink/replicated_log/fetch_planner.py
+++ b/pipitlink/replicated_log/fetch_planner.py
@@ -52,7 +52,7 @@
         self._timers = timers
         self._progress = progress
         self._zone_of = zone_of
-        self._direct: _Transfer | None = None
+        self._direct_write: _Transfer | None = None
         self._fetches: dict[str, _Transfer] = {}
         self._waiters: list[defer.Deferred[None]] = []
 
@@ -77,7 +77,9 @@
             if node not in excluded and length - start >= MIN_FETCH_BYTES
         ]
         best = max(
-            sources, key=lambda source: (self._are_near(source.storage_node, storage_node), source.end), default=None
+            sources,
+            key=lambda source: (self._in_same_zone(source.storage_node, storage_node), source.end),
+            default=None,
         )
         if best is None:
             return None
@@ -86,17 +88,17 @@
             return None
         return FetchSource(best.storage_node, end)
 
-    def _are_near(self, node: str, other: str) -> bool:
+    def _in_same_zone(self, node: str, other: str) -> bool:
         zone = self._zone_of(node)
         return bool(zone) and zone == self._zone_of(other)
 
     def must_wait(self) -> bool:
         """Returns whether a direct write is on its way that another replica should wait for."""
-        return self._direct is not None and self._timers.now() < self._direct.overdue_at
+        return self._direct_write is not None and self._timers.now() < self._direct_write.overdue_at
 
-    def must_wait_for_neighbor(self, storage_node: str, source: FetchSource) -> bool:
+    def must_wait_for_zone_peer(self, storage_node: str, source: FetchSource) -> bool:
         """Returns whether a replica in a storage node's zone fetches from another zone what both of them lack."""
-        if self._are_near(source.storage_node, storage_node):
+        if self._in_same_zone(source.storage_node, storage_node):
             return False
         zone, now = self._zone_of(storage_node), self._timers.now()
         return bool(zone) and any(
@@ -105,24 +107,24 @@
             if node != storage_node
         )
 
-    def _transfer(self, storage_node: str, size: int) -> _Transfer:
+    def _new_transfer(self, storage_node: str, size: int) -> _Transfer:
         allowance = DIRECT_WRITE_ALLOWANCE + secs(size / SLOW_LINK_BYTES_PER_S)
         return _Transfer(storage_node, self._zone_of(storage_node), self._timers.now() + allowance)
 
     def direct_write_started(self, storage_node: str, size: int) -> None:
         """Notes that a large write leaves for one replica."""
-        self._direct = self._transfer(storage_node, size)
+        self._direct_write = self._new_transfer(storage_node, size)
 
     def fetch_started(self, storage_node: str, size: int) -> None:
         """Notes that a storage node fetches from another one."""
-        self._fetches[storage_node] = self._transfer(storage_node, size)
+        self._fetches[storage_node] = self._new_transfer(storage_node, size)
 
     def transfer_ended(self, storage_node: str) -> None:
         """Notes that what was on its way to a storage node has arrived or failed; those that wait look again."""
-        is_direct = self._direct is not None and self._direct.storage_node == storage_node
+        is_direct = self._direct_write is not None and self._direct_write.storage_node == storage_node
         fetch = self._fetches.pop(storage_node, None)
         if is_direct:
-            self._direct = None
+            self._direct_write = None
         if not is_direct and fetch is None:
             return
         waiters, self._waiters = self._waiters, []
@@ -133,7 +135,7 @@
     async def wait_for_transfer(self) -> None:
         """Returns once a transfer under way has ended, or one becomes overdue; at once where there is none."""
         now = self._timers.now()
-        transfers = [*self._fetches.values(), *([self._direct] if self._direct is not None else [])]
+        transfers = [*self._fetches.values(), *([self._direct_write] if self._direct_write is not None else [])]
         overdue_at = min((transfer.overdue_at for transfer in transfers if transfer.overdue_at > now), default=now)
         if overdue_at <= now:
             return
--- a/pipitlink/replicated_log/lease_validity.py
+++ b/pipitlink/replicated_log/lease_validity.py
@@ -24,16 +24,16 @@
         self._timers = timers
         self._renewed_at: dict[str, timedelta] = {}
         self._previous_group: PlacementGroup | None = None
-        self._moved_at = ZERO
+        self._group_changed_at = ZERO
 
     def record_renewal(self, storage_node: str, requested_at: timedelta) -> None:
         """Records that a storage node granted or renewed the lease on a request sent at `requested_at`."""
         self._renewed_at[storage_node] = max(requested_at, self._renewed_at.get(storage_node, requested_at))
 
-    def moved_from(self, previous_group: PlacementGroup) -> None:
+    def record_group_change(self, previous_group: PlacementGroup) -> None:
         """Records that the log's placement group has changed just now."""
         self._previous_group = previous_group
-        self._moved_at = self._timers.now()
+        self._group_changed_at = self._timers.now()
 
     def is_valid(self, placement_group: PlacementGroup) -> bool:
         """Returns whether a quorum of the placement group, or of the one just before, renewed the lease recently."""
@@ -41,6 +41,6 @@
         current = [node for node, at in self._renewed_at.items() if now - at < LEASEHOLDER_VALIDITY]
         if placement_group.is_quorum(current):
             return True
-        if self._previous_group is None or now - self._moved_at >= PREVIOUS_GROUP_VALIDITY:
+        if self._previous_group is None or now - self._group_changed_at >= PREVIOUS_GROUP_VALIDITY:
             return False
         return self._previous_group.is_quorum(current)
--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -86,7 +86,7 @@
         placement_group = self._client.placement_group(self.log)
         if placement_group.sequence <= self.placement_group.sequence:
             return
-        self._validity.moved_from(self.placement_group)
+        self._validity.record_group_change(self.placement_group)
         self.placement_group = placement_group
         self.progress.clear()
         if self.data and not self.lost:
@@ -130,7 +130,7 @@
             if self.placement_group.is_quorum(granted):
                 await self._begin_epoch(epoch, requested_at, {node: responses[node] for node in granted})
                 return
-            self._raise_if_contended(responses)
+            self._raise_if_lease_held(responses)
             if not self.placement_group.is_quorum(responses):
                 total = len(self.placement_group.all_nodes)
                 raise NoQuorum(f"{self.log}: {len(responses)} of {total} storage nodes answered")
@@ -157,7 +157,7 @@
     def _is_granted(self, responses: dict[str, LeaseResponse]) -> bool:
         return self.placement_group.is_quorum([node for node, response in responses.items() if response.granted])
 
-    def _raise_if_contended(self, responses: dict[str, LeaseResponse]) -> None:
+    def _raise_if_lease_held(self, responses: dict[str, LeaseResponse]) -> None:
         """Raises LeaseNotHeld where another node holds the lease or may hold it.
 
         A valid lease is known to a majority, so storage nodes that have just started are counted only where a quorum
@@ -236,12 +236,12 @@
 
     def _replicate(self) -> None:
         """Starts the senders, those first that a direct write is best sent to: of known state, alive and near."""
-        for node in sorted(self.placement_group.all_nodes, key=self._distance):
+        for node in sorted(self.placement_group.all_nodes, key=self._preference):
             if node not in self._senders:
                 self._senders[node] = ReplicaSender(self._ctx, self._client, self, node)
             self._senders[node].start()
 
-    def _distance(self, node: str) -> tuple[bool, bool, bool]:
+    def _preference(self, node: str) -> tuple[bool, bool, bool]:
         member = self._ctx.membership.find(node)
         is_near = member is not None and member.zone == self._ctx.settings.zone
         is_alive = self._ctx.membership.status(node) == "alive"
--- a/pipitlink/replicated_log/log_reader.py
+++ b/pipitlink/replicated_log/log_reader.py
@@ -28,7 +28,7 @@
         """Returns a committed range of a log; raises NoQuorum where no storage node returns all of it."""
         nodes = list(self._client.placement_group(log).all_nodes)
         self._ctx.rng.shuffle(nodes)
-        nodes.sort(key=self._distance)
+        nodes.sort(key=self._preference)
         read = _HedgedRead(self._ctx, self._client, log, position, length)
         for count, node in enumerate(nodes, 1):
             self._ctx.run_in_background(read.read_from(node), "read_log")
@@ -37,7 +37,7 @@
                 return content
         raise NoQuorum(f"{log}: bytes {position} to {position + length} could not be read")
 
-    def _distance(self, node: str) -> tuple[bool, bool]:
+    def _preference(self, node: str) -> tuple[bool, bool]:
         """Orders storage nodes: those that are alive first, and of these the ones in the own zone."""
         membership = self._ctx.membership
         return membership.status(node) != "alive", membership.zone_of(node) != self._ctx.settings.zone
--- a/pipitlink/replicated_log/replica_sender.py
+++ b/pipitlink/replicated_log/replica_sender.py
@@ -31,10 +31,10 @@
 
 WRITE_TIMEOUT: timedelta = secs(2)
 RETRY_INTERVAL: timedelta = ms(150)
-IDLE_RETRY_INTERVAL: timedelta = secs(1)
+RETRY_INTERVAL_WITHOUT_WAITERS: timedelta = secs(1)
 MAX_WRITE_BYTES = 4 * 1024 * 1024
 # How long a replica from which another could not fetch is not tried as its source again.
-EXCLUDE_SOURCE_FOR: timedelta = secs(5)
+SOURCE_EXCLUSION: timedelta = secs(5)
 
 
 class ReplicaSender:
@@ -70,20 +70,22 @@
         leaseholder = self._leaseholder
         while not leaseholder.lost and self._node in leaseholder.placement_group.all_nodes:
             try:
-                if await self._bring_forward():
+                if await self._replicate_step():
                     return
             except RemoteError as error:
-                if self._is_final(error):
+                if self._is_permanent(error):
                     return
                 leaseholder.progress.discard(self._node)
                 await self._ctx.timers.sleep(RETRY_INTERVAL)
             except WireError as error:
                 leaseholder.progress.discard(self._node)
                 self._ctx.logger.debug("replica_behind", log=leaseholder.log, storage_node=self._node, text=error)
-                await self._ctx.timers.sleep(RETRY_INTERVAL if leaseholder.has_waiters else IDLE_RETRY_INTERVAL)
+                await self._ctx.timers.sleep(
+                    RETRY_INTERVAL if leaseholder.has_waiters else RETRY_INTERVAL_WITHOUT_WAITERS
+                )
             leaseholder.advance_commit()
 
-    async def _bring_forward(self) -> bool:
+    async def _replicate_step(self) -> bool:
         """Returns True where the replica is up to date; else has it get what it lacks, or asks how far it is."""
         leaseholder = self._leaseholder
         state = leaseholder.progress.get(self._node)
@@ -98,7 +100,7 @@
             leaseholder.fetch_planner.transfer_ended(self._node)
         return False
 
-    def _is_final(self, error: RemoteError) -> bool:
+    def _is_permanent(self, error: RemoteError) -> bool:
         """Handles an error that the storage node returned; returns whether a retry is pointless."""
         if error.remote_code == StaleEpoch.code:
             self._leaseholder.invalidate(str(error))
@@ -126,13 +128,13 @@
     async def _write_or_fetch(self, state: LogState) -> LogState:
         """Has the replica get what it lacks, and returns its new state; the same one where it is to look again."""
         leaseholder, planner = self._leaseholder, self._leaseholder.fetch_planner
-        start = self._first_difference(state)
+        start = self._match_position(state)
         size = len(leaseholder.data) - start
         if size < MIN_FETCH_BYTES or not self._can_fetch:
             return await self._write(state, start)
         excluded = self._excluded_sources()
         source = planner.source_for(self._node, state, start, leaseholder.epoch, leaseholder.recovered_tail, excluded)
-        must_wait = planner.must_wait() if source is None else planner.must_wait_for_neighbor(self._node, source)
+        must_wait = planner.must_wait() if source is None else planner.must_wait_for_zone_peer(self._node, source)
         if must_wait:
             await planner.wait_for_transfer()
             return state
@@ -166,7 +168,7 @@
             self._can_fetch = False  # a storage node of an earlier release
             return state
         if response.reason == WriteRefusal.SOURCE_UNREADABLE:
-            self._excluded_until[source.storage_node] = self._ctx.timers.now() + EXCLUDE_SOURCE_FOR
+            self._excluded_until[source.storage_node] = self._ctx.timers.now() + SOURCE_EXCLUSION
         return response.state
 
     async def _write(self, state: LogState, start: int) -> LogState:
@@ -178,7 +180,7 @@
         response = await self._client.call(self._node, "replicated_log.write", request, WriteResponse, WRITE_TIMEOUT)
         return response.state
 
-    def _first_difference(self, state: LogState) -> int:
+    def _match_position(self, state: LogState) -> int:
         """Returns the position up to which the replica is known to have the same bytes as the leaseholder."""
         recovered = self._leaseholder.recovered_tail
         if state.tail_epoch == self._leaseholder.epoch:
--- a/pipitlink/replicated_log/replicated_log.py
+++ b/pipitlink/replicated_log/replicated_log.py
@@ -73,7 +73,7 @@
         `lost_leaseholder` names a leaseholder that is known to be gone, or is empty where nobody is known to hold the
         log: then no lease is waited for. Only for logs whose work may be done twice. Raises LeaseNotHeld and NoQuorum.
         """
-        leaseholder = Leaseholder(self._ctx, self._client, log, self._drop)
+        leaseholder = Leaseholder(self._ctx, self._client, log, self._remove)
         try:
             await leaseholder.acquire(lost_leaseholder)
         except BaseException:
@@ -93,7 +93,7 @@
         request = RenewRequest(leaseholder=self._ctx.node, leases=leases, release=True)
         await self.call_each([storage_node], "replicated_log.renew", request, RenewResponse, RELEASE_TIMEOUT)
 
-    def _drop(self, leaseholder: Leaseholder) -> None:
+    def _remove(self, leaseholder: Leaseholder) -> None:
         if self.leaseholders.get(leaseholder.log) is leaseholder:
             del self.leaseholders[leaseholder.log]
 
--- a/pipitlink/storage/lease_grants.py
+++ b/pipitlink/storage/lease_grants.py
@@ -44,7 +44,7 @@
         self._placement_check = placement_check
         self._grants: dict[str, _Grant] = {}
         self._no_grants_until = ZERO
-        self._group_joined_until: dict[int, timedelta] = {}
+        self._joined_group_no_grants_until: dict[int, timedelta] = {}
 
     def open(self) -> None:
         """Registers the handlers for `replicated_log.lease` and `replicated_log.renew`."""
@@ -54,7 +54,7 @@
 
     def joined_placement_group(self, number: int) -> None:
         """Refuses new leases on the logs of a placement group that this node has joined, as after a start."""
-        self._group_joined_until[number] = self._ctx.timers.now() + LEASE_DURATION
+        self._joined_group_no_grants_until[number] = self._ctx.timers.now() + LEASE_DURATION
 
     def _valid_grant(self, log: str) -> _Grant | None:
         grant = self._grants.get(log)
@@ -71,10 +71,10 @@
             state.lease_ms = _milliseconds(grant.expires_at - self._ctx.timers.now())
         return state
 
-    def _unknown_lease_left(self, log: str) -> timedelta:
+    def _max_unknown_lease_left(self, log: str) -> timedelta:
         """Returns for how long a lease may still be valid that this storage node does not know of."""
         number = placement_group_of(log, self._ctx.cluster.placement_groups)
-        until = max(self._no_grants_until, self._group_joined_until.get(number, ZERO))
+        until = max(self._no_grants_until, self._joined_group_no_grants_until.get(number, ZERO))
         return until - self._ctx.timers.now()
 
     async def _lease(self, _peer: str, request: LeaseRequest) -> LeaseResponse:
@@ -85,20 +85,20 @@
         """
         await self._placement_check.require_current(request.log, request.placement_group_sequence)
         now = self._ctx.timers.now()
-        refusal = self._refuse(request)
+        refusal = self._check_refusal(request)
         if refusal is not None:
             return refusal
         self._grants[request.log] = _Grant(request.leaseholder, request.epoch, now + LEASE_DURATION)
         await sync(self._group_commit, partial(self._log_store.grant_epoch, request.log, request.epoch))
         return LeaseResponse(granted=True, state=self.log_state(request.log), free_bytes=self._log_store.free_bytes())
 
-    def _refuse(self, request: LeaseRequest) -> LeaseResponse | None:
+    def _check_refusal(self, request: LeaseRequest) -> LeaseResponse | None:
         """Returns the response that refuses a lease, None where it can be granted."""
         grant = self._valid_grant(request.log)
         state = self.log_state(request.log)
         if grant is not None and grant.leaseholder not in (request.leaseholder, request.lost_leaseholder):
             return LeaseResponse(reason=LeaseRefusal.HELD, state=state)
-        unknown_lease_left = self._unknown_lease_left(request.log)
+        unknown_lease_left = self._max_unknown_lease_left(request.log)
         if grant is None and unknown_lease_left > ZERO and state.epoch > 0 and not request.take_over:
             state.lease_ms = _milliseconds(unknown_lease_left)
             return LeaseResponse(reason=LeaseRefusal.RECENTLY_STARTED, state=state)
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -24,7 +24,7 @@
 MAX_READ_BYTES = 8 * 1024 * 1024
 MAX_STATES = 4096
 MIN_RESERVE_BYTES = 1024 * 1024
-RESERVE_FRACTION = 10
+RESERVE_DIVISOR = 10
 """Which part of the budget is kept in reserve: one in so many bytes."""
 
 
@@ -37,7 +37,7 @@
     def __init__(self, ctx: Context, disk: Disk | None = None) -> None:
         self._ctx = ctx
         budget = ctx.settings.budget_mb * 1024 * 1024
-        reserve = max(budget // RESERVE_FRACTION, MIN_RESERVE_BYTES)
+        reserve = max(budget // RESERVE_DIVISOR, MIN_RESERVE_BYTES)
         self.log_store = LogStore(Path(ctx.settings.data) / "logs", disk or Disk(), budget, reserve)
         group_commit = GroupCommit(ctx, self.log_store.segments, self.log_store.recover)
         placement_check = PlacementCheck(ctx)
--- a/pipitlink/storage/replica_transfer.py
+++ b/pipitlink/storage/replica_transfer.py
@@ -81,16 +81,16 @@
 
     async def _list_peer_replicas(self, placement_group: PlacementGroup) -> _PeerReplicas | None:
         """Returns what the peers at this placement have, None where they and this node are no majority."""
-        is_enough = partial(self._is_majority, placement_group)
+        has_majority = partial(self._has_majority, placement_group)
         responses: dict[str, StatesResponse] = await self._ctx.replicated_log.call_each(
             [node for node in placement_group.all_nodes if node != self._ctx.node],
             "replicated_log.list",
             ListRequest(placement_group=placement_group.number, by_placement_group=True),
             StatesResponse,
             LIST_TIMEOUT,
-            enough=is_enough,
+            enough=has_majority,
         )
-        if not is_enough(responses):
+        if not has_majority(responses):
             return None
         peers = _PeerReplicas()
         for storage_node, response in _at_placement(responses, placement_group.sequence).items():
@@ -98,7 +98,7 @@
                 peers.add(storage_node, state)
         return peers
 
-    def _is_majority(self, placement_group: PlacementGroup, responses: Mapping[str, StatesResponse]) -> bool:
+    def _has_majority(self, placement_group: PlacementGroup, responses: Mapping[str, StatesResponse]) -> bool:
         """Returns whether this node and the peers that answered at this placement are a majority."""
         current = _at_placement(responses, placement_group.sequence)
         return majority([*current, self._ctx.node], placement_group.storage_nodes)
--- a/pipitlink/storage/retention.py
+++ b/pipitlink/storage/retention.py
@@ -15,8 +15,8 @@
 
 __all__ = ["Retention"]
 
-INTERVAL: timedelta = secs(5)
-TOMBSTONE_MS = 40 * 86_400_000
+RETENTION_INTERVAL: timedelta = secs(5)
+TOMBSTONE_RETENTION_MS = 40 * 86_400_000
 """How long after its bytes an expired log is remembered, so that no peer brings it back."""
 
 
@@ -31,7 +31,7 @@
 
     def open(self) -> None:
         """Starts the regular work."""
-        self._ctx.timers.call_repeatedly(INTERVAL, self._run, self._ctx.error_reporter("retention"))
+        self._ctx.timers.call_repeatedly(RETENTION_INTERVAL, self._run, self._ctx.error_reporter("retention"))
 
     async def _run(self) -> None:
         now_ms = wall_ms(self._ctx.timers.utc_now())
@@ -42,7 +42,7 @@
 
     async def _apply_retention(self, replica: Replica, age_ms: int) -> None:
         retention_ms = self._ctx.settings.retention_s * 1000
-        if age_ms > retention_ms + TOMBSTONE_MS:
+        if age_ms > retention_ms + TOMBSTONE_RETENTION_MS:
             await sync(self._group_commit, partial(self._log_store.delete, replica.log))
         elif replica.length and age_ms > retention_ms:
             await sync(self._group_commit, partial(self._log_store.expire, replica.log))
--- a/pipitlink/storage/segment_compaction.py
+++ b/pipitlink/storage/segment_compaction.py
@@ -26,7 +26,7 @@
 
     async def compact_one(self) -> None:
         """Compacts the segment file with the smallest live fraction, if that is small enough."""
-        segment = self._select()
+        segment = self._select_segment()
         if segment is None:
             return
         for replica in [replica for replica in self._log_store.logs.values() if replica.uses_segment(segment)]:
@@ -38,7 +38,7 @@
         self._log_store.segments.remove_segment(segment)
         self._ctx.logger.info("segment_compacted", file=segment, used=self._log_store.used_bytes())
 
-    def _select(self) -> int | None:
+    def _select_segment(self) -> int | None:
         live_bytes: Counter[int] = Counter()
         for replica in self._log_store.logs.values():
             for extent in replica.extents:
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -149,7 +149,7 @@
         mock.patch.object(segments, "MAX_SEGMENT_BYTES", SMALL_SEGMENT_BYTES),
         mock.patch.object(durable_log, "COMPACTION_ENTRIES", SMALL_TRIM_ENTRIES),
         mock.patch.object(durable_log, "RETAINED_ENTRIES", SMALL_KEPT_ENTRIES),
-        mock.patch.object(retention, "TOMBSTONE_MS", SMALL_TOMBSTONE_MS),
+        mock.patch.object(retention, "TOMBSTONE_RETENTION_MS", SMALL_TOMBSTONE_MS),
     ):
         simulation = _simulation()
         try:
--- a/tests/test_append_copies.py
+++ b/tests/test_append_copies.py
@@ -244,16 +244,16 @@
     def test_the_second_of_a_zone_waits_for_the_first_and_not_for_longer_than_a_slow_link_takes(self):
         self.has("a1", 90_000)
         source = self.source_for("b1")
-        self.assertFalse(self.planner.must_wait_for_neighbor("b1", source))
+        self.assertFalse(self.planner.must_wait_for_zone_peer("b1", source))
         self.planner.fetch_started("b1", 90_000)
-        self.assertTrue(self.planner.must_wait_for_neighbor("b2", self.source_for("b2")))
+        self.assertTrue(self.planner.must_wait_for_zone_peer("b2", self.source_for("b2")))
         for other in ("c1", "d1"):
-            self.assertFalse(self.planner.must_wait_for_neighbor(other, self.source_for(other)), other)
+            self.assertFalse(self.planner.must_wait_for_zone_peer(other, self.source_for(other)), other)
         woken = []
         spawn(self.planner.wait_for_transfer()).addBoth(woken.append)
         self.clock.advance(1)
         self.assertEqual(woken, [None])
-        self.assertFalse(self.planner.must_wait_for_neighbor("b2", self.source_for("b2")))
+        self.assertFalse(self.planner.must_wait_for_zone_peer("b2", self.source_for("b2")))
         spawn(self.planner.wait_for_transfer()).addBoth(woken.append)
         self.assertEqual(woken, [None, None], "an overdue transfer is not waited for")
 
