--- a/pipitlink/tools/__init__.py
+++ b/pipitlink/tools/__init__.py
@@ -22,7 +22,7 @@
     "config": configuration.run,
     "zone": cluster.run_zone,
     "storage": cluster.run_storage,
-    "lot": cluster.run_batch_job,
+    "lot": cluster.run_batch,
     "status": cluster.run_status,
 }
 """The command groups by their words on the command line."""
--- a/pipitlink/tools/client.py
+++ b/pipitlink/tools/client.py
@@ -12,7 +12,7 @@
 
 __all__ = ["OperatorClient", "Response", "UnreachableError", "edit_headers", "send_request"]
 
-TIMEOUT_S = 10
+REQUEST_TIMEOUT_S = 10
 SERVICE_UNAVAILABLE = 503
 
 
@@ -36,7 +36,7 @@
     all_headers = {"Content-Type": "application/json", **(headers or {})}
     request = urllib.request.Request(f"http://{address}{path}", data, all_headers, method=method)
     try:
-        with urllib.request.urlopen(request, timeout=TIMEOUT_S) as response:
+        with urllib.request.urlopen(request, timeout=REQUEST_TIMEOUT_S) as response:
             return Response(response.status, json.load(response))
     except urllib.error.HTTPError as error:
         return Response(error.code, _error_body(error))
--- a/pipitlink/tools/cluster.py
+++ b/pipitlink/tools/cluster.py
@@ -8,7 +8,7 @@
 from .client import OperatorClient
 from .output import print_response
 
-__all__ = ["run_batch_job", "run_status", "run_storage", "run_zone"]
+__all__ = ["run_batch", "run_status", "run_storage", "run_zone"]
 
 
 def run_zone(client: OperatorClient, arguments: Mapping[str, Any]) -> int:
@@ -26,7 +26,7 @@
     return print_response(client.request("POST", f"/v1/storage_nodes/{arguments['STORAGE_NODE']}/retire", {}))
 
 
-def run_batch_job(client: OperatorClient, arguments: Mapping[str, Any]) -> int:
+def run_batch(client: OperatorClient, arguments: Mapping[str, Any]) -> int:
     """Runs `lot show` or `lot end` and returns the exit code. Raises UnreachableError."""
     method = "GET" if arguments["show"] else "DELETE"
     return print_response(client.request(method, f"/v1/lots/{arguments['LOT']}"))
--- a/pipitlink/tools/comparison.py
+++ b/pipitlink/tools/comparison.py
@@ -29,9 +29,13 @@
     for topic in TOPICS:
         if topic not in first or topic not in second:
             continue
-        ours, theirs = first[topic], second[topic]
+        first_values, second_values = first[topic], second[topic]
         keys = sorted(_comparable_keys(topic, first, second))
-        topic_differences = {key: [ours.get(key), theirs.get(key)] for key in keys if ours.get(key) != theirs.get(key)}
+        topic_differences = {
+            key: [first_values.get(key), second_values.get(key)]
+            for key in keys
+            if first_values.get(key) != second_values.get(key)
+        }
         if topic_differences:
             found[topic] = topic_differences
     return found
@@ -39,10 +43,10 @@
 
 def _comparable_keys(topic: str, first: Beliefs, second: Beliefs) -> set[str]:
     """Returns the keys of a topic on which both nodes need to agree."""
-    ours, theirs = set(first[topic]), set(second[topic])
+    first_keys, second_keys = set(first[topic]), set(second[topic])
     if topic == "leases":
-        return ours & theirs
-    keys = ours | theirs
+        return first_keys & second_keys
+    keys = first_keys | second_keys
     if topic == "logs":
         return {log for log in keys if _is_replicated_on_both(log, first, second)}
     if topic == "status":
@@ -92,5 +96,5 @@
         return
     print(f"A is {first_name}, B is {second_name}")
     for topic, topic_differences in found.items():
-        for key, (ours, theirs) in topic_differences.items():
-            print(f"{topic} {key}: A={ours} B={theirs}")
+        for key, (first_value, second_value) in topic_differences.items():
+            print(f"{topic} {key}: A={first_value} B={second_value}")
