--- a/tests/rpc_scenarios.py
+++ b/tests/rpc_scenarios.py
@@ -17,7 +17,7 @@
 __all__ = ["ADDRESS", "RpcScenario"]
 
 ADDRESS = ("h", 1)
-CALLS = 3
+MAX_CALLS = 3
 
 
 class _Transport(StringTransport):
@@ -65,13 +65,13 @@
 
 
 @attrs.define(eq=False)
-class Received:
+class ReceivedCall:
     """A call as the peer got it."""
 
     connection: RpcConnection
-    number: int
+    call_id: int
     name: str
-    answers: int = 0
+    responses: int = 0
 
 
 class RpcScenario:
@@ -80,64 +80,66 @@
         timers = Timers(self.clock, seconds=self.clock.seconds)
         self.endpoint = _Endpoint(self.clock, timers)
         self.results: dict[str, list] = {}
-        self.received: list[Received] = []
-        self._read: dict[RpcConnection, int] = {}
-        self._cuts = self._seconds = 0
+        self.received: list[ReceivedCall] = []
+        self._read_offsets: dict[RpcConnection, int] = {}
+        self._cut_count = self._seconds_passed = 0
 
     def events(self) -> list:
-        out = []
-        if len(self.results) < CALLS:
-            out.append(("call", self._call))
-        for r in self.received:
-            if r.answers < 2 and not r.connection.closed:
-                out.append((f"answer {r.name}", lambda r=r: self._answer(r)))
-        if self._seconds < 2:
-            out.append(("a second passes", self._pass_second))
+        events = []
+        if len(self.results) < MAX_CALLS:
+            events.append(("call", self._call))
+        for call in self.received:
+            if call.responses < 2 and not call.connection.closed:
+                events.append((f"answer {call.name}", lambda call=call: self._respond(call)))
+        if self._seconds_passed < 2:
+            events.append(("a second passes", self._advance_second))
         for connection in self.endpoint.opened:
-            if not connection.closed and self._cuts < 2:
-                out.append(("cut", lambda c=connection: self._cut(c)))
-        return out
+            if not connection.closed and self._cut_count < 2:
+                events.append(("cut", lambda connection=connection: self._cut(connection)))
+        return events
 
     def _call(self):
         name = f"q{len(self.results)}"
         result = self.results[name] = []
         spawn(self.endpoint.call(ADDRESS, "echo", Hello(node=name), Hello, secs(1))).addBoth(result.append)
-        self._take_in()
+        self._read_requests()
 
-    def _take_in(self):
+    def _read_requests(self):
         for connection in self.endpoint.opened:
             data = connection.transport.value()
-            at = self._read.get(connection, 0)
-            while at < len(data):
-                (size,) = struct.unpack("!I", data[at : at + 4])
-                if at:
-                    frame = Frame.FromString(data[at + 4 : at + 4 + size])
+            offset = self._read_offsets.get(connection, 0)
+            while offset < len(data):
+                (size,) = struct.unpack("!I", data[offset : offset + 4])
+                if offset:
+                    frame = Frame.FromString(data[offset + 4 : offset + 4 + size])
                     name = Hello.FromString(frame.body).node
-                    self.received.append(Received(connection, frame.call_id, name))
-                at += 4 + size
-            self._read[connection] = at
+                    self.received.append(ReceivedCall(connection, frame.call_id, name))
+                offset += 4 + size
+            self._read_offsets[connection] = offset
 
-    def _answer(self, r: Received):
-        r.answers += 1
-        body = Hello(node=r.name).SerializeToString()
-        r.connection.dataReceived(_framed(Frame(call_id=r.number, response=True, body=body)))
+    def _respond(self, call: ReceivedCall):
+        call.responses += 1
+        body = Hello(node=call.name).SerializeToString()
+        call.connection.dataReceived(_framed(Frame(call_id=call.call_id, response=True, body=body)))
 
-    def _pass_second(self):
-        self._seconds += 1
+    def _advance_second(self):
+        self._seconds_passed += 1
         self.clock.advance(1.01)
 
     def _cut(self, connection):
-        self._cuts += 1
+        self._cut_count += 1
         connection.connectionLost(Failure(ConnectionDone()))
 
     def finish(self):
         self.clock.advance(1.01)
         assert all(self.results.values()), f"a call has no result: {self.results}"
-        assert not any(c._pending_calls for c in self.endpoint.opened), "a call that has ended is still held"
+        assert not any(connection._pending_calls for connection in self.endpoint.opened), (
+            "a call that has ended is still held"
+        )
 
     def check(self):
-        self._take_in()
-        names = [r.name for r in self.received]
+        self._read_requests()
+        names = [call.name for call in self.received]
         assert len(names) == len(set(names)), f"TWICE: {names}"
         assert len(names) == len(self.results), f"a call was not written: {names} of {list(self.results)}"
         for name, results in self.results.items():
--- a/tests/test_rpc_orders.py
+++ b/tests/test_rpc_orders.py
@@ -27,9 +27,9 @@
 
         called_again = call("first").addErrback(lambda _: call("second"))
         scenario._cut(scenario.endpoint.opened[0])
-        scenario._take_in()
-        self.assertEqual([r.name for r in scenario.received], ["first", "second"])
-        scenario._answer(scenario.received[1])
+        scenario._read_requests()
+        self.assertEqual([request.name for request in scenario.received], ["first", "second"])
+        scenario._respond(scenario.received[1])
         self.assertEqual(called_again.result.node, "second")
 
     def test_numbers_are_needed(self):
@@ -43,8 +43,8 @@
                 explore_events(RpcScenario, 5)
 
     def test_numbers_are_never_used_again(self):
-        always = property(lambda _: 0, lambda *_: None)
-        with unittest.mock.patch.object(RpcConnection, "_last_call_id", always, create=True):
+        constant = property(lambda _: 0, lambda *_: None)
+        with unittest.mock.patch.object(RpcConnection, "_last_call_id", constant, create=True):
             with self.assertRaises(AssertionError):
                 explore_events(RpcScenario, 5)
 
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -21,7 +21,7 @@
 LOG = "log"
 
 
-class _Quiet:
+class _SilentLog:
     def log(self, *args):
         pass
 
@@ -31,84 +31,89 @@
 
     def setUp(self):
         self.timers = Timers(Clock(), seconds=lambda: 0.0)
-        self.caller, self.callee = self._endpoint("caller"), self._endpoint("callee")
-        self.asked: list[str] = []
-        self.callee.register_handler("probe", IndirectProbeRequest, self._probe)
-        here, there = RpcConnection(self.caller), RpcConnection(self.callee)
-        self.pump = iosim.connect(there, iosim.makeFakeServer(there), here, iosim.makeFakeClient(here))
-        self.caller._connections[ADDRESS] = here
+        self.client, self.server = self._endpoint("caller"), self._endpoint("callee")
+        self.handled_targets: list[str] = []
+        self.server.register_handler("probe", IndirectProbeRequest, self._probe)
+        client_connection, server_connection = RpcConnection(self.client), RpcConnection(self.server)
+        self.pump = iosim.connect(
+            server_connection,
+            iosim.makeFakeServer(server_connection),
+            client_connection,
+            iosim.makeFakeClient(client_connection),
+        )
+        self.client._connections[ADDRESS] = client_connection
 
     def _endpoint(self, node):
-        return RpcEndpoint(None, self.timers, StructuredLogger(_Quiet()), "pipit", node)
+        return RpcEndpoint(None, self.timers, StructuredLogger(_SilentLog()), "pipit", node)
 
-    async def _probe(self, node, ask):
-        self.asked.append(ask.target)
+    async def _probe(self, node, request):
+        self.handled_targets.append(request.target)
         return ProbeResponse(alive=True)
 
     def call(self, endpoint, address, target, **kwargs):
-        box = []
+        results = []
         work = endpoint.call(address, "probe", IndirectProbeRequest(target=target), ProbeResponse, secs(1), **kwargs)
-        spawn(work).addBoth(box.append)
+        spawn(work).addBoth(results.append)
         self.pump.flush()
-        return box[0]
+        return results[0]
 
     def test_the_named_node_and_whoever_is_there_answer(self):
-        self.assertTrue(self.call(self.caller, ADDRESS, "a", node="callee").alive)
-        self.assertTrue(self.call(self.caller, ADDRESS, "b").alive)
-        self.assertEqual(self.asked, ["a", "b"])
+        self.assertTrue(self.call(self.client, ADDRESS, "a", node="callee").alive)
+        self.assertTrue(self.call(self.client, ADDRESS, "b").alive)
+        self.assertEqual(self.handled_targets, ["a", "b"])
 
     def test_another_node_refuses_and_does_not_run_it(self):
-        f = self.call(self.caller, ADDRESS, "a", node="its predecessor")
-        self.assertIsInstance(f.value, WrongPeer)
-        self.assertFalse(f.value.sent)
-        self.assertEqual(self.asked, [])
+        failure = self.call(self.client, ADDRESS, "a", node="its predecessor")
+        self.assertIsInstance(failure.value, WrongPeer)
+        self.assertFalse(failure.value.sent)
+        self.assertEqual(self.handled_targets, [])
 
     def test_a_node_at_its_own_place_does_not_answer_for_its_predecessor(self):
-        self.callee.address = ADDRESS
-        self.assertTrue(self.call(self.callee, ADDRESS, "a", node="callee").alive)
-        self.assertIsInstance(self.call(self.callee, ADDRESS, "b", node="its predecessor").value, WrongPeer)
-        self.assertEqual(self.asked, ["a"])
+        self.server.address = ADDRESS
+        self.assertTrue(self.call(self.server, ADDRESS, "a", node="callee").alive)
+        self.assertIsInstance(self.call(self.server, ADDRESS, "b", node="its predecessor").value, WrongPeer)
+        self.assertEqual(self.handled_targets, ["a"])
 
 
-ONE_VOTER_SEEDS = range(11, 17)
+SEEDS = range(11, 17)
 
 
-def without_the_guard():
-    return unittest.mock.patch("testbed.simulator.simulation.require_peer", lambda meant, answering: None)
+def without_peer_check():
+    return unittest.mock.patch("testbed.simulator.simulation.require_peer", lambda expected, actual: None)
 
 
-class EmptiedMembers(unittest.TestCase):
+class WipedMembers(unittest.TestCase):
     """A member that lost its disk is back at the same place under a new id before anybody has heard of that."""
 
     def setUp(self):
-        self.play(11)
+        self.start_simulation(11)
 
-    def play(self, seed: int):
+    def start_simulation(self, seed: int):
         self.simulation = Simulation(seed, controllers=3, storage_nodes=3, gateways=2, placement_groups=1)
         self.addCleanup(self.simulation.end)
         self.simulation.start()
         self.simulation.ready()
         self.simulation.run(3)
 
-    def empty(self, simulated_node):
+    def wipe_and_restart(self, simulated_node):
         simulated_node.kill(power=True)
         simulated_node.wipe()
         simulated_node.start()
 
-    def orders_with_one_voter_left(self) -> list[bool]:
+    def confirmed_edits_with_one_voter_left(self) -> list[bool]:
         """Of several runs, in which the leader has confirmed an order with the voters that were left."""
         confirmed = []
-        for seed in ONE_VOTER_SEEDS:
-            self.play(seed)
-            confirmed.append(self.order_with_one_voter_left())
+        for seed in SEEDS:
+            self.start_simulation(seed)
+            confirmed.append(self.is_edit_confirmed_with_one_voter_left())
         return confirmed
 
-    def order_with_one_voter_left(self):
+    def is_edit_confirmed_with_one_voter_left(self):
         """One of three voters is down and one is emptied; whether the leader confirms an order with them."""
         leader = self.simulation.leader()
-        down, emptied = [a for a in self.simulation.role("controller") if a is not leader]
+        down, wiped = [member for member in self.simulation.role("controller") if member is not leader]
         down.kill()
-        self.empty(emptied)
+        self.wipe_and_restart(wiped)
         edit = TableEdit(base=leader.part.consensus.cluster_state.table_sequence, upserts=[Row(name="r", model="m")])
         try:
             self.simulation.do(leader.part.state_delivery.edit(Command(edit="alone", table=edit)), 10)
@@ -117,24 +122,24 @@
         return True
 
     def test_an_order_is_not_confirmed_by_an_emptied_voter(self):
-        self.assertNotIn(True, self.orders_with_one_voter_left())
+        self.assertNotIn(True, self.confirmed_edits_with_one_voter_left())
 
     def test_without_the_guard_an_order_is_confirmed_that_one_voter_has(self):
-        with without_the_guard():
-            self.assertIn(True, self.orders_with_one_voter_left())
+        with without_peer_check():
+            self.assertIn(True, self.confirmed_edits_with_one_voter_left())
 
     def read_after_a_loss(self):
         """Two of three replicas have an acknowledged record; one of these is emptied and the other one goes down."""
         first, second = self.simulation.role("gateway")
-        behind, emptied, down = self.simulation.role("storage")
+        behind, wiped, down = self.simulation.role("storage")
         behind.kill()
-        h = self.simulation.do(first.ctx.replicated_log.acquire(LOG), 10)
-        self.simulation.do(h.append([b"acknowledged"]), 10)
+        leaseholder = self.simulation.do(first.ctx.replicated_log.acquire(LOG), 10)
+        self.simulation.do(leaseholder.append([b"acknowledged"]), 10)
         first.kill()
         down.kill()
         behind.start()
-        self.empty(emptied)
-        self.simulation.until(lambda: emptied.ctx.cluster.sequence and behind.ctx.cluster.sequence, 10, "they follow")
+        self.wipe_and_restart(wiped)
+        self.simulation.until(lambda: wiped.ctx.cluster.sequence and behind.ctx.cluster.sequence, 10, "they follow")
         return self.simulation.do(second.ctx.replicated_log.acquire(LOG, lost_leaseholder=first.node), 10).data
 
     def test_an_emptied_storage_node_grants_no_lease_in_the_name_of_the_lost_one(self):
@@ -142,42 +147,43 @@
             self.read_after_a_loss()
 
     def test_without_the_guard_an_acknowledged_record_is_lost(self):
-        with without_the_guard():
+        with without_peer_check():
             self.assertNotIn(b"acknowledged", bytes(self.read_after_a_loss()))
 
     def test_an_emptied_storage_node_is_no_witness_and_shows_no_state_for_the_lost_one(self):
         storage_node, gateway = self.simulation.role("storage")[0], self.simulation.role("gateway")[0]
         lost = storage_node.node
-        self.empty(storage_node)
+        self.wipe_and_restart(storage_node)
         replicated_log = gateway.ctx.replicated_log
-        for method, ask, kind in (
+        for method, request, response_type in (
             ("cluster.witness", Empty(), WitnessResponse),
             ("replicated_log.states", StatesRequest(logs=[LOG]), StatesResponse),
         ):
             self.assertIsNotNone(gateway.ctx.membership.find(lost))
             with self.assertRaises(WrongPeer):
-                self.simulation.do(replicated_log.call(lost, method, ask, kind), 3)
+                self.simulation.do(replicated_log.call(lost, method, request, response_type), 3)
 
     def test_followers_name_the_controller_that_they_follow(self):
-        kwargs = []
-        plain = self.simulation.carry
+        node_names = []
+        original_carry = self.simulation.carry
 
         def carry(sender, address, method, body, node=""):
             if method in ("controller.follow", "cluster.pass_on"):
-                kwargs.append(node)
-            return plain(sender, address, method, body, node)
+                node_names.append(node)
+            return original_carry(sender, address, method, body, node)
 
         with unittest.mock.patch.object(self.simulation, "carry", carry):
             self.simulation.run(1)
-        self.assertTrue(kwargs)
-        self.assertTrue(all(kwargs))
+        self.assertTrue(node_names)
+        self.assertTrue(all(node_names))
 
     def test_a_follow_call_is_not_answered_by_the_successor_of_the_controller_that_is_meant(self):
         leader, gateway = self.simulation.leader(), self.simulation.role("gateway")[0]
         lost = leader.node
-        self.empty(leader)
-        ask = FollowRequest(node=gateway.node, role="gateway", sequence=1)
+        self.wipe_and_restart(leader)
+        request = FollowRequest(node=gateway.node, role="gateway", sequence=1)
         with self.assertRaises(WrongPeer):
             self.simulation.do(
-                gateway.ctx.rpc.call(leader.address, "controller.follow", ask, FollowResponse, secs(1), node=lost), 3
+                gateway.ctx.rpc.call(leader.address, "controller.follow", request, FollowResponse, secs(1), node=lost),
+                3,
             )
