--- a/tests/test_rpc_orders.py
+++ b/tests/test_rpc_orders.py
@@ -9,7 +9,7 @@
 from pipitlink.wire.frame_pb2 import Hello
 from testbed.simulator.interleavings import explore_events, walk_events
 
-from .rpc_scenarios import PLACE, RpcScenario
+from .rpc_scenarios import ADDRESS, RpcScenario
 
 
 class RpcOrders(unittest.TestCase):
@@ -23,13 +23,13 @@
         scenario = RpcScenario()
 
         def call(name):
-            return spawn(scenario.endpoint.call(PLACE, "echo", Hello(node=name), Hello, secs(1)))
+            return spawn(scenario.endpoint.call(ADDRESS, "echo", Hello(node=name), Hello, secs(1)))
 
         called_again = call("first").addErrback(lambda _: call("second"))
         scenario._cut(scenario.endpoint.opened[0])
-        scenario._take_in()
-        self.assertEqual([r.name for r in scenario.received], ["first", "second"])
-        scenario._answer(scenario.received[1])
+        scenario._read_requests()
+        self.assertEqual([request.name for request in scenario.received], ["first", "second"])
+        scenario._respond(scenario.received[1])
         self.assertEqual(called_again.result.node, "second")
 
     def test_numbers_are_needed(self):
@@ -43,8 +43,8 @@
                 explore_events(RpcScenario, 5)
 
     def test_numbers_are_never_used_again(self):
-        always = property(lambda _: 0, lambda *_: None)
-        with unittest.mock.patch.object(RpcConnection, "_last_call_id", always, create=True):
+        constant = property(lambda _: 0, lambda *_: None)
+        with unittest.mock.patch.object(RpcConnection, "_last_call_id", constant, create=True):
             with self.assertRaises(AssertionError):
                 explore_events(RpcScenario, 5)
 
--- a/tests/test_simulated_idle.py
+++ b/tests/test_simulated_idle.py
@@ -8,7 +8,7 @@
 from testbed.simulator.simulation import Simulation
 
 SPAN = 5
-FLEETS = ((3, 3, 2), (3, 3, 10), (4, 4, 24))
+CLUSTERS = ((3, 3, 2), (3, 3, 10), (4, 4, 24))
 PROBE_BYTES = 400
 GATEWAY_BYTES = 500
 GATEWAY_MESSAGES = 19
@@ -31,10 +31,10 @@
         s.run(SPAN)
         self._at_rest = False
 
-    def _count(self, sender, place, method, body, node=""):
-        d = self._carry(sender, place, method, body, node)
+    def _count(self, sender, address, method, body, node=""):
+        d = self._carry(sender, address, method, body, node)
         if self._at_rest:
-            goal = next(a for a in self.simulation.simulated_nodes.values() if a.address == place)
+            goal = next(a for a in self.simulation.simulated_nodes.values() if a.address == address)
             self.asks[method] += 1
             self._add(sender, method, body)
             d.addCallback(lambda response: self._add(goal, method, response) or response)
@@ -52,7 +52,7 @@
 
 class AtRest(unittest.TestCase):
     def test_a_nodes_share_does_not_grow_with_the_fleet(self):
-        for sizes in FLEETS:
+        for sizes in CLUSTERS:
             with self.subTest(nodes=sum(sizes)):
                 c = _Counted(*sizes)
                 self.addCleanup(c.simulation.end)
