--- a/pipitlink/controller/order_fencing.py
+++ b/pipitlink/controller/order_fencing.py
@@ -12,9 +12,9 @@
 from .edit_submission import EditSubmission
 from .interfaces import ConsensusView
 
-__all__ = ["CALLER_TIMEOUT", "HANG_UP_DELAY", "OrderFencing"]
+__all__ = ["CLIENT_TIMEOUT", "HANG_UP_DELAY", "OrderFencing"]
 
-CALLER_TIMEOUT = ms(1000)
+CLIENT_TIMEOUT = ms(1000)
 """Callers wait at least this long before they send an order that got no answer to another controller."""
 HANG_UP_DELAY = ms(20)
 """An order waits this long, so that a caller's hanging up that arrives together with it cancels it."""
@@ -23,7 +23,7 @@
 """A process that did not run for longer than this was paused, and may read orders that have waited in a socket."""
 DRAIN_TIME = ms(500)
 """How long after a pause the orders that have waited in a socket are still being read."""
-ORDER_TIMEOUT = CALLER_TIMEOUT - PAUSE_THRESHOLD - ms(100)
+ORDER_TIMEOUT = CLIENT_TIMEOUT - PAUSE_THRESHOLD - ms(100)
 
 
 class OrderFencing:
--- a/pipitlink/gateway/fetch_api.py
+++ b/pipitlink/gateway/fetch_api.py
@@ -58,5 +58,5 @@
             pool=pool,
             idempotent=True,
             deadline=self._ctx.timers.now() + FETCH_TIMEOUT,
-            caller=request,
+            client_request=request,
         )
--- a/pipitlink/gateway/fetch_relay.py
+++ b/pipitlink/gateway/fetch_relay.py
@@ -29,26 +29,26 @@
     connection.
     """
 
-    def __init__(self, record: RequestRecord, caller: Request, abort: Callable[[], None]) -> None:
+    def __init__(self, record: RequestRecord, client_request: Request, abort: Callable[[], None]) -> None:
         self._record = record
-        self._caller = caller
+        self._client_request = client_request
         self.finished: defer.Deferred[None] = defer.Deferred(lambda _: abort())
 
     def connectionMade(self) -> None:  # noqa: N802 - twisted's interface
         """The response's head has come: the caller's connection paces the body from now on."""
-        self._caller.registerProducer(self.transport, True)
+        self._client_request.registerProducer(self.transport, True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
         """Passes the next bytes on."""
         self._record.trigger("receive")
         self._record.size += len(data)
-        self._caller.write(data)
+        self._client_request.write(data)
 
     def connectionLost(  # noqa: N802 - twisted's interface
         self, reason: Failure = protocol.connectionDone
     ) -> None:
         """The body has ended, or the connection broke."""
-        self._caller.unregisterProducer()
+        self._client_request.unregisterProducer()
         if self.finished.called:
             return
         if reason.check(ResponseDone):
@@ -68,8 +68,8 @@
         return await self._sender.send(record, self._exchange)
 
     async def _exchange(self, record: RequestRecord, engine: Engine) -> None:
-        caller = record.caller
-        assert caller is not None
+        client_request = record.client_request
+        assert client_request is not None
         client = self._sender.client_for(record, engine)
         headers: dict[str | bytes, str | bytes] = {"X-Request-Id": record.id}
         response = await client.http.get(
@@ -81,18 +81,18 @@
         if response.code in REJECTED_CODES:
             await self._sender.discard(response)
             raise ServiceUnavailable(f"{engine.name} refused with {response.code}", code="engine_crowded")
-        _pass_head(response, caller)
-        body = _PassThrough(record, caller, client.endpoint.abort)
+        _pass_head(response, client_request)
+        body = _PassThrough(record, client_request, client.endpoint.abort)
         response.deliverBody(body)
         await body.finished
         if response.length is not UNKNOWN_LENGTH and record.size != response.length:
             raise EngineError(f"{record.size} of {response.length} bytes came", code="cut_short")
 
 
-def _pass_head(response: Response, caller: Any) -> None:
-    caller.setResponseCode(response.code)
+def _pass_head(response: Response, client_request: Any) -> None:
+    client_request.setResponseCode(response.code)
     for name in PASSED_HEADERS:
         for value in response.headers.getRawHeaders(name, ()):
-            caller.responseHeaders.addRawHeader(name, value)
+            client_request.responseHeaders.addRawHeader(name, value)
     if response.length is not UNKNOWN_LENGTH:
-        caller.setHeader(b"Content-Length", str(response.length).encode())
+        client_request.setHeader(b"Content-Length", str(response.length).encode())
--- a/pipitlink/gateway/request_record.py
+++ b/pipitlink/gateway/request_record.py
@@ -76,7 +76,7 @@
     release_permit: Callable[[], None] | None = None
     release_slot: Callable[[], None] | None = None
     engine_stream: PausableStream | None = None
-    caller: Request | None = None
+    client_request: Request | None = None
     on_first_chunk: Callable[[], None] | None = None
     _waiters: list[defer.Deferred[None]] = attrs.field(factory=list)
 
--- a/pipitlink/gateway/run_stream.py
+++ b/pipitlink/gateway/run_stream.py
@@ -18,7 +18,7 @@
 
 __all__ = ["RunStream"]
 
-STUCK_CALLER_TIMEOUT = secs(20)
+STALLED_CLIENT_TIMEOUT = secs(20)
 
 
 def _event(name: str, event_id: int | None, data: dict[str, Any]) -> bytes:
@@ -135,7 +135,7 @@
             while self._position < len(run.chunks):
                 if self._pacer.full:
                     run.set_paused(True)
-                    await self._ctx.timers.with_timeout(STUCK_CALLER_TIMEOUT, self._pacer.wait_until_writable())
+                    await self._ctx.timers.with_timeout(STALLED_CLIENT_TIMEOUT, self._pacer.wait_until_writable())
                 chunk = {"n": self._position, "text": run.chunks[self._position]}
                 self._request.write(_event("piece", self._position, chunk))
                 self._position += 1
--- a/pipitlink/node_factory.py
+++ b/pipitlink/node_factory.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from .context import Context
     from .disk import Disk
-    from .node_interfaces import CallerServer, Node
+    from .node_interfaces import ClientFacingNode, Node
 
 __all__ = ["GatewayFactory", "StatefulNodeFactory", "load_gateway_factory", "load_stateful_node_factory"]
 
@@ -15,7 +15,7 @@
 class GatewayFactory(Protocol):
     """Makes a gateway's node."""
 
-    def __call__(self, ctx: Context, /) -> CallerServer:
+    def __call__(self, ctx: Context, /) -> ClientFacingNode:
         """Returns a node that is not open yet."""
 
 
--- a/pipitlink/node_interfaces.py
+++ b/pipitlink/node_interfaces.py
@@ -12,7 +12,7 @@
 
     from .cluster import ClusterState
 
-__all__ = ["CallerServer", "ClusterStateEditor", "Metrics", "MetricFamilySource", "Node", "RouteAdder"]
+__all__ = ["ClientFacingNode", "ClusterStateEditor", "Metrics", "MetricFamilySource", "Node", "RouteAdder"]
 
 Metrics = dict[str, tuple[str, float]]
 """Gauges by name without prefix: help text and value."""
@@ -40,7 +40,7 @@
         """Returns the role's gauges."""
 
 
-class CallerServer(Node, Protocol):
+class ClientFacingNode(Node, Protocol):
     """A gateway's node, which serves callers."""
 
     listening_socket: socket.socket | None
--- a/pipitlink/router/http_frontend.py
+++ b/pipitlink/router/http_frontend.py
@@ -20,7 +20,7 @@
 from .call import HOP_HEADERS, Call, CallPhase, parse_prompt_parts
 from .call_relay import CallRelay
 from .http_response import HttpResponse
-from .inbound_request import CallerChannel, CallerFactory, InboundRequest
+from .inbound_request import ClientChannel, ClientChannelFactory, InboundRequest
 from .phase_timings import PhaseTimings
 
 __all__ = ["HttpFrontend", "RouteKind"]
@@ -57,7 +57,7 @@
         self._batch_calls = batch_calls
         self._opened_at = ctx.timers.now()
         self._ports: list[Any] = []
-        self.channels: set[CallerChannel] = set()
+        self.channels: set[ClientChannel] = set()
         self.is_draining = False
         self.refused: dict[str, int] = {}
 
@@ -71,7 +71,7 @@
 
     async def listen(self, host: str, port: int, listening_socket: socket.socket | None = None) -> int:
         """Begins to accept connections, and returns the port. A socket that listens already is used, and closed."""
-        factory: Any = CallerFactory(self, self._ctx.reactor)
+        factory: Any = ClientChannelFactory(self, self._ctx.reactor)
         if listening_socket is not None:
             opened = self._ctx.reactor.adoptStreamPort(listening_socket.fileno(), listening_socket.family, factory)
             listening_socket.close()
--- a/pipitlink/router/inbound_request.py
+++ b/pipitlink/router/inbound_request.py
@@ -18,7 +18,7 @@
 from .engine_connection import Response
 from .http_response import HttpResponse
 
-__all__ = ["CallerChannel", "CallerFactory", "Frontend", "InboundRequest", "passed_headers"]
+__all__ = ["ClientChannel", "ClientChannelFactory", "Frontend", "InboundRequest", "passed_headers"]
 
 IDLE_TIMEOUT: timedelta = secs(15)
 MAX_HEADERS_BYTES = 32768
@@ -27,7 +27,7 @@
 class Frontend(Protocol):
     """The server that the connections and requests of callers belong to."""
 
-    channels: set[CallerChannel]
+    channels: set[ClientChannel]
     is_draining: bool
 
     def now(self) -> timedelta:
@@ -40,7 +40,7 @@
         """Serves a request that was read to its end."""
 
 
-class _CallerBackpressure:
+class _ClientBackpressure:
     """Stops reading from the engine of a call while its caller does not read."""
 
     def __init__(self, call: Call) -> None:
@@ -70,7 +70,7 @@
 class InboundRequest(http.Request):
     """One request of a caller; as the sink of its call it writes the engine's response out as it comes."""
 
-    channel: CallerChannel
+    channel: ClientChannel
     content: BytesIO
     call: Call | None = None
     is_too_long = False
@@ -133,7 +133,7 @@
         if response.length is not UNKNOWN_LENGTH and not self.call.is_resumable:
             self.responseHeaders.setRawHeaders(b"Content-Length", [b"%d" % int(response.length)])
         self._close_if_draining()
-        self.registerProducer(_CallerBackpressure(self.call), True)
+        self.registerProducer(_ClientBackpressure(self.call), True)
 
     def data(self, data: bytes) -> None:
         """Writes a piece of the body of an engine's response."""
@@ -178,7 +178,7 @@
         self.finish()
 
 
-class CallerChannel(http.HTTPChannel):
+class ClientChannel(http.HTTPChannel):
     """One connection of a caller."""
 
     requestFactory = InboundRequest  # noqa: N815 - twisted's interface
@@ -206,10 +206,10 @@
         self.loseConnection()
 
 
-class CallerFactory(http.HTTPFactory):
+class ClientChannelFactory(http.HTTPFactory):
     """Makes the connections of one frontend; writes no access log."""
 
-    protocol = CallerChannel  # type: ignore[assignment]  # Twisted declares a private wrapper of HTTPChannel
+    protocol = ClientChannel  # type: ignore[assignment]  # Twisted declares a private wrapper of HTTPChannel
     noisy = False
 
     def __init__(self, frontend: Frontend, reactor: Any) -> None:
--- a/testbed/benchmarks/batch_impact.py
+++ b/testbed/benchmarks/batch_impact.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from ..processes.process_cluster import ProcessCluster, wait_for
-from ..standins.clients import Caller, Callers
+from ..standins.clients import Client, Clients
 from .deployment_profiles import PROFILES, spread
 
 __all__ = ["Bench"]
@@ -30,7 +30,7 @@
             capacity=8,
             step=0.02,
         )
-        self.calls = Callers(self.fleet, Random(seed))
+        self.calls = Clients(self.fleet, Random(seed))
         self._n = 0
         self._seen: list[float] = []
 
@@ -40,8 +40,8 @@
             wait_for(lambda: self.calls.generate("warm")["end"], 20, "an engine is known")
             time.sleep(9)
             c = self.calls
-            c.start(Caller(c, "walk", 1 / self.p["live"], lambda c, n: c.generate(n, prefix=f"tour{hash(n) % 5}")))
-            c.start(Caller(c, "card", 1 / self.p["fetch"], lambda c, n: c.fetch(n)))
+            c.start(Client(c, "walk", 1 / self.p["live"], lambda c, n: c.generate(n, prefix=f"tour{hash(n) % 5}")))
+            c.start(Client(c, "card", 1 / self.p["fetch"], lambda c, n: c.fetch(n)))
             windows = {"alone": [], "beside_lots": []}
             self.inside: dict = {k: {} for k in windows}
             for _ in range(self.rounds):
--- a/testbed/benchmarks/recovery_times.py
+++ b/testbed/benchmarks/recovery_times.py
@@ -7,7 +7,7 @@
 
 from ..faults.final_fault import CLOSINGS, PROMISE
 from ..processes.process_cluster import ZONES, wait_for
-from ..standins.clients import Caller
+from ..standins.clients import Client
 from .deployment_profiles import spread
 from .soak import Soak
 
@@ -38,9 +38,9 @@
             wait_for(lambda: self.calls.generate("warm")["end"], 20, "an engine is known")
             time.sleep(9)
             c = self.calls
-            c.start(Caller(c, "walk", 1 / self.profile["live"] / 2, lambda c, n: c.generate(n)))
-            c.start(Caller(c, "card", 1 / self.profile["fetch"], lambda c, n: c.fetch(n)))
-            c.start(Caller(c, "night", 6, lambda c, n: self.lot(n, 40, 3_600_000)))
+            c.start(Client(c, "walk", 1 / self.profile["live"] / 2, lambda c, n: c.generate(n)))
+            c.start(Client(c, "card", 1 / self.profile["fetch"], lambda c, n: c.fetch(n)))
+            c.start(Client(c, "night", 6, lambda c, n: self.lot(n, 40, 3_600_000)))
             for name in self.names:
                 took = [v for n in range(self.times) for v in getattr(self, "_measure_" + name)(n)]
                 limit = PROMISES[name]
--- a/testbed/benchmarks/soak.py
+++ b/testbed/benchmarks/soak.py
@@ -10,7 +10,7 @@
 from ..faults.final_fault import FinalFault
 from ..faults.overload import OverloadFaults
 from ..processes.process_cluster import ProcessCluster, wait_for
-from ..standins.clients import Caller, Callers
+from ..standins.clients import Client, Clients
 from .deployment_profiles import PROFILES, spread
 
 __all__ = ["Soak", "FAULTS"]
@@ -48,7 +48,7 @@
             level=level,
             models="pipit-small,gated,metered,narrow",
         )
-        self.calls = Callers(self.fleet, Random(seed + 1))
+        self.calls = Clients(self.fleet, Random(seed + 1))
         self.profile = p
         self.history: list[str] = []
         self._lots: list[str] = []
@@ -140,20 +140,20 @@
     def _load(self):
         p, rng = self.profile, self.calls.rng
         c = self.calls
-        c.start(Caller(c, "walk", 1 / p["live"], lambda c, n: c.generate(n, prefix=f"tour{hash(n) % 5}")))
-        c.start(Caller(c, "again", 2 / p["live"], lambda c, n: c.generate(n, repeatable=True)))
-        c.start(Caller(c, "card", 1 / p["fetch"], lambda c, n: c.fetch(n)))
-        c.start(Caller(c, "leaver", 0.7, self._leave_and_resume))
-        c.start(Caller(c, "slow", 2, lambda c, n: c.generate(n, slow=0.15, limit=25)))
-        c.start(Caller(c, "stuck", 6, lambda c, n: c.stuck(n, 4)))
-        c.start(Caller(c, "night", 20, lambda c, n: self.lot(n, 60, 3_600_000)))
-        c.start(Caller(c, "brief", 1.2, lambda c, n: self.lot(n, 5, 20_000, priority=5)))
-        c.start(Caller(c, "reader", 0.5, lambda c, n: self._lots and c.read_lot(rng.choice(self._lots[-12:]))))
-        c.start(Caller(c, "operator", 1.2, self._edit))
-        c.start(Caller(c, "gate", 6, lambda c, n: c.gate("gated", int(n[5:]) % 2 == 0, self._any(rng, "controller"))))
-        c.start(Caller(c, "gated", 0.3, lambda c, n: c.generate(n, model="gated")))
-        c.start(Caller(c, "metered", 0.15, lambda c, n: c.generate(n, model="metered")))
-        c.start(Caller(c, "narrow", 0.15, lambda c, n: c.generate(n, model="narrow")))
+        c.start(Client(c, "walk", 1 / p["live"], lambda c, n: c.generate(n, prefix=f"tour{hash(n) % 5}")))
+        c.start(Client(c, "again", 2 / p["live"], lambda c, n: c.generate(n, repeatable=True)))
+        c.start(Client(c, "card", 1 / p["fetch"], lambda c, n: c.fetch(n)))
+        c.start(Client(c, "leaver", 0.7, self._leave_and_resume))
+        c.start(Client(c, "slow", 2, lambda c, n: c.generate(n, slow=0.15, limit=25)))
+        c.start(Client(c, "stuck", 6, lambda c, n: c.stuck(n, 4)))
+        c.start(Client(c, "night", 20, lambda c, n: self.lot(n, 60, 3_600_000)))
+        c.start(Client(c, "brief", 1.2, lambda c, n: self.lot(n, 5, 20_000, priority=5)))
+        c.start(Client(c, "reader", 0.5, lambda c, n: self._lots and c.read_lot(rng.choice(self._lots[-12:]))))
+        c.start(Client(c, "operator", 1.2, self._edit))
+        c.start(Client(c, "gate", 6, lambda c, n: c.gate("gated", int(n[5:]) % 2 == 0, self._any(rng, "controller"))))
+        c.start(Client(c, "gated", 0.3, lambda c, n: c.generate(n, model="gated")))
+        c.start(Client(c, "metered", 0.15, lambda c, n: c.generate(n, model="metered")))
+        c.start(Client(c, "narrow", 0.15, lambda c, n: c.generate(n, model="narrow")))
 
     def _leave_and_resume(self, c, name):
         gateway = c.gateway()
--- a/testbed/standins/clients.py
+++ b/testbed/standins/clients.py
@@ -8,30 +8,30 @@
 
 from .operators import OperatorWorkload
 
-__all__ = ["Callers", "Caller"]
+__all__ = ["Clients", "Client"]
 
 
-class Caller:
+class Client:
     """One kind of caller: a thread that asks at a rate; each ask runs on its own thread, bounded in number."""
 
-    def __init__(self, callers, name, every, do, most=64):
-        self.callers, self.name, self.every, self.do = callers, name, every, do
+    def __init__(self, clients, name, every, do, most=64):
+        self.clients, self.name, self.every, self.do = clients, name, every, do
         self._slots = threading.Semaphore(most)
 
     def run(self):
         n = 0
-        while not self.callers.over.wait(self.every):
+        while not self.clients.over.wait(self.every):
             n += 1
             if self._slots.acquire(blocking=False):
                 threading.Thread(target=self._one, args=(n,), daemon=True).start()
             else:
-                self.callers.note("skipped", caller=self.name)
+                self.clients.note("skipped", caller=self.name)
 
     def _one(self, n):
         try:
-            self.do(self.callers, f"{self.name}-{n}")
+            self.do(self.clients, f"{self.name}-{n}")
         except Exception as e:
-            self.callers.note("caller_failed", caller=self.name, text=repr(e))
+            self.clients.note("caller_failed", caller=self.name, text=repr(e))
         finally:
             self._slots.release()
 
@@ -40,7 +40,7 @@
     return said.get("error") if isinstance(said, dict) else None
 
 
-class Callers(OperatorWorkload):
+class Clients(OperatorWorkload):
     def __init__(self, fleet, rng):
         self.fleet = fleet
         self.rng = rng
@@ -74,8 +74,8 @@
         finally:
             self.note("healed", id=n, settle=settle)
 
-    def start(self, caller: Caller):
-        t = threading.Thread(target=caller.run, daemon=True)
+    def start(self, client: Client):
+        t = threading.Thread(target=client.run, daemon=True)
         t.start()
         self._threads.append(t)
 
--- a/tests/router_builders.py
+++ b/tests/router_builders.py
@@ -17,7 +17,7 @@
 from pipitlink.router.engine_registry import EngineRegistry
 from pipitlink.router.engine_selector import EngineSelector
 from pipitlink.router.http_frontend import HttpFrontend
-from pipitlink.router.inbound_request import CallerFactory
+from pipitlink.router.inbound_request import ClientChannelFactory
 from pipitlink.router.item_runner import ItemRunner
 from pipitlink.router.load_exchange import LoadExchange
 from pipitlink.router.slow_start import SlowStart
@@ -218,7 +218,7 @@
         return got[0]
 
     def caller(self):
-        channel = CallerFactory(self.node.frontend, self.clock).buildProtocol(None)
+        channel = ClientChannelFactory(self.node.frontend, self.clock).buildProtocol(None)
         t = _Transport()
         t.protocol = channel
         channel.makeConnection(t)
--- a/tests/test_fetch_answers.py
+++ b/tests/test_fetch_answers.py
@@ -41,7 +41,7 @@
         ask = RequestRecord(
             kind=RequestKind.FETCH, model=name, prompt="", pool="models", idempotent=True, deadline=limit
         )
-        ask.caller = _Request()
+        ask.client_request = _Request()
         ask.task = spawn(self.pipeline.run(ask))
         return ask
 
@@ -52,13 +52,13 @@
         first = g.fetch_card("one")
         wire = g.connect()
         wire.protocol.dataReceived(ANSWER % b"first")
-        self.assertEqual((first.caller.written, first.state), (b"first", "done"))
+        self.assertEqual((first.client_request.written, first.state), (b"first", "done"))
         second = g.fetch_card("two")
         if not wire.disconnecting:
             wire.protocol.dataReceived(ANSWER % b"first")
-        self.assertEqual(second.caller.written, b"", "the answer of the first came to the second")
+        self.assertEqual(second.client_request.written, b"", "the answer of the first came to the second")
         g.connect().protocol.dataReceived(ANSWER % b"other")
-        self.assertEqual(second.caller.written, b"other")
+        self.assertEqual(second.client_request.written, b"other")
 
 
 if __name__ == "__main__":
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from testbed.processes.process_cluster import ProcessCluster, free_ports, wait_for
-from testbed.standins.clients import Callers
+from testbed.standins.clients import Clients
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -239,7 +239,7 @@
         fleet = ProcessCluster(gateways=2, storage_nodes=3, controllers=3, engines=2, cards=0, step=0.15)
         self.addCleanup(fleet.stop)
         fleet.start()
-        calls = Callers(fleet, Random(1))
+        calls = Clients(fleet, Random(1))
         wait_for(lambda: calls.generate("warm", gateway="gateway0")["end"], 20, "an engine is known")
         lot = fleet.call(
             "gateway0", "POST", "/v1/lots", {"items": [{"model": "pipit-small", "prompt": f"d{n}"} for n in range(20)]}
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -12,7 +12,7 @@
 
 from testbed.checks.checker import check
 from testbed.processes.process_cluster import ProcessCluster, free_ports, wait_for
-from testbed.standins.clients import Callers
+from testbed.standins.clients import Clients
 from testbed.standins.engine import answer_pieces, card_bytes
 
 
@@ -64,7 +64,7 @@
         self.assertTrue(events[-1].startswith("event: end\n"))
 
     def test_a_caller_that_was_moved_goes_on_at_any_gateway_exactly_where_it_stopped(self):
-        calls = Callers(self.fleet, Random(1))
+        calls = Clients(self.fleet, Random(1))
         for then in ("gateway0", "gateway1", "gateway2"):
             prompt = f"moved to {then}"
             e = calls.generate(prompt, gateway="gateway0", leave_at=2, then=then)
