--- a/pipitlink/controller/elections.py
+++ b/pipitlink/controller/elections.py
@@ -60,7 +60,7 @@
         """Answers vote requests from now on."""
         self.election_timeout = self._random_timeout()
         self._consensus.when_stepped_down(self._wake_timer)
-        self._ctx.rpc.register_handler("controller.vote", VoteRequest, self._answer_vote_request)
+        self._ctx.rpc.register_handler("controller.vote", VoteRequest, self._respond_to_vote_request)
 
     def start_timer(self) -> None:
         """Stands for election from now on, when one is due."""
@@ -161,7 +161,7 @@
         )
         return await VotePoll(self._ctx, self._consensus, self._calls, request).run()
 
-    async def _answer_vote_request(self, _node: str, request: VoteRequest) -> VoteResponse:
+    async def _respond_to_vote_request(self, _node: str, request: VoteRequest) -> VoteResponse:
         response = await self.vote(request)
         response.node = self._ctx.node
         return response
--- a/pipitlink/controller/vote_poll.py
+++ b/pipitlink/controller/vote_poll.py
@@ -33,7 +33,7 @@
         self._voters = consensus.voters()
         self._granted = {ctx.node}
         self._just_started = {ctx.node}
-        self._unanswered = len(self._voters) - 1
+        self._outstanding = len(self._voters) - 1
         self._result_known: defer.Deferred[None] = defer.Deferred()
 
     async def run(self) -> bool:
@@ -41,7 +41,7 @@
         for voter in self._voters:
             if voter != self._ctx.node:
                 self._ctx.run_in_background(self._ask(voter), "vote_request")
-        if self._unanswered:
+        if self._outstanding:
             await self._result_known
         if self._proves_full_restart and not self._just_started.issuperset(self._voters):
             return False
@@ -55,7 +55,7 @@
             self._just_started.add(voter)
         except WireError:
             pass
-        self._unanswered -= 1
+        self._outstanding -= 1
         if not self._result_known.called and self._is_decided():
             self._result_known.callback(None)
 
@@ -68,6 +68,6 @@
             await self._consensus.observe_term(response.term)
 
     def _is_decided(self) -> bool:
-        if self._unanswered == 0:
+        if self._outstanding == 0:
             return True
         return not self._proves_full_restart and self._consensus.is_majority(self._granted)
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -135,7 +135,7 @@
     async def _call_coordinator(self, request: PermitRequest) -> PermitResponse:
         coordinator = self.coordinator(request.row)
         if coordinator == self._ctx.node:
-            return self._answer(coordinator, request)
+            return self._respond(coordinator, request)
         member = self._ctx.membership.find(coordinator)
         assert member is not None
         address = (member.host, member.port)
@@ -145,9 +145,9 @@
             return PermitResponse(wait_ms=UNKNOWN_WAIT_MS)
 
     async def _handle_permit_request(self, node: str, request: PermitRequest) -> PermitResponse:
-        return self._answer(node, request)
+        return self._respond(node, request)
 
-    def _answer(self, node: str, request: PermitRequest) -> PermitResponse:
+    def _respond(self, node: str, request: PermitRequest) -> PermitResponse:
         """Grants, rejects or releases as the coordinator of the row."""
         limits = self._limits_of(request.row)
         if request.release:
--- a/pipitlink/membership/failure_detector.py
+++ b/pipitlink/membership/failure_detector.py
@@ -94,22 +94,22 @@
     async def _check(self, peer: Peer) -> None:
         """Probes a peer, and suspects it where it answers neither this node nor others."""
         incarnation = peer.member.incarnation
-        answering = await self._gossiper.probe(peer.address)
-        if answering == peer.member.node:
+        responding_node = await self._gossiper.probe(peer.address)
+        if responding_node == peer.member.node:
             return
-        if answering:
+        if responding_node:
             # Another node has its address, so this one cannot come back.
             peer.transition("confirm_gone", self._ctx.timers.now())
             self._table.peer_changed(peer)
             return
-        if await self._answers_others(peer):
+        if await self._responds_to_others(peer):
             return
         if peer.state == MemberStatus.ALIVE and peer.member.incarnation == incarnation:
             peer.transition("suspect", self._ctx.timers.now())
             self._table.peer_changed(peer)
             self._gossiper.broadcast()
 
-    async def _answers_others(self, peer: Peer) -> bool:
+    async def _responds_to_others(self, peer: Peer) -> bool:
         """Asks a few other members, one after the other, whether the peer answers them."""
         alive = self._table.members(None, (MemberStatus.ALIVE,), False)
         others = [member for member in alive if member.node != peer.member.node]
@@ -129,8 +129,8 @@
             )
         except WireError:
             return False
-        answered: bool = response.alive
-        return answered
+        responded: bool = response.alive
+        return responded
 
     async def _probe_for_peer(self, _node: str, request: IndirectProbeRequest) -> ProbeResponse:
         peer = self._table.peers.get(request.target)
--- a/pipitlink/membership/gossiper.py
+++ b/pipitlink/membership/gossiper.py
@@ -39,7 +39,7 @@
 
     def open(self) -> None:
         """Answers gossip of peers from now on."""
-        self._ctx.rpc.register_handler("membership.probe", Gossip, self._answer_probe)
+        self._ctx.rpc.register_handler("membership.probe", Gossip, self._respond_to_probe)
         self._ctx.rpc.register_handler("membership.tell", Gossip, self._take_gossip)
 
     def add_carrier(self, carrier: GossipCarrier) -> None:
@@ -64,7 +64,7 @@
         peers = self._table.members(None, LIVE, False)
         return [self._start(self._send((peer.host, peer.port), gossip)) for peer in peers]
 
-    async def _answer_probe(self, _node: str, gossip: Gossip) -> Gossip:
+    async def _respond_to_probe(self, _node: str, gossip: Gossip) -> Gossip:
         self._absorb(gossip)
         if gossip.digest != self._table.digest():
             return self._compose_full()
--- a/pipitlink/wire/connection.py
+++ b/pipitlink/wire/connection.py
@@ -97,8 +97,8 @@
         self._pending_calls: dict[int, defer.Deferred[Frame]] = {}
         self._last_call_id = 0
         # Since when calls have been sent without anything coming from the peer, and how many bytes they had.
-        self._unanswered_since: timedelta | None = None
-        self._bytes_unanswered = 0
+        self._unacknowledged_since: timedelta | None = None
+        self._unacknowledged_bytes = 0
 
     @property
     def tcp(self) -> TcpTransport:
@@ -113,8 +113,8 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
         """Takes bytes from the peer, which shows that it is there."""
-        self._unanswered_since = None
-        self._bytes_unanswered = 0
+        self._unacknowledged_since = None
+        self._unacknowledged_bytes = 0
         super().dataReceived(data)  # type: ignore[no-untyped-call] # twisted has no types here
 
     def stringReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
@@ -147,10 +147,10 @@
 
     def is_stalled(self) -> bool:
         """Returns whether nothing has come since a call was sent, for longer than its bytes take on a slow link."""
-        if self._unanswered_since is None or self.closed:
+        if self._unacknowledged_since is None or self.closed:
             return False
-        timeout = STALL_TIMEOUT + secs(self._bytes_unanswered / MIN_LINK_BYTES_PER_S)
-        return self._rpc.now() - self._unanswered_since > timeout
+        timeout = STALL_TIMEOUT + secs(self._unacknowledged_bytes / MIN_LINK_BYTES_PER_S)
+        return self._rpc.now() - self._unacknowledged_since > timeout
 
     def call(self, method: str, body: bytes) -> defer.Deferred[Frame]:
         """Sends a call, and returns its response frame. Fails with ConnectionFailed where the connection is lost."""
@@ -160,9 +160,9 @@
         call_id = self._last_call_id
         pending_call: defer.Deferred[Frame] = defer.Deferred(lambda _: self._forget_call(call_id))
         self._pending_calls[call_id] = pending_call
-        if self._unanswered_since is None:
-            self._unanswered_since = self._rpc.now()
-        self._bytes_unanswered += len(body)
+        if self._unacknowledged_since is None:
+            self._unacknowledged_since = self._rpc.now()
+        self._unacknowledged_bytes += len(body)
         self._send(method, Frame(call_id=call_id, method=method, body=body))
         return pending_call
 
--- a/testbed/checks/checker.py
+++ b/testbed/checks/checker.py
@@ -2,7 +2,7 @@
 
 from collections import Counter, defaultdict
 
-from ..standins.engine import answer_pieces, card_bytes
+from ..standins.engine import card_bytes, response_pieces
 from .cluster_checks import check_cluster, check_engines, check_floors
 from .downtime import SLACK, Downtimes
 
@@ -45,7 +45,7 @@
     for e in events:
         if e["event"] != "told":
             continue
-        prompt, right = e["prompt"], answer_pieces(e["prompt"], 256)
+        prompt, right = e["prompt"], response_pieces(e["prompt"], 256)
         ran = len(runs.get(prompt, ()))
         if ran > 1 and not e["repeatable"]:
             out.append(f"{prompt}: may not be repeated and ran {ran} times")
@@ -128,7 +128,7 @@
             out.append(f"lot {lot}: items {doubled} are listed twice")
         for item, outcome, text in shown[lot].values():
             prompt = e["prompts"][item]
-            if outcome == "done" and text != "".join(answer_pieces(prompt, 256)):
+            if outcome == "done" and text != "".join(response_pieces(prompt, 256)):
                 out.append(f"lot {lot} item {item}: not the engine's own answer")
             if outcome == "not_run" and runs.get(prompt):
                 out.append(f"lot {lot} item {item}: listed as not_run and ran")
--- a/testbed/checks/linearizability.py
+++ b/testbed/checks/linearizability.py
@@ -11,10 +11,10 @@
 
 import attrs
 
-__all__ = ["Answer", "ConfigOrder", "ConfigSeen", "ZoneOrder", "ZoneSeen", "check_history"]
+__all__ = ["Response", "ConfigOrder", "ConfigSeen", "ZoneOrder", "ZoneSeen", "check_history"]
 
 
-class Answer(Enum):
+class Response(Enum):
     """What an operator was told of an order in the end."""
 
     TAKEN = "taken"
@@ -32,7 +32,7 @@
     version: int
     sent: float
     ended: float
-    answer: Answer
+    response: Response
     valid: bool = True
 
     def steps(self, chain: tuple) -> list[tuple]:
@@ -40,11 +40,11 @@
         newest = chain[-1][0] if chain else 0
         taken = any(content == self.content for _, content in chain)
         fits = self.valid and not taken and newest == self.base and self.version > newest
-        if self.answer in (Answer.TAKEN, Answer.UNKNOWN):
+        if self.response in (Response.TAKEN, Response.UNKNOWN):
             if taken:
                 return [chain]
             return [(*chain, (self.version, self.content))] if fits else []
-        if self.answer is Answer.OTHER_VERSION:
+        if self.response is Response.OTHER_VERSION:
             return [chain] if not taken and newest != self.base or not self.valid else []
         return [chain] if not fits and not taken else []
 
@@ -58,7 +58,7 @@
     sent: float
     ended: float
     server: str = ""
-    answer = Answer.TAKEN
+    response = Response.TAKEN
 
     def steps(self, chain: tuple) -> list[tuple]:
         newest = chain[-1] if chain else (0, "")
@@ -73,10 +73,10 @@
     empty: bool
     sent: float
     ended: float
-    answer: Answer
+    response: Response
 
     def steps(self, empty: bool) -> list[bool]:
-        return [self.empty] if self.answer in (Answer.TAKEN, Answer.UNKNOWN) else [empty]
+        return [self.empty] if self.response in (Response.TAKEN, Response.UNKNOWN) else [empty]
 
 
 @attrs.frozen
@@ -88,7 +88,7 @@
     sent: float
     ended: float
     server: str = ""
-    answer = Answer.TAKEN
+    response = Response.TAKEN
 
     def steps(self, empty: bool) -> list[bool]:
         return [empty] if empty == self.empty else []
@@ -110,7 +110,7 @@
     for what in ("base", "version"):
         confirmed: dict[int, str] = {}
         for r in orders:
-            if r.answer is Answer.TAKEN and confirmed.setdefault(getattr(r, what), r.content) != r.content:
+            if r.response is Response.TAKEN and confirmed.setdefault(getattr(r, what), r.content) != r.content:
                 out.append(f"two changes were confirmed with {what} {getattr(r, what)}")
     return out
 
@@ -134,7 +134,7 @@
         return False
     if not _is_view(b) or not b.server:
         return True
-    return a.server == b.server if _is_view(a) else a.answer is Answer.TAKEN
+    return a.server == b.server if _is_view(a) else a.response is Response.TAKEN
 
 
 class _Search:
@@ -144,12 +144,12 @@
 
     def __init__(self, records: list):
         self._records = records
-        self._owed = sum(1 << i for i, r in enumerate(records) if r.answer is not Answer.UNKNOWN)
+        self._owed = sum(1 << i for i, r in enumerate(records) if r.response is not Response.UNKNOWN)
         self._before = [sum(1 << i for i, a in enumerate(records) if _precedes(a, b)) & self._owed for b in records]
         self._after = [sum(1 << i for i, b in enumerate(records) if _precedes(a, b)) for a in records]
         self._free = [self._changes_nothing(r) for r in records]
         self._closing = [
-            sum(1 << i for i, a in enumerate(records) if a.answer is Answer.UNKNOWN and _precedes(a, b))
+            sum(1 << i for i, a in enumerate(records) if a.response is Response.UNKNOWN and _precedes(a, b))
             for b in records
         ]
         self._deepest = -1
@@ -189,15 +189,15 @@
         return done, state
 
     def _changes_nothing(self, r) -> bool:
-        return _is_view(r) or r.answer in (Answer.OTHER_VERSION, Answer.REFUSED)
+        return _is_view(r) or r.response in (Response.OTHER_VERSION, Response.REFUSED)
 
     def _next(self, done: int, state) -> list:
         """The ways on from here, the likeliest last: what is owed goes first, and of this what ended first."""
         ways = [
-            (r.answer is Answer.UNKNOWN, r.ended, done | 1 << i, after)
+            (r.response is Response.UNKNOWN, r.ended, done | 1 << i, after)
             for i, r in self._open(done)
             for after in r.steps(state)
-            if r.answer is not Answer.UNKNOWN or after != state
+            if r.response is not Response.UNKNOWN or after != state
         ]
         ways.sort(key=lambda w: w[:2], reverse=True)
         return [(mask, after) for _, _, mask, after in ways]
@@ -206,5 +206,5 @@
         depth = (done & self._owed).bit_count()
         if depth > self._deepest:
             self._deepest = depth
-            left = [r for i, r in enumerate(self._records) if not done >> i & 1 and r.answer is not Answer.UNKNOWN]
+            left = [r for i, r in enumerate(self._records) if not done >> i & 1 and r.response is not Response.UNKNOWN]
             self.stuck = min(left, key=lambda r: r.ended)
--- a/testbed/processes/host_processes.py
+++ b/testbed/processes/host_processes.py
@@ -77,7 +77,7 @@
         spec = {"zones": ZONES, "folder": str(self.folder), "founders": seeds[:3], "seeds": seeds}
         kinds = {"controller": "hollow", "storage": "hollow", "gateway": self.kind}
         self.base = {id(h): h.memory() for h in self.hosts if h.ask("count")}
-        answers = self._all(
+        responses = self._all(
             lambda h: h.ask(
                 "listen",
                 spec={
@@ -90,8 +90,8 @@
             )
         )
         control = [h for h in self.hosts if h.role != "gateway"]
-        self._found(control, [m for h, t in zip(self.hosts, answers) if h.role != "gateway" for m in t["members"]])
-        members = [m for t in answers for m in t["members"]]
+        self._found(control, [m for h, t in zip(self.hosts, responses) if h.role != "gateway" for m in t["members"]])
+        members = [m for t in responses for m in t["members"]]
         self._all(lambda h: h.ask("pace", pace=self.pace))
         self._all(lambda h: h.ask("meet" if h.role != "gateway" else "open", members=members))
         self._until(lambda: all(h.ask("look")["ready"] for h in self.hosts), READY_LIMIT + 5 * self.pace)
--- a/testbed/simulator/simulated_engine.py
+++ b/testbed/simulator/simulated_engine.py
@@ -7,7 +7,7 @@
 from pipitlink.errors import EngineError, ServiceUnavailable
 from pipitlink.wire.membership_pb2 import EngineUpdate
 
-from ..standins.engine import answer_pieces
+from ..standins.engine import response_pieces
 from .simulation import Simulation
 from .virtual_time import NodeReactor
 
@@ -120,7 +120,7 @@
         """Runs a request, which is on its way from now on, whatever becomes of the gateway."""
         call = _Call(reactor)
         run = f"{request.id}.{request.attempts}"
-        chunks = answer_pieces(request.prompt, MAX_CHUNKS)
+        chunks = response_pieces(request.prompt, MAX_CHUNKS)
         self.simulation.clock.callLater(DELIVERY_SECONDS, self._begin, run, request, call, chunks)
         return call
 
--- a/testbed/standins/engine.py
+++ b/testbed/standins/engine.py
@@ -10,10 +10,10 @@
 from twisted.internet import defer, endpoints, reactor, task
 from twisted.web.server import Site
 
-__all__ = ["Backend", "answer_pieces", "card_bytes"]
+__all__ = ["Backend", "response_pieces", "card_bytes"]
 
 
-def answer_pieces(prompt: str, most: int) -> list[str]:
+def response_pieces(prompt: str, most: int) -> list[str]:
     """The one right answer to a prompt, so that a checker knows it without asking."""
     seed = hashlib.sha256(prompt.encode()).hexdigest()
     return [f"{seed[i % 32 : i % 32 + 6]}.{i} " for i in range(min(most, 4 + int(seed[:2], 16) % 12))]
@@ -98,7 +98,7 @@
                 self.note("left", run=run, pieces=0)
                 return b""
             request.setHeader(b"Content-Type", b"text/event-stream")
-            pieces = answer_pieces(body["prompt"], body["max_tokens"])
+            pieces = response_pieces(body["prompt"], body["max_tokens"])
             for n, text in enumerate(pieces):
                 await task.deferLater(reactor, self.step * (40 if body["prompt"].startswith("end") else 1))
                 if gone:
--- a/testbed/standins/operators.py
+++ b/testbed/standins/operators.py
@@ -26,11 +26,11 @@
             request = ("PUT", "/v1/table", {"rows": whole})
         else:
             request = ("PUT" if row is not None else "DELETE", f"/v1/table/rows/{name}", row)
-        answer = self._send_edit(controller, request, base, edit_id, name, row, whole, limit)
-        if answer["outcome"] == "unknown":
+        response = self._send_edit(controller, request, base, edit_id, name, row, whole, limit)
+        if response["outcome"] == "unknown":
             with self._unknown_lock:
                 self._unknown.append((request, base, edit_id, name, row, whole))
-        return answer
+        return response
 
     def read_table(self, controller: str) -> tuple[int | None, dict]:
         asked = time.monotonic()
@@ -71,8 +71,8 @@
             waiting, self._unknown = self._unknown, []
         for one in waiting:
             request, base, edit_id, name, row, whole = one
-            answer = [self._send_edit(controller, request, base, edit_id, name, row, whole, 12) for _ in range(2)]
-            if any(t["outcome"] == "unknown" for t in answer):
+            response = [self._send_edit(controller, request, base, edit_id, name, row, whole, 12) for _ in range(2)]
+            if any(t["outcome"] == "unknown" for t in response):
                 with self._unknown_lock:
                     self._unknown.append(one)
 
@@ -94,7 +94,7 @@
     def gate(self, model: str, open_: bool, controller: str):
         """Opens or closes a model by its row's weight: an edit that back ends and callers see the effect of."""
         asked = self.note("gate_asked", model=model, open=open_)["at"]
-        answer = self.edit(
+        response = self.edit(
             f"gate-{model}", {"model": model, "weight": int(open_)}, f"gate-{model}-{open_}-{asked}", controller
         )
-        self.note("gate", model=model, open=open_, asked=asked, done=answer.get("status") == 200)
+        self.note("gate", model=model, open=open_, asked=asked, done=response.get("status") == 200)
--- a/tests/order_simulation.py
+++ b/tests/order_simulation.py
@@ -5,7 +5,7 @@
 import attrs
 
 from pipitlink.timers import ms, spawn
-from testbed.checks.linearizability import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen
+from testbed.checks.linearizability import ConfigOrder, ConfigSeen, Response, ZoneOrder, ZoneSeen
 from testbed.simulator.simulation import Simulation
 
 from .control_calls import Caller, config_of, route_of
@@ -45,7 +45,7 @@
     """What became of an order: when its copies were sent, and its clear answer, if there was one."""
 
     copies: list[float] = attrs.Factory(list)
-    answer: Answer = Answer.UNKNOWN
+    response: Response = Response.UNKNOWN
     ended: float = inf
 
 
@@ -54,7 +54,7 @@
     """One copy of an order on its way: the controller's life that it reached, and whether its caller has left."""
 
     life: object = None
-    answer: list | None = None
+    response: list | None = None
     failed: bool = False
     left: bool = False
 
@@ -62,9 +62,9 @@
 class Operators:
     """Several operators who change one fleet at once, each as a caller with a second of patience."""
 
-    def __init__(self, simulation, tries: int = 8, lost: float = 0.05, held: float = 0.12, unanswered: float = 0.1):
+    def __init__(self, simulation, tries: int = 8, lost: float = 0.05, held: float = 0.12, unacknowledged: float = 0.1):
         self.simulation, self.caller, self.timers = simulation, Caller(simulation), simulation.timers()
-        self.tries, self.lost, self.held, self.unanswered = tries, lost, held, unanswered
+        self.tries, self.lost, self.held, self.unacknowledged = tries, lost, held, unacknowledged
         self.records: list = []
         self.over = False
         self._number = 0
@@ -76,13 +76,13 @@
         self.faults.append(repr(error))
 
     def taken(self) -> int:
-        return sum(isinstance(r, ConfigOrder | ZoneOrder) and r.answer is Answer.TAKEN for r in self.records)
+        return sum(isinstance(r, ConfigOrder | ZoneOrder) and r.response is Response.TAKEN for r in self.records)
 
     async def call(self, controller, *args):
         """One copy of a call: (status, body), or None where no clear answer came in time."""
         simulation, rng = self.simulation, self.simulation.rng
         sent = _Sent()
-        lost_answer = rng.random() < self.unanswered
+        lost_response = rng.random() < self.unacknowledged
         span = 0.001 + 0.003 * rng.random()
         if rng.random() < self.held:
             span = rng.choice((0.2, 0.6, 1.5, 3.0, 6.0))
@@ -93,10 +93,10 @@
             await self.timers.sleep(ms(10))
             if sent.failed or sent.life is not None and (not controller.alive or controller.ctx is not sent.life):
                 return None
-            if sent.answer and not lost_answer:
-                return sent.answer[0] if sent.answer[0][0] < 500 else None
+            if sent.response and not lost_response:
+                return sent.response[0] if sent.response[0][0] < 500 else None
         sent.left = True
-        if sent.answer is not None:
+        if sent.response is not None:
             simulation.clock.callLater(0.002, self._hang_up, controller, sent)
         return None
 
@@ -108,13 +108,13 @@
         controller.clock.callLater(0, self._read, controller, sent, args)
 
     def _read(self, controller, sent, args):
-        sent.answer = self.caller.begin(controller, *args)
+        sent.response = self.caller.begin(controller, *args)
         if sent.left:
             self.simulation.clock.callLater(0.008 * self.simulation.rng.random(), self._hang_up, controller, sent)
 
     def _hang_up(self, controller, sent):
         if controller.alive and controller.ctx is sent.life:
-            controller.clock.callLater(0, sent.answer.hang_up)
+            controller.clock.callLater(0, sent.response.hang_up)
 
     async def send(self, *args) -> _OrderOutcome:
         """An order sent until it has a clear answer."""
@@ -124,13 +124,13 @@
             outcome.copies.append(self.simulation.clock.seconds())
             got = await self.call(self.simulation.rng.choice(self.simulation.role("controller")), *args)
             if got is not None:
-                outcome.answer, outcome.ended = _meaning(got[0]), self.simulation.clock.seconds()
+                outcome.response, outcome.ended = _meaning(got[0]), self.simulation.clock.seconds()
                 return outcome
             await self.timers.sleep(ms(pause))
             pause = min(400, 2 * pause)
         return outcome
 
-    async def change(self, content, base, version, valid=True, replaced=None) -> Answer:
+    async def change(self, content, base, version, valid=True, replaced=None) -> Response:
         """A change of the configuration to one route that is named like its content; a patch where it replaces one."""
         route = route_of(content, "p" if valid else "unknown")
         args = ("PUT", CONFIG, config_of(version, route))
@@ -142,15 +142,15 @@
             )
         outcome = await self.send(*args, {"If-Match": str(base)})
         self.records.append(
-            ConfigOrder(content, base, version, outcome.copies[0], outcome.ended, outcome.answer, valid)
+            ConfigOrder(content, base, version, outcome.copies[0], outcome.ended, outcome.response, valid)
         )
-        return outcome.answer
+        return outcome.response
 
     async def change_zone(self, zone, empty):
         outcome = await self.send("PUT" if empty else "DELETE", f"/v1/zones/{zone}/empty")
         for n, sent in enumerate(outcome.copies, 1):
-            answer = outcome.answer if n == len(outcome.copies) else Answer.UNKNOWN
-            self.records.append(ZoneOrder(zone, empty, sent, outcome.ended, answer))
+            response = outcome.response if n == len(outcome.copies) else Response.UNKNOWN
+            self.records.append(ZoneOrder(zone, empty, sent, outcome.ended, response))
 
     async def read(self, controller=None):
         """The version and content that were read back, or None."""
@@ -191,13 +191,13 @@
             await second
         else:
             replaced = content if content and rng.random() < 0.3 else None
-            answer = await self.change(name, base, version, replaced=replaced)
-            if answer is Answer.TAKEN and rng.random() < 0.3:
+            response = await self.change(name, base, version, replaced=replaced)
+            if response is Response.TAKEN and rng.random() < 0.3:
                 await self.change(name, base, version, replaced=replaced)
 
     async def _early(self, name: str, base: int):
         """A change on a version that may not be in force yet; sent again once where that was refused."""
-        if await self.change(name, base, base + 2) is Answer.OTHER_VERSION:
+        if await self.change(name, base, base + 2) is Response.OTHER_VERSION:
             await self.timers.sleep(ms(300))
             await self.change(name, base, base + 2)
 
@@ -230,7 +230,7 @@
         self.records.append(view)
 
 
-def _meaning(status: int) -> Answer:
+def _meaning(status: int) -> Response:
     if status == 200:
-        return Answer.TAKEN
-    return Answer.OTHER_VERSION if status == 412 else Answer.REFUSED
+        return Response.TAKEN
+    return Response.OTHER_VERSION if status == 412 else Response.REFUSED
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -4,10 +4,10 @@
 import unittest
 
 from testbed.checks.checker import check
-from testbed.standins.engine import answer_pieces, card_bytes
+from testbed.standins.engine import card_bytes, response_pieces
 
 PROMPT = "tell me"
-PIECES = list(enumerate(answer_pieces(PROMPT, 256)))
+PIECES = list(enumerate(response_pieces(PROMPT, 256)))
 
 
 def good():
@@ -36,7 +36,7 @@
         "asked": 12.9,
         "status": 201,
     }
-    listed = [{"n": i, "item": i, "outcome": "done", "text": "".join(answer_pieces(f"l/{i}", 256))} for i in (0, 1)]
+    listed = [{"n": i, "item": i, "outcome": "done", "text": "".join(response_pieces(f"l/{i}", 256))} for i in (0, 1)]
     edit = {
         "at": 22,
         "event": "edit",
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -4,21 +4,21 @@
 from math import inf
 from random import Random
 
-from testbed.checks.linearizability import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen, check_history
+from testbed.checks.linearizability import ConfigOrder, ConfigSeen, Response, ZoneOrder, ZoneSeen, check_history
 
-TAKEN, OTHER, REFUSED, UNKNOWN = Answer.TAKEN, Answer.OTHER_VERSION, Answer.REFUSED, Answer.UNKNOWN
+TAKEN, OTHER, REFUSED, UNKNOWN = Response.TAKEN, Response.OTHER_VERSION, Response.REFUSED, Response.UNKNOWN
 
 
-def order(content, base, version, sent, ended, answer=TAKEN, valid=True):
-    return ConfigOrder(content, base, version, sent, ended, answer, valid)
+def order(content, base, version, sent, ended, response=TAKEN, valid=True):
+    return ConfigOrder(content, base, version, sent, ended, response, valid)
 
 
 def seen(version, content, sent, ended, server=""):
     return ConfigSeen(version, content, sent, ended, server)
 
 
-def zone(empty, sent, ended, answer=TAKEN, name="a"):
-    return ZoneOrder(name, empty, sent, ended, answer)
+def zone(empty, sent, ended, response=TAKEN, name="a"):
+    return ZoneOrder(name, empty, sent, ended, response)
 
 
 def zone_seen(empty, sent, ended, name="a", server=""):
--- a/tests/test_order_guards.py
+++ b/tests/test_order_guards.py
@@ -9,14 +9,14 @@
 from pipitlink.controller import order_fencing
 from pipitlink.controller.order_fencing import OrderFencing
 from pipitlink.timers import ZERO
-from testbed.checks.linearizability import Answer, ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen, check_history
+from testbed.checks.linearizability import ConfigOrder, ConfigSeen, Response, ZoneOrder, ZoneSeen, check_history
 
 from .control_calls import Caller, config_of, route_of
 from .order_simulation import DelayingSimulation
 
 ZONE = "zone-b"
 PATH = f"/v1/zones/{ZONE}/empty"
-ANSWERS = {200: Answer.TAKEN, 412: Answer.OTHER_VERSION, 400: Answer.REFUSED, 409: Answer.REFUSED}
+ANSWERS = {200: Response.TAKEN, 412: Response.OTHER_VERSION, 400: Response.REFUSED, 409: Response.REFUSED}
 
 
 class Scenario:
@@ -38,14 +38,14 @@
         began = self.simulation.clock.seconds()
         body = config_of(version, route_of(content))
         args = ("PUT", "/v1/config", body, {"If-Match": str(base), **headers})
-        answer = ANSWERS[self.caller.ask(self.other, *args)[0]]
-        self.records.append(ConfigOrder(content, base, version, began, self.simulation.clock.seconds(), answer))
+        response = ANSWERS[self.caller.ask(self.other, *args)[0]]
+        self.records.append(ConfigOrder(content, base, version, began, self.simulation.clock.seconds(), response))
 
     def zone(self, empty: bool):
         self.simulation.run(0.01)
         began = self.simulation.clock.seconds()
-        answer = ANSWERS[self.caller.ask(self.other, "PUT" if empty else "DELETE", PATH)[0]]
-        self.records.append(ZoneOrder(ZONE, empty, began, self.simulation.clock.seconds(), answer))
+        response = ANSWERS[self.caller.ask(self.other, "PUT" if empty else "DELETE", PATH)[0]]
+        self.records.append(ZoneOrder(ZONE, empty, began, self.simulation.clock.seconds(), response))
 
     def look(self):
         now = self.simulation.clock.seconds()
@@ -58,7 +58,7 @@
     def note_copy(self):
         """A copy of the order that empties the zone; its caller gives it up after a second and sends it again."""
         now = self.simulation.clock.seconds()
-        self.records.append(ZoneOrder(ZONE, True, now, now + 1.1, Answer.UNKNOWN))
+        self.records.append(ZoneOrder(ZONE, True, now, now + 1.1, Response.UNKNOWN))
 
     def empty_and_fill(self):
         """The order that was sent again is confirmed and taken back."""
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -13,7 +13,7 @@
 from testbed.checks.checker import check
 from testbed.processes.process_cluster import ProcessCluster, free_ports, wait_for
 from testbed.standins.clients import Clients
-from testbed.standins.engine import answer_pieces, card_bytes
+from testbed.standins.engine import card_bytes, response_pieces
 
 
 class _Listener(BaseHTTPRequestHandler):
@@ -59,7 +59,7 @@
         self.assertEqual(status, 200)
         self.assertEqual(headers.get_content_type(), "text/event-stream")
         events = raw.decode().strip().split("\n\n")
-        pieces = answer_pieces("where is the ferry", 256)
+        pieces = response_pieces("where is the ferry", 256)
         self.assertEqual([e.splitlines()[0] for e in events[1:-1]], [f"id: {n}" for n in range(len(pieces))])
         self.assertTrue(events[-1].startswith("event: end\n"))
 
@@ -69,7 +69,7 @@
             prompt = f"moved to {then}"
             e = calls.generate(prompt, gateway="gateway0", leave_at=2, then=then)
             self.assertEqual((e["end"], e["fault"]), (True, None))
-            self.assertEqual(e["pieces"], list(enumerate(answer_pieces(prompt, 256))))
+            self.assertEqual(e["pieces"], list(enumerate(response_pieces(prompt, 256))))
         run = e["run"]
         self.assertEqual(self.fleet.call("gateway1", "GET", f"/v1/generate/{run}?from=99")[0], 416)
         self.assertEqual(check(calls.taken(), self.fleet.notes(), {}), [])
@@ -92,7 +92,7 @@
         shown = self.fleet.call("gateway2", "GET", path + "/results")[1]["results"]
         self.assertEqual(sorted(r["item"] for r in shown), list(range(12)))
         for r in shown:
-            self.assertEqual(r["text"], "".join(answer_pieces(f"brief {r['item']}", 256)))
+            self.assertEqual(r["text"], "".join(response_pieces(f"brief {r['item']}", 256)))
 
     def test_changes_are_told_as_cloudevents(self):
         lot = self.fleet.call("gateway0", "POST", "/v1/lots", {"items": [{"model": "pipit-small", "prompt": "told"}]})[
