--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -21,7 +21,7 @@
 from . import batch_builders
 from .control_calls import Caller
 from .order_simulation import DelayingSimulation, Operators
-from .router_builders import END, Rig, chunk, event, head, route
+from .router_builders import END, RouterHarness, chunk, event, head, route
 from .test_simulated_controllers import _Operators as TableOperators
 from .test_simulated_logs import _Writers as LogWriters
 
@@ -387,8 +387,8 @@
 
     def __init__(self, seed):
         self.rng = Random(seed)
-        self.rig = Rig(ROUTES, seed=seed, gateways=2)
-        self.seen = _Notes(self.rig.clock.seconds)
+        self.harness = RouterHarness(ROUTES, seed=seed, gateways=2)
+        self.seen = _Notes(self.harness.clock.seconds)
         self.callers: list = []
         self.open: list = []
         self.states = dict.fromkeys(self.ENGINES, "ready")
@@ -405,7 +405,7 @@
 
     def _announce(self):
         for n, (name, state) in enumerate(self.states.items()):
-            self.rig.engine(name, zone="zone-" + "ab"[n % 2], capacity=3, state=state)
+            self.harness.announce_engine(name, zone="zone-" + "ab"[n % 2], capacity=3, state=state)
 
     def _ask(self):
         path = self.rng.choice(PATHS)
@@ -413,7 +413,7 @@
         call_id = f"c{len(self.callers)}"
         body = b"b" * self.rng.randrange(200)
         self.seen.note("asks", call_id, path, headers, len(body))
-        self.callers.append(self.rig.ask(path, call_id, body, headers))
+        self.callers.append(self.harness.send_request(path, call_id, body, headers))
 
     def _pass(self):
         self._pass_time(self.rng.choice((5, 20, 20, 100, 400, 1500)))
@@ -421,7 +421,7 @@
     def _pass_time(self, span_ms: int):
         """Time passes in short steps; engines tell of themselves at the end of each."""
         for start in range(0, span_ms, 100):
-            self.rig.pass_time(min(100, span_ms - start))
+            self.harness.advance_ms(min(100, span_ms - start))
             self._announce()
             self._note_all()
 
@@ -429,10 +429,10 @@
         name = self.rng.choice(self.ENGINES)
         address = f"10.0.0.{name[1:]}:80"
         self.states[name] = self.rng.choice(("ready", "ready", "leaving"))
-        self.rig.refusing.clear()
+        self.harness.refused_addresses.clear()
         if self.rng.random() < 0.4:
-            self.rig.refusing.add(address)
-        self.seen.note("engine", name, self.states[name], address in self.rig.refusing)
+            self.harness.refused_addresses.add(address)
+        self.seen.note("engine", name, self.states[name], address in self.harness.refused_addresses)
         self._announce()
 
     def _hang_up(self):
@@ -474,12 +474,12 @@
         link.dataReceived(head(call_id, status, seal=self.rng.random() < 0.7, length=4) + b"body")
 
     def _note_all(self):
-        for name, link, data in self.rig.asked():
+        for name, link, data in self.harness.take_engine_requests():
             self.seen.note("engine is sent", name, data)
             call_id = _call_id(data)
             self.open.append([name, link, call_id, 0])
         for n, channel in enumerate(self.callers):
-            data = self.rig.seen(channel)
+            data = self.harness.client_output(channel)
             if data:
                 channel.transport.clear()
                 self.seen.note("caller sees", n, data, channel.transport.gone)
--- a/tests/response_scenarios.py
+++ b/tests/response_scenarios.py
@@ -9,7 +9,7 @@
 from pipitlink.timers import spawn
 from pipitlink.wire.cluster_pb2 import Pool
 
-from .router_builders import END, Rig, chunk, event, head, route
+from .router_builders import END, RouterHarness, chunk, event, head, route
 
 __all__ = ["ResponseScenario", "ItemScenario", "ROUTES"]
 
@@ -64,7 +64,7 @@
     ):
         self.kind, self.route = kind, ROUTES[kind]
         pool = Pool(name="models", max_connections=100, slots=4, cache_tokens=100_000)
-        self.rig = Rig(list(ROUTES.values()), [pool])
+        self.harness = RouterHarness(list(ROUTES.values()), [pool])
         self.names = [f"e{n}" for n in range(1, engines + 1)]
         self._announce()
         self.exchanges: list[Exchange] = []
@@ -74,14 +74,14 @@
         self._to_come = clients
         self._moments = moments
         if slow_connects:
-            self.rig.node.connections._connect = self._connect_later
-        self.rig.pass_time(10)
+            self.harness.node.connections._connect = self._connect_later
+        self.harness.advance_ms(10)
         self._ask()
 
     def _announce(self):
         for name in self.names:
-            if self.rig.node.engines.get(name) or not self.rig.node.engines.is_gone(name):
-                self.rig.engine(name)
+            if self.harness.node.engines.get(name) or not self.harness.node.engines.is_gone(name):
+                self.harness.announce_engine(name)
 
     def _connect_later(self, link):
         up = defer.Deferred()
@@ -89,7 +89,7 @@
         return up
 
     def _collect(self):
-        for engine, link, data in self.rig.asked():
+        for engine, link, data in self.harness.take_engine_requests():
             assert len(re.findall(rb"HTTP/1\.1\r\n", data)) == 1, f"not one request: {data}"
             call_id = re.search(rb"(?i)x-request-id: (\S+)", data).group(1).decode()
             last = re.search(rb"(?i)last-event-id: (\d+)", data)
@@ -98,9 +98,9 @@
 
     def _ask(self):
         self._to_come -= 1
-        call_id = f"c{len(self.callers) + 1}"
+        call_id = f"c{len(self.clients) + 1}"
         path = self.route.prefix + "x"
-        self.clients.append(Client(self.rig.ask(path, call_id), call_id))
+        self.clients.append(Client(self.harness.send_request(path, call_id), call_id))
 
     # What may come next
 
@@ -118,7 +118,7 @@
         out += self._idle_events()
         out += self._client_events()
         if self._moments:
-            out.append(("a moment passes", lambda: self.rig.pass_time(50)))
+            out.append(("a moment passes", lambda: self.harness.advance_ms(50)))
         for n in range(2):
             if f"second {n}" not in self._once:
                 out.append(("a second passes", lambda n=n: self._pass_second(n)))
@@ -129,7 +129,7 @@
         def event():
             do()
             if not self._moments:
-                self.rig.pass_time(50)
+                self.harness.advance_ms(50)
             self._collect()
 
         return event
@@ -137,7 +137,7 @@
     def _come_up(self, n):
         link, up = self._connects.pop(n)
         if not up.called:
-            self.rig.connect(link)
+            self.harness.connect(link)
             up.callback(link)
 
     def _stay_down(self, n):
@@ -147,7 +147,7 @@
 
     def _pass_second(self, n):
         self._once.add(f"second {n}")
-        self.rig.pass_time(1000)
+        self.harness.advance_ms(1000)
         self._announce()
 
     def _engine_events(self, x: Exchange) -> list:
@@ -172,7 +172,7 @@
 
     def _idle_events(self) -> list:
         out = []
-        for link in self.rig.node.connections.idle_connections():
+        for link in self.harness.node.connections.idle_connections():
             x = self._earlier(link)
             if x is not None and "idle" not in self._once:
                 out.append((f"{x.n} extra", lambda x=x: self._extra(x)))
@@ -187,7 +187,7 @@
         ]
 
     def _served(self, c) -> bool:
-        return any(call.id == c.call_id.encode() for call in self.rig.node.relay.calls)
+        return any(call.id == c.call_id.encode() for call in self.harness.node.relay.calls)
 
     def _leave(self, c):
         c.left = True
@@ -256,10 +256,12 @@
                 if not x.shown:
                     self._begin(x)
                 self._rest(x)
-            self.rig.pass_time(100)
+            self.harness.advance_ms(100)
             self._announce()
         for c in self.clients:
-            assert c.left or self.rig.seen(c.channel) or c.channel.transport.gone, f"{c.call_id} was told nothing"
+            assert c.left or self.harness.client_output(c.channel) or c.channel.transport.gone, (
+                f"{c.call_id} was told nothing"
+            )
 
     # What must hold
 
@@ -279,7 +281,7 @@
         assert not c.left or len(mine) <= c.exchanges_then, f"UNASKED: {c.call_id} was sent after its caller had left"
 
     def _check_told(self, c):
-        out = self.rig.seen(c.channel)
+        out = self.harness.client_output(c.channel)
         if not out:
             return
         assert out.count(b"HTTP/1.1 ") == 1, f"MIXED: {out}"
@@ -334,7 +336,7 @@
         self.tries += 1
         self._collect()
         self._tried_from = len(self.exchanges)
-        spawn(self.rig.node.items.run(self.item)).addCallback(self._record_response)
+        spawn(self.harness.node.items.run(self.item)).addCallback(self._record_response)
 
     def _record_response(self, response):
         self.responses.append(response)
@@ -342,7 +344,7 @@
         if response.not_run:
             self._not_run += self.exchanges[self._tried_from :]
         if not response.is_complete and response.status != 500 and self.tries < 4:
-            self.rig.clock.callLater(0.01, self._ask)
+            self.harness.clock.callLater(0.01, self._ask)
 
     def check(self):
         self._collect()
@@ -350,5 +352,5 @@
         assert self.item.texts == texts[: len(self.item.texts)], f"ORDER: {self.item.texts}"
         for response in self.responses:
             assert not response.is_complete or self.item.texts == texts, f"MIXED: whole after {self.item.texts}"
-            assert response.status in (0, 200, 500), f"MIXED: {answer}"
+            assert response.status in (0, 200, 500), f"MIXED: {response}"
         assert all(x.refused for x in self._not_run), "REFUSED: a try that may have run was told as not run"
--- a/tests/router_builders.py
+++ b/tests/router_builders.py
@@ -28,7 +28,7 @@
 from pipitlink.wire.cluster_pb2 import Bounds, Config, Pool, PoolShare, Route
 from pipitlink.wire.membership_pb2 import EngineUpdate, Member
 
-__all__ = ["Rig", "route", "head", "chunk", "END"]
+__all__ = ["RouterHarness", "route", "head", "chunk", "END"]
 
 END = b"0\r\n\r\n"
 
@@ -97,11 +97,11 @@
 class _Node:
     """The live path of a gateway, without batches."""
 
-    def __init__(self, ctx, rig):
+    def __init__(self, ctx, harness):
         self.engines = EngineRegistry(ctx)
         self.slow_start = SlowStart(ctx)
         self.loads = LoadExchange(ctx, self.engines)
-        self.connections = ConnectionPool(ctx, rig.connect)
+        self.connections = ConnectionPool(ctx, harness.connect)
         self.selector = EngineSelector(ctx, self.engines, self.slow_start, self.connections)
         self.relay = CallRelay(ctx, self.engines, self.selector, self.connections)
         self.items = ItemRunner(ctx, self.relay)
@@ -112,13 +112,13 @@
         self.relay.open()
 
 
-class Rig:
-    """`ask` sends a caller's request; `at(engine)` gives the connections to an engine, oldest first."""
+class RouterHarness:
+    """`send_request` sends a caller's request; `at(engine)` gives the connections to an engine, oldest first."""
 
     def __init__(self, routes, pools=None, seed=1, gateways=1):
         self.clock = Clock()
         self.clock.advance(1000)
-        self.lines = []
+        self.log_lines = []
         timers = Timers(self.clock, seconds=self.clock.seconds)
         timers.utc_now = lambda: datetime.fromtimestamp(1_700_000_000 + self.clock.seconds(), UTC)
         pools = pools or [Pool(name="models", max_connections=100, slots=4, cache_tokens=100_000)]
@@ -151,27 +151,27 @@
             rng=Random(seed),
             reactor=self.clock,
             settings=Settings(zone="zone-a"),
-            logger=StructuredLogger(SimpleNamespace(log=lambda level, shape, line: self.lines.append(line))),
+            logger=StructuredLogger(SimpleNamespace(log=lambda level, shape, line: self.log_lines.append(line))),
             traffic=TrafficCounter("a"),
-            error_reporter=lambda what: lambda e: self.lines.append(f"{what} {e!r}"),
+            error_reporter=lambda what: lambda e: self.log_lines.append(f"{what} {e!r}"),
         )
 
         def run_in_background(work, what):
-            return defer.ensureDeferred(work).addErrback(lambda f: self.lines.append(f"{what} {f.value!r}"))
+            return defer.ensureDeferred(work).addErrback(lambda f: self.log_lines.append(f"{what} {f.value!r}"))
 
         self.ctx.run_in_background = run_in_background
         self.ctx.dialect.parse_batch_request = lambda method, path, query, headers: None
         self.connections: dict[str, list] = {}
-        self.refusing: set[str] = set()
+        self.refused_addresses: set[str] = set()
         self.node = _Node(self.ctx, self)
         self.sequence = 0
 
-    def lose_gateway(self, node):
+    def remove_gateway(self, node):
         self.gone.add(node)
         for do in self._member_watchers:
             do(Member(node=node, role="gateway"))
 
-    def engine(self, name, zone="zone-a", state="ready", pool="models", capacity=4, cold_ms=0, address=None):
+    def announce_engine(self, name, zone="zone-a", state="ready", pool="models", capacity=4, cold_ms=0, address=None):
         self.sequence += 1
         self.node.engines.merge(
             EngineUpdate(
@@ -189,7 +189,7 @@
         return self.node.engines.get(name)
 
     def connect(self, link):
-        if link.address in self.refusing:
+        if link.address in self.refused_addresses:
             return defer.fail(ConnectionRefusedError(link.address))
         t = _Transport()
         t.protocol = link
@@ -197,10 +197,10 @@
         link.makeConnection(t)
         return defer.succeed(link)
 
-    def at(self, name):
+    def connections_to(self, name):
         return self.connections.get(f"10.0.0.{name[1:]}:80", [])
 
-    def asked(self) -> list[tuple[str, object, bytes]]:
+    def take_engine_requests(self) -> list[tuple[str, object, bytes]]:
         """All requests that engines were sent and have not been looked at: (engine, link, bytes)."""
         out = []
         for address, links in self.connections.items():
@@ -211,10 +211,12 @@
                     out.append(("e" + address.split(":")[0].rsplit(".", 1)[1], link, data))
         return out
 
-    def one(self):
-        got = self.asked()
+    def take_engine_request(self):
+        got = self.take_engine_requests()
         if len(got) != 1:
-            raise AssertionError(f"{len(got)} requests at engines, not one: {[g[2][:80] for g in got]} {self.lines}")
+            raise AssertionError(
+                f"{len(got)} requests at engines, not one: {[g[2][:80] for g in got]} {self.log_lines}"
+            )
         return got[0]
 
     def connect_client(self):
@@ -224,7 +226,7 @@
         channel.makeConnection(t)
         return channel
 
-    def ask(self, path="/a/x", call_id="c1", body=b"hello", headers=(), channel=None, method="POST"):
+    def send_request(self, path="/a/x", call_id="c1", body=b"hello", headers=(), channel=None, method="POST"):
         channel = channel or self.connect_client()
         lines = [
             f"{method} {path} HTTP/1.1",
@@ -236,9 +238,9 @@
         channel.dataReceived("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
         return channel
 
-    def pass_time(self, span_ms):
+    def advance_ms(self, span_ms):
         for _ in range(max(1, int(span_ms // 5))):
             self.clock.advance(ms(5).total_seconds())
 
-    def seen(self, channel) -> bytes:
+    def client_output(self, channel) -> bytes:
         return channel.transport.value()
--- a/tests/test_batch_capacity.py
+++ b/tests/test_batch_capacity.py
@@ -8,7 +8,7 @@
 from pipitlink.wire.cluster_pb2 import Pool
 from pipitlink.wire.membership_pb2 import Load, Loads
 
-from .router_builders import Rig, route
+from .router_builders import RouterHarness, route
 
 SLOTS = 20
 BULK = route("bulk", "/b/", kind="bulk")
@@ -16,18 +16,18 @@
 
 class Capacity(unittest.TestCase):
     def setUp(self):
-        self.rig = Rig([BULK], [Pool(name="models", max_connections=100, slots=SLOTS)], gateways=4)
+        self.harness = RouterHarness([BULK], [Pool(name="models", max_connections=100, slots=SLOTS)], gateways=4)
         for name in ("e1", "e2"):
-            self.rig.engine(name, capacity=SLOTS)
-        node = self.rig.node
-        self.capacity = BatchCapacity(self.rig.ctx, node.engines, node.selector, node.slow_start)
+            self.harness.announce_engine(name, capacity=SLOTS)
+        node = self.harness.node
+        self.capacity = BatchCapacity(self.harness.ctx, node.engines, node.selector, node.slow_start)
 
     def available(self, own, total):
         return self.capacity.available(BULK, RouteBacklog(own, total))
 
     def start(self, count, first_event=True):
         """Starts items on the engines by turns."""
-        engines = self.rig.node.engines
+        engines = self.harness.node.engines
         for number in range(count):
             slot = engines.acquire_slot(engines.get(f"e{1 + number % 2}"), 10, True)
             if first_event:
@@ -35,7 +35,7 @@
 
     def peers(self, running, batch):
         loads = [Load(engine=name, running=running, batch=batch) for name in ("e1", "e2")]
-        spawn(self.rig.node.loads.on_peer_loads("g1", Loads(gateway="g1", loads=loads)))
+        spawn(self.harness.node.loads.on_peer_loads("g1", Loads(gateway="g1", loads=loads)))
 
     def test_gateways_together_start_no_more_than_the_slots_that_live_requests_leave(self):
         self.peers(running=7, batch=0)
@@ -69,12 +69,12 @@
         self.assertEqual(self.available(10, 100), 0)
 
     def test_without_an_engine_nothing_starts(self):
-        for engine in self.rig.node.engines.unordered():
-            self.rig.node.engines.remove(engine)
+        for engine in self.harness.node.engines.unordered():
+            self.harness.node.engines.remove(engine)
         self.assertEqual(self.available(10, 100), 0)
 
     def test_what_ended_or_failed_is_not_counted_as_starting(self):
-        engines = self.rig.node.engines
+        engines = self.harness.node.engines
         slots = [engines.acquire_slot(engines.get("e1"), 10, True) for _ in range(3)]
         slots[0].prefill_done()
         for slot in slots:
--- a/tests/test_engine_spread.py
+++ b/tests/test_engine_spread.py
@@ -7,7 +7,7 @@
 from pipitlink.wire.cluster_pb2 import Pool
 from pipitlink.wire.membership_pb2 import Load, Loads
 
-from .router_builders import Rig, route
+from .router_builders import RouterHarness, route
 
 SLOTS = 12
 CALLS = 300
@@ -19,13 +19,13 @@
         chosen = Counter()
         for seed in range(CALLS):
             pool = Pool(name="models", max_connections=1000, slots=SLOTS)
-            rig = Rig([route("s", "/a/", resumable=True)], [pool], seed=seed, gateways=50)
+            harness = RouterHarness([route("s", "/a/", resumable=True)], [pool], seed=seed, gateways=50)
             for name in running:
-                rig.engine(name, capacity=SLOTS)
+                harness.announce_engine(name, capacity=SLOTS)
             loads = [Load(engine=name, running=count) for name, count in running.items()]
-            spawn(rig.node.loads.on_peer_loads("g1", Loads(gateway="g1", loads=loads)))
-            rig.ask(call_id=f"c{seed}")
-            chosen[rig.one()[0]] += 1
+            spawn(harness.node.loads.on_peer_loads("g1", Loads(gateway="g1", loads=loads)))
+            harness.send_request(call_id=f"c{seed}")
+            chosen[harness.take_engine_request()[0]] += 1
         return chosen
 
     def test_a_crowd_does_not_fall_on_the_least_loaded_engine(self):
--- a/tests/test_platform_serve.py
+++ b/tests/test_platform_serve.py
@@ -18,7 +18,7 @@
 from pipitlink.dialect import Dialect
 from testbed.processes.process_cluster import free_ports, wait_for
 
-from .router_builders import Rig, route
+from .router_builders import RouterHarness, route
 
 ROOT = Path(__file__).resolve().parent.parent
 EDGE = """
@@ -150,15 +150,15 @@
 class Headers(unittest.TestCase):
     def test_a_request_with_the_platforms_header_names_is_forwarded(self):
         header_names = _load("headers").PlatformHeaderNames
-        rig = Rig([route("f", "/f/", kind="idempotent")])
-        rig.ctx.dialect = type("Format", (header_names, Dialect), {})()
-        rig.engine("e1")
-        c = rig.connect_client()
+        harness = RouterHarness([route("f", "/f/", kind="idempotent")])
+        harness.ctx.dialect = type("Format", (header_names, Dialect), {})()
+        harness.announce_engine("e1")
+        c = harness.connect_client()
         c.dataReceived(
             b"POST /f/1 HTTP/1.1\r\nHost: h.example\r\nPipitlink-Request-Id: ab\r\n"
             b"Pipitlink-Deadline-Ms: 700\r\nPipitlink-Model: m\r\nContent-Length: 2\r\n\r\nhi"
         )
-        _, link, data = rig.one()
+        _, link, data = harness.take_engine_request()
         low = data.lower()
         for line in (
             b"pipitlink-request-id: ab",
@@ -170,8 +170,8 @@
         link.dataReceived(
             b"HTTP/1.1 200 OK\r\nPipitlink-Request-Id: ab\r\nPipitlink-Server-Seal: 1\r\nContent-Length: 2\r\n\r\nok"
         )
-        self.assertTrue(rig.seen(c).endswith(b"\r\n\r\nok"))
-        self.assertIn(b"pipitlink-server-seal: 1", rig.seen(c).lower())
+        self.assertTrue(harness.client_output(c).endswith(b"\r\n\r\nok"))
+        self.assertIn(b"pipitlink-server-seal: 1", harness.client_output(c).lower())
 
     def test_the_product_knows_no_name_of_the_platforms(self):
         kwargs = [
--- a/tests/test_responses.py
+++ b/tests/test_responses.py
@@ -6,7 +6,7 @@
 from pipitlink.router.item_runner import ItemCall
 from pipitlink.timers import spawn
 
-from .router_builders import END, Rig, chunk, event, head, route
+from .router_builders import END, RouterHarness, chunk, event, head, route
 
 RESUMABLE = route("s", "/a/", resumable=True, deadline_ms=20_000)
 ONCE = route("o", "/once/", kind="mutating")
@@ -17,21 +17,21 @@
 
 class _ResponseTestCase(unittest.TestCase):
     def setUp(self):
-        self.rig = Rig([RESUMABLE, ONCE, IDEMPOTENT, ONE_ENGINE])
-        self.rig.engine("e1")
+        self.harness = RouterHarness([RESUMABLE, ONCE, IDEMPOTENT, ONE_ENGINE])
+        self.harness.announce_engine("e1")
 
     def tearDown(self):
-        noise = [line for line in self.rig.lines if "failed" in line or "Error" in line]
+        noise = [line for line in self.harness.log_lines if "failed" in line or "Error" in line]
         self.assertEqual(noise, [])
 
     def more_engines(self, *names):
         for name in names:
-            self.rig.engine(name)
+            self.harness.announce_engine(name)
 
     def served(self, call_id="c0", more=()):
         """One whole exchange, so that its connection is idle; returns the connection."""
-        self.rig.ask("/f/x", call_id=call_id)
-        _, link, _ = self.rig.one()
+        self.harness.send_request("/f/x", call_id=call_id)
+        _, link, _ = self.harness.take_engine_request()
         link.dataReceived(head(call_id, more=more, length=2) + b"ok")
         return link
 
@@ -39,38 +39,38 @@
 class ConnectionsKept(_ResponseTestCase):
     def test_a_connection_is_used_again(self):
         link = self.served()
-        self.rig.ask("/once/x", call_id="c1")
-        self.assertIs(self.rig.one()[1], link)
+        self.harness.send_request("/once/x", call_id="c1")
+        self.assertIs(self.harness.take_engine_request()[1], link)
 
     def test_no_longer_than_the_engine_said(self):
         link = self.served(more=("Keep-Alive: timeout=2, max=100",))
-        self.rig.clock.advance(1.7)
-        self.rig.ask("/f/x", call_id="c1")
-        self.assertIsNot(self.rig.one()[1], link)
+        self.harness.clock.advance(1.7)
+        self.harness.send_request("/f/x", call_id="c1")
+        self.assertIsNot(self.harness.take_engine_request()[1], link)
 
     def test_not_after_the_engine_said_that_it_closes(self):
         for n, said in enumerate(("close", "Close", "keep-alive, CLOSE")):
             with self.subTest(said):
                 link = self.served(f"d{n}", more=(f"Connection: {said}",))
-                self.rig.ask("/f/x", call_id=f"c{n}")
-                name, other, _ = self.rig.one()
+                self.harness.send_request("/f/x", call_id=f"c{n}")
+                name, other, _ = self.harness.take_engine_request()
                 self.assertIsNot(other, link)
                 other.dataReceived(head(f"c{n}", more=("Connection: close",), length=2) + b"ok")
 
     def test_what_may_not_repeat_goes_on_no_connection_that_rested_long(self):
         link = self.served()
-        self.rig.clock.advance(3.1)
-        self.rig.ask("/once/x", call_id="c1")
-        self.assertIsNot(self.rig.one()[1], link)
+        self.harness.clock.advance(3.1)
+        self.harness.send_request("/once/x", call_id="c1")
+        self.assertIsNot(self.harness.take_engine_request()[1], link)
 
     def test_a_connection_given_back_unused_has_rested_since_its_last_use(self):
         link = self.served()
-        self.rig.clock.advance(2.9)
-        taken = self.rig.node.connections.take_idle(link.address)
-        self.rig.node.connections.give_back_unused(taken)
-        self.rig.clock.advance(0.2)
-        self.rig.ask("/once/x", call_id="c1")
-        self.assertIsNot(self.rig.one()[1], link)
+        self.harness.clock.advance(2.9)
+        taken = self.harness.node.connections.take_idle(link.address)
+        self.harness.node.connections.give_back_unused(taken)
+        self.harness.clock.advance(0.2)
+        self.harness.send_request("/once/x", call_id="c1")
+        self.assertIsNot(self.harness.take_engine_request()[1], link)
 
     def test_an_item_that_must_not_be_sent_any_more_leaves_its_connection(self):
         def still():
@@ -80,9 +80,9 @@
             item = ItemCall(
                 id=f"i{n}", route=RESUMABLE, path="/a/x", headers=[], body=b"b", token_count=1, precondition=still
             )
-            spawn(self.rig.node.items.run(item)).addErrback(lambda f: f.trap(LeaseNotHeld))
-        self.assertEqual(self.rig.asked(), [])
-        connections = self.rig.node.connections
+            spawn(self.harness.node.items.run(item)).addErrback(lambda f: f.trap(LeaseNotHeld))
+        self.assertEqual(self.harness.take_engine_requests(), [])
+        connections = self.harness.node.connections
         self.assertEqual(connections.open_count("10.0.0.1:80"), connections.idle_count("10.0.0.1:80"))
 
 
@@ -94,55 +94,55 @@
             with self.subTest(status):
                 link = self.served()
                 self.more_engines("e2")
-                c = self.rig.ask("/once/x", call_id="c1")
-                self.assertIs(self.rig.one()[1], link)
+                c = self.harness.send_request("/once/x", call_id="c1")
+                self.assertIs(self.harness.take_engine_request()[1], link)
                 link.dataReceived(head(None, status, seal=False, more=REFUSED, length=0))
-                self.rig.pass_time(50)
-                self.assertEqual(self.rig.asked(), [])
-                self.assertTrue(self.rig.seen(c).startswith(b"HTTP/1.1 502"))
+                self.harness.advance_ms(50)
+                self.assertEqual(self.harness.take_engine_requests(), [])
+                self.assertTrue(self.harness.client_output(c).startswith(b"HTTP/1.1 502"))
                 self.assertTrue(link.transport.gone)
                 self.setUp()
 
     def test_a_failure_on_a_used_connection_is_shown_to_nobody(self):
         link = self.served()
-        c = self.rig.ask("/once/x", call_id="c1")
-        self.assertIs(self.rig.one()[1], link)
+        c = self.harness.send_request("/once/x", call_id="c1")
+        self.assertIs(self.harness.take_engine_request()[1], link)
         link.dataReceived(head(None, "400 Bad", length=3) + b"bad")
-        self.assertTrue(self.rig.seen(c).startswith(b"HTTP/1.1 502"))
-        self.assertNotIn(b"bad", self.rig.seen(c).partition(b"\r\n\r\n")[2])
+        self.assertTrue(self.harness.client_output(c).startswith(b"HTTP/1.1 502"))
+        self.assertNotIn(b"bad", self.harness.client_output(c).partition(b"\r\n\r\n")[2])
 
     def test_a_refusal_on_a_fresh_connection_counts(self):
-        c = self.rig.ask("/once/x", call_id="c1")
-        first, link, _ = self.rig.one()
+        c = self.harness.send_request("/once/x", call_id="c1")
+        first, link, _ = self.harness.take_engine_request()
         self.more_engines("e2")
         link.dataReceived(head(None, "421 Misdirected", seal=False, more=REFUSED, length=0))
-        self.rig.pass_time(20)
-        second, link, _ = self.rig.one()
+        self.harness.advance_ms(20)
+        second, link, _ = self.harness.take_engine_request()
         self.assertEqual((first, second), ("e1", "e2"))
         link.dataReceived(head("c1", length=2) + b"ok")
-        self.assertTrue(self.rig.seen(c).endswith(b"ok"))
+        self.assertTrue(self.harness.client_output(c).endswith(b"ok"))
 
 
 class BrokenResponses(_ResponseTestCase):
     def test_a_bad_event_ends_its_own_exchange_only(self):
-        c = self.rig.ask()
-        _, first, _ = self.rig.one()
+        c = self.harness.send_request()
+        _, first, _ = self.harness.take_engine_request()
         self.more_engines("e2")
         first.dataReceived(head("c1") + chunk(event(1, "a")) + chunk(event(5, "z")))
-        name, second, _ = self.rig.one()
+        name, second, _ = self.harness.take_engine_request()
         self.assertEqual(name, "e2")
         self.assertTrue(first.transport.gone)
         self.assertFalse(second.transport.gone, "the next exchange was ended with the first")
         second.dataReceived(head("c1") + chunk(event(2, "b")) + END)
-        self.assertTrue(self.rig.seen(c).endswith(chunk(event(2, "b")) + END))
+        self.assertTrue(self.harness.client_output(c).endswith(chunk(event(2, "b")) + END))
 
     def test_interim_answers_are_passed_over(self):
-        c = self.rig.ask("/once/x")
-        _, link, _ = self.rig.one()
+        c = self.harness.send_request("/once/x")
+        _, link, _ = self.harness.take_engine_request()
         link.dataReceived(b"HTTP/1.1 100 Continue\r\n\r\n" + b"HTTP/1.1 103 Hints\r\nX-Request-Id: c0\r\n\r\n")
         link.dataReceived(head("c1", length=2) + b"ok")
-        self.assertEqual(self.rig.seen(c).count(b"HTTP/1.1"), 1)
-        self.assertTrue(self.rig.seen(c).endswith(b"ok"))
+        self.assertEqual(self.harness.client_output(c).count(b"HTTP/1.1"), 1)
+        self.assertTrue(self.harness.client_output(c).endswith(b"ok"))
 
     def test_cut_anywhere_it_never_looks_whole(self):
         whole = head("c1", length=6) + b"answer"
@@ -151,78 +151,78 @@
         for response in (whole, chunked, endless + b"."):
             for cut in range(len(response)):
                 self.setUp()
-                c = self.rig.ask("/once/x")
-                _, link, _ = self.rig.one()
+                c = self.harness.send_request("/once/x")
+                _, link, _ = self.harness.take_engine_request()
                 link.dataReceived(response[:cut])
                 link.transport.close()
-                self.rig.pass_time(20)
-                self.assertEqual(self.rig.asked(), [], f"sent again after {answer[:cut]}")
-                out = self.rig.seen(c)
+                self.harness.advance_ms(20)
+                self.assertEqual(self.harness.take_engine_requests(), [], f"sent again after {response[:cut]}")
+                out = self.harness.client_output(c)
                 if not out.startswith(b"HTTP/1.1 502"):
-                    self.assertTrue(c.transport.gone, f"not cut after {answer[:cut]}")
-                    self.assertFalse(out.endswith((b"answer", END)), f"whole after {answer[:cut]}")
+                    self.assertTrue(c.transport.gone, f"not cut after {response[:cut]}")
+                    self.assertFalse(out.endswith((b"answer", END)), f"whole after {response[:cut]}")
 
     def test_an_own_failure_bears_nothing_of_the_engine(self):
-        c = self.rig.ask("/once/x")
-        _, link, _ = self.rig.one()
+        c = self.harness.send_request("/once/x")
+        _, link, _ = self.harness.take_engine_request()
         request = c.requests[0]
         request.data = lambda data: (_ for _ in ()).throw(RuntimeError("cannot be written"))
         link.dataReceived(head("c1", "200 OK", more=("X-Own: 2",), length=2) + b"ok")
-        out = self.rig.seen(c)
+        out = self.harness.client_output(c)
         self.assertTrue(out.startswith(b"HTTP/1.1 500"), out)
         self.assertNotIn(b"X-Engine-Seal", out)
         self.assertNotIn(b"X-Own", out)
-        self.rig.lines.clear()
+        self.harness.log_lines.clear()
 
     def test_an_engines_failure_passes_as_it_is(self):
-        c = self.rig.ask("/once/x")
-        _, link, _ = self.rig.one()
+        c = self.harness.send_request("/once/x")
+        _, link, _ = self.harness.take_engine_request()
         link.dataReceived(head("c1", "500 Broken", length=3) + b"why")
-        out = self.rig.seen(c)
+        out = self.harness.client_output(c)
         self.assertTrue(out.startswith(b"HTTP/1.1 500 Broken\r\n"))
         self.assertIn(b"X-Engine-Seal: s1", out)
         self.assertTrue(out.endswith(b"why"))
 
     def test_a_second_request_waits_for_the_first_and_goes_down_with_it(self):
-        c = self.rig.ask("/once/x", call_id="c1")
-        _, link, _ = self.rig.one()
-        self.rig.ask("/once/x", call_id="c2", channel=c)
-        self.assertEqual(self.rig.asked(), [])
+        c = self.harness.send_request("/once/x", call_id="c1")
+        _, link, _ = self.harness.take_engine_request()
+        self.harness.send_request("/once/x", call_id="c2", channel=c)
+        self.assertEqual(self.harness.take_engine_requests(), [])
         link.dataReceived(head("c1", length=6) + b"ans")
         link.transport.close()
-        self.rig.pass_time(50)
-        self.assertEqual(self.rig.asked(), [])
+        self.harness.advance_ms(50)
+        self.assertEqual(self.harness.take_engine_requests(), [])
         self.assertTrue(c.transport.gone)
 
 
 class Silence(_ResponseTestCase):
     def test_what_may_not_repeat_is_told_at_its_deadline_and_never_sent_again(self):
         self.more_engines("e2")
-        c = self.rig.ask("/once/x", headers=("X-Deadline-Ms: 1500",))
-        _, link, _ = self.rig.one()
-        self.rig.pass_time(1400)
-        self.assertEqual(self.rig.seen(c), b"")
-        self.rig.pass_time(350)
-        self.assertTrue(self.rig.seen(c).startswith(b"HTTP/1.1 504"), self.rig.seen(c)[:40])
+        c = self.harness.send_request("/once/x", headers=("X-Deadline-Ms: 1500",))
+        _, link, _ = self.harness.take_engine_request()
+        self.harness.advance_ms(1400)
+        self.assertEqual(self.harness.client_output(c), b"")
+        self.harness.advance_ms(350)
+        self.assertTrue(self.harness.client_output(c).startswith(b"HTTP/1.1 504"), self.harness.client_output(c)[:40])
         self.assertTrue(link.transport.gone)
-        self.rig.pass_time(500)
-        self.assertEqual(self.rig.asked(), [])
+        self.harness.advance_ms(500)
+        self.assertEqual(self.harness.take_engine_requests(), [])
 
     def test_an_engine_that_is_not_heard_of_but_still_sends_keeps_its_stream(self):
         self.more_engines("e2")
-        c = self.rig.ask()
-        name, link, _ = self.rig.one()
+        c = self.harness.send_request()
+        name, link, _ = self.harness.take_engine_request()
         link.dataReceived(head("c1"))
         for n in range(1, 11):
-            self.rig.pass_time(450)
-            self.rig.engine({"e1": "e2", "e2": "e1"}[name])
+            self.harness.advance_ms(450)
+            self.harness.announce_engine({"e1": "e2", "e2": "e1"}[name])
             link.dataReceived(chunk(event(n, "a")))
-        self.assertEqual(self.rig.node.engines.status(self.rig.node.engines.get(name)), "silent")
+        self.assertEqual(self.harness.node.engines.status(self.harness.node.engines.get(name)), "silent")
         self.assertFalse(link.transport.gone)
-        self.assertEqual(self.rig.asked(), [])
-        self.rig.pass_time(1200)
+        self.assertEqual(self.harness.take_engine_requests(), [])
+        self.harness.advance_ms(1200)
         self.assertTrue(link.transport.gone)
-        self.assertIn(b"last-event-id: 10\r\n", self.rig.one()[2].lower())
+        self.assertIn(b"last-event-id: 10\r\n", self.harness.take_engine_request()[2].lower())
         self.assertFalse(c.transport.gone)
 
 
@@ -232,14 +232,14 @@
     def lose_all(self, path, lose):
         """Every exchange is lost; returns the engines that were sent the request, and what the caller was shown."""
         self.more_engines("e2", "e3", "e4")
-        c = self.rig.ask(path)
+        c = self.harness.send_request(path)
         seen = []
         for _ in range(12):
-            for name, link, _ in self.rig.asked():
+            for name, link, _ in self.harness.take_engine_requests():
                 seen.append(name)
                 lose(link)
-            self.rig.pass_time(100)
-        return seen, self.rig.seen(c)
+            self.harness.advance_ms(100)
+        return seen, self.harness.client_output(c)
 
     def test_after_resets(self):
         for path, most in (("/a/x", 2), ("/f/x", 2), ("/g/x", 1), ("/once/x", 1)):
@@ -271,22 +271,22 @@
 
     def test_refusals_do_not_count(self):
         self.more_engines("e2", "e3")
-        self.rig.ask("/g/x")
+        self.harness.send_request("/g/x")
         for _ in range(2):
-            _, link, _ = self.rig.one()
+            _, link, _ = self.harness.take_engine_request()
             link.dataReceived(head("c1", "503 Busy", seal=False, more=REFUSED, length=0))
-            self.rig.pass_time(50)
-        self.assertEqual(len(self.rig.asked()), 1)
+            self.harness.advance_ms(50)
+        self.assertEqual(len(self.harness.take_engine_requests()), 1)
 
     def test_a_mute_engine_is_left_only_where_another_may_run_it(self):
         for path, left in (("/f/x", True), ("/g/x", False)):
             with self.subTest(path):
                 self.setUp()
                 self.more_engines("e2")
-                self.rig.pass_time(10)
-                self.rig.ask(path)
-                _, link, _ = self.rig.one()
-                self.rig.pass_time(1500)
+                self.harness.advance_ms(10)
+                self.harness.send_request(path)
+                _, link, _ = self.harness.take_engine_request()
+                self.harness.advance_ms(1500)
                 self.assertEqual(link.transport.gone, left)
 
 
@@ -297,10 +297,10 @@
     INNER = b"POST /once/y HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: c9\r\nContent-Length: 0\r\n\r\n"
 
     def sent_for(self, data: bytes) -> list[bytes]:
-        channel = self.rig.connect_client()
+        channel = self.harness.connect_client()
         channel.dataReceived(data)
-        self.rig.pass_time(20)
-        return [sent for _, _, sent in self.rig.asked()]
+        self.harness.advance_ms(20)
+        return [sent for _, _, sent in self.harness.take_engine_requests()]
 
     def test_two_kinds_of_length_are_refused(self):
         for lines in (
@@ -335,9 +335,9 @@
 
 class Bodies(_ResponseTestCase):
     def test_a_body_is_kept_no_longer_than_it_may_be_sent_again(self):
-        self.rig.ask("/once/x", body=b"b" * 1000)
-        _, link, _ = self.rig.one()
-        (call,) = self.rig.node.relay.calls
+        self.harness.send_request("/once/x", body=b"b" * 1000)
+        _, link, _ = self.harness.take_engine_request()
+        (call,) = self.harness.node.relay.calls
         self.assertEqual(len(call.body), 1000)
         link.dataReceived(head("c1", length=4) + b"an")
         self.assertEqual(call.body, b"")
@@ -349,20 +349,20 @@
             with self.subTest(whole[:cut]):
                 self.setUp()
                 self.more_engines("e2")
-                self.rig.ask("/f/x", body=b"hello")
-                _, link, _ = self.rig.one()
+                self.harness.send_request("/f/x", body=b"hello")
+                _, link, _ = self.harness.take_engine_request()
                 link.dataReceived(whole[:cut])
                 link.transport.close()
-                self.rig.pass_time(20)
-                self.assertTrue(self.rig.one()[2].endswith(b"\r\n\r\nhello"))
+                self.harness.advance_ms(20)
+                self.assertTrue(self.harness.take_engine_request()[2].endswith(b"\r\n\r\nhello"))
 
     def test_it_is_kept_while_the_engine_may_still_refuse(self):
         self.more_engines("e2")
-        self.rig.ask("/once/x", body=b"hello")
-        _, link, _ = self.rig.one()
+        self.harness.send_request("/once/x", body=b"hello")
+        _, link, _ = self.harness.take_engine_request()
         link.dataReceived(head("c1", "503 Busy", seal=False, more=REFUSED, length=0))
-        self.rig.pass_time(20)
-        self.assertTrue(self.rig.one()[2].endswith(b"\r\n\r\nhello"))
+        self.harness.advance_ms(20)
+        self.assertTrue(self.harness.take_engine_request()[2].endswith(b"\r\n\r\nhello"))
 
 
 if __name__ == "__main__":
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -11,7 +11,7 @@
 from pipitlink.traffic import TrafficCounter, TrafficLog, TrafficTotal
 from testbed.simulator.virtual_time import VirtualTime
 
-from .router_builders import END, Rig, chunk, event, head, route
+from .router_builders import END, RouterHarness, chunk, event, head, route
 
 
 class Counting(unittest.TestCase):
@@ -45,21 +45,21 @@
         self.assertEqual(timings.total_ms(), 55)
 
     def test_a_call_logs_its_phases_and_counts_what_it_exchanged_by_the_zone_of_its_engine(self):
-        rig = Rig([route("s", "/a/", resumable=True)])
-        rig.engine("e1", zone="zone-b")
-        rig.ask(body=b"x" * 1000)
-        rig.pass_time(40)
-        _, link, sent = rig.one()
+        harness = RouterHarness([route("s", "/a/", resumable=True)])
+        harness.announce_engine("e1", zone="zone-b")
+        harness.send_request(body=b"x" * 1000)
+        harness.advance_ms(40)
+        _, link, sent = harness.take_engine_request()
         response = head("c1") + chunk(event(1, "a"))
         link.dataReceived(response)
-        rig.pass_time(25)
+        harness.advance_ms(25)
         link.dataReceived(END)
-        completed = next(logged for logged in rig.lines if "event=call_completed" in logged)
+        completed = next(logged for logged in harness.log_lines if "event=call_completed" in logged)
         phases = dict(re.findall(r"(\w+)_ms=(\d+)", completed))
         self.assertEqual(
             phases, {"read": "0", "choose": "0", "connect": "0", "first_byte": "40", "relay": "25"}, completed
         )
-        requests, responses = [total for total in rig.ctx.traffic.totals() if total.purpose.startswith("engine.")]
+        requests, responses = [total for total in harness.ctx.traffic.totals() if total.purpose.startswith("engine.")]
         self.assertEqual(responses, TrafficTotal("engine.call_response", 0, len(response) + len(END)))
         self.assertEqual((requests.purpose, requests.own_zone_bytes), ("engine.call_request", 0))
         self.assertAlmostEqual(requests.other_zone_bytes, len(sent), delta=80)
