--- a/pipitlink/router/batch_service.py
+++ b/pipitlink/router/batch_service.py
@@ -62,7 +62,7 @@
         for listener in (self.scheduler, self.writer, self.waiting):
             self.table.add_listener(listener)
         self.quota.open()
-        self._loads.add_carrier(self.waiting)
+        self._loads.add_contributor(self.waiting)
         self.scheduler.open()
         self.canceller.open()
         self.followers.open()
--- a/pipitlink/router/call.py
+++ b/pipitlink/router/call.py
@@ -21,7 +21,7 @@
     from .engine_connection import EngineConnection, Response
 
 __all__ = [
-    "HOP_HEADERS",
+    "HOP_BY_HOP_HEADERS",
     "Call",
     "CallPhase",
     "Header",
@@ -33,7 +33,7 @@
 
 Header = tuple[bytes, bytes]
 
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -92,7 +92,7 @@
     """The record of one request by route on its way to an engine; its head and body are opaque.
 
     `precondition` is checked right before each attempt is sent, and raises where the call must not be sent any more.
-    `executions` counts by engine the attempts that may have run there, and `reached_engine` says that one was lost.
+    `executions` counts by engine the attempts that may have run there, and `has_lost_attempt` says that one was lost.
     `timings` are taken for calls of callers only.
     """
 
@@ -120,8 +120,8 @@
     executions: Counter[str] = attrs.field(factory=Counter)
     sent_at: timedelta | None = None
     avoided_engines: set[str] = attrs.field(factory=set)
-    head_passed: bool = False
-    reached_engine: bool = False
+    head_forwarded: bool = False
+    has_lost_attempt: bool = False
     abort_reason: str = ""
     timings: PhaseTimings | None = None
 
@@ -147,7 +147,7 @@
     def outcome(self) -> str:
         """What may be said of its execution: `not_run`, `unknown` or `failed`."""
         outcome = reportable_outcome(self.state)
-        return "unknown" if outcome == "not_run" and self.reached_engine else outcome
+        return "unknown" if outcome == "not_run" and self.has_lost_attempt else outcome
 
     @property
     def shared_parts(self) -> list[PromptPart]:
@@ -169,7 +169,7 @@
         """Whether it may run on no engine but those on which it may have run; items of batches may run anywhere."""
         return not self.is_batch_item and len(self.engines_run) >= max(1, self.route.max_attempts)
 
-    def forget_body(self) -> None:
+    def discard_body(self) -> None:
         """Frees the body of a call that will not be sent again."""
         self.body = b""
 
--- a/pipitlink/router/call_relay.py
+++ b/pipitlink/router/call_relay.py
@@ -20,7 +20,7 @@
 
 __all__ = ["CallRelay"]
 
-WATCH_INTERVAL = ms(200)
+CHECK_INTERVAL = ms(200)
 # How long an engine may send nothing before a call that may go on elsewhere leaves it.
 NO_BYTES_TIMEOUT = ms(900)
 # How long an engine that ends a request at its deadline itself is waited for.
@@ -28,7 +28,7 @@
 MAX_ATTEMPTS = 6
 MIN_ALLOWED_EXECUTIONS = 2
 # A request that must not be repeated only goes on a connection that was used so short a time ago.
-MAX_IDLE_TIME_UNREPEATABLE = ms(3000)
+MAX_IDLE_TIME_NON_IDEMPOTENT = ms(3000)
 RETRY_BACKOFF = ms(15)
 IMMEDIATE_ATTEMPTS = 2
 
@@ -53,9 +53,9 @@
     def open(self) -> None:
         """Begins to watch the calls under way and the idle connections."""
         self._engines.add_gone_listener(lambda engine: self._connections.close_idle(engine.address))
-        self._ctx.timers.call_repeatedly(WATCH_INTERVAL, self._watch, self._ctx.error_reporter("watch_calls"))
+        self._ctx.timers.call_repeatedly(CHECK_INTERVAL, self._check_calls, self._ctx.error_reporter("watch_calls"))
 
-    def _watch(self) -> None:
+    def _check_calls(self) -> None:
         """Ends attempts past their deadline, and those at engines that are gone or send nothing.
 
         The latter only where the call can go on, or be repeated, elsewhere.
@@ -64,9 +64,9 @@
         now = self._ctx.timers.now()
         for call in list(self.calls):
             if call.engine is not None and call.sent_at is not None:
-                self._watch_attempt(call, call.engine, call.sent_at, now)
+                self._check_attempt(call, call.engine, call.sent_at, now)
 
-    def _watch_attempt(self, call: Call, engine: Engine, sent_at: timedelta, now: timedelta) -> None:
+    def _check_attempt(self, call: Call, engine: Engine, sent_at: timedelta, now: timedelta) -> None:
         if now >= call.deadline + DEADLINE_GRACE:
             call.discard_connection()
             return
@@ -98,7 +98,7 @@
             call.trigger("lose")
             raise
         except ApiError as error:
-            if call.reached_engine and error.outcome == "not_run":
+            if call.has_lost_attempt and error.outcome == "not_run":
                 error.outcome = "unknown"
             raise
         finally:
@@ -148,11 +148,11 @@
         max_executions = max(MIN_ALLOWED_EXECUTIONS, call.route.max_attempts)
         if call.state != RequestState.LOST or call.executions.total() > max_executions:
             return False
-        return call.is_resumable or (call.is_idempotent and not call.head_passed)
+        return call.is_resumable or (call.is_idempotent and not call.head_forwarded)
 
     async def _prepare_retry(self, call: Call) -> None:
         if call.state == RequestState.LOST:
-            call.reached_engine = True
+            call.has_lost_attempt = True
             call.trigger("retry")
         if call.attempts > IMMEDIATE_ATTEMPTS:
             await self._ctx.timers.sleep(RETRY_BACKOFF * call.attempts)
@@ -178,7 +178,7 @@
 
     async def _connect(self, call: Call, engine: Engine) -> EngineConnection:
         may_repeat = call.is_idempotent or call.is_resumable
-        max_idle_time = None if may_repeat else MAX_IDLE_TIME_UNREPEATABLE
+        max_idle_time = None if may_repeat else MAX_IDLE_TIME_NON_IDEMPOTENT
         connection = self._connections.take_idle(engine.address, call.id, max_idle_time)
         if connection is not None:
             return connection
@@ -193,7 +193,7 @@
         try:
             self._check_before_send(call, engine)
         except Exception:
-            self._connections.give_back_unused(connection)
+            self._connections.release_unused(connection)
             raise
         call.connection = connection
         call.trigger("send")
--- a/pipitlink/router/connection_pool.py
+++ b/pipitlink/router/connection_pool.py
@@ -68,7 +68,7 @@
             idle_time = connection.idle_time(now)
             if max_idle_time is not None and idle_time >= max_idle_time:
                 return None
-            if call_id in connection.unserved:
+            if call_id in connection.unserved_call_ids:
                 continue
             idle.remove(connection)
             if connection.is_idle and idle_time < connection.idle_timeout - IDLE_TIMEOUT_MARGIN:
@@ -89,16 +89,16 @@
         try:
             await self._connect(connection)
         except defer.CancelledError:
-            self.forget(connection)
+            self.remove(connection)
             raise
         except Exception as error:
-            self.forget(connection)
+            self.remove(connection)
             raise EngineError(
                 f"{address} could not be reached: {error}", code="unreached", outcome="not_run"
             ) from error
         return connection
 
-    def give_back(self, connection: EngineConnection) -> None:
+    def release(self, connection: EngineConnection) -> None:
         """Keeps a connection for the next request; one that was not used has been idle since its last use."""
         if connection.address is None:
             return
@@ -109,12 +109,12 @@
         if len(idle) > MAX_IDLE_PER_ADDRESS:
             self._close(idle.popleft())
 
-    def give_back_unused(self, connection: EngineConnection) -> None:
+    def release_unused(self, connection: EngineConnection) -> None:
         """Keeps a connection that was taken and not used, unless it was closed meanwhile."""
         if not connection.is_unusable and connection.is_idle:
-            self.give_back(connection)
+            self.release(connection)
 
-    def forget(self, connection: EngineConnection) -> None:
+    def remove(self, connection: EngineConnection) -> None:
         """Takes a connection that is closed, or about to be, out of the count; the second time does nothing."""
         address = connection.address
         if address is None:
@@ -130,7 +130,7 @@
         connection.address = None
 
     def _close(self, connection: EngineConnection) -> None:
-        self.forget(connection)
+        self.remove(connection)
         connection.transport.loseConnection()
 
     def close_expired(self) -> None:
--- a/pipitlink/router/engine_connection.py
+++ b/pipitlink/router/engine_connection.py
@@ -24,7 +24,7 @@
 __all__ = ["ConnectionOwner", "EngineConnection", "HeaderList", "Response", "ResponseDone"]
 
 DEFAULT_IDLE_TIMEOUT = secs(15)
-MAX_UNSERVED = 64
+MAX_UNSERVED_CALLS = 64
 
 HeaderList = Sequence[tuple[bytes, bytes]]
 
@@ -32,10 +32,10 @@
 class ConnectionOwner(Protocol):
     """Whoever keeps connections for use by later requests."""
 
-    def give_back(self, connection: EngineConnection) -> None:
+    def release(self, connection: EngineConnection) -> None:
         """Takes back a connection that is free for another request."""
 
-    def forget(self, connection: EngineConnection) -> None:
+    def remove(self, connection: EngineConnection) -> None:
         """Notes that a connection is closed or about to be."""
 
 
@@ -47,7 +47,7 @@
 class EngineConnection(HTTP11ClientProtocol):
     """One connection to an engine: one request at a time, used again only while nothing on it was out of order.
 
-    `unserved` are the ids of calls that it has carried and that were not served.
+    `unserved_call_ids` are the ids of calls that it has carried and that were not served.
     """
 
     transport: Any
@@ -58,7 +58,7 @@
         self.address: str | None = address
         self.is_unusable = False
         self.request_count = 0
-        self.unserved: set[bytes] = set()
+        self.unserved_call_ids: set[bytes] = set()
         self.idle_since: timedelta | None = None
         self.idle_timeout = DEFAULT_IDLE_TIMEOUT
         self.on_bytes: Callable[[int], None] | None = None
@@ -79,7 +79,7 @@
 
     def _on_quiescent(self, _: HTTP11ClientProtocol) -> None:
         if not self.is_unusable:
-            self._owner.give_back(self)
+            self._owner.release(self)
         else:
             self.transport.loseConnection()
 
@@ -95,7 +95,7 @@
     def _finishResponse_WAITING(self, rest: bytes) -> None:  # noqa: N802 - twisted's interface
         if self._parser is not None:
             self._read_connection_headers(self._parser.connHeaders)
-        if rest or len(self.unserved) > MAX_UNSERVED:
+        if rest or len(self.unserved_call_ids) > MAX_UNSERVED_CALLS:
             self.is_unusable = True
         super()._finishResponse_WAITING(rest)
 
@@ -112,13 +112,13 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802 - twisted's interface
         """Takes the connection out of its owner's count and ends the request that is under way."""
-        self._owner.forget(self)
+        self._owner.remove(self)
         super().connectionLost(reason)
 
     def discard(self) -> None:
         """Ends the connection at once; nothing that comes on it belongs to anybody."""
         self.is_unusable = True
-        self._owner.forget(self)
+        self._owner.remove(self)
         if self.transport is not None:
             self.transport.abortConnection()
 
@@ -130,7 +130,7 @@
         A call that was not served may be sent again. It never is on a connection that has carried it: a second copy of
         the engine's first answer, which bears its id, would count as the answer to the second.
         """
-        self.unserved.add(call_id)
+        self.unserved_call_ids.add(call_id)
         self.request_count += 1
         self.idle_since = None
         raw_headers = Headers()
--- a/pipitlink/router/engine_exchange.py
+++ b/pipitlink/router/engine_exchange.py
@@ -133,7 +133,7 @@
         if response.code == HTTPStatus.MISDIRECTED_REQUEST or response.headers.hasHeader(
             self._ctx.dialect.not_executed
         ):
-            await self._refused(call, engine, connection, response)
+            await self._handle_refusal(call, engine, connection, response)
         await self._check_response(call, engine, connection, response)
         stream = ResponseStream(call, connection, response, slot)
         response.deliverBody(stream)
@@ -143,7 +143,7 @@
             self._record_failure(call, engine)
             raise
         if response.code == HTTPStatus.OK or not call.is_batch_item:
-            connection.unserved.discard(call.id)
+            connection.unserved_call_ids.discard(call.id)
 
     def _belongs_to(self, call: Call, connection: EngineConnection, response: Response) -> bool:
         """Returns whether a response is this call's.
@@ -155,7 +155,9 @@
             return connection.request_count == 1 and not _is_success(response.code)
         return bool(response_id == call.id)
 
-    async def _refused(self, call: Call, engine: Engine, connection: EngineConnection, response: Response) -> None:
+    async def _handle_refusal(
+        self, call: Call, engine: Engine, connection: EngineConnection, response: Response
+    ) -> None:
         """Raises ServiceUnavailable for a response by which the engine says that nothing ran."""
         self._counters.refused += 1
         call.executions[engine.name] -= 1
@@ -185,12 +187,12 @@
         if code >= HTTPStatus.INTERNAL_SERVER_ERROR and self._may_run_elsewhere(call):
             await self._drain(connection, response)
             raise _engine_failed(f"{engine.name} answered {code}")
-        if call.head_passed and code != HTTPStatus.OK:
+        if call.head_forwarded and code != HTTPStatus.OK:
             await self._drain(connection, response)
             raise _engine_failed(f"{engine.name} answered {code} to a resumed stream")
 
     def _may_run_elsewhere(self, call: Call) -> bool:
-        if call.head_passed or call.is_batch_item or call.budget_spent:
+        if call.head_forwarded or call.is_batch_item or call.budget_spent:
             return False
         return call.is_idempotent or call.is_resumable
 
--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -15,10 +15,10 @@
 __all__ = ["EngineRegistry", "EngineSlot"]
 
 SILENCE_TIMEOUT = secs(3.6)
-REMOVE_AFTER = secs(30)
-REMEMBER_GONE = secs(60)
+REMOVAL_TIMEOUT = secs(30)
+GONE_RETENTION = secs(60)
 # A gap between two looks at the clock from which on this process, or its machine, counts as having been suspended.
-SUSPENDED_AFTER = secs(1.5)
+SUSPENSION_THRESHOLD = secs(1.5)
 # After a suspension, updates that were buffered are no proof that an engine lives now.
 RESUME_GRACE = ms(500)
 MIN_EJECTION = ms(700)
@@ -175,17 +175,17 @@
     def remove_silent(self, now: timedelta) -> None:
         """Removes engines that nobody announces any more; they are taken in again once somebody does."""
         for engine in self.unordered():
-            if now - engine.updated_at > REMOVE_AFTER and not engine.running:
+            if now - engine.updated_at > REMOVAL_TIMEOUT and not engine.running:
                 self.remove(engine)
                 del self._gone_at[engine.name]
         for name, gone_at in list(self._gone_at.items()):
-            if now - gone_at > REMEMBER_GONE:
+            if now - gone_at > GONE_RETENTION:
                 del self._gone_at[name]
 
     def check_clock(self) -> timedelta:
         """Returns the time, and notes where this process was suspended since the last check."""
         now = self._ctx.timers.now()
-        if now - self._clock_checked_at > SUSPENDED_AFTER:
+        if now - self._clock_checked_at > SUSPENSION_THRESHOLD:
             self._resumed_at = now
         self._clock_checked_at = now
         return now
--- a/pipitlink/router/engine_selector.py
+++ b/pipitlink/router/engine_selector.py
@@ -45,7 +45,7 @@
 LONG_PROMPT_TOKENS = 3000
 # Long prompts keep to this share of a pool's engines while there were any of late.
 LONG_PROMPT_FRACTION = 0.67
-LONG_PROMPT_MEMORY = secs(10)
+LONG_PROMPT_WINDOW = secs(10)
 MIN_ENGINES_TO_SEPARATE = 4
 LONG_PROMPT_ELSEWHERE_COST_MS = 60.0
 NEAR_LONG_PROMPTS_COST_MS = 20.0
@@ -68,7 +68,7 @@
     preferred_engine: str
     max_connections: int
 
-    def competing(self, load: EngineLoad) -> int:
+    def competing_requests(self, load: EngineLoad) -> int:
         """Returns the requests that the call does not preempt: live calls take the slots of items of batches."""
         return load.running if self.is_batch_item else load.running - load.batch_items
 
@@ -159,9 +159,9 @@
 
     def ready_engines(self, pool: str) -> list[Engine]:
         """Returns the engines of a pool that are ready and in a zone in service."""
-        return self._engines_with(pool, EngineStatus.READY)
+        return self._engines_in_status(pool, EngineStatus.READY)
 
-    def _engines_with(self, pool: str, status: EngineStatus) -> list[Engine]:
+    def _engines_in_status(self, pool: str, status: EngineStatus) -> list[Engine]:
         empty_zones = self._ctx.cluster.cluster_state.empty_zones
         return [
             engine
@@ -173,7 +173,7 @@
         """Returns the engines that a call may be sent to, without regard to their load."""
         engines = self.ready_engines(call.pool)
         if not engines and not call.is_batch_item:
-            engines = self._engines_with(call.pool, EngineStatus.SUSPECT)
+            engines = self._engines_in_status(call.pool, EngineStatus.SUSPECT)
         if call.budget_spent:
             return [engine for engine in engines if engine.name in call.engines_run]
         untried = [engine for engine in engines if engine.name not in call.avoided_engines]
@@ -206,8 +206,10 @@
         """
         if not candidates:
             return 0.0
-        running = sum(traits.competing(load) for load in loads)
-        own_running = sum(traits.competing(EngineLoad(engine.running, engine.batch_items)) for engine in candidates)
+        running = sum(traits.competing_requests(load) for load in loads)
+        own_running = sum(
+            traits.competing_requests(EngineLoad(engine.running, engine.batch_items)) for engine in candidates
+        )
         peers_running = running - own_running
         return max(MIN_SPREAD_MS, SPREAD_FRACTION * RUNNING_COST_MS * peers_running / len(candidates))
 
@@ -230,7 +232,7 @@
 
     def _has_capacity(self, engine: Engine, load: EngineLoad, traits: _CallTraits) -> bool:
         max_fill = MAX_BATCH_FILL if traits.is_batch_item else MAX_LIVE_FILL
-        if traits.competing(load) >= max_fill * engine.slots or not self._slow_start.admits(engine):
+        if traits.competing_requests(load) >= max_fill * engine.slots or not self._slow_start.admits(engine):
             return False
         if self._connections.idle_count(engine.address) > 0:
             return True
@@ -238,14 +240,14 @@
 
     def _cost(self, engine: Engine, load: EngineLoad, traits: _CallTraits) -> float:
         """Returns the expected wait in ms."""
-        slots, competing = engine.slots, traits.competing(load)
+        slots, competing_requests = engine.slots, traits.competing_requests(load)
         missing_tokens = traits.own_part_tokens
         if engine.name != traits.preferred_engine and traits.shared_parts:
             missing_tokens += engine.prefix_cache.missing_tokens(traits.shared_parts)
         prefill_ms = (missing_tokens + engine.prefill_tokens) / PREFILL_TOKENS_PER_MS
-        cost = prefill_ms + RUNNING_COST_MS * competing
-        if competing >= slots:
-            cost += FULL_COST_MS * (1 + competing - slots)
+        cost = prefill_ms + RUNNING_COST_MS * competing_requests
+        if competing_requests >= slots:
+            cost += FULL_COST_MS * (1 + competing_requests - slots)
         elif not traits.is_batch_item and load.running >= slots:
             cost += PREEMPTION_COST_MS
         if engine.update.zone != self._ctx.settings.zone:
@@ -266,7 +268,7 @@
         if is_long:
             self._last_long_prompt[pool] = now
         last_at = self._last_long_prompt.get(pool)
-        if last_at is None or now - last_at > LONG_PROMPT_MEMORY or len(candidates) < MIN_ENGINES_TO_SEPARATE:
+        if last_at is None or now - last_at > LONG_PROMPT_WINDOW or len(candidates) < MIN_ENGINES_TO_SEPARATE:
             return set()
         ranked = sorted(candidates, key=lambda engine: rank(f"long/{pool}", engine.name))
         return {engine.name for engine in ranked[: round(LONG_PROMPT_FRACTION * len(ranked))]}
--- a/pipitlink/router/gateway_watch.py
+++ b/pipitlink/router/gateway_watch.py
@@ -11,7 +11,7 @@
 
 __all__ = ["GatewayWatch"]
 
-SUSPENDED_AFTER = secs(1.5)
+SUSPENSION_THRESHOLD = secs(1.5)
 
 
 class GatewayWatch:
@@ -26,7 +26,7 @@
         self.gateways: frozenset[str] = frozenset()
         self.changed_at = self._checked_at = ctx.timers.now()
         self._incarnation = 0
-        self._held_since: dict[str, timedelta] = {}
+        self._owned_since: dict[str, timedelta] = {}
         self._listeners: list[Callable[[], None]] = []
 
     def add_listener(self, listener: Callable[[], None]) -> None:
@@ -39,32 +39,32 @@
         alive = self._ctx.membership.members("gateway", statuses=("alive",))
         gateways = frozenset(member.node for member in alive)
         incarnation = self._ctx.membership.local_member.incarnation
-        was_away = now - self._checked_at > SUSPENDED_AFTER or incarnation != self._incarnation
-        if was_away or gateways != self.gateways:
+        was_absent = now - self._checked_at > SUSPENSION_THRESHOLD or incarnation != self._incarnation
+        if was_absent or gateways != self.gateways:
             self.gateways, self.changed_at, self._incarnation = gateways, now, incarnation
-            self._drop_lost_duties(was_away)
+            self._drop_lost_keys(was_absent)
             for listener in self._listeners:
                 listener()
         self._checked_at = now
 
-    def _drop_lost_duties(self, was_away: bool) -> None:
-        if was_away:
-            self._held_since.clear()
-        for duty in [duty for duty in self._held_since if self.holder(duty) != self._ctx.node]:
-            del self._held_since[duty]
+    def _drop_lost_keys(self, was_absent: bool) -> None:
+        if was_absent:
+            self._owned_since.clear()
+        for key in [key for key in self._owned_since if self.owner_of(key) != self._ctx.node]:
+            del self._owned_since[key]
 
-    def holder(self, duty: str) -> str:
+    def owner_of(self, key: str) -> str:
         """Returns the gateway that has a duty: one of those alive, by rendezvous hashing of the duty's name."""
         alive = {member.node for member in self._ctx.membership.members("gateway", statuses=("alive",))}
         alive.add(self._ctx.node)
-        return max(alive, key=lambda gateway: rank(duty, gateway))
+        return max(alive, key=lambda gateway: rank(key, gateway))
 
-    def held_since(self, duty: str) -> timedelta | None:
+    def owned_since(self, key: str) -> timedelta | None:
         """Returns since when this gateway has had a duty without a break; None where another one has it.
 
         Others that come and go meanwhile are no break.
         """
         self.check()
-        if self.holder(duty) != self._ctx.node:
+        if self.owner_of(key) != self._ctx.node:
             return None
-        return self._held_since.setdefault(duty, self.changed_at)
+        return self._owned_since.setdefault(key, self.changed_at)
--- a/pipitlink/router/http_frontend.py
+++ b/pipitlink/router/http_frontend.py
@@ -17,7 +17,7 @@
 from ..timers import ms
 from ..wire.cluster_pb2 import Route
 from .batch_calls import BatchCalls, Submission
-from .call import HOP_HEADERS, Call, CallPhase, parse_prompt_parts
+from .call import HOP_BY_HOP_HEADERS, Call, CallPhase, parse_prompt_parts
 from .call_relay import CallRelay
 from .http_response import HttpResponse
 from .inbound_request import ClientChannel, ClientChannelFactory, InboundRequest
@@ -176,7 +176,7 @@
             (name.lower(), value)
             for name, values in request.requestHeaders.getAllRawHeaders()
             for value in values
-            if name.lower() not in HOP_HEADERS
+            if name.lower() not in HOP_BY_HOP_HEADERS
         ]
         last_event = (request.header(dialect.event_id) or b"").strip()
         token_counts = (request.header(dialect.token_counts) or b"").split(b",")
--- a/pipitlink/router/inbound_request.py
+++ b/pipitlink/router/inbound_request.py
@@ -14,11 +14,11 @@
 from twisted.web.iweb import UNKNOWN_LENGTH
 
 from ..timers import secs
-from .call import HOP_HEADERS, Call, Header
+from .call import HOP_BY_HOP_HEADERS, Call, Header
 from .engine_connection import Response
 from .http_response import HttpResponse
 
-__all__ = ["ClientChannel", "ClientChannelFactory", "Frontend", "InboundRequest", "passed_headers"]
+__all__ = ["ClientChannel", "ClientChannelFactory", "Frontend", "InboundRequest", "forwarded_headers"]
 
 IDLE_TIMEOUT: timedelta = secs(15)
 MAX_HEADERS_BYTES = 32768
@@ -119,16 +119,16 @@
         return value.decode("latin-1") if value is not None else None
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether the caller has left, or has its whole response."""
         return self._disconnected or bool(self.finished)
 
     def head(self, response: Response) -> None:
         """Writes the head of an engine's response."""
-        if self.is_over or self.call is None:
+        if self.is_finished or self.call is None:
             return
         self.setResponseCode(response.code, response.phrase)
-        for name, value in passed_headers(response):
+        for name, value in forwarded_headers(response):
             self.responseHeaders.addRawHeader(name, value)
         if response.length is not UNKNOWN_LENGTH and not self.call.is_resumable:
             self.responseHeaders.setRawHeaders(b"Content-Length", [b"%d" % int(response.length)])
@@ -137,7 +137,7 @@
 
     def data(self, data: bytes) -> None:
         """Writes a piece of the body of an engine's response."""
-        if not self.is_over:
+        if not self.is_finished:
             self.write(data)
 
     def _close_if_draining(self) -> None:
@@ -147,7 +147,7 @@
 
     def complete(self) -> None:
         """Ends the response that was written."""
-        if self.is_over:
+        if self.is_finished:
             return
         if self.producer is not None:
             self.unregisterProducer()
@@ -157,14 +157,14 @@
 
     def abort_response(self) -> None:
         """Closes the connection, so that a response that has begun and cannot be completed does not look complete."""
-        if not self.is_over:
+        if not self.is_finished:
             if self.producer is not None:
                 self.unregisterProducer()
             self.channel.forceAbortClient()
 
     def respond(self, response: HttpResponse) -> None:
         """Writes a response of this gateway's own, without anything of an engine's response."""
-        if self.is_over:
+        if self.is_finished:
             return
         if self.producer is not None:
             self.unregisterProducer()
@@ -232,9 +232,9 @@
         """Closes no log file."""
 
 
-def passed_headers(response: Response) -> Iterator[Header]:
+def forwarded_headers(response: Response) -> Iterator[Header]:
     """Yields the headers of an engine that a caller gets: all but those that concern one connection."""
     for name, values in response.headers.getAllRawHeaders():
-        if name.lower() not in HOP_HEADERS:
+        if name.lower() not in HOP_BY_HOP_HEADERS:
             for value in values:
                 yield name, value
--- a/pipitlink/router/load_exchange.py
+++ b/pipitlink/router/load_exchange.py
@@ -13,7 +13,7 @@
 from .engine import EngineLoad, PeerLoad
 from .engine_registry import EngineRegistry
 
-__all__ = ["LoadExchange", "LoadReportCarrier"]
+__all__ = ["LoadExchange", "LoadReportContributor"]
 
 REPORT_INTERVAL = ms(200)
 MAX_REPORT_AGE = secs(1)
@@ -23,13 +23,13 @@
 RELAYED_PROPAGATION_TIME = ms(600)
 
 
-class LoadReportCarrier(Protocol):
+class LoadReportContributor(Protocol):
     """A part that has more to report to all gateways, along with the loads."""
 
-    def fill_report(self, report: Loads) -> bool:
+    def add_to_report(self, report: Loads) -> bool:
         """Adds to a report; returns whether any of it is new to the receivers."""
 
-    def absorb_report(self, report: Loads) -> None:
+    def apply_report(self, report: Loads) -> None:
         """Takes in what another gateway has added to its report."""
 
 
@@ -42,7 +42,7 @@
     def __init__(self, ctx: Context, engines: EngineRegistry) -> None:
         self._ctx = ctx
         self._engines = engines
-        self._carriers: list[LoadReportCarrier] = []
+        self._contributors: list[LoadReportContributor] = []
         self._reported: dict[str, EngineLoad] = {}
         self._reported_at = ZERO
 
@@ -53,9 +53,9 @@
         self._ctx.membership.add_listener(self._on_member_changed)
         self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self._report, self._ctx.error_reporter("report_loads"))
 
-    def add_carrier(self, carrier: LoadReportCarrier) -> None:
+    def add_contributor(self, contributor: LoadReportContributor) -> None:
         """Has a part add to each report and take in what its peers add."""
-        self._carriers.append(carrier)
+        self._contributors.append(contributor)
 
     def propagation_time(self) -> timedelta:
         """Returns within which time all gateways have got what one of them reports."""
@@ -78,7 +78,7 @@
         }
         loads = [Load(engine=name, running=load.running, batch=load.batch_items) for name, load in own.items()]
         report = Loads(gateway=self._ctx.node, loads=loads)
-        has_changes = [carrier.fill_report(report) for carrier in self._carriers]
+        has_changes = [contributor.add_to_report(report) for contributor in self._contributors]
         if own == self._reported and not any(has_changes) and now - self._reported_at < MAX_REPORT_AGE:
             return
         self._reported, self._reported_at = own, now
@@ -95,8 +95,8 @@
 
     async def on_peer_loads(self, _node: str, report: Loads) -> None:
         """Takes in the report of another gateway."""
-        for carrier in self._carriers:
-            carrier.absorb_report(report)
+        for contributor in self._contributors:
+            contributor.apply_report(report)
         self._set_peer_loads(
             report.gateway, {load.engine: EngineLoad(load.running, load.batch) for load in report.loads}
         )
@@ -105,8 +105,8 @@
         """Takes in a controller's totals, which contain what this gateway has last reported."""
         for report in totals.lots:
             if report.gateway != self._ctx.node:
-                for carrier in self._carriers:
-                    carrier.absorb_report(report)
+                for contributor in self._contributors:
+                    contributor.apply_report(report)
         loads = {}
         for total in totals.totals:
             own = self._reported.get(total.engine, EngineLoad(0, 0))
--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -54,7 +54,7 @@
 
     def coordinator_of(self, route: str) -> str:
         """Returns the gateway that counts the tokens of a route."""
-        return self._gateway_watch.holder(_duty(route))
+        return self._gateway_watch.owner_of(_quota_key(route))
 
     async def reserve(self, route: Route, batch: Batch, deadline: timedelta) -> None:
         """Reserves tokens for a whole batch.
@@ -113,7 +113,7 @@
             self._waiting.grants.pop(request.lot, None)
             return QuotaResponse()
         route = self._routes().get(request.route)
-        counting_since = self._gateway_watch.held_since(_duty(request.route))
+        counting_since = self._gateway_watch.owned_since(_quota_key(request.route))
         if route is None or counting_since is None or not self._counter.is_reliable(counting_since):
             return QuotaResponse(uncertain=True)
         if not route.max_waiting_tokens:
@@ -128,7 +128,7 @@
         return QuotaResponse(granted=True)
 
 
-def _duty(route: str) -> str:
+def _quota_key(route: str) -> str:
     """Returns the name of the duty to count a route's tokens."""
     return f"quota/{route}"
 
--- a/pipitlink/router/response_stream.py
+++ b/pipitlink/router/response_stream.py
@@ -28,58 +28,58 @@
         self._connection = connection
         self._response = response
         self._slot = slot
-        self._is_failing = False
+        self._has_failed = False
         has_events = call.is_resumable and response.code == HTTPStatus.OK
         self._events = EventStream(call.last_event) if has_events else None
         self.finished: defer.Deferred[None] = defer.Deferred()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
         """Takes the next bytes of the body."""
-        if self.finished.called or self._is_failing:
+        if self.finished.called or self._has_failed:
             return
         try:
             self._slot.prefill_done()
             if self._events is None:
-                self._pass_on(data)
+                self._forward(data)
             else:
-                self._pass_on_events(self._events, data)
+                self._forward_events(self._events, data)
         except Exception as error:
             self._fail(error)
 
-    def _pass_on_events(self, events: EventStream, data: bytes) -> None:
+    def _forward_events(self, events: EventStream, data: bytes) -> None:
         for event in events.feed(data):
-            self._pass_on(event)
+            self._forward(event)
             self._call.last_event = events.last_id
 
-    def _pass_on(self, data: bytes) -> None:
-        self._pass_on_head()
+    def _forward(self, data: bytes) -> None:
+        self._forward_head()
         if self._call.state != RequestState.RESPONDING:
             self._call.trigger("receive")
         self._call.sink.data(data)
 
-    def _pass_on_head(self) -> None:
-        if not self._call.head_passed:
+    def _forward_head(self) -> None:
+        if not self._call.head_forwarded:
             self._call.end_phase(CallPhase.FIRST_BYTE)
-            self._call.head_passed = True
+            self._call.head_forwarded = True
             if not self._call.is_resumable:
-                self._call.forget_body()
+                self._call.discard_body()
             self._call.sink.head(self._response)
 
     def _fail(self, error: Exception) -> None:
-        self._is_failing = True
+        self._has_failed = True
         self._connection.discard()
         self.finished.errback(error)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - twisted's interface
         """Takes the end of the body, which is only complete where `reason` is ResponseDone."""
-        if self.finished.called or self._is_failing:
+        if self.finished.called or self._has_failed:
             return
         if not reason.check(ResponseDone):
             self.finished.errback(EngineError("the engine's answer was cut short", code="cut_short"))
         elif self._events is not None and not self._events.is_complete:
             self.finished.errback(EngineError("the engine's answer ended inside an event", code="cut_short"))
         else:
-            self._pass_on_head()
+            self._forward_head()
             self.finished.callback(None)
 
 
--- a/pipitlink/router/server_sent_events.py
+++ b/pipitlink/router/server_sent_events.py
@@ -16,7 +16,7 @@
     """
 
     def __init__(self, last_id: int = 0) -> None:
-        self._rest = b""
+        self._buffer = b""
         self.last_id = last_id
 
     def feed(self, data: bytes) -> list[bytes]:
@@ -24,13 +24,13 @@
 
         Raises EngineError where an event is missing or too long.
         """
-        self._rest += data
+        self._buffer += data
         events = []
-        while (end := self._rest.find(b"\n\n")) >= 0:
-            event, self._rest = self._rest[: end + 2], self._rest[end + 2 :]
+        while (end := self._buffer.find(b"\n\n")) >= 0:
+            event, self._buffer = self._buffer[: end + 2], self._buffer[end + 2 :]
             self._check_id(event)
             events.append(event)
-        if len(self._rest) > MAX_EVENT_BYTES:
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise EngineError("an event is too long", code="bad_answer")
         return events
 
@@ -45,7 +45,7 @@
     @property
     def is_complete(self) -> bool:
         """Whether the stream so far ends with a complete event."""
-        return not self._rest
+        return not self._buffer
 
 
 def event_id(event: bytes) -> int | None:
--- a/pipitlink/router/waiting_tokens.py
+++ b/pipitlink/router/waiting_tokens.py
@@ -111,7 +111,7 @@
                 entries[batch_id] = WaitingLot(lot=batch_id, route=batch.content.route, tokens=tokens)
         return list(entries.values())
 
-    def fill_report(self, report: Loads) -> bool:
+    def add_to_report(self, report: Loads) -> bool:
         """Adds the own report; returns whether any of it is new, or there are gateways that did not get the last."""
         self._gateway_watch.check()
         entries = self.own_report()
@@ -120,7 +120,7 @@
         last, self._last_report = self._last_report, content
         return bool(entries or last.tokens) and content != last
 
-    def absorb_report(self, report: Loads) -> None:
+    def apply_report(self, report: Loads) -> None:
         """Takes in the report of another gateway."""
         self.record(report.gateway, report.lots)
 
--- a/tests/test_response_orders.py
+++ b/tests/test_response_orders.py
@@ -74,7 +74,7 @@
     "engines are counted, resumable": Guard(Call, "budget_spent", False, "BUDGET", _live("resumable")),
     "a promise needs the engine's word": Guard(engine_exchange, "RETRYABLE_STATUSES", (), "REFUSED", _live("mutating")),
     "what may have run is told so": Guard(
-        Call, "reached_engine", property(lambda _: False, lambda *_: None), "REFUSED", _live("idempotent", engines=1)
+        Call, "has_lost_attempt", property(lambda _: False, lambda *_: None), "REFUSED", _live("idempotent", engines=1)
     ),
     "a cut answer is seen as cut": Guard(
         response_stream, "ResponseDone", Exception, "MIXED", _live("mutating", engines=1)
--- a/tests/test_responses.py
+++ b/tests/test_responses.py
@@ -67,7 +67,7 @@
         link = self.served()
         self.harness.clock.advance(2.9)
         taken = self.harness.node.connections.take_idle(link.address)
-        self.harness.node.connections.give_back_unused(taken)
+        self.harness.node.connections.release_unused(taken)
         self.harness.clock.advance(0.2)
         self.harness.send_request("/once/x", call_id="c1")
         self.assertIsNot(self.harness.take_engine_request()[1], link)
