--- a/pipitlink/router/http_frontend.py
+++ b/pipitlink/router/http_frontend.py
@@ -17,10 +17,10 @@
 from ..timers import ms
 from ..wire.cluster_pb2 import Route
 from .batch_api import BatchApi, Submission
-from .call import HOP_HEADERS, Call, CallPhase, parse_prompt_parts
+from .call import HOP_BY_HOP_HEADERS, Call, CallPhase, parse_prompt_parts
 from .call_relay import CallRelay
 from .http_response import HttpResponse
-from .inbound_request import CallerChannel, CallerFactory, InboundRequest
+from .inbound_request import ClientChannel, ClientChannelFactory, InboundRequest
 from .phase_timings import PhaseTimings
 
 __all__ = ["HttpFrontend", "RouteKind"]
@@ -57,7 +57,7 @@
         self._batch_api = batch_api
         self._opened_at = ctx.timers.now()
         self._ports: list[Any] = []
-        self.channels: set[CallerChannel] = set()
+        self.channels: set[ClientChannel] = set()
         self.is_draining = False
         self.refused: dict[str, int] = {}
 
@@ -71,7 +71,7 @@
 
     async def listen(self, host: str, port: int, listening_socket: socket.socket | None = None) -> int:
         """Begins to accept connections, and returns the port. A socket that listens already is used, and closed."""
-        factory: Any = CallerFactory(self, self._ctx.reactor)
+        factory: Any = ClientChannelFactory(self, self._ctx.reactor)
         if listening_socket is not None:
             opened = self._ctx.reactor.adoptStreamPort(listening_socket.fileno(), listening_socket.family, factory)
             listening_socket.close()
@@ -176,7 +176,7 @@
             (name.lower(), value)
             for name, values in request.requestHeaders.getAllRawHeaders()
             for value in values
-            if name.lower() not in HOP_HEADERS
+            if name.lower() not in HOP_BY_HOP_HEADERS
         ]
         last_event = (request.header(dialect.event_id) or b"").strip()
         token_counts = (request.header(dialect.token_counts) or b"").split(b",")
