--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -446,7 +446,7 @@
             return
         answer = self.rng.choice(self.open)
         name, link, call_id, sent = answer
-        if link.transport.gone:
+        if link.transport.closed:
             self.open.remove(answer)
             return
         roll = self.rng.random()
@@ -482,7 +482,7 @@
             data = self.harness.client_output(channel)
             if data:
                 channel.transport.clear()
-                self.seen.note("caller sees", n, data, channel.transport.gone)
+                self.seen.note("caller sees", n, data, channel.transport.closed)
 
 
 def router(seed):
--- a/tests/router_builders.py
+++ b/tests/router_builders.py
@@ -71,7 +71,7 @@
 
     def __init__(self):
         super().__init__()
-        self.gone = False
+        self.closed = False
 
     def setTcpNoDelay(self, on):
         pass
@@ -85,8 +85,8 @@
         self.close()
 
     def close(self):
-        if not self.gone:
-            self.gone = True
+        if not self.closed:
+            self.closed = True
             self.disconnecting = True
             from twisted.internet.error import ConnectionDone
             from twisted.python.failure import Failure
@@ -94,7 +94,7 @@
             self.protocol.connectionLost(Failure(ConnectionDone()))
 
 
-class _Node:
+class _GatewayNode:
     """The live path of a gateway, without batches."""
 
     def __init__(self, ctx, harness):
@@ -127,13 +127,13 @@
             routes=RouteTable(Config(version=1, routes=routes, pools=pools, bounds=Bounds(max_body_bytes=100_000))),
         )
         self.cluster = SimpleNamespace(
-            cluster_state=self.cluster_state, add_listener=lambda do: None, usable=lambda: True
+            cluster_state=self.cluster_state, add_listener=lambda listener: None, usable=lambda: True
         )
-        self.gone: set[str] = set()
-        self._member_watchers = []
+        self.gone_gateways: set[str] = set()
+        self._member_listeners = []
         membership = SimpleNamespace(
-            add_listener=self._member_watchers.append,
-            status=lambda node: "gone" if node in self.gone else "alive",
+            add_listener=self._member_listeners.append,
+            status=lambda node: "gone" if node in self.gone_gateways else "alive",
             members=lambda role=None, statuses=(), include_self=True: [
                 Member(node=f"g{i}") for i in range(gateways) if i or include_self
             ],
@@ -163,15 +163,17 @@
         self.ctx.dialect.parse_batch_request = lambda method, path, query, headers: None
         self.connections: dict[str, list] = {}
         self.refused_addresses: set[str] = set()
-        self.node = _Node(self.ctx, self)
+        self.node = _GatewayNode(self.ctx, self)
         self.sequence = 0
 
     def remove_gateway(self, node):
-        self.gone.add(node)
-        for do in self._member_watchers:
-            do(Member(node=node, role="gateway"))
+        self.gone_gateways.add(node)
+        for listener in self._member_listeners:
+            listener(Member(node=node, role="gateway"))
 
-    def announce_engine(self, name, zone="zone-a", state="ready", pool="models", capacity=4, cold_ms=0, address=None):
+    def announce_engine(
+        self, name, zone="zone-a", state="ready", pool="models", capacity=4, slow_start_ms=0, address=None
+    ):
         self.sequence += 1
         self.node.engines.merge(
             EngineUpdate(
@@ -183,19 +185,19 @@
                 state=state,
                 capacity=capacity,
                 sequence=self.sequence,
-                slow_start_ms=cold_ms,
+                slow_start_ms=slow_start_ms,
             )
         )
         return self.node.engines.get(name)
 
-    def connect(self, link):
-        if link.address in self.refused_addresses:
-            return defer.fail(ConnectionRefusedError(link.address))
-        t = _Transport()
-        t.protocol = link
-        self.connections.setdefault(link.address, []).append(link)
-        link.makeConnection(t)
-        return defer.succeed(link)
+    def connect(self, connection):
+        if connection.address in self.refused_addresses:
+            return defer.fail(ConnectionRefusedError(connection.address))
+        transport = _Transport()
+        transport.protocol = connection
+        self.connections.setdefault(connection.address, []).append(connection)
+        connection.makeConnection(transport)
+        return defer.succeed(connection)
 
     def connections_to(self, name):
         return self.connections.get(f"10.0.0.{name[1:]}:80", [])
@@ -203,27 +205,27 @@
     def take_engine_requests(self) -> list[tuple[str, object, bytes]]:
         """All requests that engines were sent and have not been looked at: (engine, link, bytes)."""
         out = []
-        for address, links in self.connections.items():
-            for link in links:
-                data = link.transport.value()
+        for address, connections in self.connections.items():
+            for connection in connections:
+                data = connection.transport.value()
                 if data:
-                    link.transport.clear()
-                    out.append(("e" + address.split(":")[0].rsplit(".", 1)[1], link, data))
+                    connection.transport.clear()
+                    out.append(("e" + address.split(":")[0].rsplit(".", 1)[1], connection, data))
         return out
 
     def take_engine_request(self):
-        got = self.take_engine_requests()
-        if len(got) != 1:
+        requests = self.take_engine_requests()
+        if len(requests) != 1:
             raise AssertionError(
-                f"{len(got)} requests at engines, not one: {[g[2][:80] for g in got]} {self.log_lines}"
+                f"{len(requests)} requests at engines, not one: {[g[2][:80] for g in requests]} {self.log_lines}"
             )
-        return got[0]
+        return requests[0]
 
     def connect_client(self):
         channel = ClientChannelFactory(self.node.frontend, self.clock).buildProtocol(None)
-        t = _Transport()
-        t.protocol = channel
-        channel.makeConnection(t)
+        transport = _Transport()
+        transport.protocol = channel
+        channel.makeConnection(transport)
         return channel
 
     def send_request(self, path="/a/x", call_id="c1", body=b"hello", headers=(), channel=None, method="POST"):
--- a/tests/test_announcing.py
+++ b/tests/test_announcing.py
@@ -10,39 +10,39 @@
 from .control_calls import Caller
 
 
-class _Listener:
+class _UpdateRecorder:
     """Stands in for a gateway's list of engines: keeps all that it was told, and when."""
 
     def __init__(self, simulated_node):
         self.simulated_node = simulated_node
-        self.told: list[tuple[float, object]] = []
-        self.lists = 0
-        simulated_node.ctx.rpc.register_handler("engines.tell", EngineList, self._tell)
+        self.updates: list[tuple[float, object]] = []
+        self.message_count = 0
+        simulated_node.ctx.rpc.register_handler("engines.tell", EngineList, self._on_updates)
 
-    async def _tell(self, node, what):
-        self.lists += 1
-        self.told.extend((self.simulated_node.simulation.clock.seconds(), n) for n in what.engines)
+    async def _on_updates(self, node, message):
+        self.message_count += 1
+        self.updates.extend((self.simulated_node.simulation.clock.seconds(), n) for n in message.engines)
 
-    def states(self, engine):
-        return [n.state for _, n in self.told if n.engine == engine]
+    def recorded_states(self, engine):
+        return [n.state for _, n in self.updates if n.engine == engine]
 
-    def last(self, engine):
-        return next((n for _, n in reversed(self.told) if n.engine == engine), None)
+    def last_update(self, engine):
+        return next((n for _, n in reversed(self.updates) if n.engine == engine), None)
 
 
-class Announcing(unittest.TestCase):
+class EngineAnnouncements(unittest.TestCase):
     def setUp(self):
         self.simulation = Simulation(5, placement_groups=2)
         self.addCleanup(self.simulation.end)
         self.simulation.start()
-        self.gateways = [_Listener(a) for a in self.simulation.role("gateway")]
+        self.gateways = [_UpdateRecorder(a) for a in self.simulation.role("gateway")]
         self.simulation.ready()
-        self.caller = Caller(self.simulation)
+        self.client = Caller(self.simulation)
         self.controller, self.second = self.simulation.role("controller")[1:3]
         self.simulation.run(1)
 
-    def beat(self, sequence, state="ready", engine="e1", controller=None, **more):
-        return self.caller.ask(
+    def announce(self, sequence, state="ready", engine="e1", controller=None, **more):
+        return self.client.ask(
             controller or self.controller,
             "PUT",
             f"/v1/engines/{engine}",
@@ -57,8 +57,8 @@
             },
         )
 
-    def drop(self, engine="e1", controller=None):
-        return self.caller.ask(controller or self.controller, "DELETE", f"/v1/engines/{engine}")
+    def remove_engine(self, engine="e1", controller=None):
+        return self.client.ask(controller or self.controller, "DELETE", f"/v1/engines/{engine}")
 
     def now(self):
         return self.simulation.clock.seconds()
@@ -68,10 +68,10 @@
             if a is not self.controller:
                 a.kill()
         self.simulation.run(3)
-        self.assertEqual(self.beat(1), (200, {}))
+        self.assertEqual(self.announce(1), (200, {}))
         self.simulation.run(0.05)
         for g in self.gateways:
-            n = g.last("e1")
+            n = g.last_update("e1")
             self.assertEqual(
                 (n.pool, n.address, n.zone, n.capacity, n.state, n.sequence, n.incarnation),
                 ("p", "10.9.0.1:80", "zone-a", 4, "ready", 1, 1),
@@ -79,166 +79,171 @@
 
     def test_mere_renewals_go_in_batches_and_changes_at_once(self):
         for e in range(20):
-            self.beat(1, engine=f"e{e}")
+            self.announce(1, engine=f"e{e}")
         self.simulation.run(2)
-        before = self.gateways[0].lists
-        for _ in range(3):
+        before = self.gateways[0].message_count
+        for repeat in range(3):
             for e in range(20):
-                self.assertEqual(self.beat(2 + _, engine=f"e{e}"), (200, {}))
+                self.assertEqual(self.announce(2 + repeat, engine=f"e{e}"), (200, {}))
         self.simulation.run(2)
-        self.assertLessEqual(self.gateways[0].lists - before, 3)
-        self.assertEqual({self.gateways[0].last(f"e{e}").sequence for e in range(20)}, {4})
+        self.assertLessEqual(self.gateways[0].message_count - before, 3)
+        self.assertEqual({self.gateways[0].last_update(f"e{e}").sequence for e in range(20)}, {4})
         for n, more in enumerate(({"cold_ms": 500}, {"address": "10.9.0.2:80"})):
-            self.beat(9 + n, engine="e3", **more)
+            self.announce(9 + n, engine="e3", **more)
             self.simulation.run(0.05)
-            self.assertEqual(self.gateways[0].last("e3").sequence, 9 + n)
+            self.assertEqual(self.gateways[0].last_update("e3").sequence, 9 + n)
 
     def test_an_engine_that_has_announced_itself_elsewhere_goes_with_the_renewals(self):
         for e in range(20):
-            self.beat(1, engine=f"e{e}")
+            self.announce(1, engine=f"e{e}")
         self.simulation.run(0.05)
-        before = self.gateways[0].lists
+        before = self.gateways[0].message_count
         for e in range(20):
-            self.beat(2, engine=f"e{e}", controller=self.second)
+            self.announce(2, engine=f"e{e}", controller=self.second)
         self.simulation.run(0.9)
-        self.assertLessEqual(self.gateways[0].lists - before, 2)
-        self.assertEqual({self.gateways[0].last(f"e{e}").sequence for e in range(20)}, {2})
+        self.assertLessEqual(self.gateways[0].message_count - before, 2)
+        self.assertEqual({self.gateways[0].last_update(f"e{e}").sequence for e in range(20)}, {2})
         for more in ({"cold_ms": 500}, {"state": "leaving"}):
-            at, before = self.now(), self.gateways[0].lists
-            self.beat(7, engine=f"f{len(more)}{at}", controller=self.second, **more)
+            at, before = self.now(), self.gateways[0].message_count
+            self.announce(7, engine=f"f{len(more)}{at}", controller=self.second, **more)
             self.simulation.run(0.05)
-            self.assertGreater(self.gateways[0].lists, before, "it is told at once")
+            self.assertGreater(self.gateways[0].message_count, before, "it is told at once")
 
     def test_a_renewal_tells_how_old_it_is(self):
-        self.beat(1)
+        self.announce(1)
         self.simulation.run(2)
-        self.beat(2)
-        asked = self.now()
+        self.announce(2)
+        sent_at = self.now()
         self.simulation.run(1.5)
-        at, n = next((at, n) for at, n in self.gateways[0].told if n.sequence == 2)
-        self.assertAlmostEqual(n.age_ms / 1000, at - asked, delta=0.05)
+        at, n = next((at, n) for at, n in self.gateways[0].updates if n.sequence == 2)
+        self.assertAlmostEqual(n.age_ms / 1000, at - sent_at, delta=0.05)
 
     def test_leaving_is_acknowledged_when_all_live_gateways_have_it_and_never_reverts(self):
-        self.beat(1)
+        self.announce(1)
         self.simulation.run(0.2)
-        self.assertEqual(self.beat(2, "leaving")[0], 200)
-        self.assertEqual([g.states("e1")[-1] for g in self.gateways], ["leaving"] * 3)
-        self.beat(3, "ready")
-        self.beat(4, "ready", cold_ms=100)
-        self.beat(1, "ready")
+        self.assertEqual(self.announce(2, "leaving")[0], 200)
+        self.assertEqual([g.recorded_states("e1")[-1] for g in self.gateways], ["leaving"] * 3)
+        self.announce(3, "ready")
+        self.announce(4, "ready", cold_ms=100)
+        self.announce(1, "ready")
         self.simulation.run(2)
         for g in self.gateways:
-            states = g.states("e1")
-            self.assertEqual(set(states[states.index("leaving") :]), {"leaving"})
-            self.assertEqual(g.last("e1").sequence, 4)
+            recorded_states = g.recorded_states("e1")
+            self.assertEqual(set(recorded_states[recorded_states.index("leaving") :]), {"leaving"})
+            self.assertEqual(g.last_update("e1").sequence, 4)
 
     def test_a_late_beat_after_the_end_is_ignored(self):
-        self.beat(1)
+        self.announce(1)
         self.simulation.run(0.2)
-        self.assertEqual(self.drop()[0], 200)
-        self.assertEqual([g.states("e1")[-1] for g in self.gateways], ["gone"] * 3)
+        self.assertEqual(self.remove_engine()[0], 200)
+        self.assertEqual([g.recorded_states("e1")[-1] for g in self.gateways], ["gone"] * 3)
         for sequence in (2, 50):
-            self.assertEqual(self.beat(sequence)[0], 200)
-            self.assertEqual(self.beat(sequence + 1, "leaving")[0], 200)
+            self.assertEqual(self.announce(sequence)[0], 200)
+            self.assertEqual(self.announce(sequence + 1, "leaving")[0], 200)
             self.simulation.run(20)
-        self.assertEqual([g.states("e1")[-1] for g in self.gateways], ["gone"] * 3)
-        self.assertEqual(self.drop()[0], 200)
+        self.assertEqual([g.recorded_states("e1")[-1] for g in self.gateways], ["gone"] * 3)
+        self.assertEqual(self.remove_engine()[0], 200)
 
     def test_an_older_call_changes_nothing(self):
-        self.beat(5, address="10.9.0.5:80")
-        self.beat(4, address="10.9.0.4:80")
+        self.announce(5, address="10.9.0.5:80")
+        self.announce(4, address="10.9.0.4:80")
         self.simulation.run(2)
-        self.assertEqual({n.address for _, n in self.gateways[0].told}, {"10.9.0.5:80"})
+        self.assertEqual({n.address for _, n in self.gateways[0].updates}, {"10.9.0.5:80"})
 
     def test_the_end_of_an_engine_that_is_not_known_here_is_told_too(self):
-        self.beat(1, controller=self.second)
+        self.announce(1, controller=self.second)
         self.simulation.run(0.2)
-        self.assertEqual(self.drop()[0], 200)
-        self.assertEqual([g.states("e1")[-1] for g in self.gateways], ["gone"] * 3)
+        self.assertEqual(self.remove_engine()[0], 200)
+        self.assertEqual([g.recorded_states("e1")[-1] for g in self.gateways], ["gone"] * 3)
 
     def test_leaving_waits_for_a_slow_gateway_and_the_push_is_repeated(self):
-        self.beat(1)
+        self.announce(1)
         self.simulation.run(0.2)
         slow = self.gateways[1]
         self.simulation.cut([self.controller.name], [slow.simulated_node.name])
-        began = self.now()
-        box = self.caller.begin(
+        started_at = self.now()
+        responses = self.client.begin(
             self.controller,
             "PUT",
             "/v1/engines/e1",
             {"pool": "p", "address": "10.9.0.1:80", "state": "leaving", "sequence": 2},
         )
         self.simulation.run(0.45)
-        self.assertEqual(box, [])
+        self.assertEqual(responses, [])
         self.simulation.heal()
-        self.simulation.until(lambda: box, 1, "it is acknowledged")
-        self.assertEqual(box[0][0], 200)
-        self.assertLess(self.now() - began, 0.75)
-        self.simulation.until(lambda: slow.states("e1")[-1] == "leaving", 1, "the slow gateway knows")
+        self.simulation.until(lambda: responses, 1, "it is acknowledged")
+        self.assertEqual(responses[0][0], 200)
+        self.assertLess(self.now() - started_at, 0.75)
+        self.simulation.until(lambda: slow.recorded_states("e1")[-1] == "leaving", 1, "the slow gateway knows")
 
     def test_leaving_waits_no_longer_than_that_and_the_gateway_learns_it_soon(self):
-        self.beat(1)
+        self.announce(1)
         self.simulation.run(0.2)
         slow = self.gateways[1]
         self.simulation.cut([self.controller.name], [slow.simulated_node.name])
-        began = self.now()
-        self.assertEqual(self.beat(2, "leaving")[0], 200)
-        self.assertLess(self.now() - began, 0.75)
+        started_at = self.now()
+        self.assertEqual(self.announce(2, "leaving")[0], 200)
+        self.assertLess(self.now() - started_at, 0.75)
         self.simulation.run(1)
         self.simulation.heal()
         self.simulation.run(0.7)
-        self.assertEqual(slow.states("e1")[-1], "leaving")
+        self.assertEqual(slow.recorded_states("e1")[-1], "leaving")
 
     def test_a_change_that_a_gateway_did_not_confirm_for_seconds_is_still_owed_to_it(self):
-        self.beat(1)
+        self.announce(1)
         self.simulation.run(0.2)
         slow = self.gateways[1]
         self.simulation.cut([self.controller.name], [slow.simulated_node.name])
-        self.assertEqual(self.beat(2, "leaving")[0], 200)
+        self.assertEqual(self.announce(2, "leaving")[0], 200)
         self.simulation.run(5)
-        self.assertEqual(slow.states("e1")[-1], "ready")
+        self.assertEqual(slow.recorded_states("e1")[-1], "ready")
         self.simulation.heal()
         self.simulation.run(1.5)
-        self.assertEqual(slow.states("e1")[-1], "leaving")
+        self.assertEqual(slow.recorded_states("e1")[-1], "leaving")
 
     def test_leaving_that_no_gateway_has_confirmed_is_not_acknowledged(self):
-        self.beat(1)
+        self.announce(1)
         self.simulation.run(0.2)
         gateways = [g.simulated_node.name for g in self.gateways]
         self.simulation.cut([self.controller.name], gateways)
-        for ask in (lambda: self.beat(2, "leaving"), lambda: self.beat(2, "leaving"), self.drop, self.drop):
-            answer = ask()
-            self.assertEqual((answer[0], answer[1]["error"]["code"]), (503, "untold"))
+        for send in (
+            lambda: self.announce(2, "leaving"),
+            lambda: self.announce(2, "leaving"),
+            self.remove_engine,
+            self.remove_engine,
+        ):
+            response = send()
+            self.assertEqual((response[0], response[1]["error"]["code"]), (503, "untold"))
         self.simulation.heal()
-        self.simulation.until(lambda: self.drop()[0] == 200, 3, "the gateways are told")
-        self.assertEqual([g.states("e1")[-1] for g in self.gateways], ["gone"] * 3)
+        self.simulation.until(lambda: self.remove_engine()[0] == 200, 3, "the gateways are told")
+        self.assertEqual([g.recorded_states("e1")[-1] for g in self.gateways], ["gone"] * 3)
 
     def test_a_controller_that_holds_all_gateways_for_gone_does_not_acknowledge_that_an_engine_leaves(self):
-        self.beat(1)
+        self.announce(1)
         self.simulation.cut(
             [self.controller.name], [a for a in self.simulation.simulated_nodes if a != self.controller.name]
         )
         self.simulation.run(12)
         self.assertEqual(self.controller.ctx.membership.members("gateway"), [])
-        for ask in (lambda: self.beat(2), lambda: self.beat(3, "leaving"), self.drop):
-            self.assertEqual(ask()[0], 503)
+        for send in (lambda: self.announce(2), lambda: self.announce(3, "leaving"), self.remove_engine):
+            self.assertEqual(send()[0], 503)
         self.simulation.heal()
-        self.simulation.until(lambda: self.drop()[0] == 200, 10, "the gateways are told")
+        self.simulation.until(lambda: self.remove_engine()[0] == 200, 10, "the gateways are told")
 
     def test_a_gateway_that_is_met_later_is_told_all(self):
-        self.beat(1, engine="e1")
-        self.beat(1, engine="e2")
-        self.beat(2, "leaving", engine="e2")
-        self.drop("e3")
+        self.announce(1, engine="e1")
+        self.announce(1, engine="e2")
+        self.announce(2, "leaving", engine="e2")
+        self.remove_engine("e3")
         late = self.simulation.add("gateway", "gateway9", "zone-b", 1900)
         late.start()
-        listener = _Listener(late)
-        self.simulation.until(lambda: listener.last("e1"), 3, "it is told")
-        self.assertEqual([listener.last(e).state for e in ("e1", "e2", "e3")], ["ready", "leaving", "gone"])
+        recorder = _UpdateRecorder(late)
+        self.simulation.until(lambda: recorder.last_update("e1"), 3, "it is told")
+        self.assertEqual([recorder.last_update(e).state for e in ("e1", "e2", "e3")], ["ready", "leaving", "gone"])
 
     def test_what_is_silent_is_forgotten_and_an_end_is_kept_longer(self):
-        self.beat(1, engine="e1")
-        self.drop("e2")
+        self.announce(1, engine="e1")
+        self.remove_engine("e2")
         self.simulation.run(35)
         self.assertEqual(set(self.controller.part.announcements.registry.engines), {"e2"})
         self.simulation.run(30)
@@ -258,11 +263,11 @@
             {**good, "capacity": True},
             *({k: v for k, v in good.items() if k != f} for f in good),
         ):
-            self.assertEqual(self.caller.ask(self.controller, "PUT", "/v1/engines/e1", bad)[0], 400, bad)
+            self.assertEqual(self.client.ask(self.controller, "PUT", "/v1/engines/e1", bad)[0], 400, bad)
         self.assertEqual(self.controller.part.announcements.registry.engines, {})
 
 
-class LateCalls(unittest.TestCase):
+class DelayedAnnouncements(unittest.TestCase):
     """Calls of an engine that reach a controller long after, and after a restart, with the real list of a gateway."""
 
     def setUp(self):
@@ -270,21 +275,21 @@
         self.addCleanup(self.simulation.end)
         self.simulation.start()
         self.gateways = self.simulation.role("gateway")
-        self.lists = {g.name: self.list_of(g) for g in self.gateways}
+        self.registries = {g.name: self.create_registry(g) for g in self.gateways}
         self.simulation.ready()
-        self.caller = Caller(self.simulation)
+        self.client = Caller(self.simulation)
         self.controller, self.second = self.simulation.role("controller")[1:3]
         self.simulation.run(1)
 
-    def list_of(self, gateway):
+    def create_registry(self, gateway):
         engines = EngineRegistry(gateway.ctx)
         engines.open()
         LoadExchange(gateway.ctx, engines).open()
         return engines
 
-    def tell(self, sequence, state="ready", controller=None):
-        news = {"pool": "p", "address": "10.9.0.1:80", "zone": "zone-a", "state": state, "sequence": sequence}
-        return self.caller.ask(controller or self.controller, "PUT", "/v1/engines/e1", news)[0]
+    def announce(self, sequence, state="ready", controller=None):
+        announcement = {"pool": "p", "address": "10.9.0.1:80", "zone": "zone-a", "state": state, "sequence": sequence}
+        return self.client.ask(controller or self.controller, "PUT", "/v1/engines/e1", announcement)[0]
 
     def restart(self, simulated_node):
         simulated_node.kill()
@@ -294,36 +299,36 @@
         )
         self.simulation.run(1)
 
-    def states(self):
-        return [e.status(found[0]) if (found := e.all()) else "none" for e in self.lists.values()]
+    def engine_states(self):
+        return [e.status(found[0]) if (found := e.all()) else "none" for e in self.registries.values()]
 
     def test_a_late_call_at_a_controller_that_restarted_brings_no_leaving_engine_back(self):
-        self.tell(0)
+        self.announce(0)
         self.simulation.run(0.2)
-        self.assertEqual(self.states(), ["ready"] * 3)
-        self.assertEqual((self.tell(1), self.tell(5, "leaving")), (200, 200))
+        self.assertEqual(self.engine_states(), ["ready"] * 3)
+        self.assertEqual((self.announce(1), self.announce(5, "leaving")), (200, 200))
         self.restart(self.controller)
         for sequence in (3, 9):
-            self.tell(sequence)
+            self.announce(sequence)
             self.simulation.run(1)
-            self.assertEqual(self.states(), ["leaving"] * 3)
+            self.assertEqual(self.engine_states(), ["leaving"] * 3)
 
     def test_a_late_call_at_a_controller_that_restarted_brings_no_ended_engine_back(self):
-        self.tell(1)
-        self.assertEqual(self.caller.ask(self.controller, "DELETE", "/v1/engines/e1")[0], 200)
+        self.announce(1)
+        self.assertEqual(self.client.ask(self.controller, "DELETE", "/v1/engines/e1")[0], 200)
         self.restart(self.controller)
         for sequence in (3, 9):
-            self.tell(sequence)
+            self.announce(sequence)
             self.simulation.run(1)
-            self.assertEqual(self.states(), ["none"] * 3)
+            self.assertEqual(self.engine_states(), ["none"] * 3)
 
     def test_a_gateway_that_restarts_learns_from_the_controller_that_was_told_and_not_from_a_late_call(self):
-        self.assertEqual((self.tell(1), self.tell(5, "leaving")), (200, 200))
+        self.assertEqual((self.announce(1), self.announce(5, "leaving")), (200, 200))
         gateway = self.gateways[0]
         gateway.kill()
         gateway.start()
-        self.lists[gateway.name] = self.list_of(gateway)
-        self.simulation.until(lambda: self.lists[gateway.name].all(), 5, "it is told of the engine")
-        self.tell(3, controller=self.second)
+        self.registries[gateway.name] = self.create_registry(gateway)
+        self.simulation.until(lambda: self.registries[gateway.name].all(), 5, "it is told of the engine")
+        self.announce(3, controller=self.second)
         self.simulation.run(1)
-        self.assertEqual(self.states(), ["leaving"] * 3)
+        self.assertEqual(self.engine_states(), ["leaving"] * 3)
--- a/tests/test_response_orders.py
+++ b/tests/test_response_orders.py
@@ -23,10 +23,10 @@
 class Guard:
     """What is put in a guard's place, where its absence shows, and as what."""
 
-    owner: object
+    target: object
     name: str
-    instead: object
-    shows: str
+    replacement: object
+    violation: str
     scenario: object
 
 
@@ -34,7 +34,7 @@
     return lambda: ResponseScenario(kind, **args)
 
 
-def _stop_without_mark(call, why):
+def _abort_without_reason(call, reason):
     call.discard_connection()
 
 
@@ -45,7 +45,7 @@
     "an answer without an id counts only on a fresh connection": Guard(
         EngineExchange,
         "_belongs_to",
-        lambda self, call, link, r: r.headers.getRawHeaders(b"x-request-id", (call.id,))[0] == call.id,
+        lambda self, call, connection, r: r.headers.getRawHeaders(b"x-request-id", (call.id,))[0] == call.id,
         "TWICE",
         _live("mutating", engines=2, clients=2),
     ),
@@ -82,12 +82,12 @@
     "a cut answer is passed on as cut": Guard(
         InboundRequest, "abort_response", InboundRequest.complete, "ORDER", _live("stream", engines=1)
     ),
-    "a caller that left ends its call": Guard(Call, "abort", _stop_without_mark, "UNASKED", _live("idempotent")),
+    "a caller that left ends its call": Guard(Call, "abort", _abort_without_reason, "UNASKED", _live("idempotent")),
 }
 
 
 def _without(guard: Guard):
-    return unittest.mock.patch.object(guard.owner, guard.name, guard.instead, create=True)
+    return unittest.mock.patch.object(guard.target, guard.name, guard.replacement, create=True)
 
 
 class LiveOrders(unittest.TestCase):
@@ -97,7 +97,7 @@
                 self.assertGreater(explore_events(_live(kind), 4), 300)
                 self.assertGreater(explore_events(_live(kind, engines=1, clients=2), 4), 1500)
                 self.assertGreater(explore_events(_live(kind, engines=2, slow_connects=True), 4), 150)
-                self.assertGreater(explore_events(_live(kind, engines=2, moments=True), 4), 400)
+                self.assertGreater(explore_events(_live(kind, engines=2, short_waits=True), 4), 400)
 
     def test_long_orders_at_random(self):
         for kind in ROUTES:
@@ -105,14 +105,14 @@
                 rng = Random(kind)
                 walk_events(_live(kind), rng, 12, 300)
                 walk_events(_live(kind, engines=1, clients=2), rng, 14, 300)
-                walk_events(_live(kind, engines=2, clients=2, slow_connects=True, moments=True), rng, 16, 300)
+                walk_events(_live(kind, engines=2, clients=2, slow_connects=True, short_waits=True), rng, 16, 300)
 
     def test_each_guard_is_needed(self):
         for name, guard in GUARDS.items():
             with self.subTest(name), _without(guard):
                 with self.assertRaises(AssertionError) as caught:
                     explore_events(guard.scenario, 4)
-                self.assertIn(guard.shows, str(caught.exception))
+                self.assertIn(guard.violation, str(caught.exception))
 
 
 class ItemOrders(unittest.TestCase):
--- a/tests/test_responses.py
+++ b/tests/test_responses.py
@@ -9,15 +9,15 @@
 from .router_builders import END, RouterHarness, chunk, event, head, route
 
 RESUMABLE = route("s", "/a/", resumable=True, deadline_ms=20_000)
-ONCE = route("o", "/once/", kind="mutating")
+MUTATING = route("o", "/once/", kind="mutating")
 IDEMPOTENT = route("f", "/f/", kind="idempotent")
-ONE_ENGINE = route("g", "/g/", kind="idempotent", max_attempts=1)
-REFUSED = ("X-Not-Executed: 1",)
+ONE_ATTEMPT = route("g", "/g/", kind="idempotent", max_attempts=1)
+NOT_EXECUTED = ("X-Not-Executed: 1",)
 
 
 class _ResponseTestCase(unittest.TestCase):
     def setUp(self):
-        self.harness = RouterHarness([RESUMABLE, ONCE, IDEMPOTENT, ONE_ENGINE])
+        self.harness = RouterHarness([RESUMABLE, MUTATING, IDEMPOTENT, ONE_ATTEMPT])
         self.harness.announce_engine("e1")
 
     def tearDown(self):
@@ -28,57 +28,63 @@
         for name in names:
             self.harness.announce_engine(name)
 
-    def served(self, call_id="c0", more=()):
+    def serve_request(self, call_id="c0", more=()):
         """One whole exchange, so that its connection is idle; returns the connection."""
         self.harness.send_request("/f/x", call_id=call_id)
-        _, link, _ = self.harness.take_engine_request()
-        link.dataReceived(head(call_id, more=more, length=2) + b"ok")
-        return link
+        _, connection, _ = self.harness.take_engine_request()
+        connection.dataReceived(head(call_id, more=more, length=2) + b"ok")
+        return connection
 
 
-class ConnectionsKept(_ResponseTestCase):
+class ConnectionReuse(_ResponseTestCase):
     def test_a_connection_is_used_again(self):
-        link = self.served()
+        connection = self.serve_request()
         self.harness.send_request("/once/x", call_id="c1")
-        self.assertIs(self.harness.take_engine_request()[1], link)
+        self.assertIs(self.harness.take_engine_request()[1], connection)
 
     def test_no_longer_than_the_engine_said(self):
-        link = self.served(more=("Keep-Alive: timeout=2, max=100",))
+        connection = self.serve_request(more=("Keep-Alive: timeout=2, max=100",))
         self.harness.clock.advance(1.7)
         self.harness.send_request("/f/x", call_id="c1")
-        self.assertIsNot(self.harness.take_engine_request()[1], link)
+        self.assertIsNot(self.harness.take_engine_request()[1], connection)
 
     def test_not_after_the_engine_said_that_it_closes(self):
-        for n, said in enumerate(("close", "Close", "keep-alive, CLOSE")):
-            with self.subTest(said):
-                link = self.served(f"d{n}", more=(f"Connection: {said}",))
+        for n, value in enumerate(("close", "Close", "keep-alive, CLOSE")):
+            with self.subTest(value):
+                connection = self.serve_request(f"d{n}", more=(f"Connection: {value}",))
                 self.harness.send_request("/f/x", call_id=f"c{n}")
                 name, other, _ = self.harness.take_engine_request()
-                self.assertIsNot(other, link)
+                self.assertIsNot(other, connection)
                 other.dataReceived(head(f"c{n}", more=("Connection: close",), length=2) + b"ok")
 
     def test_what_may_not_repeat_goes_on_no_connection_that_rested_long(self):
-        link = self.served()
+        connection = self.serve_request()
         self.harness.clock.advance(3.1)
         self.harness.send_request("/once/x", call_id="c1")
-        self.assertIsNot(self.harness.take_engine_request()[1], link)
+        self.assertIsNot(self.harness.take_engine_request()[1], connection)
 
     def test_a_connection_given_back_unused_has_rested_since_its_last_use(self):
-        link = self.served()
+        connection = self.serve_request()
         self.harness.clock.advance(2.9)
-        taken = self.harness.node.connections.take_idle(link.address)
+        taken = self.harness.node.connections.take_idle(connection.address)
         self.harness.node.connections.release_unused(taken)
         self.harness.clock.advance(0.2)
         self.harness.send_request("/once/x", call_id="c1")
-        self.assertIsNot(self.harness.take_engine_request()[1], link)
+        self.assertIsNot(self.harness.take_engine_request()[1], connection)
 
     def test_an_item_that_must_not_be_sent_any_more_leaves_its_connection(self):
-        def still():
+        def check_precondition():
             raise LeaseNotHeld("the lease is gone")
 
         for n in range(3):
             item = ItemCall(
-                id=f"i{n}", route=RESUMABLE, path="/a/x", headers=[], body=b"b", token_count=1, precondition=still
+                id=f"i{n}",
+                route=RESUMABLE,
+                path="/a/x",
+                headers=[],
+                body=b"b",
+                token_count=1,
+                precondition=check_precondition,
             )
             spawn(self.harness.node.items.run(item)).addErrback(lambda f: f.trap(LeaseNotHeld))
         self.assertEqual(self.harness.take_engine_requests(), [])
@@ -92,57 +98,57 @@
     def test_a_refusal_on_a_used_connection_proves_nothing(self):
         for status in ("421 Misdirected", "503 Busy"):
             with self.subTest(status):
-                link = self.served()
+                connection = self.serve_request()
                 self.more_engines("e2")
-                c = self.harness.send_request("/once/x", call_id="c1")
-                self.assertIs(self.harness.take_engine_request()[1], link)
-                link.dataReceived(head(None, status, seal=False, more=REFUSED, length=0))
+                client = self.harness.send_request("/once/x", call_id="c1")
+                self.assertIs(self.harness.take_engine_request()[1], connection)
+                connection.dataReceived(head(None, status, seal=False, more=NOT_EXECUTED, length=0))
                 self.harness.advance_ms(50)
                 self.assertEqual(self.harness.take_engine_requests(), [])
-                self.assertTrue(self.harness.client_output(c).startswith(b"HTTP/1.1 502"))
-                self.assertTrue(link.transport.gone)
+                self.assertTrue(self.harness.client_output(client).startswith(b"HTTP/1.1 502"))
+                self.assertTrue(connection.transport.closed)
                 self.setUp()
 
     def test_a_failure_on_a_used_connection_is_shown_to_nobody(self):
-        link = self.served()
-        c = self.harness.send_request("/once/x", call_id="c1")
-        self.assertIs(self.harness.take_engine_request()[1], link)
-        link.dataReceived(head(None, "400 Bad", length=3) + b"bad")
-        self.assertTrue(self.harness.client_output(c).startswith(b"HTTP/1.1 502"))
-        self.assertNotIn(b"bad", self.harness.client_output(c).partition(b"\r\n\r\n")[2])
+        connection = self.serve_request()
+        client = self.harness.send_request("/once/x", call_id="c1")
+        self.assertIs(self.harness.take_engine_request()[1], connection)
+        connection.dataReceived(head(None, "400 Bad", length=3) + b"bad")
+        self.assertTrue(self.harness.client_output(client).startswith(b"HTTP/1.1 502"))
+        self.assertNotIn(b"bad", self.harness.client_output(client).partition(b"\r\n\r\n")[2])
 
     def test_a_refusal_on_a_fresh_connection_counts(self):
-        c = self.harness.send_request("/once/x", call_id="c1")
-        first, link, _ = self.harness.take_engine_request()
+        client = self.harness.send_request("/once/x", call_id="c1")
+        first, connection, _ = self.harness.take_engine_request()
         self.more_engines("e2")
-        link.dataReceived(head(None, "421 Misdirected", seal=False, more=REFUSED, length=0))
+        connection.dataReceived(head(None, "421 Misdirected", seal=False, more=NOT_EXECUTED, length=0))
         self.harness.advance_ms(20)
-        second, link, _ = self.harness.take_engine_request()
+        second, connection, _ = self.harness.take_engine_request()
         self.assertEqual((first, second), ("e1", "e2"))
-        link.dataReceived(head("c1", length=2) + b"ok")
-        self.assertTrue(self.harness.client_output(c).endswith(b"ok"))
+        connection.dataReceived(head("c1", length=2) + b"ok")
+        self.assertTrue(self.harness.client_output(client).endswith(b"ok"))
 
 
 class BrokenResponses(_ResponseTestCase):
     def test_a_bad_event_ends_its_own_exchange_only(self):
-        c = self.harness.send_request()
+        client = self.harness.send_request()
         _, first, _ = self.harness.take_engine_request()
         self.more_engines("e2")
         first.dataReceived(head("c1") + chunk(event(1, "a")) + chunk(event(5, "z")))
         name, second, _ = self.harness.take_engine_request()
         self.assertEqual(name, "e2")
-        self.assertTrue(first.transport.gone)
-        self.assertFalse(second.transport.gone, "the next exchange was ended with the first")
+        self.assertTrue(first.transport.closed)
+        self.assertFalse(second.transport.closed, "the next exchange was ended with the first")
         second.dataReceived(head("c1") + chunk(event(2, "b")) + END)
-        self.assertTrue(self.harness.client_output(c).endswith(chunk(event(2, "b")) + END))
+        self.assertTrue(self.harness.client_output(client).endswith(chunk(event(2, "b")) + END))
 
     def test_interim_answers_are_passed_over(self):
-        c = self.harness.send_request("/once/x")
-        _, link, _ = self.harness.take_engine_request()
-        link.dataReceived(b"HTTP/1.1 100 Continue\r\n\r\n" + b"HTTP/1.1 103 Hints\r\nX-Request-Id: c0\r\n\r\n")
-        link.dataReceived(head("c1", length=2) + b"ok")
-        self.assertEqual(self.harness.client_output(c).count(b"HTTP/1.1"), 1)
-        self.assertTrue(self.harness.client_output(c).endswith(b"ok"))
+        client = self.harness.send_request("/once/x")
+        _, connection, _ = self.harness.take_engine_request()
+        connection.dataReceived(b"HTTP/1.1 100 Continue\r\n\r\n" + b"HTTP/1.1 103 Hints\r\nX-Request-Id: c0\r\n\r\n")
+        connection.dataReceived(head("c1", length=2) + b"ok")
+        self.assertEqual(self.harness.client_output(client).count(b"HTTP/1.1"), 1)
+        self.assertTrue(self.harness.client_output(client).endswith(b"ok"))
 
     def test_cut_anywhere_it_never_looks_whole(self):
         whole = head("c1", length=6) + b"answer"
@@ -151,130 +157,134 @@
         for response in (whole, chunked, endless + b"."):
             for cut in range(len(response)):
                 self.setUp()
-                c = self.harness.send_request("/once/x")
-                _, link, _ = self.harness.take_engine_request()
-                link.dataReceived(response[:cut])
-                link.transport.close()
+                client = self.harness.send_request("/once/x")
+                _, connection, _ = self.harness.take_engine_request()
+                connection.dataReceived(response[:cut])
+                connection.transport.close()
                 self.harness.advance_ms(20)
                 self.assertEqual(self.harness.take_engine_requests(), [], f"sent again after {response[:cut]}")
-                out = self.harness.client_output(c)
+                out = self.harness.client_output(client)
                 if not out.startswith(b"HTTP/1.1 502"):
-                    self.assertTrue(c.transport.gone, f"not cut after {response[:cut]}")
+                    self.assertTrue(client.transport.closed, f"not cut after {response[:cut]}")
                     self.assertFalse(out.endswith((b"answer", END)), f"whole after {response[:cut]}")
 
     def test_an_own_failure_bears_nothing_of_the_engine(self):
-        c = self.harness.send_request("/once/x")
-        _, link, _ = self.harness.take_engine_request()
-        request = c.requests[0]
+        client = self.harness.send_request("/once/x")
+        _, connection, _ = self.harness.take_engine_request()
+        request = client.requests[0]
         request.data = lambda data: (_ for _ in ()).throw(RuntimeError("cannot be written"))
-        link.dataReceived(head("c1", "200 OK", more=("X-Own: 2",), length=2) + b"ok")
-        out = self.harness.client_output(c)
+        connection.dataReceived(head("c1", "200 OK", more=("X-Own: 2",), length=2) + b"ok")
+        out = self.harness.client_output(client)
         self.assertTrue(out.startswith(b"HTTP/1.1 500"), out)
         self.assertNotIn(b"X-Engine-Seal", out)
         self.assertNotIn(b"X-Own", out)
         self.harness.log_lines.clear()
 
     def test_an_engines_failure_passes_as_it_is(self):
-        c = self.harness.send_request("/once/x")
-        _, link, _ = self.harness.take_engine_request()
-        link.dataReceived(head("c1", "500 Broken", length=3) + b"why")
-        out = self.harness.client_output(c)
+        client = self.harness.send_request("/once/x")
+        _, connection, _ = self.harness.take_engine_request()
+        connection.dataReceived(head("c1", "500 Broken", length=3) + b"why")
+        out = self.harness.client_output(client)
         self.assertTrue(out.startswith(b"HTTP/1.1 500 Broken\r\n"))
         self.assertIn(b"X-Engine-Seal: s1", out)
         self.assertTrue(out.endswith(b"why"))
 
     def test_a_second_request_waits_for_the_first_and_goes_down_with_it(self):
-        c = self.harness.send_request("/once/x", call_id="c1")
-        _, link, _ = self.harness.take_engine_request()
-        self.harness.send_request("/once/x", call_id="c2", channel=c)
+        client = self.harness.send_request("/once/x", call_id="c1")
+        _, connection, _ = self.harness.take_engine_request()
+        self.harness.send_request("/once/x", call_id="c2", channel=client)
         self.assertEqual(self.harness.take_engine_requests(), [])
-        link.dataReceived(head("c1", length=6) + b"ans")
-        link.transport.close()
+        connection.dataReceived(head("c1", length=6) + b"ans")
+        connection.transport.close()
         self.harness.advance_ms(50)
         self.assertEqual(self.harness.take_engine_requests(), [])
-        self.assertTrue(c.transport.gone)
+        self.assertTrue(client.transport.closed)
 
 
-class Silence(_ResponseTestCase):
+class UnresponsiveEngines(_ResponseTestCase):
     def test_what_may_not_repeat_is_told_at_its_deadline_and_never_sent_again(self):
         self.more_engines("e2")
-        c = self.harness.send_request("/once/x", headers=("X-Deadline-Ms: 1500",))
-        _, link, _ = self.harness.take_engine_request()
+        client = self.harness.send_request("/once/x", headers=("X-Deadline-Ms: 1500",))
+        _, connection, _ = self.harness.take_engine_request()
         self.harness.advance_ms(1400)
-        self.assertEqual(self.harness.client_output(c), b"")
+        self.assertEqual(self.harness.client_output(client), b"")
         self.harness.advance_ms(350)
-        self.assertTrue(self.harness.client_output(c).startswith(b"HTTP/1.1 504"), self.harness.client_output(c)[:40])
-        self.assertTrue(link.transport.gone)
+        self.assertTrue(
+            self.harness.client_output(client).startswith(b"HTTP/1.1 504"), self.harness.client_output(client)[:40]
+        )
+        self.assertTrue(connection.transport.closed)
         self.harness.advance_ms(500)
         self.assertEqual(self.harness.take_engine_requests(), [])
 
     def test_an_engine_that_is_not_heard_of_but_still_sends_keeps_its_stream(self):
         self.more_engines("e2")
-        c = self.harness.send_request()
-        name, link, _ = self.harness.take_engine_request()
-        link.dataReceived(head("c1"))
+        client = self.harness.send_request()
+        name, connection, _ = self.harness.take_engine_request()
+        connection.dataReceived(head("c1"))
         for n in range(1, 11):
             self.harness.advance_ms(450)
             self.harness.announce_engine({"e1": "e2", "e2": "e1"}[name])
-            link.dataReceived(chunk(event(n, "a")))
+            connection.dataReceived(chunk(event(n, "a")))
         self.assertEqual(self.harness.node.engines.status(self.harness.node.engines.get(name)), "silent")
-        self.assertFalse(link.transport.gone)
+        self.assertFalse(connection.transport.closed)
         self.assertEqual(self.harness.take_engine_requests(), [])
         self.harness.advance_ms(1200)
-        self.assertTrue(link.transport.gone)
+        self.assertTrue(connection.transport.closed)
         self.assertIn(b"last-event-id: 10\r\n", self.harness.take_engine_request()[2].lower())
-        self.assertFalse(c.transport.gone)
+        self.assertFalse(client.transport.closed)
 
 
-class Budget(_ResponseTestCase):
+class EngineBudget(_ResponseTestCase):
     """The engines on which one try may run are at most `max_tries`, whatever becomes of the exchanges."""
 
-    def lose_all(self, path, lose):
+    def lose_all_attempts(self, path, lose):
         """Every exchange is lost; returns the engines that were sent the request, and what the caller was shown."""
         self.more_engines("e2", "e3", "e4")
-        c = self.harness.send_request(path)
+        client = self.harness.send_request(path)
         seen = []
         for _ in range(12):
-            for name, link, _ in self.harness.take_engine_requests():
+            for name, connection, _ in self.harness.take_engine_requests():
                 seen.append(name)
-                lose(link)
+                lose(connection)
             self.harness.advance_ms(100)
-        return seen, self.harness.client_output(c)
+        return seen, self.harness.client_output(client)
 
     def test_after_resets(self):
-        for path, most in (("/a/x", 2), ("/f/x", 2), ("/g/x", 1), ("/once/x", 1)):
+        for path, max_engines in (("/a/x", 2), ("/f/x", 2), ("/g/x", 1), ("/once/x", 1)):
             with self.subTest(path):
                 self.setUp()
-                seen, out = self.lose_all(path, lambda link: link.transport.close())
-                self.assertLessEqual(len(set(seen)), most, seen)
+                seen, out = self.lose_all_attempts(path, lambda connection: connection.transport.close())
+                self.assertLessEqual(len(set(seen)), max_engines, seen)
                 self.assertLessEqual(len(seen), 3)
                 self.assertTrue(out.startswith(b"HTTP/1.1 502"), out)
 
     def test_after_failures_the_last_of_them_is_shown(self):
-        for path, most in (("/a/x", 2), ("/f/x", 2), ("/g/x", 1)):
+        for path, max_engines in (("/a/x", 2), ("/f/x", 2), ("/g/x", 1)):
             with self.subTest(path):
                 self.setUp()
-                seen, out = self.lose_all(path, lambda link: link.dataReceived(head("c1", "500 Broken", length=0)))
-                self.assertEqual((len(seen), len(set(seen))), (most, most))
+                seen, out = self.lose_all_attempts(
+                    path, lambda connection: connection.dataReceived(head("c1", "500 Broken", length=0))
+                )
+                self.assertEqual((len(seen), len(set(seen))), (max_engines, max_engines))
                 self.assertTrue(out.startswith(b"HTTP/1.1 500 Broken"), out)
 
     def test_after_pieces(self):
         sent = []
 
-        def lose(link):
-            sent.append(link)
-            link.dataReceived(head("c1") + chunk(event(len(sent), "a")))
-            link.transport.close()
+        def lose(connection):
+            sent.append(connection)
+            connection.dataReceived(head("c1") + chunk(event(len(sent), "a")))
+            connection.transport.close()
 
-        seen, _ = self.lose_all("/a/x", lose)
+        seen, _ = self.lose_all_attempts("/a/x", lose)
         self.assertEqual(len(set(seen)), 2, seen)
 
     def test_refusals_do_not_count(self):
         self.more_engines("e2", "e3")
         self.harness.send_request("/g/x")
         for _ in range(2):
-            _, link, _ = self.harness.take_engine_request()
-            link.dataReceived(head("c1", "503 Busy", seal=False, more=REFUSED, length=0))
+            _, connection, _ = self.harness.take_engine_request()
+            connection.dataReceived(head("c1", "503 Busy", seal=False, more=NOT_EXECUTED, length=0))
             self.harness.advance_ms(50)
         self.assertEqual(len(self.harness.take_engine_requests()), 1)
 
@@ -285,12 +295,12 @@
                 self.more_engines("e2")
                 self.harness.advance_ms(10)
                 self.harness.send_request(path)
-                _, link, _ = self.harness.take_engine_request()
+                _, connection, _ = self.harness.take_engine_request()
                 self.harness.advance_ms(1500)
-                self.assertEqual(link.transport.gone, left)
+                self.assertEqual(connection.transport.closed, left)
 
 
-class Smuggling(_ResponseTestCase):
+class RequestSmuggling(_ResponseTestCase):
     """Whatever a caller writes, at most one request goes to an engine for each that was read."""
 
     TOP = "POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: c1\r\n"
@@ -333,13 +343,13 @@
         self.assertNotIn(b"\n b:", sent)
 
 
-class Bodies(_ResponseTestCase):
+class RequestBodies(_ResponseTestCase):
     def test_a_body_is_kept_no_longer_than_it_may_be_sent_again(self):
         self.harness.send_request("/once/x", body=b"b" * 1000)
-        _, link, _ = self.harness.take_engine_request()
+        _, connection, _ = self.harness.take_engine_request()
         (call,) = self.harness.node.relay.calls
         self.assertEqual(len(call.body), 1000)
-        link.dataReceived(head("c1", length=4) + b"an")
+        connection.dataReceived(head("c1", length=4) + b"an")
         self.assertEqual(call.body, b"")
         self.assertEqual(call.sink.content.getvalue(), b"")
 
@@ -350,17 +360,17 @@
                 self.setUp()
                 self.more_engines("e2")
                 self.harness.send_request("/f/x", body=b"hello")
-                _, link, _ = self.harness.take_engine_request()
-                link.dataReceived(whole[:cut])
-                link.transport.close()
+                _, connection, _ = self.harness.take_engine_request()
+                connection.dataReceived(whole[:cut])
+                connection.transport.close()
                 self.harness.advance_ms(20)
                 self.assertTrue(self.harness.take_engine_request()[2].endswith(b"\r\n\r\nhello"))
 
     def test_it_is_kept_while_the_engine_may_still_refuse(self):
         self.more_engines("e2")
         self.harness.send_request("/once/x", body=b"hello")
-        _, link, _ = self.harness.take_engine_request()
-        link.dataReceived(head("c1", "503 Busy", seal=False, more=REFUSED, length=0))
+        _, connection, _ = self.harness.take_engine_request()
+        connection.dataReceived(head("c1", "503 Busy", seal=False, more=NOT_EXECUTED, length=0))
         self.harness.advance_ms(20)
         self.assertTrue(self.harness.take_engine_request()[2].endswith(b"\r\n\r\nhello"))
 
