--- a/pipitlink/cache/__init__.py
+++ b/pipitlink/cache/__init__.py
@@ -1,4 +1,4 @@
-"""The volatile cache of log bytes, kept in the gateways' memory."""
+"""The volatile cache of log contents in the memory of the gateways."""
 
 from .cache import Cache
 
--- a/pipitlink/cache/cache.py
+++ b/pipitlink/cache/cache.py
@@ -1,4 +1,4 @@
-"""The cache as its users see it: reads and writes of chunks and lengths over the replicas."""
+"""The interface to the cache: reads and writes chunks and lengths across their replicas."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class _DurableSpan:
-    """A part of a durable log that readers may share the read of."""
+    """A part of a durable log. Concurrent readers of the same span share one read."""
 
     path: str
     start: int
@@ -48,7 +48,7 @@
 
 @attrs.define(eq=False)
 class _Responses:
-    """The responses of several nodes to a call; `done` fires when they are enough, or none is outstanding."""
+    """The responses of several nodes to a call; `done` fires once they are sufficient, or none is outstanding."""
 
     outstanding: int
     is_sufficient: Callable[[dict[str, Any]], bool]
@@ -56,16 +56,16 @@
     done: defer.Deferred[None] = attrs.field(factory=defer.Deferred)
 
     def request_ended(self) -> None:
-        """Notes that a node has answered or failed to."""
+        """Records that a node has responded or failed to respond."""
         self.outstanding -= 1
         if not self.done.called and (self.outstanding == 0 or self.is_sufficient(self.by_node)):
             self.done.callback(None)
 
 
 class Cache:
-    """The volatile cache of the logs: a data cache and a metadata cache, three replicas each over the gateways.
+    """The volatile cache of the logs: a data cache and a metadata cache, each with three replicas among the gateways.
 
-    `counts` has the reads by their outcome, for the metrics.
+    `counts` has the numbers of reads by outcome, for the metrics.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -80,7 +80,7 @@
         self._durable_reads: SingleFlight[_DurableSpan, bytes] = SingleFlight()
 
     def open(self) -> None:
-        """Answers other gateways, and polls lengths of logs that are followed, from now on."""
+        """Starts serving other gateways, and polling the lengths of logs that have readers."""
         rpc = self._ctx.rpc
         rpc.register_handler("cache.put", Chunks, self.chunks.store_all)
         rpc.register_handler("cache.get", ChunkKeys, self.chunks.get_all)
@@ -89,7 +89,7 @@
         self.poller.open()
 
     def ring(self) -> Ring:
-        """Returns where the replicas are, by the gateways that are alive now."""
+        """Returns the placement of replicas among the gateways that are alive now."""
         gateways = self._ctx.membership.members("gateway", statuses=("alive",))
         nodes = {member.node: member.zone for member in gateways}
         if nodes != self._ring.nodes:
@@ -97,23 +97,24 @@
         return self._ring
 
     def start_log_writer(self, path: str, log: CommittedLog, uncached_prefix: bytes = b"") -> LogCacheWriter:
-        """Copies a log into the cache from now on, as long as this process holds its lease.
+        """Starts copying a log into the cache, for as long as this process holds its lease.
 
-        Leaves out the insides of records whose payload begins with `uncached_prefix`, if one is given.
+        Chunks that lie entirely within a record whose payload begins with `uncached_prefix` are left out, if one is
+        given.
         """
         return LogCacheWriter(self._ctx, self, path, log, uncached_prefix)
 
     def tail(self, path: str, max_lag: timedelta | None = None) -> Tail:
-        """Returns a reader at the start of a log; `max_lag` is the time that it may lag behind, 1 s by default."""
+        """Returns a reader at the start of a log; `max_lag` is how far it may lag behind the log, 1 s by default."""
         return Tail(self._ctx, self, path, max_lag)
 
     async def read_durable(self, path: str, start: int, length: int) -> bytes:
-        """Returns bytes of the durable log; readers that want the same bytes meanwhile share the read."""
+        """Returns bytes of the durable log; concurrent readers of the same bytes share one read."""
         span = _DurableSpan(path, start, length)
         return await self._durable_reads.run(span, partial(self._read_span, span))
 
     async def store_chunks(self, chunks: dict[bytes, bytes]) -> set[bytes]:
-        """Writes chunks to their replicas; returns the keys of those that a majority of their replicas stored."""
+        """Writes chunks to their replicas; returns the keys of the chunks that a majority of their replicas stored."""
         requests = {
             node: Chunks(chunks=[Chunk(key=key, data=chunks[key]) for key in keys])
             for node, keys in self._keys_by_node(chunks).items()
@@ -122,7 +123,7 @@
         return self._answered_by_majority(chunks, responses)
 
     async def store_lengths(self, lengths: dict[str, Lengths]) -> None:
-        """Writes lengths of logs, by path, to a majority of their replicas, or to as many as answer."""
+        """Writes lengths of logs, by path, to a majority of their replicas, or to as many as respond."""
         requests = {
             node: LengthsList(lengths=[lengths[path] for path in paths])
             for node, paths in self._keys_by_node(lengths).items()
@@ -130,7 +131,7 @@
         await self._call_each(requests, "cache.lengths_put", Empty, lengths)
 
     async def get_lengths(self, paths: list[str]) -> dict[str, Lengths]:
-        """Returns the highest lengths of the logs for which a majority of the replicas answered."""
+        """Returns the highest lengths of the logs for which a majority of the replicas responded."""
         requests = {node: Paths(paths=node_paths) for node, node_paths in self._keys_by_node(paths).items()}
         responses = await self._call_each(requests, "cache.lengths", LengthsList, paths)
         highest = {path: Lengths(path=path) for path in self._answered_by_majority(paths, responses)}
@@ -143,12 +144,15 @@
         return highest
 
     async def get_chunks(self, node: str, keys: list[bytes]) -> dict[bytes, bytes]:
-        """Returns the chunks that one gateway has, by key. Raises WireError where it does not answer."""
+        """Returns the chunks that one gateway has, by key. Raises WireError where it does not respond."""
         response = await self._call(node, "cache.get", ChunkKeys(keys=keys), Chunks)
         return {chunk.key: chunk.data for chunk in response.chunks}
 
     async def get_consistent(self, keys: list[bytes]) -> dict[bytes, bytes]:
-        """Returns chunks by key as at least two of their three replicas have them: the longest is the newest."""
+        """Returns chunks by key, read from at least two of their three replicas where these respond.
+
+        Where copies differ in length, the longest is the newest.
+        """
         requests = {node: ChunkKeys(keys=node_keys) for node, node_keys in self._keys_by_node(keys).items()}
         responses = await self._call_each(requests, "cache.get", Chunks, keys)
         found: dict[bytes, bytes] = {}
@@ -165,7 +169,7 @@
     async def _call(self, node: str, method: str, request: Message, kind: type[Response]) -> Response:
         member = self._ctx.membership.find(node)
         if member is None:
-            raise WireError(f"gateway {node} is not on the membership")
+            raise WireError(f"gateway {node} is not in the membership")
         address = (member.host, member.port)
         response: Response = await self._ctx.rpc.call(address, method, request, kind, CALL_TIMEOUT)
         return response
@@ -173,9 +177,9 @@
     async def _call_each(
         self, requests: Mapping[str, Message], method: str, kind: type[Response], keys: Collection[Key]
     ) -> dict[str, Response]:
-        """Sends all requests at once; returns the responses by node once each key has those of a majority.
+        """Sends all requests at once; returns the responses by node once a majority has responded for each key.
 
-        Where that many do not answer, it returns what there is once no response is outstanding.
+        Where fewer nodes respond, it returns their responses once no request is outstanding.
         """
         responses = _Responses(len(requests), partial(self._all_answered_by_majority, keys))
         for node, request in requests.items():
@@ -194,7 +198,7 @@
         responses.request_ended()
 
     def _keys_by_node(self, keys: Collection[Key]) -> dict[str, list[Key]]:
-        """The keys that each gateway has replicas of."""
+        """Groups keys by the gateways that hold their replicas."""
         by_node: dict[str, list[Key]] = {}
         ring = self.ring()
         for key in keys:
@@ -206,7 +210,7 @@
         return len(self._answered_by_majority(keys, responses)) == len(keys)
 
     def _answered_by_majority(self, keys: Collection[Key], responses: Mapping[str, Any]) -> set[Key]:
-        """The keys for which a majority of the replicas, as they are now, is among the nodes that answered."""
+        """Returns the keys for which a majority of the current replicas has responded."""
         ring = self.ring()
         answered = set()
         for key in keys:
--- a/pipitlink/cache/chunks.py
+++ b/pipitlink/cache/chunks.py
@@ -1,4 +1,4 @@
-"""How logs are cut into chunks for the data cache."""
+"""The division of logs into chunks for the data cache."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 
 __all__ = ["CHUNK_BYTES", "chunk_key"]
 
-# The size of a chunk in bytes.
 CHUNK_BYTES = 4096
 KEY_BYTES = 16
 
--- a/pipitlink/cache/hedged_read.py
+++ b/pipitlink/cache/hedged_read.py
@@ -1,4 +1,4 @@
-"""Reads chunks from one replica each, with hedged requests to others."""
+"""Reads each chunk from one replica, with a hedged request to another."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class HedgedRead:
-    """One read of chunks: each from one replica, and after a short delay what is still missing from another.
+    """One read of several chunks, each from one replica and, if still missing after a short delay, from another.
 
-    The first is a random one of the replicas in the reader's zone, or of all where that zone has none.
+    The first replica is chosen at random among those in the reader's zone, or among all where that zone has none.
     """
 
     def __init__(self, ctx: Context, cache: Cache, needed: dict[bytes, int]) -> None:
@@ -31,9 +31,9 @@
         self._done: defer.Deferred[None] = defer.Deferred()
 
     async def run(self) -> dict[bytes, bytes]:
-        """Returns the chunks that were found, by key, once all have the bytes needed or no answer is outstanding.
+        """Returns the chunks that were found, by key, once all have the bytes needed or no request is outstanding.
 
-        Answers that arrive later are still added to what was returned.
+        Responses that arrive later are still added to the returned dictionary.
         """
         first, second = self._choose_replicas()
         if not first:
@@ -48,7 +48,7 @@
         return self._found
 
     def _choose_replicas(self) -> tuple[dict[str, list[bytes]], dict[str, list[bytes]]]:
-        """The keys by the node that is asked for them first, and by the node of the hedged request."""
+        """Returns the keys by the node that is read first, and by the node of the hedged request."""
         ring = self._cache.ring()
         first: dict[str, list[bytes]] = {}
         second: dict[str, list[bytes]] = {}
--- a/pipitlink/cache/log_writer.py
+++ b/pipitlink/cache/log_writer.py
@@ -1,4 +1,4 @@
-"""Copies committed bytes of a log from its leaseholder into the cache."""
+"""Copies the committed bytes of a log from its leaseholder into the cache."""
 
 from __future__ import annotations
 
@@ -20,16 +20,18 @@
 __all__ = ["CommittedLog", "LogCacheWriter"]
 
 RETRY_INTERVAL = ms(250)
-# How long the cache waits behind a commit: those who wait for it go first, and commits that follow share the writes.
+# The delay between a commit and its write to the cache. Work that waits for the commit runs first, and commits within
+# the delay share their writes.
 WRITE_DELAY = ms(20)
-# How many writes are begun in one turn of the reactor.
+# How many writes are started in one turn of the reactor.
 MAX_WRITES_PER_TURN = 8
 
 
 class CommittedLog(Protocol):
-    """A log whose lease this process holds, as far as the cache needs it.
+    """The part of a leaseholder's log that the cache uses.
 
-    The first `committed` bytes of `data` are committed; `lost` says why the lease was lost, "" while it is held.
+    The first `committed` bytes of `data` are committed; `lost` is the reason why the lease was lost, "" while it is
+    held.
     """
 
     data: bytearray
@@ -37,14 +39,14 @@
     lost: str
 
     def watch(self, callback: Callable[[CommittedLog], None]) -> None:
-        """Has `callback` called with the log after each change."""
+        """Registers a callback that is called with the log after each change."""
 
 
 class LogCacheWriter:
     """Copies a log's committed bytes into the caches while this process holds its lease.
 
-    It works behind the log, and writes a chunk always from its start. Chunks inside of records whose payload begins
-    with `uncached_prefix` are not written: readers get them from the storage nodes.
+    It writes asynchronously after the commits, and always from the start of a chunk. Chunks that lie entirely within a
+    record whose payload begins with `uncached_prefix` are not written; readers get them from the storage nodes.
     """
 
     def __init__(self, ctx: Context, cache: Cache, path: str, log: CommittedLog, uncached_prefix: bytes = b"") -> None:
@@ -89,7 +91,7 @@
         await self._advance_cached_length()
 
     async def _write_serialized(self, number: int) -> None:
-        """Writes a chunk that is not complete after the writes before, so that its prefix is always right."""
+        """Writes a partial chunk after earlier writes of the same chunk, so that its prefix stays correct."""
         done: defer.Deferred[None] = defer.Deferred()
         before = self._last_writes.get(number)
         self._last_writes[number] = done
@@ -103,7 +105,7 @@
             done.callback(None)
 
     async def _write(self, number: int) -> None:
-        """Writes a chunk as far as it is committed, again and again until a majority of its replicas has it."""
+        """Writes the committed part of a chunk, and retries until a majority of its replicas has stored it."""
         if self._uncached.covers(number * CHUNK_BYTES, (number + 1) * CHUNK_BYTES):
             self._written[number] = CHUNK_BYTES
             return
@@ -119,7 +121,7 @@
             await self._ctx.timers.sleep(RETRY_INTERVAL)
 
     async def _advance_cached_length(self) -> None:
-        """Publishes the length up to which every chunk is written, where that has grown."""
+        """Publishes the length up to which every chunk is written, if it has grown."""
         cached = self._written_length()
         if cached <= self._cached:
             return
@@ -130,7 +132,7 @@
         await self._publish(Lengths(path=self._path, durable=durable, cached=cached, writer=self._ctx.node))
 
     def _written_length(self) -> int:
-        """The length up to which every chunk is written."""
+        """Returns the length up to which every chunk is written."""
         length = self._cached
         while True:
             number = length // CHUNK_BYTES
--- a/pipitlink/cache/poller.py
+++ b/pipitlink/cache/poller.py
@@ -1,4 +1,4 @@
-"""Polls the lengths of the logs that readers of this process follow."""
+"""Polls the lengths of the logs that have readers in this process."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class _LengthUpdate:
-    """Lengths of a log, in bytes, as an answer states them."""
+    """The lengths of a log, in bytes, from a response."""
 
     path: str
     durable: int
@@ -42,11 +42,11 @@
 
 @attrs.define
 class KnownLengths:
-    """What is known here of one log's lengths, in bytes: `durable` on a majority, `cached` in the data cache.
+    """The known lengths of one log, in bytes: `durable` on a majority of its replicas, `cached` in the data cache.
 
-    `final` means that the log has ended. `cached_at` is when `cached` last grew, `confirmed_at` when the storage nodes
-    were last asked and answered; times are on the timers' clock. `readers` follow the log, and `waiting_readers` of
-    them wait for a length that is expected soon.
+    `final` means that the log has ended. `cached_at` is the time at which `cached` last grew, `confirmed_at` the time
+    of the last request that the storage nodes responded to, both on the timers' clock. The log has `readers` readers,
+    of which `waiting_readers` wait for a length that is expected soon.
     """
 
     path: str
@@ -60,14 +60,14 @@
     confirmed_at: timedelta | None = None
 
     def uncached_since(self, now: timedelta) -> timedelta:
-        """Returns since when the oldest durable byte that is not cached yet has been known; `now` without one."""
+        """Returns when the oldest byte that is durable but not cached became known; `now` if there is none."""
         return self.uncached_steps[0].known_at if self.uncached_steps else now
 
 
 class Poller:
     """Reads lengths for all readers of the process: often from the metadata cache, less often from the storage nodes.
 
-    It polls while a log is followed, and at the shortest interval only while a reader waits for a length that is
+    It polls only while a log has readers, and at the shortest interval only while a reader waits for a length that is
     expected soon.
     """
 
@@ -80,21 +80,21 @@
         self._calls: list[RepeatingCall] = []
 
     def open(self) -> None:
-        """Polls from now on whenever a log is followed."""
+        """Starts polling whenever a log has readers."""
         settings = self._ctx.settings
         self._start_polling(settings.poll_ms, self._poll, "poll", self._idle_unless_followed)
         self._start_polling(settings.hot_poll_ms, self._poll_awaited_logs, "hot_poll", self._idle_unless_awaited)
         self._start_polling(settings.durable_poll_ms, self._poll_durable, "durable_poll", self._idle_unless_followed)
 
     def add_reader(self, path: str) -> KnownLengths:
-        """Follows a log for one more reader; returns its lengths, which the poller updates."""
+        """Registers a reader of a log; returns the log's lengths, which the poller keeps up to date."""
         known = self._known.setdefault(path, KnownLengths(path))
         known.readers += 1
         self._wake()
         return known
 
     def remove_reader(self, path: str) -> None:
-        """Follows a log for one reader less."""
+        """Unregisters a reader of a log, which is no longer polled after its last reader has left."""
         known = self._known.get(path)
         if known is not None:
             known.readers -= 1
@@ -103,7 +103,7 @@
 
     @contextmanager
     def polling_fast(self, known: KnownLengths) -> Iterator[None]:
-        """Polls a log at the shortest interval meanwhile."""
+        """Polls a log at the shortest interval while the context is open."""
         known.waiting_readers += 1
         self._waiting_readers += 1
         self._wake()
@@ -114,13 +114,13 @@
             self._waiting_readers -= 1
 
     def restore_lengths(self, known: KnownLengths, before: KnownLengths) -> None:
-        """Takes over what was known of a log before it was last left, as lengths only grow."""
+        """Restores lengths that were known before a reader left; they are still valid, since lengths only grow."""
         self._raise_lengths(known, before.durable, before.cached, before.final)
         if known.confirmed_at is None:
             known.confirmed_at = before.confirmed_at
 
     async def confirm_durable(self, paths: list[str]) -> None:
-        """Asks the storage nodes themselves for the durable lengths of logs."""
+        """Requests the durable lengths of logs from the storage nodes themselves."""
         asked_at = self._ctx.timers.now()
         states = await self._ctx.replicated_log.states(paths)
         self._update(_LengthUpdate(path, state.committed, 0, state.final) for path, state in states.items())
@@ -129,7 +129,7 @@
                 self._known[path].confirmed_at = asked_at
 
     async def wait_for_growth(self, timeout: timedelta) -> None:
-        """Waits until any followed log grows, or until the timeout."""
+        """Waits until any polled log grows, or until the timeout."""
         waiter: defer.Deferred[None] = defer.Deferred()
         self._growth_waiters.append(waiter)
         try:
@@ -155,7 +155,7 @@
             call.wake()
 
     def _raise_lengths(self, known: KnownLengths, durable: int, cached: int, final: bool = False) -> bool:
-        """Raises known lengths to those of an answer; returns whether the answer told anything new."""
+        """Raises known lengths to those of a response; returns whether the response contained anything new."""
         grew = durable > known.durable or cached > known.cached or (final and not known.final)
         if durable > known.durable:
             known.durable = durable
--- a/pipitlink/cache/ring.py
+++ b/pipitlink/cache/ring.py
@@ -19,9 +19,9 @@
 
 
 class Ring:
-    """Consistent hashing over gateways; a key's replicas are in different zones where there are enough.
+    """Consistent hashing over gateways; a key's replicas are in different zones where there are enough zones.
 
-    `nodes` maps the gateways to their zones. `replicas(key)` returns the gateways that keep a key, at most three.
+    `nodes` maps the gateways to their zones. `replicas(key)` returns the gateways that store a key, at most three.
     """
 
     def __init__(self, nodes: dict[str, str]) -> None:
--- a/pipitlink/cache/stores.py
+++ b/pipitlink/cache/stores.py
@@ -28,7 +28,7 @@
 
 
 class DataStore:
-    """One replica of the data cache: chunks by key, dropped by age or when full. `size` is in bytes."""
+    """One replica of the data cache: chunks by key, evicted by age or when it is full. `size` is in bytes."""
 
     def __init__(self, timers: Timers, ttl: timedelta, capacity_bytes: int) -> None:
         self._timers = timers
@@ -41,7 +41,7 @@
         return len(self._chunks)
 
     def store(self, key: bytes, data: bytes) -> None:
-        """Stores a chunk, or keeps what is stored where that is longer; drops the oldest chunks when full."""
+        """Stores a chunk, unless the stored copy is longer; evicts the oldest chunks when the store is full."""
         stored = self._chunks.pop(key, None)
         if stored is not None:
             self.size -= len(stored.data)
@@ -52,7 +52,7 @@
             self._drop(next(iter(self._chunks)))
 
     def get(self, key: bytes) -> bytes:
-        """Returns a chunk, or b"" where it is not stored or too old."""
+        """Returns a chunk, or b"" where it is not stored or has expired."""
         stored = self._chunks.get(key)
         if stored is None:
             return b""
@@ -62,12 +62,12 @@
         return stored.data
 
     async def store_all(self, _node: str, request: Chunks) -> None:
-        """Answers a request that stores chunks."""
+        """Handles a request to store chunks."""
         for chunk in request.chunks:
             self.store(chunk.key, chunk.data)
 
     async def get_all(self, _node: str, request: ChunkKeys) -> Chunks:
-        """Answers a request for chunks with those that are stored."""
+        """Handles a request for chunks; responds with those that are stored."""
         found = ((key, self.get(key)) for key in request.keys)
         return Chunks(chunks=[Chunk(key=key, data=data) for key, data in found if data])
 
@@ -76,7 +76,10 @@
 
 
 class LengthStore:
-    """One replica of the metadata cache: durable and cached lengths that only grow, and the log's last known writer."""
+    """One replica of the metadata cache.
+
+    It has the durable and cached lengths of logs, which only grow, and the last known writer of each log.
+    """
 
     def __init__(self, timers: Timers, ttl: timedelta, capacity: int = MAX_LENGTHS) -> None:
         self._timers = timers
@@ -88,7 +91,7 @@
         return len(self._lengths)
 
     def merge(self, new: Lengths) -> None:
-        """Raises the stored lengths of a log to those given; drops the oldest entries when full."""
+        """Raises the stored lengths of a log to those given; evicts the oldest entries when the store is full."""
         stored = self._lengths.pop(new.path, None)
         lengths = stored.lengths if stored is not None else Lengths(path=new.path)
         lengths.durable = max(lengths.durable, new.durable)
@@ -100,7 +103,7 @@
             self._lengths.popitem(last=False)
 
     def get(self, path: str) -> Lengths:
-        """Returns the lengths of a log; zeros where they are not stored or too old."""
+        """Returns the lengths of a log; zeros where they are not stored or have expired."""
         stored = self._lengths.get(path)
         if stored is None:
             return Lengths(path=path)
@@ -110,10 +113,10 @@
         return stored.lengths
 
     async def store_all(self, _node: str, request: LengthsList) -> None:
-        """Answers a request that stores lengths."""
+        """Handles a request to store lengths."""
         for new in request.lengths:
             self.merge(new)
 
     async def get_all(self, _node: str, request: Paths) -> LengthsList:
-        """Answers a request for the lengths of logs, in the order of the request."""
+        """Handles a request for the lengths of logs; responds in the order of the request."""
         return LengthsList(lengths=[self.get(path) for path in request.paths])
--- a/pipitlink/cache/tail.py
+++ b/pipitlink/cache/tail.py
@@ -1,4 +1,4 @@
-"""Reads one log record by record, from the cache where it can and from the storage nodes otherwise."""
+"""Reads one log record by record, from the cache where possible and from the storage nodes otherwise."""
 
 from __future__ import annotations
 
@@ -20,15 +20,17 @@
 MAX_READ_BYTES = 64 * CHUNK_BYTES
 MAX_RECORD_BYTES = 72 * 1024 * 1024
 DEFAULT_MAX_LAG = secs(1)
-# A reader postpones reads of durable bytes for its limit divided by these: without progress of the cache, and in all.
+# While the cache is expected to catch up, a reader postpones reads from the durable log. It waits at most its maximum
+# lag divided by POSTPONE_IDLE_DIVISOR while the cache makes no progress, and divided by POSTPONE_DIVISOR in total.
 POSTPONE_IDLE_DIVISOR = 5
 POSTPONE_DIVISOR = 2
 
 
 class Tail:
-    """Reads one log in order: chunks from a random replica, then from two of three, then from the durable log.
+    """Reads one log in order.
 
-    `position` is up to where the log has been read, `lengths` what is known of its lengths.
+    Each chunk is read from a random replica, if that lacks it from two of three replicas, and finally from the durable
+    log. `position` is the offset up to which the log has been read, `lengths` has the known lengths of the log.
     """
 
     def __init__(self, ctx: Context, cache: Cache, path: str, max_lag: timedelta | None) -> None:
@@ -44,24 +46,24 @@
         self._is_paused = False
 
     def close(self) -> None:
-        """Ends the reading."""
+        """Stops reading."""
         self.pause()
 
     def pause(self) -> None:
-        """Lets the log's lengths no longer be polled until `resume`."""
+        """Stops polling the log's lengths until `resume`."""
         if not self._is_paused:
             self._is_paused = True
             self._cache.poller.remove_reader(self.path)
 
     def resume(self) -> None:
-        """Has the log's lengths polled again after `pause`."""
+        """Resumes polling the log's lengths after `pause`."""
         if self._is_paused:
             self._is_paused = False
             before, self.lengths = self.lengths, self._cache.poller.add_reader(self.path)
             self._cache.poller.restore_lengths(self.lengths, before)
 
     def readable_end(self) -> int:
-        """Returns up to where the log can be read now, at least `position`."""
+        """Returns the offset up to which the log can be read now, at least `position`."""
         if self.lengths.cached > self.position:
             return self.lengths.cached
         if self.lengths.durable > self.position and not self._is_durable_read_postponed():
@@ -69,13 +71,16 @@
         return self.position
 
     def missing_bytes(self) -> int:
-        """Returns how many bytes the next record lacks, or its frame's header and the first byte of its payload."""
+        """Returns how many bytes of the next record are still to be read.
+
+        Until its size is known, this is the number up to and including the first byte of its payload.
+        """
         if len(self._partial) <= FRAME_HEADER_BYTES:
             return FRAME_HEADER_BYTES + 1 - len(self._partial)
         return max(1, FRAME_HEADER_BYTES + self._next_payload_size() - len(self._partial))
 
     def at_record_boundary(self) -> bool:
-        """Whether all that is durable was read, and ends with a complete record."""
+        """Returns whether the durable log has been read completely, and ends with a complete record."""
         return not self._partial and self.position >= self.lengths.durable
 
     def skip_record(self, prefix: bytes) -> tuple[int, int] | None:
@@ -98,16 +103,16 @@
     async def read_record(self, start: int, end: int) -> bytes:
         """Returns the payload of a record that was skipped, from the storage nodes, since the cache may lack it.
 
-        Raises CorruptData where none is there.
+        Raises CorruptData where there is no such record.
         """
         await self._throttle(end - start)
         for _, payload, frame_end in decode_frames(await self._cache.read_durable(self.path, start, end - start)):
             if frame_end == end - start:
                 return bytes(payload)
-        raise CorruptData(f"{self.path}: no record stands at {start}")
+        raise CorruptData(f"{self.path}: there is no record at {start}")
 
     async def read_records(self, max_bytes: int = MAX_READ_BYTES) -> list[tuple[int, bytes]]:
-        """Returns the next complete records as (position, payload); none where there is nothing new yet."""
+        """Returns the next complete records as (position, payload); an empty list where there is nothing new yet."""
         end = self.readable_end()
         if end <= self.position:
             return []
@@ -140,7 +145,7 @@
         return bytes(data[start - numbers[0] * CHUNK_BYTES :])
 
     async def _read_cached(self, keys: dict[int, bytes], needed: dict[int, int]) -> dict[bytes, bytes]:
-        """What the cache has of the chunks, by key, which may be less than is needed of them."""
+        """Returns what the cache has of the chunks, by key; it may be less than is needed."""
         counts = self._cache.counts
         cached = {
             keys[number]: size for number, size in needed.items() if number * CHUNK_BYTES + size <= self.lengths.cached
@@ -156,7 +161,7 @@
         return found
 
     async def _read_missing(self, missing: list[int], needed: dict[int, int]) -> dict[int, bytes]:
-        """The chunks that the cache lacks, by number, in one read from the first of them to the last."""
+        """Reads the chunks that the cache lacks, by number, in one read from the first of them to the last."""
         start = missing[0] * CHUNK_BYTES
         end = missing[-1] * CHUNK_BYTES + needed[missing[-1]]
         self._cache.counts["durable"] += len(missing)
@@ -167,7 +172,7 @@
         }
 
     def _extract_records(self) -> list[tuple[int, bytes]]:
-        """Removes the complete records from the bytes that were read."""
+        """Removes the complete records from the bytes that were read, and returns them."""
         base = self.position - len(self._partial)
         records = []
         end = 0
@@ -176,14 +181,14 @@
             end = frame_end
         del self._partial[:end]
         if self._partial and not records and len(self._partial) > MAX_RECORD_BYTES:
-            raise CorruptData(f"{self.path}: no record ends after {base}")
+            raise CorruptData(f"{self.path}: no complete record follows {base}")
         return records
 
     def _next_payload_size(self) -> int:
         return int.from_bytes(self._partial[:4], "big")
 
     def _is_durable_read_postponed(self) -> bool:
-        """Whether the cache is likely to have the bytes soon, within a small share of the time that the reader has."""
+        """Returns whether the cache is likely to have the next bytes soon, well within the reader's maximum lag."""
         now = self._ctx.timers.now()
         uncached_since = self.lengths.uncached_since(now)
         idle = now - max(uncached_since, self.lengths.cached_at)
@@ -191,7 +196,7 @@
         return idle < max_idle and now - uncached_since < self._max_lag / POSTPONE_DIVISOR
 
     async def _throttle(self, size: int) -> None:
-        """Waits until bytes may be read by the settings' rate of a reader."""
+        """Waits until bytes may be read under the rate limit of a reader."""
         now = self._ctx.timers.now()
         if self._next_read_at > now:
             await self._ctx.timers.sleep(self._next_read_at - now)
--- a/pipitlink/cache/uncached_records.py
+++ b/pipitlink/cache/uncached_records.py
@@ -1,4 +1,4 @@
-"""The records of a log that are not copied into the cache, since hardly anybody reads them."""
+"""The records of a log that are not copied into the cache, since they are rarely read."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class UncachedRecords:
-    """Finds the records whose payload begins with a prefix; an empty prefix stands for none."""
+    """Finds the records whose payload begins with a prefix; an empty prefix matches no record."""
 
     def __init__(self, prefix: bytes) -> None:
         self._prefix = prefix
@@ -25,7 +25,7 @@
         self._extents: list[_Extent] = []
 
     def scan(self, data: bytearray, committed: int) -> None:
-        """Looks through the frames of a log that have been committed since the last scan."""
+        """Scans the frames of a log that were committed since the last scan."""
         payload_at = self._scanned_end + FRAME_HEADER_BYTES
         while self._prefix and payload_at <= committed:
             size = int.from_bytes(data[self._scanned_end : self._scanned_end + LENGTH_BYTES], "big")
@@ -38,5 +38,5 @@
             payload_at = end + FRAME_HEADER_BYTES
 
     def covers(self, start: int, end: int) -> bool:
-        """Returns whether all bytes from `start` to `end` are of one such record."""
+        """Returns whether all bytes from `start` to `end` belong to a single such record."""
         return any(extent.start <= start and end <= extent.end for extent in self._extents)
--- a/pipitlink/router/backlog_counter.py
+++ b/pipitlink/router/backlog_counter.py
@@ -1,4 +1,4 @@
-"""Makes sure that the count of waiting tokens has all open batches."""
+"""Ensures that the count of waiting tokens includes all open batches."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 __all__ = ["BacklogCounter"]
 
-# A batch that cannot be counted for so long holds up admission no more.
+# A batch that could not be counted within this time no longer delays admission.
 COUNT_TIMEOUT = secs(10)
 COUNT_RETRY_DELAY = ms(200)
-# A gateway that is missing for longer than this is not taken for one behind a network partition.
+# Gateways that have been missing for longer than this no longer count as evidence of a network partition.
 PARTITION_MEMORY = secs(60)
 
 
 class BacklogCounter:
-    """Counts the batches that no owner reports, and says whether the count is reliable."""
+    """Counts batches that no owner reports, and tells whether the count of waiting tokens is reliable."""
 
     def __init__(
         self,
@@ -41,12 +41,13 @@
         self._listing: SingleFlight[str, None] = SingleFlight()
 
     def is_reliable(self, counting_since: timedelta) -> bool:
-        """Returns whether the count of waiting tokens has all open batches; otherwise begins to count.
+        """Returns whether the count of waiting tokens includes all open batches; starts counting where it does not.
 
-        `counting_since` is since when this gateway has granted all of them. The count is not reliable before what
-        others granted until then was reported, nor on the smaller side of a network partition, nor before all open
-        batches are counted. Gateways that come and go since then make no difference: what they were granted counts
-        until they, or those that adopt their batches, report it.
+        `counting_since` is the time from which this gateway has issued all grants. The count is unreliable until
+        grants that others issued before that time have been reported, on the minority side of a network partition,
+        and until all open batches have been counted. Gateways that join or leave after that time do not make it
+        unreliable: tokens that they were granted count until they, or the gateways that adopt their batches, report
+        them.
         """
         propagation_time = self._loads.propagation_time()
         has_settled = self._ctx.timers.now() - counting_since >= propagation_time
@@ -59,7 +60,10 @@
         return not self._begin_counting()
 
     def _is_partitioned(self) -> bool:
-        """Returns whether more gateways have gone of late than are alive; restarted ones do not count as gone."""
+        """Returns whether more gateways went missing recently than are alive.
+
+        Gateways that restarted at the same address do not count as missing.
+        """
         membership = self._ctx.membership
         alive = membership.members("gateway", statuses=("alive",))
         addresses = {(member.host, member.port) for member in alive}
@@ -74,7 +78,7 @@
         await self._listing.run("list", self._adopter.list_batches)
 
     def _begin_counting(self) -> list[str]:
-        """Returns the batches that are to be counted first, and begins with those that are not being counted."""
+        """Returns the batches that still have to be counted, and starts counting those not yet in progress."""
         now = self._ctx.timers.now()
         uncounted = [batch_id for batch_id, since in self._waiting.uncounted.items() if now - since < COUNT_TIMEOUT]
         for batch_id in uncounted:
@@ -84,7 +88,7 @@
         return uncounted
 
     async def count(self, batch_id: str) -> None:
-        """Counts the unfinished tokens of a batch from its log."""
+        """Reads the log of a batch and counts its unfinished tokens."""
         try:
             progress = await self._followers.get_progress(batch_id)
         except PipitlinkError as error:
--- a/pipitlink/router/batch_adopter.py
+++ b/pipitlink/router/batch_adopter.py
@@ -1,4 +1,4 @@
-"""Takes over batches that no gateway owns any more."""
+"""Takes over batches whose owner is gone."""
 
 from __future__ import annotations
 
@@ -22,21 +22,24 @@
 LIST_INTERVAL = secs(1)
 MAX_LIST_INTERVAL = secs(4)
 MAX_LIST_INTERVAL_UNSETTLED = secs(2)
-# With so many gateways each lists once in LIST_INTERVAL; with more of them less often, since all of them look.
+# With up to this many gateways each of them lists once per LIST_INTERVAL. With more, each lists less often, since all
+# of them look for the same orphans.
 GATEWAYS_PER_INTERVAL = 16
+# The set of gateways counts as settled once it has not changed for this long.
 SETTLED_AFTER = secs(10)
-# How much longer than the one before it each gateway waits with an adoption, in the order of their ranks.
+# The delay between the attempts of successive gateways, in rank order, to adopt the same batch.
 ADOPTION_STAGGER = secs(1.5)
 MAX_CONCURRENT_ADOPTIONS = 16
 
 
 class BatchAdopter:
-    """Lists the open batches now and then, and acquires the leases of those that nobody holds.
+    """Lists the open batches periodically, and acquires the leases of those without an owner.
 
-    It does not wait until the old owner's lease has run out: items of batches may run more than once, so that an owner
-    that was frozen may run an item at the same time. Its outputs are refused, since they bear a lower epoch.
+    It does not wait for the old owner's lease to expire. A frozen owner may therefore run an item at the same time as
+    the new one, which is allowed: items may run more than once, and the old owner's outputs are rejected because they
+    carry a lower epoch.
 
-    Owns `adopting`, the batches that are being acquired, and since when each batch has been an orphan.
+    `adopting` has the batches whose leases are being acquired.
     """
 
     def __init__(self, ctx: Context, table: BatchTable, waiting: WaitingTokens, gateway_watch: GatewayWatch) -> None:
@@ -50,7 +53,7 @@
         self._list_timer: RepeatingCall | None = None
 
     def open(self) -> None:
-        """Begins to list, now and from then on."""
+        """Starts listing, immediately and then periodically."""
         self._gateway_watch.add_listener(self._list_soon)
         self._list_timer = self._ctx.timers.call_repeatedly(
             LIST_INTERVAL, self.list_batches, self._ctx.error_reporter("list_batches"), idle_time=self._list_delay
@@ -61,7 +64,10 @@
             self._list_timer.wake()
 
     def _list_delay(self) -> timedelta:
-        """Returns how long not to list: longer where nobody reports open batches and no gateway changed of late."""
+        """Returns the delay until the next listing.
+
+        It is longest while no batches are open and the set of gateways has not changed recently.
+        """
         has_batches = bool(self._table.batches or self._waiting.reported or self._waiting.uncounted)
         is_quiet = not (has_batches or self._orphaned_at)
         is_settled = self._ctx.timers.now() - self._gateway_watch.changed_at > SETTLED_AFTER
@@ -72,7 +78,7 @@
         return max(ZERO, min(maximum, LIST_INTERVAL * intervals))
 
     async def list_batches(self) -> None:
-        """Lists the open batches, and begins to adopt orphans whose turn at this gateway has come."""
+        """Lists the open batches, and starts adopting the orphans that this gateway is due to try."""
         started_at = self._ctx.timers.now()
         states, is_complete = await self._ctx.replicated_log.list_open(LOG_PREFIX)
         self._waiting.apply_listing({log.removeprefix(LOG_PREFIX) for log in states}, started_at, is_complete)
@@ -95,13 +101,13 @@
         return orphans - owned
 
     def _has_owner(self, state: LogState) -> bool:
-        """Returns whether another gateway that is not gone holds the lease of a log."""
+        """Returns whether the lease of a log is held by another gateway that the membership does not report as gone."""
         if state.leaseholder in ("", self._ctx.node):
             return False
         return bool(self._ctx.membership.status(state.leaseholder) != "gone")
 
     def _adoption_rank(self, batch_id: str, gateways: list[str]) -> int:
-        """Returns this gateway's place in the order in which gateways try to adopt a batch."""
+        """Returns this gateway's position in the order in which gateways try to adopt a batch."""
         ranked = sorted(gateways, key=lambda gateway: rank(batch_id, gateway), reverse=True)
         return ranked.index(self._ctx.node)
 
--- a/pipitlink/router/batch_api.py
+++ b/pipitlink/router/batch_api.py
@@ -1,4 +1,4 @@
-"""The HTTP calls on batches, as the frontend makes them."""
+"""The interface through which the HTTP frontend submits, reads and cancels batches."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class Submission(NamedTuple):
-    """A batch as a caller submits it.
+    """A batch as a client submits it.
 
-    `deadline` and `began_at`, when the head of the request had come, are on the timers' clock.
+    `deadline`, and `began_at`, the time at which the head of the request had been received, are on the timers' clock.
     """
 
     route: Route
@@ -28,10 +28,10 @@
 
 
 class BatchApi(Protocol):
-    """Makes the calls on batches."""
+    """Handles client requests about batches."""
 
     async def submit(self, submission: Submission) -> HttpResponse:
-        """Takes a batch in."""
+        """Accepts or refuses a submitted batch."""
 
     async def handle(self, request: BatchRequest) -> HttpResponse:
-        """Makes the call on a batch that the dialect has read from a request."""
+        """Handles a read or cancel request that the dialect has parsed."""
--- a/pipitlink/router/batch_canceller.py
+++ b/pipitlink/router/batch_canceller.py
@@ -1,4 +1,4 @@
-"""Ends batches before all their items are finished, through their owners."""
+"""Cancels batches through their owners."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class CancelResult(StrEnum):
-    """What an attempt to end a batch came to, as it stands on the wire."""
+    """The result of an attempt to cancel a batch. The values are sent over RPC."""
 
     CANCELLED = "ended"
     ALREADY_ENDED = "closed"
@@ -30,18 +30,18 @@
 
 
 class BatchCanceller:
-    """Ends batches: owned ones in their logs, and others by a call to their owner."""
+    """Cancels batches: those owned here by ending their logs, others by an RPC to their owner."""
 
     def __init__(self, ctx: Context, table: BatchTable) -> None:
         self._ctx = ctx
         self._table = table
 
     def open(self) -> None:
-        """Begins to end batches for other gateways."""
+        """Starts cancelling batches on behalf of other gateways."""
         self._ctx.rpc.register_handler("batches.end", EndRequest, self._on_request)
 
     async def cancel(self, batch_id: str) -> HttpResponse:
-        """Ends a batch, and answers once that is durable."""
+        """Cancels a batch, and responds once the end of its log is durable."""
         try:
             if not is_valid_batch_id(batch_id):
                 raise NotFound("there is no such batch", code="no_such_batch", field="id")
@@ -57,11 +57,13 @@
             if result in (CancelResult.CANCELLED, CancelResult.ALREADY_ENDED):
                 return
             if self._ctx.timers.now() >= deadline:
-                raise ServiceUnavailable("the batch's owner could not be asked", code="no_owner", outcome="unknown")
+                raise ServiceUnavailable(
+                    "the owner of the batch could not be reached", code="no_owner", outcome="unknown"
+                )
             await self._ctx.timers.sleep(RETRY_INTERVAL)
 
     async def _cancel_once(self, batch_id: str) -> str:
-        """Ends a batch here or at its owner; returns a CancelResult, or what else the owner answers."""
+        """Cancels a batch here or at its owner; returns a CancelResult, or whatever other state the owner returns."""
         if self._table.get_valid(batch_id) is not None:
             return await self._cancel_here(batch_id)
         log = batch_log(batch_id)
@@ -103,7 +105,7 @@
             return CancelResult.UNCERTAIN
 
     async def _cancel_owned(self, batch_id: str) -> CancelResult:
-        """Acquires the lease and ends the batch; returns only once the end is durable."""
+        """Acquires the lease and ends the log of the batch; returns only once that is durable."""
         batch = await self._table.acquire(batch_id)
         if batch.batch is None:
             is_final = batch.leaseholder.final
@@ -119,7 +121,10 @@
         return CancelResult.CANCELLED
 
     async def _append_end(self, batch: OwnedBatch) -> None:
-        """Appends the end of a batch, and cancels its items even where it may not become durable."""
+        """Appends the end of a batch to its log.
+
+        Cancels the running items once the log has ended, even where it is unknown whether the end becomes durable.
+        """
         record = LogRecord(ended=Ended(reason="ended")).SerializeToString()
         try:
             await batch.leaseholder.append([record], final=True, reserved=True)
--- a/pipitlink/router/batch_capacity.py
+++ b/pipitlink/router/batch_capacity.py
@@ -1,4 +1,4 @@
-"""How many items of batches a gateway may start."""
+"""Limits how many batch items a gateway may run and start."""
 
 from __future__ import annotations
 
@@ -12,18 +12,20 @@
 
 __all__ = ["BatchCapacity"]
 
-# How far engines are filled by items of batches, in parts of their slots; the rest is left to live requests that come.
+# Batch items fill engines up to this fraction of their slots; the rest is reserved for live requests that arrive.
 MAX_FILL_FRACTION = 0.85
-# How many items may wait for their engines' first event, in parts of the engines' slots, shared as these are. While
-# engines are crowded and answer late, fewer start, and other gateways have heard of them before the next ones.
+# How many items may wait for the first event from their engine, as a fraction of the engines' slots that is divided
+# among the gateways like the slots. While engines are overloaded and respond late, fewer items start, and the other
+# gateways learn of them before the next ones start.
 MAX_STARTING_FRACTION = 0.3
-# What each gateway may run, and start at once, even where its share is less, so that no batch comes to rest.
+# What each gateway may run, and start at once, even where its fraction of the slots is smaller, so that every batch
+# makes progress.
 MIN_OWN_SLOTS = 1
 MIN_STARTING_ITEMS = 2
 
 
 class BatchCapacity:
-    """Divides the capacity of the engines among the gateways that have items of batches."""
+    """Divides the capacity of the engines among the gateways that have unfinished batch items."""
 
     def __init__(self, ctx: Context, engines: EngineRegistry, selector: EngineSelector, slow_start: SlowStart) -> None:
         self._ctx = ctx
@@ -32,11 +34,11 @@
         self._slow_start = slow_start
 
     def available(self, route: Route, backlog: RouteBacklog) -> int:
-        """Returns how many items of batches on this route may be started now from this gateway.
+        """Returns how many batch items on this route this gateway may start now.
 
-        All gateways together may fill the slots that live requests leave. Each has a share of them by the tokens that
-        wait at it, so that what the others have started since their last reports does not matter, and in a crowd of
-        batches none waits behind the slots that others hold.
+        All gateways together may use the slots that live requests leave free. Each gateway gets a fraction of them in
+        proportion to its waiting tokens. It therefore does not need to know what the others have started since their
+        last reports, and with many batches open no gateway has to wait for slots that others hold.
         """
         slots = total_slots = running = 0
         engines = [
--- a/pipitlink/router/batch_follower.py
+++ b/pipitlink/router/batch_follower.py
@@ -1,4 +1,4 @@
-"""A batch that is read from its log, at a gateway that does not own it."""
+"""Reads a batch from its log at a gateway that does not own it."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class BatchFollower:
-    """A batch that another gateway owns, or nobody any more, read in order from its log.
+    """A batch that another gateway owns, or that has no owner any more, read in order from its log.
 
-    Bodies of items are only read when somebody asks for them. `last_used` is when somebody asked for the batch last.
+    Bodies of items are only read on request. `last_used` is the time of the last request for the batch.
     """
 
     def __init__(self, tail: Tail, last_used: timedelta) -> None:
@@ -33,13 +33,13 @@
         self._reader_count = 0
 
     def close(self) -> None:
-        """Reads no more."""
+        """Stops reading."""
         self.is_closed = True
         self.tail.close()
 
     @contextmanager
     def in_use(self) -> Iterator[None]:
-        """Has the lengths of the log polled, which are not while nobody waits for more."""
+        """Polls the lengths of the log for as long as the context is open; they are not polled otherwise."""
         self._reader_count += 1
         if not self.is_closed:
             self.tail.resume()
@@ -51,15 +51,15 @@
                 self.tail.pause()
 
     def has_ended(self) -> bool:
-        """Returns whether all of it is known, but for the bodies of its items."""
+        """Returns whether the batch has ended and all of it has been read, apart from the bodies of its items."""
         return bool(self.progress.end_reason) and self.progress.head is not None
 
     def has_only_head(self) -> bool:
-        """Returns whether all that is durable is a head, whose batch was never appended as far as is known."""
+        """Returns whether the durable log, as far as it is known here, consists only of a head without its batch."""
         return self.progress.announced is not None and self.tail.at_record_boundary()
 
     async def catch_up(self, known: KnownLengths) -> None:
-        """Reads all that is known to be durable once it is this reader's turn, and what else is cached."""
+        """Reads up to the length known to be durable by the time the lock is acquired, and whatever more is cached."""
         async with self._lock:
             await self._read_up_to(known.durable)
 
@@ -79,7 +79,7 @@
             self.progress.apply(LogRecord.FromString(body))
 
     async def _read_head(self) -> None:
-        """Reads as little as it takes to know the batch's items, and skips their bodies."""
+        """Reads only as much as is needed to know the items of the batch, and skips their bodies."""
         missing = self.tail.missing_bytes()
         max_bytes = missing if self.progress.announced is not None else max(CHUNK_BYTES, missing)
         self._apply(await self.tail.read_records(max_bytes))
@@ -89,7 +89,7 @@
                 self.progress.skip_batch()
 
     async def read_bodies(self) -> None:
-        """Reads the bodies of the items, which were skipped."""
+        """Reads the bodies of the items if they were skipped before."""
         async with self._lock:
             if self.progress.batch is None and self._batch_extent is not None:
                 start, end = self._batch_extent
--- a/pipitlink/router/batch_followers.py
+++ b/pipitlink/router/batch_followers.py
@@ -1,4 +1,4 @@
-"""The batches that a gateway reads, whoever owns them."""
+"""Provides the progress and content of any batch, whichever gateway owns it."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 __all__ = ["BatchFollowers", "HEAD_ONLY"]
 
 HEAD_ONLY = "head_alone"
-# A follower that nobody has used for so long is dropped.
+# A follower that has not been used for this long is dropped.
 UNUSED_FOLLOWER_TTL = secs(30)
 DROP_INTERVAL = secs(5)
 READ_TIMEOUT = ms(1200)
 TAIL_MAX_LAG = secs(1)
-# Lengths that storage nodes confirmed a shorter time ago are not asked for again.
+# Lengths that the storage nodes confirmed more recently than this are not requested again.
 RECONFIRM_AFTER = ms(400)
-# An owned batch is looked at so often, since its lease may be lost.
+# An owned batch is checked at least this often, since its lease may be lost.
 MAX_WAIT_OWNED = secs(1)
-# Lengths that were confirmed longer ago than this prove nothing.
+# Lengths that were confirmed longer ago than this are too old to rely on.
 MAX_STALENESS = secs(1)
 
 
 class BatchFollowers:
-    """Tells the progress of any batch: of owned ones from the table, of others from followers of their logs.
+    """Reads any batch: owned ones from the table, others through followers of their logs.
 
-    Followers are kept while callers ask for them.
+    Followers are kept for as long as clients keep reading their batches.
     """
 
     def __init__(self, ctx: Context, table: BatchTable) -> None:
@@ -41,7 +41,7 @@
         self.followers: dict[str, BatchFollower] = {}
 
     def open(self) -> None:
-        """Begins to drop followers that nobody uses."""
+        """Starts dropping unused followers periodically."""
         self._ctx.timers.call_repeatedly(DROP_INTERVAL, self._drop_unused, self._ctx.error_reporter("follow_batches"))
 
     def _drop_unused(self) -> None:
@@ -51,15 +51,15 @@
                 self.drop(batch_id, follower)
 
     def drop(self, batch_id: str, follower: BatchFollower) -> None:
-        """Closes a follower; the batch is read anew when somebody asks for it."""
+        """Closes a follower; the next read of its batch starts from the beginning of the log."""
         follower.close()
         if self.followers.get(batch_id) is follower:
             del self.followers[batch_id]
 
     async def get_progress(self, batch_id: str) -> BatchProgress:
-        """Returns a batch as it surely is by now, with its head set.
+        """Returns the confirmed progress of a batch, with its head set.
 
-        Raises NotFound where it surely does not exist, another PipitlinkError where nothing is sure.
+        Raises NotFound where the batch is known not to exist, another PipitlinkError where its state is unknown.
         """
         owned = self._table.get_valid(batch_id)
         if owned is not None:
@@ -67,7 +67,7 @@
         return (await self._updated_follower(batch_id)).progress
 
     async def get_batch(self, batch_id: str) -> Batch:
-        """Returns a batch with its items' bodies. Raises as `get_progress` does."""
+        """Returns a batch with the bodies of its items. Raises the same errors as `get_progress`."""
         owned = self._table.get_valid(batch_id)
         if owned is not None:
             return owned.progress.complete_batch
@@ -116,27 +116,27 @@
             follower.close()
 
     async def _confirm_lengths(self, follower: BatchFollower, known: KnownLengths) -> None:
-        """Has storage nodes confirm the lengths of the log. Raises ServiceUnavailable where too few answer."""
+        """Confirms the lengths of the log with the storage nodes. Raises ServiceUnavailable where too few respond."""
         if known.confirmed_at is None or self._ctx.timers.now() - known.confirmed_at > RECONFIRM_AFTER:
             await self._ctx.cache.poller.confirm_durable([follower.tail.path])
         if known.confirmed_at is None or self._ctx.timers.now() - known.confirmed_at > MAX_STALENESS:
-            raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
+            raise ServiceUnavailable("too few storage nodes responded", code="no_majority", outcome="unknown")
 
     async def _raise_absent(self, batch_id: str, known: KnownLengths) -> None:
-        """Raises NotFound, or ServiceUnavailable where a batch may yet be durable.
+        """Raises NotFound, or ServiceUnavailable where the batch may still become durable.
 
-        It surely is absent only where a majority of the storage nodes has not one byte of it.
+        The batch is known to be absent only where a majority of the storage nodes has not a single byte of its log.
         """
         if known.final:
             raise NotFound("the batch was removed after its retention", code="batch_removed", status=410)
         log = batch_log(batch_id)
         state = (await self._ctx.replicated_log.states([log])).get(log)
         if state is None or state.tail_epoch:
-            raise ServiceUnavailable("the store is not sure of this batch now", code="not_sure", outcome="unknown")
+            raise ServiceUnavailable("it is unknown whether this batch exists", code="not_sure", outcome="unknown")
         raise NotFound("there is no such batch", code="no_such_batch", field="id")
 
     async def wait_for_progress(self, batch_id: str, timeout: timedelta) -> None:
-        """Returns when there may be more of a batch to read, or after the timeout."""
+        """Waits until there may be more of a batch to read, or until the timeout."""
         owned = self._table.get_valid(batch_id)
         if owned is not None:
             await owned.wait_for_progress(self._ctx.timers, min(timeout, MAX_WAIT_OWNED))
--- a/pipitlink/router/batch_intake.py
+++ b/pipitlink/router/batch_intake.py
@@ -1,4 +1,4 @@
-"""Takes batches in, each at most once."""
+"""Accepts submitted batches, each of them at most once."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 __all__ = ["BatchIntake"]
 
-# What is left of a caller's deadline for the response.
+# The part of the client's deadline that is reserved for sending the response.
 RESPONSE_MARGIN = ms(30)
 RETRY_INTERVAL = ms(40)
 QUOTA_TIMEOUT = secs(1.5)
@@ -39,7 +39,7 @@
 
 
 class _AcceptedBatch(NamedTuple):
-    """A batch that surely is durable; `batch` is None where it could not be read."""
+    """A batch that is known to be durable; `batch` is None where it could not be read."""
 
     batch: Batch | None = None
 
@@ -58,9 +58,10 @@
 
 
 class BatchIntake:
-    """Takes batches in. Whoever acquires the lease of a batch's empty log writes the batch there, and owns it.
+    """Accepts batches. The gateway that acquires the lease of a batch's empty log writes the batch to it and owns it.
 
-    Only answers 429 or 503 where this attempt wrote nothing; once a write has left, it is 202 or an unknown outcome.
+    Responds with 429 or 503 only where this attempt has written nothing. Once a write has been sent, the response is
+    202 or an unknown outcome.
     """
 
     def __init__(self, ctx: Context, table: BatchTable, quota: QuotaCoordinator, followers: BatchFollowers) -> None:
@@ -71,7 +72,7 @@
         self._submissions: SingleFlight[str, _AcceptedBatch] = SingleFlight()
 
     async def submit(self, submission: Submission) -> HttpResponse:
-        """Takes a batch in, or answers for one that was taken under its id before."""
+        """Accepts a batch, or responds for the batch that was accepted under its id earlier."""
         dialect = self._ctx.dialect
         timings = PhaseTimings(self._ctx.timers, submission.began_at)
         timings.end_phase(IntakePhase.RECEIVE)
@@ -88,7 +89,7 @@
         except ApiError as error:
             return json_error(error, dialect.format_error(error))
         except (PipitlinkError, TimeoutError) as error:
-            unknown = _unknown_outcome(f"the batch may yet be taken: {error}")
+            unknown = _unknown_outcome(f"the batch may still be accepted: {error}")
             return json_error(unknown, dialect.format_error(unknown))
 
     def _log_accepted(self, batch: Batch, submission: Submission, timings: PhaseTimings) -> None:
@@ -131,7 +132,7 @@
         return await self._ctx.timers.with_timeout(remaining, work)
 
     async def _accept(self, batch: Batch, route: Route, deadline: timedelta, timings: PhaseTimings) -> _AcceptedBatch:
-        """Returns the batch as it is durable under its id now."""
+        """Returns the batch that is durable under this id, whether this attempt wrote it or an earlier one."""
         owned = self._table.get(batch.id)
         if owned is None or owned.leaseholder.lost:
             try:
@@ -147,7 +148,7 @@
 
     async def _admit(self, batch: Batch, route: Route, deadline: timedelta) -> None:
         if not self._ctx.cluster.usable():
-            raise _unavailable("this gateway takes no batches now", "not_current")
+            raise _unavailable("this gateway cannot accept batches now", "not_current")
         await self._quota.reserve(route, batch, min(deadline, self._ctx.timers.now() + QUOTA_TIMEOUT))
 
     def _hand_over_if_closing(self, batch_id: str) -> None:
@@ -156,7 +157,7 @@
             self._ctx.run_in_background(self._ctx.replicated_log.release([owned.leaseholder]), "hand_over")
 
     async def _accepted_earlier(self, batch_id: str, refusal: ApiError) -> _AcceptedBatch:
-        """Returns what an earlier attempt has taken, and raises the refusal of this one where none has."""
+        """Returns the batch that an earlier attempt had accepted; raises this attempt's refusal where there is none."""
         try:
             accepted = await self._find_accepted(batch_id)
         except ServiceUnavailable:
@@ -166,14 +167,14 @@
         return accepted
 
     async def _find_accepted(self, batch_id: str) -> _AcceptedBatch | None:
-        """Returns what is durable under an id; None where that is nothing but a head.
+        """Returns the batch that is durable under an id; None where there is none, or only its head.
 
-        Raises ServiceUnavailable where too few storage nodes answer.
+        Raises ServiceUnavailable where too few storage nodes respond.
         """
         log = batch_log(batch_id)
         state = (await self._ctx.replicated_log.states([log])).get(log)
         if state is None:
-            raise _unavailable("the store cannot be read now", "no_majority")
+            raise _unavailable("too few storage nodes responded", "no_majority")
         if not state.committed and not state.final:
             return None
         try:
@@ -199,9 +200,9 @@
         return _AcceptedBatch(owned.batch)
 
     async def _acquire(self, batch_id: str, deadline: timedelta) -> OwnedBatch | _AcceptedBatch:
-        """Returns the batch with its lease held here, or as another gateway has taken it.
+        """Returns the batch with its lease held here, or the batch as another gateway has accepted it.
 
-        Waits while another gateway may be about to. Raises ServiceUnavailable.
+        Waits while another gateway may be about to accept it. Raises ServiceUnavailable.
         """
         while True:
             last_error: PipitlinkError
@@ -217,11 +218,11 @@
                 last_error = error
             has_time = self._ctx.timers.now() + 2 * RETRY_INTERVAL < deadline
             if not isinstance(last_error, LeaseNotHeld) or not has_time:
-                raise _unavailable(f"the batch cannot be taken here now: {last_error}", "store")
+                raise _unavailable(f"this gateway cannot accept the batch now: {last_error}", "store")
             await self._ctx.timers.sleep(RETRY_INTERVAL)
 
     async def _append(self, owned: OwnedBatch, batch: Batch) -> None:
-        """Writes a batch to its empty log, and returns once it is durable."""
+        """Appends a batch to its empty log, and returns once it is durable."""
         leaseholder = owned.leaseholder
         length_before = len(leaseholder.data)
         owned.batch = batch
@@ -234,20 +235,23 @@
             await self._append_failed(owned, length_before, error)
 
     async def _append_failed(self, owned: OwnedBatch, length_before: int, error: PipitlinkError) -> None:
-        """Waits on where a write has left; raises ApiError where none has, or the outcome is unknown."""
+        """Keeps waiting for durability where a write was sent.
+
+        Raises ApiError where no write was sent, or the outcome is unknown.
+        """
         leaseholder = owned.leaseholder
         if len(leaseholder.data) <= length_before:
             self._table.remove(owned)
             await self._ctx.replicated_log.release([leaseholder])
-            raise _unavailable(f"the store takes no batches now: {error}", "store") from error
+            raise _unavailable(f"the batch could not be written: {error}", "store") from error
         if leaseholder.lost:
-            raise _unknown_outcome(f"the batch may yet be taken: {error}", 500) from error
+            raise _unknown_outcome(f"the batch may still be accepted: {error}", 500) from error
         await self._wait_durable(owned)
 
     async def _wait_durable(self, owned: OwnedBatch) -> None:
         try:
             await owned.wait_durable()
         except PipitlinkError as error:
-            raise _unknown_outcome(f"the batch may yet be taken: {error}", 500) from error
+            raise _unknown_outcome(f"the batch may still be accepted: {error}", 500) from error
         if owned.leaseholder.lost:
             raise _unknown_outcome("the lease ended before the batch was durable", 500)
--- a/pipitlink/router/batch_progress.py
+++ b/pipitlink/router/batch_progress.py
@@ -1,4 +1,4 @@
-"""Names and records of a batch's log, and the progress of a batch as its log tells it."""
+"""Names and records of batch logs, and the progress of a batch as its log records it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 __all__ = ["BATCH_RECORD_PREFIX", "LOG_PREFIX", "BatchProgress", "batch_head", "batch_log", "is_valid_batch_id"]
 
 LOG_PREFIX = "batch/"
-# With what the payload of a record begins that is a batch.
+# The first byte of the payload of every record that holds a batch.
 BATCH_RECORD_PREFIX = LogRecord(batch=Batch()).SerializeToString()[:1]
 _BATCH_ID = re.compile(r"[A-Za-z0-9_-]{1,64}\Z")
 
@@ -20,12 +20,12 @@
 
 
 def is_valid_batch_id(batch_id: str) -> bool:
-    """Returns whether this can be a batch's id: 1 to 64 letters, digits, `-` and `_`."""
+    """Returns whether a batch id is valid: 1 to 64 letters, digits, `-` and `_`."""
     return bool(_BATCH_ID.match(batch_id))
 
 
 def batch_head(batch: Batch) -> BatchHead:
-    """Returns a batch's head: all of it but the items' paths, headers and bodies."""
+    """Returns a batch's head, which has everything except the paths, headers and bodies of the items."""
     return BatchHead(
         id=batch.id,
         host=batch.host,
@@ -49,10 +49,10 @@
 
 
 class BatchProgress:
-    """A batch as its log tells it: its head, the complete batch, then outputs in the order of their positions.
+    """A batch as its log records it: its head, the complete batch, then its outputs in the order of their positions.
 
-    `head` is set once the batch is durable, and has at least the ids and tokens of its items; `batch` has their bodies
-    as well. `announced` is a head whose batch is not durable yet. `end_reason` is empty until the batch has ended.
+    `head` is set once the batch is durable, and has at least the ids and tokens of its items; `batch` also has their
+    bodies. `announced` is a head whose batch is not durable yet. `end_reason` is empty until the batch has ended.
     """
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         self.end_reason = ""
 
     def apply(self, record: LogRecord) -> None:
-        """Takes in the next record of the log; the first output of an item stands."""
+        """Applies the next record of the log; only the first output of each item counts."""
         kind = record.WhichOneof("of")
         if kind == "head" and self.head is None:
             self.announced = _batch_without_bodies(record.head)
@@ -77,25 +77,25 @@
             self.end_reason = self.end_reason or record.ended.reason
 
     def skip_batch(self) -> None:
-        """Notes that the batch stands in its log right after its announced head, and is not read."""
+        """Records that the batch follows its announced head in the log, and was skipped."""
         self.head, self.announced = self.announced, None
 
     @property
     def durable_head(self) -> Batch:
-        """The batch with at least the ids and tokens of its items; only to be read once it is durable."""
+        """The batch with at least the ids and tokens of its items. Raises ValueError before it is durable."""
         if self.head is None:
             raise ValueError("the batch is not durable")
         return self.head
 
     @property
     def complete_batch(self) -> Batch:
-        """The batch with its items' bodies; only to be read once these are known."""
+        """The batch with the bodies of its items. Raises ValueError before these have been read."""
         if self.batch is None:
             raise ValueError("the bodies of the items were not read")
         return self.batch
 
     def is_complete(self) -> bool:
-        """Returns whether no output can follow."""
+        """Returns whether no more outputs can follow."""
         if self.end_reason:
             return True
         return self.head is not None and len(self.outputs) == len(self.head.items)
--- a/pipitlink/router/batch_reader.py
+++ b/pipitlink/router/batch_reader.py
@@ -1,4 +1,4 @@
-"""The calls that read batches, at any gateway."""
+"""Handles read requests for batches at any gateway."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class BatchReader:
-    """Answers the calls that read outputs and items of batches."""
+    """Responds to requests for the outputs and items of batches."""
 
     def __init__(self, ctx: Context, table: BatchTable, followers: BatchFollowers) -> None:
         self._ctx = ctx
@@ -26,9 +26,9 @@
         self._followers = followers
 
     async def read_outputs(self, batch_id: str, start: int, wait: timedelta) -> HttpResponse:
-        """Answers with the outputs from a position on, by a long poll.
+        """Responds with the outputs from position `start` on, as a long poll.
 
-        Waits until there is one, the batch is complete, or `wait` has passed.
+        Waits until there is an output, the batch is complete, or `wait` has passed.
         """
         try:
             progress = await self._poll_progress(batch_id, start, wait)
@@ -54,7 +54,7 @@
             await self._followers.wait_for_progress(batch_id, remaining)
 
     async def read_item(self, batch_id: str, item_id: str) -> HttpResponse:
-        """Answers with the body of one item as it was submitted."""
+        """Responds with the body of one item as it was submitted."""
         try:
             batch = await self._followers.get_batch(batch_id)
             item = next((item for item in batch.items if item.id == item_id), None)
--- a/pipitlink/router/batch_scheduler.py
+++ b/pipitlink/router/batch_scheduler.py
@@ -1,4 +1,4 @@
-"""Starts the items of owned batches, the most urgent first."""
+"""Starts the items of owned batches, the most urgent batches first."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
 INTERVAL = ms(25)
 IDLE_INTERVAL = secs(1)
 IDLE_INTERVAL_WITHOUT_BATCHES = secs(60)
-# How many items are started in one turn of the reactor. Starting one takes milliseconds on a small machine, and what
-# else is due, an acknowledgement or a live request, must not wait for all of them.
+# How many items are started in one turn of the reactor. Starting one takes milliseconds on a small machine, and other
+# work that is due, such as an acknowledgement or a live request, must not wait for all of them.
 MAX_STARTS_PER_TURN = 4
-# Batches whose deadlines lie in the same interval of this length are equally urgent, and take turns.
+# Batches whose deadlines fall into the same interval of this length are equally urgent, and are served round-robin.
 DEADLINE_CLASS_MS = 2000
-# By how much the clocks of gateways may differ.
+# The maximum difference between the clocks of gateways.
 MAX_CLOCK_SKEW_MS = 1500
-# A route that is missing for so long is gone for good.
+# A route that has been missing for this long counts as removed.
 ROUTE_GONE_AFTER = secs(3)
 
 
 class _RoundOutcome(Enum):
-    """How one look for items to start has ended."""
+    """The outcome of one scheduling round."""
 
     NO_WORK = auto()
     NO_CAPACITY = auto()
     TURN_LIMIT_REACHED = auto()
-    """There may be capacity for more, in another turn of the reactor."""
+    """As many items were started as one turn allows; there may be capacity for more."""
 
 
 class _Urgency(NamedTuple):
-    """Orders batches: what can still be in time goes before what is late, then by deadline, then by turns."""
+    """Orders batches: those that can still meet their deadline first, then by deadline, then round-robin."""
 
     is_late: bool
     deadline_class: int
@@ -54,7 +54,7 @@
 
 
 class _ReadyBatch(NamedTuple):
-    """A batch with waiting items, in the heap of those whose items may be started; ids are never equal."""
+    """A heap entry for a batch whose waiting items may be started; unique ids keep the batches from being compared."""
 
     urgency: _Urgency
     batch_id: str
@@ -63,7 +63,7 @@
 
 
 class _Moment(NamedTuple):
-    """One moment on the timers' clock, and on the wall clock in ms since the Unix epoch."""
+    """The same moment on the timers' clock, and on the wall clock in ms since the Unix epoch."""
 
     now: timedelta
     wall_ms: int
@@ -78,7 +78,7 @@
 
 
 class BatchScheduler(BatchListener):
-    """Starts items of the batches that this gateway owns while there is capacity, the most urgent first."""
+    """Starts items of the batches that this gateway owns while there is capacity, the most urgent batches first."""
 
     def __init__(
         self,
@@ -101,11 +101,11 @@
         self._start_count = 0
 
     def open(self) -> None:
-        """Begins to start items."""
+        """Starts the scheduling loop."""
         self._ctx.run_in_background(self._run(), "schedule_batches")
 
     def work_changed(self) -> None:
-        """Looks for items to start, without waiting for the next interval."""
+        """Runs the next scheduling round now instead of at the end of the interval."""
         wake, self._wake = self._wake, None
         if wake is not None and not wake.called:
             wake.callback(None)
@@ -133,7 +133,7 @@
             return _RoundOutcome.NO_CAPACITY
 
     def _start_items(self) -> _RoundOutcome:
-        """Starts items while there is capacity, as many as may be started in one turn."""
+        """Runs one scheduling round: starts items while there is capacity, up to the limit per turn."""
         if self._table.is_closing or not self._ctx.cluster.usable():
             return _RoundOutcome.NO_CAPACITY if self._table.batches else _RoundOutcome.NO_WORK
         moment = _Moment(self._ctx.timers.now(), wall_ms(self._ctx.timers.utc_now()))
@@ -158,7 +158,7 @@
         return _RoundOutcome.NO_CAPACITY if has_waiting else _RoundOutcome.NO_WORK
 
     def _fill_slots(self, ready: list[_ReadyBatch], slots: dict[str, int], moment: _Moment) -> int:
-        """Starts one item after the other, of the most urgent batch whose route has slots left; returns how many."""
+        """Starts items one by one, each from the most urgent batch whose route has slots left; returns how many."""
         heapify(ready)
         started = 0
         while ready and started < MAX_STARTS_PER_TURN:
@@ -180,7 +180,7 @@
         return next((index for index in batch.waiting if batch.retry_at.get(index, now) <= now), None)
 
     def _abandon_expired(self, batch: OwnedBatch, route: Route | None, moment: _Moment) -> None:
-        """Abandons all unfinished items once the route is gone for good, or the batch's retention has passed."""
+        """Abandons all unfinished items of a batch once its route is removed or its retention has passed."""
         if route is not None:
             batch.route_missing_since = None
             expires_ms = batch.content.taken_ms + route.retain_ms + MAX_CLOCK_SKEW_MS
--- a/pipitlink/router/batch_service.py
+++ b/pipitlink/router/batch_service.py
@@ -1,4 +1,4 @@
-"""The batches of a gateway: puts their parts together."""
+"""Assembles the components that handle batches in a gateway."""
 
 from __future__ import annotations
 
@@ -27,10 +27,11 @@
 
 
 class BatchService:
-    """What a gateway does for batches.
+    """Handles batches in a gateway.
 
-    The intake makes batches durable, admitted by the quota; the table owns them by leases, and the adopter takes over
-    what nobody owns; the scheduler runs their items; the reader and the canceller serve callers at any gateway.
+    The intake makes batches durable once the quota admits them. The table holds the leases of the batches that this
+    gateway owns, and the adopter takes over batches without an owner. The scheduler runs the items of owned batches.
+    The reader and the canceller serve clients at any gateway.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         self.canceller = BatchCanceller(ctx, self.table)
 
     def open(self) -> None:
-        """Begins to serve, and to take over what nobody owns."""
+        """Starts serving batches, and taking over those without an owner."""
         for listener in (self.scheduler, self.writer, self.waiting):
             self.table.add_listener(listener)
         self.quota.open()
@@ -69,11 +70,11 @@
         self.adopter.open()
 
     async def submit(self, submission: Submission) -> HttpResponse:
-        """Takes a batch in."""
+        """Accepts or refuses a submitted batch."""
         return await self.intake.submit(submission)
 
     async def handle(self, request: BatchRequest) -> HttpResponse:
-        """Makes the call on a batch that the dialect has read from a request."""
+        """Handles a read or cancel request that the dialect has parsed."""
         if isinstance(request, ReadOutputs):
             return await self.reader.read_outputs(request.batch_id, request.start, request.wait)
         if isinstance(request, ReadItem):
--- a/pipitlink/router/batch_table.py
+++ b/pipitlink/router/batch_table.py
@@ -1,4 +1,4 @@
-"""The batches that a gateway owns by the leases of their logs."""
+"""The batches that a gateway owns because it holds the leases of their logs."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 
 DRAIN_TIMEOUT = secs(3)
 DRAIN_CHECK_INTERVAL = ms(25)
-# How long the last replica is given to catch up before the lease of an ended batch is released.
+# The lease of an ended batch is released after this delay, so that the last replica can catch up.
 RELEASE_DELAY = secs(1)
 
 
 class BatchListener:
-    """Is told what becomes of owned batches; by default it ignores it."""
+    """Is notified of changes to owned batches; the default methods do nothing."""
 
     def batch_adopted(self, batch: OwnedBatch) -> None:
-        """Is called when a batch with items was found in a log whose lease was acquired, and the log has not ended."""
+        """Called after the lease of a log that holds a batch, and has not ended, was acquired."""
 
     def work_changed(self) -> None:
-        """Is called when there may be items to start."""
+        """Called when there may be items to start."""
 
     def batch_closed(self, batch: OwnedBatch) -> None:
-        """Is called once the end of a batch is durable."""
+        """Called once the end of a batch is durable."""
 
 
 class BatchTable:
-    """The batches that this gateway owns: each has a log of its own, and the holder of its lease owns it.
+    """The batches that this gateway owns. Each batch has its own log, and the holder of the log's lease owns the batch.
 
-    `is_closing` is set once the gateway shuts down: nothing new is begun then.
+    `is_closing` is set when the gateway shuts down; no new work is started after that.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -50,15 +50,15 @@
         self._listeners: list[BatchListener] = []
 
     def add_listener(self, listener: BatchListener) -> None:
-        """Has a part told what becomes of the batches."""
+        """Registers a listener for changes to the batches."""
         self._listeners.append(listener)
 
     def get(self, batch_id: str) -> OwnedBatch | None:
-        """Returns a batch that is owned here, with its lease valid or not, or None."""
+        """Returns a batch of this table, whether or not its lease is still valid, or None."""
         return self.batches.get(batch_id)
 
     def get_valid(self, batch_id: str) -> OwnedBatch | None:
-        """Returns a batch that is durable and whose lease is valid here, or None."""
+        """Returns a batch of this table that is durable and whose lease is valid, or None."""
         batch = self.batches.get(batch_id)
         if batch is not None and batch.is_durable() and batch.leaseholder.is_held():
             return batch
@@ -69,7 +69,7 @@
         return self.batches.get(batch.id) is batch
 
     async def run_exclusively(self, batch_id: str, work: Callable[[], Awaitable[ResultT]]) -> ResultT:
-        """Runs work on the lease of one batch, after all that came before; returns its result."""
+        """Runs work on the lease of one batch after all earlier work on it has ended; returns its result."""
         lock = self._locks.setdefault(batch_id, defer.DeferredLock())
         try:
             async with lock:
@@ -79,9 +79,10 @@
                 del self._locks[batch_id]
 
     async def acquire(self, batch_id: str, lost_leaseholder: str | None = None) -> OwnedBatch:
-        """Returns a batch with its lease held here, as it was or acquired anew; empty where its log is.
+        """Returns a batch whose lease is held here, acquiring the lease if needed; the batch is empty where its log is.
 
-        `lost_leaseholder` is the node that held the lease and is surely gone. Raises ReplicatedLogError or WireError.
+        `lost_leaseholder` is the node that held the lease and is known to be gone. Raises ReplicatedLogError or
+        WireError.
         """
         batch = self.batches.get(batch_id)
         if batch is not None and not batch.leaseholder.lost:
@@ -115,14 +116,14 @@
             listener.batch_adopted(batch)
 
     def add(self, batch: OwnedBatch) -> None:
-        """Adds a batch whose lease is held here, and follows its log."""
+        """Adds a batch whose lease is held here, and starts following its log."""
         self.batches[batch.id] = batch
         self._ctx.cache.start_log_writer(batch.leaseholder.log, batch.leaseholder, BATCH_RECORD_PREFIX)
         batch.leaseholder.watch(lambda _: self._on_progress(batch))
         self.announce_work()
 
     def announce_work(self) -> None:
-        """Tells the listeners that there may be items to start."""
+        """Notifies the listeners that there may be items to start."""
         for listener in self._listeners:
             listener.work_changed()
 
@@ -139,7 +140,7 @@
             self.announce_work()
 
     def remove(self, batch: OwnedBatch) -> None:
-        """Removes a batch whose lease is not held any more, and cancels its items."""
+        """Removes a batch whose lease is no longer held, and cancels its items."""
         if self.owns(batch):
             del self.batches[batch.id]
         batch.waiting.clear()
@@ -166,7 +167,7 @@
         await self._ctx.replicated_log.release([batch.leaseholder])
 
     async def drain(self) -> None:
-        """Begins nothing new, lets attempts under way end for a short while, and releases all leases."""
+        """Starts no new work, gives running attempts a short time to finish, and then releases all leases."""
         self.is_closing = True
         deadline = self._ctx.timers.now() + DRAIN_TIMEOUT
         while self.batches and self._ctx.timers.now() < deadline:
@@ -176,7 +177,7 @@
         await self._ctx.replicated_log.release([batch.leaseholder for batch in list(self.batches.values())])
 
     def metrics(self) -> dict[str, tuple[str, float]]:
-        """Returns description and value of each metric of the batches, by name."""
+        """Returns the description and value of each batch metric, by name."""
         unfinished = [batch for batch in self.batches.values() if not batch.leaseholder.final]
         waiting = sum(len(batch.waiting) for batch in unfinished)
         running = sum(len(batch.running) for batch in unfinished)
--- a/pipitlink/router/batch_timings.py
+++ b/pipitlink/router/batch_timings.py
@@ -1,4 +1,4 @@
-"""Where the time of batches goes: the phases of their intake, and of their items until the outputs are durable."""
+"""Measures the phases of a batch's intake, and of its items until their outputs are durable."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class IntakePhase(StrEnum):
-    """The phases of an intake, in their order."""
+    """The phases of an intake, in order."""
 
     RECEIVE = "receive"
     PARSE = "parse"
@@ -25,7 +25,7 @@
 
 
 class ItemPhase(StrEnum):
-    """The phases of an item; the last one is entered once, the others anew with each attempt."""
+    """The phases of an item. Each attempt enters all of them again, except the last, which is entered once."""
 
     WAITING = "waiting"
     FIRST_EVENT = "first_event"
@@ -35,14 +35,14 @@
 
 @attrs.define
 class _CurrentPhase:
-    """The phase that an item is in, and since when."""
+    """The phase that an item is in, and the time at which it entered it."""
 
     phase: ItemPhase
     since: timedelta
 
 
 class ItemTimings:
-    """How long the items of one batch spent in each phase, and the number of `attempts` at them."""
+    """Records how long the items of one batch spent in each phase, and the number of `attempts` to run them."""
 
     def __init__(self, timers: Timers) -> None:
         self._timers = timers
@@ -52,31 +52,31 @@
         self.attempts = 0
 
     def batch_durable(self) -> None:
-        """Notes that the items wait from now on."""
+        """Records that the batch is durable, and its items wait from now on."""
         self._durable_at = self._timers.now()
 
     def attempt_started(self, index: int) -> None:
-        """Notes that an attempt at an item begins."""
+        """Records the start of an attempt to run an item."""
         self.attempts += 1
         self._current.setdefault(index, _CurrentPhase(ItemPhase.WAITING, self._durable_at))
         self._enter(index, ItemPhase.FIRST_EVENT)
 
     def event_received(self, index: int) -> None:
-        """Notes an event of an item's output."""
+        """Records an event of an item's output."""
         current = self._current.get(index)
         if current is not None and current.phase == ItemPhase.FIRST_EVENT:
             self._enter(index, ItemPhase.RUNNING)
 
     def attempt_failed(self, index: int) -> None:
-        """Notes that an item waits for another attempt."""
+        """Records that an item waits for another attempt."""
         self._enter(index, ItemPhase.WAITING)
 
     def finished(self, index: int) -> None:
-        """Notes that the output of an item is to be appended."""
+        """Records that the output of an item is ready to be appended."""
         self._enter(index, ItemPhase.APPEND)
 
     def appended(self, indexes: Iterable[int]) -> None:
-        """Notes that the outputs of items are durable."""
+        """Records that the outputs of items are durable."""
         for index in indexes:
             self._leave(self._current.pop(index, None))
 
@@ -89,6 +89,9 @@
             self._durations_ms[current.phase].append(to_ms(self._timers.now() - current.since))
 
     def summary(self, phase: ItemPhase) -> str:
-        """Returns mean and maximum of a phase in whole milliseconds, as in `120/340`; `0/0` where none has ended."""
+        """Returns the mean and maximum duration of a phase in whole milliseconds, such as `120/340`.
+
+        Returns `0/0` where no item has left the phase yet.
+        """
         durations = self._durations_ms[phase]
         return f"{round(mean(durations))}/{max(durations)}" if durations else "0/0"
--- a/pipitlink/router/item_attempts.py
+++ b/pipitlink/router/item_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at the items of owned batches."""
+"""Attempts to run the items of owned batches, with their retries."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ItemAttempts:
-    """Makes attempts at items, and finishes items by their results or retries them after a backoff."""
+    """Makes attempts to run items, and finishes the items or retries them after a backoff."""
 
     def __init__(self, ctx: Context, table: BatchTable, executor: ItemExecutor, writer: OutputWriter) -> None:
         self._ctx = ctx
@@ -39,7 +39,7 @@
             self._writer.finish_item(batch, index, ItemState.ABANDONED)
 
     def start(self, batch: OwnedBatch, index: int, route: Route) -> None:
-        """Makes an attempt at an item, in the background."""
+        """Starts an attempt to run an item in the background."""
         call = batch.calls.get(index)
         if call is None:
             call = batch.calls[index] = self._make_call(batch, index, route)
@@ -63,9 +63,9 @@
         )
 
     def _check_may_send(self, batch: OwnedBatch, index: int) -> None:
-        """Raises LeaseNotHeld where an item must not be sent any more."""
+        """Raises LeaseNotHeld where an item must no longer be sent."""
         if not batch.is_current() or index in batch.finished or not self._table.owns(batch):
-            raise LeaseNotHeld(f"{batch.id}: item {index} must not be sent any more")
+            raise LeaseNotHeld(f"{batch.id}: item {index} must no longer be sent")
 
     async def _attempt(self, batch: OwnedBatch, index: int, call: ItemCall) -> None:
         first_event = call.last_event
@@ -84,7 +84,7 @@
             self._back_off(batch, index, result, has_progressed=call.last_event != first_event)
 
     def _should_abandon(self, batch: OwnedBatch, index: int, call: ItemCall, status: int) -> bool:
-        """Counts failures of the engine, and returns whether an item is not to be retried."""
+        """Counts engine failures of an item, and returns whether it must not be retried."""
         if status == HTTPStatus.UNPROCESSABLE_ENTITY:
             return True
         if status != HTTPStatus.INTERNAL_SERVER_ERROR:
--- a/pipitlink/router/item_runner.py
+++ b/pipitlink/router/item_runner.py
@@ -1,4 +1,4 @@
-"""Items of batches as calls to engines."""
+"""Runs batch items as calls to engines."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 @attrs.define(eq=False)
 class ItemCall:
-    """One item of a batch, and what of its output has come so far.
+    """One item of a batch, and the output received so far.
 
-    `texts` are the data of the complete events 1 to `last_event`. `precondition` is checked before each attempt is
-    sent, and raises where the item must not be sent any more; `on_event` is called with each event that comes.
+    `texts` has the data of the complete events 1 to `last_event`. `precondition` is called before each attempt is sent,
+    and raises where the item must no longer be sent; `on_event` is called for each event that is received.
     """
 
     id: str
@@ -46,10 +46,10 @@
 
 
 class ItemResult(NamedTuple):
-    """What one attempt came to.
+    """The result of one attempt.
 
-    `status` is the engine's, or 0 without one; `is_complete` says that the output is; `not_run` that surely nothing
-    ran; `backoff` is how long not to retry.
+    `status` is the engine's, or 0 where it sent none. `is_complete` means that the output is complete, `not_run` that
+    the item is known not to have run. `backoff` is the minimum delay before the next attempt.
     """
 
     status: int = 0
@@ -59,18 +59,18 @@
 
 
 class _ItemSink:
-    """Collects the output of an item."""
+    """Receives the output of an item from the engine."""
 
     def __init__(self, item: ItemCall) -> None:
         self._item = item
         self.status = 0
 
     def head(self, response: Response) -> None:
-        """Takes the status."""
+        """Stores the status."""
         self.status = response.code
 
     def data(self, data: bytes) -> None:
-        """Takes the next event of the output."""
+        """Appends the next event of the output."""
         if self.status == HTTPStatus.OK:
             self._item.texts.append(event_data(data))
             if self._item.on_event is not None:
@@ -78,16 +78,16 @@
 
 
 class ItemRunner:
-    """Runs items of batches as calls to engines, one attempt at a time."""
+    """Runs batch items as calls to engines, one attempt at a time."""
 
     def __init__(self, ctx: Context, relay: CallRelay) -> None:
         self._ctx = ctx
         self._relay = relay
 
     async def run(self, item: ItemCall) -> ItemResult:
-        """Makes one attempt, which goes on after the last event that earlier ones brought; returns its result.
+        """Makes one attempt, which resumes after the last event of earlier attempts; returns its result.
 
-        Raises ReplicatedLogError where the precondition of the item does.
+        Raises ReplicatedLogError where the precondition of the item raises it.
         """
         sink = _ItemSink(item)
         call = self._make_call(item, sink)
--- a/pipitlink/router/output_writer.py
+++ b/pipitlink/router/output_writer.py
@@ -14,21 +14,21 @@
 
 __all__ = ["ItemState", "OutputWriter"]
 
-# How long outputs wait for others to share their write, unless the batch is due within MIN_TIME_LEFT_MS.
+# How long outputs wait for more outputs to share their write, unless the batch is due within MIN_TIME_LEFT_MS.
 BATCHING_DELAY = ms(100)
 MIN_TIME_LEFT_MS = 2000
 LEASE_CHECK_INTERVAL = ms(100)
 
 
 class ItemState(StrEnum):
-    """How an item has ended, as it stands in the log."""
+    """How an item ended. The values are stored in the log."""
 
     DONE = "done"
     ABANDONED = "abandoned"
 
 
 class OutputWriter(BatchListener):
-    """Decides on the output of each item, and appends outputs to the log with all that have come by then."""
+    """Records the output of each item, and appends outputs to the log, several in one write where possible."""
 
     def __init__(self, ctx: Context, routes: RoutesView, table: BatchTable) -> None:
         self._ctx = ctx
@@ -36,12 +36,12 @@
         self._table = table
 
     def batch_adopted(self, batch: OwnedBatch) -> None:
-        """Ends a batch whose items are all finished."""
+        """Starts writing the end of a batch whose items are all finished."""
         if batch.all_finished():
             self._start_writing(batch)
 
     def finish_item(self, batch: OwnedBatch, index: int, state: ItemState, text: bytes = b"") -> None:
-        """Takes the output of an item; the first one of each item stands."""
+        """Records the output of an item; only the first output of each item counts."""
         if index in batch.finished:
             return
         batch.finished.add(index)
@@ -61,7 +61,7 @@
             self._ctx.run_in_background(self._write(batch), "flush_batch")
 
     def _may_delay(self, batch: OwnedBatch) -> bool:
-        """Returns whether outputs may wait for others: not if none comes soon, nor if time is short."""
+        """Returns whether outputs may wait for others: not where no other is expected, or the batch is due soon."""
         content = batch.content
         route = self._routes().get(content.route)
         if route is None or not batch.running or self._table.is_closing:
@@ -97,9 +97,9 @@
             batch.timings.appended(output.item for output in outputs)
 
     def _invalidate_lease(self, batch: OwnedBatch, error: ReplicatedLogError) -> None:
-        """Gives up the lease after outputs could not be appended; the next owner finishes the batch."""
+        """Invalidates the lease after outputs could not be appended; the next owner finishes the batch."""
         leaseholder = batch.leaseholder
         if not isinstance(error, (StaleEpoch, LeaseNotHeld)):
             self._ctx.logger.failure("output_write_failed", error, batch=batch.id)
         if not leaseholder.lost and not leaseholder.final:
-            leaseholder.invalidate("outputs could not be listed")
+            leaseholder.invalidate("outputs could not be appended")
--- a/pipitlink/router/owned_batch.py
+++ b/pipitlink/router/owned_batch.py
@@ -21,10 +21,11 @@
 
 @attrs.define(eq=False)
 class OwnedBatch:
-    """A batch that this gateway owns: what is durable of it, and the state of each of its items, by index.
+    """A batch that this gateway owns: its durable progress, and the state of each of its items, by index.
 
-    `batch` is None where its log is empty. `finished` are items whose output was decided on, `progress` has those whose
-    output is durable. `waiting` are in the order in which they are started; `pending_outputs` are not yet appended.
+    `batch` is None where its log is empty. `finished` has the items that have an output, durable or not; `progress`
+    only those whose output is durable. `waiting` is in the order in which items are started. `pending_outputs` have
+    not been appended yet.
     """
 
     id: str
@@ -50,13 +51,13 @@
 
     @property
     def content(self) -> Batch:
-        """The batch itself; only to be read where the log is not empty."""
+        """The batch itself. Raises ValueError where its log is empty."""
         if self.batch is None:
             raise ValueError(f"the log of batch {self.id} is empty")
         return self.batch
 
     def read_durable(self) -> None:
-        """Takes in what has become durable, and wakes those who wait for it."""
+        """Applies the records that have become durable, and wakes those who wait for them."""
         data = bytes(self.leaseholder.data[self.position : self.leaseholder.committed])
         read = 0
         for _, body, end in decode_frames(data):
@@ -81,33 +82,33 @@
         return self.leaseholder.is_held() and not self.leaseholder.final
 
     def is_idle(self) -> bool:
-        """Returns whether the lease may be handed over without loss of work."""
+        """Returns whether the lease can be released without losing work in progress."""
         return self.is_durable() and not (self.running or self.pending_outputs or self.is_writing)
 
     def all_finished(self) -> bool:
-        """Returns whether the output of each item was decided on."""
+        """Returns whether every item has an output, durable or not."""
         return len(self.finished) == len(self.content.items)
 
     def unfinished(self) -> list[int]:
-        """Returns the indexes of the items whose output was not decided on."""
+        """Returns the indexes of the items that have no output yet."""
         return [index for index in range(len(self.content.items)) if index not in self.finished]
 
     def queue_unfinished(self) -> None:
-        """Has all items wait whose output is not durable."""
+        """Queues all items whose output is not durable."""
         items = self.content.items
         self.finished = set(self.progress.finished_items)
         self.waiting = self.unfinished()
         self.unfinished_tokens = sum(items[index].tokens for index in self.waiting)
 
     def cancel_running(self) -> None:
-        """Cancels the attempts that are under way."""
+        """Cancels the running attempts."""
         for attempt in list(self.running.values()):
             attempt.cancel()
 
     async def wait_durable(self) -> None:
-        """Returns once all that was appended is durable, or the lease is lost.
+        """Waits until everything that was appended is durable, or the lease is lost.
 
-        Raises ReplicatedLogError where it cannot become durable any more.
+        Raises ReplicatedLogError where it can no longer become durable.
         """
         while not self.leaseholder.lost:
             try:
@@ -117,7 +118,7 @@
                 continue
 
     async def wait_for_progress(self, timers: Timers, timeout: timedelta) -> None:
-        """Returns once more of the batch is durable, the lease is lost, or the timeout has passed."""
+        """Waits until more of the batch is durable, the lease is lost, or the timeout has passed."""
         waiter: defer.Deferred[None] = defer.Deferred()
         self.waiters.append(waiter)
         try:
--- a/pipitlink/router/waiting_tokens.py
+++ b/pipitlink/router/waiting_tokens.py
@@ -1,4 +1,4 @@
-"""The tokens of all unfinished batches, as the gateways report them."""
+"""The waiting tokens of all unfinished batches, as the gateways report them."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 
 __all__ = ["ReportedBatch", "RouteBacklog", "TokenGrant", "TokenReservation", "WaitingTokens"]
 
-# How long a list of the open logs may lack a batch that was reported, since it was asked for before.
+# A batch that was reported less than this before a listing of the open logs was requested may be missing from it.
 LISTING_DELAY = secs(1)
-# How long the end of a batch is reported, so that each gateway hears of it.
+# How long the end of a batch is reported, so that every gateway receives it.
 REPORT_FINISHED_FOR = secs(3)
 
 
 @attrs.define
 class ReportedBatch:
-    """The unfinished tokens of a batch, as its owner last reported; without a gateway where nobody does now."""
+    """The unfinished tokens of a batch, as its owner last reported them.
+
+    `gateway` is empty where no gateway reports the batch now.
+    """
 
     route: str
     tokens: int
@@ -34,7 +37,7 @@
 
 
 class TokenReservation(NamedTuple):
-    """Tokens of a route that were granted for a batch which this gateway takes in."""
+    """Tokens of a route that were granted to this gateway for a batch that it is accepting."""
 
     route: str
     tokens: int
@@ -50,7 +53,7 @@
 
 
 class RouteBacklog(NamedTuple):
-    """The unfinished tokens of a route: of this gateway's batches, and of all that are reported."""
+    """The unfinished tokens of a route: those of this gateway's batches, and those of all gateways."""
 
     own_tokens: int
     total_tokens: int
@@ -62,7 +65,7 @@
 
 
 class _ReportContent(NamedTuple):
-    """To whom this gateway reported last, and the tokens of each batch in the report."""
+    """The gateways that the last report was for, and the tokens of each batch in it."""
 
     gateways: frozenset[str]
     tokens: dict[str, int]
@@ -71,9 +74,10 @@
 class WaitingTokens(BatchListener):
     """The unfinished tokens of each batch, of this gateway and of its peers.
 
-    Owners report theirs along with their loads, so that every gateway has the count. `reservations` are this gateway's
-    own grants for batches that it is taking in, `grants` those that it gave out and that are not reported yet.
-    `uncounted` are open batches that nobody has reported, and since when they are known.
+    Owners report them together with their engine loads, so that every gateway has the total. `reservations` are the
+    grants that this gateway received for batches that it is accepting, `grants` those that it issued as coordinator
+    and that no gateway has reported yet. `uncounted` maps open batches that no gateway has reported to the time at
+    which they were first listed.
     """
 
     def __init__(self, ctx: Context, table: BatchTable, gateway_watch: GatewayWatch) -> None:
@@ -89,12 +93,12 @@
         self.listed_at: timedelta | None = None
 
     def batch_closed(self, batch: OwnedBatch) -> None:
-        """Reports for a while that nothing waits of a batch."""
+        """Reports for a while that a batch has no waiting tokens."""
         report_until = self._ctx.timers.now() + REPORT_FINISHED_FOR
         self._finished[batch.id] = _FinishedBatch(batch.content.route, report_until)
 
     def own_report(self) -> list[WaitingLot]:
-        """Returns what this gateway reports: its reservations, batches that have ended, and its batches."""
+        """Returns what this gateway reports: its reservations, its batches, and those that ended recently."""
         now = self._ctx.timers.now()
         entries = {
             batch_id: WaitingLot(lot=batch_id, route=reservation.route, tokens=reservation.tokens)
@@ -112,7 +116,10 @@
         return list(entries.values())
 
     def fill_report(self, report: Loads) -> bool:
-        """Adds the own report; returns whether any of it is new, or there are gateways that did not get the last."""
+        """Adds this gateway's entries to a report.
+
+        Returns whether any entry has changed since the last report, or there are gateways that did not receive it.
+        """
         self._gateway_watch.check()
         entries = self.own_report()
         report.lots.extend(entries)
@@ -121,11 +128,11 @@
         return bool(entries or last.tokens) and content != last
 
     def absorb_report(self, report: Loads) -> None:
-        """Takes in the report of another gateway."""
+        """Records the report of another gateway."""
         self.record(report.gateway, report.lots)
 
     def record(self, gateway: str, entries: Iterable[WaitingLot]) -> None:
-        """Takes in all that a gateway reports; what it reported before and does now not has no owner that reports."""
+        """Records a gateway's full report; batches that it reported before, but not now, have no reporter any more."""
         now = self._ctx.timers.now()
         batch_ids = set()
         for entry in entries:
@@ -138,14 +145,15 @@
                 reported.gateway, reported.reported_at = "", now
 
     def count(self, batch_id: str, route: str, tokens: int) -> None:
-        """Counts a batch that nobody reports."""
+        """Counts a batch that no gateway reports."""
         self.reported[batch_id] = ReportedBatch(route, tokens, "", self._ctx.timers.now())
         del self.uncounted[batch_id]
 
     def apply_listing(self, batch_ids: set[str], started_at: timedelta, is_complete: bool) -> None:
-        """Takes in a list of the open batches: which nobody has reported yet and, where it is complete, which ended.
+        """Applies a listing of the open batches.
 
-        What was granted and is not reported yet counts by its grant.
+        Finds the batches that no gateway has reported and, where the listing is complete, drops those that have ended.
+        A batch that has a valid grant and is not reported yet is counted by its grant.
         """
         now = self._ctx.timers.now()
         granted = {batch_id for batch_id, grant in self.grants.items() if grant.valid_until > started_at}
@@ -168,10 +176,10 @@
         return self._ctx.membership.status(gateway) in ("gone", "unknown")
 
     def drop_expired_grants(self) -> None:
-        """Drops the grants that are not valid any more.
+        """Drops the grants that are no longer valid.
 
-        A gateway that is alive has reported what it took in. The batch of one that is gone may be durable without a
-        report, so its grant stays until all open batches were listed after it had expired.
+        A gateway that is alive has reported the batches that it accepted. The batch of a gateway that is gone may be
+        durable without having been reported, so its grant stays until all open batches were listed after its expiry.
         """
         now = self._ctx.timers.now()
         for batch_id, grant in list(self.grants.items()):
@@ -185,7 +193,7 @@
         return self.listed_at is not None and self.listed_at >= grant.valid_until
 
     def committed_tokens(self, route: str, except_batch: str) -> int:
-        """Returns the tokens of a route that are reported or granted, but for one batch."""
+        """Returns the tokens of a route that are reported or granted, except those of one batch."""
         reported = sum(
             batch.tokens
             for batch_id, batch in self.reported.items()
