--- a/pipitlink/cache/cache.py
+++ b/pipitlink/cache/cache.py
@@ -120,7 +120,7 @@
             for node, keys in self._keys_by_node(chunks).items()
         }
         responses = await self._call_each(requests, "cache.put", Empty, chunks)
-        return self._answered_by_majority(chunks, responses)
+        return self._keys_with_majority(chunks, responses)
 
     async def store_lengths(self, lengths: dict[str, Lengths]) -> None:
         """Writes lengths of logs, by path, to a majority of their replicas, or to as many as respond."""
@@ -134,7 +134,7 @@
         """Returns the highest lengths of the logs for which a majority of the replicas responded."""
         requests = {node: Paths(paths=node_paths) for node, node_paths in self._keys_by_node(paths).items()}
         responses = await self._call_each(requests, "cache.lengths", LengthsList, paths)
-        highest = {path: Lengths(path=path) for path in self._answered_by_majority(paths, responses)}
+        highest = {path: Lengths(path=path) for path in self._keys_with_majority(paths, responses)}
         for response in responses.values():
             for lengths in response.lengths:
                 found = highest.get(lengths.path)
@@ -181,7 +181,7 @@
 
         Where fewer nodes respond, it returns their responses once no request is outstanding.
         """
-        responses = _Responses(len(requests), partial(self._all_answered_by_majority, keys))
+        responses = _Responses(len(requests), partial(self._all_have_majority, keys))
         for node, request in requests.items():
             self._ctx.run_in_background(self._call_one(node, method, request, kind, responses), method)
         if requests:
@@ -206,15 +206,15 @@
                 by_node.setdefault(node, []).append(key)
         return by_node
 
-    def _all_answered_by_majority(self, keys: Collection[Key], responses: Mapping[str, Any]) -> bool:
-        return len(self._answered_by_majority(keys, responses)) == len(keys)
+    def _all_have_majority(self, keys: Collection[Key], responses: Mapping[str, Any]) -> bool:
+        return len(self._keys_with_majority(keys, responses)) == len(keys)
 
-    def _answered_by_majority(self, keys: Collection[Key], responses: Mapping[str, Any]) -> set[Key]:
+    def _keys_with_majority(self, keys: Collection[Key], responses: Mapping[str, Any]) -> set[Key]:
         """Returns the keys for which a majority of the current replicas has responded."""
         ring = self.ring()
-        answered = set()
+        with_majority = set()
         for key in keys:
             replicas = ring.replicas(_ring_key(key))
             if replicas and 2 * sum(node in responses for node in replicas) > len(replicas):
-                answered.add(key)
-        return answered
+                with_majority.add(key)
+        return with_majority
