--- a/pipitlink/dialect/__init__.py
+++ b/pipitlink/dialect/__init__.py
@@ -1,4 +1,4 @@
-"""The external formats of the routes interface: names, paths and JSON shapes, in one replaceable class."""
+"""The external formats of the routes interface: header names, paths and JSON formats, in one replaceable class."""
 
 from .batches import BatchFormat
 from .control import ControlFormat
@@ -8,6 +8,7 @@
 
 
 class Dialect(HeaderNames, BatchFormat, ControlFormat):
-    """How callers, engines and operators of routes are spoken to: the product's own names, which a platform may
-    replace.
+    """The formats for clients, engines and operators of routes.
+
+    These are the product's own names, which a platform may replace in a subclass.
     """
--- a/pipitlink/dialect/batches.py
+++ b/pipitlink/dialect/batches.py
@@ -1,4 +1,4 @@
-"""Paths and JSON shapes of batches."""
+"""HTTP paths and JSON formats of batches."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 MAX_ITEMS = 200
 MAX_RESPONSE_BYTES = 1_000_000
 RESPONSE_ENVELOPE_BYTES = 200
-"""What a page of outputs takes beside the outputs, at most."""
+"""The maximum size of a page of outputs without the outputs themselves."""
 
 MAX_WAIT_MS = 60_000
 MAX_TOKENS = 2**53
@@ -31,12 +31,12 @@
 _ITEM_ID = re.compile(r"[\x21-\x7e]{1,128}\Z")
 
 GetHeader = Callable[[str], str | None]
-"""Returns the value of a request's header by its name, None where it is missing."""
+"""Returns the value of a request header by its name, or None where it is missing."""
 
 
 @attrs.frozen
 class ReadOutputs:
-    """Asks for a batch's outputs from position `start` on, with a long poll of `wait`."""
+    """A request for a batch's outputs from position `start` on, as a long poll of up to `wait`."""
 
     batch_id: str
     start: int
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class ReadItem:
-    """Asks for the body of one item of a batch."""
+    """A request for the body of one item of a batch."""
 
     batch_id: str
     item_id: str
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class CancelBatch:
-    """Asks for an early end of a batch."""
+    """A request to cancel a batch."""
 
     batch_id: str
 
@@ -74,7 +74,7 @@
 
 def _parse_headers(raw: Any, location: str) -> list[Header]:
     if not isinstance(raw, dict) or not all(_is_header(name, value) for name, value in raw.items()):
-        raise _bad_field(f"{location}.headers", "must be names and values")
+        raise _bad_field(f"{location}.headers", "must be an object of valid header names and values")
     return [Header(name=name, value=value) for name, value in raw.items()]
 
 
@@ -85,7 +85,7 @@
 def _parse_text(item: Mapping[str, Any], field: str, pattern: re.Pattern[str], location: str) -> str:
     value = item.get(field)
     if not isinstance(value, str) or not pattern.match(value):
-        raise _bad_field(f"{location}.{field}", "is missing or not as it must be")
+        raise _bad_field(f"{location}.{field}", "is missing or malformed")
     return value
 
 
@@ -97,9 +97,10 @@
 
 
 class BatchFormat:
-    """Paths and JSON shapes of batches.
+    """HTTP paths and JSON formats of batches.
 
-    A platform overrides the class attributes, which are its JSON keys, and `parse_batch_request` for its paths.
+    A platform overrides the class attributes, which are header names, JSON keys and states, and `parse_batch_request`
+    for its paths.
     """
 
     poll_wait = b"x-poll-wait-ms"
@@ -114,7 +115,7 @@
     def parse_batch_request(
         self, method: bytes, path: str, query: Mapping[str, str], get_header: GetHeader
     ) -> BatchRequest | None:
-        """Returns the request on a batch that an HTTP request makes; None where it makes none. Raises BadRequest."""
+        """Returns the batch request in an HTTP request, or None where it is not one. Raises BadRequest."""
         parts = path.split("/")
         if parts[:3] != ["", "v1", "batches"] or len(parts) < 4 or not parts[3]:
             return None
@@ -133,17 +134,17 @@
         return ReadOutputs(batch_id, start, timedelta(milliseconds=min(wait_ms, MAX_WAIT_MS)))
 
     def parse_batch(self, raw: bytes) -> Batch:
-        """Returns the items of a submitted batch. Raises BadRequest where anything in it is not as it must be."""
+        """Returns a batch with the submitted items. Raises BadRequest where the body is malformed."""
         try:
             document = json.loads(raw)
         except (ValueError, RecursionError):
             raise BadRequest("the body must be JSON", code="bad_json") from None
         items = document.get(self.batch_items) if isinstance(document, dict) else None
         if not isinstance(items, list) or not 0 < len(items) <= MAX_ITEMS:
-            raise _bad_field(self.batch_items, f"must be a list of 1 to {MAX_ITEMS}")
+            raise _bad_field(self.batch_items, f"must be a list of 1 to {MAX_ITEMS} objects")
         batch = Batch(items=[self._parse_item(item, f"{self.batch_items}.{n}") for n, item in enumerate(items)])
         if len({item.id for item in batch.items}) < len(items):
-            raise _bad_field(self.batch_items, "no two may have the same id")
+            raise _bad_field(self.batch_items, "must not contain an id twice")
         return batch
 
     def _parse_item(self, item: Any, location: str) -> BatchItem:
@@ -163,15 +164,15 @@
         )
 
     def format_accepted(self, batch_id: str, items: int) -> bytes:
-        """Returns the body of the response to a batch that was accepted, with its number of items."""
+        """Returns the body of the response to an accepted batch, which has its number of items."""
         return json.dumps({"id": batch_id, self.batch_total: items}).encode()
 
     def format_cancelled(self, batch_id: str) -> bytes:
-        """Returns the body of the response to the end of a batch."""
+        """Returns the body of the response to a cancelled batch."""
         return json.dumps({"id": batch_id, "state": "ended"}).encode()
 
     def format_outputs(self, batch: Batch, outputs: Sequence[Output], start: int) -> bytes:
-        """Returns a page of outputs from a position on: at least one if there is one, within the size of a response."""
+        """Returns a page of outputs from a position on, as many as fit into a response, but at least one if any."""
         page: list[bytes] = []
         size = RESPONSE_ENVELOPE_BYTES
         for output in outputs[start:]:
@@ -197,6 +198,6 @@
         return json.dumps(document, ensure_ascii=False).encode()
 
     def format_error(self, error: ApiError) -> bytes:
-        """Returns the body of the response to a request on a batch that failed."""
+        """Returns the body of the response to a batch request that failed."""
         document = {"code": error.code, "message": str(error), "field": error.field, "outcome": error.outcome}
         return json.dumps({"error": document}).encode()
--- a/pipitlink/dialect/control.py
+++ b/pipitlink/dialect/control.py
@@ -1,4 +1,4 @@
-"""Paths and JSON shapes of the control interface."""
+"""HTTP paths and JSON formats of the control interface."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One call of the control interface, and the handler's name."""
+    """An HTTP endpoint of the control interface, and the name of its handler."""
 
     method: str
     path: str
@@ -45,9 +45,9 @@
 
 
 class ControlFormat:
-    """Paths and JSON shapes of configurations, engine announcements, zones and retirements.
+    """HTTP paths and JSON formats of configurations, engine announcements, zones and storage node retirements.
 
-    A platform overrides the class attributes, which map its names to those of the messages.
+    A platform overrides the class attributes, which map its names to those of the protobuf messages.
     """
 
     control_paths: tuple[Endpoint, ...] = (
@@ -118,7 +118,7 @@
     retirement_states = {"serving": "serving", "retired": "retired"}
 
     def parse_config_edit(self, body: bytes, base: int, replace: bool) -> ConfigEdit:
-        """Returns the edit in the body of a PUT or, without `replace`, of a PATCH. Raises BadRequest."""
+        """Returns the edit in the body of a PUT if `replace` is set, or else of a PATCH. Raises BadRequest."""
         document = parse_object(body)
         edit = ConfigEdit(base=base, version=integer_of(document, "version", 1), replace_all=replace)
         upserts, removals = (document, {}) if replace else self._partial_edit(document)
@@ -164,7 +164,7 @@
         return fill_message(raw, self.bounds_fields, Bounds(source=compact_json(raw)), self.bounds_key)
 
     def format_config(self, config: Config) -> bytes:
-        """Returns the whole configuration, each item as it was sent."""
+        """Returns the complete configuration, with each route and pool as it was submitted."""
         return b'{"version":%d,"%b":[%b],"%b":[%b],"%b":%b}' % (
             config.version,
             self.routes_key.encode(),
@@ -176,7 +176,7 @@
         )
 
     def parse_engine_update(self, engine: str, body: bytes) -> EngineUpdate:
-        """Returns an engine's announcement of itself. Raises BadRequest."""
+        """Returns an engine's announcement from a request body. Raises BadRequest."""
         document = parse_object(body)
         update = fill_message(document, self.engine_fields, EngineUpdate(engine=engine, incarnation=1), "engine")
         state = document.get("state")
@@ -193,9 +193,9 @@
         return raw
 
     def format_engine_response(self) -> bytes:
-        """Returns the body of the response to an announcement."""
+        """Returns the body of the response to an engine announcement."""
         return b"{}"
 
     def format_retirement(self, state: str) -> bytes:
-        """Returns the state of a storage node's retirement, `serving` or `retired`."""
+        """Returns the body of a response with the state of a storage node's retirement, `serving` or `retired`."""
         return json.dumps({"state": self.retirement_states[state]}).encode()
--- a/pipitlink/dialect/headers.py
+++ b/pipitlink/dialect/headers.py
@@ -4,7 +4,7 @@
 
 
 class HeaderNames:
-    """Names of the headers on requests by route and on their way to engines, in lower case.
+    """Lower-case names of the headers on client requests and on calls to engines.
 
     A platform overrides the class attributes.
     """
--- a/pipitlink/dialect/json_fields.py
+++ b/pipitlink/dialect/json_fields.py
@@ -1,4 +1,4 @@
-"""JSON read strictly into messages, field by field."""
+"""Strict parsing of JSON objects into protobuf messages, field by field."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class FieldKind(Enum):
-    """What a field's value may be. Numbers but signed ones are not negative; COUNT and LONG are rounded up."""
+    """The type of a field's value. All numbers except SIGNED are at least 0; COUNT and LONG are rounded up."""
 
     TEXT = auto()
     FLAG = auto()
@@ -50,9 +50,9 @@
 
 @attrs.frozen
 class JsonField:
-    """One field of a JSON object and the message's field that it fills.
+    """A field of a JSON object, and the message field that it is stored in.
 
-    `key` names it in the object, with dots where it is in objects within. A number is multiplied by `scale`.
+    `key` is its name in the object, a dotted path where it is in a nested object. Numbers are multiplied by `scale`.
     """
 
     key: str
@@ -65,12 +65,12 @@
 def with_keys(
     fields: Iterable[JsonField], keys: Mapping[str, str], in_seconds: Collection[str] = ()
 ) -> tuple[JsonField, ...]:
-    """Returns the fields, in the same order, with other keys: `keys` maps a present key to the new one.
+    """Returns the fields in the same order with their keys renamed; `keys` maps current keys to new ones.
 
-    Fields with a new key that is among `in_seconds` are read in seconds in place of milliseconds.
+    Fields whose new key is in `in_seconds` are read in seconds instead of milliseconds.
     """
     fields = tuple(fields)
-    assert set(keys) <= {field.key for field in fields}, "a key is not among the fields"
+    assert set(keys) <= {field.key for field in fields}, "a key to rename is not a key of any field"
     renamed = (attrs.evolve(field, key=keys.get(field.key, field.key)) for field in fields)
     return tuple(attrs.evolve(field, scale=MS_PER_S) if field.key in in_seconds else field for field in renamed)
 
@@ -78,7 +78,7 @@
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> JsonObject:
     result = dict(pairs)
     if len(result) != len(pairs):
-        raise ValueError("a name stands twice in one object")
+        raise ValueError("an object contains a name twice")
     return result
 
 
@@ -96,7 +96,7 @@
 def parse_object(body: bytes) -> JsonObject:
     """Returns the JSON object in a body.
 
-    Raises BadRequest where it is no object, holds a name twice or a number that is not finite.
+    Raises BadRequest where it is not an object, or contains a duplicate name or a number that is not finite.
     """
     try:
         document = json.loads(
@@ -106,7 +106,7 @@
             parse_float=_finite_float,
         )
     except (ValueError, RecursionError) as error:
-        raise BadRequest(f"the body is not JSON: {error}", code="bad_json") from error
+        raise BadRequest(f"the body is not valid JSON: {error}", code="bad_json") from error
     if not isinstance(document, dict):
         raise BadRequest("the body must be a JSON object", code="bad_body")
     return document
@@ -122,23 +122,23 @@
 
 
 def _is_text(value: object) -> bool:
-    """Returns whether a value is a text that UTF-8 can encode, without surrogates."""
+    """Returns whether a value is a string that can be encoded in UTF-8, that is, without surrogates."""
     return isinstance(value, str) and not any("\ud800" <= character <= "\udfff" for character in value)
 
 
 def text_of(document: JsonObject, field: str, location: str = "") -> str:
-    """Returns a text field of 1 to 2000 characters; `location` goes before the field's name in errors.
+    """Returns a text field of 1 to 2000 characters; errors put `location` before the field's name.
 
-    Raises BadRequest where it is missing or anything else.
+    Raises BadRequest where it is missing or invalid.
     """
     value = document.get(field)
     if not isinstance(value, str) or not _is_text(value) or not 1 <= len(value) <= MAX_TEXT_LENGTH:
-        raise _bad_field(location + field, "must be a text that is not empty")
+        raise _bad_field(location + field, "must be a string of 1 to 2000 characters")
     return value
 
 
 def integer_of(document: JsonObject, field: str, minimum: int = 0) -> int:
-    """Returns a whole number from `minimum` up, below 2**63. Raises BadRequest where it is missing or anything else."""
+    """Returns an integer of at least `minimum` and below 2**63. Raises BadRequest where it is missing or invalid."""
     value = document.get(field)
     if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value < MAX_LONG:
         raise _bad_field(field, f"must be a whole number of {minimum} or more")
@@ -146,9 +146,9 @@
 
 
 def items_of(document: JsonObject, field: str, required: bool) -> list[JsonObject]:
-    """Returns a list of objects, each with a name of its own; an empty one where it may be missing and is.
+    """Returns a list of objects with unique names; an empty list where the field is missing and not required.
 
-    Raises BadRequest where it is anything else.
+    Raises BadRequest where it is invalid.
     """
     if field not in document and not required:
         return []
@@ -157,12 +157,12 @@
         raise _bad_field(field, "must be a list of objects")
     names = [text_of(item, "name", field + ".") for item in items]
     if len(set(names)) != len(names):
-        raise _bad_field(field, "holds a name twice")
+        raise _bad_field(field, "contains a name twice")
     return items
 
 
 def names_of(document: JsonObject, field: str) -> list[str]:
-    """Returns a list of texts, empty where the field is missing. Raises BadRequest where it is anything else."""
+    """Returns a list of strings, empty where the field is missing. Raises BadRequest where it is invalid."""
     names = document.get(field, [])
     if not isinstance(names, list) or not all(_is_text(name) for name in names):
         raise _bad_field(field, "must be a list of names")
@@ -170,7 +170,7 @@
 
 
 def _checked_value(field: JsonField, value: Any, location: str) -> str | bool | int | float:
-    """Returns a value as its message's field takes it. Raises BadRequest where it does not fit the field's kind."""
+    """Returns a value as the message field stores it. Raises BadRequest where it does not match the field's kind."""
     if field.kind is FieldKind.TEXT:
         return _checked_text(field, value, location)
     if field.kind is FieldKind.FLAG:
@@ -189,7 +189,7 @@
         or len(value) > MAX_TEXT_LENGTH
         or (field.required and not value)
     ):
-        raise _bad_field(location, "must be a text")
+        raise _bad_field(location, "must be a string")
     return value
 
 
@@ -206,7 +206,7 @@
 
 
 def _raw_value(document: JsonObject, key: str, location: str) -> Any:
-    """Returns the value at a key with dots; None where it or an object around it is missing."""
+    """Returns the value at a dotted key; None where it, or an object that contains it, is missing."""
     *outer_keys, last_key = key.split(".")
     holder: Any = document
     for outer_key in outer_keys:
@@ -214,14 +214,14 @@
             break
         holder = holder.get(outer_key) or {}
     if not isinstance(holder, dict):
-        raise _bad_field(location, "must be within an object")
+        raise _bad_field(location, "must be in a nested object")
     return holder.get(last_key)
 
 
 def fill_message(document: JsonObject, fields: Iterable[JsonField], message: MessageT, location: str) -> MessageT:
-    """Fills the message from a JSON object and returns it; keys that no field names are ignored.
+    """Fills the message from a JSON object and returns it; keys that match no field are ignored.
 
-    Raises BadRequest where a value is wrong or missing; `location` names the object in its text.
+    Raises BadRequest where a value is invalid or missing; errors put `location` before the field's key.
     """
     for field in fields:
         field_location = f"{location}.{field.key}"
