--- a/pipitlink/gateway/__init__.py
+++ b/pipitlink/gateway/__init__.py
@@ -1,8 +1,8 @@
-"""Gateways of the models interface: live requests, fetches and batch jobs.
+"""Gateways of the models interface: live requests, fetches and batches.
 
-A batch job holds items that run within hours, in the capacity that live requests leave. Callers, settings, metrics,
-log events and stored records call it a lot; this package says job, since a batch is what the routes interface has
-(`pipitlink.router`).
+A batch holds items that run within hours, in the capacity that live requests leave. The HTTP interface, settings,
+metrics, log events and stored records call it a lot. The batches of the routes interface are separate: see
+`pipitlink.router`.
 """
 
 from .node import GatewayNode
--- a/pipitlink/gateway/admission.py
+++ b/pipitlink/gateway/admission.py
@@ -1,4 +1,4 @@
-"""The step that admits a request or rejects it early."""
+"""The pipeline step that admits or rejects a request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Admission:
-    """Admits requests while this gateway is current and not overloaded, and the rates of the rows allow it."""
+    """Admits requests if the cluster state is current, the gateway is not overloaded and the rate limits allow it."""
 
     def __init__(
         self,
@@ -35,24 +35,26 @@
         self._retry_after = retry_after
 
     async def admit(self, request: RequestRecord) -> bool:
-        """Pipeline step: raises ApiError where the request may not run now.
+        """Pipeline step: raises ApiError if the request may not run now.
 
-        A retry is only checked against its deadline.
+        A retry is checked only for a current cluster state and for its deadline.
         """
         await self._wait_until_current()
         if request.deadline <= self._ctx.timers.now():
-            raise ApiError("the limit has passed", code="limit_passed", status=504, outcome="not_run")
+            raise ApiError("the deadline has passed", code="limit_passed", status=504, outcome="not_run")
         if request.attempts:
             return False
         if not request.is_batch_item and self._table.unsettled_live_requests() > self._ctx.settings.max_running:
-            raise ServiceUnavailable("too many requests are running here", retry_after=self._retry_after.seconds())
+            raise ServiceUnavailable(
+                "too many requests are running at this gateway", retry_after=self._retry_after.seconds()
+            )
         await self._rate_limits.check_rate(request)
         return False
 
     async def _wait_until_current(self) -> None:
-        """Gives a node that was suspended a short while to confirm its cluster state again."""
+        """Waits a short time for a node that was suspended to confirm its cluster state again."""
         give_up_at = self._ctx.timers.now() + CURRENT_WAIT
         while not self._serving.is_current():
             if self._ctx.timers.now() >= give_up_at:
-                raise ServiceUnavailable("this gateway cannot prove its cluster state now", code="not_current")
+                raise ServiceUnavailable("this gateway cannot confirm its cluster state", code="not_current")
             await self._ctx.timers.sleep(CURRENT_POLL_INTERVAL)
--- a/pipitlink/gateway/batch_api.py
+++ b/pipitlink/gateway/batch_api.py
@@ -1,4 +1,4 @@
-"""HTTP handlers of batch jobs: submit, show and cancel them at any gateway."""
+"""HTTP handlers to submit, show and cancel batches at any gateway."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class BatchApi:
-    """Serves jobs to callers, whichever gateway took or owns them."""
+    """Handles clients' requests for batches, whichever gateway stored or owns them."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
 
     @http_handler
     async def submit_batch(self, request: Request) -> bytes:
-        """Stores a submitted job; responds with its id."""
+        """Stores a submitted batch; responds with its id."""
         body = read_json(request, BatchBody)
         stored = await self._intake.submit(body)
         response: bytes = send_json(
@@ -62,7 +62,7 @@
 
     @http_handler
     async def show_batch(self, request: Request, batch_id: str) -> bytes:
-        """Responds with a job's state."""
+        """Responds with the state of a batch."""
         found = await self._reader.find_batch(batch_id)
         results = await self._ctx.timers.with_timeout(READ_TIMEOUT, self._reader.read_results(batch_id))
         response: bytes = send_json(request, _summary(batch_id, found, results))
@@ -70,7 +70,7 @@
 
     @http_handler
     async def show_results(self, request: Request, batch_id: str) -> bytes:
-        """Responds with a job's results from a number on."""
+        """Responds with the results of a batch, starting at the number in the query parameter `from`."""
         start = non_negative_number(request, "from")
         found = await self._reader.find_batch(batch_id)
         results = await self._ctx.timers.with_timeout(READ_TIMEOUT, self._reader.read_results(batch_id))
@@ -79,14 +79,14 @@
 
     @http_handler
     async def cancel_batch(self, request: Request, batch_id: str) -> bytes:
-        """Cancels a job for good; responds with its state."""
+        """Cancels a batch permanently; responds with its state."""
         response: bytes = send_json(request, {"lot": batch_id, "state": await self.cancel_anywhere(batch_id)})
         return response
 
     async def cancel_anywhere(self, batch_id: str) -> str:
-        """Cancels a job through its owner; returns `ended` or `closed`.
+        """Cancels a batch through its owner; returns `ended` or `closed`.
 
-        Raises ServiceUnavailable where the owner cannot be reached in time.
+        Raises ServiceUnavailable if the owner cannot be reached in time.
         """
         self._open_batches.add(batch_id, await self._reader.find_batch(batch_id))
         give_up_at = self._ctx.timers.now() + CANCEL_TIMEOUT
@@ -95,10 +95,10 @@
             if status in (CancelStatus.CANCELLED, CancelStatus.CLOSED):
                 return status.value
             await self._ctx.timers.sleep(CANCEL_RETRY_INTERVAL)
-        raise ServiceUnavailable("the lot's owner could not be asked", code="no_owner", outcome="unknown")
+        raise ServiceUnavailable("the owner of the batch could not be reached", code="no_owner", outcome="unknown")
 
     async def _cancel_at_owner(self, batch_id: str) -> CancelStatus:
-        """Has the holder of the result log's lease cancel a job; where there is none, this gateway takes it up."""
+        """Cancels a batch at the holder of its result log's lease; if there is none, this gateway acquires it."""
         log = result_log(batch_id)
         state = (await self._ctx.replicated_log.states([log])).get(log)
         if state is not None and state.final:
@@ -120,7 +120,7 @@
 
 
 def results_page(batch_id: str, spec: Lot, results: BatchResults, start: int) -> dict[str, Any]:
-    """Returns a page of results from a number on as JSON, with the number at which the next page starts."""
+    """Returns a page of results as JSON, starting at number `start`, with the number at which the next page starts."""
     page = results.results[start : start + MAX_RESULTS]
     return {
         **_summary(batch_id, spec, results),
--- a/pipitlink/gateway/batch_capacity.py
+++ b/pipitlink/gateway/batch_capacity.py
@@ -1,4 +1,4 @@
-"""The engines' capacity as jobs may use it."""
+"""The capacity of the engines that is available to batches."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class BatchCapacity:
-    """Counts the slots that jobs may take, which leave a reserve to live requests."""
+    """Counts the slots that are available to batches; a reserve is left to live requests."""
 
     def __init__(self, slots: EngineSlots, candidates: EngineCandidates) -> None:
         self._slots = slots
         self._candidates = candidates
 
     def free_slots(self, model: str) -> int:
-        """Returns how many items for a model could be sent to engines now."""
+        """Returns how many more items for a model may be sent to engines now."""
         return sum(
             self._slots.free_slots(candidate.engine, self._candidates.batch_reserve(model, candidate.engine))
             for candidate in self._candidates.find_ready(model)
--- a/pipitlink/gateway/batch_intake.py
+++ b/pipitlink/gateway/batch_intake.py
@@ -1,4 +1,4 @@
-"""Takes submitted batch jobs in and makes them durable."""
+"""Stores submitted batches durably."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class BatchIntake:
-    """Stores each job by one append, to this gateway's own job log or to that of its idempotency key."""
+    """Stores each batch with one append, to this gateway's own batch log or to the log for its idempotency key."""
 
     def __init__(
         self, ctx: Context, serving: ServingState, open_batches: OpenBatches, own_log: BatchLog, keys: IdempotencyKeys
@@ -31,26 +31,26 @@
         self._keys = keys
 
     async def submit(self, body: BatchBody) -> StoredBatch:
-        """Stores a submitted job. Raises ApiError where it may not or cannot be stored."""
+        """Stores a submitted batch. Raises ApiError if it is not acceptable or cannot be stored."""
         if not self._serving.is_current():
-            raise ServiceUnavailable("this gateway is not current", code="not_current")
+            raise ServiceUnavailable("this gateway cannot confirm its cluster state", code="not_current")
         max_items = self._ctx.settings.max_items
         if len(body.items) > max_items:
-            raise BadRequest(f"items: a lot may have {max_items} items", code="bad_field", field="items")
+            raise BadRequest(f"items: a batch may have at most {max_items} items", code="bad_field", field="items")
         spec = self._spec_from(body)
         if spec.key:
             return await self._keys.store(spec)
         return StoredBatch(await self.store(spec), duplicate=False)
 
     async def store(self, spec: Lot) -> str:
-        """Appends a job to this gateway's log; returns its id. Raises ServiceUnavailable or ReplicatedLogError."""
+        """Appends a batch to this gateway's log; returns its id. Raises ServiceUnavailable or ReplicatedLogError."""
         try:
             leaseholder = await self._ctx.timers.with_timeout(OPEN_LOG_TIMEOUT, self._own_log.leaseholder())
         except Exception as error:
             code = getattr(error, "code", "store")
-            raise ServiceUnavailable(f"the store cannot take lots now: {error}", code=code) from error
+            raise ServiceUnavailable(f"the batch log cannot be written now: {error}", code=code) from error
         if not leaseholder.is_held():
-            raise ServiceUnavailable("the lot log's lease is not current", code="store")
+            raise ServiceUnavailable("the lease of the batch log is not held", code="store")
         offset = await leaseholder.append([LogRecord(lot=spec).SerializeToString()])
         batch_id = batch_id_at(leaseholder.log, offset)
         self._open_batches.add(batch_id, spec)
--- a/pipitlink/gateway/batch_log.py
+++ b/pipitlink/gateway/batch_log.py
@@ -1,4 +1,4 @@
-"""The log of batch jobs that a gateway writes."""
+"""The batch log that a gateway writes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class BatchLog:
-    """This gateway's own job log: a new one is begun when it has grown long or old, or its lease is lost."""
+    """This gateway's own batch log, which is replaced by a new one when it is too long or old, or its lease is lost."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
@@ -25,7 +25,7 @@
         self.number = 0
 
     async def leaseholder(self) -> Leaseholder:
-        """Returns the leaseholder of the log to write to now. Raises PipitlinkError where none can be had."""
+        """Returns the leaseholder of the current log. Raises PipitlinkError if no log can be opened."""
         leaseholder = self._leaseholder
         if leaseholder is None or self._needs_rotation(leaseholder):
             leaseholder = await self._opening.run("lots", self._open)
--- a/pipitlink/gateway/batch_log_follower.py
+++ b/pipitlink/gateway/batch_log_follower.py
@@ -1,4 +1,4 @@
-"""Follows the job logs of all gateways, so that each of them knows the open jobs."""
+"""Follows the batch logs of all gateways, so that each of them knows the open batches."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 @attrs.define(eq=False)
 class _FollowedLog:
-    """A job log that is read on, and the jobs that were found in it."""
+    """A batch log that is being followed, and the batches that were found in it."""
 
     tail: Tail
     batch_ids: set[str] = attrs.field(factory=set)
 
 
 class BatchLogFollower:
-    """Reads all job logs, so that any gateway can take a job over, and ends those that nobody writes any more."""
+    """Follows all batch logs, so that any gateway can take over a batch, and ends logs that no longer have a writer."""
 
     def __init__(self, ctx: Context, open_batches: OpenBatches, own_log: BatchLog) -> None:
         self._ctx = ctx
@@ -42,7 +42,7 @@
         self._followed: dict[str, _FollowedLog] = {}
 
     def start(self) -> None:
-        """Starts to look for job logs, and for those that may be ended."""
+        """Starts to list the batch logs periodically, and to end those that are no longer used."""
         timers = self._ctx.timers
         timers.call_repeatedly(LIST_INTERVAL, self._list_logs, self._ctx.error_reporter("list_logs"))
         timers.call_repeatedly(CLOSE_INTERVAL, self._end_idle_logs, self._ctx.error_reporter("finalize_lot_logs"))
@@ -60,7 +60,7 @@
                 self._stop_following(log)
 
     async def _close_finished_batches(self) -> None:
-        """Closes jobs that another gateway finished or ended."""
+        """Closes batches that another gateway finished or cancelled."""
         not_owned = [
             batch.id for batch in self._open_batches.all() if batch.leaseholder is None and not batch.acquiring
         ]
@@ -76,7 +76,7 @@
         self._open_batches.forget_closed(followed.batch_ids)
 
     async def _end_idle_logs(self) -> None:
-        """Ends job logs that nobody writes to any more, once every job in them is closed."""
+        """Ends batch logs that no longer have a writer, once every batch in them is closed."""
         for log, followed in list(self._followed.items()):
             idle = self._is_idle(log)
             tail = followed.tail
@@ -93,7 +93,7 @@
                 self._ctx.logger.debug("lot_log_not_finalized", log=log, text=error)
 
     def _is_idle(self, log: str) -> bool:
-        """Returns whether nobody writes to a job log any more."""
+        """Returns whether a batch log no longer has a writer."""
         writer, _, number = log.removeprefix(BATCH_LOG_PREFIX).partition(".")
         if writer.startswith(KEYED_LOG_PREFIX):
             return int(number) < wall_ms(self._ctx.timers.utc_now()) // DAY_MS - 1
@@ -110,7 +110,7 @@
         await replicated_log.release([leaseholder])
 
     async def _follow(self, log: str) -> None:
-        """Reads one job log in order while it is followed."""
+        """Reads one batch log in order while it is followed."""
         followed = self._followed[log]
         tail = followed.tail
         while not self._ctx.timers.stopped and self._followed.get(log) is followed:
--- a/pipitlink/gateway/batch_ownership.py
+++ b/pipitlink/gateway/batch_ownership.py
@@ -1,4 +1,4 @@
-"""Owns batch jobs by the leases of their result logs."""
+"""Ownership of batches by the leases of their result logs."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class CancelStatus(StrEnum):
-    """What became of a request to cancel a job; callers see the first two values."""
+    """The result of a request to cancel a batch. The first two values are visible to clients."""
 
     CANCELLED = "ended"
     CLOSED = "closed"
@@ -34,9 +34,10 @@
 
 
 class BatchOwnership:
-    """Takes up the jobs that are this gateway's by rendezvous hashing, records results, and closes finished jobs.
+    """Acquires the batches assigned to this gateway by rendezvous hashing, records results, closes finished batches.
 
-    The owner of a job is the holder of its result log's lease. It owns all of an OpenBatch but its `id` and `spec`.
+    The owner of a batch is the holder of its result log's lease. Of an OpenBatch, this class maintains all fields
+    except `id` and `spec`.
     """
 
     def __init__(self, ctx: Context, serving: ServingState, open_batches: OpenBatches) -> None:
@@ -45,7 +46,7 @@
         self._open_batches = open_batches
 
     def start(self) -> None:
-        """Registers the handler of cancellations, and starts to look for jobs to take up or to close."""
+        """Registers the handler of cancellations, and starts to look for batches to acquire or to close."""
         self._ctx.rpc.register_handler("lots.end", EndRequest, self._handle_cancel)
         timer = self._ctx.timers.call_repeatedly(
             CHECK_INTERVAL,
@@ -56,19 +57,19 @@
         self._open_batches.add_timer(timer)
 
     def give_up_all(self) -> None:
-        """Cancels the items that run and gives up all jobs, for a graceful shutdown."""
+        """Cancels all running items and gives up all batches, for a graceful shutdown."""
         for batch in self._open_batches.all():
             self._give_up(batch)
 
     async def record_result(self, batch: OpenBatch, result: Result) -> None:
-        """Appends an item's result, if this gateway still owns the job and the item has none."""
+        """Appends an item's result if this gateway still owns the batch and the item has no result yet."""
         if result.item in batch.results or batch.leaseholder is None or batch.leaseholder.final:
             return
         batch.results[result.item] = result
         await batch.leaseholder.append([LogRecord(result=result).SerializeToString()], reserved=True)
 
     async def finish_if_done(self, batch: OpenBatch) -> None:
-        """Ends the result log and closes the job once all results are durable."""
+        """Ends the result log and closes the batch once all results are durable."""
         leaseholder = batch.leaseholder
         if leaseholder is None or leaseholder.lost:
             return
@@ -81,7 +82,7 @@
         await self._close(batch)
 
     async def cancel_local_batch(self, batch_id: str) -> CancelStatus:
-        """Cancels a job as its owner: first for good in its log, then its running items."""
+        """Cancels a batch as its owner: first durably in its result log, then its running items."""
         batch = self._open_batches.get(batch_id)
         if batch is None:
             return CancelStatus.CLOSED if self._open_batches.is_closed(batch_id) else CancelStatus.UNKNOWN
@@ -104,7 +105,7 @@
         return EndResponse(state=status.value)
 
     def _check_batches(self) -> None:
-        """Gives up jobs whose lease is lost, closes finished ones, and takes up those that are this gateway's."""
+        """Gives up batches whose lease is lost, closes finished ones, and acquires those assigned to this gateway."""
         if not self._serving.is_current():
             return
         if self._ctx.cluster.zone_empty(self._ctx.settings.zone):
@@ -131,7 +132,10 @@
             self._ctx.run_in_background(self.finish_if_done(batch), "finish_lot")
 
     async def _acquire(self, batch: OpenBatch) -> None:
-        """Takes the lease and reads the log; items that another owner had started are recorded as unknown."""
+        """Acquires the lease and replays the log.
+
+        Items that an earlier owner started and that are not idempotent get the outcome `unknown`.
+        """
         try:
             leaseholder = await acquire_log(self._ctx, result_log(batch.id))
         except (PipitlinkError, DeadlineExceeded) as error:
@@ -166,7 +170,7 @@
             self._ctx.run_in_background(self.record_result(batch, result), "record_unknown")
 
     def _hand_over_idle_batches(self) -> None:
-        """In an emptied zone a gateway gives up its jobs once nothing of theirs runs; others take them up."""
+        """Releases the batches without running items, for a gateway in an emptied zone; other gateways acquire them."""
         for batch in self._open_batches.all():
             if batch.leaseholder is not None and not batch.running and not batch.leaseholder.lost:
                 self._ctx.run_in_background(self._ctx.replicated_log.release([batch.leaseholder]), "hand_over")
@@ -186,7 +190,7 @@
         return leaseholder.committed < len(leaseholder.data)
 
     async def _end_log(self, leaseholder: Leaseholder, reason: str) -> None:
-        """Writes the end record; where that does not get durable, the job is still open for the next owner."""
+        """Appends the end record; if that does not become durable, the batch stays open for the next owner."""
         if leaseholder.final:
             await leaseholder.wait_durable()
         else:
@@ -202,7 +206,7 @@
 
 
 def _replay(batch: OpenBatch, leaseholder: Leaseholder) -> None:
-    """Rebuilds what is known of the items from the result log."""
+    """Restores the items' starts and results from the result log."""
     batch.results.clear()
     batch.started.clear()
     for _, body, _ in decode_frames(bytes(leaseholder.data)):
--- a/pipitlink/gateway/checked_connection.py
+++ b/pipitlink/gateway/checked_connection.py
@@ -1,4 +1,4 @@
-"""Connections to engines that carry a request only if it may still be sent."""
+"""Connections to engines that check, just before a request is written, that it may still be sent."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class HttpConnection(Protocol):
-    """A connection as Twisted's HTTP client has it."""
+    """The part of a connection of Twisted's HTTP client that is used here."""
 
     transport: TcpTransport
 
 
 class CheckedEndpoint:
-    """Where one request goes, the check that it may still go there, and the connection that it went on.
+    """The endpoint of one request, the check that the request may still be sent to it, and the connection it uses.
 
-    It is its own endpoint factory, for an Agent that sends just this request.
+    It is its own endpoint factory, for an Agent that sends only this request.
     """
 
     def __init__(self, reactor: Any, check: Callable[[], None]) -> None:
@@ -37,7 +37,7 @@
         self.connection: HttpConnection | None = None
 
     def endpointForURI(self, uri: Any) -> CheckedEndpoint:  # noqa: N802 - twisted's interface
-        """Takes the address of a URI, and returns itself."""
+        """Takes the address from a URI; returns itself."""
         endpoint_type = TCP6ClientEndpoint if b":" in uri.host else TCP4ClientEndpoint
         self._endpoint = endpoint_type(self._reactor, uri.host.decode(), uri.port, CONNECT_TIMEOUT.total_seconds())
         return self
@@ -48,16 +48,16 @@
         return self._endpoint.connect(factory)
 
     def abort(self) -> None:
-        """Closes the connection at once, which the transport that a body's reader gets cannot."""
+        """Aborts the connection, which the transport that is passed to a body's reader cannot do."""
         assert self.connection is not None
         self.connection.transport.abortConnection()
 
 
 class CheckedConnectionPool(HTTPConnectionPool):
-    """Hands a connection over only if the request may still be sent, in the very step that writes its first byte.
+    """Opens connections, and checks that a request may still be sent in the same step that writes its first byte.
 
-    Each request has a connection of its own: engines give no ids, and nothing else tells a late or second response from
-    the next one.
+    Each request has its own connection: engine responses carry no ids, so on a shared connection a late or duplicate
+    response could not be told from the next one.
     """
 
     retryAutomatically = False  # noqa: N815 - twisted's interface
@@ -65,7 +65,7 @@
     def getConnection(  # noqa: N802 - twisted's interface
         self, key: Any, endpoint: CheckedEndpoint
     ) -> defer.Deferred[Any]:
-        """Opens a connection, and fires with it if the check of the endpoint passes."""
+        """Opens a connection; the Deferred fires with it if the check of the endpoint passes."""
         twisted_endpoint: Any = endpoint
         opening: defer.Deferred[Any] = super().getConnection(key, twisted_endpoint)
         return opening.addCallback(self._check, endpoint)
--- a/pipitlink/gateway/engine.py
+++ b/pipitlink/gateway/engine.py
@@ -1,4 +1,4 @@
-"""An engine as one gateway knows it."""
+"""What a gateway knows about an engine."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EngineStatus(StrEnum):
-    """Whether an engine may get new requests; operators see the values."""
+    """Whether an engine may get new requests. The values are visible to operators."""
 
     READY = "ready"
     SUSPECT = "suspect"
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class PeerLoad:
-    """How many requests another gateway reported to run on an engine, and when the report came."""
+    """How many requests another gateway runs on an engine by its last report, and when the report arrived."""
 
     running: int
     reported_at: timedelta
@@ -33,8 +33,8 @@
 class Engine:
     """One incarnation of an engine. Times are on the timers' clock.
 
-    `live_requests` and `batch_items` count what this gateway runs on it; `peer_loads` has the last report of each other
-    gateway.
+    `live_requests` and `batch_items` count what this gateway runs on it; `peer_loads` holds the last report of each
+    other gateway.
     """
 
     update: EngineUpdate
@@ -56,7 +56,7 @@
         return self.live_requests + self.batch_items
 
     def change_local_requests(self, change: int, *, batch_item: bool) -> None:
-        """Adds to this gateway's count of one kind, which never falls below zero."""
+        """Changes this gateway's count of live requests or of batch items, which never falls below zero."""
         if batch_item:
             self.batch_items = max(0, self.batch_items + change)
         else:
--- a/pipitlink/gateway/engine_api.py
+++ b/pipitlink/gateway/engine_api.py
@@ -1,4 +1,4 @@
-"""The HTTP handler of engines that announce themselves."""
+"""The HTTP handler for the announcements of engines."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EngineApi:
-    """Takes announcements of engines, and tells them the gateways at which they may renew them."""
+    """Accepts announcements of engines, and responds with the gateways at which they may renew them."""
 
     def __init__(self, ctx: Context, registry: EngineRegistry) -> None:
         self._ctx = ctx
@@ -24,7 +24,7 @@
 
     @http_handler
     async def announce(self, request: Request) -> bytes:
-        """Takes one announcement; responds with the interval to renew it and the gateways' addresses."""
+        """Accepts an announcement; responds with the interval to renew it and the addresses of the gateways."""
         body = read_json(request, EngineBody)
         self._registry.announce(
             EngineUpdate(
--- a/pipitlink/gateway/engine_candidates.py
+++ b/pipitlink/gateway/engine_candidates.py
@@ -1,4 +1,4 @@
-"""Which engines may serve a request, by the table of the cluster state."""
+"""Which engines may serve a request, according to the table in the cluster state."""
 
 from __future__ import annotations
 
@@ -15,21 +15,24 @@
 
 
 class Candidate(NamedTuple):
-    """An engine that may serve a request, and the weight of its row; a tuple, since many are made for each pick."""
+    """An engine that may serve a request, and the weight of its row.
+
+    It is a tuple, which is cheap to create: each choice of an engine creates many.
+    """
 
     engine: Engine
     weight: float
 
 
 class EngineCandidates:
-    """Matches requests with engines: by model or pool, the rows' weights, and zones that are emptied."""
+    """Finds engines for requests by model or pool; leaves out those with weight 0 and those in emptied zones."""
 
     def __init__(self, ctx: Context, registry: EngineRegistry) -> None:
         self._ctx = ctx
         self._registry = registry
 
     def find(self, model: str, pool: str = "") -> list[Candidate]:
-        """Returns the engines that serve a pool, or where none is given a model, by name."""
+        """Returns the engines of a pool or, without a pool, those that serve a model, ordered by name."""
         candidates = []
         for engine in self._registry.all():
             if not _serves(engine, model, pool):
@@ -49,7 +52,7 @@
         ]
 
     def row_of(self, model: str, pool: str) -> Row | None:
-        """Returns the first row that applies to the model at an engine that may serve it, None where none does."""
+        """Returns the first row that applies to the model at an engine that may serve it, None if there is none."""
         for candidate in self.find(model, pool):
             row = self._row(model, candidate.engine.update.pool)
             if row is not None:
@@ -57,7 +60,7 @@
         return None
 
     def batch_reserve(self, model: str, engine: Engine) -> float:
-        """Returns the share of an engine's capacity that jobs leave to live requests."""
+        """Returns the fraction of an engine's capacity that is reserved for live requests."""
         row = self._row(model, engine.update.pool)
         if row is not None and row.lot_share > 0:
             return 1 - row.lot_share
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -1,4 +1,4 @@
-"""The engines that gateways have heard of, and whether they may get requests."""
+"""The engines that are known to a gateway, and whether they may get requests."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class EngineRegistry:
-    """The engines as this gateway believes them to be, spread among gateways by pushes and gossip.
+    """The state of the engines as known at this gateway, spread among gateways by pushes and gossip.
 
-    An engine announces itself at any gateway about once a second. A gateway that was suspended, as a stopped process or
-    a sleeping machine is, trusts no engine until it is heard again.
+    An engine announces itself at any gateway about once a second. After a suspension (a stopped process or a sleeping
+    machine), a gateway treats each engine as suspect until it receives a new announcement of it.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -38,34 +38,34 @@
         self._resumed_at = ZERO
 
     def start(self) -> None:
-        """Registers the handler of pushes, and has the engines carried by the gossip of the membership."""
+        """Registers the handler of pushes, and adds the engines to the gossip of the membership."""
         self._ctx.rpc.register_handler("engines.tell", EngineList, self._handle_update)
         self._ctx.membership.add_gossip_carrier(self)
 
     def add_new_engine_listener(self, listener: Callable[[], None]) -> None:
-        """Has a function called for each incarnation of an engine that is heard of first."""
+        """Adds a function to call for each new incarnation of an engine."""
         self._new_engine_listeners.append(listener)
 
     def all(self) -> list[Engine]:
-        """Returns the known engines by name."""
+        """Returns the known engines, ordered by name."""
         return sorted(self._engines.values(), key=lambda engine: engine.name)
 
     def unordered(self) -> list[Engine]:
-        """Returns the known engines in the order in which they were heard of."""
+        """Returns the known engines, in the order in which they became known."""
         return list(self._engines.values())
 
     def get(self, name: str) -> Engine | None:
-        """Returns the engine of a name, None where it is not known."""
+        """Returns the engine with a name, None if it is not known."""
         return self._engines.get(name)
 
     def announce(self, update: EngineUpdate) -> None:
-        """Takes an engine's announcement of itself, and pushes it to the other gateways."""
+        """Merges an engine's own announcement, and pushes it to the other gateways."""
         update.age_ms = 0
         self.merge(update)
         self._push(EngineList(engines=[self._engines[update.engine].update]))
 
     def merge(self, update: EngineUpdate) -> None:
-        """Takes what an engine said of itself `update.age_ms` ago, where that is newer than what is known."""
+        """Merges an announcement that an engine made `update.age_ms` ago, if it is newer than what is known."""
         now = self._ctx.timers.now()
         renewed_at = now - ms(update.age_ms)
         if now - renewed_at > FORGET_AFTER or not update.engine:
@@ -77,7 +77,7 @@
             self._renew(engine, update, renewed_at)
 
     def status(self, engine: Engine) -> EngineStatus:
-        """Returns whether the engine may get new requests, as far as is known here."""
+        """Returns the engine's status as known at this gateway."""
         now = self.check_for_suspension()
         if engine.update.state == EngineStatus.DRAINING:
             return EngineStatus.DRAINING
@@ -88,13 +88,13 @@
         return EngineStatus.READY
 
     def record_failure(self, engine: Engine) -> None:
-        """Has the engine avoided for a short while, since it could not be reached or failed."""
+        """Makes the engine suspect for a short time, because it failed or could not be reached."""
         engine.failed_at = self._ctx.timers.now()
 
     def check_for_suspension(self) -> timedelta:
-        """Notes whether this process was suspended since the last call, and returns the present time.
+        """Checks whether this process was suspended since the last call; returns the current time.
 
-        What engines said meanwhile is not known until they are heard again.
+        After a suspension, each engine is suspect until a new announcement of it arrives.
         """
         now = self._ctx.timers.now()
         if now - self._checked_at > SUSPENSION_THRESHOLD:
@@ -103,7 +103,7 @@
         return now
 
     def forget_silent_engines(self, now: timedelta) -> None:
-        """Drops engines that were not heard of for long and run nothing of this gateway's."""
+        """Removes engines without a recent announcement that run no requests of this gateway."""
         for name, engine in list(self._engines.items()):
             if now - engine.renewed_at > FORGET_AFTER and not engine.local_requests:
                 del self._engines[name]
@@ -134,7 +134,7 @@
                 self.merge(update)
 
     def _just_resumed(self) -> bool:
-        """Returns whether a message may have waited while this process was suspended, so that its ages are too low."""
+        """Returns whether a message may have been queued during a suspension, so that the ages in it are too low."""
         now = self.check_for_suspension()
         return self._resumed_at > ZERO and now - self._resumed_at < STALE_MESSAGE_SPAN
 
--- a/pipitlink/gateway/engine_relay.py
+++ b/pipitlink/gateway/engine_relay.py
@@ -1,4 +1,4 @@
-"""The step that sends a prompt to an engine and reads the streamed completion."""
+"""The pipeline step that sends a prompt to an engine and reads the streamed completion."""
 
 from __future__ import annotations
 
@@ -30,7 +30,8 @@
 class _IdleTimeout:
     """Cancels an exchange in which nothing is received for too long.
 
-    It takes two checks in a row, so that a process that was suspended reads first what came meanwhile.
+    It does so only after two idle checks in a row, so that a process that was suspended first reads the data that
+    arrived during the suspension.
     """
 
     def __init__(self, ctx: Context, is_engine_gone: Callable[[], bool]) -> None:
@@ -43,16 +44,16 @@
         self.timed_out = False
 
     def start(self, exchange: defer.Deferred[None]) -> None:
-        """Watches an exchange from now on."""
+        """Starts to watch an exchange."""
         self._exchange = exchange
         self._next_check = self._ctx.timers.call_later(IDLE_CHECK_INTERVAL, self._check)
 
     def record_data(self) -> None:
-        """Notes that something was received."""
+        """Records that data was received."""
         self._received_at = self._ctx.timers.now()
 
     def stop(self) -> None:
-        """Watches no more."""
+        """Stops watching the exchange."""
         if self._next_check is not None and self._next_check.active():
             self._next_check.cancel()
 
@@ -85,7 +86,7 @@
         return await self._sender.send(request, self.exchange)
 
     async def exchange(self, request: RequestRecord, engine: Engine) -> None:
-        """Runs one exchange, and gives it up where the engine falls silent, sooner where it is gone as well."""
+        """Runs one exchange; aborts it if the engine sends nothing for too long, sooner if the engine is also gone."""
         timeout = _IdleTimeout(self._ctx, lambda: self._registry.status(engine) == EngineStatus.GONE)
         work = spawn(self._send_and_read(request, engine, timeout))
         timeout.start(work)
@@ -94,7 +95,7 @@
         except Exception:
             work.cancel()
             if timeout.timed_out:
-                raise EngineError(f"engine {engine.name} fell silent", code="silent") from None
+                raise EngineError(f"engine {engine.name} sent no data in time", code="silent") from None
             raise
         finally:
             timeout.stop()
@@ -116,11 +117,13 @@
         )
         if response.code in REJECTED_CODES:
             await self._sender.discard(response)
-            raise ServiceUnavailable(f"engine {engine.name} refused with {response.code}", code="engine_crowded")
+            raise ServiceUnavailable(
+                f"engine {engine.name} rejected the request with status {response.code}", code="engine_crowded"
+            )
         if response.code != OK:
             text = await self._sender.discard(response)
             raise EngineError(
-                f"engine {engine.name} answered {response.code}: {text[:MAX_ERROR_LENGTH]}",
+                f"engine {engine.name} responded with status {response.code}: {text[:MAX_ERROR_LENGTH]}",
                 code="engine_refused",
                 outcome="failed",
             )
--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -1,4 +1,4 @@
-"""The step that chooses an engine: weights, status, zone, prefix affinity and bounded load."""
+"""The pipeline step that chooses an engine by weight, status, zone, prefix affinity and bounded load."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 def _affinity_score(key: str, candidate: Candidate) -> float:
-    """Returns a candidate's score for a prefix key by weighted rendezvous hashing; the highest one wins."""
+    """Returns a candidate's score for a prefix key by weighted rendezvous hashing; the highest score is preferred."""
     value = int.from_bytes(rank(key, candidate.engine.name), "big")
     return -candidate.weight / math.log((value + 1) / (RANK_VALUES + 1))
 
 
 class EngineSelector:
-    """Chooses an engine for each attempt, and lets some requests wait a short while for a free slot."""
+    """Chooses an engine for each attempt; a bounded number of requests may wait a short time for a free slot."""
 
     def __init__(
         self,
@@ -59,9 +59,9 @@
         self._waiting = 0
 
     async def choose_engine(self, request: RequestRecord) -> bool:
-        """Pipeline step: takes a slot of an engine, and a permit where the request's row bounds the concurrency.
+        """Pipeline step: acquires a slot of an engine, and a permit if the request's row limits the concurrency.
 
-        Raises ApiError where no engine serves the request, none is left, or none has a free slot in time.
+        Raises ApiError if no engine serves the request, all were tried, or none has a free slot in time.
         """
         await self._rate_limits.acquire_permit(request)
         engine = await self._wait_for_engine(request)
@@ -73,7 +73,7 @@
         return False
 
     def select(self, request: RequestRecord) -> Engine | None:
-        """Returns the best engine with a free slot, None where there is none now."""
+        """Returns the best engine with a free slot, None if there is none now."""
         ready = [
             candidate
             for candidate in self._candidates.find_ready(request.model, request.pool)
@@ -99,21 +99,23 @@
             self._check_candidates(request)
             left = give_up_at - self._ctx.timers.now()
             if left <= ZERO or self._waiting >= MAX_WAITING:
-                raise ServiceUnavailable("no back end has room", retry_after=self._retry_after.seconds())
+                raise ServiceUnavailable("no engine has a free slot", retry_after=self._retry_after.seconds())
             await self._wait_for_free_slot(left)
 
     def _check_candidates(self, request: RequestRecord) -> None:
-        """Raises ApiError where waiting for a free slot is in vain."""
+        """Raises ApiError if waiting for a free slot cannot succeed."""
         candidates = self._candidates.find(request.model, request.pool)
         wanted = request.pool or request.model
         if not candidates and self._may_be_announced_soon(request):
             raise ServiceUnavailable(
-                f"nothing that serves {wanted!r} is heard now", code="none_heard", retry_after=UNANNOUNCED_RETRY_AFTER_S
+                f"no engine that serves {wanted!r} is available now",
+                code="none_heard",
+                retry_after=UNANNOUNCED_RETRY_AFTER_S,
             )
         if not candidates:
-            raise NotFound(f"nothing serves {wanted!r}", field="pool" if request.pool else "model")
+            raise NotFound(f"no engine serves {wanted!r}", field="pool" if request.pool else "model")
         if all(candidate.engine.name in request.excluded_engines for candidate in candidates):
-            raise request.last_rejection or ServiceUnavailable("no other back end is left to try")
+            raise request.last_rejection or ServiceUnavailable("no other engine is left to try")
 
     def _has_free_slot(self, request: RequestRecord, engine: Engine) -> bool:
         reserve = self._candidates.batch_reserve(request.model, engine) if request.is_batch_item else 0.0
@@ -123,7 +125,10 @@
         return self._slots.running(engine) / max(1, self._slots.capacity(engine))
 
     def _select_by_prefix(self, prefix_key: str, free: list[Candidate], loads: dict[str, float]) -> Engine:
-        """Returns the engine that the key belongs to, or the next one while that is loaded above the others."""
+        """Returns the engine with the highest score for the key whose load is within a bound.
+
+        The bound is relative to the mean load of all ready engines. If all are above it, the highest score decides.
+        """
         bound = LOAD_BOUND * sum(loads.values()) / len(loads)
         free.sort(key=lambda candidate: -_affinity_score(prefix_key, candidate))
         for candidate in free:
@@ -133,7 +138,10 @@
         return free[0].engine
 
     def _may_be_announced_soon(self, request: RequestRecord) -> bool:
-        """A gateway that just started has not heard all engines yet, and those that the table names may come back."""
+        """Returns whether an engine for the request may be announced soon.
+
+        A gateway that just started may not know all engines yet, and an engine for a row of the table may return.
+        """
         starting = self._ctx.timers.now() - self._serving.started_at < STARTUP_SPAN
         return starting or self._ctx.cluster.row(request.model, request.pool) is not None
 
--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -1,4 +1,4 @@
-"""This gateway's share of the engines' capacity."""
+"""This gateway's quota of the engines' capacity."""
 
 from __future__ import annotations
 
@@ -32,32 +32,35 @@
 
 
 class LoadsCarrier(Protocol):
-    """A part that sends more to all gateways with their loads."""
+    """A component that adds its own data to the load reports between gateways."""
 
     def fill_loads(self, loads: Loads) -> None:
-        """Adds what the other gateways are to know to this gateway's report."""
+        """Adds its data to this gateway's report."""
 
     def absorb_loads(self, loads: Loads) -> None:
-        """Takes the report of another gateway."""
+        """Reads its data from another gateway's report."""
 
 
 @attrs.frozen
 class CapacityQuota:
-    """A gateway's quota of an engine's slots. The quotas of all gateways add up; the odd slots rotate among them."""
+    """A gateway's quota of an engine's slots.
+
+    The quotas of all gateways add up to the number of slots. The remainder of the division rotates among the gateways.
+    """
 
     gateways: int
     turn: int
 
     def of(self, slots: int) -> int:
-        """Returns how many of so many slots are this gateway's."""
+        """Returns this gateway's quota of a number of slots."""
         return slots // self.gateways + (self.turn < slots % self.gateways)
 
 
 class EngineSlots:
-    """Counts what runs on each engine, here and by the reports of other gateways, and says what may be added.
+    """Counts the requests on each engine, from this gateway and by the reports of others, and how many may be added.
 
-    Gateways report their loads several times a second, and at once where an engine in slow start got work, since its
-    slots rotate faster than that.
+    Gateways report their loads several times a second, and at once after a request went to an engine in slow start,
+    because the slots of such an engine rotate faster than that.
     """
 
     def __init__(self, ctx: Context, registry: EngineRegistry) -> None:
@@ -71,16 +74,16 @@
         registry.add_new_engine_listener(self.wake_waiters)
 
     def start(self) -> None:
-        """Registers the handler of reports, and starts this gateway's own."""
+        """Registers the handler of reports, and starts to send reports."""
         self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
         self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self.report_loads, self._ctx.error_reporter("report_loads"))
 
     def add_loads_carrier(self, carrier: LoadsCarrier) -> None:
-        """Has a part fill and read the reports too."""
+        """Adds a component that fills and reads the reports too."""
         self._carriers.append(carrier)
 
     def record_rejection(self, engine: Engine) -> None:
-        """Has an engine avoided and slow-started anew that rejects requests far below its capacity."""
+        """Makes an engine that rejects requests far below its capacity suspect, and restarts its slow start."""
         if 2 * (self.running(engine) - 1) < self.capacity(engine):
             engine.failed_at = engine.ready_since = self._ctx.timers.now()
 
@@ -91,17 +94,18 @@
         return max(1, int(engine.update.capacity * fraction))
 
     def running(self, engine: Engine) -> int:
-        """Returns how many requests run on the engine, from here and by recent reports of the other gateways."""
+        """Returns how many requests run on the engine: this gateway's, and others' by their recent reports."""
         now = self._ctx.timers.now()
         return engine.local_requests + sum(
             load.running for load in engine.peer_loads.values() if now - load.reported_at < PEER_LOAD_SPAN
         )
 
     def free_slots(self, engine: Engine, reserve: float = 0.0) -> int:
-        """Returns how many requests this gateway may add, with a share `reserve` of the capacity left free.
+        """Returns how many requests this gateway may add, with a fraction `reserve` of the capacity left free.
 
-        That is its guaranteed share, or its part of what the shared counts leave between two reports. In slow start
-        there is no guaranteed share: other gateways may hold the few slots, which rotate.
+        That is the rest of its guaranteed quota or of its quota of the free slots, whichever is larger. Requests that
+        it added since its last report count against its quota of the free slots. In slow start there is no guaranteed
+        quota: other gateways may hold the few slots, which rotate.
         """
         capacity = int(self.capacity(engine) * (1 - reserve))
         free = capacity - self.running(engine)
@@ -112,7 +116,7 @@
         return max(0, min(free, max(guaranteed, part_of_free)))
 
     def acquire(self, engine: Engine, *, batch_item: bool) -> Callable[[], None]:
-        """Takes a slot of the engine; returns the function that releases it, to be called once."""
+        """Acquires a slot of the engine; returns the function that releases it, to be called once."""
         engine.change_local_requests(1, batch_item=batch_item)
         if self._in_slow_start(engine) and not self._report_scheduled:
             self._report_scheduled = True
@@ -120,22 +124,22 @@
         return partial(self._release, engine.name, batch_item)
 
     def add_waiter(self, waiter: defer.Deferred[None]) -> None:
-        """Has a Deferred fired as soon as some engine may have more free slots."""
+        """Adds a Deferred to fire as soon as some engine may have more free slots."""
         self._waiters.append(waiter)
 
     def wake_waiters(self) -> None:
-        """Fires the Deferreds of all who wait for a free slot."""
+        """Fires all Deferreds that wait for a free slot."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             if not waiter.called:
                 waiter.callback(None)
 
     def keep_reporting(self) -> None:
-        """Has reports sent for some seconds more, since something may be held in this gateway's name."""
+        """Keeps reports going for some seconds, because a coordinator may hold a permit in this gateway's name."""
         self._active_at = self._ctx.timers.now()
 
     def report_loads(self) -> None:
-        """Sends this gateway's loads to the others, while there is something to report and shortly after."""
+        """Sends this gateway's loads to the others, while there is something to report and for some seconds after."""
         self._report_scheduled = False
         now = self._registry.check_for_suspension()
         self._registry.forget_silent_engines(now)
@@ -151,7 +155,7 @@
         self.wake_waiters()
 
     async def handle_loads(self, _: str, loads: Loads) -> None:
-        """Takes the report of another gateway."""
+        """Records the report of another gateway."""
         for carrier in self._carriers:
             carrier.absorb_loads(loads)
         now = self._ctx.timers.now()
@@ -170,9 +174,9 @@
         return self._ctx.timers.now() - engine.ready_since < SLOW_START_SPAN
 
     def _quota(self, engine: Engine) -> CapacityQuota:
-        """Returns this gateway's share of the engine now.
+        """Returns this gateway's current quota of the engine.
 
-        In slow start, gateways that were heard a short while ago keep their shares: they may only be partitioned off.
+        In slow start, gateways that were alive a short time ago keep their quotas: they may only be partitioned off.
         """
         membership = self._ctx.membership
         gateways = {member.node for member in membership.members("gateway", statuses=("alive",))} | {self._ctx.node}
--- a/pipitlink/gateway/fetch_api.py
+++ b/pipitlink/gateway/fetch_api.py
@@ -1,4 +1,4 @@
-"""The HTTP handler of plain fetches."""
+"""The HTTP handler for plain fetches."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class FetchApi:
-    """Passes GET requests through to back ends other than engines, unchanged."""
+    """Passes GET requests through to the engines of a pool that serve plain HTTP, with an unchanged path and query."""
 
     def __init__(self, ctx: Context, pipeline: RequestPipeline) -> None:
         self._ctx = ctx
@@ -28,9 +28,9 @@
 
     @http_handler
     async def fetch(self, request: Request, pool: str, path: str = "") -> bytes:
-        """Fetches a path from a back end of a pool, and passes the response on as it comes."""
+        """Fetches a path from an engine of a pool, and streams the response to the client."""
         if ".." in path.split("/"):
-            raise BadRequest("the path may not climb", code="bad_path", field="path")
+            raise BadRequest("the path must not contain '..'", code="bad_path", field="path")
         record = self._record_of(request, pool, path)
         record.task = task = spawn(self._pipeline.run(record))
         try:
--- a/pipitlink/gateway/fetch_relay.py
+++ b/pipitlink/gateway/fetch_relay.py
@@ -1,4 +1,4 @@
-"""Plain HTTP fetches from back ends, passed through to the caller."""
+"""The pipeline step that fetches from an engine by plain HTTP and passes the response through to the client."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class _BodyForwarder(protocol.Protocol):
-    """Passes the bytes of one body on to the caller, unchanged and counted.
+    """Forwards the bytes of one body to the client, unchanged, and counts them.
 
-    `finished` fires at the body's end and fails with EngineError where it was cut short; cancelling it aborts the
-    connection.
+    `finished` fires at the end of the body, and fails with EngineError if the body was cut short; cancelling it aborts
+    the connection.
     """
 
     def __init__(self, record: RequestRecord, client_request: Request, abort: Callable[[], None]) -> None:
@@ -35,11 +35,11 @@
         self.finished: defer.Deferred[None] = defer.Deferred(lambda _: abort())
 
     def connectionMade(self) -> None:  # noqa: N802 - twisted's interface
-        """The response's head has come: the caller's connection paces the body from now on."""
+        """The response's head was received: from now on the client's connection applies backpressure to the body."""
         self._client_request.registerProducer(self.transport, True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
-        """Passes the next bytes on."""
+        """Forwards the next bytes."""
         self._record.trigger("receive")
         self._record.size += len(data)
         self._client_request.write(data)
@@ -47,24 +47,24 @@
     def connectionLost(  # noqa: N802 - twisted's interface
         self, reason: Failure = protocol.connectionDone
     ) -> None:
-        """The body has ended, or the connection broke."""
+        """The body has ended, or the connection was lost."""
         self._client_request.unregisterProducer()
         if self.finished.called:
             return
         if reason.check(ResponseDone):
             self.finished.callback(None)
         else:
-            self.finished.errback(EngineError("the back end's body was cut short", code="cut_short"))
+            self.finished.errback(EngineError("the body of the engine's response was cut short", code="cut_short"))
 
 
 class FetchRelay:
-    """Fetches a path from a back end of a pool, and passes status, some headers and the body through."""
+    """Fetches a path from an engine of a pool, and forwards status, some headers and the body."""
 
     def __init__(self, sender: RequestSender) -> None:
         self._sender = sender
 
     async def relay(self, record: RequestRecord) -> bool:
-        """Pipeline step: sends the fetch and passes the response on; returns whether it is to be retried."""
+        """Pipeline step: sends the fetch and forwards the response; returns whether to retry it."""
         return await self._sender.send(record, self._exchange)
 
     async def _exchange(self, record: RequestRecord, engine: Engine) -> None:
@@ -80,13 +80,17 @@
         )
         if response.code in REJECTED_CODES:
             await self._sender.discard(response)
-            raise ServiceUnavailable(f"{engine.name} refused with {response.code}", code="engine_crowded")
+            raise ServiceUnavailable(
+                f"engine {engine.name} rejected the request with status {response.code}", code="engine_crowded"
+            )
         _copy_head(response, client_request)
         body = _BodyForwarder(record, client_request, client.endpoint.abort)
         response.deliverBody(body)
         await body.finished
         if response.length is not UNKNOWN_LENGTH and record.size != response.length:
-            raise EngineError(f"{record.size} of {response.length} bytes came", code="cut_short")
+            raise EngineError(
+                f"the response was cut short: got {record.size} of {response.length} bytes", code="cut_short"
+            )
 
 
 def _copy_head(response: Response, client_request: Any) -> None:
--- a/pipitlink/gateway/idempotency_keys.py
+++ b/pipitlink/gateway/idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Takes in batch jobs with an idempotency key, each key at most once."""
+"""Stores batches that have an idempotency key, at most one batch for each key."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class StoredBatch:
-    """The id of a stored job, and whether it was stored by an earlier request with the same key."""
+    """The id of a stored batch, and whether it was stored by an earlier request with the same key."""
 
     batch_id: str
     duplicate: bool
@@ -44,20 +44,20 @@
 
 @attrs.frozen
 class _KeyEntry:
-    """The job that a key stands for."""
+    """The batch that was stored with a key, and the digest of what the client submitted."""
 
     batch_id: str
     digest: bytes
 
 
 def _digest(spec: Lot) -> bytes:
-    """Returns a digest of what a caller submitted, without what the gateway added."""
+    """Returns a digest of what the client submitted, without the fields that the gateway added."""
     submitted = Lot(customer=spec.customer, priority=spec.priority, key=spec.key, items=spec.items)
     return blake2b(submitted.SerializeToString(deterministic=True), digest_size=DIGEST_BYTES).digest()
 
 
 def _full_key(spec: Lot) -> str:
-    """Returns a job's key together with its customer, since each customer has keys of their own."""
+    """Returns a batch's key together with its customer: keys are scoped to the customer."""
     return f"{spec.customer}\0{spec.key}"
 
 
@@ -67,14 +67,14 @@
 
 @attrs.define(eq=False)
 class _ShardLog:
-    """One shard's log of a day, and the job that each key in it stands for."""
+    """The log of one shard and day, and the batch that was stored with each key in it."""
 
     leaseholder: Leaseholder
     parsed_bytes: int = 0
     keys: dict[str, _KeyEntry] = attrs.field(factory=dict)
 
     def parse_new_records(self) -> None:
-        """Enters the keys of what was appended since the last call."""
+        """Adds the keys of the records that were appended since the last call."""
         data = bytes(self.leaseholder.data[self.parsed_bytes :])
         for offset, body, _ in decode_frames(data):
             spec = LogRecord.FromString(body).lot
@@ -84,9 +84,9 @@
 
 
 class IdempotencyKeys:
-    """Stores jobs with an idempotency key; each shard of keys has one owner, so that no job is stored twice.
+    """Stores batches that have an idempotency key; each shard of keys has one owner, so that no batch is stored twice.
 
-    A key is remembered for the day and the one before.
+    A key is remembered for the current day and the day before.
     """
 
     def __init__(self, ctx: Context, open_batches: OpenBatches) -> None:
@@ -96,13 +96,13 @@
         self._locks = [defer.DeferredLock() for _ in range(SHARDS)]
 
     def start(self) -> None:
-        """Registers the owner's handler."""
+        """Registers the RPC handler of the owner."""
         self._ctx.rpc.register_handler("lots.keyed", KeyedLotRequest, self._handle_store)
 
     async def store(self, spec: Lot) -> StoredBatch:
-        """Stores a job through the owner of its key, or finds the one that was stored with the key before.
+        """Stores a batch through the owner of its key, or returns the one that was stored with this key before.
 
-        Raises ServiceUnavailable where the owner cannot be reached, ApiError where the key was used for another job.
+        Raises ServiceUnavailable if the owner cannot be reached, ApiError if the key was used for a different batch.
         """
         owner = choose_owner(self._ctx, f"keyed{_shard_of(spec)}")
         if owner == self._ctx.node:
@@ -111,7 +111,7 @@
             response = await self._forward(owner, spec)
         if not response.same_lot:
             raise ApiError(
-                "this key was used for another lot",
+                "this idempotency key was used for a different batch",
                 code="key_in_use",
                 field="idempotency_key",
                 status=CONFLICT,
@@ -131,7 +131,7 @@
             return await self._ctx.rpc.call(address, "lots.keyed", request, KeyedLotResponse, FORWARD_TIMEOUT)
         except (WireError, RemoteError) as error:
             raise ServiceUnavailable(
-                f"the owner of this key could not take it: {error}",
+                f"the owner of this idempotency key could not store the batch: {error}",
                 code="no_owner",
                 outcome="not_run" if _definitely_not_stored(error) else "unknown",
             ) from error
@@ -153,7 +153,7 @@
 
     async def _append(self, spec: Lot, shard_logs: list[_ShardLog]) -> KeyedLotResponse:
         if not all(shard_log.leaseholder.is_held() for shard_log in shard_logs):
-            raise LeaseNotHeld("the lease of this key's log is not current")
+            raise LeaseNotHeld("the lease of the log for this idempotency key is not held")
         leaseholder = shard_logs[0].leaseholder
         offset = await leaseholder.append([LogRecord(lot=spec).SerializeToString()])
         batch_id = batch_id_at(leaseholder.log, offset)
@@ -168,7 +168,7 @@
         try:
             shard_log = self._shard_logs[log] = _ShardLog(await acquire_log(self._ctx, log))
         except PipitlinkError as error:
-            raise LeaseNotHeld(f"{log} could not be taken: {error}") from error
+            raise LeaseNotHeld(f"the lease of {log} could not be acquired: {error}") from error
         return shard_log
 
 
--- a/pipitlink/gateway/item_dispatcher.py
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs the items of the batch jobs that this gateway owns."""
+"""Runs the items of the batches that this gateway owns."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 ITEM_TIMEOUT = secs(120)
 MIN_RETRY_DELAY = ms(100)
 MAX_ATTEMPTS = 8
-# How many items are started in one turn of the reactor, so that requests and responses go in between.
+# Bounds the items that are started in one turn of the reactor, so that requests and responses are handled in between.
 MAX_STARTS_PER_TURN = 4
 URGENCY_STEPS_MS = (5_000, 30_000, 300_000, 3_600_000, 21_600_000)
 
 
 @attrs.define(eq=False)
 class _DispatchRound:
-    """What one round of dispatching works with: jobs with pending items, items under way, and free slots."""
+    """The state of one dispatch round: batches with pending items, running items by customer, and free slots."""
 
     now: timedelta
     wall_ms: int
@@ -47,7 +47,10 @@
 
 
 class ItemDispatcher:
-    """Starts items in the capacity that is left, by their job's deadline and priority and by turns among customers."""
+    """Starts the items of batches while the engines have capacity that is not reserved for live requests.
+
+    Batches are ordered by urgency, priority, the customer's number of running items, and deadline.
+    """
 
     def __init__(
         self,
@@ -68,7 +71,7 @@
         self._pipeline = pipeline
 
     def start(self) -> None:
-        """Starts to look for items that may run."""
+        """Starts to dispatch items periodically."""
         timer = self._ctx.timers.call_repeatedly(
             DISPATCH_INTERVAL,
             self.dispatch,
@@ -78,7 +81,7 @@
         self._open_batches.add_timer(timer)
 
     def dispatch(self) -> defer.Deferred[None]:
-        """Starts items while there are free slots; returns a Deferred that fires once there is no more to start."""
+        """Starts items while there are free slots; the Deferred fires once no more can be started."""
         return spawn(self._dispatch_in_turns())
 
     async def _dispatch_in_turns(self) -> None:
@@ -86,7 +89,7 @@
             await self._ctx.timers.next_turn()
 
     def _start_items(self) -> int:
-        """Starts items while there are free slots, as many as may be started in one turn; returns how many."""
+        """Starts items while there are free slots, at most MAX_STARTS_PER_TURN; returns how many were started."""
         if not self._serving.is_current() or self._ctx.cluster.zone_empty(self._ctx.settings.zone):
             return 0
         dispatch_round = self._begin_round()
@@ -126,12 +129,12 @@
         )
 
     def _priority(self, batch: OpenBatch) -> int:
-        """Returns the job's own priority, and what the table adds for the model that it waits for first."""
+        """Returns the batch's own priority plus the table's priority for the model of its first pending item."""
         row = self._ctx.cluster.row(batch.spec.items[batch.pending[0]].model, "") if batch.pending else None
         return batch.spec.priority + (row.priority if row is not None else 0)
 
     def _next_item(self, batch: OpenBatch, dispatch_round: _DispatchRound) -> int | None:
-        """Returns the first pending item that may be tried now and whose model is not known to be full."""
+        """Returns the first pending item that may be attempted now and whose model may have free slots."""
         for index in batch.pending:
             may_run = batch.retry_at.get(index, dispatch_round.now) <= dispatch_round.now
             if may_run and batch.spec.items[index].model not in dispatch_round.full_models:
@@ -206,7 +209,7 @@
         )
 
     def _schedule_retry(self, batch: OpenBatch, index: int, request: RequestRecord) -> bool:
-        """Makes a failed item pending again where that is safe; returns whether it did."""
+        """Makes a failed item pending again if a retry is safe; returns whether it did."""
         error = request.error
         assert error is not None
         outcome = request.outcome
@@ -225,7 +228,7 @@
         return Result(item=index, outcome=batch.provable_outcome(index, outcome), code=error.code, run=request.id)
 
     async def _record_start(self, batch: OpenBatch, index: int, item: Item) -> None:
-        """Records durably that an item that is not idempotent was started; then the lease must still be held."""
+        """Durably records the start of an item that is not idempotent, then checks that the lease is still held."""
         if not item.repeatable and index not in batch.started:
             assert batch.leaseholder is not None
             record = LogRecord(started=Started(item=index))
@@ -234,13 +237,13 @@
         self._check_owned(batch)
 
     def _check_owned(self, batch: OpenBatch) -> None:
-        """Raises LeaseNotHeld where this gateway does not own the job any more."""
+        """Raises LeaseNotHeld if this gateway no longer owns the batch."""
         if batch.leaseholder is None or not batch.leaseholder.is_held() or batch.leaseholder.final:
-            raise LeaseNotHeld(f"{batch.id}: the lease ended before the item was sent")
+            raise LeaseNotHeld(f"batch {batch.id}: the lease was lost before the item was sent")
 
 
 def _urgency(batch: OpenBatch, now_ms: int) -> int:
-    """Returns steps of time left: jobs due within seconds go before those due within minutes, hours, days."""
+    """Returns the index of the first bound in URGENCY_STEPS_MS above the time that is left; lower is more urgent."""
     left_ms = max(0, batch.spec.limit_ms - now_ms)
     for step, bound_ms in enumerate(URGENCY_STEPS_MS):
         if left_ms < bound_ms:
--- a/pipitlink/gateway/latency_histogram.py
+++ b/pipitlink/gateway/latency_histogram.py
@@ -1,4 +1,4 @@
-"""A histogram of latencies, as a metric."""
+"""A latency histogram for the metrics."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
         self._sum_s = 0.0
 
     def add(self, latency: timedelta) -> None:
-        """Counts one latency."""
+        """Adds one latency."""
         seconds = latency.total_seconds()
         self._counts[bisect.bisect_left(BUCKETS_S, seconds)] += 1
         self._sum_s += seconds
 
     def family(self, name: str, text: str) -> HistogramMetricFamily:
-        """Returns the counts as a metric with a name and a help text."""
+        """Returns the histogram as a metric; `text` is its help text."""
         bounds = [*map(str, BUCKETS_S), "+Inf"]
         return HistogramMetricFamily(name, text, list(zip(bounds, accumulate(self._counts), strict=True)), self._sum_s)
--- a/pipitlink/gateway/live_api.py
+++ b/pipitlink/gateway/live_api.py
@@ -1,4 +1,4 @@
-"""HTTP handlers of live requests: generate and resume."""
+"""HTTP handlers to start live requests and to resume their streams."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class LiveApi:
-    """Starts live requests, and streams their responses, also to callers that come back for one at any gateway."""
+    """Starts live requests and streams their responses; a client may resume a stream at any gateway."""
 
     def __init__(self, ctx: Context, table: RequestTable, pipeline: RequestPipeline, runs: RunRegistry) -> None:
         self._ctx = ctx
@@ -33,7 +33,7 @@
 
     @http_handler
     async def generate(self, request: Request) -> bytes:
-        """Starts a live request, and responds with a stream or with one JSON object."""
+        """Starts a live request; responds with a stream or with one JSON object."""
         body = read_json(request, GenerateBody)
         record = RequestRecord(
             id=self._runs.new_run_id(),
@@ -52,7 +52,7 @@
 
     @http_handler
     async def resume(self, request: Request, run: str) -> bytes:
-        """Streams a run from a position on, wherever it is."""
+        """Streams a run from a position on, also if another gateway has it."""
         position = non_negative_number(request, "from")
         address = None if run in self._table.requests else self._runs.remote_address(run)
         if address is not None:
@@ -60,7 +60,7 @@
         record = self._table.find_run(run)
         if position > len(record.chunks):
             raise BadRequest(
-                f"the run has {len(record.chunks)} pieces",
+                f"the run has only {len(record.chunks)} pieces",
                 code="bad_field",
                 field="from",
                 status=RANGE_NOT_SATISFIABLE,
@@ -97,7 +97,7 @@
             raise _resume_error(error) from error
         except WireError as error:
             raise NotFound(
-                f"the gateway that holds the run is not heard: {error}", code="run_not_held", outcome="unknown"
+                f"the gateway that has the run cannot be reached: {error}", code="run_not_held", outcome="unknown"
             ) from error
         self._ctx.run_in_background(self._runs.follow_remote(run, address, first), "follow_run")
         return await RunStream(self._ctx, self._table, request, run, position).write()
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -1,4 +1,4 @@
-"""The gateway node of the models interface, composed of its parts."""
+"""The gateway node of the models interface, composed of its components."""
 
 from __future__ import annotations
 
@@ -54,14 +54,14 @@
 
 
 class GatewayNode:
-    """A gateway of the models interface: live requests, fetches and batch jobs on the same engines.
-
-    - `engines` and `slots` know the engines and this gateway's share of their capacity.
-    - `pipeline` takes each request of `table` through its steps: admission, choice of an engine, relay.
-    - `runs` finds live requests by id, here and at other gateways.
-    - `batch_intake` stores batches, `open_batches` are kept up to date from the batch logs, `batch_ownership` and
-      `item_dispatcher` run them, and `results` reads what became of them.
-    - The `..._api` parts serve callers over HTTP.
+    """A gateway of the models interface: live requests, fetches and batches on the same engines.
+
+    - `engines` and `slots` track the engines and this gateway's quota of their capacity.
+    - `pipeline` runs the steps of each request in `table`: admission, choice of an engine, relay.
+    - `runs` finds live requests by id, at this gateway and at others.
+    - `batch_intake` stores batches, `open_batches` is kept up to date from the batch logs, `batch_ownership` and
+      `item_dispatcher` run them, and `results` reads their results.
+    - The `..._api` components serve clients over HTTP.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -97,7 +97,7 @@
         self.pipeline = RequestPipeline(ctx, self.table, steps)
 
     def _make_engine_relay(self, sender: RequestSender) -> EngineRelay:
-        """Makes the relay to engines; a simulated gateway overrides this."""
+        """Creates the relay to engines; a simulated gateway overrides this."""
         return EngineRelay(self._ctx, self.engines, sender)
 
     def _compose_batches(self) -> None:
@@ -115,7 +115,7 @@
         )
 
     def open(self) -> None:
-        """Registers RPC handlers and starts timers, of each part after those that it relies on."""
+        """Registers RPC handlers and starts timers; each component starts after those that it depends on."""
         self.engines.start()
         self.slots.start()
         self.rate_limits.start()
@@ -127,7 +127,7 @@
         self.item_dispatcher.start()
 
     async def listen(self, host: str, port: int) -> int:
-        """Binds the callers' address and returns the port's number."""
+        """Listens for clients; returns the bound port."""
         site = Site(self._routes().resource(), self._ctx.settings.max_body_kb * 1024)
         self._port, bound_port = await listen(self._ctx.reactor, site, host, port)
         return int(bound_port)
@@ -151,28 +151,28 @@
         return app
 
     def show_ready(self, request: Request) -> bytes:
-        """Responds with whether this gateway takes requests."""
+        """Responds whether this gateway accepts requests."""
         ready = self.serving.is_current()
         content = {"ready": ready, "cluster": self._ctx.cluster.sequence}
         body: bytes = send_json(request, content, OK if ready else UNAVAILABLE)
         return body
 
     def show_live(self, request: Request) -> bytes:
-        """Responds that the process answers."""
+        """Responds that the process is alive."""
         body: bytes = send_json(request, {"live": True})
         return body
 
     def _not_found(self, request: Request, path: str) -> bytes:
-        body: bytes = send_error(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
+        body: bytes = send_error(request, NotFound(f"no such path: /{path}", code="no_such_path"))
         return body
 
     def readiness(self) -> tuple[bool, dict[str, Any]]:
-        """Returns whether the node is ready, and the fields that say why."""
+        """Returns whether the node is ready, and the fields that explain it."""
         cluster = self._ctx.cluster
         return self.serving.is_current(), {"cluster": cluster.sequence, "currency": cluster.state}
 
     def beliefs(self) -> dict[str, Any]:
-        """Returns the engines and leases as this node knows them, for comparison with other nodes."""
+        """Returns the engines and leases as known at this node, for comparison with other nodes."""
         engines = {
             engine.name: f"{self.engines.status(engine)} {engine.update.address} {engine.update.incarnation}"
             for engine in self.engines.all()
@@ -184,7 +184,7 @@
         return {"engines": engines, "leases": leases}
 
     def metrics(self) -> dict[str, tuple[str, float]]:
-        """Returns gauges by name without prefix: help text and value."""
+        """Returns the gauges by their name without the prefix: help text and value."""
         cache = self._ctx.cache
         gauges: dict[str, tuple[str, float]] = {
             f"cache_{name}": (f"Chunks or reads: {name}", cache.counts[name]) for name in CACHE_COUNTS
@@ -199,12 +199,12 @@
         return gauges
 
     def metric_families(self) -> Iterable[HistogramMetricFamily]:
-        """Returns metrics that are no plain gauges, with their full names."""
+        """Returns the metrics other than gauges, with their full names."""
         name = "pipitlink_first_piece_seconds"
         return [self.table.first_chunk_latency.family(name, "From a live request's arrival to its first piece")]
 
     async def end(self) -> None:
-        """Shuts down gracefully: admits nothing new, lets requests end for a while, and hands the leases over."""
+        """Shuts down gracefully: rejects new requests, waits for running ones and releases the leases."""
         self.serving.draining = True
         if self._port is not None:
             await self._port.stopListening()
--- a/pipitlink/gateway/open_batches.py
+++ b/pipitlink/gateway/open_batches.py
@@ -1,4 +1,4 @@
-"""The batch jobs that are open."""
+"""The open batches of the cluster, as known at a gateway."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 @attrs.define(eq=False)
 class OpenBatch:
-    """A job as a gateway knows it: its items and, where this gateway owns it, what has become of each.
+    """A batch as known at a gateway: its items and, if this gateway owns it, their state.
 
-    Items are numbered by their place in the job. `attempts` counts those of this owner that may have run.
+    Items are numbered by their position in the batch. `attempts` counts this owner's attempts that may have run.
     """
 
     id: str
@@ -35,7 +35,7 @@
     results: dict[int, Result] = attrs.field(factory=dict)
 
     def apply(self, record: LogRecord) -> None:
-        """Takes one record of the result log."""
+        """Applies one record of the result log."""
         kind = record.WhichOneof("of")
         if kind == "started":
             self.started.add(record.started.item)
@@ -43,9 +43,10 @@
             self.results.setdefault(record.result.item, record.result)
 
     def provable_outcome(self, item: int, outcome: str) -> str:
-        """Returns an item's outcome, `unknown` in place of `not_run` where it may have run.
+        """Returns an item's outcome, with `unknown` instead of `not_run` if the item may have run.
 
-        It may have where an attempt of this owner did, or where an earlier owner need not have recorded its start.
+        That is so if an attempt of this owner may have run, or if an earlier owner may have run the item: starts of
+        idempotent items are not recorded.
         """
         if outcome != "not_run":
             return outcome
@@ -62,9 +63,9 @@
 
 
 class OpenBatches:
-    """The jobs that are known here to be open, and which ones were closed.
+    """The batches that are known to be open, and the ids of those that are known to be closed.
 
-    Timers that have nothing to do without open jobs are woken when one is added.
+    Timers that are idle without open batches are woken when one is added.
     """
 
     def __init__(self) -> None:
@@ -73,11 +74,11 @@
         self._timers: list[RepeatingCall] = []
 
     def add_timer(self, timer: RepeatingCall) -> None:
-        """Has a timer woken for each job that is added."""
+        """Adds a timer to wake for each batch that is added."""
         self._timers.append(timer)
 
     def add(self, batch_id: str, spec: Lot) -> None:
-        """Enters a job, unless it is known already or closed."""
+        """Adds a batch, unless it is known or closed already."""
         if batch_id in self._closed or batch_id in self._batches:
             return
         self._batches[batch_id] = OpenBatch(batch_id, spec)
@@ -85,32 +86,32 @@
             timer.wake()
 
     def close(self, batch_id: str) -> None:
-        """Removes a job that is done or ended."""
+        """Marks a batch as closed, after it is done or cancelled."""
         self._closed.add(batch_id)
         self._batches.pop(batch_id, None)
 
     def forget_closed(self, batch_ids: set[str]) -> None:
-        """Forgets closed jobs that no log names any more."""
+        """Forgets closed batches whose log is no longer followed."""
         self._closed -= batch_ids
 
     def get(self, batch_id: str) -> OpenBatch | None:
-        """Returns an open job, None where it is not known to be open."""
+        """Returns an open batch, None if it is not known to be open."""
         return self._batches.get(batch_id)
 
     def is_closed(self, batch_id: str) -> bool:
-        """Returns whether a job is known to be closed."""
+        """Returns whether a batch is known to be closed."""
         return batch_id in self._closed
 
     def all_closed(self, batch_ids: set[str]) -> bool:
-        """Returns whether all of some jobs are known to be closed."""
+        """Returns whether all of the given batches are known to be closed."""
         return not batch_ids - self._closed
 
     def all(self) -> list[OpenBatch]:
-        """Returns the open jobs in the order in which they were added."""
+        """Returns the open batches in the order in which they were added."""
         return list(self._batches.values())
 
     def idle_wait(self) -> timedelta | None:
-        """Returns for how long timers that serve open jobs have nothing to do: until woken where there is none."""
+        """Returns how long timers may be idle: zero while there are open batches, else None, until they are woken."""
         return ZERO if self._batches else None
 
     def __len__(self) -> int:
--- a/pipitlink/gateway/owner_selection.py
+++ b/pipitlink/gateway/owner_selection.py
@@ -1,4 +1,4 @@
-"""Which gateway owns what, and how it takes the lease of a log."""
+"""Assigns owners to keys, and acquires the leases of logs."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def choose_owner(ctx: Context, key: str) -> str:
-    """Returns the gateway that should own a key: the highest by rendezvous hashing of those alive.
+    """Returns the gateway that should own a key: the live gateway with the highest rank by rendezvous hashing.
 
-    Gateways in emptied zones own nothing while there are others.
+    Gateways in emptied zones are chosen only if there are no others.
     """
     alive = ctx.membership.members("gateway", statuses=("alive",))
     eligible = [member for member in alive if not ctx.cluster.zone_empty(member.zone)] or alive
@@ -21,7 +21,7 @@
 
 
 async def acquire_log(ctx: Context, log: str) -> Leaseholder:
-    """Takes the lease of a log, and has its contents written to the caches. Raises PipitlinkError."""
+    """Acquires the lease of a log, and starts to write the log's contents to the caches. Raises PipitlinkError."""
     leaseholder: Leaseholder = await ctx.replicated_log.acquire(log)
     ctx.cache.start_log_writer(log, leaseholder)
     return leaseholder
--- a/pipitlink/gateway/query_parameters.py
+++ b/pipitlink/gateway/query_parameters.py
@@ -1,4 +1,4 @@
-"""Query parameters of callers' requests."""
+"""Query parameters of clients' requests."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def non_negative_number(request: Request, name: str, default: int = 0) -> int:
-    """Returns a query parameter as a number from 0 up, `default` where it is missing.
+    """Returns a query parameter as a non-negative integer, `default` if it is missing.
 
-    Raises BadRequest where it is anything else.
+    Raises BadRequest if it is anything else.
     """
     raw = request.args.get(name.encode(), [str(default).encode()])[0]
     try:
@@ -21,4 +21,4 @@
             raise ValueError
         return number
     except ValueError:
-        raise BadRequest(f"{name} must be a whole number from 0 up", code="bad_field", field=name) from None
+        raise BadRequest(f"{name} must be a non-negative integer", code="bad_field", field=name) from None
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -1,4 +1,4 @@
-"""Rate and concurrency limits that hold over all gateways."""
+"""Rate and concurrency limits that apply across all gateways."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 
 class RateLimits:
-    """The limits of rows, which hold over the whole fleet: one gateway coordinates each row and hands out all of it.
+    """The limits of rows, which apply across the cluster: one gateway coordinates each row and grants all its permits.
 
-    The coordinator is the highest by rendezvous hashing among the gateways that are alive. Every gateway reports with
-    its loads which permits it holds, so that a new coordinator knows them at once.
+    The coordinator is the live gateway with the highest rank by rendezvous hashing. Every gateway includes the permits
+    that it holds in its load reports, so that a new coordinator learns them without asking.
     """
 
     def __init__(
@@ -51,34 +51,34 @@
         self._gateways_changed_at = self._checked_at = ctx.timers.now()
 
     def start(self) -> None:
-        """Registers the coordinator's handler, and has permits reported with the loads."""
+        """Registers the RPC handler of the coordinator, and adds the permits to the load reports."""
         self._ctx.rpc.register_handler("limits.take", PermitRequest, self._handle_permit_request)
         self._slots.add_loads_carrier(self)
 
     def coordinator(self, row: str) -> str:
-        """Returns the node that hands out the permits of a row, as far as is known here."""
+        """Returns the node that grants the permits of a row, as known at this gateway."""
         gateways = {member.node for member in self._ctx.membership.members("gateway", statuses=("alive",))}
         gateways.add(self._ctx.node)
         return max(gateways, key=lambda gateway: rank(row, gateway))
 
     async def check_rate(self, request: RequestRecord) -> None:
-        """Takes a token of the request's row. Raises ServiceUnavailable with the time to retry where there is none."""
+        """Takes a token of the request's row. Raises ServiceUnavailable with a retry time if there is none."""
         row = self._candidates.row_of(request.model, request.pool)
         if row is None or not row.rate:
             return
         response = await self._call_coordinator(PermitRequest(row=row.name))
         if not response.granted:
             raise ServiceUnavailable(
-                f"row {row.name} allows {row.rate:g} a second",
+                f"row {row.name} allows {row.rate:g} requests a second",
                 code="rate_limited",
                 status=TOO_MANY_REQUESTS,
                 retry_after=max(1, math.ceil(response.wait_ms / 1000)),
             )
 
     async def acquire_permit(self, request: RequestRecord) -> None:
-        """Takes a permit of the request's row, if that has a concurrency limit, to be held until the request ends.
+        """Acquires a permit of the request's row if that has a concurrency limit; the request holds it until its end.
 
-        Waits a short while for one. Raises ServiceUnavailable with the time to retry where none falls free.
+        Waits a short time for a permit. Raises ServiceUnavailable with a retry time if none becomes free.
         """
         row = self._candidates.row_of(request.model, request.pool)
         if row is None or not row.concurrency or request.release_permit:
@@ -89,12 +89,15 @@
         request.release_permit = partial(self._release_permit, permit_id)
 
     def fill_loads(self, loads: Loads) -> None:
-        """Adds the permits that this gateway holds to its report."""
+        """Adds the permits that this gateway holds to its load report."""
         self._detect_gateway_changes()
         loads.permits.extend(Permit(row=row, id=permit_id) for permit_id, row in self._permits.items())
 
     def absorb_loads(self, loads: Loads) -> None:
-        """Takes the permits that another gateway reports; those that it no longer names it has released."""
+        """Records the permits that another gateway reports; permits missing from the report were released.
+
+        A permit that was granted a short time ago may be missing because the report was sent before the grant.
+        """
         now = self._ctx.timers.now()
         reported = {permit.id for permit in loads.permits}
         for permit in loads.permits:
@@ -120,7 +123,7 @@
                 return
             if self._ctx.timers.now() + PERMIT_POLL_INTERVAL >= give_up_at:
                 raise ServiceUnavailable(
-                    f"row {row.name} allows {row.concurrency} at once",
+                    f"row {row.name} allows {row.concurrency} concurrent requests",
                     code="concurrency_limited",
                     status=TOO_MANY_REQUESTS,
                     retry_after=self._retry_after.seconds(),
@@ -148,7 +151,7 @@
         return self._decide(node, request)
 
     def _decide(self, node: str, request: PermitRequest) -> PermitResponse:
-        """Grants, rejects or releases as the coordinator of the row."""
+        """Grants, rejects or releases a permit or a token as the coordinator of the row."""
         limits = self._limits_of(request.row)
         if request.release:
             limits.permits.pop(request.id, None)
@@ -166,9 +169,9 @@
         return PermitResponse(granted=not wait, wait_ms=math.ceil(wait / ms(1)))
 
     def _detect_gateway_changes(self) -> None:
-        """Notes whether the gateways changed, or this one was suspended, since the last call.
+        """Records whether the live gateways changed, or this process was suspended, since the last call.
 
-        A new coordinator may not have heard of all permits that are out.
+        After that, a coordinator may not know all permits that are held.
         """
         now = self._ctx.timers.now()
         gateways = frozenset(member.node for member in self._ctx.membership.members("gateway", statuses=("alive",)))
@@ -178,7 +181,11 @@
         self._checked_at = now
 
     def _may_grant(self) -> bool:
-        """Not while gateways change, nor on the smaller side of a partition, nor with a stale cluster state."""
+        """Returns whether this coordinator may grant permits and tokens.
+
+        It may not shortly after the gateways changed, on the smaller side of a partition, or with a stale cluster
+        state.
+        """
         self._detect_gateway_changes()
         alive = self._ctx.membership.members("gateway", statuses=("alive",))
         missing = self._missing_gateways({(member.host, member.port) for member in alive})
@@ -189,7 +196,7 @@
         )
 
     def _missing_gateways(self, alive_addresses: set[Address]) -> int:
-        """Returns how many gateways were lost lately whose address no other gateway has taken over."""
+        """Returns how many gateways were lost recently and not replaced by a gateway at the same address."""
         membership = self._ctx.membership
         missing = 0
         for member in membership.members("gateway", statuses=("suspect", "gone"), include_self=False):
--- a/pipitlink/gateway/remote_run.py
+++ b/pipitlink/gateway/remote_run.py
@@ -1,4 +1,4 @@
-"""The local replica of a run that another gateway has."""
+"""The local copy of a run that another gateway has."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RemoteRun:
-    """A run of another gateway, as far as it has been read here; it is streamed to callers like a run of this one."""
+    """The part of another gateway's run that was read so far; it is streamed to clients like a local run."""
 
     def __init__(self, run_id: str, position: int) -> None:
         self.id = run_id
@@ -24,11 +24,11 @@
 
     @property
     def outcome(self) -> str:
-        """What may be told of it if it failed: `not_run`, `unknown` or `failed`."""
+        """The outcome to report if the run failed: `not_run`, `unknown` or `failed`."""
         return self.error.outcome if self.error is not None else "failed"
 
     def add_response(self, response: RunResponse) -> None:
-        """Adds what its gateway responded."""
+        """Adds the chunks and the end from a response of the run's gateway."""
         self.chunks += response.pieces
         if response.settled:
             error = ApiError(response.note, code=response.code, outcome=response.outcome) if response.code else None
@@ -36,14 +36,14 @@
         self._wake()
 
     def finish(self, error: ApiError | None, engine: str = "") -> None:
-        """Ends it, with an error or without."""
+        """Settles the run, with or without an error."""
         self.error = error
         self.engine_name = engine
         self.settled = True
         self._wake()
 
     def wait_for_change(self) -> defer.Deferred[None]:
-        """Returns a Deferred that fires when chunks were added or the run is settled."""
+        """Returns a Deferred that fires when chunks are added or the run is settled."""
         self._waiter = defer.Deferred(lambda _: None)
         return self._waiter
 
--- a/pipitlink/gateway/request_bodies.py
+++ b/pipitlink/gateway/request_bodies.py
@@ -1,6 +1,6 @@
-"""JSON bodies of the models interface, checked and typed."""
+"""Typed and validated JSON bodies of the models interface."""
 
-# No `from __future__ import annotations` here: cattrs reads the types of the fields.
+# No `from __future__ import annotations` here: cattrs evaluates the types of the fields.
 import json
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -36,7 +36,7 @@
 
 
 def _exact_type_hook(expected: type) -> Callable[[Any, Any], Any]:
-    """Returns a structure hook that takes values of just one type, where cattrs would convert others."""
+    """Returns a structure hook that accepts values of exactly one type; by default cattrs converts other types."""
 
     def _structure(value: Any, _: Any) -> Any:
         if type(value) is not expected:
@@ -83,7 +83,7 @@
 
 @attrs.frozen(kw_only=True)
 class ItemBody:
-    """One item of a job."""
+    """One item of a batch."""
 
     model: str = attrs.field(validator=_sized(MAX_NAME_LENGTH, 1))
     prompt: str = attrs.field(validator=_sized(MAX_ITEM_PROMPT_LENGTH))
@@ -94,7 +94,7 @@
 
 @attrs.frozen(kw_only=True)
 class BatchBody:
-    """A submitted job; `limit_ms` is how long after its arrival items may still be started, in milliseconds."""
+    """A submitted batch; `limit_ms` is how long after its arrival items may still be started, in milliseconds."""
 
     items: list[ItemBody] = attrs.field(validator=_sized(MAX_BATCH_ITEMS, 1))
     customer: str = attrs.field(default="", validator=_sized(MAX_NAME_LENGTH))
@@ -130,7 +130,7 @@
 
 @attrs.frozen
 class _FieldError:
-    """The path of a wrong field in a body, and what is wrong with it."""
+    """The path of an invalid field in a body, and the reason why it is invalid."""
 
     path: str
     reason: str
@@ -150,7 +150,7 @@
 
 
 def _path_of(error: BaseException, path: str) -> str:
-    """Returns where an error arose below `path`, from the notes that cattrs attaches to it."""
+    """Returns the path of the field that caused an error below `path`, from the notes that cattrs attaches to it."""
     name = path
     for location in getattr(error, "__notes__", ()):
         if hasattr(location, "name"):
@@ -161,7 +161,7 @@
 
 
 def structure(raw: Any, body_type: type[BodyT]) -> BodyT:
-    """Returns an instance of `body_type` built from a JSON value. Raises BadRequest naming the first wrong field."""
+    """Returns an instance of `body_type` built from a JSON value. Raises BadRequest naming the first invalid field."""
     try:
         return _converter.structure(raw, body_type)
     except (ClassValidationError, IterableValidationError) as error:
@@ -174,7 +174,7 @@
 
 
 def read_json(request: Request, body_type: type[BodyT]) -> BodyT:
-    """Returns the request's JSON body as an instance of `body_type`. Raises BadRequest where it cannot be one."""
+    """Returns the request's JSON body as an instance of `body_type`. Raises BadRequest if it is invalid."""
     assert request.content is not None
     data = request.content.read()
     try:
--- a/pipitlink/gateway/request_pipeline.py
+++ b/pipitlink/gateway/request_pipeline.py
@@ -1,4 +1,4 @@
-"""Takes each request through its steps."""
+"""Runs each request through its pipeline steps."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 __all__ = ["RequestPipeline", "PipelineStep", "prepare_send"]
 
 PipelineStep = Callable[[RequestRecord], Awaitable[bool]]
-"""Does one step for a request; returns whether the steps begin again. An error settles the request."""
+"""Does one step for a request; returns whether to restart with the first step. An error settles the request."""
 
 
 async def prepare_send(request: RequestRecord) -> bool:
-    """Pipeline step: makes durable what must be before the request's first byte may leave."""
+    """Pipeline step: writes the records that must be durable before the first byte of the request is sent."""
     if request.before_send is not None:
         await request.before_send()
     return False
 
 
 class RequestPipeline:
-    """Runs the steps of a request's kind, in order and again for a retry, until it is settled."""
+    """Runs the steps for a request's kind in order, and again for each retry, until the request is settled."""
 
     def __init__(
         self, ctx: Context, table: RequestTable, steps: Mapping[RequestKind, tuple[PipelineStep, ...]]
@@ -35,14 +35,14 @@
         self._steps = steps
 
     async def run(self, request: RequestRecord) -> None:
-        """Runs one request until it is settled. Errors end up in its record."""
+        """Runs one request until it is settled. Errors are stored in its record."""
         self._table.add(request)
         try:
             while not request.settled:
                 await self._run_steps(request)
         except defer.CancelledError:
             request.trigger("lose")
-            request.fail(ApiError("the request was ended", code="ended", outcome=request.outcome))
+            request.fail(ApiError("the request was cancelled", code="ended", outcome=request.outcome))
         except Exception as error:
             if not isinstance(error, (ApiError, ReplicatedLogError)):
                 self._ctx.logger.failure("request_aborted", error, request=request.id)
--- a/pipitlink/gateway/request_record.py
+++ b/pipitlink/gateway/request_record.py
@@ -23,7 +23,7 @@
 
 
 class RequestKind(StrEnum):
-    """What a request is for, which decides on the steps that it goes through."""
+    """The kind of a request, which determines its pipeline steps."""
 
     LIVE = "live"
     ITEM = "item"
@@ -31,21 +31,21 @@
 
 
 class PausableStream(Protocol):
-    """The connection to an engine, as far as backpressure needs it."""
+    """The part of a connection to an engine that backpressure uses."""
 
     def pauseProducing(self) -> None:  # noqa: N802 - twisted's interface
-        """Reads no more for now."""
+        """Pauses reading."""
 
     def resumeProducing(self) -> None:  # noqa: N802 - twisted's interface
-        """Reads on."""
+        """Resumes reading."""
 
 
 @attrs.define(eq=False, slots=False)
 class RequestRecord(StateMachineMixin):
-    """The record of one request in this process, for its submitter, the steps and those who read its response.
+    """The state of one request in this process, shared by its submitter, the pipeline and the readers of its response.
 
-    `before_send` is awaited before the request goes to an engine, and `check_before_send` is called in the step that
-    writes its first byte; either may raise. `may_have_run` says that an attempt was lost whose outcome is not known.
+    `before_send` is awaited before the request is sent to an engine, and `check_before_send` is called in the step that
+    writes its first byte; either may raise. `may_have_run` is set if the outcome of an earlier attempt is not known.
     """
 
     state_machine = "request"
@@ -85,27 +85,27 @@
 
     @property
     def is_batch_item(self) -> bool:
-        """Whether it is an item of a job."""
+        """Whether it is an item of a batch."""
         return self.kind == RequestKind.ITEM
 
     @property
     def outcome(self) -> str:
-        """What may be told of it if it fails now: `not_run`, `unknown` or `failed`."""
+        """The outcome to report if the request fails now: `not_run`, `unknown` or `failed`."""
         outcome = reportable_outcome(self.state)
         return "unknown" if outcome == "not_run" and self.may_have_run else outcome
 
     @property
     def engine_name(self) -> str:
-        """The name of the engine that it was sent to last, empty where there is none."""
+        """The name of the request's engine, empty if there is none."""
         return self.engine.name if self.engine is not None else ""
 
     @property
     def settled(self) -> bool:
-        """Whether nothing more will happen to it."""
+        """Whether the request is done or has failed."""
         return self.error is not None or self.state == RequestState.DONE
 
     def release(self) -> None:
-        """Releases the permit of its row and the slot of its engine, each once."""
+        """Releases the permit of the row and the slot of the engine, each at most once."""
         if self.release_permit is not None:
             release_permit, self.release_permit = self.release_permit, None
             release_permit()
@@ -123,7 +123,7 @@
         self.notify_waiters()
 
     def fail(self, error: Exception) -> None:
-        """Settles it with an error, whose outcome never says `not_run` where it may have run."""
+        """Settles the request with an error, whose outcome is never `not_run` if the request may have run."""
         if isinstance(error, ApiError):
             api_error = error
         else:
@@ -134,7 +134,7 @@
         self.notify_waiters()
 
     def notify_waiters(self) -> None:
-        """Wakes all who wait for a change."""
+        """Fires all Deferreds that wait for a change."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             if not waiter.called:
--- a/pipitlink/gateway/request_sender.py
+++ b/pipitlink/gateway/request_sender.py
@@ -1,4 +1,4 @@
-"""Sends a request to its engine, and says what became of it."""
+"""Sends requests to engines, and maps failures to request states, errors and retries."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 MAX_DISCARDED_TEXT = 4096
 
 Exchange = Callable[[RequestRecord, Engine], Coroutine[Any, Any, None]]
-"""Sends the request to the engine and reads the response; raises where that is not complete."""
+"""Sends the request to the engine and reads the response; raises if the exchange does not complete."""
 
 
 @attrs.frozen
@@ -47,7 +47,7 @@
 
 
 class RequestSender:
-    """Runs exchanges with engines, and turns what goes wrong into the request's state, an error or a retry."""
+    """Runs exchanges with engines, and maps a failure to the request's state and an error or a retry."""
 
     def __init__(
         self,
@@ -66,9 +66,9 @@
         self._pool: CheckedConnectionPool = pool_type(ctx.reactor, persistent=False)
 
     async def send(self, request: RequestRecord, exchange: Exchange) -> bool:
-        """Runs an exchange with the request's engine; returns whether the request is to be retried.
+        """Runs an exchange with the request's engine; returns whether to retry the request.
 
-        Raises the error of the exchange where it is not, and CancelledError where the request is cancelled.
+        Raises the error of the exchange if it fails without a retry, and CancelledError if the request is cancelled.
         """
         engine = request.engine
         assert engine is not None
@@ -91,21 +91,25 @@
         raise error
 
     def client_for(self, request: RequestRecord, engine: Engine) -> EngineClient:
-        """Returns a client for one request, which is marked as sent in the step that writes it or is not sent."""
+        """Returns a client for one request.
+
+        In the step that writes the first byte, the client checks that the request may still be sent and marks it as
+        sent.
+        """
         endpoint = CheckedEndpoint(self._ctx.reactor, partial(self._begin_sending, request, engine))
         agent = Agent.usingEndpointFactory(self._ctx.reactor, endpoint, self._pool)
         return EngineClient(HTTPClient(agent), endpoint)
 
     def check_still_valid(self, request: RequestRecord, engine: Engine) -> None:
-        """Checks that what held when the request was admitted still holds as its first byte leaves; raises if not."""
+        """Checks, as the first byte is about to be sent, that the conditions of admission still hold; raises if not."""
         if request.settled or request.engine is not engine:
-            raise ApiError("the request was ended", code="ended", outcome="not_run")
+            raise ApiError("the request was cancelled", code="ended", outcome="not_run")
         if request.deadline <= self._ctx.timers.now():
             raise _deadline_passed()
         if not self._ctx.cluster.ready():
-            raise ServiceUnavailable("this gateway cannot prove its cluster state now", code="not_current")
+            raise ServiceUnavailable("this gateway cannot confirm its cluster state", code="not_current")
         if not self._may_serve(engine, request):
-            raise ServiceUnavailable(f"{engine.name} may not get new work any more", code="engine_moved_on")
+            raise ServiceUnavailable(f"engine {engine.name} may no longer get new requests", code="engine_moved_on")
         if request.check_before_send is not None:
             request.check_before_send()
 
@@ -114,7 +118,7 @@
         request.trigger("send")
 
     async def discard(self, response: Response) -> str:
-        """Reads the response to the end for a short while; returns the beginning of its text, empty on any error."""
+        """Reads the rest of the response, up to a timeout; returns the beginning of its text, empty on any error."""
         try:
             content: bytes = await self._ctx.timers.with_timeout(DISCARD_TIMEOUT, treq.content(response))
         except Exception:
@@ -133,7 +137,7 @@
         return self._record_lost(request, engine, cause)
 
     def _record_unsent(self, request: RequestRecord, engine: Engine, cause: Exception) -> Exception:
-        """No byte left this gateway."""
+        """Records the failure of a request of which no byte was sent."""
         request.trigger("connect_failed")
         if isinstance(cause, ConnectError):
             self._registry.record_failure(engine)
@@ -144,10 +148,10 @@
             return cause
         if self._ctx.timers.now() >= request.deadline:
             return _deadline_passed()
-        return ServiceUnavailable(f"engine {engine.name} could not be asked: {cause}", code="unreached")
+        return ServiceUnavailable(f"the request could not be sent to engine {engine.name}: {cause}", code="unreached")
 
     def _record_lost(self, request: RequestRecord, engine: Engine, cause: Exception) -> Exception:
-        """The request was sent, at least in part."""
+        """Records the failure of a request that was sent, at least in part."""
         if isinstance(cause, ServiceUnavailable):
             request.trigger("reject")
             self._slots.record_rejection(engine)
@@ -164,4 +168,4 @@
 
 
 def _deadline_passed() -> ApiError:
-    return ApiError("the limit has passed", code="limit_passed", status=GATEWAY_TIMEOUT, outcome="not_run")
+    return ApiError("the deadline has passed", code="limit_passed", status=GATEWAY_TIMEOUT, outcome="not_run")
--- a/pipitlink/gateway/request_table.py
+++ b/pipitlink/gateway/request_table.py
@@ -1,4 +1,4 @@
-"""The table of the requests that run here."""
+"""The table of the requests of this gateway."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 class RequestTable:
     """All requests of this gateway by id.
 
-    Live requests are kept for a while after their end and after their last reader left, so that a caller who lost the
-    connection can resume; one that nobody comes back for is cancelled.
+    A live request is kept for the resume window after its end, so that a client that lost the connection can resume it.
+    A running one whose last reader has left is cancelled unless a reader returns within the window.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -28,23 +28,25 @@
         self.first_chunk_latency = LatencyHistogram()
 
     def add(self, request: RequestRecord) -> None:
-        """Enters a request, and has the latency of a live one's first chunk counted."""
+        """Adds a request; for a live request, the latency of its first chunk is recorded."""
         self.requests[request.id] = request
         if request.kind == RequestKind.LIVE:
             arrived_at = self._ctx.timers.now()
             request.on_first_chunk = lambda: self.first_chunk_latency.add(self._ctx.timers.now() - arrived_at)
 
     def find_run(self, run_id: str) -> RequestRecord:
-        """Returns the live request of an id. Raises NotFound where it is not, or no longer, kept here."""
+        """Returns the live request with an id. Raises NotFound if this gateway does not have it, or no longer."""
         request = self.requests.get(run_id)
         if request is None or request.kind != RequestKind.LIVE:
             raise NotFound(
-                "that run is not held any more; what it did is not known here", code="run_not_held", outcome="unknown"
+                "this gateway does not have the run, or no longer; its outcome is not known",
+                code="run_not_held",
+                outcome="unknown",
             )
         return request
 
     def unsettled_live_requests(self) -> int:
-        """Returns how many requests run that are no items of jobs."""
+        """Returns how many running requests are not items of batches."""
         return sum(not request.settled and not request.is_batch_item for request in self.requests.values())
 
     def has_unsettled(self) -> bool:
@@ -52,14 +54,14 @@
         return any(not request.settled for request in self.requests.values())
 
     def unassigned_items(self, model: str) -> int:
-        """Returns how many started items for a model have no engine yet."""
+        """Returns how many items for a model were started and have no engine yet."""
         return sum(
             request.is_batch_item and request.model == model and request.engine is None
             for request in self.requests.values()
         )
 
     def retire(self, run: Run) -> None:
-        """Drops a settled request: a live one after the time in which it may be resumed, others at once."""
+        """Removes a settled request: a live one after the resume window, others at once."""
         request = self.requests.get(run.id)
         if request is None:
             return
@@ -69,7 +71,7 @@
             self.requests.pop(run.id, None)
 
     def reader_left(self, run: Run) -> None:
-        """Has a run cancelled whose last reader left, unless one comes back for it in time."""
+        """Schedules the cancellation of a run whose last reader has left, unless a reader returns in time."""
         request = self.requests.get(run.id)
         if run.settled or run.readers or request is None:
             return
--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -1,4 +1,4 @@
-"""Reads batch jobs and their results, whichever gateway took or owns them."""
+"""Reads batches and their results, whichever gateway stored or owns them."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @attrs.define(eq=False)
 class BatchResults:
-    """The results of one job, read in order and kept while callers ask for them."""
+    """The results of one batch, read in order and kept while clients request them."""
 
     tail: Tail
     used_at: timedelta
@@ -39,7 +39,10 @@
     lock: defer.DeferredLock = attrs.field(factory=defer.DeferredLock)
 
     def apply(self, record: LogRecord) -> None:
-        """Takes the next record of the result log: an item's first result counts, and none after the end."""
+        """Applies the next record of the result log.
+
+        Only an item's first result counts, and none after the end record.
+        """
         kind = record.WhichOneof("of")
         if kind == "result" and record.result.item not in self.recorded_items and not self.end_reason:
             self.recorded_items.add(record.result.item)
@@ -49,7 +52,7 @@
 
 
 class ResultReader:
-    """Reads jobs from job logs and results from result logs, through the caches."""
+    """Reads batches from batch logs and results from result logs, through the caches."""
 
     def __init__(self, ctx: Context, open_batches: OpenBatches) -> None:
         self._ctx = ctx
@@ -58,13 +61,13 @@
         self._spec_cache: dict[str, Lot] = {}
 
     def start(self) -> None:
-        """Starts to drop results that nobody asks for any more."""
+        """Starts to remove results that are no longer requested."""
         self._ctx.timers.call_repeatedly(EXPIRY_INTERVAL, self._drop_unused, self._ctx.error_reporter("expire_readers"))
 
     async def find_batch(self, batch_id: str) -> Lot:
-        """Returns a job by its id.
+        """Returns a batch by its id.
 
-        Raises BadRequest or NotFound where there is none, ServiceUnavailable where that cannot be known.
+        Raises BadRequest or NotFound if there is none, ServiceUnavailable if that cannot be determined.
         """
         open_batch = self._open_batches.get(batch_id)
         if open_batch is not None:
@@ -83,9 +86,9 @@
         return spec
 
     async def read_results(self, batch_id: str) -> BatchResults:
-        """Reads a job's results at least to the end that their log surely had when this was called.
+        """Reads a batch's results at least up to the durable end of their log at the time of the call.
 
-        Raises ServiceUnavailable where that end cannot be known, NotFound where the results were removed.
+        Raises ServiceUnavailable if that end cannot be determined, NotFound if the results were removed.
         """
         now = self._ctx.timers.now()
         results = self._results.get(batch_id)
@@ -99,13 +102,15 @@
         if lengths.confirmed_at is None or self._ctx.timers.now() - lengths.confirmed_at > MAX_STALENESS:
             raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
         if lengths.final and not lengths.durable:
-            raise NotFound("the lot's results were removed after their retention", code="results_removed", status=GONE)
+            raise NotFound(
+                "the results of the batch were removed after their retention time", code="results_removed", status=GONE
+            )
         async with results.lock:
             await self.read_to(results, lengths.durable)
         return results
 
     async def read_to(self, results: BatchResults, end: int) -> None:
-        """Reads results at least to an offset of their log, and what is cached beyond it."""
+        """Reads results at least up to an offset of their log, and any cached records beyond it."""
         tail = results.tail
         lengths = tail.lengths
         while tail.position < end or lengths.cached > tail.position:
@@ -142,4 +147,4 @@
 
 
 def _no_such_batch() -> NotFound:
-    return NotFound("there is no such lot", code="no_such_lot", field="lot")
+    return NotFound("there is no such batch", code="no_such_lot", field="lot")
--- a/pipitlink/gateway/retry_after.py
+++ b/pipitlink/gateway/retry_after.py
@@ -1,4 +1,4 @@
-"""The time after which a rejected caller is asked to come back."""
+"""Estimates the time after which a rejected client should retry."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RetryAfterEstimator:
-    """Hands out times to come back: each rejected request gets the next slot that is expected to fall free."""
+    """Assigns retry times: each rejected request gets the time at which the next slot is expected to become free."""
 
     def __init__(self, timers: Timers, samples: int = SAMPLES) -> None:
         self._timers = timers
@@ -30,11 +30,11 @@
         self._next_slot_at = ZERO
 
     def record_release(self) -> None:
-        """Notes that a slot fell free."""
+        """Records that a slot became free."""
         self._released_at.append(self._timers.now())
 
     def seconds(self) -> int:
-        """Returns after how many seconds one more rejected caller is to retry, at least 1."""
+        """Returns after how many seconds the next rejected client should retry, at least 1."""
         now = self._timers.now()
         recent = [at for at in self._released_at if now - at < RATE_WINDOW]
         window_s = (now - recent[0]) / secs(1) if recent else DEFAULT_WINDOW_S
@@ -45,6 +45,6 @@
         return max(1, math.ceil((self._next_slot_at - now) / secs(1)))
 
     def _fraction(self) -> float:
-        """Returns a number from 0 to 1, spread evenly and derived from the next slot's time."""
+        """Returns a number from 0 to 1, uniformly distributed and derived from the next slot's time."""
         digest = blake2b(repr(self._next_slot_at).encode(), digest_size=DIGEST_BYTES).digest()
         return int.from_bytes(digest, "big") / DIGEST_VALUES
--- a/pipitlink/gateway/retry_policy.py
+++ b/pipitlink/gateway/retry_policy.py
@@ -1,4 +1,4 @@
-"""When a failed request may be retried on another engine."""
+"""Decides when a failed request may be retried on another engine."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RetryBudget:
-    """Bounds retries to a ratio of first attempts, so that they do not multiply the load of a fault."""
+    """Limits retries to a ratio of the attempts, so that they do not multiply the load during a fault."""
 
     def __init__(self, ratio: float = RETRY_RATIO, max_saved: float = MAX_RETRIES_SAVED) -> None:
         self._ratio = ratio
@@ -22,11 +22,11 @@
         self._left = max_saved
 
     def earn(self) -> None:
-        """Adds what one attempt earns."""
+        """Adds the fraction of a retry that one attempt earns."""
         self._left = min(self._max_saved, self._left + self._ratio)
 
     def take(self) -> bool:
-        """Spends one retry; returns False where none is left."""
+        """Spends one retry; returns False if none is left."""
         if self._left < 1:
             return False
         self._left -= 1
@@ -34,20 +34,20 @@
 
 
 class RetryPolicy:
-    """Decides on retries by the request's state, its attempts and the gateway's budget."""
+    """Decides on retries by the request's state, its number of attempts and the gateway's budget."""
 
     def __init__(self, timers: Timers) -> None:
         self._timers = timers
         self._budget = RetryBudget()
 
     def record_attempt(self) -> None:
-        """Notes that a request goes to an engine, which earns budget."""
+        """Records an attempt, which earns budget."""
         self._budget.earn()
 
     def begin_retry(self, request: RequestRecord) -> bool:
-        """Returns whether the request may go to another engine now, and prepares it for that.
+        """Returns whether the request may be retried on another engine now; if so, prepares it for the retry.
 
-        It may where it surely did not run, or where it is idempotent and none of its response was passed on.
+        A retry is allowed if none of the response was received and the request certainly did not run or is idempotent.
         """
         if request.attempts >= MAX_ATTEMPTS or request.chunks or request.size:
             return False
--- a/pipitlink/gateway/row_limits.py
+++ b/pipitlink/gateway/row_limits.py
@@ -1,4 +1,4 @@
-"""The state of one row's rate and concurrency limit at its coordinator."""
+"""The state of a row's rate and concurrency limits at the row's coordinator."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class GrantedPermit:
-    """A permit to run one request of a row: who holds it, until when unless renewed, and since when."""
+    """A permit to run one request of a row: its holder, the expiry unless it is renewed, and the time of the grant."""
 
     gateway: str
     expires_at: timedelta
@@ -26,7 +26,7 @@
 
 @attrs.define(eq=False)
 class RowLimits:
-    """A token bucket for the rate of a row, and the permits that are out for its concurrency."""
+    """A token bucket for the rate of a row, and the held permits for its concurrency limit."""
 
     tokens: float = 0.0
     refilled_at: timedelta = ZERO
@@ -35,9 +35,9 @@
     permits: dict[str, GrantedPermit] = attrs.field(factory=dict)
 
     def take_token(self, rate: float, now: timedelta, gateways_changed_at: timedelta) -> timedelta:
-        """Returns zero where a request may run now, else after what time to retry, later for each one rejected.
+        """Returns zero if a request may run now, else the time to wait before a retry, which grows with each rejection.
 
-        `rate` is in requests a second. The bucket begins empty where the gateways changed since the last call.
+        `rate` is in requests a second. The bucket starts empty if the gateways changed since the last call.
         """
         if gateways_changed_at != self.gateways_changed_at:
             self.tokens = 0.0
@@ -55,7 +55,7 @@
         return self.last_retry_at - now
 
     def grant_permit(self, concurrency: int, permit_id: str, gateway: str, now: timedelta) -> bool:
-        """Grants a permit while fewer than `concurrency` are out; returns whether it did."""
+        """Grants a permit if fewer than `concurrency` are held; returns whether it did."""
         for other_id, permit in list(self.permits.items()):
             if permit.expires_at <= now:
                 del self.permits[other_id]
@@ -65,5 +65,5 @@
         return True
 
     def record_permit(self, permit_id: str, gateway: str, now: timedelta) -> None:
-        """Enters a permit that a gateway holds, or renews it."""
+        """Records or renews a permit that a gateway holds."""
         self.permits[permit_id] = GrantedPermit(gateway, now + PERMIT_LEASE, now)
--- a/pipitlink/gateway/run.py
+++ b/pipitlink/gateway/run.py
@@ -1,4 +1,4 @@
-"""A live request's response as its readers see it, wherever the request runs."""
+"""The interface to a live request's response for its readers, at whichever gateway the request runs."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 
 
 class Run(Protocol):
-    """A live request of this gateway's own, or the local replica of another gateway's."""
+    """A live request of this gateway, or the local copy of another gateway's."""
 
     readers: int
 
     @property
     def id(self) -> str:
-        """The run's id, which names its gateway."""
+        """The run's id, which includes the name of its gateway."""
 
     @property
     def chunks(self) -> list[str]:
-        """The chunks of the response that have come."""
+        """The chunks of the response received so far."""
 
     @property
     def error(self) -> ApiError | None:
-        """Why it failed, if it did."""
+        """The error, if the run failed."""
 
     @property
     def outcome(self) -> str:
-        """What may be told of it if it failed: `not_run`, `unknown` or `failed`."""
+        """The outcome to report if the run failed: `not_run`, `unknown` or `failed`."""
 
     @property
     def engine_name(self) -> str:
-        """The engine that it ran on."""
+        """The name of the engine that the request ran on."""
 
     @property
     def settled(self) -> bool:
-        """Whether no chunk will come any more."""
+        """Whether the run has ended and no more chunks will be added."""
 
     def wait_for_change(self) -> defer.Deferred[None]:
-        """Returns a Deferred that fires when a chunk was added or the run is settled."""
+        """Returns a Deferred that fires when a chunk is added or the run is settled."""
 
     def set_paused(self, paused: bool) -> None:
         """Applies backpressure: stops or resumes reading from the engine."""
--- a/pipitlink/gateway/run_registry.py
+++ b/pipitlink/gateway/run_registry.py
@@ -1,4 +1,4 @@
-"""Finds runs by id, and reads those of other gateways."""
+"""Locates runs by id, and reads the runs of other gateways."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class RunRegistry:
-    """Names runs so that an id says which gateway has the run, and any gateway can read it there."""
+    """Assigns run ids that include the gateway, so that any gateway can read a run from the gateway that has it."""
 
     def __init__(self, ctx: Context, table: RequestTable) -> None:
         self._ctx = ctx
         self._table = table
 
     def start(self) -> None:
-        """Registers the handler of reads by other gateways."""
+        """Registers the RPC handler for reads by other gateways."""
         self._ctx.rpc.register_handler("runs.read", RunRequest, self._handle_read)
 
     def new_run_id(self) -> str:
@@ -35,7 +35,7 @@
         return f"{self._ctx.node}-{random_id()}"
 
     def remote_address(self, run_id: str) -> Address | None:
-        """Returns the address of the gateway that may have a run, None where that is this one or gone."""
+        """Returns the address of the gateway that may have a run, None if that is this gateway or it is gone."""
         node = run_id.partition("-")[0]
         member = self._ctx.membership.find(node)
         if member is None or node == self._ctx.node or self._ctx.membership.status(node) == "gone":
@@ -43,30 +43,32 @@
         return member.host, member.port
 
     async def read_remote(self, run: RemoteRun, address: Address) -> RunResponse:
-        """Returns what comes after the chunks that were read. Raises WireError or RemoteError."""
+        """Returns the chunks after those that were read so far. Raises WireError or RemoteError."""
         request = RunRequest(run=run.id, **{"from": len(run.chunks)})
         return await self._ctx.rpc.call(address, "runs.read", request, RunResponse, CALL_TIMEOUT)
 
     async def follow_remote(self, run: RemoteRun, address: Address, first: RunResponse) -> None:
-        """Reads a run on, after its first response, while it has readers here."""
+        """Reads the rest of a run after its first response, while it has readers at this gateway."""
         run.add_response(first)
         try:
             while not run.settled and run.readers:
                 run.add_response(await self.read_remote(run, address))
         except (WireError, RemoteError) as error:
-            lost = ApiError(f"the gateway that holds the run was lost: {error}", code="run_lost", outcome="unknown")
+            lost = ApiError(
+                f"the rest of the run could not be read from its gateway: {error}", code="run_lost", outcome="unknown"
+            )
             run.finish(lost)
 
     async def _handle_read(self, _: str, request: RunRequest) -> RunResponse:
-        """Returns the chunks from a position on, or waits a short while for one.
+        """Returns the chunks from a position on, after waiting a short time if there is none yet.
 
-        The reader keeps the run alive like a caller of this gateway's own.
+        A remote reader keeps the run alive like a client of this gateway.
         """
         record = self._table.find_run(request.run)
         position: int = getattr(request, "from")
         if position > len(record.chunks):
             raise ApiError(
-                f"the run has {len(record.chunks)} pieces",
+                f"the run has only {len(record.chunks)} pieces",
                 code="bad_field",
                 status=RANGE_NOT_SATISFIABLE,
                 outcome="not_run",
--- a/pipitlink/gateway/run_stream.py
+++ b/pipitlink/gateway/run_stream.py
@@ -1,4 +1,4 @@
-"""Streams a run to a caller as server-sent events."""
+"""Streams a run to a client as server-sent events."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class _StreamPacer:
-    """Lets a writer wait while the caller's connection takes no more; a producer of the caller's request."""
+    """Lets a writer wait while the send buffer of the client's connection is full; registered as a push producer."""
 
     def __init__(self, request: Request) -> None:
         self._request = request
@@ -36,43 +36,43 @@
         self._registered = False
 
     def start(self) -> None:
-        """Registers itself with the connection."""
+        """Registers with the connection."""
         self._registered = True
         self._request.registerProducer(self, True)
 
     def stop(self) -> None:
-        """Unregisters itself, if it is registered and the connection still open."""
+        """Unregisters from the connection, if registered and the connection is still open."""
         if self._registered:
             self._registered = False
             if self._request.channel is not None:
                 self._request.unregisterProducer()
 
     def pauseProducing(self) -> None:  # noqa: N802 - twisted's interface
-        """The connection takes no more for now."""
+        """The send buffer of the connection is full."""
         self.full = True
 
     def resumeProducing(self) -> None:  # noqa: N802 - twisted's interface
-        """The connection takes more again."""
+        """The connection accepts data again."""
         self.full = False
         if self._waiter is not None:
             waiter, self._waiter = self._waiter, None
             waiter.callback(None)
 
     def stopProducing(self) -> None:  # noqa: N802 - twisted's interface
-        """The connection is closed: the writer need not wait any more."""
+        """The connection is closed: the writer must not wait any longer."""
         self.resumeProducing()
 
     async def wait_until_writable(self) -> None:
-        """Waits while the connection takes no more."""
+        """Waits while the send buffer of the connection is full."""
         if self.full:
             self._waiter = defer.Deferred()
             await self._waiter
 
 
 class RunStream:
-    """The stream of one run to one caller, from a position on.
+    """The stream of one run to one client, from a position on.
 
-    The caller counts as a reader of the run already; it stops being one when the stream ends.
+    The client is already counted as a reader of the run; the count is reduced when the stream ends.
     """
 
     def __init__(self, ctx: Context, table: RequestTable, request: Request, run: Run, position: int) -> None:
@@ -84,10 +84,10 @@
         self._pacer = _StreamPacer(request)
 
     async def write(self) -> bytes:
-        """Writes the run's chunks in order with a record of its end, and returns the rest of the response's body.
+        """Writes the run's chunks in order and an event for its end; returns the rest of the response's body.
 
-        Where the run failed before its first chunk, that is a JSON error. A caller that takes nothing for long is
-        disconnected.
+        If the run failed before its first chunk, the body is a JSON error. A client that does not read for
+        STALLED_CLIENT_TIMEOUT is disconnected.
         """
         try:
             return await self._write()
@@ -129,7 +129,7 @@
             self._request.write(_event("run", None, {"id": self._run.id}))
 
     async def _write_chunks(self) -> None:
-        """Writes chunks until the run is settled, and pauses the engine's stream while the caller's is full."""
+        """Writes chunks until the run is settled; pauses the engine's stream while the client's send buffer is full."""
         run = self._run
         while True:
             while self._position < len(run.chunks):
--- a/pipitlink/gateway/serving_state.py
+++ b/pipitlink/gateway/serving_state.py
@@ -1,4 +1,4 @@
-"""Whether a gateway takes new work."""
+"""Whether a gateway admits new requests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ServingState:
-    """Whether this gateway is draining, and since when it runs."""
+    """Whether this gateway is draining, and when it started."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
@@ -16,5 +16,5 @@
         self.started_at = ctx.timers.now()
 
     def is_current(self) -> bool:
-        """Returns whether new work may be admitted: not while draining, nor with a cluster state that may be stale."""
+        """Returns whether new requests may be admitted: not while draining or while the cluster state may be stale."""
         return not self.draining and bool(self._ctx.cluster.ready())
--- a/pipitlink/gateway/token_stream.py
+++ b/pipitlink/gateway/token_stream.py
@@ -1,4 +1,4 @@
-"""Reads an engine's streamed completion."""
+"""Reads the streamed completion of an engine."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class TokenStreamReader(LineOnlyReceiver):
-    """An engine's token stream: server-sent events, each with a chunk of one completion, closed by [DONE].
+    """Reads an engine's token stream: server-sent events, each with a chunk of one completion, ended by [DONE].
 
-    `finished` fires when the stream ended as it should, and fails with EngineError otherwise; cancelling it aborts the
+    `finished` fires when the stream ended correctly, and fails with EngineError otherwise; cancelling it aborts the
     connection.
     """
 
@@ -43,32 +43,32 @@
         self.finished: defer.Deferred[None] = defer.Deferred(lambda _: abort())
 
     def connectionMade(self) -> None:  # noqa: N802 - twisted's interface
-        """The response's head has come: its body may be paused from now on."""
+        """The response's head was received: from now on the body can be paused."""
         self._request.engine_stream = self.transport
         self._on_data()
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802 - twisted's interface
-        """Takes one line of the stream."""
+        """Processes one line of the stream."""
         self._on_data()
         line = line.rstrip(b"\r")
         if not line.startswith(DATA_FIELD) or self.finished.called:
             return
         data = line[len(DATA_FIELD) :].strip()
         if self._end_marker_seen:
-            self._fail("the answer went on after its end mark")
+            self._fail("the response continued after its end marker")
         elif data == END_MARKER:
             self._end_marker_seen = True
         else:
             self._process_chunk(data)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: ARG002, N802 - twisted's interface
-        """A line has no end."""
-        self._fail("a line of the engine's answer is too long")
+        """A line exceeds MAX_LENGTH."""
+        self._fail("a line of the engine's response is too long")
 
     def connectionLost(  # noqa: N802 - twisted's interface
         self, reason: Failure = protocol.connectionDone
     ) -> None:
-        """The body has ended, or the connection broke."""
+        """The body has ended, or the connection was lost."""
         self._request.engine_stream = None
         if self.finished.called:
             return
@@ -83,16 +83,16 @@
             choice = _only_choice(chunk)
             text = choice["text"]
         except (ValueError, LookupError, TypeError, AttributeError) as error:
-            self._fail(f"a piece could not be read: {error}")
+            self._fail(f"invalid chunk in the engine's response: {error}")
             return
         if self._completion_id is None:
             self._completion_id = chunk.get("id")
         if chunk.get("id") != self._completion_id:
-            self._fail("a piece of another answer came in between")
+            self._fail("the response contains a chunk of another completion")
         elif text and self._finish_reason_seen:
-            self._fail("the answer went on after it had finished")
+            self._fail("the response contains text after its finish reason")
         elif self._request.size + len(text) > MAX_TEXT_LENGTH:
-            self._fail(f"the answer is longer than {MAX_TEXT_LENGTH} characters")
+            self._fail(f"the response is longer than {MAX_TEXT_LENGTH} characters")
         else:
             self._finish_reason_seen = self._finish_reason_seen or choice.get("finish_reason") is not None
             if text:
@@ -105,10 +105,10 @@
 
 
 def _only_choice(chunk: Any) -> Any:
-    """Returns the choice of a completion chunk. Raises ValueError or another error where it is not what was asked."""
+    """Returns the single choice of a completion chunk. Raises ValueError or another error if the chunk is invalid."""
     if chunk.get("error"):
-        raise ValueError(f"the engine told an error: {str(chunk['error'])[:MAX_ERROR_LENGTH]}")
+        raise ValueError(f"the engine reported an error: {str(chunk['error'])[:MAX_ERROR_LENGTH]}")
     choice = chunk["choices"][0]
     if not isinstance(choice["text"], str) or choice.get("index", 0) != 0:
-        raise ValueError("it is not a piece of the one answer that was asked for")
+        raise ValueError("expected a single choice with index 0 and a text")
     return choice
