--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -1,4 +1,4 @@
-"""Parts of a gateway on one clock, with calls between several of them carried at once."""
+"""Components of gateways on one simulated clock, with RPCs that are delivered immediately."""
 
 from datetime import UTC, datetime
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class _Rpc:
-    """Calls between gateways of one test, carried at once."""
+    """RPCs between the gateways of a test, which are delivered immediately."""
 
     def __init__(self, node, network):
         self.node, self.handlers, self.network, self.address = node, {}, network, ("h", int(node[1:]))
@@ -34,7 +34,7 @@
 
     async def call(self, address, method, request, kind, timeout):
         if address not in self.network:
-            raise ConnectionFailed("nobody is there")
+            raise ConnectionFailed(f"no gateway at {address}")
         return await self.network[address].handlers[method](self.node, request)
 
 
@@ -73,7 +73,7 @@
 
 
 class Gateway:
-    """The parts of a gateway that choose engines and keep to limits; the context of its parts as well."""
+    """The components of a gateway that choose engines and apply limits; it is also their context."""
 
     def __init__(self, gateways=1, n=0, clock=None, network=None):
         self.clock = clock or Clock()
--- a/tests/guard_scenarios.py
+++ b/tests/guard_scenarios.py
@@ -1,4 +1,8 @@
-"""Each line of "What must never happen": simulated, and without its guard the failure shows."""
+"""Scenarios for the failures that must never happen.
+
+For each guard, GUARDS holds a scenario, the options of its simulation, the class and the attribute that implement the
+guard, a replacement that disables it, and a text in the violation that the checker must then report.
+"""
 
 from pipitlink.cluster import ClusterFollower, ClusterState
 from pipitlink.controller.log_replication import LogReplication
@@ -23,7 +27,7 @@
 
 
 class Scenario:
-    """A small fleet on injected timers, its customers, and what the checker says of them."""
+    """A small simulated cluster with clients, and the violations that the checker finds."""
 
     def __init__(self, test, engines=2, step=0.04, capacity=4):
         self.simulation = Simulation(7, controllers=3, storage_nodes=4, gateways=3, placement_groups=2)
@@ -38,7 +42,9 @@
         self.simulation.run(9)
 
     def submit_batch(self, items=8):
-        return self.simulation.until(lambda: self.simulation.do(self.clients.one_batch(items)), 10, "a lot is taken")
+        return self.simulation.until(
+            lambda: self.simulation.do(self.clients.one_batch(items)), 10, "a batch is accepted"
+        )
 
     def engine_runs(self, prompt=""):
         return [n for n in self.simulation.notes if n["event"] == "run" and n["prompt"].startswith(prompt)]
@@ -55,7 +61,9 @@
 
     def wait_until_closed(self, batch):
         self.simulation.until(
-            lambda: self.simulation.do(self.clients.one_read(batch), 10)["state"] in ("done", "ended"), 60, "it is done"
+            lambda: self.simulation.do(self.clients.one_read(batch), 10)["state"] in ("done", "ended"),
+            60,
+            "the batch is closed",
         )
 
     def send_live(self, n=1, repeatable=False):
@@ -73,14 +81,14 @@
 
 def owner_killed(scenario):
     batch = scenario.submit_batch(12)
-    scenario.simulation.until(lambda: len(scenario.engine_runs("lot")) >= 3, 20, "items run")
+    scenario.simulation.until(lambda: len(scenario.engine_runs("lot")) >= 3, 20, "items are running")
     scenario.owner(batch).kill()
     scenario.wait_until_closed(batch)
 
 
 def owner_frozen(scenario):
     batch = scenario.submit_batch(12)
-    scenario.simulation.until(lambda: len(scenario.engine_runs("lot")) >= 3, 20, "items run")
+    scenario.simulation.until(lambda: len(scenario.engine_runs("lot")) >= 3, 20, "items are running")
     owner = scenario.owner(batch)
     owner.freeze()
     scenario.simulation.run(7)
@@ -92,7 +100,7 @@
 
 def batch_ended(scenario):
     batch = scenario.submit_batch(6)
-    scenario.simulation.until(lambda: len(scenario.engine_runs("lot")) >= 2, 20, "items run")
+    scenario.simulation.until(lambda: len(scenario.engine_runs("lot")) >= 2, 20, "items are running")
     state, _ = scenario.simulation.do(
         scenario.clients._request(lambda part: part.batch_api.cancel_anywhere(batch), 9.0), 10
     )
@@ -133,19 +141,21 @@
         result = []
         scenario.clients._sent += 1
         spawn(scenario.clients._one_live(f"live{scenario.clients._sent}", True)).addBoth(result.append)
-        scenario.simulation.until(lambda: len(scenario.engine_runs()) > before or result, 10, "it runs")
+        scenario.simulation.until(
+            lambda: len(scenario.engine_runs()) > before or result, 10, "the request runs or has ended"
+        )
         if result:
             continue
         scenario.simulation.run(0.1)
         engine = scenario.simulation.engines[scenario.engine_runs()[-1]["engine"]]
         engine.crash()
-        scenario.simulation.until(lambda: result, 10, "it is told")
+        scenario.simulation.until(lambda: result, 10, "the request has ended")
         engine.open()
         scenario.simulation.run(2)
 
 
 def weight_zero(scenario):
-    """An edit that only some gateways could follow: those that cannot prove theirs admit nothing."""
+    """An edit reaches only some gateways: the others cannot confirm their cluster state and must admit nothing."""
     scenario.simulation.cut(["gateway0"], [node for node in scenario.simulation.simulated_nodes if node != "gateway0"])
     scenario.edit(
         Command(
@@ -182,14 +192,14 @@
 
 
 def gateway_cut_off(scenario):
-    """A gateway is cut off from all others after it read a list; meanwhile the list grows for everybody else."""
+    """A gateway is partitioned off after it read the results of a batch, while more results are added."""
     batch, gateways = scenario.submit_batch(10), scenario.simulation.role("gateway")
     scenario.simulation.do(scenario.clients.one_read(batch, gateways[0]))
     scenario.simulation.cut(["gateway0"], [node for node in scenario.simulation.simulated_nodes if node != "gateway0"])
     scenario.simulation.until(
         lambda: len(scenario.simulation.do(scenario.clients.one_read(batch, gateways[1]), 10)["results"] or ()) > 3,
         60,
-        "it grows",
+        "more results are readable",
     )
     scenario.simulation.run(2)
     scenario.simulation.do(scenario.clients.one_read(batch, gateways[0]), 10)
@@ -200,7 +210,7 @@
 
 
 def operators_race(scenario):
-    """Two edits build on one sequence; then the leader is cut off, another takes an edit, and the old one is read."""
+    """Two edits state the same base; then the leader is partitioned off, another accepts an edit, and both are read."""
     old = scenario.simulation.leader()
     base = old.part.consensus.cluster_state.table_sequence
 
@@ -230,7 +240,9 @@
     rest = [node for node in scenario.simulation.role("controller") if node is not old]
     scenario.simulation.cut([old.name], [node for node in scenario.simulation.simulated_nodes if node != old.name])
     new = scenario.simulation.until(
-        lambda: next((node for node in rest if node.part.consensus.role == "leader"), None), 20, "another leads"
+        lambda: next((node for node in rest if node.part.consensus.role == "leader"), None),
+        20,
+        "another controller leads",
     )
     scenario.simulation.run(2)
     edit(new.part, "third", new.part.consensus.cluster_state.table_sequence)
@@ -258,7 +270,7 @@
 
 
 async def _read_without_confirming(self, batch_id):
-    """Reads what is here, and asks no storage node first."""
+    """Reads the local results without first asking the storage nodes for the end of the log."""
     results = self._results.get(batch_id)
     if results is None:
         return await _read_results(self, batch_id)
@@ -288,7 +300,7 @@
 
 
 GUARDS = {
-    "an item's start is durable before its call": (
+    "the start of an item is durable before the item is sent": (
         owner_killed,
         {},
         ItemDispatcher,
@@ -296,7 +308,7 @@
         _record_nothing,
         "may not be repeated",
     ),
-    "a new owner lists what was started as unknown": (
+    "a new owner records started items as unknown": (
         owner_frozen,
         {},
         ItemDispatcher,
@@ -304,7 +316,7 @@
         _record_nothing,
         "may not be repeated",
     ),
-    "an ended lot's running items are stopped": (
+    "the running items of a cancelled batch are stopped": (
         batch_ended,
         {"step": 2.0},
         BatchOwnership,
@@ -312,7 +324,7 @@
         _cancel_but_keep_running,
         "an item ran on",
     ),
-    "a leaving engine is not picked": (
+    "a leaving engine gets no new requests": (
         engine_leaves,
         {},
         EngineRegistry,
@@ -320,7 +332,7 @@
         lambda self, engine: "ready",
         "after it said it leaves",
     ),
-    "an emptied zone's engines are no candidates": (
+    "engines in an emptied zone are no candidates": (
         zone_emptied,
         {},
         ClusterFollower,
@@ -328,7 +340,7 @@
         lambda self, zone: False,
         "was emptied",
     ),
-    "a cold engine is filled step by step": (
+    "a new engine gets a slow start": (
         cold_engine,
         {"capacity": 16},
         EngineSlots,
@@ -336,7 +348,7 @@
         lambda self, engine: engine.update.capacity,
         "was cold and flooded",
     ),
-    "no second try once a piece was shown": (
+    "a request is not retried after a chunk was sent to the client": (
         cut_after_the_first_piece,
         {},
         RetryPolicy,
@@ -344,7 +356,7 @@
         lambda self, ask: ask.state == "lost" and (ask.trigger("retry") or True),
         "not the engine's own",
     ),
-    "what was sent is unknown until the end": (
+    "the outcome of a request that was sent is unknown until its end": (
         cut_after_the_first_piece,
         {},
         RequestRecord,
@@ -352,7 +364,7 @@
         property(lambda self: "not_run"),
         "told not_run",
     ),
-    "a gateway that cannot prove its cluster state admits nothing": (
+    "a gateway that cannot confirm its cluster state admits nothing": (
         weight_zero,
         {},
         ClusterFollower,
@@ -360,7 +372,7 @@
         lambda self: True,
         "after its weight was 0",
     ),
-    "nothing is acknowledged before it is synced": (
+    "writes are synced to disk before they are acknowledged": (
         closing_power,
         {},
         PowerLossDisk,
@@ -368,7 +380,7 @@
         lambda self, fd: None,
         "lot gateway",
     ),
-    "a new owner learns what is in the log": (
+    "a new owner replays the result log": (
         owner_killed,
         {},
         OpenBatch,
@@ -376,7 +388,7 @@
         lambda self, record: None,
         "may not be repeated",
     ),
-    "a reader asks the storage nodes how far the list is": (
+    "a reader asks the storage nodes for the end of the result log": (
         gateway_cut_off,
         {"step": 0.1},
         ResultReader,
@@ -384,7 +396,7 @@
         _read_without_confirming,
         "results were shown",
     ),
-    "an edit takes effect only on the base that it states": (
+    "an edit is applied only to the base that it states": (
         operators_race,
         {},
         ClusterState,
@@ -392,7 +404,7 @@
         _accept_any_base,
         "edits took effect on base",
     ),
-    "a table is read only after a majority answered": (
+    "the table is read only after a majority confirmed the leader": (
         operators_race,
         {},
         LogReplication,
--- a/tests/test_batch_end_logged_once.py
+++ b/tests/test_batch_end_logged_once.py
@@ -1,4 +1,4 @@
-"""The end of a lot may be seen by its last item and by the look at all lots at once; it is told once."""
+"""The end of a batch is logged once, even if its last item and the periodic check detect it at the same time."""
 
 import unittest
 from types import SimpleNamespace
@@ -37,7 +37,7 @@
 
 
 class BatchEnd(unittest.TestCase):
-    def test_it_is_told_once(self):
+    def test_the_end_of_a_batch_is_logged_once(self):
         ctx, leaseholder = _Context(), _Leaseholder()
         ownership = BatchOwnership(ctx, None, OpenBatches())
         batch = SimpleNamespace(id="l", leaseholder=leaseholder, results={}, running={}, spec=SimpleNamespace(items=[]))
--- a/tests/test_fetch_responses.py
+++ b/tests/test_fetch_responses.py
@@ -1,4 +1,7 @@
-"""Fetches from back ends that give no ids: an answer that comes late or twice must not reach the next caller."""
+"""A late or duplicate response to a fetch must not reach the next client.
+
+Responses to plain fetches carry no ids, so each fetch has its own connection.
+"""
 
 import unittest
 from types import SimpleNamespace
@@ -14,7 +17,7 @@
 
 
 class _Request(SimpleNamespace):
-    """A caller's request, as far as a fetch uses it."""
+    """The part of a client's request that a fetch uses."""
 
     def __init__(self):
         super().__init__(responseHeaders=Headers(), written=b"")
@@ -47,7 +50,7 @@
 
 
 class FetchResponses(unittest.TestCase):
-    def test_a_second_answer_reaches_nobody(self):
+    def test_a_duplicate_response_reaches_no_client(self):
         gateway = _FetchGateway()
         first = gateway.fetch_card("one")
         connection = gateway.connect()
@@ -56,7 +59,7 @@
         second = gateway.fetch_card("two")
         if not connection.disconnecting:
             connection.protocol.dataReceived(RESPONSE % b"first")
-        self.assertEqual(second.client_request.written, b"", "the answer of the first came to the second")
+        self.assertEqual(second.client_request.written, b"", "the second fetch got the response to the first")
         gateway.connect().protocol.dataReceived(RESPONSE % b"other")
         self.assertEqual(second.client_request.written, b"other")
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -1,5 +1,6 @@
-"""What held at admission must hold in the step that writes the first byte: connects that take long, and what changes
-then.
+"""The conditions of admission are checked again in the step that writes the first byte of a request.
+
+They may change while the connection to the engine is being opened.
 """
 
 import unittest
@@ -27,7 +28,7 @@
 
 
 class PipelineGateway(Gateway):
-    """All parts that a request goes through."""
+    """A gateway with the whole request pipeline."""
 
     def __init__(self):
         self.reactor = MemoryReactorClock()
@@ -58,10 +59,10 @@
 
     def check_lease(self):
         if not self.lease_held:
-            raise LeaseNotHeld("the lease is gone")
+            raise LeaseNotHeld("the lease is lost")
 
     def connect(self) -> _Connection:
-        """The connect that began last comes through now."""
+        """Completes the connection attempt that was started last."""
         factory = self.reactor.tcpClients[-1][2]
         connection = _Connection()
         connection.protocol = factory.buildProtocol(None)
@@ -71,13 +72,13 @@
 
 CHANGES = {
     "the engine is leaving": lambda gateway: gateway.announce_engine("e", state="leaving"),
-    "the engine came back at another address": lambda gateway: gateway.announce_engine("e", incarnation=2),
-    "its zone is emptied": lambda gateway: gateway.cluster.cluster_state.empty_zones.add("z"),
-    "its weight is 0": lambda gateway: gateway.edit_row(Row(name="r", model="m", weight=0)),
-    "the cluster state is not proved": lambda gateway: setattr(gateway.cluster, "state_confirmed", False),
-    "it slept, and the engine is silent since": lambda gateway: gateway.reactor.advance(3.5),
-    "it slept for less than that, and the engine may have said anything": lambda gateway: gateway.reactor.advance(2),
-    "the lease is lost, or the lot ended": lambda gateway: setattr(gateway, "lease_held", False),
+    "a new incarnation of the engine was announced": lambda gateway: gateway.announce_engine("e", incarnation=2),
+    "its zone was emptied": lambda gateway: gateway.cluster.cluster_state.empty_zones.add("z"),
+    "its row has weight 0": lambda gateway: gateway.edit_row(Row(name="r", model="m", weight=0)),
+    "the cluster state is not confirmed": lambda gateway: setattr(gateway.cluster, "state_confirmed", False),
+    "the gateway was suspended for longer than the engine timeout": lambda gateway: gateway.reactor.advance(3.5),
+    "the gateway was suspended for less than the engine timeout": lambda gateway: gateway.reactor.advance(2),
+    "the lease is lost, or the batch was cancelled": lambda gateway: setattr(gateway, "lease_held", False),
 }
 
 
@@ -89,7 +90,7 @@
         change(gateway)
         return gateway, request, gateway.connect()
 
-    def test_nothing_is_written_once_it_may_not_be(self):
+    def test_nothing_is_written_after_a_condition_changed(self):
         for name, change in CHANGES.items():
             with self.subTest(name):
                 gateway, request, connection = self.connect_after(change)
@@ -101,18 +102,18 @@
                     self.assertEqual(request.outcome, "not_run")
                 self.assertEqual(request.attempts, 1)
 
-    def test_without_the_check_each_would_be_written(self):
+    def test_without_the_check_the_request_is_written_after_each_change(self):
         with unittest.mock.patch.object(RequestSender, "check_still_valid", lambda *_: None):
             for name, change in CHANGES.items():
                 with self.subTest(name):
                     self.assertIn(b"POST /v1/completions", self.connect_after(change)[2].value())
 
-    def test_unchanged_it_is_written_whole_in_one_step(self):
+    def test_without_a_change_the_whole_request_is_written_in_one_step(self):
         connection = self.connect_after(lambda gateway: None)[2]
         self.assertIn(b"POST /v1/completions", connection.value())
         self.assertIn(b'"max_tokens": 256', connection.value())
 
-    def test_a_second_try_is_admitted_anew(self):
+    def test_a_retry_is_admitted_again(self):
         gateway = PipelineGateway()
         gateway.advance(1, "e", "f")
         request = gateway.start_request()
@@ -128,8 +129,11 @@
         self.assertIn(b"POST", gateway.connect().value())
         self.assertEqual(request.outcome, "unknown")
 
-    def test_an_engine_that_falls_silent_is_given_up_and_may_have_run(self):
-        """Sooner where it does not announce itself either; a gateway that slept reads first what came meanwhile."""
+    def test_an_exchange_with_a_silent_engine_is_aborted_with_an_unknown_outcome(self):
+        """The timeout is shorter if the engine is not announced either.
+
+        A gateway that was suspended first reads the data that arrived during the suspension.
+        """
         for announced, seconds in ((True, 30), (False, 5)):
             for response_head in (b"", b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"):
                 gateway = PipelineGateway()
@@ -152,7 +156,7 @@
         gateway.advance(3, "e")
         self.assertIsNone(request.error)
 
-    def test_a_request_that_is_ended_ends_its_stream(self):
+    def test_a_cancelled_request_closes_its_connection(self):
         gateway = PipelineGateway()
         request = gateway.start_request()
         connection = gateway.connect()
@@ -161,7 +165,7 @@
         self.assertTrue(connection.disconnected)
         self.assertEqual((request.error.code, request.outcome), ("ended", "unknown"))
 
-    def test_a_connect_that_outlasts_the_limit_is_given_up_and_never_sent(self):
+    def test_a_connection_attempt_past_the_deadline_is_cancelled_and_nothing_is_sent(self):
         gateway = PipelineGateway()
         request = gateway.start_request()
         connector = gateway.reactor.connectors[-1]
--- a/tests/test_gateway_components.py
+++ b/tests/test_gateway_components.py
@@ -1,4 +1,4 @@
-"""Parts of a gateway on injected timers: engines, picks, rates, settings."""
+"""Components of a gateway on a simulated clock: engine selection, row limits, batch dispatch, settings."""
 
 import contextlib
 import io
@@ -32,7 +32,7 @@
 
 
 class EngineSelection(unittest.TestCase):
-    def test_a_cold_engine_is_filled_step_by_step_and_again_when_it_returns(self):
+    def test_each_incarnation_of_an_engine_gets_a_slow_start(self):
         gateway = Gateway()
         gateway.announce_engine("e")
         self.assertEqual(gateway.fill_slots(gateway.make_request()), 1)
@@ -45,7 +45,7 @@
         engine.live_requests = 0
         self.assertEqual(gateway.fill_slots(gateway.make_request()), 1)
 
-    def test_a_leaving_or_silent_engine_and_an_emptied_zone_get_nothing(self):
+    def test_leaving_and_silent_engines_and_emptied_zones_get_no_requests(self):
         gateway = Gateway()
         gateway.advance(10, "e")
         gateway.announce_engine("e", state="leaving")
@@ -59,7 +59,7 @@
         gateway.cluster.cluster_state.empty_zones.add("z")
         self.assertIsNone(gateway.selector.select(gateway.make_request()))
 
-    def test_batches_leave_the_reserve_and_a_rows_share_goes_before_it(self):
+    def test_batches_leave_a_reserve_that_a_row_can_override(self):
         gateway = Gateway()
         gateway.advance(10, "e", capacity=20)
         self.assertEqual(gateway.fill_slots(gateway.make_request(kind=RequestKind.ITEM)), 15)
@@ -69,7 +69,7 @@
         gateway.cluster.cluster_state.rows["r"] = Row(name="r", model="m", weight=1, lot_share=0.5)
         self.assertEqual(gateway.fill_slots(gateway.make_request(kind=RequestKind.ITEM)), 10)
 
-    def test_gateways_with_late_news_together_fill_an_engine_and_do_not_pass_its_limit(self):
+    def test_gateways_without_load_reports_fill_an_engine_exactly_to_its_capacity(self):
         for capacity in (3, 8, 10, 41):
             gateways = [Gateway(gateways=4) for _ in range(4)]
             for i, gateway in enumerate(gateways):
@@ -77,7 +77,7 @@
                 gateway.advance(10, "e", capacity=capacity)
             self.assertEqual(sum(gateway.fill_slots(gateway.make_request()) for gateway in gateways), capacity)
 
-    def test_a_cut_does_not_double_what_a_cold_engine_gets(self):
+    def test_a_partition_does_not_double_the_load_of_an_engine_in_slow_start(self):
         gateways = [Gateway(gateways=4) for _ in range(4)]
         for i, gateway in enumerate(gateways):
             gateway.node = f"g{i}"
@@ -86,7 +86,7 @@
             gateway.advance(4, "e", capacity=40)
         self.assertLessEqual(sum(gateway.fill_slots(gateway.make_request()) for gateway in gateways), 22)
 
-    def test_an_odd_place_goes_round_so_that_every_gateway_can_use_it(self):
+    def test_a_single_slot_rotates_among_the_gateways(self):
         gateway = Gateway(gateways=4)
         gateway.advance(10, "e", capacity=1)
         turns = []
@@ -95,7 +95,7 @@
             gateway.clock.advance(0.1)
         self.assertEqual((sum(turns), turns[:4]), (2, turns[4:]))
 
-    def test_what_others_leave_is_borrowed_by_parts(self):
+    def test_unused_quota_of_other_gateways_is_borrowed_step_by_step(self):
         gateway = Gateway(gateways=4)
         gateway.advance(10, "e", capacity=40)
         self.assertEqual(gateway.fill_slots(gateway.make_request()), 10)
@@ -106,7 +106,7 @@
         self.assertIn(granted[0], (7, 8))
         self.assertGreater(10 + sum(granted), 34)
 
-    def test_one_prefix_keeps_to_one_engine_until_that_is_loaded(self):
+    def test_a_prefix_key_stays_on_one_engine_until_that_is_loaded(self):
         gateway = Gateway()
         gateway.advance(10, "a", "b", "c", capacity=8)
         first = gateway.selector.select(gateway.make_request("tour")).name
@@ -119,13 +119,13 @@
         self.assertEqual(picked[0], first)
         self.assertGreater(len(set(picked)), 1)
 
-    def test_weights_from_the_table(self):
+    def test_an_engine_whose_row_has_weight_zero_is_no_candidate(self):
         gateway = Gateway()
         gateway.advance(10, "a")
         gateway.cluster.cluster_state.rows["r"] = Row(name="r", model="m", pool="models", weight=0)
         self.assertEqual(gateway.candidates.find("m"), [])
 
-    def test_second_tries_have_a_budget(self):
+    def test_retries_are_limited_by_a_budget(self):
         budget = RetryBudget(ratio=0.5, max_saved=2)
         self.assertEqual([budget.take() for _ in range(3)], [True, True, False])
         budget.earn()
@@ -134,7 +134,7 @@
 
 
 class _GatewayGroup:
-    """Several gateways on one clock, each with engines that have room, and a row with limits."""
+    """Several gateways on one clock, with an engine that has free slots and a row with limits."""
 
     def __init__(self, n, **row):
         self.clock, self.network, self.rng = Clock(), {}, Random(3)
@@ -166,15 +166,15 @@
         return not isinstance(getattr(outcomes[0], "value", None), ServiceUnavailable)
 
 
-class RowLimits(unittest.TestCase):
-    def test_a_rate_holds_over_the_fleet_and_is_usable_at_one_gateway(self):
+class RowLimitsAcrossGateways(unittest.TestCase):
+    def test_a_rate_limit_applies_across_gateways_and_can_be_used_up_at_one(self):
         for gateways_used in (lambda group: group.alive(), lambda group: group.alive()[:1]):
             group, admitted = _GatewayGroup(8, rate=4), []
             group.run(10, lambda: admitted.extend(gateway for gateway in gateways_used(group) if group.admits(gateway)))
             self.assertGreaterEqual(len(admitted), 36)
             self.assertLessEqual(len(admitted), 44)
 
-    def test_gateways_by_turns_do_not_fill_a_cold_engine_beyond_its_ramp(self):
+    def test_gateways_together_follow_the_slow_start_of_an_engine(self):
         group = _GatewayGroup(8)
         announced_at, excess = group.clock.seconds(), []
 
@@ -199,7 +199,7 @@
         self.assertLessEqual(max(excess), 1)
         self.assertGreaterEqual(min(excess[30:]), -1)
 
-    def test_a_new_or_lost_gateway_brings_no_burst(self):
+    def test_the_loss_of_the_coordinator_causes_no_burst(self):
         group, admitted = _GatewayGroup(4, rate=2), []
         coordinator = next(
             gateway for gateway in group.gateways if gateway.rate_limits.coordinator("r") == gateway.node
@@ -210,7 +210,7 @@
         self.assertGreaterEqual(len(admitted), 15)
         self.assertLessEqual(len(admitted), 22)
 
-    def test_a_concurrency_holds_over_the_fleet_while_gateways_come_and_go(self):
+    def test_a_concurrency_limit_applies_across_gateways_when_the_coordinator_is_lost(self):
         group = _GatewayGroup(8, concurrency=3)
         held, held_counts, acquired = [], [], []
 
@@ -238,7 +238,7 @@
         self.assertGreater(before, 12)
         self.assertGreater(len(acquired) - before, 6)
 
-    def test_the_smaller_side_of_a_cut_and_a_gateway_that_slept_grant_nothing(self):
+    def test_a_coordinator_in_a_minority_or_after_a_suspension_grants_nothing(self):
         group = _GatewayGroup(8, rate=100)
         gateway = next(gateway for gateway in group.gateways if gateway.rate_limits.coordinator("r") == gateway.node)
         self.assertTrue(group.admits(gateway))
@@ -251,8 +251,8 @@
         group.clock.advance(5)
         self.assertFalse(group.admits(gateway))
 
-    def test_a_crowd_that_obeys_comes_back_in_the_order_of_the_room(self):
-        """600 callers, 20 places a second: how many of their tries are in vain, with and without the derived delay."""
+    def test_clients_that_obey_retry_after_are_rejected_less_often(self):
+        """600 clients share 20 slots a second: counts the rejected attempts, with and without the estimated delay."""
 
         def rejected_attempts(derived):
             clock = Clock()
@@ -276,7 +276,7 @@
 
 
 class _Dispatcher(ItemDispatcher):
-    """Notes which items are started, each of which takes a slot for good."""
+    """Records which items are started; each keeps its slot until the end of the test."""
 
     def __init__(self, gateway, *parts):
         super().__init__(gateway, gateway.serving, gateway.open_batches, None, *parts)
@@ -297,7 +297,7 @@
         self.dispatcher = _Dispatcher(self, capacity, RequestTable(self), None)
 
     def dispatch(self):
-        """Has items started until there is no more to start, in as many turns of the reactor as that takes."""
+        """Starts items, over as many reactor turns as needed, until no more can be started."""
         dispatched = self.dispatcher.dispatch()
         while not dispatched.called:
             self.clock.advance(TURN_PAUSE.total_seconds())
@@ -317,7 +317,7 @@
 
 
 class BatchOrder(unittest.TestCase):
-    def test_soon_due_first_then_priority_then_customers_by_turns_and_only_into_the_room(self):
+    def test_items_are_ordered_by_urgency_then_priority_then_customer_within_the_capacity(self):
         gateway = _BatchOwner()
         gateway.advance(10, "e", capacity=16)
         gateway.add_batch("night-a", "a", 20, 30_000)
@@ -334,7 +334,7 @@
         gateway.dispatch()
         self.assertEqual(len(gateway.started), 12)
 
-    def test_a_few_items_are_started_in_each_turn_of_the_reactor(self):
+    def test_a_bounded_number_of_items_is_started_in_each_reactor_turn(self):
         gateway = _BatchOwner()
         gateway.advance(10, "e", capacity=16)
         gateway.add_batch("night", "a", 20, 30_000)
@@ -345,7 +345,7 @@
             started.append(len(gateway.started))
         self.assertEqual(started, [4, 8, 12, 12, 12])
 
-    def test_what_is_past_its_limit_is_listed_and_takes_no_room(self):
+    def test_items_past_their_deadline_are_started_as_overdue(self):
         gateway = _BatchOwner()
         gateway.advance(10, "e", capacity=4)
         gateway.add_batch("past", "a", 2, -1)
@@ -354,7 +354,7 @@
 
 
 class ReportedOutcomes(unittest.TestCase):
-    def test_an_item_that_may_have_run_is_never_listed_as_not_run(self):
+    def test_an_item_that_may_have_run_is_never_reported_as_not_run(self):
         def reported(repeatable, attempts, epoch, outcome="not_run"):
             batch = OpenBatch("x", Lot(items=[Item(model="m", repeatable=repeatable)]))
             batch.attempts[0] = attempts
@@ -370,7 +370,7 @@
 
 
 class Validation(unittest.TestCase):
-    def test_every_bad_prop_is_told_in_one_line(self):
+    def test_each_invalid_setting_is_reported_on_one_line(self):
         err = io.StringIO()
         with contextlib.redirect_stderr(err):
             self.assertEqual(main(["nonsense"]), 2)
@@ -392,7 +392,7 @@
             settings = read_settings("gateway", str(path), {"port": "8"})
             self.assertEqual((settings.port, settings.zone), (8, "b"))
 
-    def test_every_documented_prop_exists_and_every_prop_is_documented(self):
+    def test_every_setting_is_documented_and_every_documented_setting_exists(self):
         docs, documented = Path(__file__).parent.parent / "docs" / "settings", set()
         for role in ROLES:
             text = (docs / f"{role}.toml").read_text()
@@ -403,7 +403,7 @@
             documented |= {name for name, _ in lines}
         self.assertEqual({field.name for field in attrs.fields(Settings)} - documented, {"plug"})
 
-    def test_a_bad_cluster_state_names_each_row_and_field(self):
+    def test_invalid_table_rows_are_reported_by_row_and_field(self):
         with self.assertRaises(InvalidRows) as raised:
             parse_rows(
                 {
--- a/tests/test_simulated_batches.py
+++ b/tests/test_simulated_batches.py
@@ -1,5 +1,6 @@
-"""Whole gateways with simulated engines under trouble: lots, items, ends, engines and live requests, judged by the
-checker.
+"""Simulated gateways and engines under random faults.
+
+Clients submit, read and cancel batches and send live requests; the checker verifies what they saw.
 """
 
 import unittest
@@ -14,7 +15,7 @@
 
 SEEDS = seeds(3)
 SINGLE_SEED = seeds(1)
-LEASED_CALLS = (
+OWNER_CALLS = (
     "replicated_log.lease",
     "replicated_log.write",
     "replicated_log.renew",
@@ -74,7 +75,7 @@
         return len(clients.batches), sum(n["event"] == "run" for n in simulation.notes)
 
     def describe(self, simulation, batch):
-        """What each gateway knows of a lot that does not get done."""
+        """Describes what each gateway knows of a batch, for the error message when it does not finish."""
         descriptions = []
         for node in simulation.role("gateway"):
             batch_state = node.part.open_batches.get(batch)
@@ -117,15 +118,15 @@
         self.assertGreater(sum(batches for batches, _ in counts), 3 * len(counts))
         self.assertGreater(sum(runs for _, runs in counts), 20 * len(counts))
 
-    def test_batches_hold_under_trouble(self):
+    def test_batches_are_correct_under_random_faults(self):
         self.check_seeds(lambda simulation, random_faults, work: random_faults.during(work, 10))
 
-    def test_a_new_owner_whose_storage_nodes_are_slow_lists_what_was_started_and_runs_the_rest(self):
+    def test_a_new_owner_with_slow_storage_nodes_records_started_items_and_runs_the_rest(self):
         simulation = start_simulation(5)
         self.addCleanup(simulation.end)
         clients = SimulatedClients(simulation)
-        batch = simulation.until(lambda: simulation.do(clients.one_batch(12)), 20, "a lot is taken")
-        simulation.until(lambda: sum(n["event"] == "run" for n in simulation.notes) >= 3, 30, "items run")
+        batch = simulation.until(lambda: simulation.do(clients.one_batch(12)), 20, "a batch is accepted")
+        simulation.until(lambda: sum(n["event"] == "run" for n in simulation.notes) >= 3, 30, "items are running")
 
         def owner():
             return next(
@@ -138,20 +139,20 @@
             )
 
         owner().kill()
-        simulation.until(owner, 30, "another gateway owns it")
+        simulation.until(owner, 30, "another gateway owns the batch")
         for node in simulation.role("storage"):
             node.slow = 5.0
         simulation.run(6)
         for node in simulation.role("storage"):
             node.slow = 0.0
-        simulation.until(lambda: simulation.do(clients.one_read(batch), 10)["state"] == "done", 60, "it is done")
+        simulation.until(lambda: simulation.do(clients.one_read(batch), 10)["state"] == "done", 60, "the batch is done")
         self.assertEqual(check(clients.events, simulation.notes, {}, capacity=4), [])
 
-    def test_an_end_that_did_not_get_durable_leaves_the_batch_open_for_its_next_owner(self):
+    def test_a_cancellation_that_is_not_durable_leaves_the_batch_open_for_its_next_owner(self):
         simulation = start_simulation(6)
         self.addCleanup(simulation.end)
         clients = SimulatedClients(simulation)
-        batch = simulation.until(lambda: simulation.do(clients.one_batch(12)), 20, "a lot is taken")
+        batch = simulation.until(lambda: simulation.do(clients.one_batch(12)), 20, "a batch is accepted")
         owner = simulation.until(
             lambda: next(
                 (
@@ -162,7 +163,7 @@
                 None,
             ),
             30,
-            "a gateway owns it",
+            "a gateway owns the batch",
         )
         storage_nodes = [node.name for node in simulation.role("storage")]
         simulation.cut([owner.name], storage_nodes)
@@ -172,7 +173,9 @@
         self.assertIsNone(result)
         simulation.heal()
         simulation.until(
-            lambda: simulation.do(clients.one_read(batch), 10)["state"] in ("done", "ended"), 60, "it is done or ended"
+            lambda: simulation.do(clients.one_read(batch), 10)["state"] in ("done", "ended"),
+            60,
+            "the batch is done or ended",
         )
         clients.note("lot_ended", lot=batch, status=503, said={})
         self.assertEqual(
@@ -189,7 +192,7 @@
             [],
         )
 
-    def test_news_of_engines_that_waited_for_a_sleeping_gateway_is_not_fresh(self):
+    def test_engine_announcements_that_were_queued_during_a_suspension_are_not_trusted(self):
         simulation = start_simulation(4, engines=1)
         self.addCleanup(simulation.end)
         simulation.run(3)
@@ -205,11 +208,11 @@
                 engines = node.part.engines
                 self.assertNotIn("ready", [engines.status(e) for e in engines.all()], node.name)
 
-    def test_a_node_that_freezes_in_the_midst_of_each_step_that_has_an_owner(self):
-        """Its call has just left; it wakes after its lease, its cluster state and its leadership have ended."""
+    def test_a_node_that_freezes_during_a_call_that_requires_a_lease_or_leadership(self):
+        """The node freezes just after it sends the call, and resumes after its lease and its leadership have ended."""
 
         def inject_faults(simulation, random_faults, work):
-            steps = list(LEASED_CALLS)
+            steps = list(OWNER_CALLS)
             simulation.rng.shuffle(steps)
             random_faults.during(work, 0)
             for method in steps[:5]:
