--- a/pipitlink/gateway/batch_log_follower.py
+++ b/pipitlink/gateway/batch_log_follower.py
@@ -73,7 +73,7 @@
     def _stop_following(self, log: str) -> None:
         followed = self._followed.pop(log)
         followed.tail.close()
-        self._open_batches.forget_closed(followed.batch_ids)
+        self._open_batches.remove_closed(followed.batch_ids)
 
     async def _end_idle_logs(self) -> None:
         """Ends batch logs that no longer have a writer, once every batch in them is closed."""
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -15,7 +15,7 @@
 __all__ = ["EngineRegistry"]
 
 ENGINE_TIMEOUT = secs(3)
-FORGET_AFTER = secs(60)
+ENGINE_RETENTION = secs(60)
 FAILURE_BACKOFF = secs(1)
 SUSPENSION_THRESHOLD = secs(1.5)
 STALE_MESSAGE_SPAN = ms(500)
@@ -68,7 +68,7 @@
         """Merges an announcement that an engine made `update.age_ms` ago, if it is newer than what is known."""
         now = self._ctx.timers.now()
         renewed_at = now - ms(update.age_ms)
-        if now - renewed_at > FORGET_AFTER or not update.engine:
+        if now - renewed_at > ENGINE_RETENTION or not update.engine:
             return
         engine = self._engines.get(update.engine)
         if engine is None or update.incarnation > engine.update.incarnation:
@@ -102,10 +102,10 @@
         self._checked_at = now
         return now
 
-    def forget_silent_engines(self, now: timedelta) -> None:
+    def remove_silent_engines(self, now: timedelta) -> None:
         """Removes engines without a recent announcement that run no requests of this gateway."""
         for name, engine in list(self._engines.items()):
-            if now - engine.renewed_at > FORGET_AFTER and not engine.local_requests:
+            if now - engine.renewed_at > ENGINE_RETENTION and not engine.local_requests:
                 del self._engines[name]
 
     def _push(self, engines: EngineList) -> None:
--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -23,7 +23,7 @@
 REPORT_INTERVAL = ms(200)
 REPORT_TIMEOUT = ms(400)
 PEER_LOAD_SPAN = secs(2)
-ACTIVE_SPAN = secs(6)
+REPORT_LINGER_SPAN = secs(6)
 SLOW_START_SPAN = secs(8)
 SLOW_START_MIN_FRACTION = 0.1
 ROTATION_MS = 100
@@ -142,7 +142,7 @@
         """Sends this gateway's loads to the others, while there is something to report and for some seconds after."""
         self._report_scheduled = False
         now = self._registry.check_for_suspension()
-        self._registry.forget_silent_engines(now)
+        self._registry.remove_silent_engines(now)
         running = {engine.name: engine.local_requests for engine in self._registry.unordered()}
         self._reported = running
         loads = Loads(gateway=self._ctx.node, loads=[Load(engine=name, running=n) for name, n in running.items()])
@@ -150,7 +150,7 @@
             carrier.fill_loads(loads)
         if loads.permits or loads.lots or any(running.values()):
             self._active_at = now
-        if now - self._active_at < ACTIVE_SPAN:
+        if now - self._active_at < REPORT_LINGER_SPAN:
             self._send(loads)
         self.wake_waiters()
 
--- a/pipitlink/gateway/item_dispatcher.py
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -170,7 +170,7 @@
 
     async def _run_item(self, batch: OpenBatch, index: int, item: Item, overdue: bool) -> None:
         if overdue:
-            outcome = batch.provable_outcome(index, "not_run")
+            outcome = batch.reportable_outcome(index, "not_run")
             await self._ownership.record_result(batch, Result(item=index, outcome=outcome, code="limit_passed"))
             await self._ownership.finish_if_done(batch)
             return
@@ -225,7 +225,7 @@
         error = request.error
         assert error is not None
         outcome = "failed" if error.outcome == "failed" else request.outcome
-        return Result(item=index, outcome=batch.provable_outcome(index, outcome), code=error.code, run=request.id)
+        return Result(item=index, outcome=batch.reportable_outcome(index, outcome), code=error.code, run=request.id)
 
     async def _record_start(self, batch: OpenBatch, index: int, item: Item) -> None:
         """Durably records the start of an item that is not idempotent, then checks that the lease is still held."""
--- a/pipitlink/gateway/open_batches.py
+++ b/pipitlink/gateway/open_batches.py
@@ -42,7 +42,7 @@
         elif kind == "result":
             self.results.setdefault(record.result.item, record.result)
 
-    def provable_outcome(self, item: int, outcome: str) -> str:
+    def reportable_outcome(self, item: int, outcome: str) -> str:
         """Returns an item's outcome, with `unknown` instead of `not_run` if the item may have run.
 
         That is so if an attempt of this owner may have run, or if an earlier owner may have run the item: starts of
@@ -90,8 +90,8 @@
         self._closed.add(batch_id)
         self._batches.pop(batch_id, None)
 
-    def forget_closed(self, batch_ids: set[str]) -> None:
-        """Forgets closed batches whose log is no longer followed."""
+    def remove_closed(self, batch_ids: set[str]) -> None:
+        """Removes the ids of closed batches whose log is no longer followed."""
         self._closed -= batch_ids
 
     def get(self, batch_id: str) -> OpenBatch | None:
--- a/pipitlink/gateway/run_stream.py
+++ b/pipitlink/gateway/run_stream.py
@@ -26,8 +26,8 @@
     return f"{head}event: {name}\ndata: {json.dumps(data)}\n\n".encode()
 
 
-class _StreamPacer:
-    """Lets a writer wait while the send buffer of the client's connection is full; registered as a push producer."""
+class _BackpressureProducer:
+    """A push producer that lets a writer wait while the send buffer of the client's connection is full."""
 
     def __init__(self, request: Request) -> None:
         self._request = request
@@ -81,7 +81,7 @@
         self._request = request
         self._run = run
         self._position = position
-        self._pacer = _StreamPacer(request)
+        self._producer = _BackpressureProducer(request)
 
     async def write(self) -> bytes:
         """Writes the run's chunks in order and an event for its end; returns the rest of the response's body.
@@ -92,11 +92,11 @@
         try:
             return await self._write()
         except defer.CancelledError:
-            self._pacer.stop()
+            self._producer.stop()
             raise
         except DeadlineExceeded:
             self._ctx.logger.info("stuck_caller_disconnected", request=self._run.id, position=self._position)
-            self._pacer.stop()
+            self._producer.stop()
             self._transport().abortConnection()
             return await self._wait_for_disconnect()
         finally:
@@ -114,7 +114,7 @@
         self._start()
         await self._write_chunks()
         self._table.retire(run)
-        self._pacer.stop()
+        self._producer.stop()
         if run.error is not None:
             return await self._end_with_error(run.error)
         self._request.write(_event("end", None, {"pieces": len(run.chunks), "engine": run.engine_name}))
@@ -124,7 +124,7 @@
         self._request.setHeader(b"Content-Type", b"text/event-stream")
         self._request.setHeader(b"Cache-Control", b"no-store")
         self._request.setHeader(b"X-Run-Id", self._run.id.encode())
-        self._pacer.start()
+        self._producer.start()
         if self._position == 0:
             self._request.write(_event("run", None, {"id": self._run.id}))
 
@@ -133,9 +133,9 @@
         run = self._run
         while True:
             while self._position < len(run.chunks):
-                if self._pacer.full:
+                if self._producer.full:
                     run.set_paused(True)
-                    await self._ctx.timers.with_timeout(STALLED_CLIENT_TIMEOUT, self._pacer.wait_until_writable())
+                    await self._ctx.timers.with_timeout(STALLED_CLIENT_TIMEOUT, self._producer.wait_until_writable())
                 chunk = {"n": self._position, "text": run.chunks[self._position]}
                 self._request.write(_event("piece", self._position, chunk))
                 self._position += 1
--- a/tests/test_gateway_components.py
+++ b/tests/test_gateway_components.py
@@ -359,7 +359,7 @@
             batch = OpenBatch("x", Lot(items=[Item(model="m", repeatable=repeatable)]))
             batch.attempts[0] = attempts
             batch.leaseholder = type("Leaseholder", (), {"epoch": epoch})
-            return batch.provable_outcome(0, outcome)
+            return batch.reportable_outcome(0, outcome)
 
         self.assertEqual(reported(False, 0, 1), "not_run")
         self.assertEqual(reported(False, 0, 5), "not_run")
