--- a/tests/batch_builders.py
+++ b/tests/batch_builders.py
@@ -1,4 +1,4 @@
-"""Simulated gateways that keep batches, with simulated engines inside them, and callers that submit batches."""
+"""Simulated gateways that handle batches, with built-in simulated engines, and clients that submit batches."""
 
 import base64
 import json
@@ -40,7 +40,7 @@
 
 
 class BatchGateway:
-    """What a gateway does for batches; an item's path says how engines answer it."""
+    """The batch service of a gateway with simulated engines; an item's path determines their response."""
 
     simulation = None
 
@@ -64,10 +64,10 @@
     def available(self, route, backlog):
         return self.slots - self.running_items
 
-    def submit(self, route, path, name, raw, span):
-        """Hands a batch in, `span` before its deadline."""
+    def submit(self, route, path, name, raw, timeout):
+        """Submits a batch whose deadline is `timeout` from now."""
         now = self._ctx.timers.now()
-        return self.service.submit(Submission(route, "h", path, name, raw, now + span, now))
+        return self.service.submit(Submission(route, "h", path, name, raw, now + timeout, now))
 
     async def run(self, call):
         self.running_items += 1
@@ -86,8 +86,8 @@
                     "body": call.body,
                 }
             )
-            for word, status in (("/422", 422), ("/500", 500), ("/503", 503)):
-                if call.path.endswith(word):
+            for suffix, status in (("/422", 422), ("/500", 500), ("/503", 503)):
+                if call.path.endswith(suffix):
                     await self._ctx.timers.sleep(ms(20))
                     return ItemResult(status=status, not_run=status == 503)
             for n in range(call.last_event + 1, EVENTS + 1):
@@ -102,19 +102,19 @@
             self.running_items -= 1
 
 
-def start_simulation(seed, gateways=3, routes=None, settle=2.0, **args):
+def start_simulation(seed, gateways=3, routes=None, settle_s=2.0, **args):
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=gateways, placement_groups=2, **args)
     simulation.routes = {route_config.name: route_config for route_config in routes or [route()]}
     simulation.runs, simulation.finished, simulation.event_interval, simulation.break_probability = [], [], ms(40), 0.05
     simulation.with_engines(BatchGateway, None, 0)
     simulation.start()
     simulation.ready()
-    simulation.run(settle)
+    simulation.run(settle_s)
     return simulation
 
 
 class BatchClients:
-    """Hands batches in, reads and ends them at any gateway; notes what was answered, and what of it was wrong."""
+    """Submits, reads and cancels batches at any gateway, and records which responses violate the guarantees."""
 
     def __init__(self, simulation):
         self.simulation, self.timers = simulation, simulation.timers()
@@ -125,11 +125,11 @@
         self.cancelled: dict[str, float] = {}
         self.seen: dict[str, dict[int, dict]] = {}
         self.violations: list[str] = []
-        self._n = 0
+        self._batch_count = 0
 
     def new_batch(self, items=6, tokens=10, path="/bulk/x", name=None):
-        self._n += 1
-        name = name or f"lot{self._n}"
+        self._batch_count += 1
+        name = name or f"lot{self._batch_count}"
         self.items[name] = [
             {
                 "id": f"{name}i{i}",
@@ -146,14 +146,14 @@
         alive = self.simulation.role("gateway", alive=True)
         return self.simulation.rng.choice(alive) if alive else None
 
-    async def call(self, do, gateway=None, timeout_s=6.0):
-        """(status, headers, body), with status 0 where no answer came."""
+    async def call(self, send_request, gateway=None, timeout_s=6.0):
+        """Returns (status, headers, body); the status is 0 where there was no response."""
         chosen = gateway or self.gateway()
         if chosen is None:
             return 0, {}, b""
         start_count = chosen.start_count
         try:
-            response = await self.timers.with_timeout(secs(timeout_s), do(chosen.part))
+            response = await self.timers.with_timeout(secs(timeout_s), send_request(chosen.part))
             return response.status, response.headers, response.body
         except (PipitlinkError, defer.CancelledError):
             return 0, {}, b""
@@ -173,13 +173,13 @@
         return status
 
     async def read(self, name, start=0, wait_ms=0, gateway=None):
-        asked = self.simulation.clock.seconds()
+        started_at = self.simulation.clock.seconds()
         status, _, body = await self.call(
             lambda p: p.service.reader.read_outputs(name, start, ms(wait_ms)), gateway, 6 + wait_ms / 1000
         )
         if status != 200:
-            if status in (404, 410) and asked - self.accepted.get(name, asked) > 0:
-                self.violations.append(f"{asked:.3f} {name}: {status} though it was taken")
+            if status in (404, 410) and started_at - self.accepted.get(name, started_at) > 0:
+                self.violations.append(f"{started_at:.3f} {name}: {status} for an accepted batch")
             return status, None
         doc = json.loads(body)
         self._check_outputs(name, start, doc)
@@ -192,20 +192,20 @@
             self.violations.append(f"{name}: {doc['total']} items, next {doc['next']} after {start}")
         for n, out in enumerate(doc["outputs"], start):
             if seen.setdefault(n, out) != out:
-                self.violations.append(f"{name}: position {n} moved")
+                self.violations.append(f"{name}: the output at position {n} changed")
             if out["id"] not in ids or any(o["id"] == out["id"] and k != n for k, o in seen.items()):
-                self.violations.append(f"{name}: {out['id']} is not of it, or stands there twice")
+                self.violations.append(f"{name}: {out['id']} is not an item of the batch, or is listed twice")
             if out["state"] == "done" and out["text"] != expected_text(out["id"]):
-                self.violations.append(f"{name}: the text of {out['id']} is not whole: {out['text']!r}")
+                self.violations.append(f"{name}: the text of {out['id']} is incomplete: {out['text']!r}")
             path = next(i["path"] for i in self.items[name] if i["id"] == out["id"])
             if out["state"] == "abandoned" and path.endswith("x") and name not in self.cancelled:
-                self.violations.append(f"{name}: {out['id']} was abandoned without a cause")
+                self.violations.append(f"{name}: {out['id']} was abandoned without a reason")
 
     async def read_body(self, name, n, gateway=None):
         item = self.items[name][n]
         status, _, body = await self.call(lambda p: p.service.reader.read_item(name, item["id"]), gateway)
         if status == 200 and body != base64.b64decode(item["body"]):
-            self.violations.append(f"{name}: the body of {item['id']} came back wrong")
+            self.violations.append(f"{name}: the body of {item['id']} differs from the submitted one")
         return status
 
     async def cancel(self, name, gateway=None):
@@ -220,7 +220,7 @@
         return status == 200 and len(doc["outputs"]) == len(self.items[name]) and doc
 
     async def submit_repeatedly(self):
-        """Each batch again at other gateways, until it is taken or surely refused."""
+        """Submits batches, each up to four times at random gateways, until it is accepted."""
         rng = self.simulation.rng
         while not self.stopped:
             await self.timers.sleep(ms(300 + rng.randrange(900)))
--- a/tests/test_batch_capacity.py
+++ b/tests/test_batch_capacity.py
@@ -1,4 +1,4 @@
-"""How many items of batches a gateway starts: its share of the slots that live requests leave, and few at once."""
+"""How many batch items a gateway starts: its fraction of the slots that live requests leave free, and few at once."""
 
 import unittest
 
@@ -25,55 +25,55 @@
     def available(self, own, total):
         return self.capacity.available(BULK, RouteBacklog(own, total))
 
-    def start(self, count, first_event=True):
-        """Starts items on the engines by turns."""
+    def start_items(self, count, first_event=True):
+        """Starts items on both engines alternately."""
         engines = self.rig.node.engines
         for number in range(count):
             slot = engines.acquire_slot(engines.get(f"e{1 + number % 2}"), 10, True)
             if first_event:
                 slot.prefill_done()
 
-    def peers(self, running, batch):
+    def report_peer_loads(self, running, batch):
         loads = [Load(engine=name, running=running, batch=batch) for name in ("e1", "e2")]
         spawn(self.rig.node.loads.on_peer_loads("g1", Loads(gateway="g1", loads=loads)))
 
-    def test_gateways_together_start_no_more_than_the_slots_that_live_requests_leave(self):
-        self.peers(running=7, batch=0)
+    def test_all_gateways_together_use_at_most_the_slots_left_by_live_requests(self):
+        self.report_peer_loads(running=7, batch=0)
         for own in (10, 30, 50):
             self.setUp()
-            self.peers(running=7, batch=0)
-            self.start(int(2 * (17 - 7) * own / 100))
+            self.report_peer_loads(running=7, batch=0)
+            self.start_items(int(2 * (17 - 7) * own / 100))
             self.assertEqual(self.available(own, 100), 0)
             self.assertGreater(self.available(2 * own, 100), 0)
 
-    def test_items_of_others_that_were_reported_late_change_nothing(self):
+    def test_batch_items_reported_by_peers_do_not_change_the_capacity(self):
         before = self.available(10, 100)
-        self.peers(running=15, batch=15)
+        self.report_peer_loads(running=15, batch=15)
         self.assertEqual(self.available(10, 100), before)
 
-    def test_few_items_wait_for_their_first_event_at_once(self):
+    def test_the_number_of_items_waiting_for_their_first_event_is_limited(self):
         for own in (100, 50):
             self.setUp()
-            most = int(MAX_STARTING_FRACTION * 2 * SLOTS * own / 100)
-            self.assertEqual(self.available(own, 100), most)
-            self.start(most, first_event=False)
+            limit = int(MAX_STARTING_FRACTION * 2 * SLOTS * own / 100)
+            self.assertEqual(self.available(own, 100), limit)
+            self.start_items(limit, first_event=False)
             self.assertEqual(self.available(own, 100), 0)
 
-    def test_a_gateway_with_little_of_the_backlog_starts_a_few_at_once(self):
+    def test_a_gateway_with_a_small_part_of_the_backlog_may_start_the_minimum(self):
         self.assertEqual(self.available(10, 100), MIN_STARTING_ITEMS)
 
-    def test_a_batch_goes_on_by_one_item_where_live_requests_take_all(self):
-        self.peers(running=SLOTS, batch=0)
+    def test_one_item_may_run_even_if_live_requests_use_all_slots(self):
+        self.report_peer_loads(running=SLOTS, batch=0)
         self.assertEqual(self.available(10, 100), 1)
-        self.start(1)
+        self.start_items(1)
         self.assertEqual(self.available(10, 100), 0)
 
-    def test_without_an_engine_nothing_starts(self):
+    def test_no_item_starts_without_an_engine(self):
         for engine in self.rig.node.engines.unordered():
             self.rig.node.engines.remove(engine)
         self.assertEqual(self.available(10, 100), 0)
 
-    def test_what_ended_or_failed_is_not_counted_as_starting(self):
+    def test_ended_and_failed_items_do_not_count_as_starting(self):
         engines = self.rig.node.engines
         slots = [engines.acquire_slot(engines.get("e1"), 10, True) for _ in range(3)]
         slots[0].prefill_done()
--- a/tests/test_batch_timings.py
+++ b/tests/test_batch_timings.py
@@ -1,4 +1,4 @@
-"""What the owner of a batch logs of the time that its intake and its items took."""
+"""The durations of a batch's intake and items that its owner logs."""
 
 import re
 import unittest
@@ -14,7 +14,7 @@
 
 
 def fields_of(simulation, event):
-    """The fields of the first line of an event."""
+    """Returns the fields of the first log line of an event."""
     line = next(line for line in simulation.sink.lines if f"event={event} " in line)
     return dict(re.findall(r"(\w+)=(\S+)", line))
 
@@ -24,16 +24,16 @@
         self.clock = VirtualTime()
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
 
-    def test_each_phase_of_an_intake_lasts_from_the_end_of_the_one_before(self):
+    def test_each_intake_phase_starts_at_the_end_of_the_previous_one(self):
         timings = PhaseTimings(self.timers, self.timers.now() - ms(40))
-        for phase, passed in ((IntakePhase.RECEIVE, 0), (IntakePhase.PARSE, 0.02), (IntakePhase.APPEND, 0.3)):
-            self.clock.advance(passed)
+        for phase, elapsed_s in ((IntakePhase.RECEIVE, 0), (IntakePhase.PARSE, 0.02), (IntakePhase.APPEND, 0.3)):
+            self.clock.advance(elapsed_s)
             timings.end_phase(phase)
-        found = [timings.phase_ms(phase) for phase in IntakePhase]
-        self.assertEqual(found, [40, 20, 0, 0, 300])
+        durations_ms = [timings.phase_ms(phase) for phase in IntakePhase]
+        self.assertEqual(durations_ms, [40, 20, 0, 0, 300])
         self.assertEqual(timings.total_ms(), 360)
 
-    def test_retries_count_in_each_phase_that_they_enter_again(self):
+    def test_a_retry_adds_to_each_phase_that_it_enters_again(self):
         timings = ItemTimings(self.timers)
         steps = (
             (100, lambda: timings.attempt_started(0)),
@@ -51,8 +51,8 @@
         self.assertEqual(timings.attempts, 2)
 
 
-class Lines(unittest.TestCase):
-    def test_an_owner_logs_the_phases_of_a_batch_and_of_its_items(self):
+class LogLines(unittest.TestCase):
+    def test_the_owner_logs_the_phases_of_a_batch_and_its_items(self):
         simulation = start_simulation(3)
         self.addCleanup(simulation.end)
         simulation.break_probability = 0
@@ -65,7 +65,7 @@
         self.assertEqual((accepted["items"], closed["attempts"]), ("3", "3"))
         phases = [int(accepted[name]) for name in INTAKE_MS]
         self.assertGreater(phases[4], 0, "an append takes a round trip")
-        self.assertLessEqual(abs(sum(phases[:-1]) - phases[-1]), len(phases), "the phases are all of the time")
+        self.assertLessEqual(abs(sum(phases[:-1]) - phases[-1]), len(phases), "the phases add up to the total")
         for name in ITEM_MS:
             self.assertRegex(closed[name], r"^\d+/\d+$")
 
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -1,4 +1,4 @@
-"""Batches in gateways in a simulation: taken once, run, listed once in an order that stays, ended."""
+"""Batches at simulated gateways: each is accepted once, run, listed in an order that does not change, and cancelled."""
 
 import unittest
 
@@ -23,11 +23,11 @@
             None,
         )
 
-    def test_a_batch_is_taken_run_and_listed_whole(self):
+    def test_a_batch_is_accepted_run_and_listed_completely(self):
         simulation, clients = self.simulation()
         name = clients.new_batch(8)
         self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
-        doc = simulation.until(lambda: clients.read_if_complete(name), 20, "all is listed")
+        doc = simulation.until(lambda: clients.read_if_complete(name), 20, "all outputs are listed")
         self.assertEqual({o["state"] for o in doc["outputs"]}, {"done"})
         simulation.run(0.5)
         for node in simulation.role("gateway"):
@@ -37,11 +37,11 @@
         first = simulation.runs[0]
         self.assertEqual((first["path"], first["headers"]), ("/bulk/x", [("A", "b")]))
         simulation.until(
-            lambda: not any(node.part.batches for node in simulation.role("gateway")), 5, "its lease is given back"
+            lambda: not any(node.part.batches for node in simulation.role("gateway")), 5, "its lease is released"
         )
         self.assertEqual(clients.violations, [])
 
-    def test_the_same_batch_at_two_gateways_at_once_is_taken_once(self):
+    def test_a_batch_submitted_to_two_gateways_at_once_is_accepted_once(self):
         simulation, clients = self.simulation()
         simulation.break_probability = 0
         for n in range(5):
@@ -51,13 +51,13 @@
                 simulation.timers().with_timeout(ms(5000), clients.submit_batch(name, node)).addBoth(
                     statuses_of_one.append
                 )
-            simulation.until(lambda: all(statuses), 10, "both answered")
+            simulation.until(lambda: all(statuses), 10, "both gateways respond")
             self.assertEqual(statuses, [[202], [202]])
-            simulation.until(lambda: clients.read_if_complete(name), 20, "all is listed")
+            simulation.until(lambda: clients.read_if_complete(name), 20, "all outputs are listed")
         self.assertEqual(len(simulation.runs), len({(r["item"], r["after"]) for r in simulation.runs}))
         self.assertEqual(clients.violations, [])
 
-    def test_another_batch_under_a_taken_id_is_refused(self):
+    def test_a_different_batch_under_a_used_id_is_refused(self):
         simulation, clients = self.simulation()
         name = clients.new_batch(3)
         self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
@@ -65,7 +65,7 @@
         for node in simulation.role("gateway"):
             self.assertEqual(simulation.do(clients.submit_batch(name, node)), 409)
 
-    def test_nothing_is_lost_where_all_storage_nodes_lose_power_right_after_the_answer(self):
+    def test_no_batch_is_lost_if_all_storage_nodes_lose_power_right_after_the_response(self):
         simulation, clients = self.simulation(2)
         name = clients.new_batch(6)
         self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
@@ -74,39 +74,39 @@
         for node in simulation.role("storage") + simulation.role("gateway"):
             node.start()
         simulation.ready()
-        simulation.until(lambda: clients.read_if_complete(name), 40, "all is listed")
+        simulation.until(lambda: clients.read_if_complete(name), 40, "all outputs are listed")
         self.assertEqual(clients.violations, [])
 
-    def test_another_gateway_goes_on_where_an_owner_was_killed(self):
+    def test_another_gateway_continues_a_batch_whose_owner_was_killed(self):
         simulation, clients = self.simulation(3)
         name = clients.new_batch(30)
         self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
         simulation.until(
             lambda: len((simulation.do(clients.read(name))[1] or {"outputs": ()})["outputs"]) >= 8,
             20,
-            "some are listed",
+            "some outputs are listed",
         )
         self.owner(simulation, name).kill()
-        simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+        simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
         self.assertLess(len(simulation.runs), 60)
         self.assertEqual(clients.violations, [])
 
-    def test_a_held_read_is_answered_as_soon_as_there_is_one_more(self):
+    def test_a_long_poll_returns_as_soon_as_there_is_another_output(self):
         simulation, clients = self.simulation(4)
         simulation.event_interval, simulation.break_probability = ms(300), 0
         name = clients.new_batch(2)
         self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
-        asked = simulation.clock.seconds()
+        asked_at = simulation.clock.seconds()
         for node in simulation.role("gateway"):
             status, doc = simulation.do(clients.read(name, 0, 5000, node))
             self.assertTrue(doc["outputs"])
-        self.assertLess(simulation.clock.seconds() - asked, 3)
+        self.assertLess(simulation.clock.seconds() - asked_at, 3)
         status, doc = simulation.do(clients.read(name, 2, 5000))
-        asked = simulation.clock.seconds()
+        asked_at = simulation.clock.seconds()
         self.assertEqual(simulation.do(clients.read(name, 2, 5000))[1]["outputs"], [])
-        self.assertLess(simulation.clock.seconds() - asked, 1)
+        self.assertLess(simulation.clock.seconds() - asked_at, 1)
 
-    def test_an_end_stops_the_items_and_is_final_and_may_be_repeated(self):
+    def test_a_cancellation_stops_the_items_and_is_final_and_idempotent(self):
         simulation, clients = self.simulation(5)
         simulation.event_interval = ms(400)
         name = clients.new_batch(40)
@@ -115,20 +115,20 @@
         simulation.run(3.2)
         for node in reversed(simulation.role("gateway")):
             self.assertEqual(simulation.do(clients.cancel(name, node)), 200)
-        at = clients.cancelled[name]
+        cancelled_at = clients.cancelled[name]
         simulation.run(10)
-        self.assertEqual([r for r in simulation.runs if r["at"] > at + 0.1], [])
+        self.assertEqual([r for r in simulation.runs if r["at"] > cancelled_at + 0.1], [])
         self.assertEqual(sum(node.part.running_items for node in simulation.role("gateway")), 0)
         docs = [simulation.do(clients.read(name, gateway=node))[1] for node in simulation.role("gateway")]
         self.assertEqual(docs[0], docs[1])
         owner.kill()
         simulation.run(8)
         self.assertEqual(simulation.do(clients.cancel(name)), 200)
-        self.assertEqual([r for r in simulation.runs if r["at"] > at + 0.1], [])
+        self.assertEqual([r for r in simulation.runs if r["at"] > cancelled_at + 0.1], [])
         self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
         self.assertEqual(clients.violations, [])
 
-    def test_what_is_not_there_is_404_and_what_nobody_can_know_is_503(self):
+    def test_a_missing_batch_gives_404_and_an_unknown_state_gives_503(self):
         simulation, clients = self.simulation(6)
         gateway = simulation.role("gateway")[1]
         name = clients.new_batch(3)
@@ -146,7 +146,7 @@
         self.assertEqual([r for r in simulation.runs if r["item"].startswith(other)], [])
         self.assertEqual(simulation.do(clients.read(other, gateway=gateway))[0], 404)
 
-    def test_bytes_that_one_storage_node_alone_has_are_not_told_as_nothing(self):
+    def test_a_batch_that_only_one_storage_node_has_is_not_reported_as_missing(self):
         simulation, clients = self.simulation(7)
         gateway = simulation.role("gateway")[0]
         name = clients.new_batch(3)
@@ -169,10 +169,10 @@
             simulation.do(clients.read(name, gateway=node))[0] for node in simulation.role("gateway", alive=True)
         ]
         self.assertEqual(set(statuses), {503})
-        simulation.until(lambda: clients.read_if_complete(name), 20, "it is taken up, and all is listed")
+        simulation.until(lambda: clients.read_if_complete(name), 20, "the batch is adopted, and all outputs are listed")
         self.assertEqual(clients.violations, [])
 
-    def test_items_are_abandoned_for_their_causes_only(self):
+    def test_items_are_abandoned_only_for_the_defined_reasons(self):
         simulation, clients = self.simulation(8, routes=[route(), route("brief", retain_ms=4000), route("gone")])
         never, failing, dead = (
             clients.new_batch(2, path="/bulk/422"),
@@ -187,7 +187,7 @@
             return {o["state"] for o in (clients.read_if_complete(name) or {"outputs": ()})["outputs"]}
 
         for name in (never, failing, late):
-            simulation.until(lambda: states(name) == {"abandoned"}, 20, f"{name} is abandoned")
+            simulation.until(lambda: states(name) == {"abandoned"}, 20, f"the items of {name} are abandoned")
 
         def runs(name):
             return [r["item"] for r in simulation.runs if r["item"].startswith(name)]
@@ -198,23 +198,25 @@
         simulation.run(10)
         self.assertEqual(states(dead) | states(gone), set())
         del simulation.routes["gone"]
-        simulation.until(lambda: states(gone) == {"abandoned"}, 10, "its route is gone")
+        simulation.until(
+            lambda: states(gone) == {"abandoned"}, 10, "the items are abandoned because their route is gone"
+        )
         self.assertEqual(states(dead), set())
         self.assertGreater(len(runs(dead)), 20)
         self.assertLess(len(runs(dead)), 80)
 
-    def test_texts_are_whole_where_runs_break_off_again_and_again(self):
+    def test_texts_are_complete_if_runs_are_interrupted_repeatedly(self):
         simulation, clients = self.simulation(9)
         simulation.break_probability = 0.4
         name = clients.new_batch(12)
         self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
-        doc = simulation.until(lambda: clients.read_if_complete(name), 60, "all is listed")
+        doc = simulation.until(lambda: clients.read_if_complete(name), 60, "all outputs are listed")
         for out in doc["outputs"]:
             self.assertEqual(out["text"], expected_text(out["id"]))
         self.assertTrue(any(r["after"] for r in simulation.runs))
         self.assertEqual(clients.violations, [])
 
-    def test_a_gateway_that_leaves_in_order_hands_its_batches_over_at_once(self):
+    def test_a_gateway_that_shuts_down_hands_its_batches_over_at_once(self):
         simulation, clients = self.simulation(10)
         simulation.event_interval, simulation.break_probability = ms(150), 0
         name = clients.new_batch(40)
@@ -224,16 +226,16 @@
         other = clients.new_batch(2)
         simulation.do(owner.part.service.table.drain())
         self.assertEqual(simulation.do(clients.submit_batch(other, owner)), 202)
-        left = simulation.clock.seconds()
+        left_at = simulation.clock.seconds()
         owner.kill()
-        simulation.until(lambda: self.owner(simulation, name), 5, "another owns it")
-        self.assertLess(simulation.clock.seconds() - left, 4.5)
-        for one in (name, other):
-            simulation.until(lambda: clients.read_if_complete(one), 60, "all is listed")
+        simulation.until(lambda: self.owner(simulation, name), 5, "another gateway owns the batch")
+        self.assertLess(simulation.clock.seconds() - left_at, 4.5)
+        for batch_name in (name, other):
+            simulation.until(lambda: clients.read_if_complete(batch_name), 60, "all outputs are listed")
         self.assertEqual(clients.violations, [])
         self.assertEqual(len(simulation.runs), len({(r["item"], r["after"]) for r in simulation.runs}))
 
-    def test_lengths_are_polled_only_while_somebody_reads(self):
+    def test_lengths_are_polled_only_while_a_batch_is_read(self):
         simulation, clients = self.simulation(11)
         simulation.event_interval, simulation.break_probability = ms(600), 0
         name = clients.new_batch(3)
@@ -243,7 +245,9 @@
         self.assertTrue(doc["outputs"])
         self.assertEqual(reader.ctx.cache.poller._known, {})
         simulation.until(
-            lambda: len(simulation.do(clients.read(name, gateway=reader))[1]["outputs"]) == 3, 10, "all is listed"
+            lambda: len(simulation.do(clients.read(name, gateway=reader))[1]["outputs"]) == 3,
+            10,
+            "all outputs are listed",
         )
         self.assertEqual(reader.ctx.cache.poller._known, {})
         self.assertEqual(clients.violations, [])
--- a/tests/test_batches_adoption.py
+++ b/tests/test_batches_adoption.py
@@ -1,4 +1,4 @@
-"""How soon a batch whose owner is gone is run on by another gateway."""
+"""How soon another gateway adopts a batch whose owner is gone."""
 
 import unittest
 
@@ -22,7 +22,7 @@
             None,
         )
 
-    def test_a_killed_owner_is_followed_as_soon_as_the_membership_has_it_for_gone(self):
+    def test_a_batch_is_adopted_as_soon_as_the_membership_reports_its_owner_gone(self):
         for seed in (1, 2, 3, 4):
             with self.subTest(seed=seed):
                 simulation, clients = self.simulation(seed)
@@ -30,19 +30,19 @@
                 name = clients.new_batch(30)
                 self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
                 simulation.run(0.4)
-                first = self.owner(simulation, name)
-                first.kill()
-                at = simulation.clock.seconds()
+                first_owner = self.owner(simulation, name)
+                first_owner.kill()
+                killed_at = simulation.clock.seconds()
                 other = next(node for node in simulation.role("gateway", alive=True))
                 simulation.until(
-                    lambda: other.ctx.membership.status(first.node) == "gone", 4, "the membership has it for gone"
+                    lambda: other.ctx.membership.status(first_owner.node) == "gone", 4, "the owner is reported gone"
                 )
-                simulation.until(lambda: self.owner(simulation, name), 1.7, "another gateway owns it")
-                self.assertLess(simulation.clock.seconds() - at, 4.2)
-                simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+                simulation.until(lambda: self.owner(simulation, name), 1.7, "another gateway owns the batch")
+                self.assertLess(simulation.clock.seconds() - killed_at, 4.2)
+                simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
                 self.assertEqual(clients.violations, [])
 
-    def test_after_all_lost_power_it_is_taken_up_without_waiting_out_leases(self):
+    def test_a_batch_is_adopted_after_a_power_loss_of_all_nodes_without_waiting_for_leases_to_expire(self):
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
                 simulation, clients = self.simulation(seed)
@@ -60,8 +60,8 @@
                     10,
                     "ready",
                 )
-                simulation.until(lambda: self.owner(simulation, name), 2.6, "a gateway owns it")
-                simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+                simulation.until(lambda: self.owner(simulation, name), 2.6, "a gateway owns the batch")
+                simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
                 self.assertEqual(clients.violations, [])
 
 
--- a/tests/test_batches_faults.py
+++ b/tests/test_batches_faults.py
@@ -1,4 +1,4 @@
-"""Batches under kills, power losses, freezes and cuts, over many seeds."""
+"""Batches under process kills, power losses, freezes and network partitions, for several seeds."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 from .batch_builders import BatchClients, start_simulation
 
 SEEDS = seeds(5)
-CANCEL = 3.0
+MAX_CANCEL_DELAY_S = 3.0
 
 
 class BatchesUnderFaults(unittest.TestCase):
@@ -32,12 +32,12 @@
             if name not in clients.cancelled:
                 try:
                     simulation.until(
-                        lambda: clients.read_if_complete(name), 60, f"{name} is whole: {random_faults.injected}"
+                        lambda: clients.read_if_complete(name), 60, f"{name} is complete: {random_faults.injected}"
                     )
-                except AssertionError as e:
-                    raise AssertionError(f"{e}\n{self.describe_state(simulation, name)}") from None
+                except AssertionError as error:
+                    raise AssertionError(f"{error}\n{self.describe_state(simulation, name)}") from None
         for name in clients.cancelled:
-            simulation.until(lambda: simulation.do(clients.cancel(name), 12) in (200, 404), 30, f"{name} is ended")
+            simulation.until(lambda: simulation.do(clients.cancel(name), 12) in (200, 404), 30, f"{name} is cancelled")
         for node in simulation.role("gateway"):
             for name in clients.accepted:
                 status, doc = simulation.do(clients.read(name, gateway=node))
@@ -47,13 +47,13 @@
                 self.assertEqual(simulation.do(clients.read_body(name, 0, node)), 200)
         self.assertEqual(clients.violations, [], f"seed {seed}: {random_faults.injected}")
         ran = {r["item"].partition("i")[0] for r in simulation.runs}
-        self.assertEqual(ran & clients.rejected, set(), f"seed {seed}: refused at every try, and run")
+        self.assertEqual(ran & clients.rejected, set(), f"seed {seed}: refused at every attempt, but run")
         late = [
             r
             for r in simulation.runs
-            if r["at"] > clients.cancelled.get(r["item"].partition("i")[0], float("inf")) + CANCEL
+            if r["at"] > clients.cancelled.get(r["item"].partition("i")[0], float("inf")) + MAX_CANCEL_DELAY_S
         ]
-        self.assertEqual(late, [], f"seed {seed}: run after their end: {random_faults.injected}")
+        self.assertEqual(late, [], f"seed {seed}: run after their cancellation: {random_faults.injected}")
         completed = sum(name not in clients.cancelled for name in clients.accepted)
         return (
             len(clients.accepted),
@@ -84,13 +84,17 @@
             )
             for node in simulation.role("gateway")
         ]
-        return "\n".join(map(str, states)) + "\n" + "\n".join(x for x in simulation.sink.lines if name in x)[-4000:]
+        return (
+            "\n".join(map(str, states))
+            + "\n"
+            + "\n".join(line for line in simulation.sink.lines if name in line)[-4000:]
+        )
 
-    def test_batches_hold_under_trouble(self):
-        done = [self.run_seed(s) for s in SEEDS]
+    def test_batches_survive_faults_of_all_roles(self):
+        done = [self.run_seed(seed) for seed in SEEDS]
         self.assertGreater(sum(taken for taken, *_ in done), 5 * len(done))
         self.assertGreater(sum(completed for _, completed, *_ in done), 3 * len(done))
 
-    def test_batches_hold_while_gateways_come_and_go(self):
-        for s in SEEDS:
-            self.run_seed(100 + s, roles=("gateway",))
+    def test_batches_survive_faults_of_gateways(self):
+        for seed in SEEDS:
+            self.run_seed(100 + seed, roles=("gateway",))
--- a/tests/test_batches_formats.py
+++ b/tests/test_batches_formats.py
@@ -1,4 +1,4 @@
-"""Paths and JSON of batches, in the product's format and in a platform's."""
+"""HTTP paths and JSON of batches, in the product's format and in a platform's."""
 
 import base64
 import json
@@ -88,7 +88,7 @@
         with self.assertRaises(BadRequest):
             self.parse_batch("x")
 
-    def test_an_answer_holds_at_least_one_output_and_a_megabyte_at_most(self):
+    def test_a_response_has_at_least_one_output_and_at_most_a_megabyte(self):
         batch = self.parse_batch(*(self.item(id=f"i{n}") for n in range(6)))
         outputs = [
             Output(item=n, state="done", text=b"x" * size)
@@ -114,7 +114,7 @@
     items, tokens, total, next = "items", "tokens", "total", "next"
     batch_format = Dialect()
 
-    def test_calls(self):
+    def test_requests_are_parsed(self):
         self.assertEqual(
             self.parse_request(b"GET", "/v1/batches/a1/outputs", {"x-poll-wait-ms": "250"}, **{"from": "3"}),
             ReadOutputs("a1", start=3, wait=timedelta(milliseconds=250)),
@@ -131,7 +131,7 @@
         ):
             self.assertIsNone(self.parse_request(method, path), path)
 
-    def test_an_output(self):
+    def test_outputs_are_formatted(self):
         batch = self.parse_batch(self.item(), self.item(id="a2"))
         doc = json.loads(
             self.batch_format.format_outputs(
@@ -155,7 +155,7 @@
     items, tokens, total, next = "requests", "token_count", "total_count", "next_token"
     batch_format = platform_batch_format()
 
-    def test_calls(self):
+    def test_requests_are_parsed(self):
         self.assertEqual(
             self.parse_request(b"GET", "/lots/7c41", {"pipitlink-poll-wait-ms": "1000"}, last_seen="12"),
             ReadOutputs("7c41", start=12, wait=timedelta(seconds=1)),
@@ -179,7 +179,7 @@
             with self.assertRaises(BadRequest):
                 self.parse_request(b"GET", "/lots/7c41", {"pipitlink-poll-wait-ms": bad})
 
-    def test_an_output(self):
+    def test_outputs_are_formatted(self):
         batch = self.parse_batch(self.item(), self.item(id="a2"))
         doc = json.loads(
             self.batch_format.format_outputs(
--- a/tests/test_batches_head.py
+++ b/tests/test_batches_head.py
@@ -1,4 +1,4 @@
-"""Readers of outputs pass over the bodies of a batch's items: how few bytes they read, and that nothing is lost."""
+"""Readers of outputs skip the bodies of a batch's items: few bytes are read, and no output is lost."""
 
 import base64
 import unittest
@@ -22,7 +22,7 @@
 
 BODY_BYTES = 5000
 MAX_CHUNK_OVERHEAD_BYTES = 64
-"""What the message around a chunk takes, at most."""
+"""The maximum size of the message that contains a chunk, without the chunk."""
 
 
 class SimulatedHeads(unittest.TestCase):
@@ -34,7 +34,7 @@
         return simulation, BatchClients(simulation)
 
     def watch_reads(self):
-        """No read of a tail may pass the length that is recorded for its store."""
+        """Checks at the end of the test that no tail has read beyond the known durable length of its log."""
         read, self.reads = Tail.read, []
 
         async def watched(tail, start, end):
@@ -61,15 +61,15 @@
         return Batch(id=name, host="h", path="/bulk/", route="bulk", taken_ms=1, items=items)
 
     def count_read_bytes(self, gateway):
-        """Bytes of chunks and of spans that this gateway is given from now on."""
+        """Returns a list that receives the sizes of the gateway's future responses with chunks and spans."""
         received = []
         call = gateway.ctx.rpc.call
 
         async def counting_call(address, method, request, kind, timeout, node=""):
-            r = await call(address, method, request, kind, timeout, node=node)
+            response = await call(address, method, request, kind, timeout, node=node)
             if method in ("cache.get", "replicated_log.read"):
-                received.append(len(r.SerializeToString()))
-            return r
+                received.append(len(response.SerializeToString()))
+            return response
 
         gateway.ctx.rpc.call = counting_call
         return received
@@ -78,7 +78,7 @@
         return next(node for node in simulation.role("gateway") if name in node.part.batches)
 
     def hold_log(self, simulation, name, *groups):
-        """A log that the first gateway holds and does nothing with."""
+        """Appends records to a log whose lease the first gateway holds, without handling the batch; returns it."""
         gateway = simulation.role("gateway")[0]
         for node in simulation.role("gateway"):
             node.part.service.adopter.adopting.add(name)
@@ -87,25 +87,25 @@
             simulation.do(leaseholder.append([r.SerializeToString() for r in records]))
         return leaseholder
 
-    def test_outputs_are_read_with_less_than_a_tenth_of_the_bytes(self):
+    def test_outputs_are_read_with_less_than_a_tenth_of_the_bytes_of_the_bodies(self):
         for seed, pad, size in ((1, 0, BODY_BYTES), (2, 30, BODY_BYTES), (3, 110, 4 * BODY_BYTES)):
             with self.subTest(seed=seed, pad=pad):
                 simulation, clients = self.simulation(seed)
                 name = self.new_large_batch(clients, pad=pad, size=size)
                 self.assertEqual(simulation.do(clients.submit_batch(name, simulation.role("gateway")[0])), 202)
-                simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+                simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
                 simulation.until(lambda: self.is_cached(simulation, name), 1, "all is cached")
                 for node in simulation.role("gateway")[1:]:
                     self.assertLess(self.read_with_new_follower(simulation, clients, name, node) * 10, 40 * size)
                 self.assertEqual(clients.violations, [])
 
-    def test_a_reader_ahead_of_the_cache_reads_one_chunk_more_at_most(self):
+    def test_a_reader_ahead_of_the_cache_reads_at_most_one_more_chunk(self):
         for seed, pad in ((1, 0), (2, 30), (3, 110), (4, 60), (5, 10), (6, 90)):
             with self.subTest(seed=seed, pad=pad):
                 simulation, clients = self.simulation(seed)
                 name = self.new_large_batch(clients, pad=pad)
                 self.assertEqual(simulation.do(clients.submit_batch(name, simulation.role("gateway")[0])), 202)
-                simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+                simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
                 ahead, behind = simulation.role("gateway")[1:]
                 at_once = self.read_with_new_follower(simulation, clients, name, ahead)
                 simulation.until(lambda: self.is_cached(simulation, name), 1, "all is cached")
@@ -117,7 +117,7 @@
                 )
 
     def is_cached(self, simulation, name):
-        """Whether the cache has all that is durable of a batch's log."""
+        """Returns whether the cache has all durable bytes of a batch's log."""
         log = batch_log(name)
         lengths = simulation.do(simulation.role("gateway")[1].ctx.cache.get_lengths([log]))[log]
         return (
@@ -125,22 +125,22 @@
         )
 
     def read_with_new_follower(self, simulation, clients, name, gateway):
-        """Reads all outputs at a gateway that knows nothing of the batch; returns how many bytes it was given."""
-        for b, r in list(gateway.part.service.followers.followers.items()):
-            gateway.part.service.followers.drop(b, r)
+        """Reads all outputs at a gateway without a follower of the batch; returns how many bytes it received."""
+        for batch_id, follower in list(gateway.part.service.followers.followers.items()):
+            gateway.part.service.followers.drop(batch_id, follower)
         received = self.count_read_bytes(gateway)
         status, doc = simulation.do(clients.read(name, gateway=gateway))
         self.assertEqual((status, len(doc["outputs"])), (200, 40))
         self.assertTrue(received)
         return sum(received)
 
-    def test_outputs_are_read_as_cheaply_where_the_caches_know_nothing(self):
+    def test_outputs_are_read_as_cheaply_with_empty_caches(self):
         simulation, clients = self.simulation(4)
         name = self.new_large_batch(clients)
         self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
-        simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+        simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
         simulation.until(
-            lambda: not any(node.part.batches for node in simulation.role("gateway")), 5, "its lease is given back"
+            lambda: not any(node.part.batches for node in simulation.role("gateway")), 5, "its lease is released"
         )
         for node in simulation.role("gateway"):
             node.kill()
@@ -150,7 +150,7 @@
         node = simulation.role("gateway")[1]
         received = self.count_read_bytes(node)
         status, doc = simulation.until(
-            lambda: (r := simulation.do(clients.read(name, gateway=node)))[0] == 200 and r, 10, "it is read"
+            lambda: (r := simulation.do(clients.read(name, gateway=node)))[0] == 200 and r, 10, "the batch can be read"
         )
         self.assertEqual(len(doc["outputs"]), 40)
         self.assertLess(sum(received) * 10, 40 * BODY_BYTES)
@@ -158,7 +158,7 @@
         self.assertGreater(sum(received), 40 * BODY_BYTES)
         self.assertEqual(clients.violations, [])
 
-    def test_bodies_still_come_back_right_while_it_runs_and_after(self):
+    def test_bodies_are_read_correctly_during_and_after_the_run(self):
         simulation, clients = self.simulation(5)
         simulation.event_interval = ms(150)
         name = self.new_large_batch(clients)
@@ -170,17 +170,17 @@
         some = []
         for n in (0, 5, 39):
             spawn(clients.read_body(name, n, others[1])).addBoth(some.append)
-        simulation.until(lambda: len(some) == 3, 5, "all are answered")
+        simulation.until(lambda: len(some) == 3, 5, "there is a response to each")
         self.assertEqual(some, [200] * 3)
         self.assertLess(sum(received), 3 * 40 * BODY_BYTES)
-        simulation.until(lambda: clients.read_if_complete(name), 60, "all is listed")
+        simulation.until(lambda: clients.read_if_complete(name), 60, "all outputs are listed")
         for node in simulation.role("gateway"):
             self.assertEqual([simulation.do(clients.read_body(name, n, node)) for n in (0, 20, 39)], [200] * 3)
             status, _, _ = simulation.do(clients.call(lambda p: p.service.reader.read_item(name, "nothing"), node))
             self.assertEqual(status, 404)
         self.assertEqual(clients.violations, [])
 
-    def test_a_batch_handed_in_twice_is_compared_by_its_bodies(self):
+    def test_a_batch_submitted_twice_is_compared_by_its_bodies(self):
         simulation, clients = self.simulation(6)
         name = self.new_large_batch(clients)
         self.assertEqual(simulation.do(clients.submit_batch(name, simulation.role("gateway")[0])), 202)
@@ -192,12 +192,12 @@
         for node in simulation.role("gateway"):
             self.assertEqual(simulation.do(clients.submit_batch(name, node)), 409)
         clients.items[name][39]["body"] = original_body
-        simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+        simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
         self.assertEqual(
             [simulation.do(clients.submit_batch(name, node)) for node in simulation.role("gateway")], [202] * 3
         )
 
-    def test_a_reader_that_started_before_it_was_durable_reads_it_all(self):
+    def test_a_reader_that_starts_before_a_batch_is_durable_reads_all_of_it(self):
         for seed in (7, 8):
             simulation, clients = self.simulation(seed)
             name, statuses, stop = self.new_large_batch(clients), [], []
@@ -211,7 +211,7 @@
                 spawn(read_on(node))
             simulation.run(0.1)
             self.assertEqual(simulation.do(clients.submit_batch(name, simulation.role("gateway")[0])), 202)
-            simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+            simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
             stop.append(1)
             self.assertLessEqual({404, 200}, set(statuses))
             self.assertLessEqual(set(statuses), {404, 503, 200})
@@ -219,7 +219,7 @@
             self.assertNotIn(404, statuses[first:])
             self.assertEqual(clients.violations, [])
 
-    def test_a_head_alone_is_not_taken_and_its_reader_goes_on_once_it_is(self):
+    def test_a_batch_with_only_a_head_cannot_be_read_until_it_is_durable(self):
         simulation, clients = self.simulation(9)
         name = self.new_large_batch(clients)
         batch = self.batch(clients, name)
@@ -236,7 +236,7 @@
             doc = simulation.do(clients.read(name, gateway=node))[1]
             self.assertEqual((doc["total"], [o["id"] for o in doc["outputs"]]), (40, [clients.items[name][2]["id"]]))
 
-    def test_a_head_that_was_left_alone_gives_way_to_the_batch_that_is_taken(self):
+    def test_an_abandoned_head_is_superseded_by_the_accepted_batch(self):
         for items in (2, 40):
             with self.subTest(items=items):
                 simulation, clients = self.simulation(10)
@@ -246,15 +246,15 @@
                 self.new_large_batch(clients, items, name=name, pad=5, size=BODY_BYTES if items > 2 else 10)
                 for node in simulation.role("gateway"):
                     node.part.service.adopter.adopting.discard(name)
-                simulation.until(lambda: simulation.do(clients.submit_batch(name)) == 202, 20, "it is taken")
-                simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+                simulation.until(lambda: simulation.do(clients.submit_batch(name)) == 202, 20, "the batch is accepted")
+                simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
                 simulation.run(0.5)
                 for node in simulation.role("gateway"):
                     self.assertEqual(len(simulation.do(clients.read(name, gateway=node))[1]["outputs"]), items)
                     self.assertEqual(simulation.do(clients.read_body(name, 1, node)), 200)
                 self.assertEqual(clients.violations, [])
 
-    def test_a_head_that_was_left_alone_is_no_sign_that_a_refused_append_left(self):
+    def test_an_abandoned_head_does_not_make_a_refused_append_count_as_sent(self):
         simulation, clients = self.simulation(13)
         name = self.new_large_batch(clients, 3)
         leaseholder = self.hold_log(simulation, name, [LogRecord(head=batch_head(self.batch(clients, name)))])
@@ -263,11 +263,11 @@
             statuses = [simulation.do(clients.submit_batch(name, node)) for node in simulation.role("gateway") * 3]
             self.assertTrue(append.called)
             self.assertEqual(set(statuses), {503})
-        simulation.until(lambda: simulation.do(clients.submit_batch(name)) == 202, 20, "it is taken")
-        simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+        simulation.until(lambda: simulation.do(clients.submit_batch(name)) == 202, 20, "the batch is accepted")
+        simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
         self.assertEqual(clients.violations, [])
 
-    def test_a_log_without_a_head_is_read_as_before(self):
+    def test_a_log_without_a_head_can_be_read(self):
         simulation, clients = self.simulation(11)
         name = self.new_large_batch(clients)
         self.hold_log(
@@ -283,7 +283,7 @@
             self.assertEqual(simulation.do(clients.read_body(name, 0, node)), 200)
         self.assertEqual(clients.violations, [])
 
-    def test_a_batch_that_nobody_told_of_is_counted_without_its_bodies(self):
+    def test_an_unreported_batch_is_counted_without_reading_its_bodies(self):
         simulation, clients = self.simulation(12, routes=[route(max_waiting_tokens=1000)])
         for node in simulation.role("gateway"):
             node.part.slots = 0
@@ -300,10 +300,10 @@
 
 
 class _GrowingLog:
-    """A log whose lengths grow by steps each time that its reader waits."""
+    """A log whose lengths grow by a step each time its reader waits."""
 
-    def __init__(self, data: bytes, step: int, behind: int):
-        self.data, self._step, self._behind = data, step, behind
+    def __init__(self, data: bytes, step: int, cache_lag: int):
+        self.data, self._step, self._cache_lag = data, step, cache_lag
         self.known = KnownLengths("log")
 
     def add_reader(self, path):
@@ -313,17 +313,19 @@
         pass
 
     def grow(self):
-        s = self.known
-        s.durable = min(len(self.data), s.durable + self._step)
-        s.cached = max(s.cached, s.durable - self._behind if s.durable < len(self.data) else s.durable)
+        known = self.known
+        known.durable = min(len(self.data), known.durable + self._step)
+        known.cached = max(
+            known.cached, known.durable - self._cache_lag if known.durable < len(self.data) else known.durable
+        )
 
-    async def wait_for_growth(self, limit):
+    async def wait_for_growth(self, timeout):
         self.grow()
 
 
-class HeadsAtAllEdges(unittest.TestCase):
-    def read(self, data: bytes, step: int, behind: int = 0):
-        log = _GrowingLog(data, step, behind)
+class HeadBoundaries(unittest.TestCase):
+    def read(self, data: bytes, step: int, cache_lag: int = 0):
+        log = _GrowingLog(data, step, cache_lag)
         clock = Clock()
         ctx = SimpleNamespace(
             timers=Timers(clock, seconds=clock.seconds),
@@ -332,23 +334,23 @@
         )
         cache = SimpleNamespace(poller=log, read_durable=lambda path, start, length: read(start, start + length))
         tail = Tail(ctx, cache, "log", None)
-        self.got = 0
+        self.bytes_read = 0
 
         async def read(start, end):
             self.assertTrue(0 <= start < end <= log.known.durable, (start, end, log.known.durable))
-            self.got += end - start
+            self.bytes_read += end - start
             return data[start:end]
 
         tail.read = read
-        r = BatchFollower(tail, ctx.timers.now())
+        follower = BatchFollower(tail, ctx.timers.now())
         while log.known.durable < len(data):
             log.grow()
-            box = []
-            spawn(r.catch_up(log.known)).addBoth(box.append)
-            self.assertEqual(box, [None])
-            self.assertTrue(r.progress.head is not None or log.known.durable < self.batch_end)
+            results = []
+            spawn(follower.catch_up(log.known)).addBoth(results.append)
+            self.assertEqual(results, [None])
+            self.assertTrue(follower.progress.head is not None or log.known.durable < self.batch_end)
         self.assertEqual(tail.position, len(data))
-        return r
+        return follower
 
     def log(self, pad: int, body: int, with_head=True):
         batch = Batch(id="b", items=[BatchItem(id="i" * pad, body=b"b" * body, tokens=3), BatchItem(id="j", tokens=4)])
@@ -358,19 +360,19 @@
         records.append(LogRecord(ended=Ended(reason="done")))
         return batch, b"".join(encode_frame(r.SerializeToString()) for r in records)
 
-    def check(self, pad, body, step, behind=0, with_head=True):
+    def check(self, pad, body, step, cache_lag=0, with_head=True):
         batch, data = self.log(pad, body, with_head)
-        r = self.read(data, step, behind)
-        self.assertEqual([(i.id, i.tokens) for i in r.progress.head.items], [("i" * pad, 3), ("j", 4)])
-        self.assertEqual([o.item for o in r.progress.outputs], [1, 0])
-        self.assertTrue(r.has_ended())
-        if r.progress.batch is None:
-            self.assertLess(self.got, len(data) - body + 2 * CHUNK_BYTES)
-            box = []
-            spawn(r.read_bodies()).addBoth(box.append)
-            self.assertEqual(box, [None])
-        self.assertEqual(r.progress.batch, batch)
-        return r
+        follower = self.read(data, step, cache_lag)
+        self.assertEqual([(i.id, i.tokens) for i in follower.progress.head.items], [("i" * pad, 3), ("j", 4)])
+        self.assertEqual([o.item for o in follower.progress.outputs], [1, 0])
+        self.assertTrue(follower.has_ended())
+        if follower.progress.batch is None:
+            self.assertLess(self.bytes_read, len(data) - body + 2 * CHUNK_BYTES)
+            results = []
+            spawn(follower.read_bodies()).addBoth(results.append)
+            self.assertEqual(results, [None])
+        self.assertEqual(follower.progress.batch, batch)
+        return follower
 
     def test_the_head_may_end_anywhere_in_a_chunk(self):
         for pad in range(CHUNK_BYTES - 60, CHUNK_BYTES + 12):
@@ -379,12 +381,12 @@
         for pad in (10, 3 * CHUNK_BYTES, 100 * CHUNK_BYTES):
             self.check(pad, 50 * CHUNK_BYTES, 10**6)
 
-    def test_lengths_may_grow_by_any_steps(self):
+    def test_lengths_may_grow_in_any_steps(self):
         for step in (1, 7, 900, CHUNK_BYTES, 5001, 30_000):
-            for behind in (0, 2500):
+            for cache_lag in (0, 2500):
                 for pad in (10, CHUNK_BYTES - 30):
-                    self.check(pad, 2 * CHUNK_BYTES, step, behind)
-                    self.check(pad, 2 * CHUNK_BYTES, step, behind, with_head=False)
+                    self.check(pad, 2 * CHUNK_BYTES, step, cache_lag)
+                    self.check(pad, 2 * CHUNK_BYTES, step, cache_lag, with_head=False)
 
 
 if __name__ == "__main__":
--- a/tests/test_batches_quota.py
+++ b/tests/test_batches_quota.py
@@ -1,4 +1,4 @@
-"""A route's waiting tokens over all gateways: never above its cap, and no room left unused."""
+"""A route's waiting tokens at all gateways together: they never exceed the cap, and can use all of it."""
 
 import json
 import unittest
@@ -18,7 +18,7 @@
         return simulation, BatchClients(simulation)
 
     def waiting_tokens(self, simulation, clients):
-        """The tokens of what was accepted and no engine has finished yet."""
+        """Returns the tokens of accepted items that no engine has finished yet."""
         ended = {r["item"] for r in simulation.finished}
         return sum(
             i["tokens"]
@@ -32,7 +32,7 @@
         coordinator = part.service.quota.coordinator_of("bulk")
         return next(node for node in simulation.role("gateway") if node.node == coordinator)
 
-    def test_the_cap_holds_and_is_used_up_while_gateways_race(self):
+    def test_concurrent_submissions_use_up_the_cap_but_never_exceed_it(self):
         simulation, clients = self.simulation()
         for node in simulation.role("gateway"):
             node.part.slots = 0
@@ -41,23 +41,23 @@
             spawn(clients.submit_batch(clients.new_batch(5), simulation.role("gateway")[n % 3])).addBoth(
                 statuses.append
             )
-        simulation.until(lambda: len(statuses) == 18, 15, "all are answered")
+        simulation.until(lambda: len(statuses) == 18, 15, "there is a response to each")
         self.assertEqual(sorted(statuses), [202] * 6 + [429] * 12)
         self.assertEqual(self.waiting_tokens(simulation, clients), CAP)
         self.assertEqual([r for r in simulation.runs if r["item"].partition("i")[0] not in clients.accepted], [])
 
-    def test_room_that_was_freed_is_given_again_within_a_second(self):
+    def test_freed_tokens_are_granted_again_within_a_second(self):
         simulation, clients = self.simulation(2)
         simulation.event_interval = ms(40)
         names = [clients.new_batch(5) for _ in range(6)]
         for name in names:
             self.assertEqual(simulation.do(clients.submit_batch(name)), 202)
         for name in names:
-            simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+            simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
         simulation.run(1)
         self.assertEqual(simulation.do(clients.submit_batch(clients.new_batch(30))), 202)
 
-    def test_an_ended_batch_waits_no_more(self):
+    def test_a_cancelled_batch_has_no_waiting_tokens(self):
         simulation, clients = self.simulation(3)
         for node in simulation.role("gateway"):
             node.part.slots = 0
@@ -68,7 +68,7 @@
         simulation.run(0.6)
         self.assertEqual(simulation.do(clients.submit_batch(clients.new_batch(30))), 202)
 
-    def test_a_batch_above_the_cap_alone_is_refused_with_a_time_to_come_back(self):
+    def test_a_batch_larger_than_the_cap_is_refused_with_retry_after(self):
         simulation, clients = self.simulation(4)
         name = clients.new_batch(31)
         raw = json.dumps({"items": clients.items[name]}).encode()
@@ -76,7 +76,7 @@
         response = simulation.do(part.submit(simulation.routes["bulk"], "/bulk/", name, raw, ms(3000)))
         self.assertEqual((response.status, response.headers["Retry-After"]), (429, "1"))
 
-    def test_a_batch_taken_again_is_counted_once(self):
+    def test_a_batch_accepted_again_is_counted_once(self):
         simulation, clients = self.simulation(5)
         for node in simulation.role("gateway"):
             node.part.slots = 0
@@ -88,7 +88,7 @@
             self.assertEqual(simulation.do(clients.submit_batch(name, node)), 202)
         self.assertEqual(simulation.do(clients.submit_batch(clients.new_batch(1))), 429)
 
-    def test_a_new_steward_knows_what_waits_and_what_is_free(self):
+    def test_a_new_coordinator_knows_the_waiting_and_the_free_tokens(self):
         for seed in (6, 7):
             simulation, clients = self.simulation(seed)
             for node in simulation.role("gateway"):
@@ -100,7 +100,7 @@
             self.assertEqual(self.first_definite_status(simulation, clients, 15), 202)
             self.assertEqual(self.first_definite_status(simulation, clients, 1), 429)
 
-    def test_what_the_old_steward_granted_last_is_counted_by_the_new_one(self):
+    def test_a_new_coordinator_counts_the_last_grants_of_the_old_one(self):
         simulation, clients = self.simulation(8)
         for node in simulation.role("gateway"):
             node.part.slots = 0
@@ -110,7 +110,7 @@
         self.assertEqual(self.first_definite_status(simulation, clients, 6), 429)
         self.assertEqual(self.first_definite_status(simulation, clients, 5), 202)
 
-    def test_after_a_start_of_all_gateways_what_is_open_is_counted_first(self):
+    def test_open_batches_are_counted_first_after_all_gateways_restart(self):
         simulation, clients = self.simulation(9)
         for node in simulation.role("gateway"):
             node.part.slots = 0
@@ -125,7 +125,7 @@
         self.assertEqual(self.first_definite_status(simulation, clients, 5), 202)
 
     def first_definite_status(self, simulation, clients, items):
-        """The first answer that is not 503; it must come within a few seconds."""
+        """Submits a batch until the status is not 503 but 202 or 429, within a few seconds, and returns the status."""
         statuses = []
         name = clients.new_batch(items)
 
@@ -133,7 +133,7 @@
             statuses.append(simulation.do(clients.submit_batch(name)))
             return statuses[-1] in (202, 429)
 
-        simulation.until(is_definite, 12, f"a sure answer: {statuses}")
+        simulation.until(is_definite, 12, f"a definite status: {statuses}")
         return statuses[-1]
 
     def test_the_cap_holds_while_gateways_are_killed_and_items_finish(self):
@@ -167,10 +167,10 @@
             self.assertEqual(cap_excesses, [], f"seed {seed}")
             self.assertGreater(len(clients.accepted), 20)
             for name in clients.accepted:
-                simulation.until(lambda: clients.read_if_complete(name), 60, f"{name} is whole")
+                simulation.until(lambda: clients.read_if_complete(name), 60, f"{name} is complete")
             self.assertEqual(clients.violations, [])
 
-    def test_a_storage_node_that_is_away_holds_up_no_count_after_gateways_change(self):
+    def test_an_unreachable_storage_node_does_not_delay_counting_after_gateways_change(self):
         for seed in (20, 21, 22):
             simulation, clients = self.simulation(seed, gateways=4)
             storage_node = simulation.role("storage")[0]
@@ -180,7 +180,9 @@
             gone.kill()
             coordinator = self.coordinator(simulation)
             simulation.until(
-                lambda: coordinator.ctx.membership.status(gone.node) != "alive", 5, "the coordinator misses the gateway"
+                lambda: coordinator.ctx.membership.status(gone.node) != "alive",
+                5,
+                "the coordinator notices that the gateway is gone",
             )
             at = simulation.clock.seconds()
             self.assertEqual(simulation.do(clients.submit_batch(clients.new_batch(3), coordinator)), 202)
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -14,7 +14,7 @@
 
 class Loads(unittest.TestCase):
     def fleet(self, gateways):
-        s = start_simulation(3, gateways=gateways, settle=1.0)
+        s = start_simulation(3, gateways=gateways, settle_s=1.0)
         self.addCleanup(s.end)
         s.sequence = 0
         self.renew(s)
--- a/tests/test_quota_restarts.py
+++ b/tests/test_quota_restarts.py
@@ -1,4 +1,4 @@
-"""The count of waiting tokens while gateways restart in turn: reservations do not wait for the others to settle."""
+"""The count of waiting tokens during a rolling restart of gateways: it must not delay reservations."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 MAX_INTAKE_S = 0.5
 
 
-class RestartsInTurn(unittest.TestCase):
+class RollingRestart(unittest.TestCase):
     def simulation(self, seed):
         simulation = start_simulation(seed, gateways=GATEWAYS, routes=[route(max_waiting_tokens=CAP)])
         simulation.event_interval, simulation.break_probability = ms(400), 0
@@ -24,7 +24,7 @@
         return next(gateway for gateway in simulation.role("gateway") if gateway.node == node)
 
     def restart(self, simulation, gateway):
-        """Ends one gateway in order, as a planned restart does, and starts it again at once."""
+        """Shuts down one gateway as a planned restart does, and starts it again at once."""
         simulation.do(gateway.ctx.membership.leave())
         gateway.kill()
         gateway.start()
@@ -37,37 +37,37 @@
             for gateway in simulation.role("gateway"):
                 gateway.part.slots = 0
             coordinator = self.coordinator(simulation)
-            taker = next(gateway for gateway in simulation.role("gateway") if gateway is not coordinator)
-            others = [gateway for gateway in simulation.role("gateway") if gateway not in (coordinator, taker)]
-            took, answers = [], []
+            submitter = next(gateway for gateway in simulation.role("gateway") if gateway is not coordinator)
+            others = [gateway for gateway in simulation.role("gateway") if gateway not in (coordinator, submitter)]
+            durations_s, statuses = [], []
             for number in range(16):
                 self.restart(simulation, others[number % len(others)])
                 simulation.run(RESTART_INTERVAL_S / 2)
                 if self.coordinator(simulation) is not coordinator:
-                    break  # the restarted one is the coordinator by its new id
-                began = simulation.clock.seconds()
-                answers.append(simulation.do(clients.submit_batch(clients.new_batch(1), taker)))
-                took.append(simulation.clock.seconds() - began)
+                    break  # with its new id, the restarted gateway has become the coordinator
+                started_at = simulation.clock.seconds()
+                statuses.append(simulation.do(clients.submit_batch(clients.new_batch(1), submitter)))
+                durations_s.append(simulation.clock.seconds() - started_at)
                 simulation.run(RESTART_INTERVAL_S / 2)
-            self.assertEqual(set(answers), {202}, f"seed {seed}: {answers}")
-            self.assertLess(max(took), MAX_INTAKE_S, f"seed {seed}: {took}")
+            self.assertEqual(set(statuses), {202}, f"seed {seed}: {statuses}")
+            self.assertLess(max(durations_s), MAX_INTAKE_S, f"seed {seed}: {durations_s}")
 
-    def test_a_grant_to_a_gateway_that_is_lost_counts_until_its_batch_was_looked_for(self):
+    def test_a_grant_to_a_lost_gateway_counts_until_open_batches_were_listed(self):
         simulation, clients = self.simulation(4)
         for gateway in simulation.role("gateway"):
             gateway.part.slots = 0
         coordinator = self.coordinator(simulation)
-        taker = next(gateway for gateway in simulation.role("gateway") if gateway is not coordinator)
-        self.assertEqual(simulation.do(clients.submit_batch(clients.new_batch(25), taker)), 202)
-        taker.kill()
+        submitter = next(gateway for gateway in simulation.role("gateway") if gateway is not coordinator)
+        self.assertEqual(simulation.do(clients.submit_batch(clients.new_batch(25), submitter)), 202)
+        submitter.kill()
         simulation.run(0.1)
         self.assertNotEqual(simulation.do(clients.submit_batch(clients.new_batch(6), coordinator)), 202)
         for _ in range(40):
             simulation.run(0.25)
-            answered = []
-            spawn(clients.submit_batch(clients.new_batch(6), coordinator)).addBoth(answered.append)
-            simulation.until(lambda: answered, 4, "an answer")
-            self.assertNotEqual(answered, [202])
+            statuses = []
+            spawn(clients.submit_batch(clients.new_batch(6), coordinator)).addBoth(statuses.append)
+            simulation.until(lambda: statuses, 4, "a response")
+            self.assertNotEqual(statuses, [202])
 
 
 if __name__ == "__main__":
--- a/tests/test_simulated_cache.py
+++ b/tests/test_simulated_cache.py
@@ -1,4 +1,4 @@
-"""The caches: the order of chunk writes, the order of reads, and what holds when they are lost."""
+"""The caches: the order of chunk writes, the sources of reads, and correct reads when the caches are lost."""
 
 import unittest
 
@@ -24,30 +24,30 @@
 
     def grow(self, n: int):
         start = len(self.data)
-        self.data += bytes((start + i) % 251 for i in range(n))
+        self.data += bytes((start + index) % 251 for index in range(n))
         self.committed = len(self.data)
         self._callback(self)
 
 
 class _FakeCache:
-    """Takes chunk writes and holds each until the test lets it through."""
+    """Holds back each chunk write until the test completes it."""
 
     def __init__(self):
         self.waiting: list[tuple[dict, defer.Deferred]] = []
         self.cached = self.durable = 0
 
     def store_chunks(self, chunks):
-        d = defer.Deferred()
-        self.waiting.append((chunks, d))
-        return d
+        written = defer.Deferred()
+        self.waiting.append((chunks, written))
+        return written
 
-    def complete_write(self, i: int, is_stored: bool = True):
-        chunks, d = self.waiting.pop(i)
-        d.callback(set(chunks) if is_stored else set())
+    def complete_write(self, index: int, is_stored: bool = True):
+        chunks, written = self.waiting.pop(index)
+        written.callback(set(chunks) if is_stored else set())
 
     async def store_lengths(self, lengths):
         for one in lengths.values():
-            assert one.cached >= self.cached or one.cached == 0, "the cached length went back"
+            assert one.cached >= self.cached or one.cached == 0, "the cached length decreased"
             self.cached = max(self.cached, one.cached)
             self.durable = max(self.durable, one.durable)
 
@@ -69,15 +69,15 @@
         self.writer = LogCacheWriter(self.ctx, self.cache, "log", self.log)
 
     def grow(self, n):
-        """Commits so many bytes more, and lets the cache come behind."""
+        """Commits n more bytes, and advances the clock until their write to the cache starts."""
         self.log.grow(n)
         self.ctx.clock.advance(WRITE_DELAY.total_seconds())
 
-    def number(self, i):
-        chunks, _ = self.cache.waiting[i]
+    def number(self, index):
+        chunks, _ = self.cache.waiting[index]
         return next(n for n in range(64) if chunk_key("log", n) in chunks)
 
-    def test_every_write_begins_at_the_chunks_start(self):
+    def test_every_write_starts_at_the_start_of_its_chunk(self):
         for n in (100, 5000, 9000):
             self.grow(n)
             while self.cache.waiting:
@@ -88,7 +88,7 @@
                 self.cache.complete_write(0)
         self.assertEqual(self.cache.cached, 14100)
 
-    def test_writes_of_a_partial_chunk_wait_for_one_another(self):
+    def test_writes_of_a_partial_chunk_are_serialized(self):
         self.grow(100)
         self.grow(100)
         self.grow(100)
@@ -103,15 +103,15 @@
         self.grow(5 * CHUNK_BYTES + 10)
         self.assertEqual(len(self.cache.waiting), 6)
         self.cache.waiting.sort(key=lambda w: -len(next(iter(w[0].values()))))
-        order = [self.number(i) for i in range(6)]
+        order = [self.number(index) for index in range(6)]
         lowest = order.index(0)
-        for i in reversed([i for i in range(6) if i != lowest]):
-            self.cache.complete_write(i)
+        for index in reversed([index for index in range(6) if index != lowest]):
+            self.cache.complete_write(index)
             self.assertEqual(self.cache.cached, 0)
         self.cache.complete_write(0)
         self.assertEqual((self.cache.cached, self.cache.durable), (5 * CHUNK_BYTES + 10, 5 * CHUNK_BYTES + 10))
 
-    def test_a_write_that_too_few_replicas_took_is_made_again(self):
+    def test_a_write_that_too_few_replicas_stored_is_retried(self):
         self.grow(10)
         self.cache.complete_write(0, is_stored=False)
         self.assertEqual(self.cache.cached, 0)
@@ -119,14 +119,14 @@
         self.cache.complete_write(0)
         self.assertEqual(self.cache.cached, 10)
 
-    def test_nothing_is_written_in_the_turn_of_a_commit_and_commits_that_follow_share_a_write(self):
+    def test_a_write_is_delayed_after_a_commit_and_includes_later_commits(self):
         for _ in range(3):
             self.log.grow(100)
             self.assertEqual(self.cache.waiting, [])
         self.ctx.clock.advance(WRITE_DELAY.total_seconds())
         self.assertEqual([len(data) for chunks, _ in self.cache.waiting for data in chunks.values()], [300])
 
-    def test_the_writes_of_a_long_record_begin_a_few_in_a_turn(self):
+    def test_the_writes_of_a_long_record_are_spread_over_several_turns_of_the_reactor(self):
         self.grow(20 * CHUNK_BYTES)
         begun = [len(self.cache.waiting)]
         while len(self.cache.waiting) < 20:
@@ -140,21 +140,21 @@
         self.clock = Clock()
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
 
-    def test_chunks_only_grow_and_go_by_age_or_room(self):
-        s = DataStore(self.timers, secs(10), 30)
-        s.store(b"a", b"12345")
-        s.store(b"a", b"123")
-        self.assertEqual(s.get(b"a"), b"12345")
-        s.store(b"b", b"x" * 28)
-        self.assertEqual((s.get(b"a"), s.size), (b"", 28))
+    def test_chunks_only_grow_and_are_evicted_by_age_or_size(self):
+        store = DataStore(self.timers, secs(10), 30)
+        store.store(b"a", b"12345")
+        store.store(b"a", b"123")
+        self.assertEqual(store.get(b"a"), b"12345")
+        store.store(b"b", b"x" * 28)
+        self.assertEqual((store.get(b"a"), store.size), (b"", 28))
         self.clock.advance(11)
-        self.assertEqual((s.get(b"b"), s.size), (b"", 0))
+        self.assertEqual((store.get(b"b"), store.size), (b"", 0))
 
     def test_lengths_only_grow(self):
-        s = LengthStore(self.timers, secs(10))
-        s.merge(Lengths(path="p", durable=9, cached=5))
-        s.merge(Lengths(path="p", durable=7, cached=6))
-        self.assertEqual((s.get("p").durable, s.get("p").cached), (9, 6))
+        store = LengthStore(self.timers, secs(10))
+        store.merge(Lengths(path="p", durable=9, cached=5))
+        store.merge(Lengths(path="p", durable=7, cached=6))
+        self.assertEqual((store.get("p").durable, store.get("p").cached), (9, 6))
 
 
 class Readers(unittest.TestCase):
@@ -168,32 +168,32 @@
     def write(self, records):
         ctx = self.writer.ctx
 
-        async def go():
-            h = ctx.replicated_log.leaseholders.get("results/r")
-            if h is None:
-                h = await ctx.replicated_log.acquire("results/r")
-                ctx.cache.start_log_writer("results/r", h)
+        async def run():
+            leaseholder = ctx.replicated_log.leaseholders.get("results/r")
+            if leaseholder is None:
+                leaseholder = await ctx.replicated_log.acquire("results/r")
+                ctx.cache.start_log_writer("results/r", leaseholder)
             for r in records:
-                await h.append([r])
+                await leaseholder.append([r])
 
-        self.simulation.do(go())
+        self.simulation.do(run())
 
     def read(self, ctx, n):
         tail = ctx.cache.tail("results/r")
         got = []
 
-        async def go():
+        async def run():
             while len(got) < n:
                 if not (more := await tail.read_records()):
                     await tail.wait_for_growth()
                 got.extend(body for _, body in more)
 
-        began = self.simulation.clock.seconds()
-        self.simulation.do(go(), 5)
+        started_at = self.simulation.clock.seconds()
+        self.simulation.do(run(), 5)
         tail.close()
-        return got, self.simulation.clock.seconds() - began
+        return got, self.simulation.clock.seconds() - started_at
 
-    def test_reads_come_from_the_caches_and_within_a_poll_or_two(self):
+    def test_reads_are_served_by_the_caches_within_two_polls(self):
         records = [f"{n}".encode() * 700 for n in range(40)]
         self.write(records)
         self.simulation.run(0.5)
@@ -203,7 +203,7 @@
         self.assertEqual((ctx.cache.counts["durable"], ctx.cache.counts["relaxed"] > 10), (0, True))
         self.assertLess(duration_s, 0.3)
 
-    def test_with_every_cache_gone_reads_are_slower_and_still_right(self):
+    def test_without_any_cache_reads_are_slower_but_correct(self):
         records = [f"{n}".encode() * 700 for n in range(40)]
         self.write(records)
         self.simulation.run(0.5)
@@ -217,7 +217,7 @@
         self.assertGreater(ctx.cache.counts["durable"], 10)
         self.assertLess(duration_s, 1.0)
 
-    def test_missing_chunks_come_in_one_span_and_a_lost_replica_costs_no_durable_read(self):
+    def test_missing_chunks_are_read_in_one_span_and_a_lost_replica_causes_no_durable_read(self):
         records = [f"{n}".encode() * 700 for n in range(40)]
         self.write(records)
         self.simulation.run(0.5)
@@ -236,19 +236,21 @@
         before = ctx.cache.counts["durable_reads"]
         reads = [spawn(t.read(0, t.lengths.cached)) for t in tails]
         got = self.simulation.do(defer.gatherResults(reads))
-        self.assertEqual((len(set(got)), ctx.cache.counts["durable_reads"] - before), (1, 1), "readers share one span")
+        self.assertEqual(
+            (len(set(got)), ctx.cache.counts["durable_reads"] - before), (1, 1), "concurrent readers share one read"
+        )
 
-    def test_a_postponed_durable_read_ends_well_within_the_promise(self):
+    def test_a_postponed_durable_read_ends_well_within_the_maximum_lag(self):
         ctx = self.others[0].ctx
         tail = ctx.cache.tail("results/r")
         self.simulation.cut([self.writer.name], [a.name for a in self.others])
         self.write([b"one"])
-        began = self.simulation.clock.seconds()
+        started_at = self.simulation.clock.seconds()
 
-        async def go():
+        async def run():
             while not await tail.read_records():
                 await tail.wait_for_growth()
 
-        self.simulation.do(go(), 3)
-        self.assertLess(self.simulation.clock.seconds() - began, 0.9)
+        self.simulation.do(run(), 3)
+        self.assertLess(self.simulation.clock.seconds() - started_at, 0.9)
         self.assertLess(ms(ctx.settings.postpone_ms), secs(1) / 2)
--- a/tests/test_uncached_records.py
+++ b/tests/test_uncached_records.py
@@ -1,4 +1,4 @@
-"""The bodies of a batch stay out of the cache, and all that readers want of it is there or in the storage nodes."""
+"""The bodies of a batch are not cached; readers get them from the storage nodes, and everything else from the cache."""
 
 import unittest
 
@@ -25,21 +25,21 @@
         self.assertFalse(uncached.covers(start, end + 1))
         self.assertFalse(uncached.covers(end, end + 10))
 
-    def test_without_a_prefix_all_is_cached(self):
+    def test_without_a_prefix_all_records_are_cached(self):
         uncached = UncachedRecords(b"")
         uncached.scan(bytearray(encode_frame(b"")), 8)
         self.assertFalse(uncached.covers(0, 8))
 
 
 class Bodies(unittest.TestCase):
-    def test_chunks_of_bodies_are_not_written_and_bodies_and_outputs_are_read_all_the_same(self):
+    def test_chunks_of_bodies_are_not_cached_but_bodies_and_outputs_can_be_read(self):
         simulation = start_simulation(3, gateways=4)
         self.addCleanup(simulation.end)
         clients = BatchClients(simulation)
         owner, reader = simulation.role("gateway")[:2]
         name = clients.new_batch(items=20, path="/bulk/" + "x" * 2000)
         self.assertEqual(simulation.do(clients.submit_batch(name, owner)), 202)
-        simulation.until(lambda: clients.read_if_complete(name), 30, "all is listed")
+        simulation.until(lambda: clients.read_if_complete(name), 30, "all outputs are listed")
         simulation.run(1)
         leaseholder_data = 20 * 2000
         cached = [
@@ -50,7 +50,7 @@
                 for gateway in simulation.role("gateway")
             )
         ]
-        self.assertEqual(cached, [0], "chunks inside of the bodies that some gateway has")
+        self.assertEqual(cached, [0], "only the first chunk of the log is cached; chunks within the bodies are not")
         self.assertEqual(simulation.do(clients.read_body(name, 19, reader)), 200)
         status, _ = simulation.do(clients.read(name, 0, 0, reader))
         self.assertEqual((status, clients.violations), (200, []))
