--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -14,7 +14,7 @@
 
 class LoadExchange(unittest.TestCase):
     def start_cluster(self, gateways):
-        simulation = start_simulation(3, gateways=gateways, settle=1.0)
+        simulation = start_simulation(3, gateways=gateways, settle_s=1.0)
         self.addCleanup(simulation.end)
         simulation.sequence = 0
         self.announce_engines(simulation)
