--- a/pipitlink/cluster/__init__.py
+++ b/pipitlink/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""The cluster state that controllers agree on, and how other nodes follow it."""
+"""The cluster state that the controllers replicate, and the client with which other nodes follow it."""
 
 from .cluster_state import ClusterState, OutcomeCode
 from .follower import ClusterFollower
--- a/pipitlink/cluster/cluster_state.py
+++ b/pipitlink/cluster/cluster_state.py
@@ -1,4 +1,4 @@
-"""The replicated state machine that the controllers' agreed commands are applied to."""
+"""The replicated state machine to which committed commands are applied."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class OutcomeCode(StrEnum):
-    """What became of a command; the values stand on the wire and in stored outcomes."""
+    """The outcome of a command. The values are used on the wire and in stored outcomes."""
 
     DONE = "done"
     FENCED = "late"
@@ -45,7 +45,7 @@
 
 
 def _content_digest(command: Command) -> bytes:
-    """A digest of what an edit asks for, whatever its id and its fencing token."""
+    """Returns a digest of an edit's content, which leaves out its id and its fencing token."""
     kind = command.WhichOneof("of") or ""
     content = getattr(command, kind) if kind else ""
     body = content.SerializeToString(deterministic=True) if isinstance(content, Message) else str(content).encode()
@@ -53,11 +53,12 @@
 
 
 class ClusterState:
-    """Weight table, routes, zones, storage nodes, placement groups and voters, as the agreed commands make them.
+    """The weight table, routes, zones, storage nodes, placement groups and voters, as set by the committed commands.
 
-    The same commands in the same order give the same state on each node. `table_sequence`, `config_changed_at`,
-    `zones_changed_at`, `storage_nodes_changed_at` and `witnesses_changed_at` are the sequences of the last changes of
-    each part; `confirmed_witness_change` is the last change of the witnesses that more than half of them have.
+    The state machine is deterministic: the same commands in the same order give the same state on every node.
+    `table_sequence`, `config_changed_at`, `zones_changed_at`, `storage_nodes_changed_at` and `witnesses_changed_at` are
+    the sequence numbers of the last change of each part. `confirmed_witness_change` is the last change of the witness
+    set that more than half of the witnesses have applied.
     """
 
     def __init__(self, data: ClusterStateData | None = None) -> None:
@@ -84,7 +85,7 @@
         self._rows_by_target: dict[tuple[str, str], Row] | None = None
 
     def data(self) -> ClusterStateData:
-        """Returns the whole state as a message, from which the constructor makes the same state."""
+        """Returns the whole state as a message that the constructor accepts."""
         return ClusterStateData(
             sequence=self.sequence,
             table_sequence=self.table_sequence,
@@ -106,9 +107,9 @@
         )
 
     def recorded_outcome(self, command: Command) -> Outcome | None:
-        """Returns what became of this edit where it took effect before, else None.
+        """Returns the recorded outcome of this edit, or None if it has not taken effect yet.
 
-        An edit with the id of another and a different content is answered with `edit_id_used`.
+        If the id was already used for an edit with different content, the outcome is `edit_id_used`.
         """
         outcome = self.outcomes.get(command.edit) if command.edit else None
         if outcome is None or outcome.content in (b"", _content_digest(command)):
@@ -116,10 +117,10 @@
         return Outcome(edit=command.edit, code=OutcomeCode.EDIT_ID_USED, sequence=self.sequence)
 
     def apply(self, sequence: int, command: Command) -> Outcome:
-        """Applies the agreed command at a sequence and returns its outcome.
+        """Applies the committed command with this sequence number and returns its outcome.
 
-        The same edit id never takes effect twice. Only edits that took effect are recorded, so that one that was
-        rejected is judged anew when it is sent again.
+        An edit id takes effect at most once. Only edits that took effect are recorded, so that a rejected edit is
+        evaluated again when it is retried.
         """
         self.sequence = sequence
         recorded = self.recorded_outcome(command)
@@ -135,25 +136,25 @@
         return outcome
 
     def placement_group(self, number: int) -> PlacementGroup:
-        """Returns a placement group; one without storage nodes where it is not placed yet."""
+        """Returns a placement group, without storage nodes if it has not been placed yet."""
         group = self.placement_groups.get(number)
         if group is None:
             return PlacementGroup(number, 0, ())
         return PlacementGroup(number, group.sequence, tuple(group.storage_nodes), group.joining, group.leaving)
 
     def row(self, model: str, pool: str) -> Row | None:
-        """Returns the row for a model in a pool, else the model's, else the pool's, or None."""
+        """Returns the most specific row: for the model in the pool, then for the model, then for the pool, or None."""
         if self._rows_by_target is None:
             self._rows_by_target = {(row.model, row.pool): row for row in self.rows.values()}
         rows = self._rows_by_target
         return rows.get((model, pool)) or rows.get((model, "")) or rows.get(("", pool))
 
     def witnesses(self) -> list[str]:
-        """Returns the storage nodes that count for a gateway's proof that its state is the newest, sorted."""
+        """Returns, sorted, the storage nodes that a gateway polls to prove that its state is the newest."""
         return sorted(node for node, status in self.storage_nodes.items() if status != "retired")
 
     def _is_fenced(self, command: Command, kind: str | None) -> bool:
-        """Whether what the command changes was changed after the operator's request had arrived."""
+        """Whether the part that the command edits has changed since the operator's request arrived."""
         if not command.HasField("fencing_token"):
             return False
         changed_at = {
@@ -165,7 +166,7 @@
         return command.fencing_token < changed_at.get(kind or "", 0)
 
     def _version_of(self, kind: str | None, sequence: int) -> int:
-        """The version that the outcome of a command states: that of the part which it edits, else its sequence."""
+        """The version reported in an outcome: the version of the edited table or configuration, else the sequence."""
         if kind == "table":
             return self.table_sequence
         if kind == "config":
@@ -173,7 +174,7 @@
         return sequence
 
     def _record_outcome(self, outcome: Outcome, command: Command, kind: str) -> None:
-        """Keeps the newest outcomes, and of each kind of edit the last one for as long as its effect stands."""
+        """Records an outcome and evicts the oldest ones, but always keeps the last outcome of each kind of edit."""
         outcome.kind = kind
         outcome.content = _content_digest(command)
         self.outcomes[command.edit] = outcome
--- a/pipitlink/cluster/currency.py
+++ b/pipitlink/cluster/currency.py
@@ -1,4 +1,4 @@
-"""The proof that a node's cluster state is the newest one that was acknowledged."""
+"""Proof that a node's cluster state is current: that it has every acknowledged edit."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 __all__ = ["FOLLOWER_LEASE_SPAN", "LEASE_SPAN", "Currency", "CurrencyState"]
 
-# A gateway's lease on the cluster state ends for the leader after the one span, for the gateway after the shorter one.
+# The gateway lets its lease on the cluster state expire earlier than the leader does.
 LEASE_SPAN = secs(1.5)
 FOLLOWER_LEASE_SPAN = secs(1.2)
 WITNESS_PROOF_SPAN = secs(1)
 
 
 class CurrencyState(StrEnum):
-    """By what a cluster state is proved to be current; the values stand in answers to operators."""
+    """What proves that a cluster state is current. The values are shown to operators."""
 
     NEW = "new"
     LED = "led"
@@ -30,9 +30,9 @@
 
 
 class Currency(StateMachineMixin):
-    """When a leader last leased the cluster state to this node, when a majority of the witnesses last proved it.
+    """Records when a leader last leased the cluster state to this node, and when a majority of witnesses confirmed it.
 
-    Its state is as of the last call of `refresh`; times are on the timers' clock, None before the first proof.
+    The state is as of the last call of `refresh`. Times are on the timers' clock, and None before the first proof.
     """
 
     state_machine = "currency"
@@ -45,7 +45,7 @@
         self._init_state_machine()
 
     def refresh(self, sequence: int) -> bool:
-        """Returns whether the cluster state at `sequence` is proved to be current now."""
+        """Updates the state and returns whether the cluster state at `sequence` is currently proven to be current."""
         self._sequence = sequence
         state = self._current_state()
         if self.state != state:
@@ -53,11 +53,11 @@
         return state != CurrencyState.LAPSED
 
     def has_live_lease(self) -> bool:
-        """Whether a leader answered lately that this node has all that is agreed."""
+        """Whether the lease is live: a leader recently confirmed that this node has every committed command."""
         return self._is_within(self.leased_at, FOLLOWER_LEASE_SPAN)
 
     def was_proved_within(self, span: timedelta) -> bool:
-        """Whether there was a proof of either kind less than a span ago."""
+        """Whether there was a proof of either kind within the last `span`."""
         return self._is_within(self.leased_at, span) or self._is_within(self.witnessed_at, span)
 
     def _current_state(self) -> CurrencyState:
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -1,4 +1,4 @@
-"""Follows the cluster state outside the controllers."""
+"""Keeps a copy of the cluster state up to date on nodes that are not controllers."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 __all__ = ["MAX_FOLLOW_WAIT", "MIN_FOLLOW_WAIT", "ClusterFollower"]
 
-# A leader answers a request of a node that has the newest state after a wait, which is longer in a larger cluster.
+# Long polling: a leader holds the request of an up-to-date node for this long, and longer in larger clusters.
 MIN_FOLLOW_WAIT = ms(250)
 MAX_FOLLOW_WAIT = ms(600)
 NODES_PER_FOLLOW_WAIT = 24
 FOLLOW_TIMEOUT = ms(450)
 RETRY_PAUSE = ms(100)
 CATCH_UP_POLL_INTERVAL = ms(20)
-# While the controller that was followed does not answer, each third attempt goes by way of a peer.
+# While the followed controller does not respond, every third attempt goes through a peer.
 ATTEMPTS_PER_PEER_ATTEMPT = 3
 
 FOLLOW_CONTROLLER = "controller.follow"
@@ -37,16 +37,16 @@
 
 @attrs.frozen
 class _Source:
-    """A member that is asked for the cluster state, and the RPC method for that."""
+    """A member from which the cluster state is requested, and the RPC method to call."""
 
     member: Member
     method: str
 
 
 class ClusterFollower:
-    """The cluster state as a node outside the controllers has it: only ever replaced by one of a higher sequence.
+    """A node's copy of the cluster state, whose sequence never decreases.
 
-    `currency` tells whether the state is proved to be the newest.
+    `currency` tells whether the copy is proven to be current.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -62,7 +62,7 @@
         self._retry_pause: defer.Deferred[None] | None = None
 
     def open(self) -> None:
-        """Follows the cluster state from now on, and answers peers; membership must be open."""
+        """Starts to follow the cluster state and to serve peers. The membership must be open."""
         self._ctx.rpc.register_handler(FOLLOW_PEER, FollowRequest, self._forward_follow)
         self._witnesses.open()
         self._ctx.membership.add_gossip_carrier(self)
@@ -72,42 +72,42 @@
 
     @property
     def sequence(self) -> int:
-        """The sequence of the last command that was applied to the state, 0 before the first."""
+        """The sequence number of the last applied command, or 0 before the first."""
         return self.cluster_state.sequence
 
     @property
     def state(self) -> str:
-        """By what the cluster state was proved to be current when that was last asked."""
+        """What proved the cluster state to be current at the last check."""
         return self.currency.state
 
     @property
     def caught_up(self) -> bool:
-        """Whether a leader has confirmed since this node started that it has the newest cluster state."""
+        """Whether a leader has confirmed, since this node started, that its cluster state is the newest."""
         return self._caught_up
 
     async def wait_until_caught_up(self, timeout: timedelta) -> bool:
-        """Waits a while for `caught_up` on a node that has just started, and returns it."""
+        """Waits until the node is caught up or the timeout expires; returns `caught_up`."""
         end = self._ctx.timers.now() + timeout
         while not self.caught_up and self._ctx.timers.now() < end:
             await self._ctx.timers.sleep(CATCH_UP_POLL_INTERVAL)
         return self.caught_up
 
     def add_listener(self, listener: Callable[[], object]) -> None:
-        """Has `listener` called after each change of the cluster state from now on."""
+        """Registers a listener that is called after each change of the cluster state."""
         self._listeners.append(listener)
 
     def ready(self) -> bool:
-        """Whether new work may be admitted: checked at the moment of use, so a node that woke looks at its proofs."""
+        """Whether new work may be admitted; checked at each use, since proofs expire while a process is paused."""
         if self.sequence == 0 or not self.cluster_state.placement_groups:
             return False
         return self.currency.refresh(self.sequence)
 
     def has_live_lease(self) -> bool:
-        """Whether a leader answered lately that this node has all that is agreed."""
+        """Whether the lease is live: a leader recently confirmed that this node has every committed command."""
         return self.currency.has_live_lease()
 
     def usable(self) -> bool:
-        """Whether requests may be served: proved, or without proof for as long as the settings allow that."""
+        """Whether requests may be served: with a proof, or after its expiry for as long as the settings allow."""
         if self.ready():
             return True
         grace_s = self._ctx.settings.unproved_s
@@ -116,24 +116,24 @@
         return self.currency.was_proved_within(secs(grace_s))
 
     def placement_group(self, number: int) -> PlacementGroup:
-        """Returns a placement group; one without storage nodes where it is not placed yet."""
+        """Returns a placement group, without storage nodes if it has not been placed yet."""
         return self.cluster_state.placement_group(number)
 
     def row(self, model: str, pool: str) -> Row | None:
-        """Returns the row of the weight table for a model in a pool, or None."""
+        """Returns the weight table's row for a model in a pool, or None."""
         return self.cluster_state.row(model, pool)
 
     def zone_empty(self, zone: str) -> bool:
-        """Whether a zone is to get no work."""
+        """Whether a zone is emptied, so that no work may be sent to it."""
         return zone in self.cluster_state.empty_zones
 
     def max_follow_wait(self) -> timedelta:
-        """How long a leader may wait before it answers: longer where many ask it, within what a lease allows."""
+        """How long a leader may hold a request: longer in a large cluster, within the limit that the lease sets."""
         nodes = len(self._ctx.membership.members())
         return max(MIN_FOLLOW_WAIT, min(MAX_FOLLOW_WAIT, MIN_FOLLOW_WAIT * nodes / NODES_PER_FOLLOW_WAIT))
 
     def apply_response(self, response: FollowResponse) -> bool:
-        """Takes over what is newer in a response; returns whether this node now has all that its sender has."""
+        """Applies newer state from a response. Returns whether this node is now up to date with the sender."""
         before = self.sequence
         self._install_state(response)
         for delta in response.deltas:
@@ -148,11 +148,11 @@
         return self.sequence >= response.sequence
 
     def fill_gossip(self, gossip: Gossip) -> None:
-        """Adds the sequence of this node's cluster state to a message."""
+        """Adds the sequence of this node's cluster state to a gossip message."""
         gossip.cluster_sequence = self.sequence
 
     def absorb_gossip(self, gossip: Gossip) -> None:
-        """Ends the pause before the next attempt where a peer has a newer cluster state."""
+        """Retries at once if a peer has a newer cluster state."""
         if gossip.cluster_sequence > self.sequence and self._retry_pause is not None:
             pause, self._retry_pause = self._retry_pause, None
             pause.callback(None)
@@ -167,7 +167,7 @@
             self.cluster_state = state
 
     async def _follow(self) -> None:
-        """Follows the cluster state from a controller, or by way of a peer where no controller answers."""
+        """Follows the cluster state from a controller, or through a peer if no controller responds."""
         failures = 0
         while not self._ctx.timers.stopped:
             try:
@@ -218,9 +218,9 @@
         return response
 
     def _choose_source(self, failures: int) -> _Source:
-        """Chooses the controller that was followed last, after failures another one or a peer.
+        """Returns the controller followed last or, after failures, another controller or a peer.
 
-        Raises WireError where none is known.
+        Raises WireError if none is known.
         """
         controllers = self._ctx.membership.members("controller", include_self=False)
         followed = [member for member in controllers if member.node == self._controller]
@@ -234,15 +234,15 @@
         return _Source(self._ctx.rng.choice(peers), FOLLOW_PEER)
 
     async def _forward_follow(self, _node: str, request: FollowRequest) -> FollowResponse:
-        """Forwards the request of a peer that no controller answers."""
+        """Forwards the request of a peer that cannot reach a controller."""
         controller = self._ctx.membership.find(self._controller) if self._controller else None
         if controller is None:
-            raise WireError("no controller is heard here either")
+            raise WireError("this peer cannot reach a controller either")
         return await self._ask(controller, FOLLOW_CONTROLLER, request)
 
 
 def _leader_from_error(error: WireError) -> str:
-    """The leader that a controller names which does not lead itself; "" where it knows none."""
+    """Returns the leader named by a controller that is not leading itself, or "" if it knows none."""
     if isinstance(error, RemoteError) and error.remote_code == "not_leading":
         return error.message
     return ""
--- a/pipitlink/cluster/routes.py
+++ b/pipitlink/cluster/routes.py
@@ -13,7 +13,7 @@
 
 
 class ConfigProblem(TypedDict):
-    """What is wrong with one field of a route, as operators get it."""
+    """A validation error in one field of a route, as reported to operators."""
 
     row: str
     field: str
@@ -21,7 +21,7 @@
 
 
 class RouteTable:
-    """The configuration of routes and pools as it is looked up: routes by host and longest prefix, pools by name."""
+    """The configuration of routes and pools, indexed for lookup: routes by host and longest prefix, pools by name."""
 
     def __init__(self, config: Config | None = None) -> None:
         config = config or Config()
@@ -34,15 +34,15 @@
             self._routes_by_host.setdefault(route.host, []).append(route)
 
     def config(self) -> Config:
-        """Returns the configuration as a message, from which the constructor makes the same table."""
+        """Returns the configuration as a message that the constructor accepts."""
         return Config(version=self.version, routes=self.routes.values(), pools=self.pools.values(), bounds=self.bounds)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Returns the route of this host with the longest prefix that begins the path, or None."""
+        """Returns the host's route with the longest matching path prefix, or None."""
         return next((route for route in self._routes_by_host.get(host, ()) if path.startswith(route.prefix)), None)
 
     def with_edit(self, edit: ConfigEdit) -> RouteTable:
-        """Returns the table after an edit, whose base must have been checked against this one."""
+        """Returns the table with an edit applied. The caller must have checked the edit's base version."""
         config = Config(version=edit.version)
         config.bounds.CopyFrom(edit.bounds if edit.HasField("bounds") else self.bounds)
         routes: dict[str, Route] = {}
@@ -57,7 +57,7 @@
         return RouteTable(config)
 
     def validation_problems(self) -> list[ConfigProblem]:
-        """Returns what is wrong with this table; nothing where it may be put in force."""
+        """Returns the validation errors of this table; an empty list if it is valid."""
         problems: list[ConfigProblem] = []
         owners: dict[tuple[str, str], str] = {}
         for route in self.routes.values():
@@ -66,7 +66,7 @@
         return problems
 
     def _route_problems(self, route: Route, owner: str) -> Iterator[ConfigProblem]:
-        """The problems of one route; `owner` is the first route with its host and prefix."""
+        """Yields the problems of one route; `owner` is the first route with the same host and prefix."""
         if route.kind not in KINDS:
             yield _problem(route, "kind", f"must be one of {', '.join(KINDS)}")
         if not route.host or not route.prefix.startswith("/") or not route.prefix.endswith("/"):
--- a/pipitlink/cluster/state_transfer.py
+++ b/pipitlink/cluster/state_transfer.py
@@ -1,4 +1,4 @@
-"""The whole cluster state on its way to a follower, compressed and in chunks of bounded size."""
+"""Transfer of the whole cluster state to a follower, compressed and in chunks of bounded size."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class StateTransfer:
-    """One state of one leader, as it is sent to any number of followers."""
+    """One leader's compressed cluster state at one sequence, which can be sent to any number of followers."""
 
     sequence: int
     term: int
@@ -25,36 +25,36 @@
 
     @classmethod
     def compress(cls, state: ClusterState, term: int) -> StateTransfer:
-        """Compresses a state as it is now."""
+        """Compresses the present state."""
         return cls(state.sequence, term, zlib.compress(state.data().SerializeToString(), COMPRESSION_LEVEL))
 
     def matches(self, received: StateChunk) -> bool:
-        """Whether a follower has received a part, but not all, of this state."""
+        """Whether a follower has received a part of this state, but not all of it."""
         total = len(self.data)
         is_this_state = (received.sequence, received.term, received.total) == (self.sequence, self.term, total)
         return is_this_state and 0 < received.offset < total
 
     def chunk_after(self, received: StateChunk) -> StateChunk:
-        """Returns what follows the bytes that a follower has; the first chunk where those are of another state."""
+        """Returns the chunk after the bytes received, or the first chunk if those belong to another state."""
         offset = received.offset if self.matches(received) else 0
         data = self.data[offset : offset + CHUNK_BYTES]
         return StateChunk(sequence=self.sequence, term=self.term, offset=offset, total=len(self.data), data=data)
 
 
 class StateReceiver:
-    """The chunks of a state that a follower has received."""
+    """Collects the chunks of a state at a follower."""
 
     def __init__(self) -> None:
         self._data = bytearray()
         self._transfer = StateChunk()
 
     def received(self) -> StateChunk:
-        """Returns which state is being received, and as `offset` how many bytes of it; the next request states this."""
+        """Returns, for the next request, which state is being received and how many of its bytes, as `offset`."""
         transfer = self._transfer
         return StateChunk(sequence=transfer.sequence, term=transfer.term, total=transfer.total, offset=len(self._data))
 
     def add(self, chunk: StateChunk) -> ClusterState | None:
-        """Takes the next chunk; returns the state once it is complete. A chunk out of order is ignored."""
+        """Adds the next chunk and returns the state once it is complete. An out-of-order chunk is ignored."""
         transfer = self._transfer
         if (transfer.sequence, transfer.term, transfer.total) != (chunk.sequence, chunk.term, chunk.total):
             self._data.clear()
--- a/pipitlink/cluster/witnesses.py
+++ b/pipitlink/cluster/witnesses.py
@@ -1,4 +1,4 @@
-"""Proof without a controller that a cluster state is current, by the storage nodes that follow it."""
+"""Proves without a controller that a cluster state is current, by polling the storage nodes that follow it."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 POLL_INTERVAL = ms(300)
 POLL_TIMEOUT = ms(500)
-# Witnesses are asked once a lease is overdue by this.
+# Witnesses are polled once the lease renewal is overdue by this time.
 LEASE_OVERDUE_SPAN = ms(300)
 
 
 class Witnesses:
-    """Asks the storage nodes which cluster state they have, and answers that for other nodes.
+    """Polls the storage nodes for the sequence of their cluster state, and responds to such polls.
 
-    A leader acknowledges an edit only when a majority of the storage nodes has it. So where a majority shows no newer
-    sequence, this node lacks no edit that was acknowledged.
+    A leader acknowledges an edit only once a majority of the storage nodes has it. So if a majority reports no newer
+    sequence, this node has every acknowledged edit.
     """
 
     def __init__(self, ctx: Context, follower: ClusterFollower) -> None:
@@ -32,12 +32,12 @@
         self._follower = follower
 
     def open(self) -> None:
-        """Answers other nodes from now on."""
+        """Registers the RPC handlers."""
         self._ctx.rpc.register_handler("cluster.witness", Empty, self._answer_witness)
         self._ctx.rpc.register_handler("cluster.cluster_state", Empty, self._answer_state)
 
     def start_polling(self) -> None:
-        """Asks the witnesses from now on, at intervals, while there is no lease of a leader."""
+        """Starts to poll the witnesses at intervals whenever this node holds no lease."""
         self._ctx.timers.call_repeatedly(POLL_INTERVAL, self._poll, self._ctx.error_reporter("witness_poll"))
 
     async def _answer_witness(self, _node: str, _request: Empty) -> WitnessResponse:
@@ -68,14 +68,14 @@
         return self._ctx.timers.now() - leased_at >= self._follower.max_follow_wait() + LEASE_OVERDUE_SPAN
 
     async def _fetch_newer_state(self, sequences: dict[str, int]) -> None:
-        """Takes over the state of the witness with the highest sequence, where that is newer than this node's."""
+        """Applies the state of the witness with the highest sequence if it is newer than this node's."""
         newest = max(sequences, key=lambda node: sequences[node], default="")
         if newest and sequences[newest] > self._follower.sequence:
             response = await self._ctx.replicated_log.call(newest, "cluster.cluster_state", Empty(), FollowResponse)
             self._follower.apply_response(response)
 
     def _is_proof(self, sequences: dict[str, int], witnesses: list[str]) -> bool:
-        """Whether a majority answered, none is newer, and the witnesses have not changed meanwhile."""
+        """Whether a majority responded, none is newer, and the set of witnesses has not changed meanwhile."""
         if 2 * len(sequences) <= len(witnesses):
             return False
         if self._follower.sequence < max(sequences.values()):
--- a/pipitlink/state_machines/__init__.py
+++ b/pipitlink/state_machines/__init__.py
@@ -1,8 +1,8 @@
-"""State machines described in data files: states, events and transitions.
+"""State machines defined in data files: states, events and transitions.
 
-A data file `NAME.toml` of this package holds `start`, the list `states`, a `[[transition]]` for each allowed change
-with `from` (a state or a list of them), `event`, `to` and optionally `action`, and under `[ignore]` the events that
-change nothing in a state. Any other event in a state is a programming error and raises automat's NoTransition.
+A data file `NAME.toml` in this package has `start`, the list `states`, a `[[transition]]` for each allowed transition
+with `from` (a state or a list of states), `event`, `to` and optionally `action`, and under `[ignore]` the events that
+are ignored in a state. Any other event in a state is a programming error and raises automat's NoTransition.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class _Core:
-    """What automat's machine works on: the object that owns the machine, and the name of its state."""
+    """The core object of automat's machine: the owner of the machine, and the name of the current state."""
 
     def __init__(self, owner: object, state: str) -> None:
         self.owner = owner
@@ -66,7 +66,7 @@
 
 @cache
 def _machine(name: str) -> tuple[str, Callable[[_Core], Any]]:
-    """Returns the start state of a machine, and the factory of its event methods."""
+    """Returns the start state of a machine, and the factory of its inputs."""
     data = state_machine_data(name)
     methods = {event: _event_method(event) for event in _event_names(data)}
     events = types.new_class("Events", (Protocol,), {}, lambda namespace: namespace.update(methods))
@@ -84,10 +84,10 @@
 
 
 class StateMachineMixin:
-    """Adds a state machine from a data file: `trigger` for its events, and `state` for where it is.
+    """Adds a state machine from a data file: `trigger` sends an event, and `state` is the current state.
 
-    A class names the data file in `state_machine`, has a method `_ACTION` for each `action = "ACTION"` of the file's
-    transitions, and calls `_init_state_machine` in its constructor.
+    A subclass sets `state_machine` to the name of the data file, defines a method `_ACTION` for each
+    `action = "ACTION"` of the file's transitions, and calls `_init_state_machine` in its constructor.
     """
 
     state_machine = ""
@@ -101,9 +101,9 @@
 
     @property
     def state(self) -> str:
-        """The name of the present state."""
+        """The name of the current state."""
         return self._core.state
 
     def trigger(self, event: str) -> None:
-        """Takes the transition of an event. Raises automat's NoTransition where the data file allows none."""
+        """Takes the transition of an event. Raises automat's NoTransition if the data file does not allow it."""
         getattr(self._events, event)()
--- a/pipitlink/state_machines/request_state.py
+++ b/pipitlink/state_machines/request_state.py
@@ -1,4 +1,4 @@
-"""The states of a request on its way to an engine (`request.toml`), for the gateways of both interfaces."""
+"""The states of a request that is sent to an engine (`request.toml`), shared by gateway and router."""
 
 from __future__ import annotations
 
@@ -23,5 +23,5 @@
 
 
 def reportable_outcome(state: str) -> str:
-    """Returns what may be reported of an attempt that fails in a state: `not_run`, `failed` or `unknown`."""
+    """Returns the outcome to report if an attempt fails in a state: `not_run`, `failed` or `unknown`."""
     return _OUTCOMES[state]
