--- a/pipitlink/controller/__init__.py
+++ b/pipitlink/controller/__init__.py
@@ -1,4 +1,4 @@
-"""Controllers: elections, the agreed log, and all that the leader decides."""
+"""Controllers: leader elections, the replicated log, and the decisions of the leader."""
 
 from .control_api import ControlServer
 from .node import ControllerNode
--- a/pipitlink/controller/bootstrap.py
+++ b/pipitlink/controller/bootstrap.py
@@ -1,4 +1,4 @@
-"""Bootstraps a new cluster: the first voters, named by the settings, agree on who they are."""
+"""Bootstraps a new cluster from the initial voters that the settings name."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 
 
 class Bootstrap:
-    """Makes the controllers of the setting `founders` the first voters, if every one of them is a newcomer.
+    """Makes the controllers in the setting `founders` the initial voters, if none of them has a cluster state yet.
 
-    The first of the list decides, once it has heard all of them; the others learn the voters from any that has them.
+    The first controller in the list decides, once all of them have responded to it. The others learn the set of voters
+    from any controller that has it.
     """
 
     def __init__(self, ctx: Context, consensus: ConsensusState, snapshots: SnapshotManager) -> None:
@@ -30,11 +31,11 @@
         self._snapshots = snapshots
 
     def open(self) -> None:
-        """Answers other controllers from now on."""
+        """Registers the RPC handler."""
         self._ctx.rpc.register_handler("controller.empty", Empty, self._answer)
 
     def start_timer(self) -> None:
-        """Tries to bootstrap from now on, until this controller is no newcomer any more."""
+        """Starts to attempt the bootstrap at intervals, until this controller has a cluster state."""
         self._ctx.timers.call_repeatedly(
             BOOTSTRAP_INTERVAL,
             self._attempt_bootstrap,
@@ -79,6 +80,6 @@
 
 
 def _address(founder: str) -> Address:
-    """Returns the address in HOST:PORT."""
+    """Parses a HOST:PORT address."""
     host, _, port = founder.rpartition(":")
     return host, int(port)
--- a/pipitlink/controller/consensus_state.py
+++ b/pipitlink/controller/consensus_state.py
@@ -1,4 +1,4 @@
-"""What one controller knows of the consensus: its role, the term, the leader, and the committed cluster state."""
+"""One controller's view of the consensus: its role, the term, the leader, and the committed cluster state."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class ConsensusState(StateMachineMixin):
-    """A controller's role, the leader it knows, the commit index, and the cluster state with all that is committed.
+    """A controller's role, the leader it knows, the commit index, and the cluster state with all committed entries.
 
-    Term, vote, entries and voters stand in the durable log. Other parts register callbacks for changes of the role and
-    for entries that are applied; callbacks run in the order in which they were registered.
+    Term, vote, entries and voters are kept in the durable log. Other components register callbacks for role changes and
+    for applied entries. Callbacks run in the order of their registration.
     """
 
     state_machine = "controller_role"
@@ -47,24 +47,24 @@
         self._init_state_machine()
 
     def when_elected(self, callback: Callable[[], None]) -> None:
-        """Has `callback` called each time this controller becomes the leader."""
+        """Registers a callback for each time this controller becomes the leader."""
         self._on_elected.append(callback)
 
     def when_stepped_down(self, callback: Callable[[], None]) -> None:
-        """Has `callback` called each time this controller ceases to be the leader."""
+        """Registers a callback for each time this controller ceases to be the leader."""
         self._on_stepped_down.append(callback)
 
     def when_applied(self, callback: Callable[[int, int, Outcome], None]) -> None:
-        """Has `callback` called with index, term and outcome of each entry that is applied."""
+        """Registers a callback that gets the index, term and outcome of each applied entry."""
         self._on_applied.append(callback)
 
     def when_advanced(self, callback: Callable[[], None]) -> None:
-        """Has `callback` called after committed entries were applied."""
+        """Registers a callback that runs after committed entries were applied."""
         self._on_advanced.append(callback)
 
     @property
     def role(self) -> ControllerRole:
-        """This controller's present role."""
+        """This controller's current role."""
         return ControllerRole(self.state)
 
     @property
@@ -74,21 +74,21 @@
 
     @property
     def is_follower(self) -> bool:
-        """Whether this controller follows, or waits for, a leader."""
+        """Whether this controller follows a leader or waits for one."""
         return self.state == ControllerRole.FOLLOWER
 
     @property
     def is_candidate(self) -> bool:
-        """Whether this controller stands for election."""
+        """Whether this controller is a candidate in an election."""
         return self.state == ControllerRole.CANDIDATE
 
     @property
     def is_leader(self) -> bool:
-        """Whether this controller leads, as far as it knows."""
+        """Whether this controller believes that it is the leader."""
         return self.state == ControllerRole.LEADER
 
     def leads_in(self, term: int) -> bool:
-        """Returns whether this controller leads, and its term is still this one."""
+        """Returns whether this controller leads in the given term."""
         return self.is_leader and self.term == term
 
     @property
@@ -97,7 +97,7 @@
         return self._durable_log.hard_state.term
 
     def voters(self) -> tuple[str, ...]:
-        """Returns the voters by the newest entry of the log, committed or not."""
+        """Returns the voters according to the newest log entry that sets them, committed or not."""
         return self._durable_log.voters()
 
     def is_voter(self) -> bool:
@@ -110,29 +110,29 @@
         return 2 * sum(voter in nodes for voter in voters) > len(voters)
 
     def term_is_committed(self) -> bool:
-        """Returns whether an entry of the present term is committed."""
+        """Returns whether an entry of the current term is committed."""
         return self._durable_log.term_at(self.commit_index) == self.term
 
     async def observe_term(self, term: int) -> None:
-        """Follows from now on where a higher term was seen, and returns once that term is durable."""
+        """If the term is newer than the current one, steps down and adopts it; returns once it is durable."""
         if term > self.term:
             self.step_down()
             await self._durable_log.save_hard_state(term, "")
 
     def mark_bootstrapped(self) -> None:
-        """Makes a newcomer a follower, once it has a first cluster state."""
+        """Turns a newcomer into a follower, once it has its first cluster state."""
         self.trigger("bootstrapped")
 
     def start_election(self) -> None:
-        """Makes a follower a candidate."""
+        """Turns a follower into a candidate."""
         self.trigger("start_election")
 
     def win_election(self) -> None:
-        """Makes a candidate the leader."""
+        """Turns a candidate into the leader."""
         self.trigger("win_election")
 
     def step_down(self) -> None:
-        """Makes a leader or candidate a follower."""
+        """Turns a leader or candidate into a follower."""
         self.trigger("step_down")
 
     def _join(self) -> None:
@@ -151,12 +151,12 @@
             callback()
 
     def commit(self, index: int) -> None:
-        """Takes entries up to an index for committed, and applies them."""
+        """Sets the commit index and applies the entries up to it."""
         self.commit_index = index
         self.apply_committed()
 
     def apply_committed(self) -> None:
-        """Applies all committed entries that the cluster state does not have yet."""
+        """Applies all committed entries that have not been applied yet."""
         while self.cluster_state.sequence < self.commit_index:
             entry = self._durable_log.entries[self.cluster_state.sequence - self._durable_log.snapshot.index]
             outcome = self.cluster_state.apply(entry.index, entry.command)
@@ -166,7 +166,7 @@
             advanced()
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Takes the cluster state of a snapshot, which is committed, in place of the present one."""
+        """Replaces the cluster state by that of a snapshot, which is committed."""
         self.cluster_state = ClusterState(snapshot.cluster_state)
         self.cluster_state.sequence = snapshot.index
         self.commit_index = max(self.commit_index, snapshot.index)
--- a/pipitlink/controller/controller_client.py
+++ b/pipitlink/controller/controller_client.py
@@ -16,7 +16,7 @@
 
 
 class ControllerClient:
-    """Calls controllers at the addresses that the membership has for them."""
+    """Calls controllers at the addresses in the membership."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
@@ -31,7 +31,7 @@
         """
         member = self._ctx.membership.find(node)
         if member is None:
-            raise WireError(f"controller {node} is not on the membership")
+            raise WireError(f"controller {node} is not in the membership")
         address = (member.host, member.port)
         response: ResponseT = await self._ctx.rpc.call(address, method, request, response_type, timeout, node=node)
         return response
--- a/pipitlink/controller/durable_log.py
+++ b/pipitlink/controller/durable_log.py
@@ -1,4 +1,4 @@
-"""The durable state of a controller: term and vote, the log's entries, and the snapshot that they follow."""
+"""The durable state of a controller: term and vote, the log entries, and the snapshot that precedes them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 __all__ = ["DurableLog", "ignore_failure"]
 
 COMPACTION_ENTRIES = 2000
-"""A log with so many entries more than RETAINED_ENTRIES is compacted."""
+"""The log is compacted once it has this many entries more than RETAINED_ENTRIES."""
 RETAINED_ENTRIES = 500
 COMPACTION_BYTES = 24 * 1024 * 1024
 RETAINED_BYTES = 6 * 1024 * 1024
@@ -30,7 +30,7 @@
 
 
 def ignore_failure(_failure: object) -> None:
-    """Drops a failed write: of records queued together the last fails with any before it, and is waited for."""
+    """Ignores a failed write. Records queued together fail together, and the caller waits for the last of them."""
 
 
 @attrs.frozen
@@ -40,9 +40,9 @@
 
 
 class DurableLog:
-    """What a controller keeps on disk: its hard state (term and vote), the log, and the snapshot that it follows.
+    """What a controller keeps on disk: its hard state (term and vote), the log, and the snapshot that precedes it.
 
-    Writes take effect in memory at once; the Deferred that they return fires once they are synced.
+    Writes take effect in memory at once. The Deferred that they return fires once they are synced.
     """
 
     def __init__(self, ctx: Context, folder: Path, disk: Disk) -> None:
@@ -58,11 +58,11 @@
         self._voter_changes: list[_VoterChange] = []
 
     def recover(self) -> None:
-        """Reads all that is on disk. Raises CorruptData where something is damaged or gone."""
+        """Reads the state from disk. Raises CorruptData if any of it is damaged or missing."""
         self.snapshot = self._snapshot_files.load()
         intact = self.snapshot.cluster_state.voters and any(self._log_folder.glob("seg-*.log"))
         if self._snapshot_files.was_bootstrapped() and not intact:
-            raise CorruptData("this controller took part in the agreement and its files are gone")
+            raise CorruptData("this controller took part in the consensus, but its log or its snapshot is missing")
         self._replay()
 
     def _replay(self) -> None:
@@ -81,7 +81,7 @@
         self.entries, self._voter_changes, self.entry_bytes = [], [], 0
 
     def _insert(self, entry: ControllerEntry) -> None:
-        """Puts an entry at its index in memory, in place of all that stands there and after it."""
+        """Inserts an entry at its index in memory, replacing the entries at that index and after it."""
         if entry.index <= self.snapshot.index:
             return
         start = max(0, entry.index - self.snapshot.index - 1)
@@ -94,25 +94,25 @@
             self._voter_changes.append(_VoterChange(entry.index, tuple(entry.command.controllers.voters)))
 
     def voters(self) -> tuple[str, ...]:
-        """Returns the voters by the newest entry of the log, committed or not."""
+        """Returns the voters according to the newest log entry that sets them, committed or not."""
         if self._voter_changes and self._voter_changes[-1].index > self.snapshot.index:
             return self._voter_changes[-1].voters
         return tuple(self.snapshot.cluster_state.voters)
 
     def used_bytes(self) -> int:
-        """Returns the bytes on disk: the log, and the snapshot twice, as it is while one replaces another."""
+        """Returns the bytes used on disk. The snapshot counts twice, since two exist while one replaces the other."""
         return self._segments.used_bytes() + 2 * self.snapshot.ByteSize()
 
     def last_index(self) -> int:
-        """Returns the index of the last entry, or of the snapshot where no entry follows it."""
+        """Returns the index of the last entry, or of the snapshot if no entry follows it."""
         return self.snapshot.index + len(self.entries)
 
     def last_term(self) -> int:
-        """Returns the term of the last entry, or of the snapshot where no entry follows it."""
+        """Returns the term of the last entry, or of the snapshot if no entry follows it."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Returns the term of the entry at an index, or None before the snapshot and after the last entry."""
+        """Returns the term of the entry at an index; None before the snapshot or after the last entry."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.snapshot.index < index <= self.last_index():
@@ -120,35 +120,35 @@
         return None
 
     def entries_after(self, index: int, limit: int = MAX_BATCH_ENTRIES) -> list[ControllerEntry]:
-        """Returns the first entries after an index, at most `limit` and MAX_BATCH_BYTES, but one at least if any."""
+        """Returns the first entries after an index, up to `limit` and MAX_BATCH_BYTES; at least one if there is any."""
         start = index - self.snapshot.index
         return _prefix_within(self.entries[max(0, start) : start + limit], MAX_BATCH_BYTES)
 
     def needs_compaction(self) -> bool:
-        """Returns whether the log has become so long or large that a snapshot should replace most of it."""
+        """Returns whether the log is long or large enough to be compacted into a snapshot."""
         if len(self.entries) > COMPACTION_ENTRIES + RETAINED_ENTRIES:
             return True
         return self.entry_bytes > COMPACTION_BYTES and len(self.entries) > 1
 
     def compaction_index(self, commit_index: int) -> int:
-        """Returns up to which index a snapshot may replace the log: the newest entries stay, unless too large."""
+        """Returns the index up to which a snapshot may replace the log. The newest entries stay unless too large."""
         newest = self.entries[: max(0, commit_index - self.snapshot.index)][-RETAINED_ENTRIES:]
         return commit_index - len(_prefix_within(newest[::-1], RETAINED_BYTES))
 
     def save_hard_state(self, term: int, voted_for: str) -> defer.Deferred[None]:
-        """Writes a term and the vote in it, empty for none; fires once they are synced."""
+        """Writes the term and the vote in it, empty for none; fires once they are synced."""
         self.hard_state = HardState(term=term, voted_for=voted_for)
         return self._write(ControllerRecord(hard_state=self.hard_state))
 
     def append(self, entry: ControllerEntry) -> defer.Deferred[None]:
-        """Writes an entry in place of all that stands at its index and after it; fires once it is synced."""
+        """Writes an entry, replacing the entries at its index and after it; fires once it is synced."""
         self._insert(entry)
         if self._marker_missing:
             self._write_marker()
         return self._write(ControllerRecord(entry=entry))
 
     def _write_marker(self) -> None:
-        """Entries follow a snapshot on disk only behind its marker, so that none is taken for another branch's."""
+        """Writes the snapshot's marker. Entries after it on disk belong to the snapshot's branch of the log."""
         self._marker_missing = False
         marker = Snapshot(index=self.snapshot.index, term=self.snapshot.term, cluster_state=ClusterStateData())
         self._write(ControllerRecord(snapshot=marker)).addErrback(ignore_failure)
@@ -160,17 +160,18 @@
         return synced
 
     def all_synced(self) -> defer.Deferred[None]:
-        """Returns a Deferred that fires once all that was written before is synced."""
+        """Returns a Deferred that fires once all earlier writes are synced."""
         return self._write(ControllerRecord()) if self._group_commit.in_progress else defer.succeed(None)
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Makes a snapshot durable in place of the one before. Blocks, for a thread; raises OSError."""
+        """Durably replaces the previous snapshot. Blocks, so it must run in a thread. Raises OSError."""
         self._snapshot_files.save(snapshot)
 
     def use_snapshot(self, snapshot: Snapshot) -> defer.Deferred[None]:
-        """After `save_snapshot`: drops what the snapshot covers from the log, in memory and on disk.
+        """After `save_snapshot`: removes the entries that the snapshot covers, in memory and on disk.
 
-        Entries after it stay where the log is on its branch. Fires once the shortened log is synced.
+        Later entries are retained if the log and the snapshot agree on the term at the snapshot's index. Fires once the
+        shortened log is synced.
         """
         remaining: list[ControllerEntry] = []
         if self.term_at(snapshot.index) == snapshot.term:
@@ -195,12 +196,12 @@
                 self._segments.remove_segment(number)
 
     def close(self) -> None:
-        """Closes the files."""
+        """Closes the log files."""
         self._segments.close()
 
 
 def _prefix_within(entries: list[ControllerEntry], max_bytes: int) -> list[ControllerEntry]:
-    """Returns the first entries that have at most `max_bytes` together; one at least, if there is any."""
+    """Returns the longest prefix of at most `max_bytes` in total, but at least one entry if there is any."""
     size = 0
     for position, entry in enumerate(entries):
         size += entry.ByteSize()
--- a/pipitlink/controller/elections.py
+++ b/pipitlink/controller/elections.py
@@ -1,4 +1,4 @@
-"""Elections of the leader, with a pre-vote; hard states are synced before a vote is sent."""
+"""Leader elections with a pre-vote. The hard state is synced before a vote is sent."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 TICK_INTERVAL = ms(50)
 LEADER_STICKINESS = ms(600)
-"""A voter that heard a leader so lately grants no vote; the shortest election timeout."""
+"""A voter grants no vote within this time of a leader's last message. Also the minimum election timeout."""
 MAX_ELECTION_TIMEOUT = ms(1200)
-"""Also how long a leader leads on that hears no majority."""
+"""Also the time after which a leader without contact to a majority steps down."""
 FULL_RESTART_STEP = ms(60)
 MAX_LEADER_CHECK_INTERVAL = ms(200)
 
 
 class Elections:
-    """Stands for election after an election timeout, grants votes, and steps down as a leader without a quorum.
+    """Starts elections after an election timeout, grants votes, and steps down as a leader without a quorum.
 
-    A controller that just started and has heard no leader stands at once, if all other voters just started as well:
-    a full restart. For that each voter has its turn, so that none takes the vote of the one before.
+    After a full restart, when all voters have just started and none has heard a leader, a controller need not wait for
+    the election timeout. The voters start such elections at staggered times, so that they do not split the votes.
     """
 
     def __init__(
@@ -57,13 +57,13 @@
         self._timer: RepeatingCall | None = None
 
     def open(self) -> None:
-        """Answers vote requests from now on."""
+        """Registers the RPC handler for vote requests."""
         self.election_timeout = self._random_timeout()
         self._consensus.when_stepped_down(self._wake_timer)
         self._ctx.rpc.register_handler("controller.vote", VoteRequest, self._answer_vote_request)
 
     def start_timer(self) -> None:
-        """Stands for election from now on, when one is due."""
+        """Starts the timer of elections."""
         self._timer = self._ctx.timers.call_repeatedly(
             TICK_INTERVAL, self._tick, self._ctx.error_reporter("election"), idle_time=self._time_to_next_check
         )
@@ -100,7 +100,7 @@
         return max(self._replication.quorum_contact_at(), self._replication.elected_at)
 
     def _time_to_next_check(self) -> timedelta:
-        """How long nothing can be due. A leader checks often: the voters, and so its quorum contact, may change."""
+        """Time until the next check. A leader checks often, since its quorum contact changes with the voters."""
         now = self._ctx.timers.now()
         if self._consensus.is_follower and not self._just_started():
             return self._contact.election_timer_reset_at + self.election_timeout - now
@@ -117,7 +117,7 @@
         self._consensus.step_down()
 
     def _just_started(self) -> bool:
-        """Whether this controller started a short while ago, and has neither heard a leader nor voted since."""
+        """Whether this controller started recently, and has neither heard a leader nor voted since."""
         if self._full_restart_over or self._contact.had_leader_since_start():
             return False
         return self._ctx.timers.now() - self._contact.started_at < LEADER_STICKINESS
@@ -149,7 +149,7 @@
         return self._consensus.term == term and self._consensus.is_candidate
 
     async def _poll_voters(self, term: int, *, pre_vote: bool, full_restart: bool) -> bool:
-        """Returns whether a majority votes, or in a pre-vote would vote, for this controller."""
+        """Returns whether a majority votes for this controller, or would do so in the case of a pre-vote."""
         request = VoteRequest(
             term=term,
             candidate=self._ctx.node,
@@ -167,7 +167,7 @@
         return response
 
     async def vote(self, request: VoteRequest) -> VoteResponse:
-        """Answers a vote request; a vote is durable before it is granted."""
+        """Responds to a vote request. A vote is durable before it is granted."""
         if self._consensus.is_newcomer:
             return VoteResponse(term=self._consensus.term)
         full_restart = self._confirms_full_restart(request)
@@ -186,7 +186,7 @@
         return VoteResponse(term=self._consensus.term, granted=granted)
 
     async def _save_vote(self, request: VoteRequest) -> bool:
-        """Makes a vote durable; returns whether it still stands once it is."""
+        """Makes a vote durable; returns whether it is still valid after the write."""
         await self._durable_log.save_hard_state(request.term, request.candidate)
         hard_state = self._durable_log.hard_state
         stands = (hard_state.term, hard_state.voted_for) == (request.term, request.candidate)
@@ -198,13 +198,13 @@
         return request.full_restart and self._just_started() and tuple(request.voters) == self._consensus.voters()
 
     def _has_sticky_leader(self, full_restart: bool) -> bool:
-        """Leader stickiness: whether this controller leads, or heard a leader too lately to help elect another."""
+        """Leader stickiness: whether this controller leads, or heard a leader too recently to vote for another."""
         if self._consensus.is_leader:
             return True
         recent_leader = self._ctx.timers.now() - self._contact.leader_message_at < LEADER_STICKINESS
         return recent_leader and not full_restart
 
     def _log_up_to_date(self, request: VoteRequest) -> bool:
-        """Whether the candidate's log has all that this controller's log has."""
+        """Whether the candidate's log is at least as up to date as this controller's."""
         last = (self._durable_log.last_term(), self._durable_log.last_index())
         return (request.last_term, request.last_index) >= last
--- a/pipitlink/controller/follower_progress.py
+++ b/pipitlink/controller/follower_progress.py
@@ -1,4 +1,4 @@
-"""How far one follower's log is known to match the leader's, and what it is sent next."""
+"""Tracks how far a follower's log matches the leader's, and what to send it next."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @attrs.define(eq=False)
 class FollowerProgress:
-    """One follower in one term of a leader.
+    """The replication progress of one follower in one term.
 
-    `match_index` is None, and so is `last_response_at`, until the follower has answered in this term. The latter is
-    when the newest call was sent that it has answered.
+    `match_index` and `last_response_at` are None until the follower has responded in this term. `last_response_at` is
+    the time at which the newest call with a response was sent.
     """
 
     next_index: int
@@ -27,32 +27,32 @@
 
     @property
     def previous_index(self) -> int:
-        """The index that the next entries follow."""
+        """The index before the next entries to send."""
         return self.next_index - 1
 
     def restart(self, last_index: int) -> None:
-        """Begins to send anew, from the end of the leader's log."""
+        """Restarts sending from the end of the leader's log."""
         self.next_index = last_index + 1
         self.outgoing = None
 
     def begin_snapshot(self, snapshot: Snapshot) -> None:
-        """Sends this snapshot from now on, until it has arrived."""
+        """Starts to send this snapshot until the follower has received it."""
         self.outgoing = OutgoingSnapshot.compress(snapshot)
 
     def accepted(self, last_index: int) -> None:
-        """Notes that the follower's log matches the leader's up to an index."""
+        """Records that the follower's log matches the leader's up to an index."""
         self.outgoing = None
         self.match_index = last_index
         self.next_index = last_index + 1
 
     def rejected(self, last_index: int) -> None:
-        """Goes back, at least by one entry, to where the follower's log may match."""
+        """Moves back by at least one entry, to where the follower's log may match."""
         self.next_index = min(last_index, max(0, self.previous_index - 1)) + 1
 
     def chunk_received(self, outgoing: OutgoingSnapshot, response: AppendResponse) -> bool:
-        """Continues a snapshot where the follower is; returns whether more of it has arrived.
+        """Continues a snapshot at the follower's offset; returns whether the offset has advanced.
 
-        A follower that has nothing of it gets whichever snapshot is the newest then.
+        If the follower has received none of it, the next transfer starts over with the newest snapshot.
         """
         advanced = response.received_bytes > outgoing.offset
         outgoing.offset = min(response.received_bytes, len(outgoing.data))
--- a/pipitlink/controller/interfaces.py
+++ b/pipitlink/controller/interfaces.py
@@ -1,4 +1,4 @@
-"""What the parts of a controller offer to each other."""
+"""Interfaces between the components of a controller."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class ConsensusView(Protocol):
-    """What is known at this controller of the consensus; read by all parts, changed by elections and replication."""
+    """This controller's view of the consensus; read by all components, changed by elections and replication."""
 
     @property
     def is_leader(self) -> bool:
-        """Whether this controller leads, as far as it knows."""
+        """Whether this controller believes that it is the leader."""
 
     @property
     def leader_id(self) -> str:
-        """The node that leads, as far as is known here, or an empty string."""
+        """The known leader, or an empty string."""
 
     @property
     def term(self) -> int:
@@ -33,70 +33,70 @@
 
     @property
     def commit_index(self) -> int:
-        """The index up to which entries are known to be committed."""
+        """The highest index known to be committed."""
 
     @property
     def cluster_state(self) -> ClusterState:
         """The cluster state with all committed entries applied."""
 
     def voters(self) -> tuple[str, ...]:
-        """Returns the voters by the newest entry of the log, committed or not."""
+        """Returns the voters according to the newest log entry that sets them, committed or not."""
 
     def term_is_committed(self) -> bool:
-        """Returns whether an entry of the present term is committed."""
+        """Returns whether an entry of the current term is committed."""
 
 
 class LeaderLog(Protocol):
-    """The replicated log of the consensus, as far as other parts use it."""
+    """The consensus log, as other components use it."""
 
     @property
     def elected_at(self) -> timedelta:
-        """When this controller became the leader last, by its timers."""
+        """When this controller last became the leader, on its timers' clock."""
 
     async def propose(self, command: Command) -> Outcome:
-        """Appends a command; returns its outcome once it is committed and applied.
+        """Appends a command and returns its outcome once it is committed and applied.
 
-        Raises NotLeader where this controller does not lead, Unconfirmed where the outcome stays open.
+        Raises NotLeader if this controller does not lead, Unconfirmed if the outcome stays unknown.
         """
 
     async def confirm_leadership(self) -> None:
-        """Returns once a majority has answered this leader after the call began.
+        """Returns once a majority has responded to this leader since the start of the call.
 
         Raises NotLeader or Unconfirmed.
         """
 
     def has_contact(self) -> bool:
-        """Returns whether a majority, as the leader, or the leader was in touch a short while ago."""
+        """Returns whether there was recent contact: on the leader with a majority, elsewhere with the leader."""
 
     def match_index(self, node: str) -> int | None:
-        """Returns up to which index a controller's log is known to match this leader's, or None."""
+        """Returns the index up to which a controller's log is known to match this leader's, or None."""
 
     def last_response_at(self, node: str) -> timedelta | None:
-        """Returns when the newest call was sent that a controller has answered in this term, or None."""
+        """Returns when the newest call with a response from a controller in this term was sent, or None."""
 
 
 class FollowerView(Protocol):
-    """A process that follows the cluster state, as the leader knows it."""
+    """The leader's record of a process that follows the cluster state."""
 
     role: str
     sequence: int
 
 
 class EditDelivery(Protocol):
-    """Edits that are followed until they are in effect at all followers of the cluster state."""
+    """Proposes edits and waits until they are in effect at the followers of the cluster state."""
 
     @property
     def followers(self) -> Mapping[str, FollowerView]:
-        """The followers that have asked this leader, by node."""
+        """The followers that have sent requests to this leader, by node."""
 
     async def edit(self, command: Command, timeout: timedelta = ...) -> Outcome:
         """Proposes an edit; returns once it is committed and in effect everywhere."""
 
     def is_in_effect(self, sequence: int) -> bool:
-        """Returns whether no live gateway works by a cluster state older than `sequence`."""
+        """Returns whether no live gateway uses a cluster state older than `sequence`."""
 
     def operator_edit_timeout(self) -> timedelta:
-        """Returns how long an operator's edit may be held."""
+        """Returns how long an operator's edit may take."""
 
 
 class ControllerCalls(Protocol):
--- a/pipitlink/controller/leader_contact.py
+++ b/pipitlink/controller/leader_contact.py
@@ -1,4 +1,4 @@
-"""When a controller last heard a leader; shared by elections and the log receiver."""
+"""Times of the last contact with a leader; shared by elections and the log receiver."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LeaderContact:
-    """Times, by the controller's timers, at which a leader was heard or the election timeout began anew."""
+    """Times, on the timers' clock, of a leader's messages and of resets of the election timeout."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
@@ -21,20 +21,20 @@
         self.round_trip_at = ZERO
 
     def open(self) -> None:
-        """Begins all times now, at the start of the controller."""
+        """Sets all times to now, at the start of the controller."""
         now = self._ctx.timers.now()
         self.started_at = self.leader_message_at = self.election_timer_reset_at = self.round_trip_at = now
 
     def record_leader_message(self, response_age: timedelta) -> None:
-        """Notes a leader's message, which says how long ago it sent the latest call that had a response from here."""
+        """Records a leader's message, which states how long ago it sent the last call that this node responded to."""
         now = self._ctx.timers.now()
         self.election_timer_reset_at = self.leader_message_at = now
         self.round_trip_at = max(self.round_trip_at, now - response_age)
 
     def reset_election_timer(self) -> None:
-        """Has the election timeout begin anew, as after a vote."""
+        """Restarts the election timeout, for example after a vote."""
         self.election_timer_reset_at = self._ctx.timers.now()
 
     def had_leader_since_start(self) -> bool:
-        """Returns whether a leader was heard after this controller started."""
+        """Returns whether a leader's message has arrived since this controller started."""
         return self.leader_message_at != self.started_at
--- a/pipitlink/controller/leadership.py
+++ b/pipitlink/controller/leadership.py
@@ -1,4 +1,4 @@
-"""When a new leader may begin to change placements."""
+"""Decides when a new leader may start to change placements."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 __all__ = ["may_change_placement"]
 
 SETTLING_TIME = secs(1)
-"""A new leader waits this long, until it knows who is alive."""
+"""A new leader waits this long, until it knows which nodes are alive."""
 
 
 def may_change_placement(ctx: Context, consensus: ConsensusView, leader_log: LeaderLog) -> bool:
-    """Returns whether this controller leads with a committed entry of its term, and was elected a while ago."""
+    """Returns whether this controller leads, has committed an entry in its term, and was elected SETTLING_TIME ago."""
     if not consensus.is_leader or not consensus.term_is_committed():
         return False
     return ctx.timers.now() - leader_log.elected_at >= SETTLING_TIME
--- a/pipitlink/controller/log_receiver.py
+++ b/pipitlink/controller/log_receiver.py
@@ -1,4 +1,4 @@
-"""Takes a leader's entries and snapshots, as its follower."""
+"""Receives entries and snapshots from the leader."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LogReceiver:
-    """Answers the leader's append requests; entries are synced before they are acknowledged."""
+    """Handles the leader's append requests. Entries are synced before they are acknowledged."""
 
     def __init__(
         self,
@@ -33,11 +33,11 @@
         self._snapshots = snapshots
 
     def open(self) -> None:
-        """Answers leaders from now on."""
+        """Registers the RPC handler."""
         self._ctx.rpc.register_handler("controller.append", AppendRequest, self.append)
 
     async def append(self, _node: str, request: AppendRequest) -> AppendResponse:
-        """Follows the sender, if its term is not outdated, and takes what it sends."""
+        """Follows the sender unless its term is outdated, and stores its entries or its snapshot chunk."""
         if request.term < self._consensus.term:
             return AppendResponse(term=self._consensus.term)
         await self._consensus.observe_term(request.term)
@@ -59,11 +59,11 @@
         return self._commit(request)
 
     def _matches(self, request: AppendRequest) -> bool:
-        """Whether the log here has the entry that the request's entries follow."""
+        """Whether the local log has the entry that precedes the request's entries."""
         return self._durable_log.term_at(request.prev_index) == request.prev_term
 
     def _write_entries(self, request: AppendRequest) -> defer.Deferred[None]:
-        """Writes the entries that are new here; the Deferred fires once they and all before them are synced."""
+        """Writes the entries that are not in the local log; fires once they and all earlier writes are synced."""
         for entry in request.entries:
             known = self._durable_log.term_at(entry.index) == entry.term
             if not known and entry.index > self._durable_log.snapshot.index:
--- a/pipitlink/controller/log_replay.py
+++ b/pipitlink/controller/log_replay.py
@@ -1,4 +1,4 @@
-"""Rebuilds a controller's log from its records on disk: entries, hard states and snapshot markers, in their order."""
+"""Rebuilds a controller's log from its records on disk: entries, hard states and snapshot markers, in order."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class LogReplay:
-    """Replays records in their order. An entry replaces all entries at its index and after it.
+    """Replays records in order. An entry replaces all entries at its index and after it.
 
-    A snapshot marker says that the log continues from a snapshot: entries of another branch are dropped there.
+    A snapshot marker records that the log continues from a snapshot: entries of a conflicting branch are dropped.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self._last_index = 0
 
     def add(self, record: ControllerRecord) -> None:
-        """Takes the next record."""
+        """Adds the next record."""
         kind = record.WhichOneof("of")
         if kind == "hard_state":
             self.hard_state = record.hard_state
@@ -31,7 +31,7 @@
             self._add_marker(record.snapshot)
 
     def _add_entry(self, entry: ControllerEntry) -> None:
-        """Adds an entry. One that is known already was rewritten behind a marker: what follows it stays."""
+        """Adds an entry. If it is already known, it was rewritten after a marker, and the entries after it stay."""
         known = self._entries.get(entry.index)
         if known is not None and known.term == entry.term:
             return
@@ -56,13 +56,13 @@
         return entry is not None and entry.term != snapshot.term
 
     def has_marker_of(self, snapshot: Snapshot) -> bool:
-        """Returns whether the newest marker is of this snapshot, so that entries may follow it on disk."""
+        """Returns whether the newest marker belongs to this snapshot, so that entries may follow it on disk."""
         return (self.newest_marker.index, self.newest_marker.term) == (snapshot.index, snapshot.term)
 
     def entries_after(self, snapshot: Snapshot) -> list[ControllerEntry]:
-        """Returns the entries after a snapshot, or none where the log is on another branch there.
+        """Returns the entries after a snapshot, or none if the log conflicts with the snapshot.
 
-        Raises CorruptData where entries are missing in between.
+        Raises CorruptData if an entry is missing in between.
         """
         if self._conflicts(snapshot):
             return []
--- a/pipitlink/controller/log_replication.py
+++ b/pipitlink/controller/log_replication.py
@@ -1,4 +1,4 @@
-"""Log replication by the leader: appends commands, sends entries and snapshots to followers, and commits."""
+"""Log replication on the leader: appends commands, sends entries and snapshots to followers, and commits."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 HEARTBEAT_INTERVAL = ms(100)
 CALL_TIMEOUT = ms(500)
-"""The limit of an append call, besides the time for its bytes at MIN_BYTES_PER_S."""
+"""Timeout of an append call, in addition to the time for its bytes at MIN_BYTES_PER_S."""
 MIN_BYTES_PER_S = 250_000
 CONTACT_TIMEOUT = ms(700)
 CONFIRMATION_INTERVAL = ms(10)
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class SenderKey:
-    """One sender of entries. A call of an earlier term that hangs must not hold up the sender of this term."""
+    """Identifies a sender of entries by node and term, so that a hanging call of an earlier term does not block it."""
 
     node: str
     term: int
@@ -38,14 +38,14 @@
 
 @attrs.frozen
 class _Proposal:
-    """An entry whose outcome is waited for. Errors are values, since nobody may be left to wait for one."""
+    """A proposed entry whose outcome is awaited. Errors are passed as values, since no waiter may be left."""
 
     term: int
     result: defer.Deferred[Outcome | Unconfirmed]
 
 
 class LogReplication:
-    """Replicates the log while this controller leads, with one sender for each other controller."""
+    """Replicates the log while this controller leads, with one sender per other controller."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self.elected_at = ZERO
 
     def open(self) -> None:
-        """Follows changes of the role, and entries that are applied, from now on."""
+        """Registers the callbacks for role changes and applied entries."""
         self._consensus.when_elected(self._begin_leadership)
         self._consensus.when_stepped_down(self._end_leadership)
         self._consensus.when_applied(self._resolve_proposal)
@@ -87,17 +87,17 @@
         self._wake_senders()
 
     def match_index(self, node: str) -> int | None:
-        """Returns up to which index a controller's log is known to match this leader's, or None."""
+        """Returns the index up to which a controller's log is known to match this leader's, or None."""
         progress = self._followers.get(node)
         return progress.match_index if progress is not None else None
 
     def last_response_at(self, node: str) -> timedelta | None:
-        """Returns when the newest call was sent that a controller has answered in this term, or None."""
+        """Returns when the newest call with a response from a controller in this term was sent, or None."""
         progress = self._followers.get(node)
         return progress.last_response_at if progress is not None else None
 
     def quorum_contact_at(self) -> timedelta:
-        """Returns the latest time for which a majority of the voters is known to have followed this leader."""
+        """Returns the latest time at which a majority of the voters is known to have followed this leader."""
         now = self._ctx.timers.now()
         contacts = [
             now if voter == self._ctx.node else self.last_response_at(voter) or ZERO
@@ -107,7 +107,7 @@
         return contacts[len(contacts) // 2] if contacts else ZERO
 
     def has_contact(self) -> bool:
-        """Returns whether calls went both ways a short while ago: with a majority as the leader, else with it."""
+        """Returns whether there was a recent round trip: on the leader with a majority, elsewhere with the leader."""
         if self._consensus.is_leader:
             contact_at = max(self.quorum_contact_at(), self.elected_at)
         elif self._consensus.leader_id:
@@ -117,7 +117,7 @@
         return self._ctx.timers.now() - contact_at < CONTACT_TIMEOUT
 
     def send_to_all(self) -> None:
-        """Starts a sender for each controller of the membership that has none in this term."""
+        """Starts a sender for each controller in the membership that has none in this term."""
         for member in self._ctx.membership.members("controller", include_self=False):
             key = self._sender_key(member.node)
             if key not in self._senders:
@@ -128,7 +128,7 @@
         return SenderKey(node, self._consensus.term)
 
     async def _send(self, node: str, term: int) -> None:
-        """Sends entries or a snapshot to a follower for as long as this term is led and the follower is a member."""
+        """Sends entries or a snapshot to a follower while this term is led and the follower is a member."""
         key = self._sender_key(node)
         last_index = self._durable_log.last_index()
         progress = self._followers.setdefault(node, FollowerProgress(last_index + 1))
@@ -151,7 +151,7 @@
             self._senders.discard(key)
 
     async def _call_append(self, node: str, progress: FollowerProgress) -> AppendResponse | None:
-        """Returns the response to what the follower is sent next, or None where the call failed."""
+        """Sends the follower its next entries or chunk; returns its response, or None if the call failed."""
         if progress.outgoing is None and self._needs_snapshot(progress):
             progress.begin_snapshot(self._durable_log.snapshot)
         request = self._append_request(node, progress)
@@ -162,7 +162,7 @@
             return None
 
     def _needs_snapshot(self, progress: FollowerProgress) -> bool:
-        """Whether the log no longer reaches back; a newcomer, which has none, needs the first voters."""
+        """Whether the log no longer has the entries the follower needs, or the follower may lack the initial voters."""
         if self._durable_log.term_at(progress.previous_index) is None:
             return True
         return progress.previous_index == 0 and progress.match_index is None
@@ -183,12 +183,12 @@
         return request
 
     def _last_response_age_ms(self, node: str) -> int:
-        """How long ago the latest call that a controller answered was sent, or since when this one leads."""
+        """Age of the latest call that a controller responded to, or of this leadership if that is shorter."""
         response_at = max(self.elected_at, self.last_response_at(node) or ZERO)
         return to_ms(self._ctx.timers.now() - response_at)
 
     async def _take_response(self, node: str, progress: FollowerProgress, response: AppendResponse) -> None:
-        """Returns once something more is to be sent to the follower, or a heartbeat is due."""
+        """Processes a response; returns once there is more to send to the follower or a heartbeat is due."""
         if response.success:
             progress.accepted(response.last_index)
             self._advance_commit_index()
@@ -211,9 +211,9 @@
                 woken.callback(None)
 
     async def propose(self, command: Command) -> Outcome:
-        """Appends a command; returns its outcome once it is committed and applied.
+        """Appends a command and returns its outcome once it is committed and applied.
 
-        Raises NotLeader where this controller does not lead, Unconfirmed where the outcome stays open.
+        Raises NotLeader if this controller does not lead, Unconfirmed if the outcome stays unknown.
         """
         self._require_leader()
         term = self._consensus.term
@@ -226,7 +226,9 @@
             await synced
         except StorageFull as error:
             self._consensus.step_down()
-            raise Unconfirmed(f"the leader's disk refused the entry, and others may have it: {error}") from error
+            raise Unconfirmed(
+                f"the leader's disk rejected the entry, but other controllers may have it: {error}"
+            ) from error
         if self._consensus.term == term:
             self.synced_index = max(self.synced_index, index)
             self._advance_commit_index()
@@ -240,7 +242,7 @@
             raise NotLeader(self._consensus.leader_id, self._consensus.leader_id)
 
     def _advance_commit_index(self) -> None:
-        """Commits what a majority of the voters has synced, if it is an entry of the present term."""
+        """Commits up to the index that a majority of the voters has synced, if that entry is of the current term."""
         if not self._consensus.is_leader:
             return
         synced = [
@@ -264,12 +266,13 @@
         if proposal.term == term:
             proposal.result.callback(outcome)
         else:
-            proposal.result.callback(Unconfirmed("another leader's entry stands in its place"))
+            proposal.result.callback(Unconfirmed("another leader's entry replaced it in the log"))
 
     async def confirm_leadership(self) -> None:
-        """Returns once a majority has answered this leader after the call began, and its term has a committed entry.
+        """Returns once a majority has responded since the start of the call and the term has a committed entry.
 
-        Raises NotLeader or Unconfirmed: at once where no majority was heard of late, else after that time at most.
+        Raises NotLeader or Unconfirmed: at once if there was no recent contact with a majority, else after
+        CONTACT_TIMEOUT at most.
         """
         self._require_leader()
         began_at = self._ctx.timers.now()
@@ -281,6 +284,6 @@
             if self.quorum_contact_at() >= began_at and self._consensus.term_is_committed():
                 return
             if not self.has_contact() or self._ctx.timers.now() > deadline:
-                raise Unconfirmed("a majority of the controllers was not heard")
+                raise Unconfirmed("a majority of the controllers did not respond")
             self._wake_senders()
             await self._ctx.timers.sleep(CONFIRMATION_INTERVAL)
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -1,4 +1,4 @@
-"""The controller node: puts the parts of a controller together."""
+"""The controller node: creates and connects the components of a controller."""
 
 from __future__ import annotations
 
@@ -42,17 +42,17 @@
 
 
 class ControllerNode:
-    """A controller: takes part in the consensus on the cluster state, and serves it.
-
-    - ConsensusState and DurableLog hold what is known and kept of the consensus.
-    - Bootstrap names the first voters of a new cluster; Elections elects the leader; LogReplication replicates the log
-      while this node leads, and LogReceiver takes the leader's entries while it follows; SnapshotManager compacts the
-      log.
-    - StateDelivery leases the cluster state to followers, and turns a committed command into an edit in effect.
-    - EditSubmission forwards edits and reads to the leader. EditFencing sees to it that no copy of an operator's order
-      takes effect late. StorageRetirement, TableApi and ControlApi serve operators, at any controller.
-    - EngineAnnouncements passes announcements of engines on to gateways, and LoadAggregator sums of loads; both depend
-      on neither leader nor majority.
+    """A controller: takes part in the consensus on the cluster state, and serves the cluster state.
+
+    - ConsensusState and DurableLog hold the state of the consensus in memory and on disk.
+    - Bootstrap sets the initial voters of a new cluster; Elections elects the leader; LogReplication replicates the log
+      while this node leads, and LogReceiver receives the leader's entries while it follows; SnapshotManager compacts
+      the log.
+    - StateDelivery leases the cluster state to followers, and waits until a committed edit is in effect at them.
+    - EditSubmission forwards edits and reads to the leader. EditFencing prevents delayed copies of an operator's edit
+      from taking effect. StorageRetirement, TableApi and ControlApi serve operators, at any controller.
+    - EngineAnnouncements forwards announcements of engines to gateways, and LoadAggregator sends them the sums of
+      their loads. Both work without a leader or a majority.
     - PlacementController, WitnessChanges and VoterChanges run on the leader's timers and propose changes of placement
       groups, storage nodes and voters.
     """
@@ -73,7 +73,7 @@
         self._create_services()
 
     def _create_services(self) -> None:
-        """Puts the parts together that serve operators, engines and gateways, at any controller."""
+        """Creates the components that serve operators, engines and gateways, at any controller."""
         ctx, consensus, log, delivery = self._ctx, self.consensus, self.log_replication, self.state_delivery
         storage_nodes = StorageNodeView(ctx, consensus, log)
         self.submission = EditSubmission(ctx, consensus, log, delivery, self.calls)
@@ -89,7 +89,7 @@
         self.voter_changes = VoterChanges(ctx, consensus, log)
 
     def open(self) -> None:
-        """Reads what is on disk and takes part from now on. Raises CorruptData."""
+        """Recovers the state from disk and starts all components. Raises CorruptData."""
         self.durable_log.recover()
         self.consensus.restore(self.durable_log.snapshot)
         self._open_consensus()
@@ -101,7 +101,7 @@
         self._start_leader_timers()
 
     def _open_consensus(self) -> None:
-        """Opens the parts in the order in which they are to learn of changes of the role and of the log."""
+        """Opens the components in the order in which their callbacks for role and log changes must run."""
         self._contact.open()
         self.elections.open()
         self.log_replication.open()
@@ -124,7 +124,7 @@
         self.leader_timers += [self.placement.start_timer(), self.witnesses.start_timer()]
 
     def _start_leader_timer(self, interval: timedelta, work: Callable[[], object], event: str) -> None:
-        """Runs work repeatedly from now on while this controller leads."""
+        """Starts to run `work` repeatedly while this controller leads."""
         timer = self._ctx.timers.call_repeatedly(
             interval,
             work,
@@ -144,16 +144,16 @@
 
     @property
     def cluster_state(self) -> ClusterState:
-        """The cluster state with all committed entries applied, for the operators' interface."""
+        """The cluster state with all committed entries applied, for the operator interface."""
         return self.consensus.cluster_state
 
     def add_routes(self, add: Callable[..., Any]) -> None:
-        """Adds the HTTP routes of the operators' interface."""
+        """Adds the HTTP routes of the operator interface."""
         self.table_api.add_routes(add)
         ControlApi(self._ctx, self, ControlFormat()).add_routes(add)
 
     def readiness(self) -> tuple[bool, dict[str, Any]]:
-        """Returns whether a leader is known, and what is shown with that."""
+        """Returns whether a leader is known, with details to show."""
         consensus = self.consensus
         return bool(consensus.leader_id), {
             "leader": consensus.leader_id,
@@ -162,7 +162,7 @@
         }
 
     def beliefs(self) -> dict[str, Any]:
-        """Returns what is shown of this node besides what all nodes show: nothing."""
+        """Returns role-specific details for the status report; a controller has none."""
         return {}
 
     def metrics(self) -> dict[str, tuple[str, float]]:
--- a/pipitlink/controller/snapshot_files.py
+++ b/pipitlink/controller/snapshot_files.py
@@ -1,4 +1,4 @@
-"""The file format of a controller's snapshot: a folder that is written aside, synced and renamed into place."""
+"""The file format of a controller's snapshot: a folder that is written under a temporary name, synced and renamed."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class SnapshotFiles:
-    """Reads and writes the snapshot below a controller's data folder.
+    """Reads and writes the snapshot in a controller's data folder.
 
-    A snapshot is a dbm with one record for each row of the weight table, and a `head` record with all else and a CRC-32
-    over rows and head. The empty file `founded` shows that there has been a snapshot.
+    A snapshot is a dbm file with one record per row of the weight table, and a `head` record with everything else and a
+    CRC-32 of rows and head. The empty file `founded` marks that a snapshot has been saved.
     """
 
     def __init__(self, folder: Path, disk: Disk) -> None:
@@ -31,11 +31,11 @@
         self._bootstrapped_file = folder / "founded"
 
     def was_bootstrapped(self) -> bool:
-        """Returns whether a snapshot was ever saved in this folder."""
+        """Returns whether a snapshot has ever been saved in this folder."""
         return self._bootstrapped_file.exists()
 
     def save(self, snapshot: Snapshot) -> None:
-        """Makes a snapshot durable in place of the one before. Blocks; raises OSError."""
+        """Durably replaces the previous snapshot. Blocks; raises OSError."""
         target = self._folder / f"setup-{snapshot.index:012d}"
         temporary = self._folder / "setup.new"
         shutil.rmtree(temporary, ignore_errors=True)
@@ -75,7 +75,7 @@
         self._disk.sync_folder(folder)
 
     def load(self) -> Snapshot:
-        """Returns the newest snapshot, or an empty one where there is none. Raises CorruptData."""
+        """Returns the newest snapshot, or an empty one if there is none. Raises CorruptData."""
         folders = sorted(self._folder.glob("setup-*"), reverse=True)
         if not folders:
             return Snapshot()
--- a/pipitlink/controller/snapshot_transfer.py
+++ b/pipitlink/controller/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots of the cluster state: made from the own log, sent in bounded chunks, and installed in place of a log."""
+"""Snapshots of the cluster state: created from the local log, sent in bounded chunks, and installed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @attrs.define
 class OutgoingSnapshot:
-    """A snapshot on its way to one follower. It stays the same one, with its offset, until it has arrived."""
+    """The transfer of one snapshot to one follower, with its offset, until the follower has received it."""
 
     index: int
     term: int
@@ -34,7 +34,7 @@
 
     @classmethod
     def compress(cls, snapshot: Snapshot) -> OutgoingSnapshot:
-        """Returns a transfer of this snapshot that is at its beginning."""
+        """Returns a new transfer of this snapshot, at offset 0."""
         return cls(snapshot.index, snapshot.term, zlib.compress(snapshot.SerializeToString(), COMPRESSION_LEVEL))
 
     def next_chunk(self) -> SnapshotChunk:
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class _TransferId:
-    """Tells one leader's transfer of one snapshot from any other."""
+    """Identifies one leader's transfer of one snapshot."""
 
     leader: str
     leader_term: int
@@ -61,26 +61,26 @@
 
 @attrs.define
 class IncomingSnapshot:
-    """The bytes of one leader's snapshot that have arrived so far."""
+    """The bytes of a leader's snapshot received so far."""
 
     transfer: _TransferId
     data: bytearray = attrs.field(factory=bytearray)
     installing: bool = False
 
     def add(self, chunk: SnapshotChunk) -> None:
-        """Takes a chunk, if it continues what is here."""
+        """Appends a chunk; one that does not continue the received bytes is ignored."""
         if chunk.offset == len(self.data):
             self.data += chunk.data
 
     def is_complete(self) -> bool:
-        """Returns whether all bytes are here."""
+        """Returns whether all bytes have been received."""
         return len(self.data) == self.transfer.total
 
 
 class SnapshotManager:
-    """Compacts the log into snapshots, and installs those that a leader sends.
+    """Compacts the log into snapshots, and installs snapshots received from a leader.
 
-    One snapshot at a time is written to the disk, whether made from the own log or received.
+    Only one snapshot at a time is written to disk, whether created locally or received.
     """
 
     def __init__(self, ctx: Context, consensus: ConsensusState, durable_log: DurableLog) -> None:
@@ -92,7 +92,7 @@
         self.incoming: IncomingSnapshot | None = None
 
     def open(self) -> None:
-        """Watches the log's length from now on."""
+        """Registers the callback that compacts the log when it is long."""
         self._consensus.when_advanced(self._compact_when_long)
 
     def _compact_when_long(self) -> None:
@@ -101,7 +101,7 @@
             self._ctx.run_in_background(self._compact(), "compact_log")
 
     async def _compact(self) -> None:
-        """Saves a snapshot of what is committed, less the newest entries, and drops the log below it."""
+        """Saves a snapshot of the committed entries except the newest, and removes the log up to it."""
         try:
             await self._lock.run(lambda: defer.ensureDeferred(self._compact_locked()))
         finally:
@@ -122,7 +122,7 @@
         self._ctx.logger.info("log_compacted", index=index)
 
     async def _apply_in_slices(self, cluster_state: ClusterState, entries: list[ControllerEntry]) -> ClusterState:
-        """Applies entries with pauses in between, so that other work of the process is not held up."""
+        """Applies entries with pauses in between, so that the process can do other work."""
         for position, entry in enumerate(entries):
             cluster_state.apply(entry.index, entry.command)
             if position % ENTRIES_PER_SLICE == ENTRIES_PER_SLICE - 1:
@@ -130,7 +130,7 @@
         return cluster_state
 
     def is_needed(self, snapshot: Snapshot | SnapshotChunk) -> bool:
-        """Returns whether a snapshot covers more than the own log, or the log is on another branch there."""
+        """Returns whether a snapshot covers more than the local log, or conflicts with it."""
         if self._consensus.is_newcomer:
             return True
         if snapshot.index <= self._durable_log.snapshot.index:
@@ -138,7 +138,7 @@
         return self._durable_log.term_at(snapshot.index) != snapshot.term
 
     async def install(self, snapshot: Snapshot) -> None:
-        """Takes a complete snapshot in place of the own log, unless the log has gone beyond it meanwhile."""
+        """Replaces the local log by a complete snapshot, unless the log has advanced beyond it meanwhile."""
         await self._lock.run(lambda: defer.ensureDeferred(self._install_locked(snapshot)))
 
     async def _install_locked(self, snapshot: Snapshot) -> None:
@@ -153,9 +153,9 @@
             self._consensus.mark_bootstrapped()
 
     def receive_chunk(self, request: AppendRequest) -> int:
-        """Keeps a chunk, and installs the snapshot once it is complete, while appends go on.
+        """Stores a chunk, and installs the snapshot in the background once it is complete.
 
-        Returns how many bytes of the snapshot are here.
+        Returns how many bytes of the snapshot have been received.
         """
         chunk = request.chunk
         transfer = _TransferId(request.leader, request.term, chunk.index, chunk.term, chunk.total)
--- a/pipitlink/controller/vote_poll.py
+++ b/pipitlink/controller/vote_poll.py
@@ -1,4 +1,4 @@
-"""One poll of the voters: whether a majority votes, or would vote, for a candidate."""
+"""Polls the voters in one round of an election or pre-vote."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class VotePoll:
-    """Asks all voters at the same time, and collects their votes until the result is known.
+    """Sends a vote request to all voters at once, and collects the votes until the result is known.
 
-    After a full restart no leader needs to be waited out: all voters have just started, or another node answers at
-    their address, so that none of them leads and whoever led has ended. The pre-vote proves it: each single voter must
-    have started a short while ago and know the same voters.
+    After a full restart a candidate need not wait for a former leader's time to run out: every voter has just started,
+    or another node responds at its address, so none of them leads. The pre-vote proves this: every voter must confirm
+    that it started recently and knows the same set of voters.
     """
 
     def __init__(self, ctx: Context, consensus: ConsensusState, calls: ControllerCalls, request: VoteRequest) -> None:
@@ -37,7 +37,7 @@
         self._result_known: defer.Deferred[None] = defer.Deferred()
 
     async def run(self) -> bool:
-        """Returns whether a majority granted its vote, and where this is to be proved, all voters just started."""
+        """Returns whether a majority granted its vote and, for the proof of a full restart, all voters just started."""
         for voter in self._voters:
             if voter != self._ctx.node:
                 self._ctx.run_in_background(self._ask(voter), "vote_request")
--- a/pipitlink/controller/voter_changes.py
+++ b/pipitlink/controller/voter_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the voters: how many there are, who replaces a lost one, and over which zones they lie."""
+"""Changes of the set of voters: their number, the replacement of lost voters, and the spread over zones."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 MAX_CAUGHT_UP_LAG = 50
 NO_MATCH_INDEX = -1
 LOSS_TIMEOUTS = {"gone": secs(1), "unknown": secs(2), "suspect": secs(3)}
-"""How long a voter must be silent, by what the membership says of it, until it is replaced."""
+"""How long a voter must be silent before it is replaced, by its status in the membership."""
 
 
 class VoterChanges:
-    """Runs at the leader: keeps as many voters as the settings ask for, over as many zones as can be.
+    """Runs on the leader: keeps the configured number of voters, spread over as many zones as possible.
 
-    One voter changes at a time. A lost voter is removed before another is added, so that the number of votes that is
-    needed never rises on the way. Nothing is proposed without contact to a majority: a change that cannot be committed
-    would give this leader a longer log than the others have, who could then not be elected without it.
+    One voter changes at a time. A lost voter is removed before another is added, so that the size of a majority does
+    not grow in between. Nothing is proposed without contact to a majority: a change that cannot be committed would make
+    this leader's log longer than that of the other voters, who could then not be elected without its vote.
     """
 
     def __init__(self, ctx: Context, consensus: ConsensusView, leader_log: LeaderLog) -> None:
@@ -37,7 +37,7 @@
         self._leader_log = leader_log
 
     async def update_voters(self) -> None:
-        """Proposes changes, each once the one before is committed, until there is none to make. For a timer."""
+        """Proposes changes one after another, each once the previous one is committed. Called by a timer."""
         while self._may_change():
             voters = self._consensus.voters()
             change = self._next_voters(voters)
@@ -47,7 +47,7 @@
             await self._leader_log.propose(Command(controllers=Controllers(voters=change)))
 
     def _may_change(self) -> bool:
-        """Returns whether this leader has contact, an entry of its term committed, and the last change of voters."""
+        """Returns whether this leader has contact and has committed an entry of its term and the last voter change."""
         if not self._consensus.is_leader or not self._consensus.term_is_committed():
             return False
         if not self._leader_log.has_contact():
@@ -55,7 +55,7 @@
         return self._consensus.voters() == self._consensus.cluster_state.voters
 
     def _next_voters(self, voters: Voters) -> Voters | None:
-        """Returns the next set of voters, one more or one less, or None where nothing is to be changed or can be."""
+        """Returns the next set of voters, one larger or smaller, or None if no change is needed or possible."""
         target_count = self._ctx.settings.replica_count
         lost = [voter for voter in voters if self._is_lost(voter)]
         live = [voter for voter in voters if voter not in lost]
@@ -69,7 +69,7 @@
         return None
 
     def _is_caught_up(self, node: str) -> bool:
-        """Returns whether a controller has answered lately, and its log is not far behind."""
+        """Returns whether a controller has responded recently and its log is not far behind."""
         responded_at = self._leader_log.last_response_at(node)
         if responded_at is None or self._ctx.timers.now() - responded_at >= MAX_RESPONSE_AGE:
             return False
@@ -93,16 +93,16 @@
         return lost
 
     def _remove_voter(self, voters: Voters, live: list[str], leaving: str) -> Voters | None:
-        """Returns the voters without one, or None where the live ones would be no majority of them."""
+        """Returns the voters without one, or None if the live voters would not be a majority of them."""
         remaining = tuple(voter for voter in voters if voter != leaving)
         return remaining if 2 * sum(voter in live for voter in remaining) > len(remaining) else None
 
     def _add_voter(self, voters: Voters, live: list[str], joining: str) -> Voters | None:
-        """Returns the voters and one more, or None where the live ones would be no majority of them."""
+        """Returns the voters with one more, or None if the live voters would not be a majority of them."""
         return tuple(sorted((*voters, joining))) if 2 * (len(live) + 1) > len(voters) + 1 else None
 
     def _standbys(self, voters: Voters, live: list[str]) -> list[str]:
-        """Returns the controllers that could vote at once, those from zones with the fewest voters first."""
+        """Returns the controllers that are ready to become voters, those in the zones with the fewest voters first."""
         zones = self._zone_counts(live)
         members: list[Member] = [
             member
@@ -113,12 +113,12 @@
         return [member.node for member in members]
 
     def _improves_zone_balance(self, voters: list[str], standby: str) -> bool:
-        """Returns whether a zone has fewer voters once this standby has replaced one of them."""
+        """Returns whether the voters are spread more evenly if this standby replaces one in the most crowded zone."""
         zones = self._zone_counts(voters)
         return max(zones.values()) > zones[self._zone(standby)] + 1
 
     def _removable_voter(self, voters: Voters) -> str:
-        """Returns the voter that can be spared best: another one than the leader, in the zone with the most voters."""
+        """Returns the voter to remove: not this leader, and in the zone with the most voters."""
         zones = self._zone_counts(voters)
         others = [voter for voter in voters if voter != self._ctx.node]
         return max(others, key=lambda voter: (zones[self._zone(voter)], voter))
