--- a/pipitlink/controller/control_api.py
+++ b/pipitlink/controller/control_api.py
@@ -35,7 +35,7 @@
 
 
 class ControllerServices(Protocol):
-    """The parts of a controller that serve operators and engines."""
+    """The components of a controller that serve operators and engines."""
 
     submission: EditSubmission
     edit_fencing: EditFencing
@@ -51,13 +51,13 @@
 
 
 def _default_edit_id(request: Request, base: int, body: bytes) -> str:
-    """Returns an id by the request's content: an edit that is sent again unchanged, to any controller, is the same."""
+    """Returns an id derived from the request's content, so that an unchanged retry has the same id anywhere."""
     prefix = b"%b %d " % (request.method, base)
     return "config-" + blake2b(prefix + body, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def _check_config(edit: ConfigEdit) -> None:
-    """Raises BadRequest where a whole configuration is not consistent in itself."""
+    """Raises BadRequest if a complete configuration is not valid."""
     problems = RouteTable().with_edit(edit).validation_problems()
     if problems:
         shown = problems[:MAX_SHOWN_PROBLEMS]
@@ -74,13 +74,13 @@
         self._dialect = dialect
 
     def add_routes(self, add: Callable[..., Any]) -> None:
-        """Registers the handlers, by the dialect's paths, with the decorator factory of a klein app."""
+        """Registers the handlers under the dialect's paths with a klein app's route decorator."""
         for method, path, action in self._dialect.control_paths:
             add(path, methods=[method], endpoint=f"control_{action}")(getattr(self, action))
 
     @http_handler
     async def show_config(self, request: Request) -> bytes:
-        """Answers with the whole configuration and its version."""
+        """Responds with the whole configuration and its version."""
         table = (await self._services.submission.newest_cluster_state()).routes
         return _send_body(request, self._dialect.format_config(table.config()), {b"ETag": b'"%d"' % table.version})
 
@@ -91,7 +91,7 @@
 
     @http_handler
     async def patch_config(self, request: Request) -> bytes:
-        """Adds, replaces and removes single routes and pools."""
+        """Adds, replaces and removes individual routes and pools."""
         return await self._edit_config(request, replace=False)
 
     async def _edit_config(self, request: Request, replace: bool) -> bytes:
@@ -110,56 +110,56 @@
                 outcome="not_run",
             )
         if outcome.code != OutcomeCode.DONE:
-            raise BadRequest(f"the edit was refused: {outcome.code}", code=outcome.code)
+            raise BadRequest(f"the edit was rejected: {outcome.code}", code=outcome.code)
         answer = {"version": outcome.sequence, "edit": command.edit}
         return send_json(request, answer, 200, {"ETag": f'"{outcome.sequence}"'})
 
     @http_handler
     async def empty_zone(self, request: Request, zone: str) -> bytes:
-        """Has a zone emptied."""
+        """Marks a zone as empty, so that it gets no work."""
         return await self._edit_zone(request, zone, empty=True)
 
     @http_handler
     async def fill_zone(self, request: Request, zone: str) -> bytes:
-        """Has a zone used again."""
+        """Marks a zone as usable again."""
         return await self._edit_zone(request, zone, empty=False)
 
     async def _edit_zone(self, request: Request, zone: str, empty: bool) -> bytes:
         command = Command(edit=edit_id(request), zone=ZoneEdit(zone=zone, empty=empty))
         outcome = await self._services.edit_fencing.submit(command)
         if outcome.code != OutcomeCode.DONE:
-            raise ApiError(f"the edit was refused: {outcome.code}", code=outcome.code, status=422, outcome="not_run")
+            raise ApiError(f"the edit was rejected: {outcome.code}", code=outcome.code, status=422, outcome="not_run")
         return send_json(request, {"sequence": outcome.sequence, "edit": command.edit})
 
     @http_handler
     async def put_engine(self, request: Request, engine: str) -> bytes:
-        """Takes an engine's announcement."""
+        """Handles an engine's announcement."""
         await self._services.announcements.announce(self._dialect.parse_engine_update(engine, read_body(request)))
         return _send_body(request, self._dialect.format_engine_response())
 
     @http_handler
     async def drop_engine(self, request: Request, engine: str) -> bytes:
-        """Takes an engine's announcement that it is gone."""
+        """Handles an engine's announcement that it is gone."""
         update = EngineUpdate(engine=engine, incarnation=1, state=EngineState.GONE)
         await self._services.announcements.announce(update)
         return _send_body(request, self._dialect.format_engine_response())
 
     @http_handler
     async def retire(self, request: Request, storage_node: str) -> bytes:
-        """Has a storage node emptied."""
+        """Starts the retirement of a storage node."""
         edit = edit_id(request)
         sequence = await self._services.retirement.retire(storage_node, edit)
         return send_json(request, {"sequence": sequence, "edit": edit}, 200, {"ETag": f'"{sequence}"'})
 
     @http_handler
     async def show_retirement(self, request: Request, storage_node: str) -> bytes:
-        """Answers whether a storage node is retired."""
+        """Responds with whether a storage node is retired."""
         status = await self._services.retirement.status(storage_node)
         return _send_body(request, self._dialect.format_retirement(status))
 
 
 class ControlServer:
-    """The controller's HTTP address for operators and engines, in the process's dialect."""
+    """The controller's HTTP server for operators and engines, in the process's dialect."""
 
     def __init__(self, ctx: Context, services: ControllerServices) -> None:
         self._ctx = ctx
@@ -167,7 +167,7 @@
         self._port: ListeningPort | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """Binds the address and returns its port. Raises CannotListenError."""
+        """Listens on the address and returns the bound port. Raises CannotListenError."""
         app = Klein()
         self._api.add_routes(app.route)
         app.route("/", defaults={"path": ""})(self._not_found)
@@ -176,7 +176,7 @@
         return int(bound_port)
 
     async def end(self) -> None:
-        """Closes the port; open connections go on."""
+        """Stops listening; open connections continue."""
         if self._port is not None:
             await self._port.stopListening()
 
--- a/pipitlink/controller/edit_fencing.py
+++ b/pipitlink/controller/edit_fencing.py
@@ -1,4 +1,4 @@
-"""Operators' orders at one controller: each copy takes effect while its caller waits for it, or not at all."""
+"""Fencing of operators' edits: a copy of an edit takes effect while its client waits for it, or not at all."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 __all__ = ["CLIENT_TIMEOUT", "DISCONNECT_CHECK_DELAY", "EditFencing"]
 
 CLIENT_TIMEOUT = ms(1000)
-"""Callers wait at least this long before they send an order that got no answer to another controller."""
+"""Clients wait at least this long before they retry an unanswered edit at another controller."""
 DISCONNECT_CHECK_DELAY = ms(20)
-"""An order waits this long, so that a caller's hanging up that arrives together with it cancels it."""
+"""An edit waits this long, so that a disconnect that arrives together with it cancels it."""
 PAUSE_CHECK_INTERVAL = ms(200)
 PAUSE_THRESHOLD = ms(500)
-"""A process that did not run for longer than this was paused, and may read orders that have waited in a socket."""
+"""A process that did not run for longer than this was paused, and may read edits that were queued in a socket."""
 SOCKET_DRAIN_TIME = ms(500)
-"""How long after a pause the orders that have waited in a socket are still being read."""
+"""How long after a pause queued edits may still be read from a socket."""
 SUBMISSION_TIMEOUT = CLIENT_TIMEOUT - PAUSE_THRESHOLD - ms(100)
 
 
 class EditFencing:
-    """Fences the operators' orders, so that a copy that was delayed anywhere cannot undo a later order.
+    """Fences operators' edits, so that a delayed copy of an edit cannot undo a later edit.
 
-    It owns when this process last ran, and when it last resumed after a pause.
+    It tracks when this process last ran, and when it last resumed after a pause.
     """
 
     def __init__(self, ctx: Context, consensus: ConsensusView, submission: EditSubmission) -> None:
@@ -40,7 +40,7 @@
         self._resumed_at: timedelta | None = None
 
     def open(self) -> None:
-        """Starts the timer that notices when the process was paused."""
+        """Starts the timer that detects pauses of the process."""
         self._last_ran_at = self._ctx.timers.now()
         self._ctx.timers.call_repeatedly(
             PAUSE_CHECK_INTERVAL, self._check_for_pause, self._ctx.error_reporter("run_check")
@@ -55,21 +55,21 @@
         self._last_ran_at = now
 
     def _has_just_resumed(self) -> bool:
-        """Returns whether an order that is read now may have waited in a socket while the process was paused."""
+        """Returns whether an edit read now may have been queued in a socket while the process was paused."""
         self._check_for_pause()
         return self._resumed_at is not None and self._ctx.timers.now() - self._resumed_at < SOCKET_DRAIN_TIME
 
     def check_timely(self, arrived_at: timedelta) -> None:
-        """Raises ServiceUnavailable for an order that its caller may have sent to another controller meanwhile."""
+        """Raises ServiceUnavailable if the client may have retried the edit at another controller by now."""
         if self._has_just_resumed() or self._ctx.timers.now() - arrived_at > SUBMISSION_TIMEOUT:
             raise ServiceUnavailable(
-                "this controller was held up and did not carry the order out; send it again", code="late"
+                "the request was delayed at this controller and was not executed; send it again", code="late"
             )
 
     async def admit(self) -> timedelta:
-        """Waits until it would be known that the caller of a new order has hung up; returns when the order arrived.
+        """Waits long enough to detect that the client has disconnected; returns the time at which the edit arrived.
 
-        Raises ServiceUnavailable where the order may have been delayed before.
+        Raises ServiceUnavailable if the edit may have been delayed before it was read.
         """
         arrived_at = self._ctx.timers.now()
         self.check_timely(arrived_at)
@@ -77,11 +77,11 @@
         return arrived_at
 
     async def submit(self, command: Command) -> Outcome:
-        """Returns the outcome of an order that has just arrived.
+        """Submits an edit that has just arrived, and returns its outcome.
 
-        The fence is the newest sequence that was known here when the order arrived. Where that was behind, the order is
-        proposed again with the newest fence, as long as its caller waits: a caller that left cancels this, and one that
-        may have turned to another controller gets ServiceUnavailable, and nothing was done.
+        The fencing token is the newest sequence known here when the edit arrived. If the token was outdated, the edit
+        is proposed again with the newest token while its client waits. A client that disconnects cancels this. If the
+        client may have retried at another controller, ServiceUnavailable is raised and the edit has not taken effect.
         """
         command.fencing_token = self._consensus.cluster_state.sequence
         arrived_at = await self.admit()
--- a/pipitlink/controller/edit_requests.py
+++ b/pipitlink/controller/edit_requests.py
@@ -1,4 +1,4 @@
-"""Reads bodies and headers of operators' HTTP requests."""
+"""Parses bodies and headers of operators' HTTP requests."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 
 def edit_base(request: Request) -> int:
-    """Returns the sequence that an edit builds on, from the request's If-Match header.
+    """Returns the base sequence of an edit from the request's If-Match header.
 
-    Raises BadRequest: 428 where there is none, 400 where it is no number from 0 up.
+    Raises BadRequest: status 428 if the header is missing, 400 if it is not a number of at least 0.
     """
     raw = request.getHeader("If-Match")
     if raw is None:
         raise BadRequest(
-            "an edit states the sequence it builds on, in If-Match", code="no_base", field="If-Match", status=428
+            "an edit must state its base sequence in If-Match", code="no_base", field="If-Match", status=428
         )
     try:
         base = int(raw.strip().strip('"'))
     except ValueError:
         base = -1
     if not 0 <= base < MAX_SEQUENCE:
-        raise BadRequest("If-Match must be the sequence it builds on", code="bad_field", field="If-Match")
+        raise BadRequest("If-Match must be the base sequence of the edit", code="bad_field", field="If-Match")
     return base
 
 
 def edit_id(request: Request, default: str = "") -> str:
-    """Returns the edit's id from the request's Edit-Id header, else `default`, else a new random one.
+    """Returns the edit's id: the request's Edit-Id header, else `default`, else a new random id.
 
-    Raises BadRequest where it has more than 100 characters.
+    Raises BadRequest if it has more than 100 characters.
     """
     edit = request.getHeader("Edit-Id") or default or random_id()
     if not 1 <= len(edit) <= MAX_EDIT_ID_LENGTH:
@@ -47,7 +47,7 @@
 
 
 def read_body(request: Request) -> bytes:
-    """Returns the request's body, which has arrived in full."""
+    """Returns the request's body, which has been received completely."""
     return cast(BinaryIO, request.content).read()
 
 
--- a/pipitlink/controller/edit_submission.py
+++ b/pipitlink/controller/edit_submission.py
@@ -1,4 +1,4 @@
-"""Edits and reads of the cluster state, carried out here or forwarded to the leader."""
+"""Edits and reads of the cluster state, handled locally on the leader and forwarded to it elsewhere."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 LEADER_CHECK_INTERVAL = ms(50)
 STORAGE_FULL_CODE = "no_room"
 NOT_RUN_CODES = ("not_leading", STORAGE_FULL_CODE)
-"""Codes of errors of the leader that say that an edit was not proposed."""
+"""Error codes with which the leader reports that an edit was not proposed."""
 
 ResponseT = TypeVar("ResponseT", bound=Message)
 
 
 class EditSubmission:
-    """Edits and reads of the newest cluster state, the same at every controller: here, or by way of the leader."""
+    """Edits and reads of the newest cluster state at any controller, which forwards them if it is not the leader."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self._calls = calls
 
     def open(self) -> None:
-        """Registers the RPC handlers for what other controllers forward."""
+        """Registers the RPC handlers for requests that other controllers forward."""
         self._ctx.rpc.register_handler("controller.edit", EditRequest, self._handle_edit)
         self._ctx.rpc.register_handler("controller.read", ReadTableRequest, self._handle_read)
 
@@ -69,9 +69,9 @@
         return await self._delivery.edit(command, self._delivery.operator_edit_timeout())
 
     async def newest_cluster_state(self) -> ClusterState:
-        """Returns the newest committed cluster state, confirmed by the leader; never an older one.
+        """Returns the newest committed cluster state, as confirmed by the leader.
 
-        Raises ApiError where no leader confirms it.
+        Raises ApiError if no leader confirms it.
         """
         try:
             if self._consensus.is_leader:
@@ -80,7 +80,7 @@
             return ClusterState(await self._call_leader("controller.read", ReadTableRequest(), ClusterStateData))
         except (WireError, NotLeader, Unconfirmed) as error:
             raise ApiError(
-                f"the newest table cannot be proved now: {error}",
+                f"no leader confirmed the newest cluster state: {error}",
                 code="no_leader",
                 status=503,
                 outcome="failed",
@@ -88,9 +88,9 @@
             ) from error
 
     async def submit(self, command: Command) -> Outcome:
-        """Returns the outcome of an edit, decided here or at the leader.
+        """Submits an edit here or at the leader, and returns its outcome.
 
-        Raises ApiError, whose outcome says whether the edit may have been taken, or StorageFull.
+        Raises StorageFull, or ApiError, whose outcome says whether the edit may have taken effect.
         """
         try:
             if self._consensus.is_leader:
@@ -104,10 +104,14 @@
             raise self._api_error(error, command.edit) from error
 
     def _api_error(self, error: Exception, edit: str) -> ApiError:
-        """Returns what the caller gets for an edit that failed, or may have."""
+        """Returns the client's error for an edit that failed or whose outcome is unknown."""
         if self._was_not_run(error):
             return ApiError(
-                f"no controller leads now: {error}", code="no_leader", status=503, outcome="not_run", retry_after=1
+                f"there is no leader at present: {error}",
+                code="no_leader",
+                status=503,
+                outcome="not_run",
+                retry_after=1,
             )
         return ApiError(
             f"{error}; send it again with Edit-Id {edit} to learn its outcome",
@@ -118,7 +122,7 @@
         )
 
     def _was_not_run(self, error: Exception) -> bool:
-        """Returns whether an error shows that no leader has proposed the edit."""
+        """Returns whether an error proves that no leader has proposed the edit."""
         if isinstance(error, NotLeader):
             return True
         if isinstance(error, ConnectionFailed):
@@ -126,9 +130,9 @@
         return isinstance(error, RemoteError) and error.remote_code in NOT_RUN_CODES
 
     async def _call_leader(self, method: str, request: Message, response_type: type[ResponseT]) -> ResponseT:
-        """Forwards a call to the leader, and waits for it no longer than that one leads and is in touch.
+        """Forwards a call to the leader, and waits only while it stays the leader and in contact.
 
-        Raises NotLeader where no leader is known, Unconfirmed where it was lost, or WireError.
+        Raises NotLeader if no leader is known, Unconfirmed if contact with the leader was lost, or WireError.
         """
         leader = self._consensus.leader_id
         if not leader or leader == self._ctx.node or not self._leader_log.has_contact():
@@ -139,8 +143,8 @@
                 partial(self._is_in_contact_with, leader), LEADER_CHECK_INTERVAL, work
             )
         except defer.CancelledError:
-            raise Unconfirmed("the leader changed or was lost before it answered") from None
+            raise Unconfirmed("the leader changed or was lost before it responded") from None
 
     def _is_in_contact_with(self, leader: str) -> bool:
-        """Returns whether a node still leads, as far as is known here, and was in touch a short while ago."""
+        """Returns whether a node is still the known leader, with recent contact."""
         return self._consensus.leader_id == leader and self._leader_log.has_contact()
--- a/pipitlink/controller/engine_announcements.py
+++ b/pipitlink/controller/engine_announcements.py
@@ -1,4 +1,4 @@
-"""Takes announcements of engines and passes them on to all gateways."""
+"""Receives announcements of engines and forwards them to all gateways."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class EngineAnnouncements:
-    """Engines announce themselves at any controller, which passes it on to every gateway; no leader is needed.
+    """Engines announce themselves at any controller, which forwards that to every gateway; no leader is needed.
 
-    An announcement that most gateways cannot get is kept and sent on all the same, but not acknowledged, so that the
-    engine turns to another controller.
+    If this controller cannot reach a majority of the gateways, it still records and forwards an announcement but does
+    not acknowledge it, so that the engine tries another controller.
     """
 
     def __init__(self, ctx: Context, leader_log: LeaderLog) -> None:
@@ -31,24 +31,26 @@
         self._notifier = GatewayNotifier(ctx, self.registry, leader_log)
 
     def open(self) -> None:
-        """Watches the membership for gateways, and starts the timer of renewals."""
+        """Starts to watch the membership for gateways, and the timer of renewals."""
         self._ctx.membership.add_listener(self._member_changed)
         self._ctx.timers.call_repeatedly(RENEWAL_INTERVAL, self._renew, self._ctx.error_reporter("engine_renewals"))
 
     async def announce(self, update: EngineUpdate) -> None:
-        """Takes an engine's announcement; returns once it may be acknowledged.
+        """Records an engine's announcement and returns once it may be acknowledged.
 
-        The newest sequence wins, and draining is for good. Raises ServiceUnavailable where too few gateways can be
+        The newest sequence wins, and draining cannot be undone. Raises ServiceUnavailable if too few gateways can be
         reached.
         """
         engine = self._record(update)
         if EngineState.is_final(update.state) and EngineState.is_final(engine.update.state):
             await self._wait_acknowledged(engine)
         elif not self._notifier.reaches_majority():
-            raise ServiceUnavailable("most gateways cannot be told of this engine", code=UNREACHED_CODE)
+            raise ServiceUnavailable(
+                "a majority of the gateways cannot be reached to announce this engine", code=UNREACHED_CODE
+            )
 
     def _record(self, update: EngineUpdate) -> AnnouncedEngine:
-        """Keeps an announcement unless it is outdated, and has it sent; returns the engine's record."""
+        """Records an announcement unless it is outdated, and has it sent; returns the engine's record."""
         engine = self.registry.find(update.engine)
         if engine is not None and self._is_outdated(update, engine.update):
             return engine
@@ -72,7 +74,7 @@
         return update.state != EngineState.GONE and update.sequence <= known.sequence
 
     def _is_renewal(self, update: EngineUpdate) -> bool:
-        """Returns whether an engine that is new here must have announced itself before."""
+        """Returns whether an engine that is unknown here must have announced itself elsewhere before."""
         return update.sequence > 1 and update.state == EngineState.READY and not update.slow_start_ms
 
     def _is_change(self, before: EngineUpdate, update: EngineUpdate) -> bool:
@@ -87,17 +89,17 @@
             )
 
     def _send_change(self, engine: AnnouncedEngine, announced_elsewhere: bool) -> None:
-        """Sends a change; a renewal is enough for an engine that gateways know from another controller."""
+        """Sends a change. A renewal is enough if the gateways know the engine from another controller."""
         if announced_elsewhere:
             self._notifier.add_renewal(engine.update.engine)
         else:
             self._notifier.propagate(engine)
 
     async def _wait_acknowledged(self, engine: AnnouncedEngine) -> None:
-        """Waits a short while until all live gateways have acknowledged the change; more than half of all must have.
+        """Waits, up to a timeout, for all live gateways to acknowledge the change; a majority of all gateways must.
 
-        A controller that reaches fewer may be cut off from those who still send, so the engine has to ask another.
-        The other gateways are called until they acknowledge.
+        Otherwise this controller may be partitioned from gateways that still send requests, and the engine has to try
+        another controller. The remaining gateways are called until they acknowledge.
         """
         propagation = self._current_propagation(engine)
         end = self._ctx.timers.now() + ACKNOWLEDGE_TIMEOUT
@@ -107,10 +109,12 @@
                 break
             await self._ctx.timers.wait_at_most(propagation.wait(), left)
         if not self._notifier.is_majority(propagation.acknowledged):
-            raise ServiceUnavailable("too few gateways have confirmed that this engine leaves", code=UNREACHED_CODE)
+            raise ServiceUnavailable(
+                "too few gateways have acknowledged that this engine is leaving", code=UNREACHED_CODE
+            )
 
     def _current_propagation(self, engine: AnnouncedEngine) -> Propagation:
-        """Returns the propagation of the engine's state, started anew where an earlier one ended too early."""
+        """Returns the propagation of the engine's state, restarted if it ended without a majority."""
         propagation = engine.propagation
         if propagation is None:
             return self._notifier.propagate(engine)
@@ -127,7 +131,7 @@
         self._notifier.send_renewals()
 
     def _member_changed(self, member: Member) -> None:
-        """Sends all that is known here to a gateway that is new, or back."""
+        """Sends all known announcements to a gateway that has joined or returned."""
         if member.role != "gateway" or not self.registry.engines:
             return
         if self._ctx.membership.status(member.node) == "alive":
--- a/pipitlink/controller/engine_registry.py
+++ b/pipitlink/controller/engine_registry.py
@@ -1,4 +1,4 @@
-"""The engines that have announced themselves at this controller."""
+"""Registry of the engines that have announced themselves at this controller."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 EXPIRY = secs(30)
 GONE_EXPIRY = secs(60)
-"""An engine that is gone is remembered longer, so that a late announcement does not bring it back."""
+"""An engine that is gone is kept longer, so that a delayed announcement does not revive it."""
 
 
 class EngineState(StrEnum):
-    """What an engine announces of itself."""
+    """The state that an engine announces."""
 
     READY = "ready"
     DRAINING = "leaving"
@@ -28,13 +28,13 @@
 
     @classmethod
     def is_final(cls, state: str) -> bool:
-        """Returns whether an engine in this state takes no new requests any more."""
+        """Returns whether an engine in this state no longer accepts new requests."""
         return state in (cls.DRAINING, cls.GONE)
 
 
 @attrs.define(eq=False)
 class AnnouncedEngine:
-    """The newest announcement of an engine, and the propagation of its last change of state, if there was one."""
+    """An engine's newest announcement, and the propagation of its last state change, if any."""
 
     update: EngineUpdate
     received_at: timedelta
@@ -42,7 +42,7 @@
 
 
 class EngineRegistry:
-    """The newest announcement of each engine, kept until the engine has been silent for a while."""
+    """The newest announcement of each engine, removed after it has not been renewed for some time."""
 
     def __init__(self, timers: Timers) -> None:
         self._timers = timers
@@ -53,13 +53,13 @@
         return self.engines.get(name)
 
     def add(self, name: str) -> AnnouncedEngine:
-        """Returns a new record with an empty announcement."""
+        """Adds a record with an empty announcement and returns it."""
         engine = AnnouncedEngine(EngineUpdate(), self._timers.now())
         self.engines[name] = engine
         return engine
 
     def engine_list(self, names: Iterable[str]) -> EngineList:
-        """Returns the announcements of these engines, each with its age; unknown names are left out."""
+        """Returns the announcements of these engines with their ages; unknown names are skipped."""
         now = self._timers.now()
         message = EngineList()
         for name in names:
@@ -71,7 +71,7 @@
         return message
 
     def remove_expired(self) -> None:
-        """Removes the engines that have not announced themselves for a while."""
+        """Removes the engines whose announcements have expired."""
         now = self._timers.now()
         for name, engine in list(self.engines.items()):
             expiry = GONE_EXPIRY if engine.update.state == EngineState.GONE else EXPIRY
--- a/pipitlink/controller/gateway_notifier.py
+++ b/pipitlink/controller/gateway_notifier.py
@@ -1,4 +1,4 @@
-"""Sends engine announcements to all gateways, and knows which gateways can be reached."""
+"""Sends engine announcements to all gateways, and tracks which gateways are reachable."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 RETRY_INTERVAL = ms(200)
 RETRY_TIMEOUT = secs(3)
 LOST_GATEWAY_RETENTION = secs(60)
-"""Gateways that were lost within this time still count when a majority of the gateways is asked for."""
+"""Gateways that were lost within this time still count towards the total of which a majority is needed."""
 REACHABLE = ("alive", "suspect")
 KNOWN = ("alive", "suspect", "gone")
 UPDATE_METHOD = "engines.tell"
 
 
 class GatewayNotifier:
-    """Sends announcements to the gateways: changes by calls that are retried, renewals mostly as notifications.
+    """Sends announcements to the gateways: changes by calls with retries, renewals mostly as one-way notifications.
 
-    It owns which gateways did not answer their last call, which still lack a change, and which renewals are due.
+    It tracks which gateways did not respond to their last call, which still lack a change, and which renewals are due.
     """
 
     def __init__(self, ctx: Context, registry: EngineRegistry, leader_log: LeaderLog) -> None:
@@ -41,13 +41,13 @@
         self._call_rotation = 0
 
     def live_gateways(self) -> set[str]:
-        """Returns the nodes of the gateways that are alive by the membership."""
+        """Returns the gateways that the membership considers alive."""
         return {member.node for member in self._gateways(("alive",))}
 
     def is_majority(self, nodes: Iterable[str]) -> bool:
-        """Returns whether these are more than half of the gateways, those included that were lost a short while ago.
+        """Returns whether these are a majority of the gateways, including those that were lost recently.
 
-        Gateways count by their addresses, so that one that was restarted counts once.
+        Gateways are counted by address, so that a restarted one counts once.
         """
         membership = self._ctx.membership
         addresses = {
@@ -60,24 +60,24 @@
         return 2 * len({(member.host, member.port) for member in found} & addresses) > len(addresses)
 
     def reaches_majority(self) -> bool:
-        """Returns whether the last calls came through to more than half of the gateways, as far as any are known."""
+        """Returns whether the last calls reached a majority of the gateways; True if no gateway is known."""
         if not self._gateways(KNOWN):
             return True
         return self.is_majority(member.node for member in self._gateways() if member.node not in self._unreachable)
 
     def add_renewal(self, engine: str) -> None:
-        """Has an engine's unchanged announcement sent with the next batch of renewals."""
+        """Queues an engine's unchanged announcement for the next batch of renewals."""
         self._renewed.add(engine)
 
     def propagate(self, engine: AnnouncedEngine) -> Propagation:
-        """Starts sending a change to all gateways, with retries; returns its progress, also kept with the engine."""
+        """Starts to send a change to all gateways with retries; returns its propagation, also stored in the engine."""
         engine.propagation = propagation = Propagation(member.node for member in self._gateways())
         for gateway in propagation.gateways:
             self._start_push(gateway, [engine.update.engine], propagation)
         return propagation
 
     def send_all(self, gateway: str) -> None:
-        """Starts sending all known announcements to one gateway, with retries."""
+        """Starts to send all known announcements to one gateway, with retries."""
         self._start_push(gateway, sorted(self._registry.engines), Propagation([gateway]))
 
     def _gateways(self, status: tuple[str, ...] = REACHABLE) -> list[Member]:
@@ -88,7 +88,7 @@
         self._ctx.run_in_background(self._push_with_retries(gateway, engines, propagation), "push_engines")
 
     async def _push_with_retries(self, gateway: str, engines: list[str], propagation: Propagation) -> None:
-        """Calls a gateway until it acknowledges; after a while it is left to the batches of renewals."""
+        """Calls a gateway until it acknowledges; after a timeout the change is left to the batches of renewals."""
         end = self._ctx.timers.now() + RETRY_TIMEOUT
         try:
             while self._ctx.membership.status(gateway) in REACHABLE:
@@ -122,11 +122,10 @@
         self._pending.setdefault(gateway, set()).update(engines)
 
     def send_renewals(self) -> None:
-        """Sends the batch of renewals that is due, and what gateways have not acknowledged in time.
+        """Sends the due batch of renewals, and the changes that gateways have not acknowledged in time.
 
-        Renewals go as notifications: what is lost of a batch is made good by the engines' next renewals, before they
-        count as silent. A gateway that has not acknowledged a change is called until it does, and so are those of
-        `_gateways_to_call`.
+        Renewals are one-way notifications: if one is lost, the engine's next renewal arrives before the engine counts
+        as silent. Gateways that have not acknowledged a change, and those in `_gateways_to_call`, are called instead.
         """
         self._remove_unknown_gateways()
         renewed, self._renewed = self._renewed, set()
@@ -143,9 +142,10 @@
                 self._ctx.run_in_background(work, "push_engines")
 
     def _gateways_to_call(self, gateways: list[Member]) -> list[Member]:
-        """Returns those that get renewals by a call, since only an answer shows that they are reached.
+        """Returns the gateways that get renewals by a call, since only a response proves that they are reachable.
 
-        One of them in turn; all where one did not answer, or where this controller is out of touch with the leader.
+        Normally one gateway in rotation; all of them if one is unreachable or this controller lost contact with the
+        leader.
         """
         if not self._leader_log.has_contact():
             return gateways
--- a/pipitlink/controller/load_aggregator.py
+++ b/pipitlink/controller/load_aggregator.py
@@ -1,4 +1,4 @@
-"""Loads of many gateways, summed up at one controller and sent to all of them."""
+"""Sums the loads of many gateways at one controller and sends the totals to all of them."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 
 class LoadAggregator:
-    """Sums the loads that gateways report to this controller, and sends all gateways the totals.
+    """Sums the loads that gateways report to this controller, and sends the totals to all gateways.
 
-    In a large cluster each gateway reports to one controller and not to every other gateway. Neither a leader nor a
-    majority is needed: the totals are estimates that engines are chosen by, and a gateway that gets none goes by what
-    it runs itself.
+    In a large cluster each gateway reports to one controller instead of to every other gateway. Neither a leader nor a
+    majority is needed: the totals are estimates for the choice of engines, and a gateway that receives none uses its
+    own load only.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -66,7 +66,7 @@
         return Empty()
 
     def _totals(self) -> dict[str, _EngineTotal]:
-        """Returns the totals by engine, and drops the reports that are outdated."""
+        """Returns the totals by engine, and removes expired reports."""
         now = self._ctx.timers.now()
         totals: dict[str, _EngineTotal] = {}
         for gateway, report in list(self._reports.items()):
@@ -82,7 +82,7 @@
         return totals
 
     def _send_totals(self) -> None:
-        """Sends the totals where they or the waiting batches have changed, or where none went out for a while."""
+        """Sends the totals if they or the waiting batches have changed, or after MAX_TOTALS_INTERVAL."""
         now = self._ctx.timers.now()
         totals = self._totals()
         batches, self._changed_batches = self._changed_batches, {}
--- a/pipitlink/controller/placement.py
+++ b/pipitlink/controller/placement.py
@@ -1,4 +1,4 @@
-"""Places placement groups on storage nodes, and moves them off lost or retiring ones."""
+"""Assigns placement groups to storage nodes, and moves them away from lost or retiring nodes."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 __all__ = ["PlacementController"]
 
 FEWER_REPLICAS_AFTER = secs(5)
-"""A new cluster begins with fewer replicas than the settings ask for only after this time."""
+"""A new cluster starts with fewer replicas than configured only after this time."""
 MIN_REPLICAS = 3
 CHECK_INTERVAL = ms(100)
 IDLE_CHECK_INTERVAL = ms(300)
 
 
 class PlacementController:
-    """Runs at the leader: creates the placement groups, and proposes the changes that the planner chooses."""
+    """Runs on the leader: creates the placement groups, and proposes the changes that the planner chooses."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         self._timer: RepeatingCall | None = None
 
     def open(self) -> None:
-        """Registers the RPC handler for reports of storage nodes."""
+        """Registers the RPC handler for reports from storage nodes."""
         self._ctx.rpc.register_handler("controller.caught_up", CaughtUp, self._handle_caught_up)
 
     def start_timer(self) -> RepeatingCall:
-        """Starts the timer and returns it, so that it can be woken when this controller becomes the leader."""
+        """Starts the timer and returns it, so that it can be woken after an election."""
         self._timer = self._ctx.timers.call_repeatedly(
             CHECK_INTERVAL,
             self._update_placement,
--- a/pipitlink/controller/placement_planner.py
+++ b/pipitlink/controller/placement_planner.py
@@ -1,4 +1,4 @@
-"""Chooses which changes of placement groups end and begin next."""
+"""Plans which changes of placement groups to start and to finish."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 __all__ = ["CaughtUpReplica", "PlacementPlanner", "replicas_per_node"]
 
 MAX_CONCURRENT_CHANGES = 16
-"""At most so many placement groups change their storage nodes at the same time."""
+"""Maximum number of placement groups that change their storage nodes at the same time."""
 MAX_CAUGHT_UP = 10_000
 
 
 @attrs.frozen
 class CaughtUpReplica:
-    """A storage node has copied all that a placement group's change at this sequence asks it to copy."""
+    """A storage node's report that it has copied all data for the placement group's change with this sequence."""
 
     placement_group: int
     sequence: int
@@ -32,7 +32,7 @@
 
 
 def replicas_per_node(cluster_state: ClusterState) -> Counter[str]:
-    """Returns of how many placement groups each storage node has a replica, or is to have one."""
+    """Returns the number of placement groups of which each storage node has, or is to get, a replica."""
     return Counter(
         node
         for group in cluster_state.placement_groups.values()
@@ -42,7 +42,7 @@
 
 
 def _start_change(group: PlacementGroupRow, leaving: str, joining: str) -> PlacementGroupRow:
-    """Returns the placement group at the beginning of a change: one node leaves, one joins, or both."""
+    """Returns the placement group with a change started: one node leaves, one joins, or both."""
     return PlacementGroupRow(
         number=group.number,
         sequence=group.sequence + 1,
@@ -53,10 +53,10 @@
 
 
 class PlacementPlanner:
-    """Chooses changes that keep each placement group on enough live storage nodes over distinct zones.
+    """Plans changes that keep each placement group on enough live storage nodes in distinct zones.
 
-    One storage node of a placement group changes at a time, and a change ends once those that are to have the replicas
-    have reported that they do. The planner owns these reports.
+    A placement group changes one storage node at a time, and a change is finished once the new replicas are reported as
+    caught up. The planner holds these reports.
     """
 
     def __init__(self, ctx: Context, consensus: ConsensusView, storage_nodes: StorageNodeView) -> None:
@@ -66,13 +66,13 @@
         self._caught_up: set[CaughtUpReplica] = set()
 
     def add_caught_up(self, replica: CaughtUpReplica) -> None:
-        """Notes a storage node's report; old reports are dropped, since storage nodes repeat them."""
+        """Records a storage node's report. All reports are dropped if there are too many; storage nodes repeat them."""
         self._caught_up.add(replica)
         if len(self._caught_up) > MAX_CAUGHT_UP:
             self._caught_up.clear()
 
     def initial_groups(self, storage_nodes: list[str], replicas: int) -> list[PlacementGroupRow]:
-        """Returns the first placement groups, with so many replicas each, spread over these storage nodes."""
+        """Returns the initial placement groups, spread over these storage nodes with this number of replicas each."""
         load: Counter[str] = Counter()
         groups = []
         for number in range(self._ctx.settings.placement_groups):
@@ -85,7 +85,7 @@
         return groups
 
     def next_changes(self) -> list[PlacementGroupRow]:
-        """Returns changes that can end now, else those that can begin, else one that balances the replicas."""
+        """Returns the changes that can be finished, else those that can be started, else one rebalancing change."""
         groups = sorted(self._consensus.cluster_state.placement_groups.values(), key=lambda group: group.number)
         changing = [group for group in groups if group.joining or group.leaving]
         finished_changes = [finished for group in changing if (finished := self._finished_change(group)) is not None]
@@ -100,7 +100,7 @@
     def _startable_changes(
         self, groups: list[PlacementGroupRow], changing: list[PlacementGroupRow], load: Counter[str]
     ) -> list[PlacementGroupRow]:
-        """Returns the changes that begin now: repairs first, then what is retired, then the number of replicas."""
+        """Returns the changes to start now: first repairs, then retirements, then changes of the number of replicas."""
         startable: dict[int, PlacementGroupRow] = {}
         for plan_change in (self._replace_lost, self._replace_retiring, self._resize):
             for group in groups:
@@ -115,9 +115,9 @@
         return list(startable.values())
 
     def _finished_change(self, row: PlacementGroupRow) -> PlacementGroupRow | None:
-        """Returns the placement group after its change, or as it was before where the joining node was lost meanwhile.
+        """Returns the placement group after its change, or reverted if a node that was to get a replica is lost.
 
-        None while the change has to go on.
+        Returns None while the change is in progress.
         """
         group = PlacementGroup(row.number, row.sequence, tuple(row.storage_nodes), row.joining, row.leaving)
         if all(CaughtUpReplica(row.number, row.sequence, node) in self._caught_up for node in group.transfer_targets):
@@ -138,7 +138,7 @@
         return self._replace(group, next(retiring, ""), load)
 
     def _replace(self, group: PlacementGroupRow, leaving: str, load: Counter[str]) -> PlacementGroupRow | None:
-        """Returns the change that replaces a storage node, or None where there is none to leave or to join."""
+        """Returns a change that replaces a storage node; None if `leaving` is empty or no replacement is available."""
         if not leaving:
             return None
         staying = [node for node in group.storage_nodes if node != leaving]
@@ -147,7 +147,7 @@
         return _start_change(group, leaving, joining) if joining else None
 
     def _resize(self, group: PlacementGroupRow, load: Counter[str]) -> PlacementGroupRow | None:
-        """Returns the change by one replica, where the settings ask for another number than the group has, or None."""
+        """Returns a change by one replica towards the configured number, or None if none is needed or possible."""
         replicas = self._ctx.settings.replica_count
         if len(group.storage_nodes) < replicas:
             joining = self._pick_storage_node(self._storage_nodes.serving(), group.storage_nodes, load)
@@ -157,9 +157,10 @@
         return None
 
     def _rebalance(self, load: Counter[str], serving: list[str]) -> list[PlacementGroupRow]:
-        """Returns a change that evens out zones or replicas, one at a time, or an empty list.
+        """Returns one change that balances zones or the load of storage nodes, or an empty list.
 
-        Not while a placement group lacks one of its storage nodes: a change needs a majority of both its sets.
+        No change is made while a placement group lacks a storage node: a change needs majorities of its old and its
+        new set.
         """
         if not all(self._all_alive(group) for group in self._consensus.cluster_state.placement_groups.values()):
             return []
@@ -169,7 +170,7 @@
         return self._rebalance_load(load, serving)
 
     def _rebalance_zones(self, load: Counter[str], serving: list[str]) -> list[PlacementGroupRow]:
-        """Moves a replica off the zone that has more of a placement group than it need have, to one with fewer."""
+        """Moves a replica of a placement group from its most crowded zone to one with fewer replicas."""
         for group in self._consensus.cluster_state.placement_groups.values():
             zones = self._zone_counts(group.storage_nodes)
             crowded = self._most_crowded(group, load)
@@ -179,7 +180,7 @@
         return []
 
     def _rebalance_load(self, load: Counter[str], serving: list[str]) -> list[PlacementGroupRow]:
-        """Moves a replica to the storage node with the fewest, where zones stay as distinct as they were."""
+        """Moves a replica to the storage node with the fewest, if that does not make the spread over zones worse."""
         least_loaded = min(serving, key=lambda node: (load[node], node))
         for node in sorted(serving, key=lambda node: -load[node]):
             if load[node] - load[least_loaded] < 2:
@@ -190,7 +191,7 @@
         return []
 
     def _may_replace(self, group: PlacementGroupRow, leaving: str, joining: str) -> bool:
-        """Returns whether the placement group's zones are as distinct after this change as before it."""
+        """Returns whether the placement group is spread at least as evenly over zones after this change."""
         if leaving not in group.storage_nodes or joining in group.storage_nodes:
             return False
         staying = self._zone_counts(node for node in group.storage_nodes if node != leaving)
@@ -200,14 +201,14 @@
         return all(self._ctx.membership.status(node) == "alive" for node in group.storage_nodes)
 
     def _most_crowded(self, group: PlacementGroupRow, load: Counter[str]) -> str:
-        """Returns the placement group's node in the zone with the most of its replicas; of several the most loaded."""
+        """Returns the most loaded of the placement group's nodes in the zone with the most of its replicas."""
         zones = self._zone_counts(group.storage_nodes)
         return max(group.storage_nodes, key=lambda node: (zones[self._zone(node)], load[node], node))
 
     def _pick_storage_node(self, storage_nodes: Iterable[str], existing: Iterable[str], load: Counter[str]) -> str:
-        """Returns the best node to join these others, in a zone with few of them and with a low load.
+        """Returns the best node to add to the existing ones: in a zone with few of them, then with a low load.
 
-        An empty string where all candidates are among the others.
+        Returns an empty string if all candidates are among the existing nodes.
         """
         taken = list(existing)
         zones = self._zone_counts(taken)
--- a/pipitlink/controller/propagation.py
+++ b/pipitlink/controller/propagation.py
@@ -1,4 +1,4 @@
-"""The state of one change on its way to all gateways."""
+"""Tracks the propagation of one change to all gateways."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Propagation:
-    """One change on its way to all gateways, and which of them have acknowledged it."""
+    """The propagation of one change: the gateways that get it, and those that have acknowledged it."""
 
     def __init__(self, gateways: Iterable[str]) -> None:
         self.gateways = set(gateways)
@@ -20,17 +20,17 @@
         self._waiters: list[defer.Deferred[Any]] = []
 
     def wait(self) -> defer.Deferred[Any]:
-        """Returns a Deferred that fires when the calls to one more gateway have ended."""
+        """Returns a Deferred that fires when the calls to another gateway have ended."""
         waiter: defer.Deferred[Any] = defer.Deferred()
         self._waiters.append(waiter)
         return waiter
 
     def acknowledge(self, gateway: str) -> None:
-        """Notes that a gateway has acknowledged the change."""
+        """Records that a gateway has acknowledged the change."""
         self.acknowledged.add(gateway)
 
     def finish_gateway(self) -> None:
-        """Notes that the calls to one gateway have ended, and wakes those that wait."""
+        """Records that the calls to one gateway have ended, and wakes the waiters."""
         self.running -= 1
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -1,4 +1,4 @@
-"""Delivers the cluster state to its followers, leases it, and tells when an edit is in effect."""
+"""Delivers the cluster state to its followers with leases, and determines when an edit is in effect."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 __all__ = ["Follower", "StateDelivery"]
 
 QUORUM_TIMEOUT = ms(500)
-"""The state is delivered only where a majority was heard within this time."""
+"""The state is delivered only if a majority has responded within this time."""
 EDIT_TIMEOUT = secs(5)
 OPERATOR_EDIT_TIMEOUT = ms(900)
 LEASE_MARGIN = ms(500)
@@ -31,7 +31,7 @@
 FOLLOWER_RETENTION = secs(60)
 DISK_USE_LIMIT = 0.9
 DISK_BYTES_PER_EDIT_BYTE = 3
-"""An edit is written as an entry, and may be written again in a snapshot while the one before still stands."""
+"""An edit is written as an entry, and may be written again in a snapshot while the previous snapshot still exists."""
 MAX_DELTAS = 4096
 MAX_TRANSFER_LAG = 50
 MAX_TRANSFERS = 4
@@ -40,7 +40,7 @@
 
 @attrs.define
 class Follower:
-    """A process that follows the cluster state: its role, the sequence that it has, and until when it is leased."""
+    """A process that follows the cluster state: its role, its sequence, and the end of its lease."""
 
     role: str
     sequence: int
@@ -48,7 +48,7 @@
 
 
 class _Waiters:
-    """Coroutines that wait until something changes, for a limited time."""
+    """Coroutines that wait for a condition with a timeout."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
@@ -58,7 +58,7 @@
         return len(self._waiting)
 
     def wake(self) -> None:
-        """Has all that wait now look again."""
+        """Wakes all current waiters, so that they check their conditions again."""
         waiting = list(self._waiting)
         self._waiting.clear()
         for woken in waiting:
@@ -66,7 +66,7 @@
                 woken.callback(None)
 
     async def wait(self, timeout: timedelta, condition: Callable[[], bool]) -> bool:
-        """Returns True once the condition holds, which is checked on each wake, and False after the limit."""
+        """Returns True once the condition holds, which is checked on each wake, and False after the timeout."""
         deadline = self._ctx.timers.now() + timeout
         while not condition():
             remaining = deadline - self._ctx.timers.now()
@@ -82,9 +82,9 @@
 
 
 class StateDelivery:
-    """Delivers the cluster state, leases it to gateways, and knows when an edit is in effect everywhere.
+    """Delivers the cluster state, leases it to gateways, and determines when an edit is in effect everywhere.
 
-    An edit is in effect once no live gateway can still work by an older cluster state.
+    An edit is in effect once no live gateway can still use an older cluster state.
     """
 
     def __init__(
@@ -101,18 +101,18 @@
         self._proposals: SingleFlight[object, Outcome] = SingleFlight()
 
     def open(self) -> None:
-        """Answers followers from now on."""
+        """Registers the callbacks and the RPC handler for followers."""
         self._consensus.when_stepped_down(self._wake_all)
         self._consensus.when_advanced(self._wake_all)
         self._ctx.rpc.register_handler("controller.follow", FollowRequest, self.follow)
 
     @property
     def followers(self) -> dict[str, Follower]:
-        """The followers that have asked this leader, by node."""
+        """The followers that have sent requests to this leader, by node."""
         return self._followers
 
     def has_recent_quorum(self) -> bool:
-        """Returns whether this controller leads, and a majority followed it a short while ago."""
+        """Returns whether this controller leads and has had recent contact with a majority."""
         if not self._consensus.is_leader:
             return False
         return self._ctx.timers.now() - self._replication.quorum_contact_at() < QUORUM_TIMEOUT
@@ -123,7 +123,7 @@
             raise NotLeader(leader_id if leader_id != self._ctx.node else "", leader_id)
 
     async def follow(self, _node: str, request: FollowRequest) -> FollowResponse:
-        """Answers a follower once there is something newer than it has, or after the time it says.
+        """Responds to a follower once there is a newer state than it has, or after the wait that it requests.
 
         Raises NotLeader.
         """
@@ -139,7 +139,7 @@
         return response
 
     async def _wait_for_newer_state(self, request: FollowRequest) -> None:
-        """Returns once there is something newer, or this controller leads no more, or after a while."""
+        """Returns once there is a newer state, this controller no longer leads, or the wait has expired."""
         timeout = min(ms(request.max_wait_ms) or MIN_FOLLOW_WAIT, MAX_FOLLOW_WAIT)
         await self.pending_requests.wait(timeout, lambda: self._is_outdated(request))
 
@@ -147,7 +147,7 @@
         return self._consensus.cluster_state.sequence > request.sequence or not self._consensus.is_leader
 
     def _follow_response(self, request: FollowRequest) -> FollowResponse:
-        """What follows the request's sequence; a chunk of the whole state where the log no longer reaches back."""
+        """Returns the commands after the request's sequence, or a chunk of the state if the log no longer has them."""
         newest = self._consensus.cluster_state.sequence
         response = FollowResponse(sequence=newest, leased=True, controller=self._ctx.node)
         base = request.sequence
@@ -163,7 +163,7 @@
         return response
 
     def _deltas_after(self, base: int) -> list[Delta]:
-        """The first committed commands after a sequence; none where the log no longer reaches back to it."""
+        """Returns the first committed commands after a sequence; none if the log no longer reaches back to it."""
         newest = self._consensus.cluster_state.sequence
         committed = [entry for entry in self._durable_log.entries_after(base, MAX_DELTAS) if entry.index <= newest]
         if not committed or committed[0].index != base + 1:
@@ -171,7 +171,7 @@
         return [Delta(sequence=entry.index, command=entry.command) for entry in committed]
 
     def _state_chunk(self, received: StateChunk) -> StateChunk:
-        """The next chunk of the state that the follower has a part of, or else of one that is not far behind."""
+        """Returns the next chunk of the state that the follower is receiving, or else the first of a recent state."""
         transfers = [transfer for transfer in self._transfers if self._is_usable(transfer)]
         continued = next((transfer for transfer in transfers if transfer.matches(received)), None)
         if continued is None:
@@ -183,13 +183,13 @@
         return continued.chunk_after(received)
 
     def _is_usable(self, transfer: StateTransfer) -> bool:
-        """Whether the log still has all that follows this state."""
+        """Whether the log still has all commands after this state."""
         return transfer.term == self._consensus.term and transfer.sequence >= self._durable_log.snapshot.index
 
     def _renew_lease(self, node: str, asked_at: timedelta) -> int:
-        """Counts the lease anew from the response: both sides take it to begin after the time the request was held.
+        """Renews the lease from the time of the response: on both sides it starts after the time the request was held.
 
-        Returns that time in whole milliseconds, rounded down, so that the node's own end of it is never the later one.
+        Returns that time in whole milliseconds, rounded down, so that the lease never ends later at the node than here.
         """
         now = self._ctx.timers.now()
         follower = self._followers.get(node)
@@ -198,16 +198,16 @@
         return to_ms(now - asked_at)
 
     def _wake_all(self) -> None:
-        """Answers held requests, and checks edits again, as the cluster state or the role has changed."""
+        """Responds to held requests and checks edits again after a change of the cluster state or the role."""
         self.pending_requests.wake()
         self._waiting_edits.wake()
 
     def is_in_effect(self, sequence: int) -> bool:
-        """Returns whether no live gateway works by a cluster state older than `sequence`.
+        """Returns whether no live gateway uses a cluster state older than `sequence`.
 
-        Every gateway with a live lease has it, no lease of an earlier leader is left, and enough storage nodes have it.
-        A gateway proves its cluster state by more than half of the witnesses, so half of them are enough here, once
-        the last change of the witnesses is known to be with more than half.
+        Every gateway with a live lease must have it, all leases of an earlier leader must have expired, and enough
+        storage nodes must have it. A gateway needs more than half of the witnesses to prove its cluster state, so half
+        of them are enough here, provided that more than half have the last change of the set of witnesses.
         """
         now = self._ctx.timers.now()
         if now < self._replication.elected_at + LEASE_SPAN:
@@ -233,19 +233,20 @@
         return follower is not None and follower.sequence >= sequence
 
     def operator_edit_timeout(self) -> timedelta:
-        """Returns how long an operator's edit may be held: until a former leader's leases end, else 900 ms."""
+        """Returns the timeout of an operator's edit: 900 ms, or longer while leases of a former leader may be live."""
         lease_end = self._replication.elected_at + LEASE_SPAN
         return max(OPERATOR_EDIT_TIMEOUT, lease_end + LEASE_MARGIN - self._ctx.timers.now())
 
     async def edit(self, command: Command, timeout: timedelta = EDIT_TIMEOUT) -> Outcome:
-        """Proposes an edit; returns its outcome once it is committed and in effect everywhere.
+        """Proposes an edit and returns its outcome once it is committed and in effect everywhere.
 
-        Where no majority was heard of late it is rejected with NotLeader, not run; where none is heard any more, its
-        outcome is open: Unconfirmed or DeadlineExceeded. StorageFull is raised before anything is written. A proposal
-        runs to its end also where its caller has left: the leader's own disk counts for it.
+        Raises NotLeader, without running the edit, if there was no recent contact with a majority. Raises Unconfirmed
+        or DeadlineExceeded if the contact is lost later, in which case the outcome is unknown. Raises StorageFull
+        before anything is written. A proposal continues if its client disconnects, so that the leader's own disk still
+        counts towards the majority.
         """
         if self._consensus.is_leader and not self._replication.has_contact():
-            raise NotLeader("a majority of the controllers was not heard")
+            raise NotLeader("there was no recent contact with a majority of the controllers")
         deadline = self._ctx.timers.now() + timeout
         self._require_disk_space(command)
         known = self._consensus.cluster_state.recorded_outcome(command)
@@ -266,26 +267,28 @@
     async def _wait_for_effect(self, sequence: int, deadline: timedelta) -> None:
         while not self.is_in_effect(sequence):
             if not self._consensus.is_leader:
-                raise Unconfirmed("the edit is agreed, but this controller no longer leads to see it in effect")
+                raise Unconfirmed("the edit is committed, but this controller stopped leading before it was in effect")
             if not self._replication.has_contact():
-                raise Unconfirmed("the edit is agreed, but a majority of the controllers is not heard any more")
+                raise Unconfirmed("the edit is committed, but contact with a majority of the controllers was lost")
             if self._ctx.timers.now() >= deadline:
-                raise DeadlineExceeded("the edit is agreed but not yet shown to be in effect everywhere")
+                raise DeadlineExceeded("the edit is committed but not yet confirmed to be in effect everywhere")
             await self._waiting_edits.wait(EFFECT_CHECK_INTERVAL, lambda: self.is_in_effect(sequence))
 
     async def _propose(self, command: Command) -> Outcome:
-        """Waits for the commit as long as a majority is heard; the entry may be committed later all the same."""
+        """Waits for the commit while there is contact with a majority; the entry may still be committed later."""
         try:
             proposed = self._proposals.run(object(), lambda: self._replication.propose(command))
             outcome: Outcome = await self._ctx.timers.run_while(
                 self._replication.has_contact, CONTACT_CHECK_INTERVAL, proposed
             )
         except defer.CancelledError:
-            raise Unconfirmed("a majority of the controllers was not heard before the edit was agreed") from None
+            raise Unconfirmed(
+                "contact with a majority of the controllers was lost before the edit was committed"
+            ) from None
         return outcome
 
     def remove_expired_followers(self) -> None:
-        """Forgets followers that have not asked for a long time."""
+        """Removes followers whose leases ended more than FOLLOWER_RETENTION ago."""
         now = self._ctx.timers.now()
         for node, follower in list(self._followers.items()):
             if follower.leased_until + FOLLOWER_RETENTION < now:
--- a/pipitlink/controller/storage_nodes.py
+++ b/pipitlink/controller/storage_nodes.py
@@ -1,4 +1,4 @@
-"""The storage nodes as the leader sees them: which serve, which are lost, which are to be admitted."""
+"""The leader's view of the storage nodes: which are serving, which are lost, and which can be admitted."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 __all__ = ["StorageNodeView", "StorageStatus"]
 
 REPAIR_DELAY = secs(5)
-"""How long a storage node that nothing replaces must be away until its replicas are placed elsewhere."""
+"""How long a storage node without a replacement must be gone before its replicas are placed elsewhere."""
 SUCCESSOR_MAX_AGE = secs(15)
-"""Only a storage node that was met less than this long ago is taken for another one's successor."""
+"""Only a storage node discovered within this time is considered the successor of another one."""
 SIMULTANEOUS_DISCOVERY_SPAN = secs(2)
-"""Nodes that were met within this time of each other count as met at once, as after a start of this process."""
+"""Nodes discovered within this time of each other count as discovered together, as at the start of this process."""
 
 
 class StorageStatus(StrEnum):
-    """The status of a storage node in the cluster state; REMOVED takes it off."""
+    """The status of a storage node in the cluster state; an edit with REMOVED deletes the node."""
 
     SERVING = "serving"
     RETIRING = "retiring"
@@ -31,7 +31,7 @@
 
 
 class StorageNodeView:
-    """What cluster state and membership together say of the storage nodes. It owns no state."""
+    """Combines cluster state and membership into a view of the storage nodes; stateless."""
 
     def __init__(self, ctx: Context, consensus: ConsensusView, leader_log: LeaderLog) -> None:
         self._ctx = ctx
@@ -39,7 +39,7 @@
         self._leader_log = leader_log
 
     def serving(self) -> list[str]:
-        """Returns the storage nodes that serve and are alive."""
+        """Returns the storage nodes that are serving and alive."""
         return [
             node
             for node, status in self._consensus.cluster_state.storage_nodes.items()
@@ -47,7 +47,7 @@
         ]
 
     def candidates(self, cluster_state: ClusterState) -> list[Member]:
-        """Returns live storage nodes that are still to be admitted to this cluster state."""
+        """Returns the live storage nodes that are not yet admitted to this cluster state."""
         return [
             member
             for member in self._ctx.membership.members("storage", statuses=("alive",))
@@ -55,7 +55,7 @@
         ]
 
     def is_lost(self, node: str) -> bool:
-        """Returns whether a storage node's replicas are to be placed elsewhere, since it is not expected back."""
+        """Returns whether a storage node is not expected back, so that its replicas must be placed elsewhere."""
         status = self._ctx.membership.status(node)
         if status == "unknown":
             return self._time_since_election() > REPAIR_DELAY or self.is_replaced(node)
@@ -65,19 +65,19 @@
         return gone_for > REPAIR_DELAY or self.is_replaced(node) or self.has_successor(node)
 
     def is_replaced(self, node: str) -> bool:
-        """Returns whether another storage node has taken its address or name, so that it cannot come back.
+        """Returns whether another storage node has taken over its address or name, so that it cannot come back.
 
-        The name is taken from the cluster state, so that it is known also where no controller has met the node since
-        all of them started.
+        The name comes from the cluster state, so that it is known even if no controller has discovered the node since
+        all controllers were restarted.
         """
         name = self._consensus.cluster_state.storage_node_names.get(node, "")
         replaced: bool = self._ctx.membership.is_replaced(node, name)
         return replaced
 
     def has_successor(self, node: str) -> bool:
-        """Returns whether a serving storage node was met lately and a while after this one.
+        """Returns whether a serving storage node was discovered recently, and not together with this one.
 
-        It is taken for this one's successor, so that a repair need not wait.
+        Such a node is considered this node's successor, so that the repair need not wait.
         """
         known_for = self._ctx.membership.known_for(node)
         if known_for is None:
@@ -97,7 +97,7 @@
         return self._ctx.timers.now() - self._leader_log.elected_at
 
     def _is_name_retired(self, name: str) -> bool:
-        """Returns whether a storage node of this name is retired: its machine is on its way out, even if emptied."""
+        """Returns whether a storage node of this name is retiring or retired, which applies to its machine."""
         cluster_state = self._consensus.cluster_state
         return bool(name) and any(
             cluster_state.storage_nodes[node] != StorageStatus.SERVING
--- a/pipitlink/controller/storage_retirement.py
+++ b/pipitlink/controller/storage_retirement.py
@@ -1,4 +1,4 @@
-"""Retires storage nodes on an operator's request."""
+"""Retires storage nodes at an operator's request."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 __all__ = ["StorageRetirement"]
 
 RECENT_LOSS_SPAN = secs(15)
-"""A storage node that was lost more recently than this may be back at any time."""
+"""A storage node lost within this time may come back."""
 
 
 class StorageRetirement:
-    """Retires storage nodes by their ids or by their names, which outlive their processes."""
+    """Retires storage nodes by node id, or by name, which persists across processes."""
 
     def __init__(
         self, ctx: Context, submission: EditSubmission, edit_fencing: EditFencing, storage_nodes: StorageNodeView
@@ -29,10 +29,10 @@
         self._storage_nodes = storage_nodes
 
     async def retire(self, name: str, edit: str) -> int:
-        """Has the storage node emptied; returns the sequence at which that is in effect.
+        """Starts to retire the storage node; returns the sequence at which that is in effect.
 
-        To ask again changes nothing. The capacity that is left is checked again where any storage node changed before
-        this took effect. Raises ApiError.
+        Repeated requests have no further effect. The remaining capacity is checked again if any storage node changed
+        before the edit took effect. Raises ApiError.
         """
         arrived_at = await self._edit_fencing.admit()
         while True:
@@ -53,9 +53,9 @@
         return StorageStatus.SERVING
 
     def check_capacity(self, cluster_state: ClusterState, leaving: str) -> None:
-        """Raises ApiError where too few storage nodes would be left without one.
+        """Raises ApiError if too few storage nodes would remain without the leaving one.
 
-        A node that is away for a while, or not admitted yet, counts as left.
+        Nodes that are temporarily unreachable and nodes that are not admitted yet count as remaining.
         """
         remaining = [
             node
@@ -68,7 +68,7 @@
             return
         enough_soon = left + self._recently_lost(cluster_state) >= replicas
         raise ApiError(
-            f"{left} storage nodes would be left and each placement group needs {replicas}",
+            f"only {left} storage nodes would remain, and each placement group needs {replicas}",
             code="too_few_copies_now" if enough_soon else "too_few_copies",
             status=503 if enough_soon else 409,
             outcome="not_run",
@@ -76,7 +76,7 @@
         )
 
     def _recently_lost(self, cluster_state: ClusterState) -> int:
-        """Returns how many were removed from the cluster state a short while ago, and may be back at any time."""
+        """Returns how many storage nodes were removed from the cluster state recently and may come back."""
         return sum(
             member.node not in cluster_state.storage_nodes
             and self._ctx.membership.time_in_status(member.node) < RECENT_LOSS_SPAN
@@ -85,7 +85,7 @@
         )
 
     def _nodes_named(self, cluster_state: ClusterState, name: str) -> list[str]:
-        """Returns the storage nodes with this id or name. Raises NotFound, or ApiError where none is admitted yet."""
+        """Returns the storage nodes with this id or name. Raises NotFound, or ApiError if none is admitted yet."""
         if name in cluster_state.storage_nodes:
             return [name]
         named = {node for node, known_name in cluster_state.storage_node_names.items() if known_name == name}
@@ -115,6 +115,6 @@
         ]
 
     async def _retire_node(self, storage_node: str, edit: str, read_at: int) -> None:
-        """Has one storage node emptied, unless any storage node has changed since the sequence `read_at`."""
+        """Marks one storage node as retiring, unless any storage node has changed since the sequence `read_at`."""
         change = StorageNodeEdit(storage_node=storage_node, status=StorageStatus.RETIRING)
         await self._submission.submit(Command(edit=edit, storage_node=change, fencing_token=read_at))
--- a/pipitlink/controller/table_api.py
+++ b/pipitlink/controller/table_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface to the weight table, zones and storage nodes."""
+"""The operators' HTTP API for the weight table, zones and storage nodes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         self._edit_fencing = edit_fencing
 
     def add_routes(self, add: Callable[..., Any]) -> None:
-        """Registers the handlers with the decorator factory of a klein app."""
+        """Registers the handlers with a klein app's route decorator."""
         add("/v1/table", methods=["GET"])(self.show_table)
         add("/v1/table", methods=["PUT"])(self.put_table)
         add("/v1/table/rows/<name>", methods=["GET"])(self.show_row)
@@ -51,13 +51,13 @@
         if outcome.code == OutcomeCode.NO_SUCH_ROW:
             raise NotFound("there is no such row", code=outcome.code, field="row")
         if outcome.code != OutcomeCode.DONE:
-            raise ApiError(f"the edit was refused: {outcome.code}", code=outcome.code, status=422, outcome="not_run")
+            raise ApiError(f"the edit was rejected: {outcome.code}", code=outcome.code, status=422, outcome="not_run")
         body = {"sequence": outcome.sequence, "edit": command.edit}
         return send_json(request, body, 200, _sequence_header(outcome.sequence))
 
     @http_handler
     async def show_table(self, request: Request) -> bytes:
-        """Answers with all rows and the table's sequence."""
+        """Responds with all rows and the table's sequence."""
         cluster_state = await self._submission.newest_cluster_state()
         rows = {name: row_to_json(row) for name, row in sorted(cluster_state.rows.items())}
         body = {"sequence": cluster_state.table_sequence, "rows": rows}
@@ -74,7 +74,7 @@
 
     @http_handler
     async def show_row(self, request: Request, name: str) -> bytes:
-        """Answers with one row and the table's sequence."""
+        """Responds with one row and the table's sequence."""
         cluster_state = await self._submission.newest_cluster_state()
         if name not in cluster_state.rows:
             raise NotFound("there is no such row", code="no_such_row", field="row")
@@ -95,7 +95,7 @@
 
     @http_handler
     async def put_zone(self, request: Request, zone: str) -> bytes:
-        """Has a zone emptied, or used again."""
+        """Marks a zone as empty, so that it gets no work, or as usable again."""
         empty = read_json_object(request).get("empty")
         if not isinstance(empty, bool):
             raise BadRequest("empty must be true or false", code="bad_field", field="empty")
@@ -104,14 +104,14 @@
 
     @http_handler
     async def show_zones(self, request: Request) -> bytes:
-        """Answers with the zones of all members, and those that are emptied."""
+        """Responds with the zones of all members, and the zones marked as empty."""
         cluster_state = await self._submission.newest_cluster_state()
         zones = sorted({member.zone for member in self._ctx.membership.all_members()} | cluster_state.empty_zones)
         return send_json(request, {"zones": {zone: {"empty": zone in cluster_state.empty_zones} for zone in zones}})
 
     @http_handler
     async def show_storage_nodes(self, request: Request) -> bytes:
-        """Answers with the storage nodes of the cluster state and what the membership says of them."""
+        """Responds with the storage nodes in the cluster state and their status in the membership."""
         cluster_state = await self._submission.newest_cluster_state()
         shown = {
             node: self._storage_node_to_json(cluster_state, node, status)
--- a/pipitlink/controller/table_rows.py
+++ b/pipitlink/controller/table_rows.py
@@ -1,4 +1,4 @@
-"""Reads and checks rows of the weight table."""
+"""Parses and validates rows of the weight table."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     "lot_share": 0.0,
     "priority": 0,
 }
-"""The fields of a row in JSON; a value must be of its default's type, and an integer counts as a float."""
+"""The fields of a row in JSON. A value must have the type of its default; an integer is accepted for a float."""
 
 
 @attrs.frozen
@@ -46,30 +46,34 @@
 
 @attrs.frozen
 class FieldProblem:
-    """What is wrong with one field of a row; `field` is empty where the row as a whole is wrong."""
+    """A validation error in one field of a row; `field` is empty if the row as a whole is invalid."""
 
     row: str
     field: str
     message: str
 
     def to_json(self) -> dict[str, str]:
-        """Returns the problem as it stands in answers."""
+        """Returns the problem as it appears in responses."""
         return {"row": self.row, "field": self.field, "message": self.message}
 
 
 @attrs.frozen
 class _ParsedRow:
-    """A row, and what is wrong with it; it may only be used where nothing is."""
+    """A row and its problems; the row may only be used if there are none."""
 
     row: Row
     problems: list[FieldProblem]
 
 
 def _value_problem(field: str, value: Any) -> str:
-    """Returns what is wrong with the value of a known field, or an empty string."""
+    """Returns the problem with the value of a known field, or an empty string."""
     default = FIELD_DEFAULTS[field]
     if isinstance(default, str):
-        return "" if isinstance(value, str) and len(value) <= MAX_TEXT_LENGTH else "must be a text"
+        return (
+            ""
+            if isinstance(value, str) and len(value) <= MAX_TEXT_LENGTH
+            else "must be a string of at most 200 characters"
+        )
     number_types = (int,) if isinstance(default, int) else (int, float)
     if isinstance(value, bool) or not isinstance(value, number_types) or not math.isfinite(value):
         return "must be a number"
@@ -99,7 +103,7 @@
         else:
             setattr(row, field, value)
     if not problems and not row.model and not row.pool:
-        problems.append(FieldProblem(name, "model", "a row names a model or a pool"))
+        problems.append(FieldProblem(name, "model", "a row must name a model or a pool"))
     return _ParsedRow(row, problems)
 
 
@@ -108,7 +112,7 @@
 
 
 def parse_row(name: str, raw: Any) -> Row:
-    """Returns a row read from its JSON object. Raises InvalidRows with everything that is wrong with it."""
+    """Parses a row from its JSON object. Raises InvalidRows with all problems."""
     parsed = _parse(name, raw)
     if parsed.problems:
         raise _invalid(parsed.problems)
@@ -116,7 +120,7 @@
 
 
 def parse_rows(raw: dict[str, Any]) -> list[Row]:
-    """Returns the rows of a whole table, from JSON objects by name. Raises InvalidRows with what is wrong with them."""
+    """Parses the rows of a whole table from JSON objects by name. Raises InvalidRows with the first problems."""
     rows: list[Row] = []
     problems: list[FieldProblem] = []
     targets: dict[tuple[str, str], str] = {}
--- a/pipitlink/controller/witness_changes.py
+++ b/pipitlink/controller/witness_changes.py
@@ -1,4 +1,4 @@
-"""Admits storage nodes to the cluster state and removes them, one change of the witnesses at a time."""
+"""Admits storage nodes to the cluster state and removes them, one change of the set of witnesses at a time."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class WitnessChanges:
-    """Runs at the leader: changes the set of witnesses, which are the storage nodes that are not retired.
+    """Runs on the leader: changes the set of witnesses, which are the storage nodes that are not retired.
 
-    Each change is in effect at more than half of the witnesses before the next begins.
+    Each change must be in effect at more than half of the witnesses before the next one starts.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._storage_nodes = storage_nodes
 
     def start_timer(self) -> RepeatingCall:
-        """Starts the timer and returns it, so that it can be woken when this controller becomes the leader."""
+        """Starts the timer and returns it, so that it can be woken after an election."""
         return self._ctx.timers.call_repeatedly(
             CHECK_INTERVAL,
             self._update_witnesses,
@@ -54,12 +54,12 @@
         return IDLE_CHECK_INTERVAL if self._is_confirmed() else ZERO
 
     def _is_confirmed(self) -> bool:
-        """Returns whether the cluster state says that the last change of the witnesses is in effect."""
+        """Returns whether the cluster state records that the last change of the witnesses is in effect."""
         cluster_state = self._consensus.cluster_state
         return cluster_state.confirmed_witness_change == cluster_state.witnesses_changed_at
 
     async def _update_witnesses(self) -> None:
-        """Confirms the last change of the witnesses, then makes the next."""
+        """Confirms the last change of the witnesses, then proposes the next."""
         if not may_change_placement(self._ctx, self._consensus, self._leader_log):
             return
         await self._confirm_change()
@@ -70,13 +70,13 @@
             await self._release_storage_node()
 
     async def _confirm_change(self) -> None:
-        """Proposes that the last change of the witnesses is in effect; only then is half of them enough."""
+        """Records that the last change of the witnesses is in effect; until then, half of them are not enough."""
         changed_at = self._consensus.cluster_state.witnesses_changed_at
         if not self._is_confirmed() and self._delivery.is_in_effect(changed_at):
             await self._leader_log.propose(Command(witness_change=changed_at))
 
     async def _admit_storage_node(self) -> bool:
-        """Admits a live storage node that follows the cluster state; returns whether there was one."""
+        """Admits one live storage node that follows the cluster state; returns whether there was one."""
         for member in self._storage_nodes.candidates(self._consensus.cluster_state):
             if member.node in self._delivery.followers:
                 await self._change(
@@ -87,7 +87,7 @@
         return False
 
     async def _release_storage_node(self) -> None:
-        """Releases a storage node without replicas: a retiring one is retired, a lost one is removed."""
+        """Releases one storage node without replicas: a retiring node becomes retired, a lost node is removed."""
         for node, status in self._consensus.cluster_state.storage_nodes.items():
             target = self._release_target(node, status)
             if target is not None:
@@ -96,7 +96,7 @@
                 return
 
     def _release_target(self, node: str, status: str) -> StorageStatus | None:
-        """Returns the status that a storage node is released to, or None where it stays."""
+        """Returns the status to which a storage node is released, or None if it stays."""
         cluster_state = self._consensus.cluster_state
         if not cluster_state.placement_groups or replicas_per_node(cluster_state)[node]:
             return None
