--- a/tests/test_simulated_logs.py
+++ b/tests/test_simulated_logs.py
@@ -19,35 +19,35 @@
 
     def __init__(self, simulation, log="results/x", max_bytes=3000):
         self.simulation, self.log, self.max_bytes = simulation, log, max_bytes
-        self.acked: dict[int, bytes] = {}
-        self.shown = b""
-        self.faults: list[str] = []
-        self.over = False
-        self.holds = 0
+        self.acknowledged: dict[int, bytes] = {}
+        self.last_read = b""
+        self.violations: list[str] = []
+        self.stopped = False
+        self.lease_count = 0
 
     async def write(self, simulated_node):
-        n = 0
-        while not self.over:
+        count = 0
+        while not self.stopped:
             if not simulated_node.alive:
                 return
             ctx = simulated_node.ctx
             try:
-                h = await ctx.replicated_log.acquire(self.log)
-                self.holds += 1
+                leaseholder = await ctx.replicated_log.acquire(self.log)
+                self.lease_count += 1
                 for _ in range(ctx.rng.randrange(1, 12)):
-                    n += 1
-                    body = f"{ctx.node}/{n}".encode() + b"." * ctx.rng.randrange(self.max_bytes)
-                    at = await h.append([body])
-                    self.acked[at] = body
+                    count += 1
+                    body = f"{ctx.node}/{count}".encode() + b"." * ctx.rng.randrange(self.max_bytes)
+                    position = await leaseholder.append([body])
+                    self.acknowledged[position] = body
                     await ctx.timers.sleep(ms(ctx.rng.randrange(60)))
                 if ctx.rng.random() < 0.5:
-                    await ctx.replicated_log.release([h])
+                    await ctx.replicated_log.release([leaseholder])
             except PipitlinkError:
                 pass
             await ctx.timers.sleep(ms(200 + ctx.rng.randrange(800)))
 
     async def read(self, simulated_node):
-        while not self.over and simulated_node.alive:
+        while not self.stopped and simulated_node.alive:
             ctx = simulated_node.ctx
             try:
                 state = (await ctx.replicated_log.states([self.log])).get(self.log)
@@ -58,80 +58,82 @@
             await ctx.timers.sleep(ms(150))
 
     def check(self, data: bytes):
-        a, b = sorted((data, self.shown), key=len)
-        if not b.startswith(a):
-            self.faults.append(f"shown bytes moved below {len(a)}")
-        self.shown = b
+        shorter, longer = sorted((data, self.last_read), key=len)
+        if not longer.startswith(shorter):
+            self.violations.append(f"shown bytes moved below {len(shorter)}")
+        self.last_read = longer
 
 
 class LogsUnderFaults(unittest.TestCase):
-    def run_seed(self, seed, **sizes):
+    def run_seed(self, seed, **options):
         """Plays one seed with three replicas and small records, or other sizes of the simulation and the records."""
-        max_bytes = sizes.pop("max_bytes", 3000)
-        sizes = {"controllers": 3, "storage_nodes": 3, "gateways": 3, "placement_groups": 2, **sizes}
-        simulation = Simulation(seed, **sizes)
+        max_bytes = options.pop("max_bytes", 3000)
+        options = {"controllers": 3, "storage_nodes": 3, "gateways": 3, "placement_groups": 2, **options}
+        simulation = Simulation(seed, **options)
         self.addCleanup(simulation.end)
         simulation.start()
         simulation.ready()
-        w = _Writers(simulation, max_bytes=max_bytes)
+        writers = _Writers(simulation, max_bytes=max_bytes)
         random_faults = RandomFaults(simulation, roles=("storage", "storage", "gateway"))
-        work = [x for a in simulation.role("gateway") for x in (w.write(a), w.read(a))]
-        random_faults.during(work, faults=10)
+        tasks = [
+            task for member in simulation.role("gateway") for task in (writers.write(member), writers.read(member))
+        ]
+        random_faults.during(tasks, faults=10)
         simulation.run(8)
-        w.over = True
+        writers.stopped = True
         simulation.run(3)
         simulation.ready()
-        for a in simulation.role("gateway"):
-            simulation.do(a.ctx.replicated_log.release(list(a.ctx.replicated_log.leaseholders.values())))
-        last = simulation.role("gateway")[0].ctx
+        for member in simulation.role("gateway"):
+            simulation.do(member.ctx.replicated_log.release(list(member.ctx.replicated_log.leaseholders.values())))
+        reader = simulation.role("gateway")[0].ctx
 
         async def final():
             while True:
                 try:
-                    return await last.replicated_log.acquire(w.log)
+                    return await reader.replicated_log.acquire(writers.log)
                 except LeaseNotHeld:
-                    await last.timers.sleep(ms(500))
+                    await reader.timers.sleep(ms(500))
 
         data = bytes(simulation.do(final(), 30).data)
-        w.check(data)
-        self.assertEqual(w.faults, [], random_faults.injected)
-        found = {at: body for at, body, _ in decode_frames(data)}
-        for at, body in w.acked.items():
+        writers.check(data)
+        self.assertEqual(writers.violations, [], random_faults.injected)
+        found = {position: body for position, body, _ in decode_frames(data)}
+        for position, body in writers.acknowledged.items():
             self.assertEqual(
-                found.get(at), body, f"seed {seed}: acknowledged at {at} and gone; {random_faults.injected}"
+                found.get(position), body, f"seed {seed}: acknowledged at {position} and gone; {random_faults.injected}"
             )
-        return len(w.acked), w.holds
+        return len(writers.acknowledged), writers.lease_count
 
     def test_nothing_acknowledged_is_lost_and_nothing_shown_moves(self):
-        acked = holds = 0
+        acknowledged = lease_count = 0
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                a, h = self.run_seed(seed)
-                acked, holds = acked + a, holds + h
-        self.assertGreater(acked, 20 * len(SEEDS))
-        self.assertGreater(holds, 3 * len(SEEDS))
+                records, leases = self.run_seed(seed)
+                acknowledged, lease_count = acknowledged + records, lease_count + leases
+        self.assertGreater(acknowledged, 20 * len(SEEDS))
+        self.assertGreater(lease_count, 3 * len(SEEDS))
 
     def test_nothing_is_lost_where_five_replicas_fetch_large_records_from_each_other(self):
         fetches = []
-        acked = 0
+        acknowledged = 0
         for seed in SEEDS:
-            with self.subTest(seed=seed), mock.patch.object(WriteHandler, "_fetch", noting(fetches)):
-                acked += self.run_seed(
+            with self.subTest(seed=seed), mock.patch.object(WriteHandler, "_fetch", recording_fetch(fetches)):
+                acknowledged += self.run_seed(
                     seed, controllers=5, storage_nodes=6, max_bytes=40_000, settings={"machine_losses": 2}
                 )[0]
-        self.assertGreater(acked, 15 * len(SEEDS))
+        self.assertGreater(acknowledged, 15 * len(SEEDS))
         self.assertGreater(len(fetches), 20 * len(SEEDS))
 
 
-def noting(calls):
+def recording_fetch(calls):
     """Returns the handler of fetches, which notes each call."""
-    handle = WriteHandler._fetch
+    original_fetch = WriteHandler._fetch
 
-    async def note(handler, peer, request):
+    async def record(handler, peer, request):
         calls.append(request.length)
-        return await handle(handler, peer, request)
+        return await original_fetch(handler, peer, request)
 
-    return note
+    return record
 
 
 class Leases(unittest.TestCase):
@@ -140,65 +142,69 @@
         self.addCleanup(self.simulation.end)
         self.simulation.start()
         self.simulation.ready()
-        self.one, self.two = self.simulation.role("gateway")
+        self.first, self.second = self.simulation.role("gateway")
 
     def test_a_leaseholder_that_slept_past_its_lease_is_fenced_and_stops_by_its_own_clock(self):
-        h = self.simulation.do(self.one.ctx.replicated_log.acquire("results/a"))
-        self.simulation.do(h.append([b"one"]))
+        leaseholder = self.simulation.do(self.first.ctx.replicated_log.acquire("results/a"))
+        self.simulation.do(leaseholder.append([b"one"]))
         with self.assertRaises(LeaseNotHeld):
-            self.simulation.do(self.two.ctx.replicated_log.acquire("results/a"))
-        self.one.freeze()
+            self.simulation.do(self.second.ctx.replicated_log.acquire("results/a"))
+        self.first.freeze()
         self.simulation.run(4)
-        h2 = self.simulation.do(self.two.ctx.replicated_log.acquire("results/a"))
-        self.assertGreater(h2.epoch, h.epoch)
-        self.simulation.do(h2.append([b"two"]))
-        self.one.thaw()
-        self.assertFalse(h.is_held())
+        second_leaseholder = self.simulation.do(self.second.ctx.replicated_log.acquire("results/a"))
+        self.assertGreater(second_leaseholder.epoch, leaseholder.epoch)
+        self.simulation.do(second_leaseholder.append([b"two"]))
+        self.first.thaw()
+        self.assertFalse(leaseholder.is_held())
         with self.assertRaises((LeaseNotHeld, StaleEpoch)):
-            self.simulation.do(h.append([b"late"]))
+            self.simulation.do(leaseholder.append([b"late"]))
         self.simulation.run(3)
-        state = self.simulation.do(self.two.ctx.replicated_log.states(["results/a"]))["results/a"]
-        data = self.simulation.do(self.two.ctx.replicated_log.read("results/a", 0, state.committed))
-        self.assertEqual([b for _, b, _ in decode_frames(data)], [b"one", b"two"])
+        state = self.simulation.do(self.second.ctx.replicated_log.states(["results/a"]))["results/a"]
+        data = self.simulation.do(self.second.ctx.replicated_log.read("results/a", 0, state.committed))
+        self.assertEqual([body for _, body, _ in decode_frames(data)], [b"one", b"two"])
 
     def test_a_new_leaseholder_keeps_a_tail_that_only_one_storage_node_was_sent(self):
-        h = self.simulation.do(self.one.ctx.replicated_log.acquire("results/b"))
-        self.simulation.do(h.append([b"first"]))
-        storage_nodes = [a.name for a in self.simulation.role("storage")]
-        self.simulation.cut([self.one.name], storage_nodes[1:])
+        leaseholder = self.simulation.do(self.first.ctx.replicated_log.acquire("results/b"))
+        self.simulation.do(leaseholder.append([b"first"]))
+        storage_nodes = [member.name for member in self.simulation.role("storage")]
+        self.simulation.cut([self.first.name], storage_nodes[1:])
         with self.assertRaises(PipitlinkError):
-            self.simulation.do(h.append([b"unsure"]))
-        self.one.kill()
+            self.simulation.do(leaseholder.append([b"unsure"]))
+        self.first.kill()
         self.simulation.heal()
         self.simulation.run(4)
-        h2 = self.simulation.do(self.two.ctx.replicated_log.acquire("results/b"))
-        bodies = [b for _, b, _ in decode_frames(bytes(h2.data))]
+        second_leaseholder = self.simulation.do(self.second.ctx.replicated_log.acquire("results/b"))
+        bodies = [body for _, body, _ in decode_frames(bytes(second_leaseholder.data))]
         self.assertEqual(bodies[0], b"first")
-        self.simulation.do(h2.append([b"next"]))
-        states = [a.part.log_store.state("results/b") for a in self.simulation.role("storage")]
+        self.simulation.do(second_leaseholder.append([b"next"]))
+        states = [member.part.log_store.state("results/b") for member in self.simulation.role("storage")]
         self.simulation.run(2)
-        self.assertEqual(len({(s.tail_epoch) for s in states if s.length == max(x.length for x in states)}), 1)
+        self.assertEqual(
+            len({state.tail_epoch for state in states if state.length == max(other.length for other in states)}), 1
+        )
 
     def test_an_append_whose_responses_were_lost_is_known_to_be_durable_once_storage_nodes_are_heard(self):
-        h = self.simulation.do(self.one.ctx.replicated_log.acquire("results/d"))
-        self.simulation.do(h.append([b"first"]))
-        storage_nodes = [a.name for a in self.simulation.role("storage")]
+        leaseholder = self.simulation.do(self.first.ctx.replicated_log.acquire("results/d"))
+        self.simulation.do(leaseholder.append([b"first"]))
+        storage_nodes = [member.name for member in self.simulation.role("storage")]
         self.simulation.clock.callLater(
-            0.002, lambda: self.simulation.cut(storage_nodes, [self.one.name], one_way=True)
+            0.002, lambda: self.simulation.cut(storage_nodes, [self.first.name], one_way=True)
         )
         self.simulation.clock.callLater(1.2, self.simulation.heal)
         with contextlib.suppress(PipitlinkError):
-            self.simulation.do(h.append([b"last"]), 10)
-        self.simulation.until(lambda: h.committed == len(h.data), 5, "the append is known to be durable")
-        self.assertTrue(h.is_held())
+            self.simulation.do(leaseholder.append([b"last"]), 10)
+        self.simulation.until(
+            lambda: leaseholder.committed == len(leaseholder.data), 5, "the append is known to be durable"
+        )
+        self.assertTrue(leaseholder.is_held())
 
     def test_a_full_disk_refuses_lots_but_keeps_room_for_ends(self):
-        h = self.simulation.do(self.one.ctx.replicated_log.acquire("results/c"))
-        for a in self.simulation.role("storage"):
-            log_store = a.part.log_store
+        leaseholder = self.simulation.do(self.first.ctx.replicated_log.acquire("results/c"))
+        for member in self.simulation.role("storage"):
+            log_store = member.part.log_store
             log_store.budget = log_store.used_bytes() + log_store.reserve + 2000
         self.simulation.run(1.5)
-        with self.assertRaises(PipitlinkError) as no:
-            self.simulation.do(h.append([b"x" * 8000]))
-        self.assertEqual(no.exception.code, "no_room")
-        self.simulation.do(h.append([b"end"], reserved=True))
+        with self.assertRaises(PipitlinkError) as caught:
+            self.simulation.do(leaseholder.append([b"x" * 8000]))
+        self.assertEqual(caught.exception.code, "no_room")
+        self.simulation.do(leaseholder.append([b"end"], reserved=True))
--- a/tests/test_simulated_loss_steps.py
+++ b/tests/test_simulated_loss_steps.py
@@ -13,111 +13,118 @@
 
 from .loss_simulation import LossSimulation
 
-MOST_STEPS = 3
-SMALL = {"logs": 30, "writers": 4, "storage_nodes": 5, "controllers": 5}
-WHOLE_LIMIT = 8.0
+MAX_STEPS = 3
+SMALL_CLUSTER = {"logs": 30, "writers": 4, "storage_nodes": 5, "controllers": 5}
+REPAIR_TIMEOUT_S = 8.0
 
 
-class _Strike:
+class _DiskLoss:
     """Takes a member's disk at the n-th proposal of one kind, as it is made or once it is agreed."""
 
-    def __init__(self, simulation, kind, step, agreed, pick):
-        self._simulation, self._kind, self._left, self._pick = simulation, kind, step, pick
-        self.victim = None
+    def __init__(self, simulation, kind, step, committed, choose_node):
+        self._simulation, self._kind, self._steps_left, self._choose_node = simulation, kind, step, choose_node
+        self.lost_node = None
         self.armed = False
-        strike, plain = self, LogReplication.propose
+        disk_loss, original_propose = self, LogReplication.propose
 
         async def propose(replication, command):
-            lost = strike._lost_at(command)
-            if lost and not agreed:
-                simulation.clock.callLater(0, strike._hit, lost)
-            out = await plain(replication, command)
-            if lost and agreed:
-                strike._hit(lost)
-            return out
+            lost = disk_loss._node_lost_at(command)
+            if lost and not committed:
+                simulation.clock.callLater(0, disk_loss._lose, lost)
+            outcome = await original_propose(replication, command)
+            if lost and committed:
+                disk_loss._lose(lost)
+            return outcome
 
-        self.patched = unittest.mock.patch.object(LogReplication, "propose", propose)
+        self.patch = unittest.mock.patch.object(LogReplication, "propose", propose)
 
-    def _lost_at(self, command) -> str:
+    def _node_lost_at(self, command) -> str:
         """Who is lost at this step, if it is the one. A step at which nobody has the part in question is none."""
         if not self.armed or command.WhichOneof("of") != self._kind:
             return ""
-        node = self._pick(self._simulation, command)
-        self._left -= bool(node)
-        return node if self._left == 0 and self.victim is None else ""
-
-    def _hit(self, node):
-        self.victim = next((a for a in self._simulation.simulated_nodes.values() if a.alive and a.node == node), None)
-        if self.victim is not None:
+        node = self._choose_node(self._simulation, command)
+        self._steps_left -= bool(node)
+        return node if self._steps_left == 0 and self.lost_node is None else ""
+
+    def _lose(self, node):
+        self.lost_node = next(
+            (member for member in self._simulation.simulated_nodes.values() if member.alive and member.node == node),
+            None,
+        )
+        if self.lost_node is not None:
             self._simulation.clock.callLater(0, self._wipe)
 
     def _wipe(self):
-        self.victim.kill(power=True)
-        self.victim.wipe()
-        self._simulation.clock.callLater(1, self.victim.start)
+        self.lost_node.kill(power=True)
+        self.lost_node.wipe()
+        self._simulation.clock.callLater(1, self.lost_node.start)
 
 
-def _rows(command):
+def _placement_rows(command):
     return command.placement.placement_groups
 
 
 def _staying(simulation, command):
-    row = _rows(command)[0]
-    return next(d for d in row.storage_nodes if d not in (row.leaving, row.joining))
+    row = _placement_rows(command)[0]
+    return next(node for node in row.storage_nodes if node not in (row.leaving, row.joining))
 
 
-STORAGE = {
-    "joining": lambda simulation, command: _rows(command)[0].joining or _rows(command)[0].storage_nodes[-1],
-    "leaving": lambda simulation, command: _rows(command)[0].leaving or _rows(command)[0].storage_nodes[0],
+STORAGE_CHOICES = {
+    "joining": lambda simulation, command: (
+        _placement_rows(command)[0].joining or _placement_rows(command)[0].storage_nodes[-1]
+    ),
+    "leaving": lambda simulation, command: (
+        _placement_rows(command)[0].leaving or _placement_rows(command)[0].storage_nodes[0]
+    ),
     "staying": _staying,
 }
 
 
-def _changed(simulation, command, gone: bool) -> str:
+def _changed(simulation, command, removed: bool) -> str:
     """The controller that this change adds or takes off, or none."""
     before = set(simulation.leader().part.consensus.voters()) if simulation.leader() else set()
     after = set(command.controllers.voters)
-    return next(iter(sorted(before - after if gone else after - before)), "")
+    return next(iter(sorted(before - after if removed else after - before)), "")
 
 
-VOTERS = {
-    "joining": lambda simulation, command: _changed(simulation, command, gone=False),
-    "leaving": lambda simulation, command: _changed(simulation, command, gone=True),
+VOTER_CHOICES = {
+    "joining": lambda simulation, command: _changed(simulation, command, removed=False),
+    "leaving": lambda simulation, command: _changed(simulation, command, removed=True),
     "leader": lambda simulation, command: simulation.leader().node if simulation.leader() else "",
 }
 
 
-class EachStep(unittest.TestCase):
-    def play(self, seed, kind, step, agreed, pick, begin) -> bool:
+class LossAtEachStep(unittest.TestCase):
+    def run_step(self, seed, kind, step, committed, choose_node, start_change) -> bool:
         """False where the change had fewer steps."""
-        simulation = LossSimulation(seed, **SMALL)
+        simulation = LossSimulation(seed, **SMALL_CLUSTER)
         self.addCleanup(simulation.end)
-        strike = _Strike(simulation, kind, step, agreed, pick)
-        with strike.patched:
-            simulation.begin()
-            strike.armed = True
-            begin(simulation)
+        disk_loss = _DiskLoss(simulation, kind, step, committed, choose_node)
+        with disk_loss.patch:
+            simulation.start_workload()
+            disk_loss.armed = True
+            start_change(simulation)
             simulation.run(4)
-        if strike.victim is None:
+        if disk_loss.lost_node is None:
             return False
-        simulation.wait_whole(WHOLE_LIMIT)
-        edits, appends = len(simulation.edits), sum(len(a) for a in simulation.acked.values())
+        simulation.wait_until_repaired(REPAIR_TIMEOUT_S)
+        edits, appends = len(simulation.edits), sum(len(records) for records in simulation.acknowledged.values())
         simulation.run(2)
         self.assertGreater(len(simulation.edits), edits)
-        self.assertGreater(sum(len(a) for a in simulation.acked.values()), appends)
-        self.assertEqual(simulation.wrong(), [])
+        self.assertGreater(sum(len(records) for records in simulation.acknowledged.values()), appends)
+        self.assertEqual(simulation.missing_acknowledged(), [])
         return True
 
-    def sweep(self, kind, picks, begin):
-        struck = 0
-        for who, pick in picks.items():
-            for agreed in (False, True):
-                for step in range(1, MOST_STEPS + 1):
-                    with self.subTest(lost=who, step=step, agreed=agreed):
-                        if not self.play(step, kind, step, agreed, pick, begin):
+    def run_all_steps(self, kind, choices, start_change):
+        loss_count = 0
+        for who, choose_node in choices.items():
+            for committed in (False, True):
+                for step in range(1, MAX_STEPS + 1):
+                    with self.subTest(lost=who, step=step, committed=committed):
+                        if not self.run_step(step, kind, step, committed, choose_node, start_change):
                             break
-                        struck += 1
-        self.assertGreaterEqual(struck, 2 * len(picks))
+                        loss_count += 1
+        self.assertGreaterEqual(loss_count, 2 * len(choices))
 
     async def retire(self, simulation, node):
         timers = simulation.timers()
@@ -128,45 +135,47 @@
                 await timers.sleep(ms(200))
 
     def test_a_retirement(self):
-        def begin(simulation):
+        def start_change(simulation):
             spawn(self.retire(simulation, simulation.role("storage")[2].node))
 
-        self.sweep("placement", STORAGE, begin)
+        self.run_all_steps("placement", STORAGE_CHOICES, start_change)
 
     def test_a_new_storage_node(self):
-        self.sweep(
-            "placement", STORAGE, lambda simulation: simulation.add("storage", "storage9", "zone-a", 1990).start()
+        self.run_all_steps(
+            "placement",
+            STORAGE_CHOICES,
+            lambda simulation: simulation.add("storage", "storage9", "zone-a", 1990).start(),
         )
 
     def test_more_losses_to_bear(self):
-        def begin(simulation):
+        def start_change(simulation):
             simulation.losses = simulation.settings["machine_losses"] = 2
-            for a in simulation.role("controller"):
-                a.ctx.settings = attrs.evolve(a.ctx.settings, machine_losses=2)
+            for member in simulation.role("controller"):
+                member.ctx.settings = attrs.evolve(member.ctx.settings, machine_losses=2)
 
-        self.sweep("controllers", VOTERS, begin)
+        self.run_all_steps("controllers", VOTER_CHOICES, start_change)
 
     def test_a_replaced_voter_whose_machine_is_lost_again(self):
-        def begin(simulation):
+        def start_change(simulation):
             lost = next(
-                a
-                for a in simulation.role("controller")
-                if a.node in simulation.leader().part.consensus.voters() and a != simulation.leader()
+                member
+                for member in simulation.role("controller")
+                if member.node in simulation.leader().part.consensus.voters() and member != simulation.leader()
             )
             lost.kill(power=True)
             lost.wipe()
             simulation.run(0.3)
             lost.start()
 
-        self.sweep("controllers", {"joining": VOTERS["joining"]}, begin)
+        self.run_all_steps("controllers", {"joining": VOTER_CHOICES["joining"]}, start_change)
 
     def test_a_storage_node_that_lost_its_disk_and_is_lost_again(self):
-        def begin(simulation):
+        def start_change(simulation):
             lost = simulation.role("storage")[1]
             lost.kill(power=True)
             lost.wipe()
             simulation.run(0.3)
             lost.start()
-            self.again = lost
+            self.lost_again = lost
 
-        self.sweep("placement", {"the same": lambda simulation, command: self.again.node}, begin)
+        self.run_all_steps("placement", {"the same": lambda simulation, command: self.lost_again.node}, start_change)
