--- a/pipitlink/membership/__init__.py
+++ b/pipitlink/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Fleet membership by gossip and failure detection, after SWIM."""
+"""Cluster membership by gossip and failure detection, based on SWIM."""
 
 from .member_status import MemberStatus
 from .membership import Membership
--- a/pipitlink/membership/failure_detector.py
+++ b/pipitlink/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""Finds members that no longer answer: direct probes, indirect probes through peers, and suspicion."""
+"""Detects failed members with direct probes, indirect probes through peers, and a suspicion timeout."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 __all__ = ["FailureDetector"]
 
 TICK_INTERVAL = ms(200)
-# A large cluster probes on each second tick only.
+# With this many peers or more, a node probes on every second tick only.
 LARGE_CLUSTER_PEERS = 40
 MAX_TICKS_PER_PROBE = 2
 SUSPICION_TIMEOUT = secs(1.5)
 GONE_RETENTION = secs(600)
-# The share of the members that are gone which a round of probes includes, to find those that came back.
+# The fraction of gone members that each probe round includes, to detect those that have come back.
 GONE_PROBE_FRACTION = 0.2
 MAX_INDIRECT_PROBES = 3
 INDIRECT_PROBE_TIMEOUT = PROBE_TIMEOUT * 2
 
 
 class FailureDetector:
-    """Probes one other member on each tick, or on each second tick of a large cluster.
+    """Probes one other member per tick, or every second tick in a large cluster.
 
-    Others probe a node as often, whatever the size of the cluster: a node that ended is found after 0.2 s on average,
-    in a large cluster after 0.4 s. A member that answers neither a probe nor one through its peers is suspected; it is
-    gone unless it refutes that within the suspicion timeout.
+    The rate at which a node is probed does not depend on the cluster size: a stopped node is detected after 0.2 s on
+    average, or 0.4 s in a large cluster. A member that responds to neither a direct nor an indirect probe becomes
+    suspect, and then gone unless it refutes the suspicion within the suspicion timeout.
     """
 
     def __init__(self, ctx: Context, table: MemberTable, gossiper: Gossiper) -> None:
@@ -41,11 +41,11 @@
         self._ticks = 0
 
     def open(self) -> None:
-        """Answers indirect probes from now on."""
+        """Starts to answer indirect probes."""
         self._ctx.rpc.register_handler("membership.probe_for", IndirectProbeRequest, self._probe_for_peer)
 
     def start(self) -> None:
-        """Probes the members from now on."""
+        """Starts to probe the other members."""
         report = self._ctx.error_reporter("failure_detector_tick")
         self._ctx.timers.call_repeatedly(TICK_INTERVAL, self._tick, report)
 
@@ -61,7 +61,7 @@
             check.addErrback(lambda failure: self._ctx.logger.failure("probe_error", failure.value))
 
     def _expire_peers(self) -> None:
-        """Ends suspicions that were not refuted in time, and forgets members that have been gone for long."""
+        """Marks suspects as gone after the suspicion timeout, and forgets members that have long been gone."""
         now = self._ctx.timers.now()
         for peer in list(self._table.peers.values()):
             time_in_status = now - peer.status_since
@@ -72,7 +72,7 @@
                 self._table.forget(peer.member.node)
 
     def _next_peer(self) -> Peer | None:
-        """Returns the next peer of the present round, which has all peers in random order, or None without peers."""
+        """Returns the next peer of the current round, or None if there is none; each round is in a new random order."""
         while True:
             if not self._probe_round:
                 self._begin_round()
@@ -92,13 +92,13 @@
         rng.shuffle(self._probe_round)
 
     async def _check_peer(self, peer: Peer) -> None:
-        """Probes a peer, and suspects it where it answers neither this node nor others."""
+        """Probes a peer, directly and then through others, and suspects it if all of these probes fail."""
         incarnation = peer.member.incarnation
         responder = await self._gossiper.probe(peer.address)
         if responder == peer.member.node:
             return
         if responder:
-            # Another node has its address, so this one cannot come back.
+            # Another node now uses this address, so the peer cannot come back.
             peer.transition("confirm_gone", self._ctx.timers.now())
             self._table.peer_changed(peer)
             return
@@ -110,7 +110,7 @@
             self._gossiper.broadcast()
 
     async def _responds_to_others(self, peer: Peer) -> bool:
-        """Asks a few other members, one after the other, whether the peer answers them."""
+        """Asks up to MAX_INDIRECT_PROBES other members, one at a time, whether the peer responds to them."""
         alive = self._table.members(None, (MemberStatus.ALIVE,), False)
         others = [member for member in alive if member.node != peer.member.node]
         for other in self._ctx.rng.sample(others, min(MAX_INDIRECT_PROBES, len(others))):
--- a/pipitlink/membership/gossip_extension.py
+++ b/pipitlink/membership/gossip_extension.py
@@ -1,4 +1,4 @@
-"""What other parts of a node add to gossip."""
+"""The interface of components that exchange data with gossip messages."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class GossipExtension(Protocol):
-    """A part of a node whose data is exchanged with each gossip message."""
+    """A component of a node that adds its data to each gossip message."""
 
     def extend_gossip(self, gossip: Gossip) -> None:
-        """Adds this part's data to a message that is about to be sent."""
+        """Adds this component's data to an outgoing message."""
 
     def merge_gossip(self, gossip: Gossip) -> None:
-        """Takes this part's data from a message that was received."""
+        """Merges this component's data from a received message."""
--- a/pipitlink/membership/gossiper.py
+++ b/pipitlink/membership/gossiper.py
@@ -1,4 +1,4 @@
-"""Exchanges what nodes believe of the members: gossip with digests, anti-entropy and refutation."""
+"""Exchanges the state of members between nodes: gossip with digests, anti-entropy, and refutation of suspicions."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 PROBE_TIMEOUT = ms(400)
 MAX_GOSSIPED_PEERS = 128
-# Of two reports of one incarnation, the one of the higher precedence counts.
+# Of two reports on the same incarnation, the status with the higher precedence wins.
 _PRECEDENCE: dict[str, int] = {MemberStatus.ALIVE: 0, MemberStatus.SUSPECT: 1, MemberStatus.GONE: 2}
 
 
 class Gossiper:
     """Sends and merges gossip.
 
-    A message carries the members that changed lately and a digest of all. Where the digests of two nodes differ, they
-    send each other all members (anti-entropy).
+    A message contains the members that changed recently and a digest of all live members. If the digests of two nodes
+    differ, the nodes send each other their full member lists (anti-entropy).
     """
 
     def __init__(self, ctx: Context, table: MemberTable) -> None:
@@ -38,16 +38,16 @@
         self._extensions: list[GossipExtension] = []
 
     def open(self) -> None:
-        """Answers gossip of peers from now on."""
+        """Starts to handle gossip from peers."""
         self._ctx.rpc.register_handler("membership.probe", Gossip, self._handle_probe)
         self._ctx.rpc.register_handler("membership.tell", Gossip, self._handle_gossip)
 
     def add_extension(self, extension: GossipExtension) -> None:
-        """Has a part of this node add its data to each message and read that of each message received."""
+        """Registers a component that adds data to each outgoing message and merges it from each received one."""
         self._extensions.append(extension)
 
     async def probe(self, address: tuple[str, int]) -> str:
-        """Exchanges gossip with the node at an address; returns its id, or "" where none answers in time."""
+        """Exchanges gossip with the node at an address; returns its id, or "" if no node responds in time."""
         try:
             gossip = await self._ctx.rpc.call(address, "membership.probe", self._recent_gossip(), Gossip, PROBE_TIMEOUT)
         except WireError:
@@ -59,7 +59,7 @@
         return sender
 
     def broadcast(self) -> list[defer.Deferred[None]]:
-        """Sends the recent changes to all live peers; the Deferreds fire when each has answered or failed to."""
+        """Sends recent changes to all live peers; the Deferreds fire when the call to each peer has ended."""
         gossip = self._recent_gossip()
         peers = self._table.members(None, LIVE, False)
         return [self._send_in_background(self._send((peer.host, peer.port), gossip)) for peer in peers]
@@ -78,7 +78,7 @@
         await self._ctx.rpc.call(address, "membership.tell", gossip, Empty, PROBE_TIMEOUT)
 
     def _send_in_background(self, sending: Coroutine[Any, Any, None]) -> defer.Deferred[None]:
-        """Starts to send; a message that is lost is made up for by a later exchange."""
+        """Starts a send and ignores its failure: a later exchange makes up for a lost message."""
         return spawn(sending).addErrback(lambda _: None)
 
     def _recent_gossip(self) -> Gossip:
@@ -97,7 +97,7 @@
         return gossip
 
     def _limit_peers(self, peers: list[Peer]) -> list[Peer]:
-        """Returns the peers, or of too many the half that changed last and as many at random."""
+        """Returns at most MAX_GOSSIPED_PEERS: half of them the most recently changed, half a random sample."""
         if len(peers) <= MAX_GOSSIPED_PEERS:
             return peers
         newest = sorted(peers, key=lambda peer: -peer.changed_at)[: MAX_GOSSIPED_PEERS // 2]
@@ -110,7 +110,7 @@
             extension.merge_gossip(gossip)
 
     def _merge_member(self, reported: Member) -> None:
-        """Takes over what a peer reports of a member, where that is newer than what is known here."""
+        """Merges a reported member if the report is newer than the local state."""
         if not reported.node or reported.status not in _PRECEDENCE:
             return
         if reported.node == self._table.local.node:
@@ -123,7 +123,7 @@
             self._update(peer, reported)
 
     def _refute(self, reported: Member) -> None:
-        """Raises this node's incarnation where a peer suspects it, so that the suspicion no longer holds."""
+        """Raises this node's incarnation if a peer reports it as suspect or gone, which overrides that report."""
         local = self._table.local
         if local.status != MemberStatus.ALIVE or reported.status == MemberStatus.ALIVE:
             return
@@ -161,7 +161,7 @@
 
 
 def _supersedes(reported: Member, peer: Peer) -> bool:
-    """Whether a report is of a later incarnation than what is known, or of the same and of a higher precedence."""
+    """Returns whether a report has a later incarnation, or the same one with a status of higher precedence."""
     if reported.incarnation != peer.member.incarnation:
         return reported.incarnation > peer.member.incarnation
     return _PRECEDENCE[reported.status] > _PRECEDENCE[peer.state]
--- a/pipitlink/membership/member_status.py
+++ b/pipitlink/membership/member_status.py
@@ -1,4 +1,4 @@
-"""The statuses that a node can give a member of the fleet."""
+"""The statuses that a node can assign to a member of the cluster."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class MemberStatus(StrEnum):
-    """What a node believes of a member; the values stand on the wire and in answers to operators."""
+    """A node's view of a member; the values appear on the wire and in responses to operators."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
--- a/pipitlink/membership/member_table.py
+++ b/pipitlink/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The members that a node knows: itself and its peers."""
+"""The members known to a node: itself and its peers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class MemberTable:
-    """This node's member record and its peers by node id, with lookups that are cached until the next change."""
+    """This node's member record and its peers by node id; lookups are cached until the next change."""
 
     def __init__(self, timers: Timers) -> None:
         self._timers = timers
@@ -39,11 +39,11 @@
         self._changed_at = self._local_changed_at = timers.now()
 
     def add_listener(self, listener: MemberListener) -> None:
-        """Has `listener` called with each peer that changes from now on, in the order of registration."""
+        """Registers a callback for peer changes; listeners are called in the order of registration."""
         self._listeners.append(listener)
 
     def members(self, role: str | None, statuses: tuple[str, ...], include_self: bool) -> list[Member]:
-        """Returns the members of a role, or of any role, that have one of the statuses, ordered by node id."""
+        """Returns the members with one of the statuses, of one role or (None) of any, ordered by node id."""
         selection = _Selection(role, statuses, include_self)
         selected = self._selected.get(selection)
         if selected is None:
@@ -51,14 +51,14 @@
         return list(selected)
 
     def select(self, role: str | None, statuses: tuple[str, ...], include_self: bool) -> list[Member]:
-        """Does the same as `members` without the cache."""
+        """Like `members`, but does not use the cache."""
         found = [peer.member for peer in self.peers.values() if peer.state in statuses]
         if include_self:
             found.append(self.local)
         return sorted((member for member in found if role is None or member.role == role), key=_node_id)
 
     def find(self, node: str) -> Member | None:
-        """Returns the member with this id, or None where it is not known."""
+        """Returns the member with this id, or None if it is unknown."""
         if node == self.local.node:
             return self.local
         peer = self.peers.get(node)
@@ -72,7 +72,7 @@
         return peer.status if peer else MemberStatus.UNKNOWN
 
     def digest(self) -> int:
-        """Returns a hash of all that is believed of the live members: equal where two nodes believe the same."""
+        """Returns a hash of the ids, incarnations and statuses of the live members; equal views have equal digests."""
         if self._digest is None:
             lines = sorted(
                 f"{member.node} {member.incarnation} {member.status}\n" for member in self.members(None, LIVE, True)
@@ -82,18 +82,18 @@
         return self._digest
 
     def recently_changed(self) -> list[Peer]:
-        """Returns the peers that changed within the time for which gossip repeats a change."""
+        """Returns the peers that changed within RECENT_CHANGE_SPAN, for which gossip repeats a change."""
         now = self._timers.now()
         if now - self._changed_at >= RECENT_CHANGE_SPAN:
             return []
         return [peer for peer in self.peers.values() if now - peer.changed_at < RECENT_CHANGE_SPAN]
 
     def local_changed_recently(self) -> bool:
-        """Whether this node's own record changed within the time for which gossip repeats a change."""
+        """Returns whether this node's own record changed within RECENT_CHANGE_SPAN."""
         return self._timers.now() - self._local_changed_at < RECENT_CHANGE_SPAN
 
     def set_local_status(self, status: MemberStatus) -> None:
-        """Changes the status that this node gives itself."""
+        """Changes this node's status in its own record."""
         self.local.status = status
         self._local_changed()
 
@@ -103,7 +103,7 @@
         self._local_changed()
 
     def peer_changed(self, peer: Peer) -> None:
-        """Notes that a peer has changed, and calls the listeners."""
+        """Records the time of a change of a peer, and calls the listeners."""
         peer.changed_at = self._changed_at = self._timers.now()
         self._invalidate()
         for listener in self._listeners:
@@ -115,12 +115,12 @@
         self._invalidate()
 
     def time_in_status(self, node: str) -> timedelta:
-        """Returns for how long a peer has had its status; zero for a node that is not known."""
+        """Returns how long a peer has had its current status; zero for an unknown node."""
         peer = self.peers.get(node)
         return self._timers.now() - peer.status_since if peer else timedelta(0)
 
     def known_for(self, node: str) -> timedelta | None:
-        """Returns how long ago a peer was first heard of, or None where it is not known."""
+        """Returns the time since this node first heard of a peer, or None if the peer is unknown."""
         peer = self.peers.get(node)
         return self._timers.now() - peer.first_seen_at if peer else None
 
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -1,4 +1,4 @@
-"""The members of the fleet as the other parts of a node see them."""
+"""The interface to cluster membership for the other components of a node."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 __all__ = ["Membership"]
 
 SEED_INTERVAL = secs(1)
-# With more addresses known than this, seeds are probed only now and then.
+# With more live addresses known than this, unknown seeds are probed with SEED_PROBE_PROBABILITY only.
 ENOUGH_ADDRESSES = 3
 SEED_PROBE_PROBABILITY = 0.1
 EVERY_STATUS = (MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.GONE)
 
 
 class Membership:
-    """Who is in the fleet: composes failure detector, gossip and the file of peers over one table of members."""
+    """The members of the cluster: combines failure detector, gossip and peer store on one member table."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
@@ -38,7 +38,7 @@
         self._failure_detector = FailureDetector(ctx, self.table, self._gossiper)
 
     def open(self, local_member: Member) -> None:
-        """Joins the fleet as `local_member`, through the peers on disk and the seeds."""
+        """Joins the cluster as `local_member`, through the stored peers and the seeds."""
         self.table.local = local_member
         self.table.set_local_status(MemberStatus.ALIVE)
         self._gossiper.open()
@@ -49,43 +49,43 @@
         self._ctx.timers.call_repeatedly(SEED_INTERVAL, self._probe_seeds, self._ctx.error_reporter("seed_probes"))
 
     async def leave(self) -> None:
-        """Tells all peers that this node ends, so that none has to detect it; waits for their answers."""
+        """Announces to all peers that this node is leaving, and waits for their responses."""
         self.table.set_local_status(MemberStatus.GONE)
         await defer.DeferredList(self._gossiper.broadcast())
 
     def persist_peers_in(self, folder: Path) -> None:
-        """Keeps the addresses of live peers in a file of this folder; to be called before `open`."""
+        """Stores the addresses of live peers in a file in this folder. Must be called before `open`."""
         self.peer_store.open_in(folder)
 
     def add_listener(self, listener: MemberListener) -> None:
-        """Has `listener` called with each peer whose status or incarnation changes from now on."""
+        """Registers a callback for changes of a peer's status or incarnation."""
         self.table.add_listener(listener)
 
     def add_gossip_extension(self, extension: GossipExtension) -> None:
-        """Has a part of this node exchange data with each gossip message from now on."""
+        """Registers a component that exchanges data with each gossip message."""
         self._gossiper.add_extension(extension)
 
     @property
     def local_member(self) -> Member:
-        """This node's own record, as its peers get it."""
+        """This node's own member record, as sent to its peers."""
         return self.table.local
 
     def members(
         self, role: str | None = None, statuses: tuple[str, ...] = LIVE, include_self: bool = True
     ) -> list[Member]:
-        """Returns the members of a role, or of any role, that have one of the statuses, ordered by node id."""
+        """Returns the members with one of the statuses, of one role or (None) of any, ordered by node id."""
         return self.table.members(role, statuses, include_self)
 
     def all_members(self) -> list[Member]:
-        """Returns all members that are known, this node and those that are gone included, ordered by node id."""
+        """Returns all known members, including this node and gone members, ordered by node id."""
         return self.table.members(None, EVERY_STATUS, True)
 
     def find(self, node: str) -> Member | None:
-        """Returns the member with this id, or None where it is not known."""
+        """Returns the member with this id, or None if it is unknown."""
         return self.table.find(node)
 
     def zone_of(self, node: str) -> str:
-        """Returns the zone of the member with this id, or "" where it is not known."""
+        """Returns the zone of the member with this id, or "" if it is unknown."""
         member = self.table.find(node)
         return member.zone if member is not None else ""
 
@@ -94,21 +94,22 @@
         return self.table.status(node)
 
     def time_in_status(self, node: str) -> timedelta:
-        """Returns for how long a peer has had its status; zero for a node that is not known."""
+        """Returns how long a peer has had its current status; zero for an unknown node."""
         return self.table.time_in_status(node)
 
     def known_for(self, node: str) -> timedelta | None:
-        """Returns how long ago a peer was first heard of, or None where it is not known."""
+        """Returns the time since this node first heard of a peer, or None if the peer is unknown."""
         return self.table.known_for(node)
 
     def digest(self) -> int:
-        """Returns a hash of all that is believed of the live members: equal where two nodes believe the same."""
+        """Returns a hash of the ids, incarnations and statuses of the live members; equal views have equal digests."""
         return self.table.digest()
 
     def is_replaced(self, node: str, name: str = "") -> bool:
-        """Whether another node is alive at a node's address or with its name: it lost its disk and cannot come back.
+        """Returns whether another live node has this node's address or name.
 
-        `name` is the name of the node, for one that may not have been met since this node started.
+        In that case the node has lost its disk, and with it its id, and cannot come back. `name` is its name, for nodes
+        that this one may not have heard of since it started.
         """
         if self.status(node) == MemberStatus.ALIVE:
             return False
@@ -119,7 +120,7 @@
         return any(_replaces(other, member, name) for other in others)
 
     async def _probe_seeds(self) -> None:
-        """Probes the seeds that are not known yet, always while few peers are known and later only now and then."""
+        """Probes the unknown seeds: each time while few peers are known, later with SEED_PROBE_PROBABILITY."""
         known = {peer.address for peer in self.table.peers.values() if peer.state == MemberStatus.ALIVE}
         known.add(self._ctx.rpc.address)
         if len(known) > ENOUGH_ADDRESSES and self._ctx.rng.random() > SEED_PROBE_PROBABILITY:
--- a/pipitlink/membership/peer.py
+++ b/pipitlink/membership/peer.py
@@ -1,4 +1,4 @@
-"""One other member of the fleet, with its status."""
+"""Another member of the cluster, with its status."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Peer(StateMachineMixin):
-    """Another member, its status, and when that changed; times are on the timers' clock.
+    """Another member, its status, and when it changed; times are on the timers' clock.
 
     `first_seen_at` is when this node first heard of the member, `status_since` when its status last changed, and
     `changed_at` when any field that gossip carries last changed.
@@ -33,7 +33,7 @@
 
     @property
     def status(self) -> MemberStatus:
-        """What this node believes of the peer."""
+        """The peer's status as seen by this node."""
         return MemberStatus(self.state)
 
     @property
@@ -42,7 +42,7 @@
         return self.member.host, self.member.port
 
     def transition(self, event: str, now: timedelta) -> None:
-        """Takes the transition of an event of the state machine `member`."""
+        """Applies an event of the state machine `member`."""
         before = self.state
         self.trigger(event)
         self.member.status = self.state
--- a/pipitlink/membership/peer_store.py
+++ b/pipitlink/membership/peer_store.py
@@ -1,4 +1,4 @@
-"""Keeps the addresses of live peers on disk, so that a node that restarts does not depend on its seeds."""
+"""Stores the addresses of live peers on disk, so that a restarting node does not depend on its seeds."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class PeerStore:
-    """The file of peers' addresses of a node that has a data folder; without one it does nothing.
+    """The file of peer addresses in a node's data folder; does nothing on a node without one.
 
-    All changes within one turn of the event loop make a single write. A network partition changes the status of every
-    member and each write waits twice for the disk, so writes run in a thread, one at a time, and only where the
+    All changes within one turn of the event loop result in a single write. A network partition changes the status of
+    every member, and each write waits for the disk twice, so writes run in a thread, one at a time, and only if the
     addresses differ from those last written.
     """
 
@@ -35,11 +35,11 @@
         self._is_write_scheduled = False
 
     def open_in(self, folder: Path) -> None:
-        """Reads and writes the file in this folder from now on."""
+        """Sets the folder of the file."""
         self.path = folder / FILE_NAME
 
     def read(self) -> list[tuple[str, int]]:
-        """Returns the stored addresses as (host, port); none where the file is missing or cannot be read."""
+        """Returns the stored addresses as (host, port), or none if the file is missing or unreadable."""
         if self.path is None or not self.path.exists():
             return []
         try:
@@ -50,7 +50,7 @@
         return addresses[:MAX_ADDRESSES_READ]
 
     def peer_changed(self, _member: Member) -> None:
-        """Has the file written on the next turn of the event loop."""
+        """Schedules a write of the file for the next turn of the event loop."""
         if self.path is None:
             return
         self._has_changes = True
--- a/pipitlink/replicated_log/commit_waiters.py
+++ b/pipitlink/replicated_log/commit_waiters.py
@@ -1,4 +1,4 @@
-"""Appends that wait until a position of the log is committed."""
+"""Appends waiting until a log position is committed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class CommitWaiters:
-    """Deferreds that fire once the log is committed up to their position."""
+    """Deferreds that fire once the log is committed up to their positions."""
 
     def __init__(self) -> None:
         self._waiters: list[_Waiter] = []
@@ -26,19 +26,19 @@
         return bool(self._waiters)
 
     def add(self, position: int) -> defer.Deferred[None]:
-        """Returns a Deferred for the commit of all bytes below `position`."""
+        """Returns a Deferred that fires once all bytes below `position` are committed."""
         deferred: defer.Deferred[None] = defer.Deferred()
         self._waiters.append(_Waiter(position, deferred))
         return deferred
 
     def remove_reached(self, position: int) -> list[defer.Deferred[None]]:
-        """Removes and returns, without firing them, the Deferreds of positions up to `position`."""
+        """Removes the Deferreds of positions up to `position` and returns them without firing them."""
         reached = [waiter.deferred for waiter in self._waiters if waiter.position <= position]
         self._waiters = [waiter for waiter in self._waiters if waiter.position > position]
         return reached
 
     def fail_all(self, make_error: Callable[[], Exception]) -> None:
-        """Removes all Deferreds and fails each with an exception of its own."""
+        """Removes all Deferreds and fails each with a new exception."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             waiter.deferred.errback(make_error())
--- a/pipitlink/replicated_log/fetch_planner.py
+++ b/pipitlink/replicated_log/fetch_planner.py
@@ -1,4 +1,4 @@
-"""From where each replica of a log gets what it lacks: from the leaseholder, or from another replica."""
+"""Decides whether a replica gets missing log bytes from the leaseholder or from another replica."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 
 __all__ = ["MIN_FETCH_BYTES", "FetchPlanner", "FetchSource"]
 
-# Less than this goes to each replica directly: a fetch takes a round trip and a sync longer.
+# Smaller writes go to each replica directly: a fetch takes one more round trip and sync.
 MIN_FETCH_BYTES = 4096
-# A storage node reads so much from another one in one call.
+# How much a storage node reads from another one in one call, at most.
 MAX_FETCH_BYTES = 4 * 1024 * 1024
-# How long a direct write may take before another replica gets one as well: this, and its bytes on a slow link.
+# A direct write is overdue after this time plus the transfer time of its bytes on a slow link; then another replica
+# gets a direct write as well.
 DIRECT_WRITE_ALLOWANCE: timedelta = ms(150)
 SLOW_LINK_BYTES_PER_S = 1024 * 1024
 
 
 class FetchSource(NamedTuple):
-    """A replica that has the leaseholder's bytes up to `end` on its disk."""
+    """A replica that has the leaseholder's bytes up to position `end` on disk."""
 
     storage_node: str
     end: int
@@ -33,7 +34,7 @@
 
 @attrs.frozen
 class _Transfer:
-    """A large write on its way to one replica, from the leaseholder or from another replica."""
+    """A large write in progress to one replica, from the leaseholder or from another replica."""
 
     storage_node: str
     zone: str
@@ -41,11 +42,12 @@
 
 
 class FetchPlanner:
-    """Has the leaseholder send each large write once, to one replica, from which the others fetch it.
+    """Plans transfers so that the leaseholder sends each large write to one replica, from which the others fetch it.
 
-    The leaseholder's link is the narrowest on the way, and all that it sends shares it. Another replica gets a direct
-    write where the first one fails, or does not confirm it in time. Of the replicas in one zone, one fetches from
-    another zone, and the others from that one. `zone_of` returns the zone of a storage node, "" where it is not known.
+    The leaseholder's link is the bottleneck, and everything it sends shares that link. If the first replica fails, or
+    does not confirm the write in time, another replica gets a direct write. Of the replicas in one zone, only one
+    fetches from another zone, and the others fetch from it. `zone_of` returns the zone of a storage node, or "" if it
+    is unknown.
     """
 
     def __init__(self, timers: Timers, progress: ReplicaProgress, zone_of: Callable[[str], str]) -> None:
@@ -65,10 +67,11 @@
         recovered: TailPosition,
         excluded: Collection[str],
     ) -> FetchSource | None:
-        """Returns from which replica a storage node that has `state` may fetch the bytes from `start` on; or None.
+        """Returns the replica from which a storage node in `state` may fetch the bytes from `start` on, or None.
 
-        Only replicas written under `epoch` count, and all of these have the recovered tail. A replica whose tail is of
-        an earlier epoch has to get the rest of the recovered tail in one write, lest a part of it outrank the whole.
+        Only replicas written under `epoch` are sources, and all of these have the recovered tail. A replica whose tail
+        has an earlier epoch must get the rest of the recovered tail in one write: a part of that tail, written under
+        the new epoch, would otherwise count as more up to date than the complete tail.
         """
         lengths = self._progress.match_lengths(epoch)
         sources = [
@@ -93,11 +96,11 @@
         return bool(zone) and zone == self._zone_of(other)
 
     def must_wait(self) -> bool:
-        """Returns whether a direct write is on its way that another replica should wait for."""
+        """Returns whether a direct write is in progress and not overdue, so that other replicas should wait for it."""
         return self._direct_write is not None and self._timers.now() < self._direct_write.overdue_at
 
     def must_wait_for_zone_peer(self, storage_node: str, source: FetchSource) -> bool:
-        """Returns whether a replica in a storage node's zone fetches from another zone what both of them lack."""
+        """Returns whether another replica in a storage node's zone is already fetching the bytes from another zone."""
         if self._in_same_zone(source.storage_node, storage_node):
             return False
         zone, now = self._zone_of(storage_node), self._timers.now()
@@ -112,15 +115,15 @@
         return _Transfer(storage_node, self._zone_of(storage_node), self._timers.now() + allowance)
 
     def direct_write_started(self, storage_node: str, size: int) -> None:
-        """Notes that a large write leaves for one replica."""
+        """Records that a large write to one replica has started."""
         self._direct_write = self._new_transfer(storage_node, size)
 
     def fetch_started(self, storage_node: str, size: int) -> None:
-        """Notes that a storage node fetches from another one."""
+        """Records that a storage node has started to fetch from another one."""
         self._fetches[storage_node] = self._new_transfer(storage_node, size)
 
     def transfer_ended(self, storage_node: str) -> None:
-        """Notes that what was on its way to a storage node has arrived or failed; those that wait look again."""
+        """Records that a transfer to a storage node has succeeded or failed, and wakes the waiting senders."""
         is_direct = self._direct_write is not None and self._direct_write.storage_node == storage_node
         fetch = self._fetches.pop(storage_node, None)
         if is_direct:
@@ -133,7 +136,7 @@
                 waiter.callback(None)
 
     async def wait_for_transfer(self) -> None:
-        """Returns once a transfer under way has ended, or one becomes overdue; at once where there is none."""
+        """Returns once a transfer has ended or become overdue; at once if there is none, or if all are overdue."""
         now = self._timers.now()
         transfers = [*self._fetches.values(), *([self._direct_write] if self._direct_write is not None else [])]
         overdue_at = min((transfer.overdue_at for transfer in transfers if transfer.overdue_at > now), default=now)
--- a/pipitlink/replicated_log/lease_durations.py
+++ b/pipitlink/replicated_log/lease_durations.py
@@ -1,4 +1,4 @@
-"""How long a log lease is valid: less for the leaseholder than for the storage nodes that granted it."""
+"""Durations of log leases, which end earlier for the leaseholder than for the storage nodes that granted them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 __all__ = ["LEASE_DURATION", "LEASEHOLDER_VALIDITY"]
 
 LEASE_DURATION: timedelta = secs(3)
-"""How long a storage node refuses other leaseholders after it granted or renewed a lease."""
+"""How long a storage node refuses other leaseholders after granting or renewing a lease."""
 
 LEASEHOLDER_VALIDITY: timedelta = secs(2)
-"""How long a leaseholder relies on a renewal, counted from the time of its request."""
+"""How long a leaseholder relies on a renewal, measured from when it sent the request."""
--- a/pipitlink/replicated_log/lease_refusal.py
+++ b/pipitlink/replicated_log/lease_refusal.py
@@ -1,4 +1,4 @@
-"""Why a storage node refuses a lease."""
+"""The reasons for which a storage node refuses a lease."""
 
 from enum import StrEnum
 
@@ -12,7 +12,7 @@
     """Another node's lease is still valid."""
 
     RECENTLY_STARTED = "just_started"
-    """The storage node started or joined recently, and may not know of a valid lease."""
+    """The storage node started or joined the placement group recently, and may not know of a valid lease."""
 
     STALE_EPOCH = "epoch"
-    """The requested epoch is not above the granted one."""
+    """The requested epoch is not higher than the granted one."""
--- a/pipitlink/replicated_log/lease_validity.py
+++ b/pipitlink/replicated_log/lease_validity.py
@@ -1,4 +1,4 @@
-"""Whether a leaseholder may still rely on its lease, by its own clock."""
+"""The validity of a lease by the leaseholder's own clock."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class LeaseValidity:
-    """The renewals of one lease: it is valid while a quorum of storage nodes has renewed it recently.
+    """The renewals of one lease, which is valid while a quorum of storage nodes has renewed it recently.
 
-    A storage node that joins the placement group is asked to renew only from then on, so that the previous placement
-    group counts for a short time after a change.
+    A storage node that joins the placement group gets renewal requests only after it joined. A quorum of the previous
+    placement group therefore also suffices for a short time after a change.
     """
 
     def __init__(self, timers: Timers) -> None:
@@ -31,12 +31,12 @@
         self._renewed_at[storage_node] = max(requested_at, self._renewed_at.get(storage_node, requested_at))
 
     def record_group_change(self, previous_group: PlacementGroup) -> None:
-        """Records that the log's placement group has changed just now."""
+        """Records that the log's placement group has just changed."""
         self._previous_group = previous_group
         self._group_changed_at = self._timers.now()
 
     def is_valid(self, placement_group: PlacementGroup) -> bool:
-        """Returns whether a quorum of the placement group, or of the one just before, renewed the lease recently."""
+        """Returns whether a quorum of the placement group, or of the previous one, renewed the lease recently."""
         now = self._timers.now()
         current = [node for node, at in self._renewed_at.items() if now - at < LEASEHOLDER_VALIDITY]
         if placement_group.is_quorum(current):
--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -1,4 +1,4 @@
-"""The writing side of a replicated log: lease, epoch, append, commit."""
+"""The writer of a replicated log: lease, epoch, append, commit."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class Leaseholder:
-    """The one writer of a log while its lease is valid.
+    """The only writer of a log while its lease is valid.
 
-    It recovers the tail that it finds, then appends to all replicas. `lost` is the reason why the lease is no longer
-    held, empty while it is. `data` and `committed` are the log's content and how much of it is committed.
+    It recovers the existing tail, then appends to all replicas. `lost` is the reason why the lease was lost, or empty
+    while it is held. `data` is the content of the log, and `committed` the length of its committed part.
     """
 
     def __init__(self, ctx: Context, client: StorageClient, log: str, on_lost: LeaseholderCallback) -> None:
@@ -63,25 +63,25 @@
 
     @property
     def has_waiters(self) -> bool:
-        """Whether an append waits for its commit."""
+        """Whether an append is waiting for its commit."""
         return bool(self._waiters)
 
     def is_held(self) -> bool:
-        """Returns whether the lease is valid by the local clock, which ends before the storage nodes' view does."""
+        """Returns whether the lease is valid by the local clock; it ends earlier here than on the storage nodes."""
         return not self.lost and self._validity.is_valid(self.placement_group)
 
     def check_validity(self) -> None:
-        """Follows the placement group and gives the lease up where it has run out."""
+        """Updates the placement group, and ends the lease if it has expired."""
         self.refresh_placement()
         if not self.lost and not self._validity.is_valid(self.placement_group):
-            self.invalidate("lease ran out")
+            self.invalidate("lease expired")
 
     def refresh_placement(self) -> None:
-        """Follows the log's placement group where the cluster state has changed it.
+        """Updates the log's placement group if it has changed in the cluster state.
 
-        What storage nodes reported before the change no longer counts: a later leaseholder may have been granted the
-        log by a majority that a joining node does not know of, and that majority must refuse before the position
-        counts as committed.
+        This discards the progress that storage nodes reported before the change. A later leaseholder may have been
+        granted the lease by a majority of the old set that a joining node does not know of. Without old reports, that
+        majority gets the chance to refuse this leaseholder before a position counts as committed.
         """
         placement_group = self._client.placement_group(self.log)
         if placement_group.sequence <= self.placement_group.sequence:
@@ -93,12 +93,12 @@
             self._replicate()
 
     def record_renewal(self, storage_node: str, requested_at: timedelta, free_bytes: int) -> None:
-        """Records that a storage node renewed the lease on a request sent at `requested_at`."""
+        """Records that a storage node granted or renewed the lease on a request sent at `requested_at`."""
         self._free_bytes[storage_node] = free_bytes
         self._validity.record_renewal(storage_node, requested_at)
 
     def invalidate(self, reason: str) -> None:
-        """Ends the lease: appends that wait fail with LeaseNotHeld, and the watchers are called."""
+        """Ends the lease: waiting appends fail with LeaseNotHeld, and the watchers are called."""
         if self.lost:
             return
         self.lost = reason
@@ -108,7 +108,7 @@
         self._call_watchers()
 
     def watch(self, callback: LeaseholderCallback) -> None:
-        """Has `callback` called with this leaseholder after each commit and when the lease is lost."""
+        """Registers a callback to be called with this leaseholder after each commit and when the lease is lost."""
         self._watchers.append(callback)
 
     def _call_watchers(self) -> None:
@@ -118,8 +118,8 @@
     async def acquire(self, lost_leaseholder: str | None = None) -> None:
         """Acquires the lease under a new epoch and recovers the tail.
 
-        Does not wait for the lease of `lost_leaseholder` to run out; an empty name stands for a log without one. Raises
-        LeaseNotHeld where another node holds the lease or may hold it, and NoQuorum.
+        Does not wait for the lease of `lost_leaseholder` to expire; an empty string means that no node is known to hold
+        the log. Raises LeaseNotHeld if another node holds the lease or may hold it, and NoQuorum.
         """
         epoch = 1
         for _ in range(MAX_LEASE_ATTEMPTS):
@@ -133,9 +133,9 @@
             self._raise_if_lease_held(responses)
             if not self.placement_group.is_quorum(responses):
                 total = len(self.placement_group.all_nodes)
-                raise NoQuorum(f"{self.log}: {len(responses)} of {total} storage nodes answered")
+                raise NoQuorum(f"{self.log}: {len(responses)} of {total} storage nodes responded")
             epoch = max(response.state.epoch for response in responses.values()) + 1
-        raise LeaseNotHeld(f"{self.log}: outbid")
+        raise LeaseNotHeld(f"{self.log}: other nodes requested higher epochs")
 
     async def _request_lease(self, epoch: int, lost_leaseholder: str | None) -> dict[str, LeaseResponse]:
         request = LeaseRequest(
@@ -158,17 +158,17 @@
         return self.placement_group.is_quorum([node for node, response in responses.items() if response.granted])
 
     def _raise_if_lease_held(self, responses: dict[str, LeaseResponse]) -> None:
-        """Raises LeaseNotHeld where another node holds the lease or may hold it.
+        """Raises LeaseNotHeld if another node holds the lease or may hold it.
 
-        A valid lease is known to a majority, so storage nodes that have just started are counted only where a quorum
-        needs them.
+        A majority knows of every valid lease. The refusals of recently started storage nodes therefore matter only if
+        the other storage nodes that responded are no quorum.
         """
         for response in responses.values():
             if response.reason == LeaseRefusal.HELD and not response.granted:
-                raise LeaseNotHeld(f"{self.log} is held", response.state.leaseholder)
+                raise LeaseNotHeld(f"{self.log} is held by another node", response.state.leaseholder)
         informed = [node for node, response in responses.items() if response.reason != LeaseRefusal.RECENTLY_STARTED]
         if not self.placement_group.is_quorum(informed) and len(informed) < len(responses):
-            raise LeaseNotHeld(f"{self.log} may be held")
+            raise LeaseNotHeld(f"{self.log} may be held by another node: some storage nodes started recently")
 
     async def _begin_epoch(self, epoch: int, requested_at: timedelta, grants: Mapping[str, LeaseResponse]) -> None:
         self.epoch = epoch
@@ -178,13 +178,13 @@
         await self._recover_tail(list(grants))
 
     async def _recover_tail(self, granted: list[str]) -> None:
-        """Makes the most up-to-date tail that a quorum shows durable under the new epoch."""
+        """Reads the most up-to-date tail of the quorum that granted the lease, and commits it under the new epoch."""
         source = self.progress.most_up_to_date(granted)
         state = self.progress.known(source)
         if state.length:
             self.data = bytearray(await self._client.read_from(source, self.log, 0, state.length))
             if len(self.data) != state.length:
-                raise NoQuorum(f"{self.log}: {source} could not show its tail")
+                raise NoQuorum(f"{self.log}: could not read the tail of storage node {source}")
         self.final = state.final
         self.closed_ms = state.closed_ms
         self.recovered_tail = TailPosition.of(state)
@@ -193,11 +193,11 @@
             await self._commit(state.length)
 
     async def append(self, records: list[bytes], final: bool = False, reserved: bool = False) -> int:
-        """Appends framed records; returns the position of the first, once a quorum has synced all of them.
+        """Appends framed records; returns the position of the first one, once a quorum has synced all of them.
 
-        A `final` append ends the log, a `reserved` one may use the space that storage nodes keep in reserve. Raises
-        LeaseNotHeld, StaleEpoch where the log has ended, StorageFull, and DeadlineExceeded where the commit takes too
-        long: the records may then still be committed.
+        A `final` append ends the log; a `reserved` one may use the space that storage nodes keep in reserve. Raises
+        LeaseNotHeld, StaleEpoch if the log has ended, StorageFull, and DeadlineExceeded if the commit takes too long,
+        in which case the records may still be committed later.
         """
         self._check_append(records, reserved)
         self.uses_reserve = reserved
@@ -213,29 +213,29 @@
     def _check_append(self, records: list[bytes], reserved: bool) -> None:
         if not self.is_held():
             self.check_validity()
-            raise LeaseNotHeld(f"{self.log}: {self.lost or 'the lease is not current'}")
+            raise LeaseNotHeld(f"{self.log}: {self.lost or 'the lease is not valid'}")
         if self.final:
             raise StaleEpoch(f"{self.log} is final")
         if reserved:
             return
         size = sum(len(record) + MAX_RECORD_OVERHEAD_BYTES for record in records)
         if not self.placement_group.is_quorum([node for node, free in self._free_bytes.items() if free > size]):
-            raise StorageFull(f"{self.log}: the storage nodes are out of room", sent=False)
+            raise StorageFull(f"{self.log}: too few storage nodes have free space", sent=False)
 
     async def wait_durable(self) -> None:
-        """Returns once everything appended so far is committed; raises as `append` does."""
+        """Returns once everything appended so far is committed; raises the same errors as `append`."""
         end = len(self.data)
         if self.committed < end:
             await self._commit(end)
 
     async def _commit(self, end: int) -> None:
-        """Replicates the log and waits until a quorum has its bytes up to `end` under the current epoch."""
+        """Replicates the log and waits until a quorum has synced its bytes up to `end` under the current epoch."""
         committed = self._waiters.add(end)
         self._replicate()
         await self._ctx.timers.with_timeout(COMMIT_TIMEOUT, committed)
 
     def _replicate(self) -> None:
-        """Starts the senders, those first that a direct write is best sent to: of known state, alive and near."""
+        """Starts the senders, best candidates for a direct write first: known state, alive, in the same zone."""
         for node in sorted(self.placement_group.all_nodes, key=self._preference):
             if node not in self._senders:
                 self._senders[node] = ReplicaSender(self._ctx, self._client, self, node)
@@ -248,15 +248,15 @@
         return self.progress.get(node) is None, not is_alive, not is_near
 
     def storage_full(self, node: str) -> None:
-        """Ends the lease where the storage nodes that are not full are no quorum; `node` has just refused a write."""
+        """Handles a write that `node` refused for lack of space; ends the lease if the other nodes are no quorum."""
         self._full_nodes.add(node)
         rest = [other for other in self.placement_group.all_nodes if other not in self._full_nodes]
         if not self.placement_group.is_quorum(rest):
-            self._waiters.fail_all(lambda: StorageFull(f"{self.log}: the storage nodes are out of room"))
-            self.invalidate("no room")
+            self._waiters.fail_all(lambda: StorageFull(f"{self.log}: too few storage nodes have free space"))
+            self.invalidate("storage full")
 
     def advance_commit(self) -> None:
-        """Commits the position that a quorum of replicas has reached under the current epoch."""
+        """Advances the commit position to the one that a quorum of replicas has reached under the current epoch."""
         lengths = self.progress.match_lengths(self.epoch)
         if not self.placement_group.is_quorum(lengths):
             return
@@ -271,10 +271,10 @@
                 deferred.callback(None)
 
     async def _announce_commit(self) -> None:
-        """Tells the storage nodes the commit position, so that later readers need no quorum for it."""
+        """Sends the commit position to the storage nodes, so that readers can learn it without a quorum."""
         request = CommitRequest(log=self.log, epoch=self.epoch, committed=self.committed)
         await self._client.call_each(self.placement_group.all_nodes, "replicated_log.mark", request, Empty)
 
 
 def _ignore_failure(_: Failure) -> None:
-    """A lost announcement is made up for by the next write."""
+    """Does nothing: the next write also carries the commit position."""
--- a/pipitlink/replicated_log/log_reader.py
+++ b/pipitlink/replicated_log/log_reader.py
@@ -1,4 +1,4 @@
-"""Reads of committed log content, hedged over the replicas."""
+"""Hedged reads of committed log content from the replicas."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 __all__ = ["LogReader"]
 
 HEDGE_DELAY: timedelta = ms(100)
-"""How long one storage node has before the next is read from as well."""
+"""How long to wait for one storage node before also reading from the next."""
 
 
 class LogReader:
@@ -25,7 +25,7 @@
         self._client = client
 
     async def read(self, log: str, position: int, length: int) -> bytes:
-        """Returns a committed range of a log; raises NoQuorum where no storage node returns all of it."""
+        """Returns a committed range of a log; raises NoQuorum if no storage node returns all of it."""
         nodes = list(self._client.placement_group(log).all_nodes)
         self._ctx.rng.shuffle(nodes)
         nodes.sort(key=self._preference)
@@ -35,16 +35,16 @@
             content = await read.wait(count, HEDGE_DELAY if count < len(nodes) else READ_TIMEOUT)
             if content is not None:
                 return content
-        raise NoQuorum(f"{log}: bytes {position} to {position + length} could not be read")
+        raise NoQuorum(f"{log}: no storage node returned all bytes from {position} to {position + length}")
 
     def _preference(self, node: str) -> tuple[bool, bool]:
-        """Orders storage nodes: those that are alive first, and of these the ones in the own zone."""
+        """Returns a sort key for storage nodes: live ones first, among them those in this node's zone."""
         membership = self._ctx.membership
         return membership.status(node) != "alive", membership.zone_of(node) != self._ctx.settings.zone
 
 
 class _HedgedRead:
-    """One range, read from several storage nodes."""
+    """The read of one range from several storage nodes."""
 
     def __init__(self, ctx: Context, client: StorageClient, log: str, position: int, length: int) -> None:
         self._ctx = ctx
@@ -56,13 +56,13 @@
         self._next_result: defer.Deferred[None] | None = None
 
     async def read_from(self, node: str) -> None:
-        """Reads the range from one storage node and wakes who waits."""
+        """Reads the range from one storage node and wakes the waiting reader."""
         self._results.append(await self._client.read_from(node, self._log, self._position, self._length))
         if self._next_result is not None and not self._next_result.called:
             self._next_result.callback(None)
 
     async def wait(self, started: int, timeout: timedelta) -> bytes | None:
-        """Returns the complete range, or None once the timeout has passed or all `started` reads have ended."""
+        """Returns the complete range, or None if the timeout passes or all `started` reads end without it."""
         timers = self._ctx.timers
         deadline = timers.now() + timeout
         while self._complete() is None and len(self._results) < started and timers.now() < deadline:
--- a/pipitlink/replicated_log/log_states.py
+++ b/pipitlink/replicated_log/log_states.py
@@ -1,4 +1,4 @@
-"""Which logs there are, and how much of each is committed, from the answers of their storage nodes."""
+"""Lists logs and determines how much of each is committed, from the responses of their storage nodes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 __all__ = ["LogListing", "LogStates", "merge_states"]
 
 GRACE_PERIOD: timedelta = ms(50)
-"""How long the rest of the storage nodes is waited for once a quorum of each placement group has answered."""
+"""How long to wait for the remaining storage nodes once a quorum of each placement group has responded."""
 
 LIST_TIMEOUT: timedelta = secs(1)
 
@@ -25,9 +25,9 @@
 
 
 def merge_states(placement_group: PlacementGroup, states: Mapping[str, LogState]) -> LogState:
-    """Returns the state of a log that its replicas, by storage node, prove.
+    """Merges the states of a log's replicas, given by storage node, into the state of its committed part.
 
-    Its length is the longest that is surely committed: reported as such, or on a quorum under one tail epoch.
+    A length counts as committed if a replica reports it as committed, or if a quorum has it under one tail epoch.
     """
     merged = LogState(log=next(iter(states.values())).log)
     merged.committed = _committed(placement_group, states)
@@ -52,7 +52,7 @@
 
 
 class LogListing(NamedTuple):
-    """The logs that were found, by name; `complete` where enough storage nodes answered that none is missing."""
+    """The logs that were found, by name; `complete` if enough storage nodes responded that none is missing."""
 
     states: dict[str, LogState]
     complete: bool
@@ -66,7 +66,7 @@
         self._client = client
 
     async def read(self, logs: list[str]) -> dict[str, LogState]:
-        """Returns what is committed of each log; logs without a quorum of answers are left out."""
+        """Returns the committed state of each log; omits logs for which no quorum responded."""
         logs_by_node: dict[str, list[str]] = {}
         for log in logs:
             for node in self._client.placement_group(log).all_nodes:
@@ -79,9 +79,9 @@
         return query.merged()
 
     async def list(self, request: ListRequest) -> LogListing:
-        """Returns the logs that a request selects, as far as the storage nodes that answer have them.
+        """Returns the logs that match a request, from the storage nodes that respond.
 
-        Waits for all storage nodes; where only open logs are requested, for a quorum of each placement group.
+        Waits for all storage nodes, or, if only open logs are requested, for a quorum of each placement group.
         """
         cluster = self._ctx.cluster
         placement_groups = [cluster.placement_group(number) for number in range(cluster.placement_groups)]
@@ -107,7 +107,10 @@
 
 
 class _StatesQuery:
-    """The answers to one query for states; `complete` fires once all are in, or soon after a quorum for each log."""
+    """The responses to one state query.
+
+    `complete` fires once all nodes have responded, or GRACE_PERIOD after a quorum has responded for each log.
+    """
 
     def __init__(self, ctx: Context, client: StorageClient, logs: list[str], node_count: int) -> None:
         self._ctx = ctx
@@ -117,7 +120,7 @@
         self.complete: defer.Deferred[None] = defer.Deferred()
 
     async def ask(self, node: str, logs: list[str]) -> None:
-        """Asks one storage node for the states of its logs; an error of the call leaves them out."""
+        """Requests the states of logs from one storage node; if the call fails, its states are missing."""
         request = StatesRequest(logs=logs)
         responses = await self._client.call_each([node], "replicated_log.states", request, StatesResponse)
         if node in responses:
@@ -137,7 +140,7 @@
             self.complete.callback(None)
 
     def merged(self) -> dict[str, LogState]:
-        """Returns the merged state of each log of which a quorum has answered."""
+        """Returns the merged state of each log for which a quorum has responded."""
         merged = {}
         for log, states in self._states.items():
             placement_group = self._client.placement_group(log)
--- a/pipitlink/replicated_log/placement_group.py
+++ b/pipitlink/replicated_log/placement_group.py
@@ -1,4 +1,4 @@
-"""Placement groups: which storage nodes replicate a log, and which of them form a quorum."""
+"""Placement groups: the storage nodes that replicate a log, and their quorums."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def placement_group_of(log: str, placement_groups: int) -> int:
-    """Returns the number, below `placement_groups`, of the placement group that a log belongs to."""
+    """Returns the number of a log's placement group, from 0 to `placement_groups` - 1."""
     return int.from_bytes(blake2b(log.encode(), digest_size=4).digest(), "big") % placement_groups
 
 
@@ -24,8 +24,8 @@
 class PlacementGroup:
     """The storage nodes that replicate the logs of one placement group.
 
-    While `joining` replaces `leaving`, a quorum needs a majority of both the old and the new set. Without `leaving` the
-    group grows by `joining`, and without `joining` it shrinks by `leaving`.
+    While `joining` replaces `leaving`, a quorum needs a majority of both the old and the new set of storage nodes. With
+    `joining` alone the group grows, with `leaving` alone it shrinks.
     """
 
     number: int
@@ -36,7 +36,7 @@
 
     @property
     def is_moving(self) -> bool:
-        """Whether a change of the storage nodes is in progress."""
+        """Whether a membership change of the group is in progress."""
         return bool(self.joining or self.leaving)
 
     @property
@@ -47,15 +47,15 @@
 
     @property
     def quorum_sets(self) -> tuple[tuple[str, ...], ...]:
-        """The sets of storage nodes of each of which a quorum needs a majority."""
+        """The sets of storage nodes; a quorum needs a majority of each."""
         return (self.storage_nodes, self.next_nodes) if self.is_moving else (self.storage_nodes,)
 
     @property
     def transfer_targets(self) -> tuple[str, ...]:
-        """The storage nodes that must report all durable data as replicated before the change may end.
+        """The storage nodes that must report that they have all durable data before the change may end.
 
-        A storage node that leaves without a replacement takes a replica along, and what remains is a majority of the
-        smaller set only if the others have made up for it.
+        If a storage node leaves without a replacement, all remaining ones must report: its replica is lost, and without
+        it a committed record might be on less than a majority of the smaller set.
         """
         if self.joining:
             return (self.joining,)
@@ -63,11 +63,11 @@
 
     @property
     def all_nodes(self) -> tuple[str, ...]:
-        """The storage nodes of the old and the new set."""
+        """The storage nodes of the old and the new set together."""
         return self.storage_nodes + ((self.joining,) if self.joining else ())
 
     def is_quorum(self, nodes: Collection[str]) -> bool:
-        """Returns whether these nodes are a majority of each quorum set."""
+        """Returns whether these nodes include a majority of each quorum set."""
         return bool(self.storage_nodes) and all(majority(nodes, quorum_set) for quorum_set in self.quorum_sets)
 
     def quorum_position(self, positions: Mapping[str, int]) -> int:
--- a/pipitlink/replicated_log/replica_progress.py
+++ b/pipitlink/replicated_log/replica_progress.py
@@ -1,4 +1,4 @@
-"""What a leaseholder knows of each replica of its log."""
+"""A leaseholder's view of the progress of each replica of its log."""
 
 from __future__ import annotations
 
@@ -11,49 +11,49 @@
 
 @attrs.frozen(order=True)
 class TailPosition:
-    """The end of a replica: the epoch of its last writer and its length in bytes. Higher ones are more up to date."""
+    """The end of a replica: the epoch of its last writer, and its length in bytes. Higher is more up to date."""
 
     epoch: int = 0
     length: int = 0
 
     @classmethod
     def of(cls, state: LogState) -> TailPosition:
-        """Returns the end of the replica that a state describes."""
+        """Returns the tail position of a replica's state."""
         return cls(state.tail_epoch, state.length)
 
 
 class ReplicaProgress:
-    """The state that each storage node last reported of its replica, under the current placement."""
+    """The last state that each storage node reported for its replica under the current placement."""
 
     def __init__(self) -> None:
         self._states: dict[str, LogState] = {}
 
     def get(self, storage_node: str) -> LogState | None:
-        """Returns the last reported state, None where it is unknown."""
+        """Returns the last reported state, or None if it is unknown."""
         return self._states.get(storage_node)
 
     def known(self, storage_node: str) -> LogState:
-        """Returns the last reported state; raises KeyError where it is unknown."""
+        """Returns the last reported state; raises KeyError if it is unknown."""
         return self._states[storage_node]
 
     def most_up_to_date(self, storage_nodes: list[str]) -> str:
-        """Returns the first of these storage nodes, all of known state, whose replica has the highest tail."""
+        """Returns the first of these storage nodes with the highest tail position; all their states must be known."""
         return max(storage_nodes, key=lambda node: TailPosition.of(self._states[node]))
 
     def record(self, storage_node: str, state: LogState) -> None:
-        """Records a state that a storage node reported."""
+        """Records a state reported by a storage node."""
         self._states[storage_node] = state
 
     def discard(self, storage_node: str) -> None:
-        """Makes the state of one replica unknown."""
+        """Forgets the state of one replica."""
         self._states.pop(storage_node, None)
 
     def clear(self) -> None:
-        """Makes the states of all replicas unknown."""
+        """Forgets the states of all replicas."""
         self._states.clear()
 
     def max_committed(self) -> int:
-        """Returns the highest commit position that any replica reported."""
+        """Returns the highest commit position reported by any replica."""
         return max(state.committed for state in self._states.values())
 
     def match_lengths(self, epoch: int) -> dict[str, int]:
--- a/pipitlink/replicated_log/replica_sender.py
+++ b/pipitlink/replicated_log/replica_sender.py
@@ -33,14 +33,14 @@
 RETRY_INTERVAL: timedelta = ms(150)
 RETRY_INTERVAL_WITHOUT_WAITERS: timedelta = secs(1)
 MAX_WRITE_BYTES = 4 * 1024 * 1024
-# How long a replica from which another could not fetch is not tried as its source again.
+# How long a replica is not used as a source again after a fetch from it has failed.
 SOURCE_EXCLUSION: timedelta = secs(5)
 
 
 class ReplicaSender:
-    """Brings one replica forward, in one task at a time, until it has all that the leaseholder has.
+    """Replicates the leaseholder's data to one replica, in at most one task at a time.
 
-    Large writes the replica fetches from another one, where one has them or is about to.
+    If another replica has the bytes of a large write, or is about to get them, this replica fetches them from there.
     """
 
     def __init__(self, ctx: Context, client: StorageClient, leaseholder: Leaseholder, node: str) -> None:
@@ -53,7 +53,7 @@
         self._excluded_until: dict[str, timedelta] = {}
 
     def start(self) -> None:
-        """Starts the task unless it runs already or the lease is lost."""
+        """Starts the task unless it is already running or the lease is lost."""
         if self._is_running or self._leaseholder.lost:
             return
         self._is_running = True
@@ -86,7 +86,7 @@
             leaseholder.advance_commit()
 
     async def _replicate_step(self) -> bool:
-        """Returns True where the replica is up to date; else has it get what it lacks, or asks how far it is."""
+        """Returns True if the replica is up to date; otherwise requests its state, or transfers missing bytes."""
         leaseholder = self._leaseholder
         state = leaseholder.progress.get(self._node)
         placement_group = leaseholder.placement_group
@@ -101,7 +101,7 @@
         return False
 
     def _is_permanent(self, error: RemoteError) -> bool:
-        """Handles an error that the storage node returned; returns whether a retry is pointless."""
+        """Handles an error returned by the storage node; returns whether a retry cannot succeed."""
         if error.remote_code == StaleEpoch.code:
             self._leaseholder.invalidate(str(error))
             return True
@@ -126,7 +126,10 @@
         return response.states[0]
 
     async def _write_or_fetch(self, state: LogState) -> LogState:
-        """Has the replica get what it lacks, and returns its new state; the same one where it is to look again."""
+        """Sends the missing bytes, or has the replica fetch them; returns its new state.
+
+        Returns `state` unchanged if it first had to wait for another transfer; the caller then tries again.
+        """
         leaseholder, planner = self._leaseholder, self._leaseholder.fetch_planner
         start = self._match_position(state)
         size = len(leaseholder.data) - start
@@ -145,12 +148,12 @@
         return await self._write(state, start)
 
     def _excluded_sources(self) -> set[str]:
-        """Returns the replicas that this one does not fetch from now."""
+        """Returns the replicas that this one must not fetch from at present."""
         now = self._ctx.timers.now()
         return {self._node, *(node for node, until in self._excluded_until.items() if now < until)}
 
     async def _fetch(self, state: LogState, start: int, source: FetchSource) -> LogState:
-        """Has the replica fetch what it lacks from another one; returns its new state."""
+        """Has the replica fetch the missing bytes from another one; returns its new state."""
         leaseholder = self._leaseholder
         request = FetchRequest(
             write=self._write_request(state, start, source.end),
@@ -165,7 +168,7 @@
         except RemoteError as error:
             if error.remote_code != UnknownMethod.code:
                 raise
-            self._can_fetch = False  # a storage node of an earlier release
+            self._can_fetch = False  # the storage node runs an earlier release without this method
             return state
         if response.reason == WriteRefusal.SOURCE_UNREADABLE:
             self._excluded_until[source.storage_node] = self._ctx.timers.now() + SOURCE_EXCLUSION
@@ -181,7 +184,7 @@
         return response.state
 
     def _match_position(self, state: LogState) -> int:
-        """Returns the position up to which the replica is known to have the same bytes as the leaseholder."""
+        """Returns the position up to which the replica's bytes are known to match the leaseholder's."""
         recovered = self._leaseholder.recovered_tail
         if state.tail_epoch == self._leaseholder.epoch:
             return state.length
@@ -190,7 +193,7 @@
         return min(state.committed, state.length)
 
     def _write_request(self, state: LogState, start: int, end: int) -> WriteRequest:
-        """Returns the request for the bytes from `start` to `end`, without them."""
+        """Returns the write request for the bytes from `start` to `end`, without the data."""
         leaseholder = self._leaseholder
         is_final = leaseholder.final and end == len(leaseholder.data)
         expected = TailPosition.of(state)
@@ -208,7 +211,7 @@
         )
 
     async def _write_partial(self, data: bytes, offset: int) -> int:
-        """Sends one part of a long write, which the storage node buffers; returns the number of bytes sent."""
+        """Sends one part of a long write for the storage node to buffer; returns the number of bytes sent."""
         leaseholder = self._leaseholder
         part = WriteRequest(
             log=leaseholder.log,
--- a/pipitlink/replicated_log/replicated_log.py
+++ b/pipitlink/replicated_log/replicated_log.py
@@ -1,4 +1,4 @@
-"""Clients' access to replicated logs: leases, reads, listings, and the state of each log."""
+"""Client access to replicated logs: leases, reads, listings, and log states."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class ReplicatedLog:
-    """The replicated logs as nodes outside the storage nodes see them; `leaseholders` has the leases of this node."""
+    """The client interface to replicated logs; `leaseholders` contains the leases held by this node, by log."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
@@ -37,11 +37,11 @@
         self.leaseholders: dict[str, Leaseholder] = {}
 
     def open(self) -> None:
-        """Starts the renewal of this node's leases."""
+        """Starts to renew this node's leases periodically."""
         self._ctx.timers.call_repeatedly(RENEW_INTERVAL, self._renew_all, self._ctx.error_reporter("renew_leases"))
 
     def placement_group(self, log: str) -> PlacementGroup:
-        """Returns the placement group of a log as the newest known cluster state has it."""
+        """Returns the placement group of a log in the latest known cluster state."""
         return self._client.placement_group(log)
 
     async def call(
@@ -64,27 +64,28 @@
         timeout: timedelta = CALL_TIMEOUT,
         enough: Callable[[dict[str, Response]], bool] | None = None,
     ) -> dict[str, Response]:
-        """Calls all nodes at once and returns the responses by node, early once `enough` is true of them."""
+        """Calls all nodes concurrently and returns the responses by node; returns early once `enough(responses)`."""
         return await self._client.call_each(nodes, method, request, response_type, timeout, enough)
 
     async def acquire(self, log: str, lost_leaseholder: str | None = None) -> Leaseholder:
-        """Acquires the lease of a log, recovers its tail and returns the leaseholder, ready to append.
+        """Acquires the lease of a log, recovers its tail, and returns the leaseholder, ready to append.
 
-        `lost_leaseholder` names a leaseholder that is known to be gone, or is empty where nobody is known to hold the
-        log: then no lease is waited for. Only for logs whose work may be done twice. Raises LeaseNotHeld and NoQuorum.
+        `lost_leaseholder` is a leaseholder known to be gone, or empty if no node is known to hold the log; in both
+        cases the call does not wait for a lease to expire. Pass it only for logs whose work may be done twice. Raises
+        LeaseNotHeld and NoQuorum.
         """
         leaseholder = Leaseholder(self._ctx, self._client, log, self._remove)
         try:
             await leaseholder.acquire(lost_leaseholder)
         except BaseException:
-            leaseholder.lost = "not taken"
+            leaseholder.lost = "not acquired"
             self._ctx.run_in_background(self._return_grants(leaseholder), "return_lease")
             raise
         self.leaseholders[log] = leaseholder
         return leaseholder
 
     async def _return_grants(self, leaseholder: Leaseholder) -> None:
-        """Returns what some storage nodes granted of a lease that was not acquired, so that nobody waits for it."""
+        """Releases the grants of a lease that was not acquired, so that no other node has to wait for it to expire."""
         for storage_node, epoch in leaseholder.granted_epochs.items():
             lease = HeldLease(log=leaseholder.log, epoch=epoch)
             self._ctx.run_in_background(self._release_at(storage_node, [lease]), "return_lease")
@@ -116,7 +117,7 @@
                 leaseholder.record_renewal(storage_node, requested_at, response.free_bytes)
 
     async def release(self, leaseholders: list[Leaseholder]) -> None:
-        """Gives up leases, so that others may acquire them at once."""
+        """Releases leases, so that other nodes can acquire them at once."""
         by_storage_node: dict[str, list[HeldLease]] = {}
         for leaseholder in leaseholders:
             leaseholder.invalidate("released")
@@ -126,28 +127,28 @@
             await self._release_at(storage_node, leases)
 
     async def states(self, logs: list[str]) -> dict[str, LogState]:
-        """Returns what is committed of each log; logs without a quorum of answers are left out."""
+        """Returns the committed state of each log; omits logs for which no quorum responded."""
         return await self._states.read(logs)
 
     async def list(self, prefix: str) -> dict[str, LogState]:
-        """Returns every log whose name starts with `prefix`, as far as the storage nodes that answer have it."""
+        """Returns the logs whose names start with `prefix`, from the storage nodes that respond."""
         return (await self._states.list(ListRequest(prefix=prefix))).states
 
     async def list_open(self, prefix: str) -> LogListing:
-        """Returns the logs with `prefix` that some storage node has as not final.
+        """Returns the logs with `prefix` that are not final on some storage node.
 
-        Waits only for a quorum of each placement group: what is durable is on one of its storage nodes.
+        Waits only for a quorum of each placement group, since every durable record is on some node of each quorum.
         """
         return await self._states.list(ListRequest(prefix=prefix, open_only=True))
 
     async def read(self, log: str, position: int, length: int) -> bytes:
-        """Returns a committed range of a log; raises NoQuorum where no storage node returns all of it."""
+        """Returns a committed range of a log; raises NoQuorum if no storage node returns all of it."""
         return await self._reader.read(log, position, length)
 
     async def read_from(self, node: str, log: str, position: int, length: int, tail_epoch: int = 0) -> bytes:
-        """Returns the bytes of a range that one storage node has: fewer where it has less or cannot be reached.
+        """Reads a range from one storage node; returns fewer bytes if the node has less or cannot be reached.
 
-        Where `tail_epoch` is not 0, only as the last writer of that epoch left them.
+        If `tail_epoch` is not 0, the node returns bytes only while the last writer of its replica has that epoch.
         """
         return await self._client.read_from(node, log, position, length, tail_epoch)
 
@@ -157,4 +158,4 @@
 
 
 def _ignore_failure(_: Failure) -> None:
-    """The next renewal makes up for one that is lost."""
+    """Does nothing: the next renewal makes up for a lost one."""
--- a/pipitlink/replicated_log/storage_client.py
+++ b/pipitlink/replicated_log/storage_client.py
@@ -28,20 +28,20 @@
 
 
 class StorageClient:
-    """Finds the storage nodes of a log and calls them by their node id."""
+    """Looks up the placement group of a log and calls storage nodes by node id."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
 
     def placement_group(self, log: str) -> PlacementGroup:
-        """Returns the placement group of a log as the newest known cluster state has it."""
+        """Returns the placement group of a log in the latest known cluster state."""
         group: PlacementGroup = self._ctx.cluster.placement_group(
             placement_group_of(log, self._ctx.cluster.placement_groups)
         )
         return group
 
     def address_of(self, node: str) -> Address | None:
-        """Returns the address of a member, None where the membership does not have it."""
+        """Returns the address of a member, or None if the membership does not know it."""
         member = self._ctx.membership.find(node)
         return (member.host, member.port) if member is not None else None
 
@@ -56,7 +56,7 @@
         """Calls one node and returns its response; raises WireError."""
         address = self.address_of(node)
         if address is None:
-            raise WireError(f"storage node {node} is not on the membership")
+            raise WireError(f"node {node} is not a known member of the cluster")
         response: Response = await self._ctx.rpc.call(address, method, request, response_type, timeout, node=node)
         return response
 
@@ -69,9 +69,9 @@
         timeout: timedelta = CALL_TIMEOUT,
         enough: EnoughResponses[Response] | None = None,
     ) -> dict[str, Response]:
-        """Calls all nodes at once and returns the responses by node.
+        """Calls all nodes concurrently and returns the responses by node.
 
-        Nodes that fail are left out. Returns early once `enough` is true of the responses so far.
+        Nodes whose calls fail are omitted. Returns early once `enough` returns True for the responses so far.
         """
         responses = _Responses[Response](len(nodes), enough)
         for node in nodes:
@@ -102,9 +102,9 @@
         self._ctx.logger.failure("storage_call_error", failure.value)
 
     async def read_from(self, node: str, log: str, position: int, length: int, tail_epoch: int = 0) -> bytes:
-        """Returns the bytes of a range that one storage node has: fewer where it has less or cannot be reached.
+        """Reads a range from one storage node; returns fewer bytes if the node has less or cannot be reached.
 
-        Where `tail_epoch` is not 0, only as the last writer of that epoch left them.
+        If `tail_epoch` is not 0, the node returns bytes only while the last writer of its replica has that epoch.
         """
         content = b""
         while len(content) < length:
@@ -125,7 +125,7 @@
 
 
 class _Responses(Generic[Response]):
-    """The responses of one fan-out call; `complete` fires once all calls have ended or the responses are enough."""
+    """The responses to one fan-out call; `complete` fires once all calls have ended or `enough` returns True."""
 
     def __init__(self, call_count: int, enough: EnoughResponses[Response] | None) -> None:
         self.by_node: dict[str, Response] = {}
--- a/pipitlink/replicated_log/write_refusal.py
+++ b/pipitlink/replicated_log/write_refusal.py
@@ -1,4 +1,4 @@
-"""Why a storage node has not made a write."""
+"""The reasons for which a storage node refuses a write."""
 
 from enum import StrEnum
 
@@ -6,10 +6,10 @@
 
 
 class WriteRefusal(StrEnum):
-    """The `reason` of a WriteResponse whose write was not made; its `state` says where the replica is."""
+    """The `reason` of a WriteResponse that refuses the write; its `state` is the current state of the replica."""
 
     POSITION_MISMATCH = "elsewhere"
-    """The writer expected another end of the replica, or a part of a long write is missing."""
+    """The replica's tail is not the one that the writer expected, or a part of a long write is missing."""
 
     SOURCE_UNREADABLE = "source"
-    """The other replica did not show the bytes of a fetch, or not in time."""
+    """The source replica of a fetch did not return the right bytes, or not in time."""
--- a/pipitlink/storage/__init__.py
+++ b/pipitlink/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Storage nodes: durable replicas of logs, and the leases on them."""
+"""Storage nodes, which keep durable replicas of logs and grant leases on them."""
 
 from .node import StorageNode
 from .node_identity import node_id
--- a/pipitlink/storage/durable.py
+++ b/pipitlink/storage/durable.py
@@ -1,4 +1,4 @@
-"""Waiting for the group sync of queued entries."""
+"""Queues entries and waits for their group sync."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 async def sync(group_commit: GroupCommit, queue: Callable[[SyncTicket], object]) -> bool:
-    """Calls `queue` with a ticket and waits until what it queued is on disk; returns False where
-    `queue` returns False because it queued nothing.
+    """Calls `queue` with a ticket and waits until the entry that it queued is on disk.
 
-    Raises what `queue` raises, and StorageFull where the disk refuses the write.
+    Returns False if `queue` returned False because it queued nothing. Raises the errors of `queue`, and StorageFull if
+    the disk refuses the write.
     """
     ticket = group_commit.submit(queue)
     if ticket is None:
--- a/pipitlink/storage/entries.py
+++ b/pipitlink/storage/entries.py
@@ -1,4 +1,4 @@
-"""The entries of a storage node's segment files."""
+"""Builds and encodes the entries of a storage node's segment files."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def encode(entry: Entry) -> bytes:
-    """Returns the bytes of an entry with its data last, so that log bytes are contiguous in the file."""
+    """Serializes an entry with its data last, so that the log bytes are contiguous in the file."""
     header = Entry()
     header.CopyFrom(entry)
     header.ClearField("data")
@@ -24,22 +24,22 @@
 
 
 def expire_entry(replica: Replica) -> Entry:
-    """Returns the entry that records that a final log's bytes were dropped."""
+    """Returns the entry that records that the bytes of a final log were deleted."""
     return Entry(kind=Entry.EXPIRE, log=replica.log, epoch=replica.tail_epoch, final=True, closed_ms=replica.closed_ms)
 
 
 def delete_entry(log: str) -> Entry:
-    """Returns the entry that records that a log was removed."""
+    """Returns the entry that records that a log was deleted."""
     return Entry(kind=Entry.DELETE, log=log)
 
 
 def no_op_entry() -> Entry:
-    """Returns an entry without effect, whose sync shows that all before it is on disk."""
+    """Returns an entry without effect, whose sync confirms that all earlier entries are on disk."""
     return Entry(kind=Entry.NO_OP)
 
 
 def snapshot_entry(replica: Replica, data: bytes) -> Entry:
-    """Returns one entry for all of a log's bytes; an expired log has none."""
+    """Returns a single entry for a whole replica with its bytes, which are empty if the log has expired."""
     return Entry(
         kind=Entry.WRITE if data or not replica.final else Entry.EXPIRE,
         log=replica.log,
--- a/pipitlink/storage/lease_grants.py
+++ b/pipitlink/storage/lease_grants.py
@@ -29,10 +29,10 @@
 
 
 class LeaseGrants:
-    """The short leases that this storage node has granted, each under a higher epoch, which is on disk first.
+    """The leases granted by this storage node, each under a higher epoch that is synced before the grant.
 
-    A storage node that has just started, or has just joined a placement group, may not know of a valid lease: until
-    that would have run out, it refuses new ones.
+    A storage node that has just started, or just joined a placement group, may not know of a valid lease. It refuses
+    new leases until any such lease would have expired.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self._ctx.rpc.register_handler("replicated_log.renew", RenewRequest, self._renew)
 
     def joined_placement_group(self, number: int) -> None:
-        """Refuses new leases on the logs of a placement group that this node has joined, as after a start."""
+        """Starts the period without new leases for a placement group that this node has joined, as after a start."""
         self._joined_group_no_grants_until[number] = self._ctx.timers.now() + LEASE_DURATION
 
     def _valid_grant(self, log: str) -> _Grant | None:
@@ -63,7 +63,7 @@
         return None
 
     def log_state(self, log: str) -> LogState:
-        """Returns what is on disk of a log, with its leaseholder where its lease is valid."""
+        """Returns the state of a log on disk, with its leaseholder if there is a valid lease."""
         state = self._log_store.state(log)
         grant = self._valid_grant(log)
         if grant is not None:
@@ -72,16 +72,17 @@
         return state
 
     def _max_unknown_lease_left(self, log: str) -> timedelta:
-        """Returns for how long a lease may still be valid that this storage node does not know of."""
+        """Returns how long a lease that this storage node does not know of may still be valid, at most."""
         number = placement_group_of(log, self._ctx.cluster.placement_groups)
         until = max(self._no_grants_until, self._joined_group_no_grants_until.get(number, ZERO))
         return until - self._ctx.timers.now()
 
     async def _lease(self, _peer: str, request: LeaseRequest) -> LeaseResponse:
-        """Grants a lease that no other node holds.
+        """Grants a lease unless another node holds it.
 
-        Epochs alone keep a log consistent; to wait for a lease only avoids contention. So the lease of a leaseholder
-        that is lost may be requested by its name, and one that nobody is known to hold without a wait (`take_over`).
+        Epochs alone keep a log consistent; waiting for a lease to expire only avoids contention. A request may
+        therefore name a lost leaseholder to replace it at once, or set `take_over` if no node is known to hold the
+        lease.
         """
         await self._placement_check.require_current(request.log, request.placement_group_sequence)
         now = self._ctx.timers.now()
@@ -93,7 +94,7 @@
         return LeaseResponse(granted=True, state=self.log_state(request.log), free_bytes=self._log_store.free_bytes())
 
     def _check_refusal(self, request: LeaseRequest) -> LeaseResponse | None:
-        """Returns the response that refuses a lease, None where it can be granted."""
+        """Returns the response that refuses a lease, or None if the lease can be granted."""
         grant = self._valid_grant(request.log)
         state = self.log_state(request.log)
         if grant is not None and grant.leaseholder not in (request.leaseholder, request.lost_leaseholder):
@@ -107,7 +108,7 @@
         return None
 
     async def _renew(self, _peer: str, request: RenewRequest) -> RenewResponse:
-        """Renews or releases the leases whose epoch is still the highest granted."""
+        """Renews or releases those leases whose epoch is still the highest granted one."""
         expires_at = self._ctx.timers.now() + LEASE_DURATION
         response = RenewResponse(free_bytes=self._log_store.free_bytes())
         for lease in request.leases:
--- a/pipitlink/storage/log_store.py
+++ b/pipitlink/storage/log_store.py
@@ -1,4 +1,4 @@
-"""The replicas of all logs on one storage node, and the rules of epochs and positions."""
+"""The replicas of all logs on one storage node, with the checks of epochs and positions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 __all__ = ["LogStore", "SyncTicket"]
 
 SyncTicket = defer.Deferred[None]
-"""Fires once the entry that was queued with it is on disk."""
+"""A Deferred that fires once the entry queued with it is on disk."""
 
 GRANT_ENTRY_BYTES = 64
 WRITE_OVERHEAD_BYTES = 128
@@ -26,10 +26,11 @@
 
 
 class LogStore:
-    """The replicas of one storage node, on segment files.
+    """The replicas of one storage node, stored in segment files.
 
-    Methods that take a ticket change the state at once and queue an entry, which is on disk when the ticket fires.
-    `budget` is the most bytes that the files may take, the last `reserve` of them only for what must not be refused.
+    Methods that take a ticket change the state in memory at once and queue an entry, which is on disk once the ticket
+    fires. `budget` is the maximum size of the files in bytes; the last `reserve` bytes of it are kept for writes that
+    must not be refused.
     """
 
     def __init__(self, folder: Path, disk: Disk, budget: int, reserve: int) -> None:
@@ -47,7 +48,7 @@
         }
 
     def recover(self) -> None:
-        """Rebuilds all replicas from the segment files; raises CorruptData."""
+        """Rebuilds all replicas from the segment files. Raises CorruptData."""
         self.logs = {}
         for location, body in self.segments.recover():
             entry = Entry.FromString(body)
@@ -62,7 +63,7 @@
         return replica
 
     def _apply_no_op(self, entry: Entry, location: Position, size: int) -> None:
-        """Does nothing: the entry only shows that others before it are on disk."""
+        """Does nothing: the entry only confirms that earlier entries are on disk."""
 
     def _apply_delete(self, entry: Entry, location: Position, _size: int) -> None:
         self.logs.pop(entry.log, None)
@@ -84,32 +85,32 @@
         return replica
 
     def used_bytes(self) -> int:
-        """Returns the size of all segment files, including what is queued for them."""
+        """Returns the size of all segment files, including queued entries."""
         return self.segments.used_bytes()
 
     def free_bytes(self) -> int:
-        """Returns how many bytes may still be written before the reserve is used."""
+        """Returns how many bytes can still be written without using the reserve."""
         return max(0, self.budget - self.reserve - self.used_bytes())
 
     def _check_capacity(self, size: int, reserved: bool) -> None:
         limit = self.budget if reserved else self.budget - self.reserve
         used = self.used_bytes()
         if used + size > limit:
-            raise StorageFull(f"the data folder holds {used} of {self.budget} bytes")
+            raise StorageFull(f"the data folder uses {used} of {self.budget} bytes")
 
     def state(self, log: str) -> LogState:
-        """Returns what is on disk of a log, an empty state where there is no replica."""
+        """Returns the state of a log on disk, or an empty state if there is no replica."""
         replica = self.logs.get(log)
         return replica.state() if replica is not None else LogState(log=log)
 
     def grant_epoch(self, log: str, epoch: int, ticket: SyncTicket, leased: bool = True) -> None:
-        """Queues the grant of an epoch, which fences the writers of lower ones; raises StaleEpoch and StorageFull.
+        """Queues the grant of an epoch, which fences writers with lower epochs. Raises StaleEpoch and StorageFull.
 
-        `leased` is False for the replicated grant of another storage node.
+        `leased` is False if the grant is copied from another storage node.
         """
         replica = self._replica(log)
         if epoch <= replica.epoch:
-            raise StaleEpoch(f"{log}: epoch {replica.epoch} is promised")
+            raise StaleEpoch(f"{log}: epoch {replica.epoch} is already granted")
         self._check_capacity(GRANT_ENTRY_BYTES, True)
         replica.epoch = epoch
         if leased:
@@ -117,24 +118,24 @@
         replica.epoch_location = self.segments.append(grant_entry(log, epoch).SerializeToString(), ticket)
 
     def write(self, entry: Entry, expected: Tail, reserved: bool, ticket: SyncTicket) -> bool:
-        """Queues a leaseholder's write; returns False where the replica does not end as expected.
+        """Queues a leaseholder's write; returns False if the replica's tail is not the expected one.
 
-        Raises StaleEpoch where a higher epoch is granted or committed bytes would change, and StorageFull.
+        Raises StaleEpoch if a higher epoch is granted or committed bytes would change, and StorageFull.
         """
         replica = self._replica(entry.log)
         if entry.epoch < replica.epoch:
-            raise StaleEpoch(f"{entry.log}: epoch {replica.epoch} is promised")
+            raise StaleEpoch(f"{entry.log}: epoch {replica.epoch} is already granted")
         return self._write(replica, entry, expected, reserved, ticket)
 
     def install(self, entry: Entry, expected: Tail, ticket: SyncTicket) -> bool:
-        """Queues the state of another storage node's replica; returns False where this one does not end as expected.
+        """Queues the state of another storage node's replica; returns False if the local tail is not the expected one.
 
-        Raises StaleEpoch where this storage node has leased the log under a later epoch, whose leaseholder already
-        relies on what is here, or where committed bytes would change; and StorageFull.
+        Raises StaleEpoch if committed bytes would change, or if this storage node has granted a lease under a later
+        epoch, whose leaseholder already relies on the local replica. Raises StorageFull.
         """
         replica = self._replica(entry.log)
         if replica.leased_epoch > entry.epoch:
-            raise StaleEpoch(f"{entry.log}: epoch {replica.leased_epoch} was granted here")
+            raise StaleEpoch(f"{entry.log}: this storage node has granted epoch {replica.leased_epoch}")
         return self._write(replica, entry, expected, True, ticket)
 
     def _write(self, replica: Replica, entry: Entry, expected: Tail, reserved: bool, ticket: SyncTicket) -> bool:
@@ -151,46 +152,46 @@
         return True
 
     def record_synced(self, log: str, tail_epoch: int, length: int, final: bool) -> None:
-        """Records that a write up to this tail is on disk."""
+        """Records that the replica is on disk up to this tail."""
         replica = self.logs.get(log)
         if replica is not None:
             replica.synced = Tail(tail_epoch, length, final)
 
     def commit(self, log: str, epoch: int, position: int) -> None:
-        """Records that bytes below a position are committed, where the last writer had that epoch."""
+        """Records that bytes below a position are committed, if the last writer had this epoch."""
         replica = self.logs.get(log)
         if replica is not None and replica.tail_epoch == epoch:
             replica.committed = max(replica.committed, min(position, replica.length))
 
     def extents(self, log: str, position: int, length: int) -> list[Extent]:
-        """Returns where the bytes of a range that are on disk lie, in order."""
+        """Returns the extents of the synced bytes of a range, in order."""
         replica = self.logs.get(log)
         return replica.synced_extents(position, length) if replica is not None else []
 
     def is_written_under(self, log: str, epoch: int) -> bool:
-        """Returns whether the last writer of a log had this epoch, of all that is on disk and of what is queued."""
+        """Returns whether the last writer of a log had this epoch, both on disk and including queued writes."""
         replica = self.logs.get(log)
         return replica is not None and replica.tail_epoch == replica.synced.epoch == epoch
 
     def read_extents(self, extents: list[Extent]) -> bytes:
-        """Reads bytes from disk; blocks, so it is called on a thread."""
+        """Reads bytes from disk. Blocks, so it must be called in a thread."""
         return b"".join(self.segments.read_bytes(extent.location, extent.length) for extent in extents)
 
     def expire(self, log: str, ticket: SyncTicket) -> None:
-        """Drops a final log's bytes, and keeps that it was final."""
+        """Deletes the bytes of a final log, but keeps the record that it was final."""
         replica = self.logs[log]
         entry = expire_entry(replica)
         _apply_expiry(replica, entry, self.segments.append(entry.SerializeToString(), ticket))
         replica.synced = Tail(replica.tail_epoch, 0, True)
 
     def delete(self, log: str, ticket: SyncTicket) -> None:
-        """Removes a log and all that is known of it."""
+        """Deletes a log and everything recorded about it."""
         self.logs.pop(log, None)
         location = self.segments.append(delete_entry(log).SerializeToString(), ticket)
         self.delete_segments.add(location.segment)
 
     def rewrite(self, replica: Replica, data: bytes, ticket: SyncTicket) -> None:
-        """Queues a whole log, whose bytes are `data`, once more at the end of the newest segment file."""
+        """Queues a whole log, with its bytes `data`, again at the end of the newest segment file."""
         grant = grant_entry(replica.log, replica.epoch)
         replica.epoch_location = self.segments.append(grant.SerializeToString(), None)
         entry = snapshot_entry(replica, data)
@@ -203,7 +204,7 @@
             _apply_write(replica, entry, location, len(body))
 
     def write_no_op(self, ticket: SyncTicket) -> None:
-        """Queues an entry without effect, whose sync shows that all entries before it are on disk."""
+        """Queues an entry without effect, whose sync confirms that all earlier entries are on disk."""
         self.segments.append(no_op_entry().SerializeToString(), ticket)
 
     def close(self) -> None:
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -1,4 +1,4 @@
-"""The storage node: composes its parts and answers reads."""
+"""The storage node: creates its components and handles reads."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 MAX_STATES = 4096
 MIN_RESERVE_BYTES = 1024 * 1024
 RESERVE_DIVISOR = 10
-"""Which part of the budget is kept in reserve: one in so many bytes."""
+"""The reserve is the budget divided by this, or MIN_RESERVE_BYTES if that is more."""
 
 
 class StorageNode:
-    """A storage node: keeps replicas of logs, and grants leases on them.
+    """A storage node, which keeps replicas of logs and grants leases on them.
 
-    All parts work on one log store through one group commit, so that their writes share group syncs.
+    All components use one log store through one group commit, so that their writes share syncs.
     """
 
     def __init__(self, ctx: Context, disk: Disk | None = None) -> None:
@@ -48,7 +48,7 @@
         self._write_handler = WriteHandler(ctx, self.log_store, group_commit, self._lease_grants, placement_check)
 
     def open(self) -> None:
-        """Recovers the log store, starts the regular work and registers the RPC handlers; raises CorruptData."""
+        """Recovers the log store, starts the periodic tasks and registers the RPC handlers. Raises CorruptData."""
         self.log_store.recover()
         self._ctx.logger.info("logs_recovered", logs=len(self.log_store.logs), used=self.log_store.used_bytes())
         self._lease_grants.open()
@@ -86,7 +86,7 @@
         )
 
     def readiness(self) -> tuple[bool, dict[str, Any]]:
-        """Returns that the node is ready, and how full its data folder is, in bytes."""
+        """Returns True and the usage of the data folder in bytes: a storage node is ready once it is open."""
         return True, {
             "used": self.log_store.used_bytes(),
             "room": self.log_store.free_bytes(),
@@ -95,7 +95,7 @@
         }
 
     def beliefs(self) -> dict[str, Any]:
-        """Returns the state of each log and the valid leases, for operators."""
+        """Returns the state of each log and the valid leases, for operator requests."""
         states = [self._lease_grants.log_state(log) for log in sorted(self.log_store.logs)]
         placement_groups = self._ctx.cluster.placement_groups
         return {
@@ -109,7 +109,7 @@
         }
 
     def metrics(self) -> Metrics:
-        """Returns help text and value of each metric by its name."""
+        """Returns the help text and value of each metric by name."""
         return {
             "disk_used_bytes": ("Bytes of the data folder in use", self.log_store.used_bytes()),
             "disk_room_bytes": ("Bytes before the reserve is touched", self.log_store.free_bytes()),
--- a/pipitlink/storage/placement_check.py
+++ b/pipitlink/storage/placement_check.py
@@ -1,4 +1,4 @@
-"""Whether a writer knows the newest placement of a log."""
+"""Checks whether a writer knows the current placement of a log."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class PlacementCheck:
-    """Refuses requests that rest on an older placement than this storage node knows."""
+    """Refuses requests based on an older placement than the one known to this storage node."""
 
     def __init__(self, ctx: Context) -> None:
         self._ctx = ctx
 
     async def require_current(self, log: str, sequence: int) -> None:
-        """Raises StalePlacement where the log's placement group has a higher sequence, or may have one.
+        """Raises StalePlacement if the log's placement group has a higher sequence, or may have one.
 
-        The placement is not kept on disk: a storage node that has just started knows it only once it has followed a
-        leader, and until then it might accept a writer of an older placement.
+        The placement is not stored on disk. A storage node that has just started does not know it until it has caught
+        up with a leader, and could otherwise accept a writer with an older placement.
         """
         if not await self._ctx.cluster.wait_until_caught_up(FOLLOW_TIMEOUT):
-            raise StalePlacement("this storage node has not heard the newest placement since it started")
+            raise StalePlacement("this storage node has not received the current placement since it started")
         cluster = self._ctx.cluster
         placement_group = cluster.placement_group(placement_group_of(log, cluster.placement_groups))
         if sequence < placement_group.sequence:
--- a/pipitlink/storage/replica.py
+++ b/pipitlink/storage/replica.py
@@ -1,4 +1,4 @@
-"""A storage node's replica of one log: its epochs, its tail, and where its bytes are on disk."""
+"""A storage node's replica of one log: its epochs, its tail, and the location of its bytes on disk."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         return self.location.segment
 
     def slice(self, position: int, length: int) -> Extent:
-        """Returns the part from a position of the log on, `length` bytes long."""
+        """Returns the part of `length` bytes that starts at a log position."""
         offset = self.location.offset + position - self.start
         return Extent(position, length, Position(self.location.segment, offset))
 
@@ -44,9 +44,10 @@
 class Replica:
     """The replica of one log.
 
-    `epoch` is the highest epoch granted, by this storage node or, as far as it has replicated their grants, by others;
-    `leased_epoch` is the highest that it granted itself. `tail_epoch` is the epoch of the last writer, and `synced` the
-    tail that is on disk. `epoch_location` and `tail_location` are the entries that the epochs were recovered from.
+    `epoch` is the highest granted epoch known to this storage node, including copied grants of other storage nodes;
+    `leased_epoch` is the highest epoch that it granted itself. `tail_epoch` is the epoch of the last writer, and
+    `synced` is the tail on disk. `epoch_location` and `tail_location` locate the entries that hold `epoch` and
+    `tail_epoch`.
     """
 
     log: str
@@ -65,11 +66,11 @@
 
     @property
     def tail(self) -> Tail:
-        """The tail including writes that are not on disk yet."""
+        """The tail, including writes that are not on disk yet."""
         return Tail(self.tail_epoch, self.length, self.final)
 
     def state(self) -> LogState:
-        """Returns what is on disk as a message, without the lease."""
+        """Returns the state on disk as a message, without the lease."""
         return LogState(
             log=self.log,
             epoch=self.epoch,
@@ -81,14 +82,14 @@
         )
 
     def uses_segment(self, segment: int) -> bool:
-        """Returns whether the replica needs anything in that segment file."""
+        """Returns whether the replica needs an entry in this segment file."""
         entries = [self.epoch_location, self.tail_location]
         if any(location is not None and location.segment == segment for location in entries):
             return True
         return any(extent.segment == segment for extent in self.extents)
 
     def truncate(self, position: int) -> None:
-        """Drops all bytes from a position on."""
+        """Removes all bytes from a position on."""
         while self.extents and self.extents[-1].start >= position:
             self.extents.pop()
             self.extent_starts.pop()
@@ -99,14 +100,14 @@
         self.length = position
 
     def append_extent(self, length: int, location: Position) -> None:
-        """Adds bytes, which are at a location on disk, to the end."""
+        """Appends bytes that are stored at a location on disk."""
         if length:
             self.extent_starts.append(self.length)
             self.extents.append(Extent(self.length, length, location))
             self.length += length
 
     def synced_extents(self, position: int, length: int) -> list[Extent]:
-        """Returns where the bytes of a range that are on disk lie, in order."""
+        """Returns the extents of the synced bytes of a range, in order."""
         end = min(position + length, self.synced.length)
         found = []
         index = max(0, bisect.bisect_right(self.extent_starts, position) - 1)
--- a/pipitlink/storage/replica_repair.py
+++ b/pipitlink/storage/replica_repair.py
@@ -1,4 +1,4 @@
-"""Decides when a storage node brings its replicas up to date with those of its peers."""
+"""Decides when a storage node updates its replicas from those of its peers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class ReplicaRepair:
-    """Starts transfers when this node joins a placement group or was away, and regularly for what was missed."""
+    """Starts transfers when this node joins a placement group, after a time without a leader, and periodically."""
 
     def __init__(self, ctx: Context, lease_grants: LeaseGrants, transfer: ReplicaTransfer) -> None:
         self._ctx = ctx
@@ -45,7 +45,7 @@
         self._transfers: RepeatingCall | None = None
 
     def open(self) -> None:
-        """Starts to watch the placement, and the regular work."""
+        """Starts to watch the placement, and starts the periodic tasks."""
         self._ctx.cluster.add_listener(self._placement_changed)
         timers, report = self._ctx.timers, self._ctx.error_reporter
         self._transfers = timers.call_repeatedly(
@@ -55,7 +55,7 @@
         timers.call_repeatedly(REPAIR_INTERVAL, self._repair_all, report("replica_repair"))
 
     def _placement_groups(self) -> list[PlacementGroup]:
-        """Returns the placement groups that this node is part of, or joins."""
+        """Returns the placement groups that this node belongs to or is joining."""
         cluster = self._ctx.cluster
         groups = [cluster.placement_group(number) for number in sorted(cluster.cluster_state.placement_groups)]
         return [group for group in groups if self._ctx.node in group.all_nodes]
@@ -72,7 +72,7 @@
             self._transfers.wake()
 
     def _time_until_transfer(self) -> timedelta | None:
-        """Returns how long there is nothing to transfer, None until a change of the placement or a repair."""
+        """Returns the time until the next transfer, or None if only a placement change or a repair can cause one."""
         if any(self._ctx.node in group.transfer_targets for group in self._placement_groups()):
             return ZERO
         if not self._outdated_groups:
@@ -80,7 +80,7 @@
         return max(ZERO, self._next_repair_at - self._ctx.timers.now())
 
     async def _transfer_all(self) -> None:
-        """Transfers what the own placement groups lack: first those that move, then those that may be outdated."""
+        """Transfers missing data of this node's placement groups: first those that change, then outdated ones."""
         for placement_group in sorted(self._placement_groups(), key=lambda group: not group.is_moving):
             if self._ctx.node in placement_group.transfer_targets:
                 await self._join(placement_group)
@@ -100,7 +100,7 @@
             self._next_repair_at = self._ctx.timers.now() + RETRY_INTERVAL
 
     def _check_leader_contact(self) -> None:
-        """Starts a repair after a start, or a time without a leader: what was written meanwhile may be missing."""
+        """Starts a repair after a start or a time without a leader, since this node may have missed writes."""
         has_leader = self._ctx.cluster.has_live_lease()
         if has_leader and not self._had_leader:
             self._repair_all()
@@ -117,7 +117,7 @@
         return self._ctx.timers.now() - report.reported_at < REPORT_INTERVAL
 
     async def _report_caught_up(self, placement_group: PlacementGroup) -> None:
-        """Tells the controllers that this node has all that is durable of a placement group."""
+        """Reports to the controllers that this node has all durable data of a placement group."""
         caught_up = CaughtUp(
             storage_node=self._ctx.node, placement_group=placement_group.number, sequence=placement_group.sequence
         )
--- a/pipitlink/storage/replica_transfer.py
+++ b/pipitlink/storage/replica_transfer.py
@@ -1,4 +1,4 @@
-"""Transfers the logs of a placement group from peers to this storage node."""
+"""Copies the logs of a placement group from peers to this storage node."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @attrs.define
 class _PeerReplicas:
-    """What a majority of the peers has of the logs of one placement group."""
+    """The most up-to-date replicas and the granted epochs among the peers, for the logs of one placement group."""
 
     best: dict[str, _PeerReplica] = attrs.field(factory=dict)
     granted_epochs: dict[str, int] = attrs.field(factory=dict)
@@ -59,9 +59,9 @@
         self._group_commit = group_commit
 
     async def transfer_placement_group(self, placement_group: PlacementGroup, joining: bool) -> bool:
-        """Returns True once this storage node has all that a majority, at this placement, is seen to have.
+        """Returns True once the local replicas are as up to date as those of a majority at this placement.
 
-        A node that is `joining` also replicates the granted epochs.
+        If `joining`, the node also copies the granted epochs.
         """
         peers = await self._list_peer_replicas(placement_group)
         if peers is None:
@@ -80,7 +80,7 @@
         return all(await defer.gatherResults(workers, consumeErrors=True))
 
     async def _list_peer_replicas(self, placement_group: PlacementGroup) -> _PeerReplicas | None:
-        """Returns what the peers at this placement have, None where they and this node are no majority."""
+        """Returns the peers' replicas at this placement, or None if these peers and this node are no majority."""
         has_majority = partial(self._has_majority, placement_group)
         responses: dict[str, StatesResponse] = await self._ctx.replicated_log.call_each(
             [node for node in placement_group.all_nodes if node != self._ctx.node],
@@ -99,19 +99,19 @@
         return peers
 
     def _has_majority(self, placement_group: PlacementGroup, responses: Mapping[str, StatesResponse]) -> bool:
-        """Returns whether this node and the peers that answered at this placement are a majority."""
+        """Returns whether this node and the peers that responded at this placement are a majority."""
         current = _at_placement(responses, placement_group.sequence)
         return majority([*current, self._ctx.node], placement_group.storage_nodes)
 
     def _is_outdated(self, peer: LogState) -> bool:
-        """Returns whether the local replica lacks what a peer has; one that has expired here lacks nothing."""
+        """Returns whether the local replica is behind a peer's; one that has expired locally is not."""
         local = self._log_store.state(peer.log)
         if TailPosition.of(peer) <= TailPosition.of(local):
             return False
         return not (_is_expired(local) and local.tail_epoch >= peer.tail_epoch)
 
     async def _transfer_logs(self, outdated: Iterator[_PeerReplica], granted_epochs: Mapping[str, int]) -> bool:
-        """Takes logs from an iterator that several workers share; returns True where each of them succeeded."""
+        """Transfers logs from an iterator shared by several workers; returns whether all of them succeeded."""
         succeeded = True
         for peer in outdated:
             log = peer.state.log
@@ -127,18 +127,18 @@
         return succeeded
 
     async def _transfer_log(self, peer: _PeerReplica) -> None:
-        """Makes the local replica the same as a peer's, including its uncommitted tail, in one entry."""
+        """Makes the local replica identical to a peer's, including its uncommitted tail, with one entry."""
         log, state = peer.state.log, peer.state
         local = self._log_store.state(log)
         start = local.length if local.tail_epoch == state.tail_epoch else min(local.committed, state.length)
         data = await self._ctx.replicated_log.read_from(peer.storage_node, log, start, state.length - start)
         if len(data) != state.length - start:
-            raise NoQuorum(f"{log}: {peer.storage_node} did not show all of it")
+            raise NoQuorum(f"{log}: storage node {peer.storage_node} returned only {len(data)} bytes")
         expected = Tail(local.tail_epoch, local.length)
         if not await sync(
             self._group_commit, partial(self._log_store.install, _entry_of(state, start, data), expected)
         ):
-            raise StaleEpoch(f"{log} moved meanwhile")
+            raise StaleEpoch(f"{log}: the local replica changed during the transfer")
         self._log_store.record_synced(log, state.tail_epoch, state.length, state.final)
         self._ctx.logger.info("replica_transferred", log=log, bytes=len(data), source=peer.storage_node)
         await self._ctx.timers.sleep(secs(len(data) * CONCURRENT_TRANSFERS / MAX_BYTES_PER_SECOND))
--- a/pipitlink/storage/retention.py
+++ b/pipitlink/storage/retention.py
@@ -1,4 +1,4 @@
-"""Retention: drops the bytes of logs that ended long ago, and later all that is known of them."""
+"""Retention: deletes the bytes of logs that ended long ago, and later their remaining records."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 RETENTION_INTERVAL: timedelta = secs(5)
 TOMBSTONE_RETENTION_MS = 40 * 86_400_000
-"""How long after its bytes an expired log is remembered, so that no peer brings it back."""
+"""How long an expired log is remembered after its bytes were deleted, so that it is not copied back from a peer."""
 
 
 class Retention:
-    """Expires and deletes logs by the time that they ended at, then compacts segment files."""
+    """Expires and deletes logs by the time since they ended, then compacts segment files."""
 
     def __init__(self, ctx: Context, log_store: LogStore, group_commit: GroupCommit) -> None:
         self._ctx = ctx
@@ -30,7 +30,7 @@
         self._compactor = SegmentCompactor(ctx, log_store, group_commit)
 
     def open(self) -> None:
-        """Starts the regular work."""
+        """Starts the periodic task."""
         self._ctx.timers.call_repeatedly(RETENTION_INTERVAL, self._run, self._ctx.error_reporter("retention"))
 
     async def _run(self) -> None:
--- a/pipitlink/storage/segment_compaction.py
+++ b/pipitlink/storage/segment_compaction.py
@@ -1,4 +1,4 @@
-"""Compaction: gives back the space of segment files that are mostly obsolete."""
+"""Compaction: frees the space of segment files whose content is mostly obsolete."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SegmentCompactor:
-    """Rewrites the logs that need an old segment file to the newest one, then drops the file."""
+    """Rewrites the logs that still use an old segment file to the newest one, then deletes the old file."""
 
     def __init__(self, ctx: Context, log_store: LogStore, group_commit: GroupCommit) -> None:
         self._ctx = ctx
@@ -25,7 +25,7 @@
         self._group_commit = group_commit
 
     async def compact_one(self) -> None:
-        """Compacts the segment file with the smallest live fraction, if that is small enough."""
+        """Compacts the segment file with the smallest live fraction, if that is at most MAX_LIVE_FRACTION."""
         segment = self._select_segment()
         if segment is None:
             return
@@ -56,7 +56,7 @@
         return selected if live_fractions[selected] <= MAX_LIVE_FRACTION else None
 
     async def _rewrite(self, replica: Replica) -> bool:
-        """Returns False where the replica changed meanwhile, and its log was not rewritten."""
+        """Rewrites one log; returns False, without a rewrite, if its replica changed in the meantime."""
         before = (replica.epoch, replica.tail)
         extents = self._log_store.extents(replica.log, 0, replica.length)
         data = await self._ctx.run_in_thread(self._log_store.read_extents, extents)
--- a/pipitlink/storage/write_handler.py
+++ b/pipitlink/storage/write_handler.py
@@ -1,4 +1,4 @@
-"""Writes of leaseholders to the replicas of a storage node."""
+"""Handles writes of leaseholders to the replicas of a storage node."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 MAX_LOG_BYTES = 64 * 1024 * 1024
 MAX_PARTIAL_WRITES = 16
-# How long another replica is read from: less than the writer waits for the whole fetch.
+# The timeout for reading from another replica, less than the writer's timeout for the whole fetch.
 FETCH_TIMEOUT = ms(600)
 
 
@@ -34,27 +34,27 @@
 
 
 class PartialWrites:
-    """Buffers the parts of long writes until the last part makes each of them one entry."""
+    """Buffers the parts of long writes until the last part arrives, so that each write becomes one entry."""
 
     def __init__(self) -> None:
         self._buffers: dict[_WriterKey, bytes] = {}
 
     def add(self, part: WriteRequest) -> None:
-        """Buffers one part; raises StorageFull where it does not follow on the parts before it."""
+        """Buffers one part. Raises StorageFull if it does not continue the buffered parts or a limit is exceeded."""
         key = _WriterKey(part.log, part.epoch)
         buffered = b"" if part.position == 0 else self._buffers.get(key, b"")
         if len(buffered) != part.position or len(self._buffers) > MAX_PARTIAL_WRITES or len(buffered) > MAX_LOG_BYTES:
-            raise StorageFull(f"{part.log}: this part does not follow on what is staged")
+            raise StorageFull(f"{part.log}: a part at {part.position} does not continue {len(buffered)} buffered bytes")
         self._buffers[key] = buffered + part.data
 
     def complete(self, last: WriteRequest) -> bytes | None:
-        """Returns the data of a write from the buffered parts and the last one, None where a part is missing."""
+        """Returns the data of a write from the buffered parts and the last one, or None if a part is missing."""
         buffered = self._buffers.pop(_WriterKey(last.log, last.epoch), b"")[: last.buffered_bytes]
         return buffered + last.data if len(buffered) == last.buffered_bytes else None
 
 
 class WriteHandler:
-    """Answers `replicated_log.write`, `replicated_log.fetch` and `replicated_log.mark`."""
+    """Handles `replicated_log.write`, `replicated_log.fetch` and `replicated_log.mark`."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         return WriteResponse(written=True, state=self._lease_grants.log_state(request.log))
 
     async def _fetch(self, peer: str, request: FetchRequest) -> WriteResponse:
-        """Handles a write once its data was read from another replica, which has them on disk under the same epoch."""
+        """Reads the data of a write from another replica, which has it on disk under the same epoch, then writes it."""
         write = request.write
         reading = self._ctx.replicated_log.read_from(
             request.source, write.log, write.position, request.length, tail_epoch=write.epoch
