--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -172,7 +172,7 @@
     def __init__(self, simulation, seen):
         super().__init__(simulation)
         self._seen = seen
-        self.acked = _RecordedAppends(seen)
+        self.acknowledged = _RecordedAppends(seen)
 
     def check(self, data):
         self._seen.note("read", len(data), _short_digest(bytes(data)))
@@ -192,9 +192,9 @@
             _spawn(seen, writers.write(a))
             _spawn(seen, writers.read(a))
         simulation.run(8)
-        writers.over = True
+        writers.stopped = True
         simulation.run(3)
-        seen.note("in the end", writers.holds, writers.faults, len(writers.shown))
+        seen.note("in the end", writers.lease_count, writers.violations, len(writers.last_read))
     return seen.lines, network.lines
 
 
