--- a/pipitlink/tools/__init__.py
+++ b/pipitlink/tools/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' commands: they send requests to the nodes over HTTP and print the responses."""
+"""The operator commands, which send HTTP requests to nodes and print the responses."""
 
 from __future__ import annotations
 
@@ -25,13 +25,14 @@
     "lot": cluster.run_batch,
     "status": cluster.run_status,
 }
-"""The command groups by their words on the command line."""
+"""The function of each command group, by its name on the command line."""
 
 
 def run_tool(arguments: Mapping[str, Any]) -> int:
-    """Runs one operators' command, given as docopt's arguments, and returns its exit code.
+    """Runs one operator command, given as docopt's arguments, and returns its exit code.
 
-    0 done, 1 refused by the cluster, 2 where no address answered or a file cannot be read.
+    0: done. 1: refused by the cluster, or, for `compare`, the nodes differ. 2: no node responded, or a file cannot be
+    read.
     """
     if arguments["compare"]:
         return comparison.compare(arguments["A"], arguments["B"], arguments["--json"])
--- a/pipitlink/tools/client.py
+++ b/pipitlink/tools/client.py
@@ -1,4 +1,4 @@
-"""HTTP requests with JSON bodies to the nodes' operator addresses."""
+"""Sends HTTP requests with JSON bodies to the operator addresses of nodes."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class UnreachableError(Exception):
-    """No response came, or one that is no JSON."""
+    """No response arrived, or its body is not JSON."""
 
 
 @attrs.frozen
 class Response:
-    """A response's HTTP status and its JSON body."""
+    """The HTTP status and JSON body of a response."""
 
     status: int
     body: Any
@@ -31,7 +31,7 @@
 def send_request(
     address: str, method: str, path: str, body: object = None, headers: Mapping[str, str] | None = None
 ) -> Response:
-    """Sends one request to HOST:PORT and returns its response, whatever its status. Raises UnreachableError."""
+    """Sends one request to HOST:PORT and returns its response with any status. Raises UnreachableError."""
     data = json.dumps(body).encode() if body is not None else None
     all_headers = {"Content-Type": "application/json", **(headers or {})}
     request = urllib.request.Request(f"http://{address}{path}", data, all_headers, method=method)
@@ -60,8 +60,11 @@
     def request(
         self, method: str, path: str, body: object = None, headers: Mapping[str, str] | None = None
     ) -> Response:
-        """Returns the first response that is no 503, or the last address's. Raises UnreachableError where none came."""
-        unreachable = UnreachableError("no address: give --at HOST:PORT or set PIPITLINK_AT")
+        """Returns the first response whose status is not 503, or else the one of the last address.
+
+        Raises UnreachableError if there is no such response.
+        """
+        unreachable = UnreachableError("no address given: use --at HOST:PORT or set PIPITLINK_AT")
         for address in self._addresses:
             try:
                 response = send_request(address, method, path, body, headers)
@@ -74,7 +77,7 @@
 
 
 def edit_headers(base: object, edit_id: str | None) -> dict[str, str]:
-    """Returns the headers of an edit: the version that it builds on, and its id if one was given."""
+    """Returns the headers of an edit: the version that it is based on, and its id if one was given."""
     headers = {"If-Match": str(base)}
     if edit_id:
         headers["Edit-Id"] = edit_id
--- a/pipitlink/tools/cluster.py
+++ b/pipitlink/tools/cluster.py
@@ -1,4 +1,4 @@
-"""The commands for zones, storage nodes, batch jobs and the cluster's status."""
+"""The commands for zones, storage nodes, batches and the cluster status."""
 
 from __future__ import annotations
 
--- a/pipitlink/tools/comparison.py
+++ b/pipitlink/tools/comparison.py
@@ -1,4 +1,4 @@
-"""The `compare` command: the differences between what two nodes hold to be true."""
+"""The `compare` command, which finds differences between the states of two nodes."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 """A node's state by topic, as `/v1/beliefs` returns it."""
 
 Differences = dict[str, dict[str, list[Any]]]
-"""By topic and key: what the first and what the second node has, None where a node has nothing."""
+"""The values of the first and second node by topic and key; None if a node has no value."""
 
 
 def differences(first: Beliefs, second: Beliefs) -> Differences:
-    """Returns topic by topic the keys on which two nodes differ, with both values."""
+    """Returns, by topic, the keys whose values differ between two nodes, with both values."""
     found = {}
     for topic in TOPICS:
         if topic not in first or topic not in second:
@@ -42,7 +42,7 @@
 
 
 def _comparable_keys(topic: str, first: Beliefs, second: Beliefs) -> set[str]:
-    """Returns the keys of a topic on which both nodes need to agree."""
+    """Returns the keys of a topic whose values must be equal on both nodes."""
     first_keys, second_keys = set(first[topic]), set(second[topic])
     if topic == "leases":
         return first_keys & second_keys
@@ -55,16 +55,16 @@
 
 
 def _is_replicated_on_both(log: str, first: Beliefs, second: Beliefs) -> bool:
-    """Returns whether both nodes are replicas of the placement group of a log, named PLACEMENT_GROUP/NAME."""
+    """Returns whether both nodes belong to the placement group of a log, which is given as PLACEMENT_GROUP/NAME."""
     placement_group = first["placement_groups"].get(log.partition("/")[0], "")
     storage_nodes = placement_group.split(":")[1].split(",") if placement_group else []
     return first["node"] in storage_nodes and second["node"] in storage_nodes
 
 
 def compare(first_address: str, second_address: str, as_json: bool) -> int:
-    """Compares the state of two nodes, by their operator addresses HOST:PORT, and prints the differences.
+    """Compares the states of two nodes, given by their operator addresses HOST:PORT, and prints the differences.
 
-    Returns the exit code: 0 alike, 1 different, 2 where a node could not be reached.
+    Returns the exit code: 0 if they are equal, 1 if they differ, 2 if a node did not return its state.
     """
     try:
         first = send_request(first_address, "GET", BELIEFS_PATH)
@@ -74,7 +74,7 @@
         return EXIT_FAILED
     for address, response in ((first_address, first), (second_address, second)):
         if response.status != 200:
-            print(f"{address}: no beliefs are told there", file=sys.stderr)
+            print(f"{address}: no node state at {BELIEFS_PATH} (status {response.status})", file=sys.stderr)
             return EXIT_FAILED
     found = differences(first.body, second.body)
     if as_json:
--- a/pipitlink/tools/configuration.py
+++ b/pipitlink/tools/configuration.py
@@ -1,4 +1,4 @@
-"""The `config` commands: show and replace the configuration of routes."""
+"""The `config` commands, which show and replace the configuration of routes."""
 
 from __future__ import annotations
 
--- a/pipitlink/tools/output.py
+++ b/pipitlink/tools/output.py
@@ -1,4 +1,4 @@
-"""What the operators' commands read from files and print, and their exit codes."""
+"""File input, printed output and exit codes of the operator commands."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 EXIT_OK = 0
 EXIT_REFUSED = 1
 EXIT_FAILED = 2
-"""Nothing answered, or a file cannot be read."""
+"""No node responded, or a file cannot be read."""
 
 
 def print_response(response: Response) -> int:
-    """Prints a response's body, or its error to stderr, and returns the exit code."""
+    """Prints the body of a response, or its error to stderr, and returns the exit code."""
     if response.status < 400:
         print(json.dumps(response.body, indent=2))
         return EXIT_OK
@@ -30,7 +30,7 @@
 
 
 def read_json_file(path: str) -> Any:
-    """Returns a file's JSON document; None, with a line on stderr, where it cannot be read."""
+    """Returns the JSON document in a file; if it cannot be read, prints the error to stderr and returns None."""
     try:
         with open(path) as file:
             return json.load(file)
--- a/pipitlink/tools/weight_table.py
+++ b/pipitlink/tools/weight_table.py
@@ -1,4 +1,4 @@
-"""The `table` commands: show and edit the weight table."""
+"""The `table` commands, which show and edit the weight table."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 TABLE_PATH = "/v1/table"
 TEXT_FIELDS = ("model", "pool")
-"""Fields of a row that are texts also where they look like JSON."""
+"""Row fields whose values are strings even if they look like JSON."""
 
 
 def run(client: OperatorClient, arguments: Mapping[str, Any]) -> int:
@@ -52,7 +52,7 @@
 
 
 def _parse_value(text: str) -> Any:
-    """Returns the JSON value of a text, or the text where it is no JSON."""
+    """Parses a string as JSON; returns the string itself if it is not JSON."""
     try:
         return json.loads(text)
     except ValueError:
--- a/pipitlink/wire/__init__.py
+++ b/pipitlink/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The wire format between nodes: protobuf messages, and RPC over TCP."""
+"""The wire protocol between nodes: protobuf messages and RPC over TCP."""
--- a/pipitlink/wire/compression.py
+++ b/pipitlink/wire/compression.py
@@ -1,4 +1,4 @@
-"""Compression of the bodies of frames between zones, where bytes are dear."""
+"""Compression of frame bodies for traffic between zones, which costs more than traffic within one."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 __all__ = ["compress_body", "decompress_body"]
 
-# Shorter bodies gain less than a call costs.
+# For shorter bodies, compression costs more than it saves.
 MIN_BODY_BYTES = 400
 SAMPLE_BYTES = 1024
-# What does not shrink to this part of its size is sent as it is.
+# Bodies that do not shrink to this fraction of their size are sent uncompressed.
 MAX_COMPRESSED_RATIO = 0.9
 ZLIB_LEVEL = 1
 
 
 def compress_body(body: bytes) -> bytes | None:
-    """Returns a body compressed, or None where that gains too little.
+    """Returns the compressed body, or None if compression saves too little.
 
-    Of a long body a sample from its middle tells first, so that random bytes cost no more than the sample.
+    For a long body, a sample from its middle is compressed first, so that incompressible bodies cost only the sample.
     """
     if len(body) < MIN_BODY_BYTES:
         return None
@@ -36,12 +36,12 @@
 
 
 def decompress_body(data: bytes, max_bytes: int) -> bytes:
-    """Returns what was compressed. Raises WireError where it is damaged, or longer than `max_bytes`."""
+    """Returns the decompressed body. Raises WireError if it is damaged or longer than `max_bytes`."""
     decompressor = zlib.decompressobj()
     try:
         body = decompressor.decompress(data, max_bytes)
     except zlib.error as error:
-        raise WireError(f"a compressed body cannot be read: {error}") from error
+        raise WireError(f"cannot decompress a frame body: {error}") from error
     if not decompressor.eof:
-        raise WireError(f"a compressed body is cut off, or longer than {max_bytes} bytes")
+        raise WireError(f"compressed frame body is truncated, or longer than {max_bytes} bytes")
     return body
--- a/pipitlink/wire/connection.py
+++ b/pipitlink/wire/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection between two nodes: handshake, frames, calls and their responses."""
+"""A TCP connection between two nodes: handshake, frames, calls and responses."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
 
 PROTOCOL_VERSION = 1
 MAX_FRAME_BYTES = 96 * 1024 * 1024
-# Frames that are queued or whose calls are running, before reading from the peer is paused.
+# With this many queued frames and running calls, reading from the peer is paused.
 MAX_INBOUND_FRAMES = 512
-# Calls of one peer that run at the same time; further ones are rejected.
+# The maximum number of concurrent calls of one connection; further calls are rejected.
 MAX_CONCURRENT_CALLS = 256
 OVERLOADED_CODE = "crowded"
-# As what the first frame of each side counts in the traffic of a node.
+# The method under which the traffic counter counts the first frame of each side.
 HELLO_TRAFFIC_LABEL = "hello"
 STALL_TIMEOUT = secs(1)
 MIN_LINK_BYTES_PER_S = 512 * 1024
 
 
 def _compress(frame: Frame) -> None:
-    """Compresses the body of a frame where that gains enough."""
+    """Compresses the body of a frame if that saves enough."""
     body = compress_body(frame.body)
     if body is not None:
         frame.body, frame.compressed = body, True
 
 
 def _parse_frame(data: bytes) -> Frame:
-    """Returns a frame with its body as it was before compression. Raises WireError or DecodeError."""
+    """Parses a frame and decompresses its body. Raises WireError or DecodeError."""
     frame = Frame.FromString(data)
     if frame.compressed:
         frame.body, frame.compressed = decompress_body(frame.body, MAX_FRAME_BYTES), False
@@ -53,10 +53,7 @@
 
 
 class Notification:
-    """A notification to any number of peers, whose frame is serialized at most once with and once without compression.
-
-    `method` is the method's name.
-    """
+    """A notification to any number of peers; its frame is serialized at most once per form, plain and compressed."""
 
     def __init__(self, method: str, message: Message) -> None:
         self.method = method
@@ -69,7 +66,7 @@
 
     @cached_property
     def compressed_frame(self) -> bytes:
-        """The serialized frame, its body compressed where that gains enough."""
+        """The serialized frame, with a compressed body if that saves enough."""
         frame = Frame()
         frame.CopyFrom(self._frame)
         _compress(frame)
@@ -77,10 +74,10 @@
 
 
 class RpcConnection(Int32StringReceiver):
-    """A connection to one peer, with one task that reads it from the handshake to the end.
+    """A connection to one peer, with one task that processes its frames in order.
 
-    The first frame of each side is its Hello; `ready` fires with the connection once the peer's is accepted, and fails
-    with WireError where it is rejected or the connection is lost before.
+    The first frame of each side is its Hello. `ready` fires with the connection once the peer's Hello is accepted, and
+    fails with WireError if the Hello is rejected or the connection is lost first.
     """
 
     MAX_LENGTH = MAX_FRAME_BYTES
@@ -96,29 +93,29 @@
         self._running_calls = 0
         self._pending_calls: dict[int, defer.Deferred[Frame]] = {}
         self._last_call_id = 0
-        # Since when calls have been sent without anything coming from the peer, and how many bytes they had.
+        # The time of the first call sent since bytes last arrived from the peer, and the total size of these calls.
         self._unanswered_since: timedelta | None = None
         self._unanswered_bytes = 0
 
     @property
     def tcp(self) -> TcpTransport:
-        """The transport of the connection; set by twisted once it is made."""
+        """The transport of the connection, set by Twisted when the connection is made."""
         return cast("TcpTransport", self.transport)
 
     def connectionMade(self) -> None:  # noqa: N802 - twisted's interface
-        """Sends this side's Hello and starts to read."""
+        """Sends this side's Hello and starts to process frames."""
         self.tcp.setTcpNoDelay(True)
         self._write(HELLO_TRAFFIC_LABEL, self._rpc.hello().SerializeToString())
         self._reader = spawn(self._read_frames())
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
-        """Takes bytes from the peer, which shows that it is there."""
+        """Receives bytes from the peer; any bytes show that the connection is not stalled."""
         self._unanswered_since = None
         self._unanswered_bytes = 0
         super().dataReceived(data)  # type: ignore[no-untyped-call] # twisted has no types here
 
     def stringReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
-        """Queues a frame, and pauses reading while too many are queued or running."""
+        """Queues a frame, and pauses reading if too many frames are queued or being handled."""
         self._inbound_frames.append(data)
         if self._inbound_count() >= MAX_INBOUND_FRAMES and not self._reading_paused:
             self._reading_paused = True
@@ -126,7 +123,7 @@
         self._wake_reader()
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802 - twisted's interface
-        """Closes the connection to a peer that announces a frame over the limit."""
+        """Closes the connection if the peer announces a frame longer than the limit."""
         self._rpc.logger.warning("frame_too_long", length=length, peer=self.peer.node)
         self.tcp.abortConnection()
 
@@ -134,28 +131,31 @@
         self,
         reason: Failure = protocol.connectionDone,  # noqa: ARG002 - twisted's interface
     ) -> None:
-        """Fails all calls that wait for a response."""
+        """Fails all pending calls."""
         self.closed = True
         self._rpc.connection_closed(self)
         self._wake_reader()
         pending_calls, self._pending_calls = self._pending_calls, {}
         for pending_call in pending_calls.values():
             if not pending_call.called:
-                pending_call.errback(ConnectionFailed("the stream ended before the response"))
+                pending_call.errback(ConnectionFailed("connection closed before the response"))
         if not self.ready.called:
-            self.ready.errback(ConnectionFailed("the stream ended before the hello", sent=False))
+            self.ready.errback(ConnectionFailed("connection closed before the peer's Hello", sent=False))
 
     def is_stalled(self) -> bool:
-        """Returns whether nothing has come since a call was sent, for longer than its bytes take on a slow link."""
+        """Returns whether nothing has arrived since a call was sent, for longer than the timeout.
+
+        The timeout includes the time that the bytes of unanswered calls take on a slow link.
+        """
         if self._unanswered_since is None or self.closed:
             return False
         timeout = STALL_TIMEOUT + secs(self._unanswered_bytes / MIN_LINK_BYTES_PER_S)
         return self._rpc.now() - self._unanswered_since > timeout
 
     def call(self, method: str, body: bytes) -> defer.Deferred[Frame]:
-        """Sends a call, and returns its response frame. Fails with ConnectionFailed where the connection is lost."""
+        """Sends a call and returns a Deferred of its response frame; fails with ConnectionFailed on connection loss."""
         if self.closed:
-            return defer.fail(ConnectionFailed("the stream has ended", sent=False))
+            return defer.fail(ConnectionFailed("connection is closed", sent=False))
         self._last_call_id += 1
         call_id = self._last_call_id
         pending_call: defer.Deferred[Frame] = defer.Deferred(lambda _: self._forget_call(call_id))
@@ -167,7 +167,7 @@
         return pending_call
 
     def notify(self, notification: Notification) -> None:
-        """Writes the frame of a notification; it is dropped where the connection is closed."""
+        """Writes the frame of a notification, or drops it if the connection is closed."""
         if not self.closed:
             frame = notification.compressed_frame if self._should_compress() else notification.plain_frame
             self._write(notification.method, frame)
@@ -187,7 +187,7 @@
             self.tcp.abortConnection()
 
     async def _next_frame(self) -> bytes | None:
-        """Returns the next queued frame, or None once the connection is closed and all are read."""
+        """Returns the next queued frame, or None once the connection is closed and the queue is empty."""
         while not self._inbound_frames:
             if self.closed:
                 return None
@@ -229,13 +229,13 @@
             pending_call.callback(frame)
 
     def _handle_notification(self, frame: Frame) -> None:
-        """Runs the handler of a frame without a call id, to which nothing is sent back."""
+        """Runs the handler of a frame without a call id, which gets no response."""
         handling = self._rpc.handle_notification(self.peer, frame.method, frame.body)
         self._rpc.run_in_background(handling, frame.method)
 
     def _reject_call(self, frame: Frame) -> None:
         response = Frame(
-            call_id=frame.call_id, response=True, error_code=OVERLOADED_CODE, error_message="too many calls at once"
+            call_id=frame.call_id, response=True, error_code=OVERLOADED_CODE, error_message="too many concurrent calls"
         )
         self._send(frame.method, response)
 
@@ -265,7 +265,7 @@
         self._write(method, frame.SerializeToString())
 
     def _should_compress(self) -> bool:
-        """Returns whether frames go compressed: to peers of other zones that can read them."""
+        """Returns whether to compress frames: only for peers in other zones that accept it."""
         return self.peer.accepts_compressed and self._rpc.is_in_other_zone(self.peer.node)
 
     def _write(self, method: str, data: bytes) -> None:
@@ -274,7 +274,7 @@
 
 
 class RpcConnectionFactory(protocol.Factory):
-    """Makes an RpcConnection for each peer that connects, and registers it with the endpoint."""
+    """Creates an RpcConnection for each peer that connects, and registers it with the endpoint."""
 
     noisy = False
 
--- a/pipitlink/wire/generate.py
+++ b/pipitlink/wire/generate.py
@@ -1,4 +1,4 @@
-"""Generates the *_pb2.py modules and their type stubs from the .proto files; needs the extra `wire`.
+"""Generates the *_pb2.py modules and their type stubs from the .proto files; requires the extra `wire`.
 
 Usage: python -m pipitlink.wire.generate
 """
@@ -14,7 +14,7 @@
 
 
 def generate() -> int:
-    """Compiles all .proto files of this folder and returns the compiler's exit code."""
+    """Compiles all .proto files in this folder and returns the compiler's exit code."""
     folder = Path(__file__).resolve().parent
     root = folder.parent.parent
     sources = sorted(str(path.relative_to(root)) for path in folder.glob("*.proto"))
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -1,4 +1,4 @@
-"""The RPC endpoint of a node: handlers for calls of peers, and calls and notifications to them."""
+"""The RPC endpoint of a node, which handles and sends calls and notifications."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 RequestT = TypeVar("RequestT", bound=Message)
 ResponseT = TypeVar("ResponseT", bound=Message)
 
-# Host and port of an RPC endpoint.
+# The host and port of an RPC endpoint.
 Address = tuple[str, int]
 
 CONNECT_TIMEOUT = ms(600)
-# How long a stalled connection is left to read what the kernel has buffered.
+# How long to keep a stalled connection, so that data buffered by the kernel can still be read.
 STALLED_DROP_DELAY = ms(50)
 
 
 def require_peer(expected: str, actual: str) -> None:
-    """Raises WrongPeer where a call names a node and another one answers; an empty name stands for any node."""
+    """Raises WrongPeer if a call is for another node than the one at the address; "" stands for any node."""
     if expected and expected != actual:
         raise WrongPeer(expected, actual)
 
@@ -58,26 +58,26 @@
 
 
 class FaultInjection(Protocol):
-    """Faults that a test injects into the transport and the disks of a node."""
+    """Faults that a test injects into the transport and the disk of a node."""
 
     async def outbound(self, address: Address, method: str) -> None:
-        """Is awaited before a call or notification leaves, and may delay it."""
+        """Is awaited before a call or notification is sent, and may delay it or fail it."""
 
     def disk(self) -> Disk | None:
-        """Returns the file operations to use in place of the plain ones, or None."""
+        """Returns the file operations to use instead of the real ones, or None."""
 
 
 @attrs.frozen
 class _Handler:
     request_type: type[Message]
-    # Called with the peer's node id and the request; None stands for an empty response.
+    # Called with the peer's node id and the request; a result of None stands for an empty response.
     function: Callable[[str, Any], Awaitable[Message | None]]
 
 
 class RpcEndpoint:
-    """Handles calls and notifications of peers, and sends calls and notifications to them.
+    """Handles calls and notifications from peers, and sends calls and notifications to them.
 
-    It keeps one connection to each address, which serves both directions where the peer listens as well.
+    It keeps one connection per address, which serves both directions if the peer also listens.
     """
 
     def __init__(
@@ -95,12 +95,12 @@
         self._cluster_name = cluster_name
         self.node = node
         self.incarnation = 1
-        # Where peers reach this node; set once it listens.
+        # The address at which peers reach this node; set once it listens.
         self.address: Address = ("", 0)
         self.fault_injector: FaultInjection | None = None
-        # What was written to all connections since the start, without the headers of TCP.
+        # The number of bytes written to all connections since the start, without TCP headers.
         self.sent_bytes = 0
-        # Counts the same by method and zone; zones are known once the process has a membership.
+        # Counts the same bytes by method and zone; zones are known once the process has a membership.
         self._traffic = traffic or TrafficCounter()
         self.zone_of: Callable[[str], str] = _unknown_zone
         self._handlers: dict[str, _Handler] = {}
@@ -110,29 +110,29 @@
         self._listening_port: ListeningPort | None = None
 
     async def listen(self, host: str, port: int) -> Address:
-        """Accepts connections of peers; returns the address, with the port that was bound where `port` is 0."""
+        """Starts to accept connections; returns the address, with the port that was bound if `port` is 0."""
         endpoint = TCP4ServerEndpoint(self._reactor, port, interface=host)
         self._listening_port = listening_port = cast("ListeningPort", await endpoint.listen(RpcConnectionFactory(self)))
         return host, listening_port.getHost().port
 
     async def close(self) -> None:
-        """Accepts no more connections, and closes those that are open."""
+        """Stops accepting connections and closes the open ones."""
         if self._listening_port is not None:
             await self._listening_port.stopListening()
         for connection in [*self._accepted, *self._connections.values()]:
             connection.tcp.loseConnection()
 
     def now(self) -> timedelta:
-        """Returns the monotonic time of the node's timers."""
+        """Returns the monotonic time of this node's timers."""
         return self._timers.now()
 
     def is_in_other_zone(self, node: str) -> bool:
-        """Returns whether a peer is known to be in another zone than this node."""
+        """Returns whether a peer is known to be in a different zone than this node."""
         zones = {self.zone_of(node), self.zone_of(self.node)}
         return len(zones) > 1 and "" not in zones
 
     def count_sent(self, method: str, node: str, size: int) -> None:
-        """Counts bytes that a connection has written to a node for a method."""
+        """Counts bytes written to a connection for a method."""
         self.sent_bytes += size
         self._traffic.add(method, self.zone_of(node), size)
 
@@ -142,17 +142,17 @@
         request_type: type[RequestT],
         handler: Callable[[str, RequestT], Awaitable[Message | None]],
     ) -> None:
-        """Has a method's calls and notifications handled by a function of the peer's node id and the request."""
+        """Registers the handler of a method, called with the peer's node id and the request."""
         self._handlers[method] = _Handler(request_type, handler)
 
     async def dispatch(self, peer: Hello, method: str, body: bytes) -> Message:
-        """Returns the response of a method's handler.
+        """Runs a method's handler and returns its response.
 
-        Raises UnknownMethod, WireError where the request cannot be parsed, and what the handler raises.
+        Raises UnknownMethod, WireError if the request cannot be parsed, and the errors of the handler.
         """
         handler = self._handlers.get(method)
         if handler is None:
-            raise UnknownMethod(f"no such call here: {method}")
+            raise UnknownMethod(f"this node does not handle the method {method}")
         try:
             request = handler.request_type.FromString(body)
         except DecodeError as error:
@@ -161,7 +161,7 @@
         return Empty() if response is None else response
 
     async def handle_notification(self, peer: Hello, method: str, body: bytes) -> None:
-        """Runs a method's handler for a notification, whose sender gets no response. Raises what `dispatch` raises."""
+        """Runs a method's handler for a notification, without a response. Raises the same errors as `dispatch`."""
         await self.dispatch(peer, method, body)
 
     async def call(
@@ -173,10 +173,10 @@
         timeout: timedelta,
         node: str = "",
     ) -> ResponseT:
-        """Calls a method at an address; returns the response.
+        """Calls a method of the node at an address and returns the response.
 
-        Where `node` is given, only that node may handle the call, and any other one there raises WrongPeer without
-        running it. Raises ConnectionFailed, DeadlineExceeded, and RemoteError with the error of the handler.
+        If `node` is given and another node is at the address, raises WrongPeer and the call is not executed. Also raises
+        ConnectionFailed, DeadlineExceeded, and RemoteError with the error of the handler.
         """
         call = self._call(address, method, request, response_type, node)
         try:
@@ -209,9 +209,9 @@
             raise RemoteError(error.code, str(error)) from error
 
     def notify(self, addresses: Iterable[Address], method: str, message: Message) -> None:
-        """Sends a notification to each address; there is no response, and one that is lost is not sent again.
+        """Sends a notification to each address, without response or retry.
 
-        For updates that are sent periodically. The frame is serialized once, and no timer is needed.
+        Meant for updates that are sent periodically. The frame is serialized once, and no timer is needed.
         """
         notification = Notification(method, message)
         for address in addresses:
@@ -232,7 +232,7 @@
             self.logger.debug("notification_not_sent", address=_format_address(address), method=method, text=error)
 
     def run_in_background(self, work: Coroutine[Any, Any, object], method: str) -> defer.Deferred[Any]:
-        """Starts work on a notification that nobody waits for; an error is logged."""
+        """Starts work on a notification without waiting for it, and logs its failure."""
         return spawn(work).addErrback(
             lambda failure: self.logger.failure("notification_failed", failure.value, method=method)
         )
@@ -251,20 +251,21 @@
         )
 
     def validate_hello(self, hello: Hello) -> None:
-        """Raises WireError where a peer belongs to another fleet or speaks another version of the protocol."""
+        """Raises WireError if a peer belongs to another cluster or uses another protocol version."""
         if hello.fleet != self._cluster_name:
-            raise WireError(f"peer of fleet {hello.fleet!r}, this is {self._cluster_name!r}")
+            raise WireError(f"peer belongs to cluster {hello.fleet!r}, this node to {self._cluster_name!r}")
         if hello.protocol_version != PROTOCOL_VERSION:
-            raise WireError(f"peer speaks wire sequence {hello.protocol_version}, this is {PROTOCOL_VERSION}")
+            raise WireError(f"peer uses protocol version {hello.protocol_version}, this node {PROTOCOL_VERSION}")
 
     def connection_opened(self, connection: RpcConnection) -> None:
-        """Called for each connection that a peer has opened."""
+        """Is called for each connection opened by a peer."""
         self._accepted.add(connection)
 
     def handshake_done(self, connection: RpcConnection) -> None:
-        """Called once the peer's Hello is accepted; has calls to the peer use a connection that the peer opened.
+        """Is called once the peer's Hello is accepted; makes calls use a connection that a listening peer opened.
 
-        So a pair of peers needs only one. A connection of another node at the same address replaces the earlier one.
+        A pair of nodes therefore needs only one connection. If another node is now at the same address, its connection
+        replaces the earlier one.
         """
         peer = connection.peer
         address = peer.host, peer.port
@@ -274,7 +275,7 @@
             self._connections[address] = connection
 
     def connection_closed(self, connection: RpcConnection) -> None:
-        """Called when a connection is lost or dropped: no call uses it any more."""
+        """Is called when a connection is lost or dropped; no further call uses it."""
         self._accepted.discard(connection)
         for address, current in list(self._connections.items()):
             if current is connection:
@@ -303,10 +304,10 @@
         return connection
 
     def _drop_if_stalled(self, connection: RpcConnection) -> None:
-        """Closes a connection on which nothing comes any more, so that the next call opens another.
+        """Closes a connection on which nothing arrives any more, so that the next call opens a new one.
 
-        Runs a moment after the timeout of a call: a process that was suspended sees timeouts before the responses that
-        the kernel holds for it.
+        Runs STALLED_DROP_DELAY after the timeout of a call, because a process that was suspended sees timeouts before
+        the responses that the kernel has buffered.
         """
         if connection in self._connections.values() and connection.is_stalled():
             self.logger.info("connection_dropped", peer=connection.peer.node)
