--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -175,7 +175,7 @@
     ) -> ResponseT:
         """Calls a method of the node at an address and returns the response.
 
-        If `node` is given and another node is at the address, raises WrongPeer and the call is not executed. Also raises
+        If `node` is given and another node is at the address, raises WrongPeer and the call is not executed. Raises
         ConnectionFailed, DeadlineExceeded, and RemoteError with the error of the handler.
         """
         call = self._call(address, method, request, response_type, node)
