--- a/tests/loss_simulation.py
+++ b/tests/loss_simulation.py
@@ -1,4 +1,4 @@
-"""A simulated fleet with many logs, losses of each kind, and what is whole in it."""
+"""A simulated cluster with many logs, injected losses of several kinds, and checks of replicas and voters."""
 
 from pipitlink.disk import decode_frames
 from pipitlink.errors import PipitlinkError
@@ -15,7 +15,7 @@
 
 
 class LossSimulation(Simulation):
-    """Logs of which most have ended, writers of some that stay open, and operators' edits."""
+    """Runs a workload of many ended logs, writers of a few open logs, and operator edits."""
 
     def __init__(self, seed, logs=200, writers=6, losses=1, storage_nodes=4, controllers=4, zones=4):
         super().__init__(
@@ -40,7 +40,7 @@
     def start_workload(self):
         self.start()
         self.ready()
-        self.until(lambda: not self.missing_replicas(), 40, "all is placed")
+        self.until(lambda: not self.missing_replicas(), 40, "all placement groups have all replicas")
         self.until(lambda: not self.missing_votes(), 20, "all voters vote")
         self.write_closed_logs(self._initial_log_count)
         for n in range(self._writer_count):
@@ -49,7 +49,7 @@
         self.run(2)
 
     def write_closed_logs(self, count: int):
-        """Writes logs that end at once."""
+        """Writes logs of three records each, the last of which ends the log."""
         first, self._closed_log_count = self._closed_log_count, self._closed_log_count + count
         for n in range(first, first + count, CONCURRENT_WRITES):
             self._run_all(
@@ -114,25 +114,25 @@
                 continue
 
     def missing_replicas(self) -> str:
-        """What keeps the logs from outlasting another loss, or nothing."""
+        """Returns why the logs might not survive another loss, or "" if all replicas are complete."""
         leader = self.leader()
         if leader is None:
             return "no leader"
         groups = leader.part.consensus.cluster_state.placement_groups
         alive = {member.node: member for member in self.role("storage", alive=True)}
         if not groups:
-            return "nothing is placed"
+            return "no placement groups"
         for group in groups.values():
             if group.joining or group.leaving:
-                return f"{group.number} moves"
+                return f"placement group {group.number} is changing"
             if len(group.storage_nodes) != 2 * self.losses + 1 or any(
                 node not in alive for node in group.storage_nodes
             ):
-                return f"{group.number} lacks a copy"
+                return f"placement group {group.number} lacks a replica"
         return self._stale_replica(groups, alive)
 
     def _stale_replica(self, groups, alive) -> str:
-        """A log of which some copy lacks bytes that are on a majority."""
+        """Returns a log of which a replica lacks bytes that are on a majority, or ""."""
         for group in groups.values():
             stores = [alive[node].part.log_store for node in group.storage_nodes]
             for name in {n for store in stores for n in store.logs}:
@@ -142,7 +142,7 @@
                 lengths = sorted((replica.length if replica else 0 for replica in replicas), reverse=True)
                 slack = 0 if name.startswith("closed") else 200
                 if lengths[-1] + slack < lengths[len(lengths) // 2]:
-                    return f"{name} is stale on one of {group.number}"
+                    return f"{name} is outdated on a replica of placement group {group.number}"
         return ""
 
     def missing_votes(self) -> str:
@@ -152,16 +152,16 @@
         voters = set(leader.part.consensus.cluster_state.voters)
         alive = {member.node: member for member in self.role("controller", alive=True)}
         if len(voters) != 2 * self.losses + 1 or not voters <= set(alive):
-            return f"{len(voters)} voters, {len(voters - set(alive))} of them away"
+            return f"{len(voters)} voters, {len(voters - set(alive))} of them down"
         behind = [
             voter
             for voter in voters
             if alive[voter].part.consensus.commit_index + 10 < leader.part.consensus.commit_index
         ]
-        return f"{behind} lag" if behind else ""
+        return f"voters {behind} are behind" if behind else ""
 
     def inject_loss(self, simulated_node, kind: str):
-        """Brings the loss about; returns once the machine, or its successor, is back."""
+        """Injects a loss; returns once the machine is back or its successor has started."""
         others = [name for name in self.simulated_nodes if name != simulated_node.name]
         if kind in ("wiped", "wiped_late", "killed", "power"):
             simulated_node.kill(power=kind != "killed")
@@ -195,18 +195,18 @@
         return self.simulated_nodes[name]
 
     def wait_until_repaired(self, limit: float) -> float:
-        """How long until all logs and votes are whole again."""
+        """Waits until all replicas are complete and all voters are up to date; returns the seconds it took."""
         since = self.clock.seconds()
         while self.missing_replicas() or self.missing_votes():
             if self.clock.seconds() - since > limit:
                 raise AssertionError(
-                    f"seed {self.seed}: not whole within {limit} s: {self.missing_replicas()}, {self.missing_votes()}"
+                    f"seed {self.seed}: no repair within {limit} s: {self.missing_replicas()}, {self.missing_votes()}"
                 )
             self.run(0.05)
         return self.clock.seconds() - since
 
     def missing_acknowledged(self) -> list[str]:
-        """What was acknowledged and is not there."""
+        """Stops the workload; returns the acknowledged records and edits that were lost."""
         self.stopped = True
         self.run(4)
         self.ready()
@@ -220,7 +220,7 @@
         return missing + [edit for edit, sequence in self.edits.items() if done.get(edit) != sequence]
 
     def _read(self, name: str) -> dict[int, bytes]:
-        """All that the log holds for a new leaseholder, or nothing where none can be."""
+        """Returns the records of a log as read by a new leaseholder, or nothing if the lease cannot be acquired."""
         log = self.gateway().replicated_log
         for _ in range(10):
             try:
--- a/tests/rpc_scenarios.py
+++ b/tests/rpc_scenarios.py
@@ -1,4 +1,7 @@
-"""Calls between two of our processes as events on real connections: answers late, twice or never, timeouts, cuts."""
+"""RPC calls as events for exhaustive testing: late, duplicate and missing responses, timeouts and lost connections.
+
+The connections are real RpcConnections on in-memory transports.
+"""
 
 import struct
 
@@ -32,7 +35,7 @@
 
 
 class _SilentLogger:
-    """Takes what a connection tells, and keeps none of it."""
+    """Discards all log events."""
 
     def info(self, event, **fields):
         pass
@@ -46,7 +49,7 @@
 
 
 class _Endpoint(RpcEndpoint):
-    """Opens its connections in memory."""
+    """An endpoint that opens its connections on in-memory transports."""
 
     def __init__(self, clock, timers):
         super().__init__(clock, timers, _SilentLogger(), "fleet", "me")
@@ -66,7 +69,7 @@
 
 @attrs.define(eq=False)
 class ReceivedCall:
-    """A call as the peer got it."""
+    """A call received by the peer."""
 
     connection: RpcConnection
     call_id: int
@@ -134,14 +137,14 @@
         self.clock.advance(1.01)
         assert all(self.results.values()), f"a call has no result: {self.results}"
         assert not any(connection._pending_calls for connection in self.endpoint.opened), (
-            "a call that has ended is still held"
+            "an ended call is still pending"
         )
 
     def check(self):
         self._read_requests()
         names = [call.name for call in self.received]
         assert len(names) == len(set(names)), f"TWICE: {names}"
-        assert len(names) == len(self.results), f"a call was not written: {names} of {list(self.results)}"
+        assert len(names) == len(self.results), f"a call was not sent: {names} of {list(self.results)}"
         for name, results in self.results.items():
             assert len(results) < 2, f"TWICE: {name} has two results"
             for result in results:
--- a/tests/test_append_copies.py
+++ b/tests/test_append_copies.py
@@ -1,4 +1,4 @@
-"""Appends of large records on a writer's slow link, and what goes before the answer that waits for them."""
+"""Appends of large records over a slow uplink of the writer, and when a batch is acknowledged."""
 
 import unittest
 from random import Random
@@ -17,21 +17,21 @@
 
 LINK_BYTES_PER_S = 15_000_000 / 8
 RECORD_BYTES = 190_000
-"""A batch of 138 items of the users' second grown site."""
+"""The size of a batch of 138 items, as on a large user site."""
 
 ROUND_TRIPS_S = 0.06
-"""What the calls and syncs of one append take beside its bytes, at most."""
+"""The maximum time that the calls and syncs of one append take, besides the transfer of its bytes."""
 
-ALLOWANCE_S = 0.15 + RECORD_BYTES / (1024 * 1024)
-"""How long a direct write may take before another replica gets one."""
+DIRECT_WRITE_ALLOWANCE_S = 0.15 + RECORD_BYTES / (1024 * 1024)
+"""How long a direct write may take before another replica gets a direct write."""
 
 
-def seconds_for(copies, size=RECORD_BYTES):
+def seconds_to_send(copies, size=RECORD_BYTES):
     return copies * size / LINK_BYTES_PER_S + ROUND_TRIPS_S
 
 
 class SharedUplink(unittest.TestCase):
-    def test_receivers_share_the_rate_and_each_gets_its_messages_in_order(self):
+    def test_receivers_share_the_bandwidth_and_get_their_messages_in_order(self):
         clock, arrived = VirtualTime(), []
         uplink, started_at = Uplink(clock, 100_000), clock.seconds()
         for receiver, size in (("a", 50_000), ("b", 50_000), ("a", 1_000)):
@@ -46,8 +46,8 @@
         self.assertEqual(uplink.sent_bytes, 101_000)
 
 
-class AppendCopiesCase(unittest.TestCase):
-    """A gateway on a slow link, and six storage nodes, of which five have replicas of its log."""
+class LargeAppendCase(unittest.TestCase):
+    """A gateway on a slow link, and six storage nodes, five of which have replicas of its log."""
 
     def setUp(self):
         self.simulation = simulation = Simulation(
@@ -72,18 +72,18 @@
         return leaseholder
 
     def append(self, leaseholder, record=None):
-        """Appends a record; returns how many seconds it took."""
+        """Appends a record; returns the duration in seconds."""
         started_at = self.simulation.clock.seconds()
         self.simulation.do(leaseholder.append([record or self.record]))
         return self.simulation.clock.seconds() - started_at
 
     def replicas(self, leaseholder):
-        """The storage nodes that hold replicas of the log."""
+        """Returns the storage nodes that have replicas of the log."""
         nodes = self.simulation.role("storage")
         return [node for node in nodes if node.node in leaseholder.placement_group.all_nodes]
 
-    def complete(self, leaseholder):
-        """The replicas that have all of the log, by the bytes on their disks."""
+    def complete_replicas(self, leaseholder):
+        """Returns the storage nodes that have the whole log on disk."""
         found = []
         for node in self.replicas(leaseholder):
             store = node.part.log_store
@@ -93,78 +93,80 @@
         return found
 
 
-class AppendCopies(AppendCopiesCase):
-    def test_an_append_is_committed_in_the_time_of_one_copy(self):
+class LargeAppends(LargeAppendCase):
+    def test_an_append_takes_the_time_of_sending_the_record_once(self):
         leaseholder = self.acquire()
-        self.assertLess(self.append(leaseholder), seconds_for(1))
+        self.assertLess(self.append(leaseholder), seconds_to_send(1))
 
-    def test_the_writer_sends_a_large_record_once_and_each_replica_has_it(self):
+    def test_the_writer_sends_a_large_record_once_and_all_replicas_get_it(self):
         leaseholder = self.acquire()
         before = self.gateway.uplink.sent_bytes
         self.append(leaseholder)
-        self.simulation.until(lambda: len(self.complete(leaseholder)) == 5, 2, "all replicas have the record")
+        self.simulation.until(lambda: len(self.complete_replicas(leaseholder)) == 5, 2, "all replicas have the record")
         self.assertLess(self.gateway.uplink.sent_bytes - before, 1.1 * RECORD_BYTES)
 
 
-class FetchFaults(AppendCopiesCase):
-    def append_and_complete(self, leaseholder, without=()):
-        """Appends a record; returns the seconds that it took. Then all replicas but some have to be complete."""
+class FetchFaults(LargeAppendCase):
+    def append_and_wait(self, leaseholder, without=()):
+        """Appends a record and waits until all replicas but `without` have it; returns the seconds of the append."""
         seconds = self.append(leaseholder)
         expected = {node.name for node in self.replicas(leaseholder)} - set(without)
         self.simulation.until(
-            lambda: expected <= {node.name for node in self.complete(leaseholder)}, 8, "the replicas are complete"
+            lambda: expected <= {node.name for node in self.complete_replicas(leaseholder)},
+            8,
+            "the replicas are complete",
         )
         return seconds
 
-    def test_whichever_replica_stops_another_one_gets_the_direct_copy_in_time(self):
+    def test_if_any_replica_freezes_another_gets_the_direct_write_in_time(self):
         names = [node.name for node in self.replicas(self.acquire())]
         for number, name in enumerate(names):
             with self.subTest(name):
                 leaseholder = self.acquire(f"batch/{number}")
                 node = self.simulation.simulated_nodes[name]
                 node.freeze()
-                seconds = self.append_and_complete(leaseholder, without=(name,))
+                seconds = self.append_and_wait(leaseholder, without=(name,))
                 node.thaw()
-                self.assertLess(seconds, ALLOWANCE_S + seconds_for(1))
+                self.assertLess(seconds, DIRECT_WRITE_ALLOWANCE_S + seconds_to_send(1))
                 self.simulation.run(4)
 
-    def test_whichever_replica_the_others_cannot_reach_all_get_the_record(self):
+    def test_all_replicas_get_the_record_if_any_one_is_cut_off_from_the_others(self):
         replicas = self.replicas(self.acquire())
         storage = {node.name for node in self.simulation.role("storage")}
         for number, node in enumerate(replicas):
             with self.subTest(node.name):
                 leaseholder = self.acquire(f"batch/{number}")
                 self.simulation.cut([node.name], storage - {node.name})
-                self.append_and_complete(leaseholder)
+                self.append_and_wait(leaseholder)
                 self.simulation.heal()
                 self.simulation.run(4)
 
-    def test_whichever_replica_is_of_an_earlier_release_gets_the_record_directly(self):
+    def test_a_replica_of_an_earlier_release_gets_the_record_directly(self):
         for number, node in enumerate(self.replicas(self.acquire())):
             with self.subTest(node.name):
                 leaseholder = self.acquire(f"batch/{number}")
                 fetch = node.ctx.rpc._handlers.pop("replicated_log.fetch")
-                self.append_and_complete(leaseholder)
+                self.append_and_wait(leaseholder)
                 node.ctx.rpc._handlers["replicated_log.fetch"] = fetch
 
-    def test_bytes_that_a_replica_read_wrongly_are_not_taken(self):
+    def test_corrupted_bytes_read_from_a_source_replica_are_rejected(self):
         leaseholder = self.acquire()
-        damaged = []
+        corrupted = []
 
-        def read_wrongly(store, extents):
+        def read_corrupted(store, extents):
             data = b"".join(store.segments.read_bytes(extent.location, extent.length) for extent in extents)
-            if len(damaged) < 2:
-                damaged.append(len(data))
+            if len(corrupted) < 2:
+                corrupted.append(len(data))
                 return data[:-1] + bytes([data[-1] ^ 1])
             return data
 
-        with mock.patch.object(LogStore, "read_extents", read_wrongly):
+        with mock.patch.object(LogStore, "read_extents", read_corrupted):
             self.simulation.do(leaseholder.append([self.record]))
             self.simulation.run(3)
-        self.assertEqual(len(damaged), 2)
-        self.assertEqual(len(self.complete(leaseholder)), 5)
+        self.assertEqual(len(corrupted), 2)
+        self.assertEqual(len(self.complete_replicas(leaseholder)), 5)
 
-    def test_bytes_of_a_later_writer_are_not_shown_for_those_of_an_earlier_one(self):
+    def test_a_read_for_an_earlier_epoch_does_not_return_bytes_of_a_later_writer(self):
         leaseholder = self.acquire()
         self.append(leaseholder)
         self.simulation.do(self.gateway.ctx.replicated_log.release([leaseholder]))
@@ -180,11 +182,11 @@
         self.assertEqual(read(later.epoch), bytes(later.data[:100]))
         self.assertEqual(read(leaseholder.epoch), b"")
         with mock.patch.object(LogStore, "is_written_under", lambda *_: True):
-            self.assertEqual(len(read(leaseholder.epoch)), 100, "the guard is what holds them back")
+            self.assertEqual(len(read(leaseholder.epoch)), 100, "without the guard, the bytes are returned")
 
 
-class Planning(unittest.TestCase):
-    """From where a replica is to fetch, by what is known of the others."""
+class FetchPlanning(unittest.TestCase):
+    """The choice of the replica to fetch from, by the known lengths of the others."""
 
     EPOCH = 5
 
@@ -195,18 +197,18 @@
         planner = FetchPlanner(Timers(VirtualTime()), progress, lambda node: "")
         return planner.source_for("own", state, start, self.EPOCH, recovered, {"own"})
 
-    def test_the_replica_that_has_most_is_the_source_unless_it_is_excluded_or_has_little_more(self):
+    def test_the_longest_replica_is_the_source_unless_it_is_excluded_or_has_too_few_more_bytes(self):
         state = LogState(tail_epoch=self.EPOCH, length=100)
         self.assertEqual(self.source_for(state, 100, a=9_000, b=8_000), FetchSource("a", 9_000))
         self.assertIsNone(self.source_for(state, 100, own=9_000))
         self.assertIsNone(self.source_for(state, 100, a=100 + MIN_FETCH_BYTES - 1))
 
-    def test_one_fetch_is_bounded(self):
+    def test_the_size_of_one_fetch_is_limited(self):
         state = LogState(tail_epoch=self.EPOCH, length=100)
         found = self.source_for(state, 100, a=50_000_000)
         self.assertEqual(found, FetchSource("a", 100 + MAX_FETCH_BYTES))
 
-    def test_a_replica_of_an_earlier_writer_gets_the_whole_recovered_tail_or_nothing(self):
+    def test_a_replica_with_an_earlier_epoch_fetches_the_whole_recovered_tail_or_nothing(self):
         earlier = LogState(tail_epoch=3, length=100)
         recovered = TailPosition(4, MAX_FETCH_BYTES + 50)
         self.assertIsNotNone(self.source_for(earlier, 100, recovered, a=recovered.length))
@@ -216,8 +218,8 @@
         self.assertIsNotNone(self.source_for(current, 100, longer, a=longer.length))
 
 
-class NearSources(unittest.TestCase):
-    """Of the replicas in one zone, one fetches from another zone and the others from that one."""
+class SourcesInZone(unittest.TestCase):
+    """Of the replicas in one zone, only one fetches from another zone, and the others fetch from it."""
 
     ZONES = {"a1": "a", "b1": "b", "b2": "b", "c1": "c", "d1": ""}
 
@@ -231,18 +233,18 @@
         state = LogState(tail_epoch=5, length=start)
         return self.planner.source_for(node, state, start, 5, TailPosition(), {node})
 
-    def has(self, node, length):
+    def record_length(self, node, length):
         self.progress.record(node, LogState(tail_epoch=5, length=length))
 
-    def test_a_source_in_the_own_zone_goes_before_one_that_has_more(self):
-        self.has("a1", 90_000)
-        self.has("b1", 80_000)
+    def test_a_source_in_the_same_zone_is_preferred_to_a_longer_one(self):
+        self.record_length("a1", 90_000)
+        self.record_length("b1", 80_000)
         self.assertEqual(self.source_for("b2"), FetchSource("b1", 80_000))
         self.assertEqual(self.source_for("c1"), FetchSource("a1", 90_000))
         self.assertEqual(self.source_for("b2", start=79_000), FetchSource("a1", 90_000))
 
-    def test_the_second_of_a_zone_waits_for_the_first_and_not_for_longer_than_a_slow_link_takes(self):
-        self.has("a1", 90_000)
+    def test_the_second_replica_of_a_zone_waits_for_the_first_until_its_fetch_is_overdue(self):
+        self.record_length("a1", 90_000)
         source = self.source_for("b1")
         self.assertFalse(self.planner.must_wait_for_zone_peer("b1", source))
         self.planner.fetch_started("b1", 90_000)
@@ -257,8 +259,8 @@
         spawn(self.planner.wait_for_transfer()).addBoth(woken.append)
         self.assertEqual(woken, [None, None], "an overdue transfer is not waited for")
 
-    def test_the_end_of_a_fetch_wakes_those_who_wait(self):
-        self.has("a1", 90_000)
+    def test_the_end_of_a_fetch_wakes_the_waiting_senders(self):
+        self.record_length("a1", 90_000)
         self.planner.fetch_started("b1", 90_000)
         woken = []
         spawn(self.planner.wait_for_transfer()).addBoth(woken.append)
@@ -268,41 +270,43 @@
         self.assertEqual(woken, [None])
 
 
-class CopiesBetweenZones(AppendCopiesCase):
-    def test_a_large_record_crosses_once_into_each_other_zone(self):
+class TransfersBetweenZones(LargeAppendCase):
+    def test_a_large_record_is_sent_once_into_each_other_zone(self):
         leaseholder = self.acquire()
         zones = {node.node: node.zone for node in self.simulation.role("storage")}
         fetches = []
         read_from = StorageClient.read_from
 
-        async def noted_read(client, source, *args, **kwargs):
+        async def recorded_read(client, source, *args, **kwargs):
             fetches.append((client._ctx.settings.zone, zones[source]))
             return await read_from(client, source, *args, **kwargs)
 
-        with mock.patch.object(StorageClient, "read_from", noted_read):
+        with mock.patch.object(StorageClient, "read_from", recorded_read):
             self.append(leaseholder)
-            self.simulation.until(lambda: len(self.complete(leaseholder)) == 5, 2, "all replicas have the record")
+            self.simulation.until(
+                lambda: len(self.complete_replicas(leaseholder)) == 5, 2, "all replicas have the record"
+            )
         entered = [target for target, source in fetches if target != source]
         self.assertEqual(len(fetches), 4)
-        self.assertEqual(len(entered), len(set(entered)), f"fetches into and from zones: {fetches}")
+        self.assertEqual(len(entered), len(set(entered)), f"zones of receiver and source of each fetch: {fetches}")
         self.assertNotIn(self.gateway.zone, entered)
 
 
-class Intake(unittest.TestCase):
-    def test_a_large_batch_is_acknowledged_in_the_time_of_one_copy(self):
+class BatchIntake(unittest.TestCase):
+    def test_a_large_batch_is_acknowledged_in_the_time_of_sending_it_once(self):
         simulation = start_simulation(5, gateways=2, settings={"machine_losses": 2})
         self.addCleanup(simulation.end)
         gateway = simulation.role("gateway")[0]
         callers = Callers(simulation)
         name = callers.lot(items=140, path="/bulk/" + "x" * 1_300)
         gateway.uplink = Uplink(simulation.clock, LINK_BYTES_PER_S)
-        started_at, answers = simulation.clock.seconds(), []
-        spawn(callers.hand_in(name, gateway)).addBoth(answers.append)
-        simulation.until(lambda: answers, 5, "the batch is acknowledged")
+        started_at, responses = simulation.clock.seconds(), []
+        spawn(callers.hand_in(name, gateway)).addBoth(responses.append)
+        simulation.until(lambda: responses, 5, "the batch is acknowledged")
         self.assertIn(name, callers.taken)
-        self.assertLess(simulation.clock.seconds() - started_at, seconds_for(1, 140 * 1_400) + ROUND_TRIPS_S)
+        self.assertLess(simulation.clock.seconds() - started_at, seconds_to_send(1, 140 * 1_400) + ROUND_TRIPS_S)
 
-    def test_a_batch_is_acknowledged_before_its_items_are_started_and_its_log_is_cached(self):
+    def test_a_batch_is_acknowledged_before_most_items_start_and_before_its_log_is_cached(self):
         simulation = start_simulation(5, gateways=3)
         self.addCleanup(simulation.end)
         gateway = simulation.role("gateway")[0]
@@ -311,17 +315,17 @@
         name = callers.lot(items=140, path="/bulk/" + "x" * 1_300)
         cache_writes = []
         simulation.watch_calls = lambda sender, method: method == "cache.put" and cache_writes.append(sender.name)
-        at_answer = []
+        state_at_response = []
 
         async def submit():
             await callers.hand_in(name, gateway)
-            at_answer.append((len(gateway.part.batches[name].running), len(cache_writes)))
+            state_at_response.append((len(gateway.part.batches[name].running), len(cache_writes)))
 
         spawn(submit())
-        simulation.until(lambda: at_answer, 5, "the batch is acknowledged")
-        started, cached = at_answer[0]
-        self.assertLessEqual(started, 4, "items that were started before the answer")
-        self.assertEqual(cached, 0, "writes to the cache before the answer")
+        simulation.until(lambda: state_at_response, 5, "the batch is acknowledged")
+        started, cached = state_at_response[0]
+        self.assertLessEqual(started, 4, "items started before the response")
+        self.assertEqual(cached, 0, "cache writes before the response")
         simulation.until(lambda: len(gateway.part.batches[name].running) == 140, 2, "all items are started")
         simulation.until(lambda: cache_writes, 2, "the log is cached")
 
--- a/tests/test_compression.py
+++ b/tests/test_compression.py
@@ -1,4 +1,4 @@
-"""Frames between zones are compressed where both sides can and it gains; all others are as they were."""
+"""Frames between zones are compressed if the peer accepts it and it saves bytes; other frames are sent plain."""
 
 import unittest
 from random import Random
@@ -22,18 +22,22 @@
 
 
 class Bodies(unittest.TestCase):
-    def test_what_gains_comes_back_as_it_was(self):
-        shrunk = compress_body(TEXT)
-        self.assertLess(len(shrunk), len(TEXT) / 4)
-        self.assertEqual(decompress_body(shrunk, len(TEXT)), TEXT)
+    def test_a_compressible_body_survives_a_round_trip(self):
+        compressed = compress_body(TEXT)
+        self.assertLess(len(compressed), len(TEXT) / 4)
+        self.assertEqual(decompress_body(compressed, len(TEXT)), TEXT)
 
-    def test_what_gains_little_stays(self):
+    def test_short_and_incompressible_bodies_are_not_compressed(self):
         for body in (b"", b"short", RANDOM, RANDOM[:2000]):
             self.assertIsNone(compress_body(body))
 
-    def test_a_body_over_the_limit_or_damaged_is_an_error(self):
-        shrunk = compress_body(TEXT)
-        for data, limit in ((shrunk, len(TEXT) - 1), (shrunk[:-3], len(TEXT)), (b"y" + shrunk[1:], len(TEXT))):
+    def test_a_damaged_body_or_one_over_the_limit_raises_an_error(self):
+        compressed = compress_body(TEXT)
+        for data, limit in (
+            (compressed, len(TEXT) - 1),
+            (compressed[:-3], len(TEXT)),
+            (b"y" + compressed[1:], len(TEXT)),
+        ):
             with self.assertRaises(WireError):
                 decompress_body(data, limit)
 
@@ -41,7 +45,7 @@
 class Connections(unittest.TestCase):
     def setUp(self):
         self.lines = []
-        self.ends = [self.endpoint(name) for name in ("a", "b")]
+        self.endpoints = [self.endpoint(name) for name in ("a", "b")]
 
     def log(self, level, shape, line):
         self.lines.append(line)
@@ -59,52 +63,52 @@
         return endpoint
 
     def connect(self, zones):
-        for end in self.ends:
-            end.zone_of = zones.get
-        self.connections = [RpcConnection(end) for end in self.ends]
-        self.ends[1].connection_opened(self.connections[1])
+        for endpoint in self.endpoints:
+            endpoint.zone_of = zones.get
+        self.connections = [RpcConnection(endpoint) for endpoint in self.endpoints]
+        self.endpoints[1].connection_opened(self.connections[1])
         client = iosim.FakeTransport(self.connections[0], False, peerAddress=IPv4Address("TCP", "h", 2))
         server = iosim.FakeTransport(self.connections[1], True, peerAddress=IPv4Address("TCP", "h", 1))
         self.pump = iosim.connect(self.connections[0], client, self.connections[1], server)
         self.pump.flush()
-        self.ends[0]._connections["h", 2] = self.connections[0]
+        self.endpoints[0]._connections["h", 2] = self.connections[0]
 
     def read(self, log):
-        """Returns what a read answers, and how many bytes the answer took."""
-        before = self.ends[1].sent_bytes
-        answers = []
-        call = self.ends[0].call(("h", 2), "read", ReadRequest(log=log), ReadResponse, ms(100))
-        spawn(call).addBoth(answers.append)
+        """Returns the response of a read call, and the number of bytes sent for it."""
+        before = self.endpoints[1].sent_bytes
+        responses = []
+        call = self.endpoints[0].call(("h", 2), "read", ReadRequest(log=log), ReadResponse, ms(100))
+        spawn(call).addBoth(responses.append)
         self.pump.flush()
-        return answers[0], self.ends[1].sent_bytes - before
+        return responses[0], self.endpoints[1].sent_bytes - before
 
-    def test_an_answer_to_another_zone_is_compressed_and_arrives_whole(self):
+    def test_a_response_to_another_zone_is_compressed_and_arrives_unchanged(self):
         self.connect({"a": "zone-1", "b": "zone-2"})
-        answer, size = self.read("text")
-        self.assertEqual(answer.data, TEXT)
+        response, size = self.read("text")
+        self.assertEqual(response.data, TEXT)
         self.assertLess(size, len(TEXT) / 4)
-        answer, size = self.read("random")
-        self.assertEqual(answer.data, RANDOM)
+        response, size = self.read("random")
+        self.assertEqual(response.data, RANDOM)
         self.assertGreaterEqual(size, len(RANDOM))
 
-    def test_within_a_zone_or_where_a_zone_is_unknown_nothing_is(self):
+    def test_nothing_is_compressed_within_a_zone_or_if_a_zone_is_unknown(self):
         for zones in ({"a": "zone-1", "b": "zone-1"}, {"a": "", "b": "zone-1"}, {"a": "zone-1", "b": ""}):
             self.setUp()
             self.connect(zones)
-            answer, size = self.read("text")
-            self.assertEqual(answer.data, TEXT)
+            response, size = self.read("text")
+            self.assertEqual(response.data, TEXT)
             self.assertGreater(size, len(TEXT))
 
-    def test_a_peer_of_an_earlier_release_gets_nothing_compressed(self):
-        hello = self.ends[0].hello()
+    def test_a_peer_that_does_not_accept_compression_gets_plain_frames(self):
+        hello = self.endpoints[0].hello()
         hello.accepts_compressed = False
-        self.ends[0].hello = lambda: hello
+        self.endpoints[0].hello = lambda: hello
         self.connect({"a": "zone-1", "b": "zone-2"})
-        answer, size = self.read("text")
-        self.assertEqual(answer.data, TEXT)
+        response, size = self.read("text")
+        self.assertEqual(response.data, TEXT)
         self.assertGreater(size, len(TEXT))
 
-    def test_a_damaged_body_ends_the_connection(self):
+    def test_a_damaged_compressed_body_closes_the_connection(self):
         self.connect({"a": "zone-1", "b": "zone-2"})
         self.connections[0].sendString(
             Frame(call_id=1, method="read", body=b"no zlib", compressed=True).SerializeToString()
--- a/tests/test_loss_guards.py
+++ b/tests/test_loss_guards.py
@@ -1,4 +1,4 @@
-"""Guards against a second loss, each taken out in turn: the loss is then found, and none with the guard in place."""
+"""Disables each guard against data loss in turn: its scenario must then show a violation, and none with the guard."""
 
 import unittest
 import unittest.mock
@@ -21,7 +21,7 @@
 
 
 def _find_violations(test, cause_loss, **shape) -> list[str]:
-    """What goes wrong in a scenario: what was lost, or what did not go on."""
+    """Runs a scenario; returns acknowledged data that was lost, or the logs and edits that made no progress."""
     simulation = LossSimulation(3, **{"logs": 60, **shape})
     test.addCleanup(simulation.end)
     try:
@@ -47,8 +47,8 @@
         member.start()
 
 
-def two_copies_wiped(simulation):
-    """Two storage nodes that keep one placement group lose their disks, and do not come back for a while."""
+def two_replicas_wiped(simulation):
+    """Two storage nodes of one placement group lose their disks and do not come back."""
     group = next(iter(simulation.leader().part.consensus.cluster_state.placement_groups.values()))
     _wipe(
         simulation,
@@ -63,7 +63,7 @@
 
 
 def zone_lost(simulation):
-    """The zone that has the most of the voters and of some placement group."""
+    """Stops the zone that most often has the largest part of the voters or of a placement group."""
     part = simulation.leader().part
     held = Counter(
         max(Counter(part._ctx.membership.find(node).zone for node in nodes).items(), key=lambda z: z[1])[0]
@@ -79,7 +79,7 @@
 
 
 def retired_and_wiped(simulation):
-    """A storage node is retired and taken away; then one of those that took its copies over loses its disk."""
+    """A storage node is retired and removed; then one of those that took over its replicas loses its disk."""
     retired, other = simulation.role("storage")[2], simulation.role("storage")[0]
     simulation.do(simulation.leader().part.retirement.retire(retired.node, "retire"), 10)
     simulation.until(
@@ -88,7 +88,7 @@
             and simulation.leader().part.consensus.cluster_state.storage_nodes.get(retired.node) == "retired"
         ),
         8,
-        "it is retired",
+        "the storage node is retired",
     )
     _wipe(simulation, [retired], back=False)
     _wipe(simulation, [other], back=True)
@@ -99,12 +99,12 @@
     simulation.wait_until_repaired(REPAIR_TIMEOUT_S)
 
 
-def successor_in_time(simulation):
+def planned_replacement_in_time(simulation):
     simulation.inject_loss(simulation.role("storage")[1], "planned")
     simulation.wait_until_repaired(REPAIR_TIMEOUT_S)
 
 
-def successor_of_a_silent_one_in_time(simulation):
+def frozen_node_replaced_in_time(simulation):
     lost = simulation.role("storage")[1]
     lost.freeze()
     simulation.run(3)
@@ -112,8 +112,8 @@
     simulation.wait_until_repaired(REPAIR_TIMEOUT_S)
 
 
-def caught_up_in_time(simulation):
-    """Logs end while a storage node is away, so that no leaseholder is left to make up for it."""
+def repaired_in_time(simulation):
+    """Logs end while a storage node is down, so that no leaseholder is left to bring its replicas up to date."""
     absent = simulation.role("storage")[1]
     absent.kill()
     simulation.run(0.2)
@@ -144,18 +144,22 @@
 FIXED_REPLICA_COUNT = property(lambda self: 3)
 _NO_SUCCESSOR = _without(StorageNodeView, "has_successor", lambda self, node: False)
 GUARDS = {
-    "copies follow from the losses to bear": (
-        two_copies_wiped,
+    "the replica count follows from the tolerated losses": (
+        two_replicas_wiped,
         TOLERATES_TWO,
         _without(Settings, "replica_count", FIXED_REPLICA_COUNT),
     ),
-    "voters follow from the losses to bear": (
+    "the voter count follows from the tolerated losses": (
         two_voters_wiped,
         TOLERATES_TWO,
         _without(Settings, "replica_count", FIXED_REPLICA_COUNT),
     ),
-    "zones share voters and copies": (zone_lost, {**TOLERATES_TWO, "zones": 3}, _WithoutZoneSpread.without()),
-    "a joining storage node copies what a majority shows": (
+    "voters and replicas are spread over zones": (
+        zone_lost,
+        {**TOLERATES_TWO, "zones": 3},
+        _WithoutZoneSpread.without(),
+    ),
+    "a joining storage node copies the data of a majority": (
         retired_and_wiped,
         {},
         _without(ReplicaTransfer, "transfer_placement_group", lambda self, group, joining: _report_transferred()),
@@ -165,18 +169,18 @@
         {},
         _without(Membership, "is_replaced", lambda self, node, name="": False) + _NO_SUCCESSOR,
     ),
-    "a successor with another name is taken for one": (
-        successor_in_time,
+    "a successor with another name is recognized": (
+        planned_replacement_in_time,
         {},
         _NO_SUCCESSOR,
     ),
-    "a storage node that was away compares at once": (
-        caught_up_in_time,
+    "a storage node that was down starts a repair at once": (
+        repaired_in_time,
         {},
         _without(ReplicaRepair, "_check_leader_contact", lambda self: None),
     ),
-    "a dead member is not waited for": (
-        successor_of_a_silent_one_in_time,
+    "a transfer does not wait for a dead member": (
+        frozen_node_replaced_in_time,
         {},
         _without(replica_transfer, "majority", lambda nodes, of: len(nodes) > len(of)),
     ),
@@ -188,12 +192,12 @@
 
 
 class Guards(unittest.TestCase):
-    def test_with_the_guard_nothing_is_found(self):
+    def test_there_is_no_violation_with_the_guard(self):
         for name, (cause_loss, shape, _) in GUARDS.items():
             with self.subTest(name):
                 self.assertEqual(_find_violations(self, cause_loss, **shape), [])
 
-    def test_without_the_guard_it_is_found(self):
+    def test_there_is_a_violation_without_the_guard(self):
         for name, (cause_loss, shape, patches) in GUARDS.items():
             with self.subTest(name):
                 for patch in patches:
@@ -206,8 +210,8 @@
                         patch.stop()
                 self.assertTrue(violations)
 
-    def test_sets_of_a_move_are_both_asked(self):
-        """A writer that goes by the new set alone and one that goes by the old would not see each other."""
+    def test_a_quorum_needs_a_majority_of_the_old_and_the_new_set(self):
+        """Otherwise the quorums of a writer with the old set and of one with the new set might not overlap."""
         group = PlacementGroup(0, 2, ("a", "b", "c"), joining="d", leaving="c")
         self.assertFalse(group.is_quorum(["a", "d"]))
         self.assertFalse(group.is_quorum(["a", "c"]))
--- a/tests/test_loss_model.py
+++ b/tests/test_loss_model.py
@@ -1,4 +1,4 @@
-"""Changes of members, explored in full at small sizes: a majority after each step has what one had before it."""
+"""Explores changes of placement groups and voters exhaustively at small sizes: no step may lose a majority's data."""
 
 import unittest
 from itertools import combinations
@@ -14,11 +14,11 @@
 
 
 def _subsets(nodes):
-    return [set(c) for n in range(len(nodes) + 1) for c in combinations(nodes, n)]
+    return [set(combination) for size in range(len(nodes) + 1) for combination in combinations(nodes, size)]
 
 
-def moves(size: int) -> list[PlacementGroup]:
-    """Every kind of move of a placement group of this size."""
+def changes_of_size(size: int) -> list[PlacementGroup]:
+    """Returns one change of each kind for a placement group of this size: replacement, growth and shrinkage."""
     nodes = tuple("abcde"[:size])
     return [
         PlacementGroup(0, 2, nodes, joining="j", leaving=nodes[-1]),
@@ -27,104 +27,119 @@
     ]
 
 
-def lost_by(group: PlacementGroup) -> list[str]:
-    """Appends that a majority had and that are on no majority once the move has ended.
+def lost_appends(group: PlacementGroup) -> list[str]:
+    """Returns the sets of holders whose append is committed, but not on a majority once the change has ended.
 
-    Before the move an append is on a majority of the old set; during it, on one of each set. Those that copy take what
-    a majority of the old set shows them.
+    An append from before the change is on a majority of the old set; one made during the change is on a majority of
+    each set. Transfer targets copy what a majority of the old set has.
     """
-    out = []
+    violations = []
     after = PlacementGroup(0, 3, group.next_nodes)
-    for held in _subsets(group.all_nodes):
-        before_move = majority(held, group.storage_nodes) and held <= set(group.storage_nodes)
-        if before_move and not after.is_quorum(held | set(group.transfer_targets)):
-            out.append(f"{sorted(held)} before {group}")
-        if group.is_quorum(held) and not after.is_quorum(held):
-            out.append(f"{sorted(held)} during {group}")
-    return out
+    for holders in _subsets(group.all_nodes):
+        is_before_change = majority(holders, group.storage_nodes) and holders <= set(group.storage_nodes)
+        if is_before_change and not after.is_quorum(holders | set(group.transfer_targets)):
+            violations.append(f"{sorted(holders)} before {group}")
+        if group.is_quorum(holders) and not after.is_quorum(holders):
+            violations.append(f"{sorted(holders)} during {group}")
+    return violations
 
 
 def disjoint_quorums(group: PlacementGroup) -> list[str]:
-    """Two majorities, one that goes by the move and one by the sets before or after it, without a common member."""
-    sides = [PlacementGroup(0, 1, group.storage_nodes), group], [group, PlacementGroup(0, 3, group.next_nodes)]
+    """Returns pairs of quorums without a common member: one during the change, the other before or after it."""
+    phases = [PlacementGroup(0, 1, group.storage_nodes), group], [group, PlacementGroup(0, 3, group.next_nodes)]
     return [
-        f"{sorted(one)} and {sorted(other)} in {group}"
-        for first, second in sides
-        for one in _subsets(group.all_nodes)
-        for other in _subsets(group.all_nodes)
-        if first.is_quorum(one) and second.is_quorum(other) and not one & other
+        f"{sorted(first_quorum)} and {sorted(second_quorum)} in {group}"
+        for first, second in phases
+        for first_quorum in _subsets(group.all_nodes)
+        for second_quorum in _subsets(group.all_nodes)
+        if first.is_quorum(first_quorum) and second.is_quorum(second_quorum) and not first_quorum & second_quorum
     ]
 
 
-class Moves(unittest.TestCase):
-    def test_no_move_leaves_an_append_without_a_majority_or_quorums_that_do_not_meet(self):
+class PlacementChanges(unittest.TestCase):
+    def test_no_change_loses_a_committed_append_or_allows_disjoint_quorums(self):
         for size in SIZES:
-            for group in moves(size):
-                self.assertEqual(lost_by(group) + disjoint_quorums(group), [])
+            for group in changes_of_size(size):
+                self.assertEqual(lost_appends(group) + disjoint_quorums(group), [])
 
-    def test_a_copy_that_leaves_unmade_up_for_is_found(self):
+    def test_a_removed_replica_whose_data_is_not_copied_is_detected(self):
         with mock.patch.object(PlacementGroup, "transfer_targets", ()):
-            found = [bad for size in SIZES for group in moves(size) for bad in lost_by(group)]
+            found = [
+                violation for size in SIZES for group in changes_of_size(size) for violation in lost_appends(group)
+            ]
         self.assertTrue(found)
 
-    def test_a_move_by_the_new_set_alone_is_found(self):
+    def test_quorums_of_only_the_new_or_the_old_set_are_detected(self):
         with mock.patch.object(PlacementGroup, "quorum_sets", property(lambda self: (self.next_nodes,))):
-            found = [bad for size in (3, 5) for group in moves(size) for bad in disjoint_quorums(group)]
-        self.assertFalse([f for f in found if "leaving=''" in f])
+            found = [
+                violation for size in (3, 5) for group in changes_of_size(size) for violation in disjoint_quorums(group)
+            ]
+        self.assertFalse([text for text in found if "leaving=''" in text])
         lost = []
         with mock.patch.object(PlacementGroup, "quorum_sets", property(lambda self: (self.storage_nodes,))):
-            lost = [bad for size in SIZES for group in moves(size) for bad in lost_by(group) if " during " in bad]
+            lost = [
+                violation
+                for size in SIZES
+                for group in changes_of_size(size)
+                for violation in lost_appends(group)
+                if " during " in violation
+            ]
         self.assertTrue(lost)
 
-    def test_each_move_goes_on_with_any_one_of_its_members_lost(self):
-        for group in (g for size in SIZES for g in moves(size) if len(g.next_nodes) >= 3):
+    def test_a_quorum_remains_during_each_change_if_any_one_member_is_lost(self):
+        for group in (group for size in SIZES for group in changes_of_size(size) if len(group.next_nodes) >= 3):
             for lost in group.all_nodes:
-                self.assertTrue(group.is_quorum([d for d in group.all_nodes if d != lost]), f"{lost} of {group}")
+                self.assertTrue(
+                    group.is_quorum([node for node in group.all_nodes if node != lost]), f"{lost} of {group}"
+                )
 
 
-class _Leader(VoterChanges):
-    """The choice of the next voters alone, at a leader that knows who is lost and who stands by."""
+class _VoterChanges(VoterChanges):
+    """Only the choice of the next voters, with given lost and standby controllers."""
 
     def __init__(self, losses, lost, standbys):
-        self._lost, self._spares = set(lost), list(standbys)
+        self._lost_nodes, self._standby_nodes = set(lost), list(standbys)
         settings = Settings(machine_losses=losses)
         membership = SimpleNamespace(find=lambda node: Member(node=node, zone=node))
         self._ctx = SimpleNamespace(settings=settings, node="a", membership=membership)
 
     def _is_lost(self, node):
-        return node in self._lost
+        return node in self._lost_nodes
 
     def _standbys(self, voters, live):
-        return [s for s in self._spares if s not in voters]
+        return [standby for standby in self._standby_nodes if standby not in voters]
 
 
-def steps(losses, lost, standbys):
-    """The sets of voters from the first to the last, one change after the other."""
+def voter_steps(losses, lost, standbys):
+    """Returns the sets of voters from the first to the last, after each change."""
     voters = tuple("abcde"[: 2 * losses + 1])
-    leader, out = _Leader(losses, lost, standbys), [voters]
-    while (voters := leader._next_voters(voters)) is not None:
-        out.append(voters)
-        assert len(out) < 20, out
-    return out
-
-
-def stuck(losses, take_off_first=True) -> list[str]:
-    """Steps at which the voters that were never lost are no majority, so that a standby lost as well stops all."""
-    out = []
-    for n in range(1, losses + 1):
-        for lost in combinations("bcde"[: 2 * losses], n):
-            for spares in range(1, n + 1):
-                for voters in steps(losses, lost, "xy"[:spares]):
-                    steady = [v for v in voters if v not in lost and v not in "xy"]
-                    if not majority(steady, voters):
-                        out.append(f"{lost} lost: {steady} of {voters}")
-    return out
-
-
-def _added_first(self, voters):
-    """The rule as it was: a standby is added before the lost voter is taken off."""
-    lost = [v for v in voters if self._is_lost(v)]
-    live = [v for v in voters if v not in lost]
+    changes, sequence = _VoterChanges(losses, lost, standbys), [voters]
+    while (voters := changes._next_voters(voters)) is not None:
+        sequence.append(voters)
+        assert len(sequence) < 20, sequence
+    return sequence
+
+
+def minority_steps(losses, remove_first=True) -> list[str]:
+    """Returns the steps at which the original live voters are no majority.
+
+    At such a step, the additional loss of a standby would leave no quorum.
+    """
+    violations = []
+    for size in range(1, losses + 1):
+        for lost in combinations("bcde"[: 2 * losses], size):
+            for standby_count in range(1, size + 1):
+                for voters in voter_steps(losses, lost, "xy"[:standby_count]):
+                    remaining = [voter for voter in voters if voter not in lost and voter not in "xy"]
+                    if not majority(remaining, voters):
+                        violations.append(f"{lost} lost: {remaining} of {voters}")
+    return violations
+
+
+def _add_standby_first(self, voters):
+    """The former rule: a standby is added before the lost voter is removed."""
+    lost = [voter for voter in voters if self._is_lost(voter)]
+    live = [voter for voter in voters if voter not in lost]
     if len(voters) > self._ctx.settings.replica_count:
         return self._without(voters, live, lost[0])
     standbys = self._standbys(voters, live)
@@ -132,21 +147,23 @@
 
 
 class VoterSteps(unittest.TestCase):
-    def test_the_voters_that_were_never_lost_are_a_majority_at_each_step(self):
+    def test_the_original_live_voters_are_a_majority_at_each_step(self):
         for losses in (1, 2):
-            self.assertEqual(stuck(losses), [])
+            self.assertEqual(minority_steps(losses), [])
 
-    def test_a_standby_that_is_added_first_may_stop_all(self):
-        with mock.patch.object(VoterChanges, "_next_voters", _added_first):
-            self.assertTrue(stuck(1) and stuck(2))
+    def test_adding_a_standby_before_removing_the_lost_voter_may_lose_the_quorum(self):
+        with mock.patch.object(VoterChanges, "_next_voters", _add_standby_first):
+            self.assertTrue(minority_steps(1) and minority_steps(2))
 
-    def test_all_places_are_filled_by_those_that_stand_by(self):
+    def test_all_lost_voters_are_replaced_by_standbys(self):
         for losses in (1, 2):
-            last = steps(losses, "bcde"[:losses], "xy"[:losses])[-1]
-            self.assertEqual(len(last), 2 * losses + 1)
-            self.assertFalse(set(last) & set("bcde"[:losses]))
+            final_voters = voter_steps(losses, "bcde"[:losses], "xy"[:losses])[-1]
+            self.assertEqual(len(final_voters), 2 * losses + 1)
+            self.assertFalse(set(final_voters) & set("bcde"[:losses]))
 
-    def test_one_change_at_a_time(self):
+    def test_each_step_adds_or_removes_one_voter(self):
         for losses in (1, 2):
-            sets = steps(losses, "bcde"[:losses], "xy"[:losses])
-            self.assertTrue(all(len(set(a) ^ set(b)) == 1 for a, b in zip(sets, sets[1:], strict=False)), sets)
+            steps = voter_steps(losses, "bcde"[:losses], "xy"[:losses])
+            self.assertTrue(
+                all(len(set(before) ^ set(after)) == 1 for before, after in zip(steps, steps[1:], strict=False)), steps
+            )
--- a/tests/test_membership_order.py
+++ b/tests/test_membership_order.py
@@ -1,4 +1,4 @@
-"""Members by role and status, sorted out once for each change: always what the entries say."""
+"""Cached member selections by role and status always equal a selection without the cache."""
 
 import unittest
 from itertools import product
@@ -10,48 +10,48 @@
 STATUSES = (("alive", "suspect"), ("alive",), ("suspect", "gone"), ("alive", "suspect", "gone"))
 
 
-class Kept(unittest.TestCase):
-    def test_what_is_kept_is_what_would_be_sorted_out_now(self):
-        beliefs = 0
+class CachedSelections(unittest.TestCase):
+    def test_cached_selections_are_current(self):
+        distinct_views = 0
         for seed in range(3):
-            s = Simulation(seed, controllers=3, storage_nodes=3, gateways=4)
-            self.addCleanup(s.end)
-            s.start()
-            s.ready()
-            plain_run, looks = s.run, []
+            simulation = Simulation(seed, controllers=3, storage_nodes=3, gateways=4)
+            self.addCleanup(simulation.end)
+            simulation.start()
+            simulation.ready()
+            plain_run, snapshots = simulation.run, []
 
-            def run(seconds, step=0.005, s=s, plain_run=plain_run, looks=looks):
+            def run(seconds, step=0.005, simulation=simulation, plain_run=plain_run, snapshots=snapshots):
                 for _ in range(int(seconds / 0.05)):
                     plain_run(0.05, step)
-                    looks.append(self.look(s))
-
-            s.run = run
-            RandomFaults(s, roles=("controller", "gateway", "storage")).during([], faults=6)
-            s.run(4)
-            beliefs += len(set(looks))
-        self.assertGreater(beliefs, 10, "beliefs moved")
-
-    def look(self, s) -> str:
-        for a in s.simulated_nodes.values():
-            membership = a.ctx.membership
-            for role, status, me in product(ROLES, STATUSES, (True, False)):
+                    snapshots.append(self.check_members(simulation))
+
+            simulation.run = run
+            RandomFaults(simulation, roles=("controller", "gateway", "storage")).during([], faults=6)
+            simulation.run(4)
+            distinct_views += len(set(snapshots))
+        self.assertGreater(distinct_views, 10, "member statuses changed during the run")
+
+    def check_members(self, simulation) -> str:
+        for member in simulation.simulated_nodes.values():
+            membership = member.ctx.membership
+            for role, status, include_self in product(ROLES, STATUSES, (True, False)):
                 self.assertEqual(
-                    membership.members(role, status, me),
-                    membership.table.select(role, status, me),
-                    (a.name, role, status),
+                    membership.members(role, status, include_self),
+                    membership.table.select(role, status, include_self),
+                    (member.name, role, status),
                 )
         return " ".join(
-            f"{e.member.node}{e.state}"
-            for a in s.simulated_nodes.values()
-            for e in a.ctx.membership.table.peers.values()
+            f"{peer.member.node}{peer.state}"
+            for member in simulation.simulated_nodes.values()
+            for peer in member.ctx.membership.table.peers.values()
         )
 
-    def test_a_list_that_was_handed_out_is_the_callers_own(self):
-        s = Simulation(1, controllers=3, storage_nodes=3, gateways=2)
-        self.addCleanup(s.end)
-        s.start()
-        s.ready()
-        membership = s.simulated_nodes["gateway0"].ctx.membership
+    def test_changing_a_returned_list_does_not_affect_the_cache(self):
+        simulation = Simulation(1, controllers=3, storage_nodes=3, gateways=2)
+        self.addCleanup(simulation.end)
+        simulation.start()
+        simulation.ready()
+        membership = simulation.simulated_nodes["gateway0"].ctx.membership
         membership.members("gateway").clear()
         self.assertEqual(len(membership.members("gateway")), 2)
 
--- a/tests/test_membership_peers.py
+++ b/tests/test_membership_peers.py
@@ -1,4 +1,4 @@
-"""The file of known peers is written beside the event loop, however many members change at once."""
+"""The peer store writes its file in a thread, once for many changes at the same time."""
 
 import json
 import unittest
@@ -16,7 +16,7 @@
         self.simulation.run(3)
         self.simulated_node = self.simulation.role("controller")[1]
 
-    def test_many_changes_at_once_wait_for_no_disk_and_are_one_write(self):
+    def test_many_changes_at_once_do_not_block_and_cause_one_write(self):
         membership, written = self.simulated_node.ctx.membership, []
 
         def write(path, data):
@@ -31,9 +31,11 @@
             self.simulation.run(0.001, step=0.001)
         self.assertEqual(written, [b"[]"])
 
-    def test_what_is_written_last_is_what_is_known(self):
-        others = [a for a in self.simulation.simulated_nodes.values() if a is not self.simulated_node]
+    def test_the_file_contains_the_current_live_peers(self):
+        others = [member for member in self.simulation.simulated_nodes.values() if member is not self.simulated_node]
         others[0].kill()
         self.simulation.run(5)
         path = self.simulated_node.ctx.membership.peer_store.path
-        self.assertEqual({tuple(p) for p in json.loads(path.read_text())}, {a.address for a in others[1:]})
+        self.assertEqual(
+            {tuple(address) for address in json.loads(path.read_text())}, {member.address for member in others[1:]}
+        )
--- a/tests/test_rpc_orders.py
+++ b/tests/test_rpc_orders.py
@@ -1,4 +1,4 @@
-"""Every order in which calls between two processes can be answered, answered again, time out and be cut off."""
+"""Explores the orders of responses, duplicate responses, timeouts and lost connections of RPC calls."""
 
 import unittest
 import unittest.mock
@@ -13,13 +13,13 @@
 
 
 class RpcOrders(unittest.TestCase):
-    def test_all_short_orders(self):
+    def test_all_short_event_orders(self):
         self.assertGreater(explore_events(RpcScenario, 7), 2500)
 
-    def test_long_orders_at_random(self):
+    def test_random_long_event_orders(self):
         walk_events(RpcScenario, Random(1), 16, 2000)
 
-    def test_a_call_made_as_another_is_cut_off_goes_on_a_new_connection(self):
+    def test_a_call_made_from_the_errback_of_a_lost_connection_uses_a_new_one(self):
         scenario = RpcScenario()
 
         def call(name):
@@ -32,7 +32,7 @@
         scenario._respond(scenario.received[1])
         self.assertEqual(called_again.result.node, "second")
 
-    def test_numbers_are_needed(self):
+    def test_without_matching_call_ids_responses_are_mixed_up(self):
         def resolve_any(connection, frame):
             pending_calls = connection._pending_calls
             if pending_calls:
@@ -42,7 +42,7 @@
             with self.assertRaisesRegex(AssertionError, "MIXED"):
                 explore_events(RpcScenario, 5)
 
-    def test_numbers_are_never_used_again(self):
+    def test_reused_call_ids_are_detected(self):
         constant = property(lambda _: 0, lambda *_: None)
         with unittest.mock.patch.object(RpcConnection, "_last_call_id", constant, create=True):
             with self.assertRaises(AssertionError):
--- a/tests/test_simulated_logs.py
+++ b/tests/test_simulated_logs.py
@@ -1,4 +1,4 @@
-"""Logs and leases under kills, power losses, freezes and cuts, over many seeds."""
+"""Logs and leases under kills, power losses, freezes and network cuts, with many seeds."""
 
 import contextlib
 import unittest
@@ -15,7 +15,7 @@
 
 
 class _Writers:
-    """Gateways that race for one log, and readers that note every byte they were shown."""
+    """Gateways that compete for the lease of one log, and readers that check that committed bytes never change."""
 
     def __init__(self, simulation, log="results/x", max_bytes=3000):
         self.simulation, self.log, self.max_bytes = simulation, log, max_bytes
@@ -60,13 +60,13 @@
     def check(self, data: bytes):
         shorter, longer = sorted((data, self.last_read), key=len)
         if not longer.startswith(shorter):
-            self.violations.append(f"shown bytes moved below {len(shorter)}")
+            self.violations.append(f"committed bytes changed below position {len(shorter)}")
         self.last_read = longer
 
 
 class LogsUnderFaults(unittest.TestCase):
     def run_seed(self, seed, **options):
-        """Plays one seed with three replicas and small records, or other sizes of the simulation and the records."""
+        """Runs one seed, by default with three replicas and small records. Returns the append and lease counts."""
         max_bytes = options.pop("max_bytes", 3000)
         options = {"controllers": 3, "storage_nodes": 3, "gateways": 3, "placement_groups": 2, **options}
         simulation = Simulation(seed, **options)
@@ -100,11 +100,11 @@
         found = {position: body for position, body, _ in decode_frames(data)}
         for position, body in writers.acknowledged.items():
             self.assertEqual(
-                found.get(position), body, f"seed {seed}: acknowledged at {position} and gone; {random_faults.injected}"
+                found.get(position), body, f"seed {seed}: acknowledged at {position} but lost; {random_faults.injected}"
             )
         return len(writers.acknowledged), writers.lease_count
 
-    def test_nothing_acknowledged_is_lost_and_nothing_shown_moves(self):
+    def test_acknowledged_records_are_not_lost_and_committed_bytes_do_not_change(self):
         acknowledged = lease_count = 0
         for seed in SEEDS:
             with self.subTest(seed=seed):
@@ -113,7 +113,7 @@
         self.assertGreater(acknowledged, 20 * len(SEEDS))
         self.assertGreater(lease_count, 3 * len(SEEDS))
 
-    def test_nothing_is_lost_where_five_replicas_fetch_large_records_from_each_other(self):
+    def test_no_acknowledged_record_is_lost_with_five_replicas_that_fetch_large_records(self):
         fetches = []
         acknowledged = 0
         for seed in SEEDS:
@@ -126,7 +126,7 @@
 
 
 def recording_fetch(calls):
-    """Returns the handler of fetches, which notes each call."""
+    """Returns a replacement of the fetch handler that records the length of each fetch."""
     original_fetch = WriteHandler._fetch
 
     async def record(handler, peer, request):
@@ -144,7 +144,7 @@
         self.simulation.ready()
         self.first, self.second = self.simulation.role("gateway")
 
-    def test_a_leaseholder_that_slept_past_its_lease_is_fenced_and_stops_by_its_own_clock(self):
+    def test_a_leaseholder_frozen_past_its_lease_is_fenced_and_stops_by_its_own_clock(self):
         leaseholder = self.simulation.do(self.first.ctx.replicated_log.acquire("results/a"))
         self.simulation.do(leaseholder.append([b"one"]))
         with self.assertRaises(LeaseNotHeld):
@@ -163,7 +163,7 @@
         data = self.simulation.do(self.second.ctx.replicated_log.read("results/a", 0, state.committed))
         self.assertEqual([body for _, body, _ in decode_frames(data)], [b"one", b"two"])
 
-    def test_a_new_leaseholder_keeps_a_tail_that_only_one_storage_node_was_sent(self):
+    def test_a_new_leaseholder_recovers_a_log_after_an_append_reached_only_one_storage_node(self):
         leaseholder = self.simulation.do(self.first.ctx.replicated_log.acquire("results/b"))
         self.simulation.do(leaseholder.append([b"first"]))
         storage_nodes = [member.name for member in self.simulation.role("storage")]
@@ -183,7 +183,7 @@
             len({state.tail_epoch for state in states if state.length == max(other.length for other in states)}), 1
         )
 
-    def test_an_append_whose_responses_were_lost_is_known_to_be_durable_once_storage_nodes_are_heard(self):
+    def test_an_append_whose_responses_were_lost_is_committed_once_the_link_works_again(self):
         leaseholder = self.simulation.do(self.first.ctx.replicated_log.acquire("results/d"))
         self.simulation.do(leaseholder.append([b"first"]))
         storage_nodes = [member.name for member in self.simulation.role("storage")]
@@ -198,7 +198,7 @@
         )
         self.assertTrue(leaseholder.is_held())
 
-    def test_a_full_disk_refuses_lots_but_keeps_room_for_ends(self):
+    def test_a_full_storage_node_refuses_appends_except_reserved_ones(self):
         leaseholder = self.simulation.do(self.first.ctx.replicated_log.acquire("results/c"))
         for member in self.simulation.role("storage"):
             log_store = member.part.log_store
--- a/tests/test_simulated_loss_steps.py
+++ b/tests/test_simulated_loss_steps.py
@@ -1,6 +1,4 @@
-"""At each step of a change of voters or placement groups one member is lost with its disk, before and after the step
-is agreed.
-"""
+"""At each step of a change of voters or placement groups, one member loses its disk, before or after the commit."""
 
 import unittest
 import unittest.mock
@@ -19,7 +17,7 @@
 
 
 class _DiskLoss:
-    """Takes a member's disk at the n-th proposal of one kind, as it is made or once it is agreed."""
+    """Destroys a member's disk at the n-th proposal of one kind, either when it is made or once it is committed."""
 
     def __init__(self, simulation, kind, step, committed, choose_node):
         self._simulation, self._kind, self._steps_left, self._choose_node = simulation, kind, step, choose_node
@@ -39,7 +37,7 @@
         self.patch = unittest.mock.patch.object(LogReplication, "propose", propose)
 
     def _node_lost_at(self, command) -> str:
-        """Who is lost at this step, if it is the one. A step at which nobody has the part in question is none."""
+        """Returns the node to lose if this is the chosen step, or "". Proposals without such a node do not count."""
         if not self.armed or command.WhichOneof("of") != self._kind:
             return ""
         node = self._choose_node(self._simulation, command)
@@ -81,7 +79,7 @@
 
 
 def _changed(simulation, command, removed: bool) -> str:
-    """The controller that this change adds or takes off, or none."""
+    """Returns the controller that this change adds or removes, or "" if there is none."""
     before = set(simulation.leader().part.consensus.voters()) if simulation.leader() else set()
     after = set(command.controllers.voters)
     return next(iter(sorted(before - after if removed else after - before)), "")
@@ -96,7 +94,7 @@
 
 class LossAtEachStep(unittest.TestCase):
     def run_step(self, seed, kind, step, committed, choose_node, start_change) -> bool:
-        """False where the change had fewer steps."""
+        """Runs the change with a disk loss at one step; returns False if the change has fewer steps."""
         simulation = LossSimulation(seed, **SMALL_CLUSTER)
         self.addCleanup(simulation.end)
         disk_loss = _DiskLoss(simulation, kind, step, committed, choose_node)
@@ -134,20 +132,20 @@
             except (PipitlinkError, AttributeError):
                 await timers.sleep(ms(200))
 
-    def test_a_retirement(self):
+    def test_retirement_of_a_storage_node(self):
         def start_change(simulation):
             spawn(self.retire(simulation, simulation.role("storage")[2].node))
 
         self.run_all_steps("placement", STORAGE_CHOICES, start_change)
 
-    def test_a_new_storage_node(self):
+    def test_addition_of_a_storage_node(self):
         self.run_all_steps(
             "placement",
             STORAGE_CHOICES,
             lambda simulation: simulation.add("storage", "storage9", "zone-a", 1990).start(),
         )
 
-    def test_more_losses_to_bear(self):
+    def test_increase_of_the_tolerated_losses(self):
         def start_change(simulation):
             simulation.losses = simulation.settings["machine_losses"] = 2
             for member in simulation.role("controller"):
@@ -155,7 +153,7 @@
 
         self.run_all_steps("controllers", VOTER_CHOICES, start_change)
 
-    def test_a_replaced_voter_whose_machine_is_lost_again(self):
+    def test_a_replaced_voter_whose_machine_loses_its_disk_again(self):
         def start_change(simulation):
             lost = next(
                 member
@@ -169,7 +167,7 @@
 
         self.run_all_steps("controllers", {"joining": VOTER_CHOICES["joining"]}, start_change)
 
-    def test_a_storage_node_that_lost_its_disk_and_is_lost_again(self):
+    def test_a_storage_node_that_loses_its_disk_twice(self):
         def start_change(simulation):
             lost = simulation.role("storage")[1]
             lost.kill(power=True)
--- a/tests/test_simulated_second_loss.py
+++ b/tests/test_simulated_second_loss.py
@@ -1,4 +1,4 @@
-"""A loss of each kind is made good before the next may come, and the next loss then takes nothing along."""
+"""After a loss of each kind, the cluster repairs itself in time, so that a second loss does not lose data."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 from .loss_simulation import LOSS_KINDS, LossSimulation
 
 REPAIR_TIMEOUT_S = 3.0
-"""Seconds from a machine's return, or its successor's start, until all copies and votes are whole."""
+"""The time from a machine's return, or its successor's start, until all replicas and voters are up to date."""
 TOLERATES_TWO = {"losses": 2, "storage_nodes": 14, "controllers": 8}
 SHAPES = (TOLERATES_TWO, {**TOLERATES_TWO, "controllers": 5, "zones": 5})
 
@@ -21,7 +21,7 @@
 
 
 def _voters(simulation):
-    """The controllers that vote, the leader first."""
+    """Returns the voters, the leader first."""
     leader = simulation.until(simulation.leader, 10, "a controller leads")
     voters = leader.part.consensus.cluster_state.voters
     return [leader] + [
@@ -30,7 +30,7 @@
 
 
 def _wipe(simulation, simulated_nodes, power=()):
-    """Disks lost at once, while others may lose power."""
+    """Some nodes lose their disks at the same time, while others may lose power; all restart after 1 s."""
     for member in (*simulated_nodes, *power):
         member.kill(power=True)
     for member in simulated_nodes:
@@ -41,16 +41,18 @@
 
 
 def _assert_progress(test, simulation):
-    """Edits and appends are acknowledged again."""
+    """Waits until new edits and appends are acknowledged."""
     edits, appends = len(simulation.edits), sum(len(records) for records in simulation.acknowledged.values())
-    simulation.until(lambda: len(simulation.edits) > edits + 2, 12, "edits go on")
+    simulation.until(lambda: len(simulation.edits) > edits + 2, 12, "edits are acknowledged")
     simulation.until(
-        lambda: sum(len(records) for records in simulation.acknowledged.values()) > appends + 30, 12, "appends go on"
+        lambda: sum(len(records) for records in simulation.acknowledged.values()) > appends + 30,
+        12,
+        "appends are acknowledged",
     )
 
 
 def _is_retired(simulation, simulated_node) -> bool:
-    """Asks for the retirement, again where it cannot be begun yet, and then whether it has ended."""
+    """Requests the retirement, again if it cannot start yet (status 503), and returns whether it has ended."""
     leader = simulation.leader()
     if leader is None:
         return False
@@ -79,12 +81,12 @@
         _assert_progress(self, simulation)
         self.assertEqual(simulation.missing_acknowledged(), [])
 
-    def test_a_voter_after_a_loss_of_each_kind(self):
+    def test_a_voter_loses_its_disk_after_a_loss_of_each_kind(self):
         for number, kind in enumerate(LOSS_KINDS):
             with self.subTest(kind=kind):
                 self.run_two_losses("controller", kind, number + 1)
 
-    def test_a_storage_node_after_a_loss_of_each_kind(self):
+    def test_a_storage_node_loses_its_disk_after_a_loss_of_each_kind(self):
         for number, kind in enumerate(LOSS_KINDS):
             with self.subTest(kind=kind):
                 self.run_two_losses("storage", kind, number + 1)
@@ -99,7 +101,9 @@
                 simulation.inject_loss(second, "wiped_late")
                 simulation.wait_until_repaired(REPAIR_TIMEOUT_S)
                 simulation.until(
-                    lambda simulation=simulation, third=third: _is_retired(simulation, third), 4, "it is retired"
+                    lambda simulation=simulation, third=third: _is_retired(simulation, third),
+                    4,
+                    "the storage node is retired",
                 )
                 third.kill(power=True)
                 third.wipe()
@@ -137,7 +141,7 @@
                 _assert_progress(self, simulation)
                 self.assertEqual(simulation.missing_acknowledged(), [])
 
-    def test_a_zone_without_power_leaves_majorities_everywhere(self):
+    def test_all_quorums_survive_a_power_loss_of_one_zone(self):
         for seed, shape in enumerate(SHAPES, 5):
             with self.subTest(shape=shape):
                 simulation = _start_simulation(self, seed, **shape)
@@ -157,7 +161,7 @@
 
 
 class ToleratedLosses(unittest.TestCase):
-    def test_the_number_is_changed_while_the_fleet_serves(self):
+    def test_the_number_of_tolerated_losses_can_change_while_the_cluster_serves(self):
         simulation = _start_simulation(self, 7, logs=40, storage_nodes=8, controllers=8)
         for losses in (2, 1):
             simulation.losses = simulation.settings["machine_losses"] = losses
--- a/tests/test_stalled_connections.py
+++ b/tests/test_stalled_connections.py
@@ -1,4 +1,4 @@
-"""A connection on which nothing comes any more is dropped, and calls go on over another one."""
+"""A connection on which nothing arrives any more is dropped, and later calls use a new one."""
 
 import unittest
 import unittest.mock
@@ -23,12 +23,12 @@
 
 
 class StalledConnections(unittest.TestCase):
-    """Two real endpoints in memory; what is not pumped stays under way, as on a link that is cut."""
+    """Two real endpoints on in-memory transports; bytes that are not pumped stay in transit, as on a cut link."""
 
     def setUp(self):
         self.clock = Clock()
         self.timers = Timers(self.clock, seconds=self.clock.seconds)
-        self.client, self.server = self._endpoint("caller"), self._endpoint("callee")
+        self.client, self.server = self._endpoint("client"), self._endpoint("server")
         self.handled_targets: list[str] = []
         self.server.register_handler("probe", IndirectProbeRequest, self._probe)
         self.pumps: list = []
@@ -45,7 +45,7 @@
 
     async def _connect(self, address):
         if self.cut:
-            raise ConnectionFailed("nobody is there", sent=False)
+            raise ConnectionFailed("connection refused", sent=False)
         self.opened += 1
         client_connection, server_connection = RpcConnection(self.client), RpcConnection(self.server)
         pump = iosim.connect(
@@ -75,7 +75,7 @@
         return results
 
     def calls(self, count, body=""):
-        """Calls one after another, each to its limit."""
+        """Makes calls one after another, each until its timeout; returns their results."""
         outcomes = []
         for _ in range(count):
             results = self.call(f"call{len(self.handled_targets)}", body)
@@ -92,7 +92,7 @@
         healed = self.calls(2)
         return while_cut, healed, handled_count
 
-    def test_a_cut_connection_is_dropped_and_a_new_one_opened_after_the_heal(self):
+    def test_a_stalled_connection_is_dropped_and_a_new_one_opened_once_the_link_works_again(self):
         while_cut, healed, _ = self.cut_and_heal()
         self.assertEqual({type(error) for error in while_cut[:2]}, {DeadlineExceeded})
         self.assertTrue(
@@ -101,14 +101,14 @@
         self.assertTrue(all(response.alive for response in healed))
         self.assertEqual(self.opened, 2)
 
-    def test_without_the_guard_calls_wait_on_the_connection_that_was_cut(self):
+    def test_without_stall_detection_calls_keep_timing_out_on_the_old_connection(self):
         with unittest.mock.patch.object(RpcConnection, "is_stalled", lambda self: False):
             while_cut, _, _ = self.cut_and_heal()
         self.assertEqual({type(error) for error in while_cut}, {DeadlineExceeded})
         self.assertEqual(self.opened, 1)
 
-    def test_a_connection_that_answers_late_is_kept(self):
-        """Each call runs into its limit, and its answer comes a little after."""
+    def test_a_connection_with_late_responses_is_kept(self):
+        """Each response arrives shortly after the timeout of its call."""
         late_calls = []
 
         async def probe(node, request):
@@ -122,7 +122,7 @@
         self.assertEqual({type(results[0].value) for results in late_calls}, {DeadlineExceeded})
         self.assertEqual(self.opened, 1)
 
-    def test_a_process_that_was_stopped_reads_what_has_come_before_it_drops_a_connection(self):
+    def test_a_resumed_process_reads_buffered_responses_before_it_drops_a_connection(self):
         results = self.call("stopped")
         self.clock.advance(30)
         self.pumps[0].flush()
@@ -131,7 +131,7 @@
         self.assertTrue(self.calls(1)[0].alive)
         self.assertEqual(self.opened, 1)
 
-    def test_a_large_call_has_the_time_that_its_bytes_take_on_a_slow_link(self):
+    def test_the_stall_timeout_includes_the_transfer_time_of_large_calls(self):
         self.calls(1)
         self.cut = True
         self.calls(4, body="x" * 1024 * 1024)
--- a/tests/test_who_answered.py
+++ b/tests/test_who_answered.py
@@ -1,4 +1,4 @@
-"""Calls go to a place: a node that came back there without its disk must not count for the one that it was."""
+"""Calls go to addresses: a node that returns to its address without its disk must not count as its former self."""
 
 import unittest
 
@@ -10,8 +10,8 @@
 from .test_model_conformance import IN_EFFECT, settled_anew
 
 
-class WhoAnswered(unittest.TestCase):
-    def record(self, seed: int, **args) -> tuple[Simulation, Recorder]:
+class WipedNodes(unittest.TestCase):
+    def start_recorded_simulation(self, seed: int, **args) -> tuple[Simulation, Recorder]:
         simulation = Simulation(seed, placement_groups=1, **args)
         self.addCleanup(simulation.end)
         recorder = Recorder(simulation)
@@ -22,14 +22,14 @@
         simulation.ready()
         return simulation, recorder
 
-    def test_an_emptied_controller_is_not_counted_as_the_voter_it_was(self):
-        simulation, recorder = self.record(3, controllers=3, storage_nodes=3, gateways=1)
-        lost = next(a for a in simulation.role("controller") if a is not simulation.leader())
+    def test_a_wiped_controller_does_not_count_as_the_voter_it_was(self):
+        simulation, recorder = self.start_recorded_simulation(3, controllers=3, storage_nodes=3, gateways=1)
+        lost = next(member for member in simulation.role("controller") if member is not simulation.leader())
         simulation.leader().part.consensus.step_down()
         lost.kill(power=True)
-        leader = simulation.until(simulation.leader, 10, "another term is led")
-        cut = next(a for a in simulation.role("controller", alive=True) if a is not leader)
-        simulation.cut([cut.name], [a for a in simulation.simulated_nodes if a != cut.name])
+        leader = simulation.until(simulation.leader, 10, "a leader of another term")
+        cut_off = next(member for member in simulation.role("controller", alive=True) if member is not leader)
+        simulation.cut([cut_off.name], [name for name in simulation.simulated_nodes if name != cut_off.name])
         lost.wipe()
         lost.start()
         with self.assertRaises(PipitlinkError):
@@ -43,17 +43,17 @@
         simulation.run(6)
         self.assertEqual(recorder.found(IN_EFFECT), [])
 
-    def test_an_emptied_storage_node_is_not_counted_as_the_copy_it_was(self):
-        simulation, recorder = self.record(4, controllers=3, storage_nodes=3, gateways=2)
+    def test_a_wiped_storage_node_does_not_count_as_the_replica_it_was(self):
+        simulation, recorder = self.start_recorded_simulation(4, controllers=3, storage_nodes=3, gateways=2)
         first, second = simulation.role("gateway")
-        has, lags, lost = simulation.role("storage")
+        current, behind, lost = simulation.role("storage")
         gateways = [first.name, second.name]
-        simulation.cut([lags.name], gateways)
-        holder = simulation.do(first.ctx.replicated_log.acquire("results/x"))
-        simulation.do(holder.append([b"kept"]))
-        simulation.do(first.ctx.replicated_log.release([holder]))
+        simulation.cut([behind.name], gateways)
+        leaseholder = simulation.do(first.ctx.replicated_log.acquire("results/x"))
+        simulation.do(leaseholder.append([b"kept"]))
+        simulation.do(first.ctx.replicated_log.release([leaseholder]))
         simulation.heal()
-        simulation.cut([has.name], [*gateways, lags.name, lost.name])
+        simulation.cut([current.name], [*gateways, behind.name, lost.name])
         lost.kill(power=True)
         lost.wipe()
         lost.start()
@@ -63,4 +63,4 @@
         simulation.run(8)
         simulation.do(settled_anew(second.ctx, "results/x"), 30)
         self.assertEqual(recorder.found(IN_EFFECT), [])
-        self.assertTrue([s for s in recorder.settled if s.node == second.node])
+        self.assertTrue([state for state in recorder.settled if state.node == second.node])
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -1,4 +1,4 @@
-"""A call that names a node is refused, and not run, by any other that answers at its place."""
+"""A call to a specific node fails, without being executed, if another node is at that address."""
 
 import unittest
 import unittest.mock
@@ -27,11 +27,11 @@
 
 
 class Connections(unittest.TestCase):
-    """Two real endpoints on one connection in memory."""
+    """Two real endpoints on one in-memory connection."""
 
     def setUp(self):
         self.timers = Timers(Clock(), seconds=lambda: 0.0)
-        self.client, self.server = self._endpoint("caller"), self._endpoint("callee")
+        self.client, self.server = self._endpoint("client"), self._endpoint("server")
         self.handled_targets: list[str] = []
         self.server.register_handler("probe", IndirectProbeRequest, self._probe)
         client_connection, server_connection = RpcConnection(self.client), RpcConnection(self.server)
@@ -57,21 +57,21 @@
         self.pump.flush()
         return results[0]
 
-    def test_the_named_node_and_whoever_is_there_answer(self):
-        self.assertTrue(self.call(self.client, ADDRESS, "a", node="callee").alive)
+    def test_calls_with_the_right_node_id_or_without_one_succeed(self):
+        self.assertTrue(self.call(self.client, ADDRESS, "a", node="server").alive)
         self.assertTrue(self.call(self.client, ADDRESS, "b").alive)
         self.assertEqual(self.handled_targets, ["a", "b"])
 
-    def test_another_node_refuses_and_does_not_run_it(self):
-        failure = self.call(self.client, ADDRESS, "a", node="its predecessor")
+    def test_a_call_with_another_node_id_fails_and_is_not_executed(self):
+        failure = self.call(self.client, ADDRESS, "a", node="predecessor")
         self.assertIsInstance(failure.value, WrongPeer)
         self.assertFalse(failure.value.sent)
         self.assertEqual(self.handled_targets, [])
 
-    def test_a_node_at_its_own_place_does_not_answer_for_its_predecessor(self):
+    def test_a_local_call_with_another_node_id_fails_and_is_not_executed(self):
         self.server.address = ADDRESS
-        self.assertTrue(self.call(self.server, ADDRESS, "a", node="callee").alive)
-        self.assertIsInstance(self.call(self.server, ADDRESS, "b", node="its predecessor").value, WrongPeer)
+        self.assertTrue(self.call(self.server, ADDRESS, "a", node="server").alive)
+        self.assertIsInstance(self.call(self.server, ADDRESS, "b", node="predecessor").value, WrongPeer)
         self.assertEqual(self.handled_targets, ["a"])
 
 
@@ -83,7 +83,7 @@
 
 
 class WipedMembers(unittest.TestCase):
-    """A member that lost its disk is back at the same place under a new id before anybody has heard of that."""
+    """A member lost its disk and restarts at the same address with a new id, before other nodes learn of the new id."""
 
     def setUp(self):
         self.start_simulation(11)
@@ -101,7 +101,7 @@
         simulated_node.start()
 
     def confirmed_edits_with_one_voter_left(self) -> list[bool]:
-        """Of several runs, in which the leader has confirmed an order with the voters that were left."""
+        """Returns for each of several seeds whether the leader confirmed an edit."""
         confirmed = []
         for seed in SEEDS:
             self.start_simulation(seed)
@@ -109,7 +109,7 @@
         return confirmed
 
     def is_edit_confirmed_with_one_voter_left(self):
-        """One of three voters is down and one is emptied; whether the leader confirms an order with them."""
+        """Returns whether the leader confirms an edit while, of three voters, one is down and one has lost its disk."""
         leader = self.simulation.leader()
         down, wiped = [member for member in self.simulation.role("controller") if member is not leader]
         down.kill()
@@ -121,15 +121,18 @@
             return False
         return True
 
-    def test_an_order_is_not_confirmed_by_an_emptied_voter(self):
+    def test_a_voter_that_lost_its_disk_does_not_confirm_an_edit(self):
         self.assertNotIn(True, self.confirmed_edits_with_one_voter_left())
 
-    def test_without_the_guard_an_order_is_confirmed_that_one_voter_has(self):
+    def test_without_the_peer_check_an_edit_on_a_single_voter_is_confirmed(self):
         with without_peer_check():
             self.assertIn(True, self.confirmed_edits_with_one_voter_left())
 
     def read_after_a_loss(self):
-        """Two of three replicas have an acknowledged record; one of these is emptied and the other one goes down."""
+        """Returns the log as a new leaseholder reads it after two replicas with an acknowledged record were lost.
+
+        Two of three replicas have the record; one of these loses its disk, and the other one goes down.
+        """
         first, second = self.simulation.role("gateway")
         behind, wiped, down = self.simulation.role("storage")
         behind.kill()
@@ -142,15 +145,15 @@
         self.simulation.until(lambda: wiped.ctx.cluster.sequence and behind.ctx.cluster.sequence, 10, "they follow")
         return self.simulation.do(second.ctx.replicated_log.acquire(LOG, lost_leaseholder=first.node), 10).data
 
-    def test_an_emptied_storage_node_grants_no_lease_in_the_name_of_the_lost_one(self):
+    def test_a_wiped_storage_node_grants_no_lease_under_its_former_id(self):
         with self.assertRaises(NoQuorum):
             self.read_after_a_loss()
 
-    def test_without_the_guard_an_acknowledged_record_is_lost(self):
+    def test_without_the_peer_check_an_acknowledged_record_is_lost(self):
         with without_peer_check():
             self.assertNotIn(b"acknowledged", bytes(self.read_after_a_loss()))
 
-    def test_an_emptied_storage_node_is_no_witness_and_shows_no_state_for_the_lost_one(self):
+    def test_a_wiped_storage_node_does_not_respond_as_witness_or_replica_under_its_former_id(self):
         storage_node, gateway = self.simulation.role("storage")[0], self.simulation.role("gateway")[0]
         lost = storage_node.node
         self.wipe_and_restart(storage_node)
@@ -163,7 +166,7 @@
             with self.assertRaises(WrongPeer):
                 self.simulation.do(replicated_log.call(lost, method, request, response_type), 3)
 
-    def test_followers_name_the_controller_that_they_follow(self):
+    def test_calls_of_followers_name_the_node_that_they_are_for(self):
         node_names = []
         original_carry = self.simulation.carry
 
@@ -177,7 +180,7 @@
         self.assertTrue(node_names)
         self.assertTrue(all(node_names))
 
-    def test_a_follow_call_is_not_answered_by_the_successor_of_the_controller_that_is_meant(self):
+    def test_a_follow_call_to_a_wiped_controller_fails_under_its_former_id(self):
         leader, gateway = self.simulation.leader(), self.simulation.role("gateway")[0]
         lost = leader.node
         self.wipe_and_restart(leader)
