--- a/pipitlink/membership/gossiper.py
+++ b/pipitlink/membership/gossiper.py
@@ -97,7 +97,7 @@
         return gossip
 
     def _limit_peers(self, peers: list[Peer]) -> list[Peer]:
-        """Returns at most MAX_GOSSIPED_PEERS: half of them the most recently changed, half a random sample."""
+        """Returns the peers; if there are too many, only the most recently changed ones and a random sample."""
         if len(peers) <= MAX_GOSSIPED_PEERS:
             return peers
         newest = sorted(peers, key=lambda peer: -peer.changed_at)[: MAX_GOSSIPED_PEERS // 2]
--- a/pipitlink/replicated_log/leaseholder.py
+++ b/pipitlink/replicated_log/leaseholder.py
@@ -80,8 +80,8 @@
         """Updates the log's placement group if it has changed in the cluster state.
 
         This discards the progress that storage nodes reported before the change. A later leaseholder may have been
-        granted the lease by a majority of the old set that a joining node does not know of. Without old reports, that
-        majority gets the chance to refuse this leaseholder before a position counts as committed.
+        granted the lease by a majority of the old set that a joining node does not know of. Since old reports do not
+        count, this leaseholder must reach a quorum again, and that majority refuses it.
         """
         placement_group = self._client.placement_group(self.log)
         if placement_group.sequence <= self.placement_group.sequence:
--- a/pipitlink/replicated_log/placement_group.py
+++ b/pipitlink/replicated_log/placement_group.py
@@ -54,8 +54,8 @@
     def transfer_targets(self) -> tuple[str, ...]:
         """The storage nodes that must report that they have all durable data before the change may end.
 
-        If a storage node leaves without a replacement, all remaining ones must report: its replica is lost, and without
-        it a committed record might be on less than a majority of the smaller set.
+        If a storage node leaves without a replacement, all remaining ones must report: without its replica, a committed
+        record might otherwise be on less than a majority of the smaller set.
         """
         if self.joining:
             return (self.joining,)
--- a/pipitlink/storage/lease_grants.py
+++ b/pipitlink/storage/lease_grants.py
@@ -29,7 +29,7 @@
 
 
 class LeaseGrants:
-    """The leases granted by this storage node, each under a higher epoch that is synced before the grant.
+    """The leases granted by this storage node, each under a new highest epoch that is synced before the response.
 
     A storage node that has just started, or just joined a placement group, may not know of a valid lease. It refuses
     new leases until any such lease would have expired.
--- a/pipitlink/storage/replica.py
+++ b/pipitlink/storage/replica.py
@@ -46,8 +46,8 @@
 
     `epoch` is the highest granted epoch known to this storage node, including copied grants of other storage nodes;
     `leased_epoch` is the highest epoch that it granted itself. `tail_epoch` is the epoch of the last writer, and
-    `synced` is the tail on disk. `epoch_location` and `tail_location` locate the entries that hold `epoch` and
-    `tail_epoch`.
+    `synced` is the tail on disk. `epoch_location` and `tail_location` locate the entries from which `epoch` and
+    `tail_epoch` can be recovered.
     """
 
     log: str
@@ -82,7 +82,7 @@
         )
 
     def uses_segment(self, segment: int) -> bool:
-        """Returns whether the replica needs an entry in this segment file."""
+        """Returns whether the replica needs any data in this segment file."""
         entries = [self.epoch_location, self.tail_location]
         if any(location is not None and location.segment == segment for location in entries):
             return True
--- a/pipitlink/storage/write_handler.py
+++ b/pipitlink/storage/write_handler.py
@@ -44,7 +44,7 @@
         key = _WriterKey(part.log, part.epoch)
         buffered = b"" if part.position == 0 else self._buffers.get(key, b"")
         if len(buffered) != part.position or len(self._buffers) > MAX_PARTIAL_WRITES or len(buffered) > MAX_LOG_BYTES:
-            raise StorageFull(f"{part.log}: a part at {part.position} does not continue {len(buffered)} buffered bytes")
+            raise StorageFull(f"{part.log}: cannot buffer a part at {part.position} after {len(buffered)} bytes")
         self._buffers[key] = buffered + part.data
 
     def complete(self, last: WriteRequest) -> bytes | None:
--- a/pipitlink/wire/rpc.py
+++ b/pipitlink/wire/rpc.py
@@ -61,7 +61,7 @@
     """Faults that a test injects into the transport and the disk of a node."""
 
     async def outbound(self, address: Address, method: str) -> None:
-        """Is awaited before a call or notification is sent, and may delay it or fail it."""
+        """Is awaited before a call or notification is sent, and may delay it."""
 
     def disk(self) -> Disk | None:
         """Returns the file operations to use instead of the real ones, or None."""
--- a/tests/rpc_scenarios.py
+++ b/tests/rpc_scenarios.py
@@ -93,7 +93,7 @@
             events.append(("call", self._call))
         for call in self.received:
             if call.responses < 2 and not call.connection.closed:
-                events.append((f"answer {call.name}", lambda call=call: self._respond(call)))
+                events.append((f"respond to {call.name}", lambda call=call: self._respond(call)))
         if self._seconds_passed < 2:
             events.append(("a second passes", self._advance_second))
         for connection in self.endpoint.opened:
--- a/tests/test_large_appends.py
+++ b/tests/test_large_appends.py
@@ -257,7 +257,7 @@
         self.assertEqual(woken, [None])
         self.assertFalse(self.planner.must_wait_for_zone_peer("b2", self.source_for("b2")))
         spawn(self.planner.wait_for_transfer()).addBoth(woken.append)
-        self.assertEqual(woken, [None, None], "an overdue transfer is not waited for")
+        self.assertEqual(woken, [None, None], "there is no wait for an overdue transfer")
 
     def test_the_end_of_a_fetch_wakes_the_waiting_senders(self):
         self.record_length("a1", 90_000)
--- a/tests/test_simulated_logs.py
+++ b/tests/test_simulated_logs.py
@@ -193,9 +193,7 @@
         self.simulation.clock.callLater(1.2, self.simulation.heal)
         with contextlib.suppress(PipitlinkError):
             self.simulation.do(leaseholder.append([b"last"]), 10)
-        self.simulation.until(
-            lambda: leaseholder.committed == len(leaseholder.data), 5, "the append is known to be durable"
-        )
+        self.simulation.until(lambda: leaseholder.committed == len(leaseholder.data), 5, "the append is committed")
         self.assertTrue(leaseholder.is_held())
 
     def test_a_full_storage_node_refuses_appends_except_reserved_ones(self):
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -142,7 +142,9 @@
         down.kill()
         behind.start()
         self.wipe_and_restart(wiped)
-        self.simulation.until(lambda: wiped.ctx.cluster.sequence and behind.ctx.cluster.sequence, 10, "they follow")
+        self.simulation.until(
+            lambda: wiped.ctx.cluster.sequence and behind.ctx.cluster.sequence, 10, "the storage nodes follow a leader"
+        )
         return self.simulation.do(second.ctx.replicated_log.acquire(LOG, lost_leaseholder=first.node), 10).data
 
     def test_a_wiped_storage_node_grants_no_lease_under_its_former_id(self):
