--- a/pipitlink/router/__init__.py
+++ b/pipitlink/router/__init__.py
@@ -1,4 +1,4 @@
-"""Gateways of the routes interface: opaque requests by route, and batches."""
+"""The gateway of the routes interface: forwards opaque requests by route, and runs batches."""
 
 from .node import RouterNode
 
--- a/pipitlink/router/call.py
+++ b/pipitlink/router/call.py
@@ -1,4 +1,4 @@
-"""The record of one request by route on its way to an engine."""
+"""The record of one request while it is routed to an engine."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class CallPhase(StrEnum):
-    """The phases of a call, in their order; all but the first are entered anew with each attempt."""
+    """The phases of a call, in order; each attempt passes through all but the first again."""
 
     READ = "read"
     CHOOSE = "choose"
@@ -61,24 +61,24 @@
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt: equal ids mean equal text, of which an engine may have computed the prefix already."""
+    """A part of a prompt; equal ids mean equal text, which an engine may already have in its prefix cache."""
 
     part_id: str
     tokens: int
 
 
 class ResponseSink(Protocol):
-    """Where the response to a call goes, as it comes."""
+    """Receives the response to a call as it arrives."""
 
     def head(self, response: Response) -> None:
-        """Takes status and headers; called once, before any data."""
+        """Receives the status and the headers; called once, before any data."""
 
     def data(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Receives a piece of the body."""
 
 
 def parse_prompt_parts(value: bytes | None) -> list[PromptPart]:
-    """Returns the parts of a prompt in order, from ID:TOKENS separated by commas; what cannot be read is left out."""
+    """Parses the parts of a prompt, ID:TOKENS separated by commas, in order; skips those that are malformed."""
     parts = []
     for item in (value or b"").decode("ascii", "replace").split(","):
         part_id, _, tokens = item.strip().rpartition(":")
@@ -89,11 +89,11 @@
 
 @attrs.define(eq=False, slots=False)
 class Call(StateMachineMixin):
-    """The record of one request by route on its way to an engine; its head and body are opaque.
+    """The record of one request while it is routed to an engine; its head and body are opaque.
 
-    `precondition` is checked right before each attempt is sent, and raises where the call must not be sent any more.
-    `executions` counts by engine the attempts that may have run there, and `has_lost_attempt` says that one was lost.
-    `timings` are taken for calls of callers only.
+    `precondition` is called right before each attempt is sent, and raises if the call must not be sent any more.
+    `executions` counts, by engine, the attempts that may have run there. `has_lost_attempt` tells whether the outcome
+    of an earlier attempt is unknown. `timings` are recorded only for requests of clients, not for batch items.
     """
 
     state_machine = "request"
@@ -129,62 +129,62 @@
         self._init_state_machine()
 
     def _release_engine(self) -> None:
-        """Is the action of the transitions that end an attempt."""
+        """The action of the state transitions that end an attempt."""
         if self.engine is not None:
             self.avoided_engines.add(self.engine.name)
         self.engine = self.connection = None
 
     def end_phase(self, phase: CallPhase) -> None:
-        """Notes the end of a phase where the timings of this call are taken."""
+        """Records the end of a phase, if the timings of this call are recorded."""
         if self.timings is not None:
             self.timings.end_phase(phase)
 
     def phase_ms(self, phase: CallPhase) -> int:
-        """Returns the whole milliseconds of a phase; 0 where the timings of this call are not taken."""
+        """Returns the whole milliseconds spent in a phase; 0 if the timings of this call are not recorded."""
         return self.timings.phase_ms(phase) if self.timings is not None else 0
 
     @property
     def outcome(self) -> str:
-        """What may be said of its execution: `not_run`, `unknown` or `failed`."""
+        """What is known about its execution: `not_run`, `unknown` or `failed`."""
         outcome = reportable_outcome(self.state)
         return "unknown" if outcome == "not_run" and self.has_lost_attempt else outcome
 
     @property
     def shared_parts(self) -> list[PromptPart]:
-        """The parts that other requests may share: all but the last, which is the request's or its session's own."""
+        """The prompt parts that other requests may share: all but the last, which is specific to it or its session."""
         return self.prompt_parts[:-1]
 
     @property
     def own_part_tokens(self) -> int:
-        """The tokens of the last part, which no engine has cached."""
+        """The tokens of the last prompt part, which no engine has cached."""
         return self.prompt_parts[-1].tokens if self.prompt_parts else 0
 
     @property
     def engines_run(self) -> set[str]:
-        """The engines on which it may have run: those that were sent it and did not say that they did not run it."""
+        """The engines on which it may have run: those that got it and have not reported it as not executed."""
         return {name for name, executions in self.executions.items() if executions}
 
     @property
     def budget_spent(self) -> bool:
-        """Whether it may run on no engine but those on which it may have run; items of batches may run anywhere."""
+        """Whether it may only be retried on engines that may have run it; batch items have no such limit."""
         return not self.is_batch_item and len(self.engines_run) >= max(1, self.route.max_attempts)
 
     def discard_body(self) -> None:
-        """Frees the body of a call that will not be sent again."""
+        """Frees the memory of the body of a call that will not be sent again."""
         self.body = b""
 
     def discard_connection(self) -> None:
-        """Closes the connection of the attempt that is under way, if there is one."""
+        """Closes the connection of the attempt in progress, if any."""
         if self.connection is not None:
             self.connection.discard()
 
     def abort(self, reason: str) -> None:
-        """Ends the call, and the attempt that is under way; its engine sees the connection close."""
+        """Ends the call and its attempt in progress, whose connection is closed."""
         self.abort_reason = self.abort_reason or reason
         self.discard_connection()
 
     def error(self, text: str, code: str, status: int = 0) -> ApiError:
-        """Returns an error that tells the outcome of this call; without a status it is answered with 500."""
+        """Returns an error with the outcome of this call; without a status, the response has status 500."""
         return ApiError(text, outcome=self.outcome, code=code, status=status)
 
 
--- a/pipitlink/router/call_relay.py
+++ b/pipitlink/router/call_relay.py
@@ -1,4 +1,4 @@
-"""Runs calls on engines, with retries that double nothing."""
+"""Runs calls on engines, with retries that cause no duplicate execution where it is not allowed."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 __all__ = ["CallRelay"]
 
 CHECK_INTERVAL = ms(200)
-# How long an engine may send nothing before a call that may go on elsewhere leaves it.
+# How long an engine may send nothing before a call that may continue elsewhere is retried on another engine.
 NO_BYTES_TIMEOUT = ms(900)
-# How long an engine that ends a request at its deadline itself is waited for.
+# How long to wait beyond the deadline, since engines end requests at their deadline themselves.
 DEADLINE_GRACE = ms(30)
 MAX_ATTEMPTS = 6
 MIN_ALLOWED_EXECUTIONS = 2
-# A request that must not be repeated only goes on a connection that was used so short a time ago.
+# A request that must not be repeated is only sent on a connection that was idle for less than this.
 MAX_IDLE_TIME_NON_IDEMPOTENT = ms(3000)
 RETRY_BACKOFF = ms(15)
 IMMEDIATE_ATTEMPTS = 2
 
 
 class CallRelay:
-    """Sends each call to an engine, and retries elsewhere only where nothing is executed twice that must not be.
+    """Sends each call to an engine; retries on another only if the call may be repeated or was not executed.
 
-    Owns `calls`, those under way, and the `counters` of attempts.
+    Owns `calls`, the calls in progress, and `counters` of attempts.
     """
 
     def __init__(
@@ -51,14 +51,14 @@
         self.calls: set[Call] = set()
 
     def open(self) -> None:
-        """Begins to watch the calls under way and the idle connections."""
+        """Starts to check the calls in progress and the idle connections periodically."""
         self._engines.add_gone_listener(lambda engine: self._connections.close_idle(engine.address))
         self._ctx.timers.call_repeatedly(CHECK_INTERVAL, self._check_calls, self._ctx.error_reporter("watch_calls"))
 
     def _check_calls(self) -> None:
-        """Ends attempts past their deadline, and those at engines that are gone or send nothing.
+        """Ends attempts that are past their deadline, and attempts on engines that are gone or send nothing.
 
-        The latter only where the call can go on, or be repeated, elsewhere.
+        The latter are only ended if the call can be resumed or repeated on another engine.
         """
         self._connections.close_expired()
         now = self._ctx.timers.now()
@@ -82,14 +82,14 @@
             call.discard_connection()
 
     def abort_all(self, reason: str) -> None:
-        """Ends all calls under way."""
+        """Ends all calls in progress."""
         for call in list(self.calls):
             call.abort(reason)
 
     async def relay(self, call: Call) -> None:
-        """Returns once the response to a call is complete at its sink.
+        """Runs a call; returns once its sink has the complete response.
 
-        Raises ApiError, whose `outcome` says what is known of the execution.
+        Raises ApiError, whose `outcome` tells what is known about the execution.
         """
         self.calls.add(call)
         try:
@@ -138,7 +138,7 @@
         )
 
     def _may_retry(self, call: Call, error: ApiError) -> bool:
-        """Returns whether nothing ran, or running again, or from the last event on, does no harm."""
+        """Returns whether the call was not executed, or may be repeated or resumed after its last event."""
         if call.abort_reason or call.attempts >= MAX_ATTEMPTS or self._ctx.timers.now() >= call.deadline:
             return False
         if call.is_batch_item:
@@ -203,19 +203,19 @@
         self._engines.record_success(engine)
 
     def _check_before_send(self, call: Call, engine: Engine) -> None:
-        """Raises an error where what held when the engine was chosen holds no more as the first byte leaves."""
+        """Checks again, right before the first byte is sent, the conditions under which the engine was chosen."""
         if call.abort_reason:
-            raise call.error("the request was ended", code="ended")
+            raise call.error("the request was aborted", code="ended")
         if call.deadline <= self._ctx.timers.now():
             raise call.error("the deadline has passed", code="limit_passed", status=504)
         cluster_state = self._ctx.cluster.cluster_state
         is_available = self._engines.status(engine) in (EngineStatus.READY, EngineStatus.SUSPECT)
         if not is_available or engine.update.zone in cluster_state.empty_zones:
-            raise ServiceUnavailable(f"{engine.name} may not get new work any more", code="engine_moved_on")
+            raise ServiceUnavailable(f"engine {engine.name} no longer accepts requests", code="engine_moved_on")
         route = cluster_state.routes.routes.get(call.route.name)
         has_changed = route is not call.route
         if has_changed and (route is None or all(candidate.pool != call.pool for candidate in weighted_pools(route))):
             call.pool = ""
-            raise ServiceUnavailable("the route has moved", code="route_moved")
+            raise ServiceUnavailable("the route no longer includes the chosen pool", code="route_moved")
         if call.precondition is not None:
             call.precondition()
--- a/pipitlink/router/connection_pool.py
+++ b/pipitlink/router/connection_pool.py
@@ -26,9 +26,9 @@
 
 
 class ConnectionPool:
-    """Connections to engines, by address. The newest idle one is used first, so that the rest run out.
+    """Connections to engines, by address. Idle ones are reused in LIFO order, so that surplus ones expire.
 
-    `connect` connects the protocol that it is given; by default over TCP.
+    `connect` connects a given protocol; the default is TCP.
     """
 
     def __init__(self, ctx: Context, connect: Connect | None = None) -> None:
@@ -39,11 +39,11 @@
         self.opened = 0
 
     def open_count(self, address: str) -> int:
-        """Returns how many connections to an address are open or being opened."""
+        """Returns the number of connections to an address that are open or being opened."""
         return self._open_counts.get(address, 0)
 
     def idle_count(self, address: str) -> int:
-        """Returns how many connections to an address are idle."""
+        """Returns the number of idle connections to an address."""
         return len(self._idle.get(address, ()))
 
     def _connect_tcp(self, connection: EngineConnection) -> defer.Deferred[Any]:
@@ -56,9 +56,9 @@
     def take_idle(
         self, address: str, call_id: bytes = b"", max_idle_time: timedelta | None = None
     ) -> EngineConnection | None:
-        """Returns an idle connection that will hardly be closed right now and has not carried the call, or None.
+        """Returns an idle connection that is not about to expire and has not carried the call, or None.
 
-        With `max_idle_time`, only one that was used a shorter time ago.
+        `max_idle_time` limits for how long the connection may have been idle.
         """
         idle = self._idle.get(address)
         if idle is None:
@@ -77,12 +77,15 @@
         return None
 
     async def open(self, address: str, max_connections: int) -> EngineConnection:
-        """Returns a new connection. Raises ServiceUnavailable where this node has `max_connections` to the address.
+        """Returns a new connection.
 
-        Raises EngineError with the code `unreached` where it cannot be opened.
+        Raises ServiceUnavailable if this node already has `max_connections` to the address, and EngineError with the
+        code `unreached` if the connection cannot be opened.
         """
         if self.open_count(address) >= max_connections:
-            raise ServiceUnavailable(f"{address}: {max_connections} connections are open", code="connections")
+            raise ServiceUnavailable(
+                f"{address} already has the maximum of {max_connections} connections", code="connections"
+            )
         connection = EngineConnection(self, address)
         self._open_counts[address] = self.open_count(address) + 1
         self.opened += 1
@@ -93,13 +96,11 @@
             raise
         except Exception as error:
             self.remove(connection)
-            raise EngineError(
-                f"{address} could not be reached: {error}", code="unreached", outcome="not_run"
-            ) from error
+            raise EngineError(f"cannot connect to {address}: {error}", code="unreached", outcome="not_run") from error
         return connection
 
     def release(self, connection: EngineConnection) -> None:
-        """Keeps a connection for the next request; one that was not used has been idle since its last use."""
+        """Returns a connection to the pool; one that was taken but not used keeps the time since which it is idle."""
         if connection.address is None:
             return
         if connection.idle_since is None:
@@ -110,12 +111,12 @@
             self._close(idle.popleft())
 
     def release_unused(self, connection: EngineConnection) -> None:
-        """Keeps a connection that was taken and not used, unless it was closed meanwhile."""
+        """Returns a connection to the pool that was taken but not used, unless it has been closed since."""
         if not connection.is_unusable and connection.is_idle:
             self.release(connection)
 
     def remove(self, connection: EngineConnection) -> None:
-        """Takes a connection that is closed, or about to be, out of the count; the second time does nothing."""
+        """Removes a connection that is closed or about to be closed; further calls have no effect."""
         address = connection.address
         if address is None:
             return
@@ -134,7 +135,7 @@
         connection.transport.loseConnection()
 
     def close_expired(self) -> None:
-        """Closes idle connections before their engines do."""
+        """Closes idle connections shortly before their engines would."""
         now = self._ctx.timers.now()
         for address, idle in list(self._idle.items()):
             while idle and idle[0].idle_time(now) >= idle[0].idle_timeout - IDLE_TIMEOUT_MARGIN:
@@ -143,12 +144,12 @@
                 del self._idle[address]
 
     def close_idle(self, address: str) -> None:
-        """Closes the idle connections to an address."""
+        """Closes all idle connections to an address."""
         for connection in list(self._idle.pop(address, ())):
             self._close(connection)
 
     def idle_connections(self) -> list[EngineConnection]:
-        """Returns all idle connections, by address in the order in which they became idle."""
+        """Returns all idle connections, grouped by address, in the order in which they became idle."""
         return [connection for idle in self._idle.values() for connection in idle]
 
     def close_all_idle(self) -> None:
--- a/pipitlink/router/engine.py
+++ b/pipitlink/router/engine.py
@@ -20,7 +20,7 @@
 
 
 class EngineStatus(StrEnum):
-    """What this gateway makes of an engine; other states that the control plane announces are passed on as they are."""
+    """The status of an engine as seen by this gateway; other states that the control plane announces are used as is."""
 
     READY = "ready"
     SUSPECT = "suspect"
@@ -30,9 +30,9 @@
 
 
 class EngineLoad(NamedTuple):
-    """Requests that run on an engine, and how many of them are items of batches.
+    """The number of requests that run on an engine, and how many of them are batch items.
 
-    A plain tuple, since it is made for each candidate of each choice.
+    A plain tuple for speed, since one is created per candidate engine for each call.
     """
 
     running: int
@@ -40,7 +40,7 @@
 
 
 class PeerLoad(NamedTuple):
-    """What another gateway, or the controller for all of them, has last reported to run on an engine."""
+    """The load on an engine that another gateway, or the controller for all of them, reported last."""
 
     running: int
     batch_items: int
@@ -48,9 +48,9 @@
 
 
 class PrefixCache:
-    """Which prompt parts an engine has likely cached, as far as the requests of this gateway tell.
+    """An estimate of the prompt parts that an engine has cached, based on the requests of this gateway.
 
-    Parts are dropped in the order of their last use once they exceed `max_tokens`.
+    The least recently used parts are evicted once the total exceeds `max_tokens`.
     """
 
     def __init__(self, max_tokens: int) -> None:
@@ -59,14 +59,14 @@
         self._tokens = 0
 
     def missing_tokens(self, parts: Sequence[PromptPart]) -> int:
-        """Returns how many tokens of a prompt need prefill: all from its first part that is not cached."""
+        """Returns the number of prompt tokens that need prefill: all from the first part that is not cached."""
         for position, (part_id, _) in enumerate(parts):
             if part_id not in self._parts:
                 return sum(tokens for _, tokens in parts[position:])
         return 0
 
     def add(self, parts: Sequence[PromptPart]) -> None:
-        """Records that the engine gets a prompt of these parts."""
+        """Records that a prompt with these parts is sent to the engine."""
         for part_id, tokens in parts:
             if part_id in self._parts:
                 self._parts.move_to_end(part_id)
@@ -80,7 +80,7 @@
 
 @attrs.define(eq=False)
 class Engine:
-    """One incarnation of an engine as this gateway knows it; times are on the timers' clock."""
+    """One incarnation of an engine as this gateway knows it; times are in the time of the node's timers."""
 
     update: EngineUpdate
     updated_at: timedelta
@@ -100,7 +100,7 @@
 
     @property
     def name(self) -> str:
-        """The id of the engine, new with each of its incarnations."""
+        """The id of the engine, which is different for each incarnation."""
         return self.update.engine
 
     @property
@@ -110,11 +110,11 @@
 
     @property
     def slots(self) -> int:
-        """How many requests it runs at once; at least 1."""
+        """The number of requests that it runs concurrently; at least 1."""
         return max(1, self.update.capacity)
 
     def load(self, now: timedelta) -> EngineLoad:
-        """Returns what runs on it: from this gateway, and from its peers as they have last reported."""
+        """Returns its load: the requests of this gateway plus those that its peers reported last."""
         running, batch_items = self.running, self.batch_items
         for peer_running, peer_batch_items, reported_at in self.peer_loads.values():
             if now - reported_at < PEER_LOAD_VALIDITY:
--- a/pipitlink/router/engine_connection.py
+++ b/pipitlink/router/engine_connection.py
@@ -1,9 +1,9 @@
 """One HTTP connection to an engine.
 
-This module alone imports from `twisted.web._newclient`. Twisted's public client, `twisted.web.client.Agent`, offers no
-protocol of a single connection: it chooses the connection itself, repeats idempotent requests on its own, keeps a
-connection although bytes came after the response, and hides the time at which bytes arrive. Each of these would change
-what engines get and which answers count.
+This is the only module that imports from `twisted.web._newclient`. Twisted's public client, `twisted.web.client.Agent`,
+does not expose a single connection: it chooses the connection itself, repeats idempotent requests on its own, keeps a
+connection even if bytes follow the response, and hides the time at which bytes arrive. Each of these would change which
+requests engines get and which responses are accepted.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 
 class ConnectionOwner(Protocol):
-    """Whoever keeps connections for use by later requests."""
+    """Keeps connections for reuse by later requests."""
 
     def release(self, connection: EngineConnection) -> None:
-        """Takes back a connection that is free for another request."""
+        """Takes back a connection that can be used for another request."""
 
     def remove(self, connection: EngineConnection) -> None:
-        """Notes that a connection is closed or about to be."""
+        """Removes a connection that is closed or about to be closed."""
 
 
 def _tokens(headers: Headers, name: bytes) -> list[bytes]:
@@ -45,9 +45,9 @@
 
 
 class EngineConnection(HTTP11ClientProtocol):
-    """One connection to an engine: one request at a time, used again only while nothing on it was out of order.
+    """A connection to an engine, for one request at a time; it is reused only after responses without any error.
 
-    `unserved_call_ids` are the ids of calls that it has carried and that were not served.
+    `unserved_call_ids` are the ids of the calls that were sent on it and were not served.
     """
 
     transport: Any
@@ -65,7 +65,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is open and no request is under way on it."""
+        """Whether it is open and carries no request."""
         return bool(self.state == "QUIESCENT")
 
     @property
@@ -74,7 +74,7 @@
         return bool(self.state == "CONNECTION_LOST")
 
     def idle_time(self, now: timedelta) -> timedelta:
-        """Returns for how long no request has been under way on it."""
+        """Returns for how long it has been idle."""
         return now - self.idle_since if self.idle_since is not None else ZERO
 
     def _on_quiescent(self, _: HTTP11ClientProtocol) -> None:
@@ -84,7 +84,7 @@
             self.transport.loseConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
-        """Takes bytes of the engine; some that nobody has asked for end the connection."""
+        """Receives bytes from the engine; closes the connection if no response is expected."""
         if self.on_bytes is not None:
             self.on_bytes(len(data))
         if self._parser is None:
@@ -102,7 +102,7 @@
     _finishResponse_TRANSMITTING = _finishResponse_WAITING  # noqa: N815 - twisted's interface
 
     def _read_connection_headers(self, headers: Headers) -> None:
-        """Reads whether the engine closes the connection now, and how long it keeps an idle one."""
+        """Reads whether the engine closes the connection, and its idle timeout."""
         if b"close" in _tokens(headers, b"connection"):
             self.is_unusable = True
         for token in _tokens(headers, b"keep-alive"):
@@ -111,12 +111,12 @@
                 self.idle_timeout = secs(int(seconds))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802 - twisted's interface
-        """Takes the connection out of its owner's count and ends the request that is under way."""
+        """Removes the connection from its owner and fails the request in progress."""
         self._owner.remove(self)
         super().connectionLost(reason)
 
     def discard(self) -> None:
-        """Ends the connection at once; nothing that comes on it belongs to anybody."""
+        """Closes the connection immediately; bytes that still arrive on it are ignored."""
         self.is_unusable = True
         self._owner.remove(self)
         if self.transport is not None:
@@ -125,10 +125,10 @@
     def send(
         self, call_id: bytes, method: bytes, target: bytes, headers: HeaderList, body: bytes
     ) -> defer.Deferred[Response]:
-        """Writes one whole request, in this step; returns the Deferred of its response.
+        """Writes a whole request synchronously; returns a Deferred with its response.
 
-        A call that was not served may be sent again. It never is on a connection that has carried it: a second copy of
-        the engine's first answer, which bears its id, would count as the answer to the second.
+        A call that was not served may be sent again, but never on a connection that has already carried it: a duplicate
+        of the engine's first response has the same id, and would be accepted as the response to the second request.
         """
         self.unserved_call_ids.add(call_id)
         self.request_count += 1
--- a/pipitlink/router/engine_exchange.py
+++ b/pipitlink/router/engine_exchange.py
@@ -24,16 +24,16 @@
 URGENCY_STEP_MS = 250
 MAX_LIVE_URGENCY = 5
 BATCH_URGENCY = 7
-# Statuses that promise that nothing ran; an engine has to say so in a header as well.
+# Statuses by which clients infer that nothing was executed; an engine must also confirm it with a header.
 RETRYABLE_STATUSES = (HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 DRAIN_TIMEOUT = ms(100)
-# The colon, the space and the line end of a header.
+# The colon, the space and the CRLF of a header line.
 HEADER_SEPARATOR_BYTES = 4
 
 
 @attrs.define
 class CallCounters:
-    """Counts of attempts and their ends since the start."""
+    """Counts of attempts and their outcomes since the start."""
 
     attempts: int = 0
     resumed: int = 0
@@ -42,7 +42,7 @@
 
 
 def live_urgency(route: Route) -> int:
-    """Returns 0 to 5, 0 for the most urgent: the shorter a route's latency target, the sooner its requests run."""
+    """Returns 0 (most urgent) to 5: requests of routes with a shorter latency target are more urgent."""
     return max(0, min(MAX_LIVE_URGENCY, route.latency_target_ms // URGENCY_STEP_MS + route.priority))
 
 
@@ -59,7 +59,7 @@
 
 
 class EngineExchange:
-    """Sends a call on a connection, checks whether the response is the call's, and passes it to the call's sink."""
+    """Sends a call on a connection, verifies that the response belongs to it, and forwards it to the call's sink."""
 
     def __init__(self, ctx: Context, engines: EngineRegistry, selector: EngineSelector, counters: CallCounters) -> None:
         self._ctx = ctx
@@ -68,9 +68,9 @@
         self._counters = counters
 
     async def run(self, call: Call, engine: Engine, connection: EngineConnection, slot: EngineSlot) -> None:
-        """Returns once the response is complete at the call's sink. Raises EngineError or ServiceUnavailable.
+        """Returns once the call's sink has the complete response. Raises EngineError or ServiceUnavailable.
 
-        The connection is closed unless it is in order after that.
+        Afterwards, the connection is closed unless it can be reused.
         """
         connection.on_bytes = partial(self._on_bytes, engine, _response_purpose(call))
         response = await self._send(call, engine, connection)
@@ -99,11 +99,13 @@
             connection.discard()
             self._record_failure(call, engine)
             if self._ctx.timers.now() >= call.deadline:
-                raise EngineError(f"{engine.name} did not answer in time", code="limit_passed", status=504) from error
-            raise EngineError(f"{engine.name} did not answer: {error}", code="lost") from error
+                raise EngineError(
+                    f"engine {engine.name} did not respond before the deadline", code="limit_passed", status=504
+                ) from error
+            raise EngineError(f"engine {engine.name} did not respond: {error}", code="lost") from error
 
     def _request_headers(self, call: Call, engine: Engine) -> list[Header]:
-        """Returns the headers of a call with this gateway's own, which replace those of the caller."""
+        """Returns the headers of a call with those that this gateway sets, which replace the client's."""
         dialect = self._ctx.dialect
         own_names = {dialect.deadline_ms, dialect.target, dialect.urgency}
         if call.last_event:
@@ -119,7 +121,7 @@
         return headers
 
     def _record_failure(self, call: Call, engine: Engine) -> None:
-        """Counts a failure against an engine, unless the call was ended or ran out of time."""
+        """Counts a failure of an engine, unless the call was aborted or its deadline has passed."""
         if not call.abort_reason and self._ctx.timers.now() < call.deadline:
             self._engines.record_failure(engine)
 
@@ -129,7 +131,9 @@
         if not self._belongs_to(call, connection, response):
             self._counters.mismatched += 1
             connection.discard()
-            raise EngineError(f"{engine.name} sent another request's answer", code="spoilt", outcome="unknown")
+            raise EngineError(
+                f"engine {engine.name} sent the response of another request", code="spoilt", outcome="unknown"
+            )
         if response.code == HTTPStatus.MISDIRECTED_REQUEST or response.headers.hasHeader(
             self._ctx.dialect.not_executed
         ):
@@ -146,9 +150,10 @@
             connection.unserved_call_ids.discard(call.id)
 
     def _belongs_to(self, call: Call, connection: EngineConnection, response: Response) -> bool:
-        """Returns whether a response is this call's.
+        """Returns whether a response belongs to this call.
 
-        One without an id is, where its connection never carried another request; but it never counts as a success.
+        A response without an id belongs to the call only if its connection never carried another request, and only if
+        its status is no success.
         """
         response_id = response.headers.getRawHeaders(self._ctx.dialect.request_id, (None,))[0]
         if response_id is None:
@@ -158,7 +163,7 @@
     async def _handle_refusal(
         self, call: Call, engine: Engine, connection: EngineConnection, response: Response
     ) -> None:
-        """Raises ServiceUnavailable for a response by which the engine says that nothing ran."""
+        """Raises ServiceUnavailable for a response by which the engine confirms that it executed nothing."""
         self._counters.refused += 1
         call.executions[engine.name] -= 1
         call.trigger("reject")
@@ -168,7 +173,7 @@
         else:
             self._engines.record_failure(engine)
         raise ServiceUnavailable(
-            f"{engine.name} refused with {response.code}",
+            f"engine {engine.name} refused the request with status {response.code}",
             code="engine_crowded",
             retry_after=self._selector.retry_after(),
         )
@@ -176,20 +181,22 @@
     async def _check_response(
         self, call: Call, engine: Engine, connection: EngineConnection, response: Response
     ) -> None:
-        """Raises EngineError for a response that the sink must not get."""
+        """Raises EngineError for a response that must not be forwarded to the sink."""
         code = response.code
         if code in RETRYABLE_STATUSES:
             await self._drain(connection, response)
-            raise _engine_failed(f"{engine.name} answered {code} without saying that nothing ran")
+            raise _engine_failed(
+                f"engine {engine.name} responded with {code} but did not confirm that nothing was executed"
+            )
         if _is_success(code) and not response.headers.hasHeader(self._ctx.dialect.seal):
             connection.discard()
-            raise EngineError(f"{engine.name} answered without its seal", code="spoilt", outcome="unknown")
+            raise EngineError(f"engine {engine.name} responded without a seal", code="spoilt", outcome="unknown")
         if code >= HTTPStatus.INTERNAL_SERVER_ERROR and self._may_run_elsewhere(call):
             await self._drain(connection, response)
-            raise _engine_failed(f"{engine.name} answered {code}")
+            raise _engine_failed(f"engine {engine.name} responded with {code}")
         if call.head_forwarded and code != HTTPStatus.OK:
             await self._drain(connection, response)
-            raise _engine_failed(f"{engine.name} answered {code} to a resumed stream")
+            raise _engine_failed(f"engine {engine.name} responded with {code} to a resumed stream")
 
     def _may_run_elsewhere(self, call: Call) -> bool:
         if call.head_forwarded or call.is_batch_item or call.budget_spent:
@@ -197,7 +204,7 @@
         return call.is_idempotent or call.is_resumable
 
     async def _drain(self, connection: EngineConnection, response: Response) -> None:
-        """Reads the rest of a response that nobody is shown, so that its connection can be used again."""
+        """Reads and discards the rest of a response, so that its connection can be reused."""
         body = DiscardedBody()
         response.deliverBody(body)
         await self._ctx.timers.wait_at_most(body.finished, DRAIN_TIMEOUT)
--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -1,4 +1,4 @@
-"""The engines that the control plane announces, their health, and what this gateway runs on them."""
+"""The engines that the control plane announces, their health, and the requests of this gateway on them."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 SILENCE_TIMEOUT = secs(3.6)
 REMOVAL_TIMEOUT = secs(30)
 GONE_RETENTION = secs(60)
-# A gap between two looks at the clock from which on this process, or its machine, counts as having been suspended.
+# If two checks of the clock are further apart than this, the process or its machine is assumed to have been suspended.
 SUSPENSION_THRESHOLD = secs(1.5)
-# After a suspension, updates that were buffered are no proof that an engine lives now.
+# For this long after a suspension, updates may come from a buffer and do not prove that an engine is still alive.
 RESUME_GRACE = ms(500)
 MIN_EJECTION = ms(700)
 MAX_EJECTION = secs(6)
 MAX_COUNTED_FAILURES = 6
-# The part of an engine's cache that is counted on: it also holds what it decodes.
+# The fraction of an engine's cache that is assumed to hold prefixes; the rest holds the requests being decoded.
 PREFIX_CACHE_FRACTION = 0.8
 
 
 class EngineSlot:
-    """A slot of an engine that one attempt of a call holds, with the prefill that it still waits for."""
+    """A slot of an engine that one attempt of a call holds, and its pending prefill tokens."""
 
     def __init__(self, registry: EngineRegistry, engine: Engine, prefill_tokens: int, is_batch_item: bool) -> None:
         self._registry = registry
@@ -44,14 +44,14 @@
         engine.slow_start_tokens = max(0.0, engine.slow_start_tokens - 1.0)
 
     def prefill_done(self) -> None:
-        """Notes that the engine has begun to answer; may be called more than once."""
+        """Records that the engine has started its response; may be called more than once."""
         self._engine.prefill_tokens -= self._prefill_tokens
         self._prefill_tokens = 0
         self._registry.starting_items -= self._is_starting_item
         self._is_starting_item = False
 
     def release(self) -> None:
-        """Frees the slot; to be called once."""
+        """Frees the slot; must be called exactly once."""
         self.prefill_done()
         self._engine.running -= 1
         self._engine.batch_items -= self._is_batch_item
@@ -61,8 +61,8 @@
 class EngineRegistry:
     """The engines that the control plane has announced to this gateway, by name and by pool, and their health.
 
-    Owns them and what this gateway has running on them; of that, `starting_items` are the items of batches that wait
-    for their first event. Waiters for capacity are woken on every release.
+    Owns them and the counts of this gateway's requests on them; `starting_items` counts the batch items that still wait
+    for their first event. Every release of a slot wakes those that wait for capacity.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -77,35 +77,35 @@
         self._resumed_at = ZERO
 
     def open(self) -> None:
-        """Begins to take updates of engines."""
+        """Starts to receive engine updates."""
         self._ctx.rpc.register_handler("engines.tell", EngineList, self._on_updates)
 
     def add_gone_listener(self, listener: Callable[[Engine], None]) -> None:
-        """Has a function called with each engine that is removed."""
+        """Registers a function that is called with each engine that is removed."""
         self._gone_listeners.append(listener)
 
     def all(self) -> list[Engine]:
-        """Returns all engines, by name."""
+        """Returns all engines, sorted by name."""
         return sorted(self._engines.values(), key=lambda engine: engine.name)
 
     def unordered(self) -> list[Engine]:
-        """Returns all engines in the order in which they came."""
+        """Returns all engines in the order in which they were added."""
         return list(self._engines.values())
 
     def get(self, name: str) -> Engine | None:
-        """Returns an engine by its name, None where it is not known or gone."""
+        """Returns an engine by its name, or None if it is unknown or gone."""
         return self._engines.get(name)
 
     def is_gone(self, name: str) -> bool:
-        """Returns whether an engine of that name was removed, and will not be taken in again."""
+        """Returns whether an engine of that name was removed and must not be added again."""
         return name in self._gone_at
 
     def pool(self, name: str) -> list[Engine]:
-        """Returns the engines of a pool, in the order in which they came."""
+        """Returns the engines of a pool, in the order in which they were added."""
         return self._pools.get(name, [])
 
     def gateway_count(self) -> int:
-        """Returns how many gateways there are, with this one."""
+        """Returns the number of gateways, including this one."""
         return len(self._ctx.membership.members("gateway"))
 
     async def _on_updates(self, _node: str, message: EngineList) -> None:
@@ -113,7 +113,7 @@
             self.merge(update)
 
     def merge(self, update: EngineUpdate) -> None:
-        """Takes in what the control plane says of one engine; an old update changes nothing."""
+        """Applies an update of one engine from the control plane; outdated updates are ignored."""
         now = self.check_clock()
         updated_at = now - ms(update.age_ms)
         engine = self._engines.get(update.engine)
@@ -162,7 +162,7 @@
             engine.update.sequence = update.sequence
 
     def remove(self, engine: Engine) -> None:
-        """Removes an engine that is gone, or at whose address another one answers."""
+        """Removes an engine that is gone, or whose address now belongs to another engine."""
         if self._engines.pop(engine.name, None) is None:
             return
         self._pools[engine.update.pool].remove(engine)
@@ -173,7 +173,7 @@
             listener(engine)
 
     def remove_silent(self, now: timedelta) -> None:
-        """Removes engines that nobody announces any more; they are taken in again once somebody does."""
+        """Removes engines that are no longer announced; they are added again when they are announced again."""
         for engine in self.unordered():
             if now - engine.updated_at > REMOVAL_TIMEOUT and not engine.running:
                 self.remove(engine)
@@ -183,7 +183,7 @@
                 del self._gone_at[name]
 
     def check_clock(self) -> timedelta:
-        """Returns the time, and notes where this process was suspended since the last check."""
+        """Returns the time, and detects whether this process was suspended since the last check."""
         now = self._ctx.timers.now()
         if now - self._clock_checked_at > SUSPENSION_THRESHOLD:
             self._resumed_at = now
@@ -202,13 +202,13 @@
         return EngineStatus.READY
 
     def record_failure(self, engine: Engine) -> None:
-        """Counts a failed request; from the second in a row on, the engine is ejected for a time that doubles."""
+        """Counts a failed request; from the second consecutive one on, ejects the engine for a time that doubles."""
         engine.failures = min(engine.failures + 1, MAX_COUNTED_FAILURES)
         if engine.failures > 1:
             self._eject(engine)
 
     def record_unreachable(self, engine: Engine) -> None:
-        """Ejects an engine that could not be connected to, or that sends nothing at all."""
+        """Ejects an engine that refuses connections or sends nothing at all."""
         engine.failures = min(max(2, engine.failures + 1), MAX_COUNTED_FAILURES)
         self._eject(engine)
 
@@ -217,19 +217,19 @@
         engine.suspect_until = self._ctx.timers.now() + ejection
 
     def record_success(self, engine: Engine) -> None:
-        """Forgets the failures of an engine that has served a request."""
+        """Resets the failure count of an engine that has served a request."""
         engine.failures = 0
 
     def acquire_slot(self, engine: Engine, prefill_tokens: int, is_batch_item: bool) -> EngineSlot:
-        """Takes a slot of an engine, which the caller has to release."""
+        """Acquires a slot of an engine, which the caller must release."""
         return EngineSlot(self, engine, prefill_tokens, is_batch_item)
 
     def wait_for_capacity(self, waiter: defer.Deferred[None]) -> None:
-        """Fires a Deferred once an engine may have capacity; one that was fired since is left alone."""
+        """Fires a Deferred once an engine may have capacity, unless it was already fired."""
         self._capacity_waiters.append(waiter)
 
     def notify_capacity(self) -> None:
-        """Wakes all who wait for capacity."""
+        """Fires the Deferreds of all that wait for capacity."""
         waiters, self._capacity_waiters = self._capacity_waiters, []
         for waiter in waiters:
             if not waiter.called:
--- a/pipitlink/router/engine_selector.py
+++ b/pipitlink/router/engine_selector.py
@@ -1,4 +1,4 @@
-"""The load balancer: chooses the engine of each call by expected wait."""
+"""Load balancing: chooses the engine for each call by its expected wait."""
 
 from __future__ import annotations
 
@@ -21,29 +21,29 @@
 
 __all__ = ["EngineSelector"]
 
-# Costs are in ms of expected wait; the engines' speeds behind them were measured.
+# Costs are in ms of expected wait, according to the speed of the engines.
 PREFILL_TOKENS_PER_MS = 150
 RUNNING_COST_MS = 1.5
 OTHER_ZONE_COST_MS = 5.0
 CONNECT_COST_MS = 5.0
 FULL_COST_MS = 20.0
-# The random part of costs: this part of what the requests of other gateways cost on the average engine.
+# The random part of the costs, as a fraction of the average cost per engine of the requests of other gateways.
 SPREAD_FRACTION = 0.5
 MIN_SPREAD_MS = 0.5
-# An engine whose free slots are taken by items of batches has to preempt one of them.
+# A live call on an engine whose remaining slots are taken by batch items makes the engine preempt one of them.
 PREEMPTION_COST_MS = 6.0
-# How far engines are filled, in parts of their slots.
+# The maximum number of requests on an engine, as a multiple of its slots.
 MAX_LIVE_FILL = 1.5
 MAX_BATCH_FILL = 1.3
-# How long a live call waits for capacity: this share of its latency target, and no longer than the maximum.
+# A live call waits for capacity for this fraction of its latency target, and at most MAX_WAIT.
 MAX_WAIT = ms(60)
 WAIT_FRACTION = 0.2
 RECHECK_INTERVAL = ms(15)
 MAX_WAITING = 256
-# A shared prefix of so many tokens has an engine of its own, by affinity.
+# Calls that share a prefix of at least this many tokens prefer the same engine (prefix affinity).
 MIN_AFFINITY_TOKENS = 256
 LONG_PROMPT_TOKENS = 3000
-# Long prompts keep to this share of a pool's engines while there were any of late.
+# Long prompts go to this fraction of a pool's engines, as long as the pool had one within LONG_PROMPT_WINDOW.
 LONG_PROMPT_FRACTION = 0.67
 LONG_PROMPT_WINDOW = secs(10)
 MIN_ENGINES_TO_SEPARATE = 4
@@ -51,14 +51,14 @@
 NEAR_LONG_PROMPTS_COST_MS = 20.0
 BATCH_ITEM_ELSEWHERE_COST_MS = 8.0
 DEFAULT_MAX_CONNECTIONS = 1000
-# The rest of an engine's connections is left to gateways that come.
+# The remaining connections of an engine are reserved for gateways that join.
 CONNECTION_FRACTION = 0.9
 MIN_RETRY_AFTER_S = 0.05
 RETRY_AFTER_SPREAD_S = 0.15
 
 
 class _CallTraits(NamedTuple):
-    """What decides on the engine of a call beside the engines themselves."""
+    """The properties of a call that the choice of its engine depends on."""
 
     shared_parts: list[PromptPart]
     is_long: bool
@@ -69,14 +69,14 @@
     max_connections: int
 
     def competing_requests(self, load: EngineLoad) -> int:
-        """Returns the requests that the call does not preempt: live calls take the slots of items of batches."""
+        """Returns the number of requests that the call cannot preempt: live calls preempt batch items."""
         return load.running if self.is_batch_item else load.running - load.batch_items
 
 
 def _preferred_engine(shared_parts: Sequence[PromptPart], engines: Sequence[str]) -> str:
-    """Returns the engine that is to have a shared prefix cached, by affinity; an empty string for a short prefix.
+    """Returns the engine that should have a shared prefix in its cache, or an empty string for a short prefix.
 
-    All gateways that know the same engines agree on it.
+    All gateways that know the same engines choose the same one.
     """
     if sum(part.tokens for part in shared_parts) < MIN_AFFINITY_TOKENS:
         return ""
@@ -95,7 +95,7 @@
 class EngineSelector:
     """Chooses an engine for each call: by pool, status, zone, prefix cache, pending prefill and load.
 
-    Owns the count of calls that wait for capacity, and when each pool last had a long prompt.
+    Owns the number of calls that wait for capacity, and the time at which each pool last had a long prompt.
     """
 
     def __init__(
@@ -109,9 +109,9 @@
         self._last_long_prompt: dict[str, timedelta] = {}
 
     async def choose(self, call: Call) -> Engine:
-        """Returns the engine to send a call to, after a short wait where none has capacity.
+        """Returns the engine to send a call to; if none has capacity, waits a short time for one.
 
-        Raises ServiceUnavailable, with the time after which to retry, where none has capacity then either.
+        Raises ServiceUnavailable, with the time after which to retry, if no engine has capacity after the wait.
         """
         if not call.pool:
             call.pool = self._choose_pool(call)
@@ -122,7 +122,7 @@
                 return engine
             remaining = deadline - self._ctx.timers.now()
             if remaining <= ZERO or self._waiting >= MAX_WAITING:
-                raise ServiceUnavailable("no engine has room", code="no_room", retry_after=self.retry_after())
+                raise ServiceUnavailable("no engine has capacity", code="no_room", retry_after=self.retry_after())
             await self._wait_for_capacity(min(remaining, RECHECK_INTERVAL))
 
     def _wait_deadline(self, call: Call) -> timedelta:
@@ -142,11 +142,11 @@
             self._waiting -= 1
 
     def retry_after(self) -> float:
-        """Returns in how many seconds a retry is worth while; spread, so that a crowd does not return as one."""
+        """Returns the number of seconds after which to retry, with jitter so that clients do not retry at once."""
         return round(MIN_RETRY_AFTER_S + RETRY_AFTER_SPREAD_S * self._ctx.rng.random(), 3)
 
     def _choose_pool(self, call: Call) -> str:
-        """Returns one pool of the route at random, by weight; the call keeps it."""
+        """Returns a random pool of the route, chosen by weight; the call keeps it for its retries."""
         candidates = weighted_pools(call.route)
         if len(candidates) == 1:
             return candidates[0].pool
@@ -158,7 +158,7 @@
         return candidates[-1].pool
 
     def ready_engines(self, pool: str) -> list[Engine]:
-        """Returns the engines of a pool that are ready and in a zone in service."""
+        """Returns the engines of a pool that are ready and whose zone is in service."""
         return self._engines_in_status(pool, EngineStatus.READY)
 
     def _engines_in_status(self, pool: str, status: EngineStatus) -> list[Engine]:
@@ -170,7 +170,7 @@
         ]
 
     def _candidates(self, call: Call) -> list[Engine]:
-        """Returns the engines that a call may be sent to, without regard to their load."""
+        """Returns the engines that a call may be sent to, regardless of their load."""
         engines = self.ready_engines(call.pool)
         if not engines and not call.is_batch_item:
             engines = self._engines_in_status(call.pool, EngineStatus.SUSPECT)
@@ -182,7 +182,7 @@
         return engines
 
     def _best_engine(self, call: Call) -> Engine | None:
-        """Returns the engine with the least expected wait among those with capacity, or None."""
+        """Returns the engine with the shortest expected wait among those with capacity, or None."""
         candidates = self._candidates(call)
         traits = self._traits(call, candidates)
         now = self._ctx.timers.now()
@@ -198,11 +198,12 @@
         return best
 
     def _spread_ms(self, candidates: Sequence[Engine], loads: Sequence[EngineLoad], traits: _CallTraits) -> float:
-        """Returns how far the random part of the costs spreads, so that an engine is chosen with a probability that
-        falls exponentially with its cost.
+        """Returns the scale of the random part of the costs, with which the probability of choosing an engine falls
+        exponentially with its cost.
 
-        What other gateways run is known as of some hundred ms ago, and all that know the same would choose the same
-        engine until the next report. The more of the load is theirs, the less a difference in it says.
+        The load from other gateways is known with a delay of some hundred ms, and without randomness all gateways with
+        the same reports would choose the same engine until the next report. The larger the part of the load that comes
+        from other gateways, the less a difference in load means.
         """
         if not candidates:
             return 0.0
@@ -259,10 +260,10 @@
         return cost
 
     def _long_prompt_engines(self, pool: str, is_long: bool, candidates: Sequence[Engine]) -> set[str]:
-        """Returns the engines that long prompts keep to; none where the pool is small or has no long prompts.
+        """Returns the engines to which long prompts go; none if the pool is small or had no long prompts recently.
 
-        A long prefill holds up the decoding of all that runs beside it, so short requests with a latency target stay
-        apart. All gateways that know the same engines agree on them.
+        A long prefill delays the decoding of all other requests on its engine, so short requests with a latency target
+        are kept on other engines. All gateways that know the same engines choose the same ones.
         """
         now = self._ctx.timers.now()
         if is_long:
@@ -274,7 +275,7 @@
         return {engine.name for engine in ranked[: round(LONG_PROMPT_FRACTION * len(ranked))]}
 
     def max_connections(self, engine: Engine) -> int:
-        """Returns how many connections this gateway may have to an engine: its share of the engine's maximum."""
+        """Returns how many connections this gateway may have to an engine: its part of the engine's maximum."""
         return self._max_connections(engine.update.pool)
 
     def _max_connections(self, pool_name: str) -> int:
--- a/pipitlink/router/gateway_watch.py
+++ b/pipitlink/router/gateway_watch.py
@@ -1,4 +1,4 @@
-"""Notices when gateways come and go, or this one was suspended or suspected."""
+"""Detects gateways that join or leave, and a suspension or suspicion of this gateway."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class GatewayWatch:
-    """The gateways that are alive, when they changed last, and since when this one has had a duty among them.
+    """The gateways that are alive, the time of their last change, and since when this gateway owns its keys.
 
-    A suspension of this process counts as a change, and so does a suspicion that it has refuted: meanwhile the others
-    may have considered it gone.
+    A suspension of this process counts as a change, and so does a suspicion that it has refuted, since the other
+    gateways may have considered it gone in the meantime.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -30,11 +30,11 @@
         self._listeners: list[Callable[[], None]] = []
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Has a function called when a check notices a change."""
+        """Registers a function that is called when a check detects a change."""
         self._listeners.append(listener)
 
     def check(self) -> None:
-        """Looks whether the gateways have changed."""
+        """Checks whether the set of gateways has changed."""
         now = self._ctx.timers.now()
         alive = self._ctx.membership.members("gateway", statuses=("alive",))
         gateways = frozenset(member.node for member in alive)
@@ -54,15 +54,15 @@
             del self._owned_since[key]
 
     def owner_of(self, key: str) -> str:
-        """Returns the gateway that has a duty: one of those alive, by rendezvous hashing of the duty's name."""
+        """Returns the gateway that owns a key: one of those alive, by rendezvous hashing."""
         alive = {member.node for member in self._ctx.membership.members("gateway", statuses=("alive",))}
         alive.add(self._ctx.node)
         return max(alive, key=lambda gateway: rank(key, gateway))
 
     def owned_since(self, key: str) -> timedelta | None:
-        """Returns since when this gateway has had a duty without a break; None where another one has it.
+        """Returns since when this gateway has owned a key without interruption, or None if another gateway owns it.
 
-        Others that come and go meanwhile are no break.
+        Other gateways that join or leave in the meantime do not interrupt the ownership.
         """
         self.check()
         if self.owner_of(key) != self._ctx.node:
--- a/pipitlink/router/http_frontend.py
+++ b/pipitlink/router/http_frontend.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP server: matches routes and passes requests on."""
+"""The HTTP server for clients: matches routes and forwards requests."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 LISTEN_BACKLOG = 1024
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
-# A gateway that has just started has its cluster state after about this time.
+# The approximate time after its start at which a gateway has received its cluster state.
 STARTUP_TIME = ms(600)
 MIN_RETRY_AFTER_S = 0.2
 RETRY_AFTER_SPREAD_S = 0.2
 DRAIN_CHECK_INTERVAL = ms(50)
-# Statuses by which a response would promise that nothing ran.
+# Statuses by which clients infer that nothing was executed.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class RouteKind(StrEnum):
-    """What may be done with the requests of a route."""
+    """How the requests of a route may be handled."""
 
     STREAMING = "streaming"
     IDEMPOTENT = "idempotent"
@@ -46,9 +46,9 @@
 
 
 class HttpFrontend:
-    """The callers' HTTP server. Heads and bodies pass through; its own responses have only a code as their body.
+    """The HTTP server for clients. Heads and bodies pass through; the body of its own responses is only an error code.
 
-    Owns `channels`, the connections of callers, and `refused`, counts of refusals by code.
+    Owns `channels`, the connections of clients, and `refused`, the number of refused requests by code.
     """
 
     def __init__(self, ctx: Context, relay: CallRelay, batch_calls: BatchCalls) -> None:
@@ -66,11 +66,11 @@
         return self._ctx.timers.now()
 
     def max_body_bytes(self) -> int:
-        """Returns how long the body of a request may be."""
+        """Returns the maximum length of a request body."""
         return self._ctx.cluster.cluster_state.routes.bounds.max_body_bytes or DEFAULT_MAX_BODY_BYTES
 
     async def listen(self, host: str, port: int, listening_socket: socket.socket | None = None) -> int:
-        """Begins to accept connections, and returns the port. A socket that listens already is used, and closed."""
+        """Starts to accept connections, and returns the port. `listening_socket`, if given, is used and then closed."""
         factory: Any = ClientChannelFactory(self, self._ctx.reactor)
         if listening_socket is not None:
             opened = self._ctx.reactor.adoptStreamPort(listening_socket.fileno(), listening_socket.family, factory)
@@ -82,14 +82,14 @@
         return int(opened.getHost().port)
 
     def start_serving(self, request: InboundRequest) -> None:
-        """Serves a request that was read to its end, in the background."""
+        """Serves a completely received request in the background."""
         self._ctx.run_in_background(self._serve(request), "serve")
 
     async def _serve(self, request: InboundRequest) -> None:
-        """Serves one request, from its last byte read to the last byte of its response."""
+        """Serves one request, from the last byte received to the last byte of the response."""
         try:
             if request.is_too_long:
-                raise BadRequest("the body is too long", code="body_too_long", status=413)
+                raise BadRequest("the request body is too long", code="body_too_long", status=413)
             await self._handle(request)
         except ApiError as error:
             self._respond_error(request, error)
@@ -120,7 +120,9 @@
         batch_call = self._parse_batch_call(request, path)
         if not self._ctx.cluster.usable():
             raise ServiceUnavailable(
-                "this gateway cannot prove its cluster state now", code="not_current", retry_after=self._retry_after()
+                "this gateway cannot verify that its cluster state is current",
+                code="not_current",
+                retry_after=self._retry_after(),
             )
         if batch_call is not None:
             request.respond(await self._batch_calls.call(batch_call))
@@ -140,27 +142,27 @@
         request.complete()
 
     def _parse_batch_call(self, request: InboundRequest, path: str) -> BatchRequest | None:
-        """Returns the call on a batch that a request makes, as the dialect reads it, or None."""
+        """Returns the batch API call that a request contains according to the dialect, or None."""
         query = dict(parse_qsl(request.query.decode("latin-1")))
         return self._ctx.dialect.parse_batch_request(request.method, path, query, request.text_header)
 
     def _match_route(self, host: str, path: str) -> Route:
-        """Returns the route of a request. Raises NotFound, or ServiceUnavailable before a configuration has come."""
+        """Returns the route of a request. Raises NotFound, or ServiceUnavailable if there is no configuration yet."""
         routes = self._ctx.cluster.cluster_state.routes
         route: Route | None = routes.match(host, path)
         if route is not None:
             return route
         if not routes.version:
-            raise ServiceUnavailable("no configuration has come yet", code="no_config", retry_after=self._retry_after())
+            raise ServiceUnavailable("no configuration received yet", code="no_config", retry_after=self._retry_after())
         raise NotFound(f"no route for {host}{path[:80]}", code="no_route")
 
     def _retry_after(self) -> float:
-        """Returns in how many seconds a retry is worth while: after the start, and spread."""
+        """Returns the number of seconds after which to retry: once the start is complete, with jitter."""
         remaining = (STARTUP_TIME - (self._ctx.timers.now() - self._opened_at)).total_seconds()
         return round(max(MIN_RETRY_AFTER_S, remaining) + RETRY_AFTER_SPREAD_S * self._ctx.rng.random(), 3)
 
     def _deadline(self, request: InboundRequest, route: Route, started_at: timedelta) -> timedelta:
-        """Returns the deadline of a request by its route and its header; submissions of batches may ask for more."""
+        """Returns the deadline of a request; its header may shorten the route's, and for batches also extend it."""
         deadline = started_at + ms(route.deadline_ms)
         requested_ms = request.header(self._ctx.dialect.deadline_ms)
         if requested_ms is None or not requested_ms.strip().isdigit():
@@ -198,9 +200,9 @@
         )
 
     async def drain(self, accept_time: timedelta, deadline: timedelta) -> None:
-        """Accepts requests for a while, then closes idle connections, and returns once all requests have ended.
+        """Accepts requests for a time, then closes idle connections, and returns once all requests have ended.
 
-        Returns at the deadline even though some have not.
+        Returns at the deadline at the latest, even if requests are still in progress.
         """
         self.is_draining = True
         await self._ctx.timers.sleep(accept_time)
--- a/pipitlink/router/http_response.py
+++ b/pipitlink/router/http_response.py
@@ -1,4 +1,4 @@
-"""Responses that a gateway makes itself."""
+"""HTTP responses that a gateway generates itself."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def json_error(error: ApiError, body: bytes) -> HttpResponse:
-    """Returns the response to a request that failed, with the time after which to retry; `body` is JSON."""
+    """Returns the response to a failed request, with its Retry-After header; `body` is JSON."""
     headers = dict(JSON_HEADERS)
     if error.retry_after:
         headers["Retry-After"] = str(error.retry_after)
--- a/pipitlink/router/inbound_request.py
+++ b/pipitlink/router/inbound_request.py
@@ -1,4 +1,4 @@
-"""The callers' side of the HTTP server: connections, requests, and their backpressure."""
+"""The client side of the HTTP server: connections, requests, and their backpressure."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Frontend(Protocol):
-    """The server that the connections and requests of callers belong to."""
+    """The server that the connections and requests of clients belong to."""
 
     channels: set[ClientChannel]
     is_draining: bool
@@ -34,14 +34,14 @@
         """Returns the monotonic time of the gateway's timers."""
 
     def max_body_bytes(self) -> int:
-        """Returns how long the body of a request may be."""
+        """Returns the maximum length of a request body."""
 
     def start_serving(self, request: InboundRequest) -> None:
-        """Serves a request that was read to its end."""
+        """Serves a completely received request."""
 
 
 class _ClientBackpressure:
-    """Stops reading from the engine of a call while its caller does not read."""
+    """Pauses reading from the engine of a call while its client does not read."""
 
     def __init__(self, call: Call) -> None:
         self._call = call
@@ -51,24 +51,24 @@
         return connection.transport if connection is not None and not connection.is_unusable else None
 
     def pauseProducing(self) -> None:  # noqa: N802 - twisted's interface
-        """Stops reading."""
+        """Pauses reading from the engine."""
         transport = self._transport()
         if transport is not None:
             transport.pauseProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802 - twisted's interface
-        """Reads again."""
+        """Resumes reading from the engine."""
         transport = self._transport()
         if transport is not None:
             transport.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802 - twisted's interface
-        """Ends the call of a caller that has left."""
-        self._call.abort("caller left")
+        """Aborts the call of a client that has disconnected."""
+        self._call.abort("client disconnected")
 
 
 class InboundRequest(http.Request):
-    """One request of a caller; as the sink of its call it writes the engine's response out as it comes."""
+    """One request of a client; as the sink of its call, it streams the engine's response to the client."""
 
     channel: ClientChannel
     content: BytesIO
@@ -77,14 +77,14 @@
     began_at: timedelta
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802 - twisted's interface
-        """Takes the length of the body, where the caller states one."""
+        """Receives the length of the body, if the client states it."""
         self.content = BytesIO()
         self.began_at = self.channel.frontend.now()
         if length is not None and length > self.channel.frontend.max_body_bytes():
             self.is_too_long = True
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
-        """Takes the next bytes of the body, as long as it may be taken at all."""
+        """Receives the next bytes of the body, and discards those of a body that is too long."""
         if self.is_too_long:
             return
         if self.content.tell() + len(data) > self.channel.frontend.max_body_bytes():
@@ -93,7 +93,7 @@
             self.content.write(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:  # noqa: N802 - twisted's interface
-        """Has the request served, once it was read to its end."""
+        """Starts to serve the request once it was received completely."""
         self.method, self.uri, self.clientproto = command, path, version
         self.path, _, self.query = path.partition(b"?")
         self.notifyFinish().addErrback(self._on_disconnect)
@@ -101,10 +101,10 @@
 
     def _on_disconnect(self, _: Failure) -> None:
         if self.call is not None:
-            self.call.abort("caller left")
+            self.call.abort("client disconnected")
 
     def take_body(self) -> bytes:
-        """Returns the body that was read; it is not kept here any longer."""
+        """Returns the received body and drops the reference to it."""
         body, self.content = self.content.getvalue(), BytesIO()
         return body
 
@@ -120,7 +120,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the caller has left, or has its whole response."""
+        """Whether the client has disconnected or has the complete response."""
         return self._disconnected or bool(self.finished)
 
     def head(self, response: Response) -> None:
@@ -146,7 +146,7 @@
             self.responseHeaders.setRawHeaders(b"Connection", [b"close"])
 
     def complete(self) -> None:
-        """Ends the response that was written."""
+        """Completes the response."""
         if self.is_finished:
             return
         if self.producer is not None:
@@ -156,14 +156,14 @@
         self.finish()
 
     def abort_response(self) -> None:
-        """Closes the connection, so that a response that has begun and cannot be completed does not look complete."""
+        """Closes the connection, so that a partial response that cannot be completed does not look complete."""
         if not self.is_finished:
             if self.producer is not None:
                 self.unregisterProducer()
             self.channel.forceAbortClient()
 
     def respond(self, response: HttpResponse) -> None:
-        """Writes a response of this gateway's own, without anything of an engine's response."""
+        """Writes a response of this gateway, without any header of an engine's response."""
         if self.is_finished:
             return
         if self.producer is not None:
@@ -179,7 +179,7 @@
 
 
 class ClientChannel(http.HTTPChannel):
-    """One connection of a caller."""
+    """One connection of a client."""
 
     requestFactory = InboundRequest  # noqa: N815 - twisted's interface
     totalHeadersSize = MAX_HEADERS_BYTES  # noqa: N815 - twisted's interface
@@ -187,27 +187,27 @@
     transport: Any
 
     def connectionMade(self) -> None:  # noqa: N802 - twisted's interface
-        """Begins to read requests."""
+        """Starts to read requests."""
         self.frontend.channels.add(self)
         self.transport.setTcpNoDelay(True)
         super().connectionMade()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802 - twisted's interface
-        """Tells the requests under way that the caller has left."""
+        """Notifies the requests in progress that the client has disconnected."""
         self.frontend.channels.discard(self)
         super().connectionLost(reason)
 
     def is_idle(self) -> bool:
-        """Returns whether no request is under way."""
+        """Returns whether no request is in progress."""
         return not self.requests and not self._handlingRequest
 
     def close_connection(self) -> None:
-        """Closes the connection after what was written has left."""
+        """Closes the connection after all written bytes were sent."""
         self.loseConnection()
 
 
 class ClientChannelFactory(http.HTTPFactory):
-    """Makes the connections of one frontend; writes no access log."""
+    """Creates the connections of one frontend; writes no access log."""
 
     protocol = ClientChannel  # type: ignore[assignment]  # Twisted declares a private wrapper of HTTPChannel
     noisy = False
@@ -217,7 +217,7 @@
         self._frontend = frontend
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802 - twisted's interface
-        """Returns the protocol of a new connection."""
+        """Returns the protocol for a new connection."""
         channel: Any = super().buildProtocol(addr)
         channel.frontend = self._frontend
         return channel
@@ -233,7 +233,7 @@
 
 
 def forwarded_headers(response: Response) -> Iterator[Header]:
-    """Yields the headers of an engine that a caller gets: all but those that concern one connection."""
+    """Yields the headers of an engine's response that are forwarded to the client: all but the hop-by-hop ones."""
     for name, values in response.headers.getAllRawHeaders():
         if name.lower() not in HOP_BY_HOP_HEADERS:
             for value in values:
--- a/pipitlink/router/interfaces.py
+++ b/pipitlink/router/interfaces.py
@@ -1,4 +1,4 @@
-"""What the parts of a gateway's batches need of the rest of the gateway."""
+"""Interfaces through which the batch components use the rest of the gateway."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 __all__ = ["ItemCapacity", "ItemExecutor", "RoutesView"]
 
-# Returns the routes in force, by name.
+# Returns the current routes, by name.
 RoutesView = Callable[[], Mapping[str, Route]]
 
 
 class ItemCapacity(Protocol):
-    """Knows how many items of batches may be started."""
+    """Determines how many batch items may be started."""
 
     def available(self, route: Route, backlog: RouteBacklog) -> int:
-        """Returns how many items of batches on this route may be started now from this gateway."""
+        """Returns how many batch items of this route this gateway may start now."""
 
 
 class ItemExecutor(Protocol):
-    """Runs items of batches."""
+    """Runs batch items."""
 
     async def run(self, item: ItemCall) -> ItemResult:
-        """Makes one attempt at an item, and returns its result."""
+        """Makes one attempt to run an item, and returns its result."""
--- a/pipitlink/router/load_exchange.py
+++ b/pipitlink/router/load_exchange.py
@@ -17,26 +17,28 @@
 
 REPORT_INTERVAL = ms(200)
 MAX_REPORT_AGE = secs(1)
-# With more peers than this, loads go through a controller, so that messages do not grow with the square of gateways.
+# With more peers than this, loads go through a controller, so that the number of messages is not quadratic in the
+# number of gateways.
 MAX_DIRECT_PEERS = 15
 DIRECT_PROPAGATION_TIME = ms(350)
 RELAYED_PROPAGATION_TIME = ms(600)
 
 
 class LoadReportContributor(Protocol):
-    """A part that has more to report to all gateways, along with the loads."""
+    """A component whose data is sent to all gateways together with the loads."""
 
     def add_to_report(self, report: Loads) -> bool:
-        """Adds to a report; returns whether any of it is new to the receivers."""
+        """Adds its data to a report; returns whether any of it is new to the receivers."""
 
     def apply_report(self, report: Loads) -> None:
-        """Takes in what another gateway has added to its report."""
+        """Applies the data that another gateway has added to its report."""
 
 
 class LoadExchange:
-    """Reports what this gateway runs on engines to its peers, and takes in their reports.
+    """Reports the load of this gateway on the engines to the other gateways, and applies their reports.
 
-    Few gateways report to each other; many report to one controller, which sends all of them the totals.
+    A small number of gateways report to each other directly; a larger number report to one controller, which sends the
+    totals to all of them.
     """
 
     def __init__(self, ctx: Context, engines: EngineRegistry) -> None:
@@ -47,18 +49,18 @@
         self._reported_at = ZERO
 
     def open(self) -> None:
-        """Begins to report, and to take in reports."""
+        """Starts to send and receive reports."""
         self._ctx.rpc.register_handler("engines.loads", Loads, self.on_peer_loads)
         self._ctx.rpc.register_handler("engines.totals", LoadTotals, self._on_totals)
         self._ctx.membership.add_listener(self._on_member_changed)
         self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self._report, self._ctx.error_reporter("report_loads"))
 
     def add_contributor(self, contributor: LoadReportContributor) -> None:
-        """Has a part add to each report and take in what its peers add."""
+        """Registers a component that adds data to each report and applies the data that other gateways add."""
         self._contributors.append(contributor)
 
     def propagation_time(self) -> timedelta:
-        """Returns within which time all gateways have got what one of them reports."""
+        """Returns the time within which a report of one gateway has reached all others."""
         if self._engines.gateway_count() <= MAX_DIRECT_PEERS + 1:
             return DIRECT_PROPAGATION_TIME
         return RELAYED_PROPAGATION_TIME
@@ -85,7 +87,7 @@
         self._ctx.rpc.notify(self._receivers(), "engines.loads", report)
 
     def _receivers(self) -> list[tuple[str, int]]:
-        """Returns the addresses of all other gateways, or where they are many, of the controller that sums up."""
+        """Returns the addresses of all other gateways or, if there are many, of the controller that sums up."""
         receivers = self._ctx.membership.members("gateway", include_self=False)
         if len(receivers) > MAX_DIRECT_PEERS:
             controllers = self._ctx.membership.members("controller", statuses=("alive",))
@@ -94,7 +96,7 @@
         return [(member.host, member.port) for member in receivers]
 
     async def on_peer_loads(self, _node: str, report: Loads) -> None:
-        """Takes in the report of another gateway."""
+        """Applies the report of another gateway."""
         for contributor in self._contributors:
             contributor.apply_report(report)
         self._set_peer_loads(
@@ -102,7 +104,7 @@
         )
 
     async def _on_totals(self, _node: str, totals: LoadTotals) -> None:
-        """Takes in a controller's totals, which contain what this gateway has last reported."""
+        """Applies the totals of a controller, less the last report of this gateway, which they include."""
         for report in totals.lots:
             if report.gateway != self._ctx.node:
                 for contributor in self._contributors:
--- a/pipitlink/router/node.py
+++ b/pipitlink/router/node.py
@@ -1,4 +1,4 @@
-"""The gateway node of the routes interface: puts its parts together."""
+"""The gateway node for the routes interface: creates and connects its components."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 class RouterNode:
-    """A gateway that serves by routes: opaque requests to engines of pools, and batches on the same engines.
+    """A gateway that serves routes: forwards opaque requests to engines of pools, and runs batches on the same engines.
 
-    Callers' requests come in by the frontend, items of batches by the item runner; the relay sends both as calls to the
-    engines that the selector chooses. `listening_socket` is set before
-    `listen` where a socket already accepts callers.
+    Requests of clients arrive at the frontend, batch items come from the item runner; the relay sends both as calls to
+    the engines that the selector chooses. `listening_socket` must be set before `listen` is called if a socket already
+    accepts clients.
     """
 
     listening_socket: socket.socket | None = None
@@ -62,7 +62,7 @@
         return routes
 
     def open(self) -> None:
-        """Begins to follow engines and batches."""
+        """Starts to follow engines and batches."""
         self.engines.open()
         self.slow_start.open()
         self.loads.open()
@@ -70,14 +70,14 @@
         self.batches.open()
 
     async def listen(self, host: str, port: int) -> int:
-        """Begins to accept callers, and returns the port."""
+        """Starts to accept clients, and returns the port."""
         if self._ctx.settings.ready_port:
             site = Site(ReadinessResource(self.readiness), MAX_READINESS_BODY_BYTES)
             self._readiness_port, _ = await listen(self._ctx.reactor, site, host, self._ctx.settings.ready_port)
         return await self.frontend.listen(host, port, self.listening_socket)
 
     def readiness(self) -> tuple[bool, dict[str, Any]]:
-        """Returns whether the gateway takes requests, and the details that operators are shown."""
+        """Returns whether the gateway accepts requests, and details for operators."""
         cluster = self._ctx.cluster
         is_ready = (
             not self._is_draining
@@ -88,7 +88,7 @@
         return is_ready, {"cluster": cluster.sequence, "currency": cluster.state}
 
     def beliefs(self) -> dict[str, Any]:
-        """Returns what this gateway believes of engines and leases, by name."""
+        """Returns the state of engines and leases as seen by this gateway, by name."""
         engines = {engine.name: f"{self.engines.status(engine)} {engine.address}" for engine in self.engines.all()}
         leases = {
             log: f"{self._ctx.node}@{leaseholder.epoch}"
@@ -97,7 +97,7 @@
         return {"engines": engines, "leases": leases}
 
     def metrics(self) -> dict[str, tuple[str, float]]:
-        """Returns description and value of each metric, by name."""
+        """Returns the description and the value of each metric, by name."""
         counters = self.relay.counters
         calls = {
             "tries": counters.attempts,
@@ -116,14 +116,18 @@
         return metrics
 
     async def end(self) -> None:
-        """Drains: not ready at once, new requests are served a while, what runs may end, leases are handed over."""
+        """Drains the gateway and leaves the cluster.
+
+        It reports itself as not ready immediately, accepts new requests for a time, lets running requests finish, and
+        hands its leases over.
+        """
         self._is_draining = True
         settings = self._ctx.settings
         deadline = self._ctx.timers.now() + ms(settings.drain_ms)
         batches = self._ctx.run_in_background(self.batches.table.drain(), "drain_batches")
         await self.frontend.drain(ms(settings.accept_ms), deadline)
         await batches
-        self.relay.abort_all("ending")
+        self.relay.abort_all("gateway shutting down")
         self.connections.close_all_idle()
         if self._readiness_port is not None:
             await self._readiness_port.stopListening()
--- a/pipitlink/router/phase_timings.py
+++ b/pipitlink/router/phase_timings.py
@@ -1,4 +1,4 @@
-"""Where the time of one piece of work goes, phase by phase."""
+"""Measures the time that an operation spends in each of its phases."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class PhaseTimings:
-    """How long each phase of one piece of work took, from `started_at` on.
+    """The durations of the phases of one operation that started at `started_at`.
 
-    A phase that is entered again, as by another attempt, adds up. Phases that were not entered are 0.
+    Durations of a phase that is entered again, for example by a retry, are added. Phases that were not entered are 0.
     """
 
     def __init__(self, timers: Timers, started_at: timedelta) -> None:
@@ -22,13 +22,13 @@
         self._durations: dict[StrEnum, timedelta] = {}
 
     def end_phase(self, phase: StrEnum) -> None:
-        """Ends a phase, which began with the end of the one before."""
+        """Ends a phase, which started at the end of the previous one."""
         now = self._timers.now()
         self._durations[phase] = self._durations.get(phase, ZERO) + now - self._phase_started_at
         self._phase_started_at = now
 
     def phase_ms(self, phase: StrEnum) -> int:
-        """Returns the whole milliseconds of a phase."""
+        """Returns the whole milliseconds spent in a phase."""
         return to_ms(self._durations.get(phase, ZERO))
 
     def total_ms(self) -> int:
--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -1,4 +1,4 @@
-"""Admission of batches by the tokens that wait on a route, counted over all gateways."""
+"""Admission of batches by the number of waiting tokens of a route over all gateways."""
 
 from __future__ import annotations
 
@@ -27,9 +27,10 @@
 
 
 class QuotaCoordinator:
-    """Admits batches within the quota of their route, which one gateway, its coordinator, counts for all.
+    """Admits batches within the quota of their route, which one gateway, its coordinator, tracks for all gateways.
 
-    Every gateway is the coordinator of some routes. Grants that no owner has reported yet are the coordinator's own.
+    Every gateway is the coordinator of some routes. A coordinator keeps its grants until the owner of the batch reports
+    the batch in its backlog.
     """
 
     def __init__(
@@ -49,17 +50,18 @@
         self._gateway_watch = gateway_watch
 
     def open(self) -> None:
-        """Begins to answer requests of other gateways."""
+        """Starts to respond to requests of other gateways."""
         self._ctx.rpc.register_handler("quota.take", QuotaRequest, self._on_request)
 
     def coordinator_of(self, route: str) -> str:
-        """Returns the gateway that counts the tokens of a route."""
+        """Returns the gateway that counts the waiting tokens of a route."""
         return self._gateway_watch.owner_of(_quota_key(route))
 
     async def reserve(self, route: Route, batch: Batch, deadline: timedelta) -> None:
-        """Reserves tokens for a whole batch.
+        """Reserves the tokens of a whole batch.
 
-        Raises ApiError with status 429 where it surely does not fit, ServiceUnavailable where nobody can tell.
+        Raises ApiError with status 429 if the batch exceeds the quota, and ServiceUnavailable if this cannot be
+        determined before the deadline.
         """
         tokens = sum(item.tokens for item in batch.items)
         if not route.max_waiting_tokens or not tokens:
@@ -73,7 +75,7 @@
                 raise _over_quota(route, tokens)
             if self._ctx.timers.now() + RETRY_INTERVAL > deadline:
                 raise ServiceUnavailable(
-                    "the tokens that wait cannot be counted now",
+                    "the waiting tokens of the route cannot be counted now",
                     code="not_counted",
                     retry_after=UNCERTAIN_RETRY_AFTER_S,
                 )
@@ -85,7 +87,7 @@
         return await self._call_coordinator(QuotaRequest(route=route.name, lot=batch_id, tokens=tokens))
 
     def release(self, batch_id: str) -> None:
-        """Drops the reservation for a batch, and returns the grant where the batch was not taken in."""
+        """Drops the reservation of a batch, and returns its grant if the batch was not accepted."""
         reservation = self._waiting.reservations.pop(batch_id, None)
         if reservation is not None and batch_id not in self._table.batches:
             request = QuotaRequest(route=reservation.route, lot=batch_id)
@@ -108,7 +110,7 @@
         return self._grant(node, request)
 
     def _grant(self, gateway: str, request: QuotaRequest) -> QuotaResponse:
-        """Answers a request as the coordinator of its route; one for no tokens returns a grant."""
+        """Handles a request as the coordinator of its route; a request for 0 tokens returns a grant."""
         if not request.tokens:
             self._waiting.grants.pop(request.lot, None)
             return QuotaResponse()
@@ -129,13 +131,13 @@
 
 
 def _quota_key(route: str) -> str:
-    """Returns the name of the duty to count a route's tokens."""
+    """Returns the key whose owner is the coordinator of a route."""
     return f"quota/{route}"
 
 
 def _over_quota(route: Route, tokens: int) -> ApiError:
     return ApiError(
-        f"route {route.name} has no room for {tokens} more waiting tokens",
+        f"{tokens} more waiting tokens would exceed the quota of route {route.name}",
         code="over_quota",
         status=429,
         outcome="not_run",
--- a/pipitlink/router/readiness.py
+++ b/pipitlink/router/readiness.py
@@ -1,4 +1,4 @@
-"""The HTTP resource by which load balancers see whether a gateway takes requests."""
+"""The HTTP resource by which load balancers check whether a gateway accepts requests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ReadinessResource(resource.Resource):
-    """Tells at every path whether the gateway takes requests, and the details that `readiness` returns."""
+    """Reports at every path whether the gateway accepts requests, and the details that `readiness` returns."""
 
     isLeaf = True  # noqa: N815 - twisted's interface
 
@@ -23,6 +23,6 @@
         self._readiness = readiness
 
     def render(self, request: Request) -> Any:
-        """Answers 200 where the gateway is ready, 503 where it is not."""
+        """Responds with 200 if the gateway is ready, and with 503 otherwise."""
         is_ready, details = self._readiness()
         return send_json(request, {"ready": is_ready, **details}, 200 if is_ready else 503)
--- a/pipitlink/router/response_stream.py
+++ b/pipitlink/router/response_stream.py
@@ -1,4 +1,4 @@
-"""The body of an engine's response on its way to the sink of its call."""
+"""Forwards the body of an engine's response to the sink of its call."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ResponseStream(protocol.Protocol):
-    """Passes the body of a response to the sink of its call, as it comes; of a resumable stream only whole events.
+    """Forwards the body of a response to the sink of its call as it arrives; for a resumable stream, only whole events.
 
     `finished` fires with None once the body is complete, or with the error that ended it.
     """
@@ -34,7 +34,7 @@
         self.finished: defer.Deferred[None] = defer.Deferred()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
-        """Takes the next bytes of the body."""
+        """Receives the next bytes of the body."""
         if self.finished.called or self._has_failed:
             return
         try:
@@ -71,25 +71,25 @@
         self.finished.errback(error)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - twisted's interface
-        """Takes the end of the body, which is only complete where `reason` is ResponseDone."""
+        """Handles the end of the body, which is only complete if `reason` is ResponseDone."""
         if self.finished.called or self._has_failed:
             return
         if not reason.check(ResponseDone):
-            self.finished.errback(EngineError("the engine's answer was cut short", code="cut_short"))
+            self.finished.errback(EngineError("the engine's response was truncated", code="cut_short"))
         elif self._events is not None and not self._events.is_complete:
-            self.finished.errback(EngineError("the engine's answer ended inside an event", code="cut_short"))
+            self.finished.errback(EngineError("the engine's response ended inside an event", code="cut_short"))
         else:
             self._forward_head()
             self.finished.callback(None)
 
 
 class DiscardedBody(protocol.Protocol):
-    """Takes a body that nobody is shown; `finished` fires at its end, if it was not fired before."""
+    """Discards a body; `finished` fires at its end, unless it was fired before."""
 
     def __init__(self) -> None:
         self.finished: defer.Deferred[None] = defer.Deferred()
 
     def connectionLost(self, _reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - twisted's interface
-        """Takes the end of the body."""
+        """Handles the end of the body."""
         if not self.finished.called:
             self.finished.callback(None)
--- a/pipitlink/router/slow_start.py
+++ b/pipitlink/router/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: limits the rate at which engines that are warming up get requests."""
+"""Slow start: limits the request rate of engines that are warming up."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 __all__ = ["SlowStart"]
 
-# Each gateway may have saved up one request, so the most that an engine gets at once grows with their number.
+# Each gateway's token bucket may hold one token, so the largest burst to an engine grows with the number of gateways.
 MAX_GATEWAYS = 8
-# Left unused, since the gateways' clocks and the engine's differ a little.
+# The remaining fraction is a margin for the difference between the clocks of the gateways and the engine.
 RATE_FRACTION = 0.9
 
 
 class SlowStart:
-    """Admits requests to engines that are warming up, by a token bucket for each of them.
+    """Admits requests to engines that are warming up, with a token bucket per engine.
 
-    An engine warms up for a while after its start, and after its zone was put back into service. Its rate is divided
-    among a few gateways; all who know the same gateways agree on which.
+    An engine warms up for a time after its start and after its zone was put back into service. Its rate is divided
+    among at most MAX_GATEWAYS gateways; nodes that know the same gateways choose the same ones.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -30,7 +30,7 @@
         self._empty_zones: frozenset[str] = frozenset()
 
     def open(self) -> None:
-        """Begins to follow which zones are in service."""
+        """Starts to follow which zones are in service."""
         self._ctx.cluster.add_listener(self._on_cluster_state)
 
     def _on_cluster_state(self) -> None:
@@ -50,7 +50,7 @@
         return restored_at is not None and pool is not None and now - restored_at < ms(pool.warmup_ms)
 
     def admits(self, engine: Engine) -> bool:
-        """Returns whether an engine may be sent one more request now, which an EngineSlot then counts."""
+        """Returns whether an engine may get one more request now; the EngineSlot of the request takes the token."""
         pool = self._ctx.cluster.cluster_state.routes.pools.get(engine.update.pool)
         if pool is None or not pool.slow_start_rate or not self.is_warming_up(engine):
             return True
@@ -65,7 +65,7 @@
         return engine.slow_start_tokens >= 1.0
 
     def _gateways_of(self, engine: Engine) -> frozenset[str]:
-        """Returns the gateways that may send to an engine while it warms up."""
+        """Returns the gateways that may send requests to an engine while it warms up."""
         candidates = tuple(member.node for member in self._ctx.membership.members("gateway"))
         if engine.slow_start_candidates != candidates:
             ranked = sorted(candidates, key=lambda node: rank(engine.name, node), reverse=True)
