--- a/tests/test_config_faults.py
+++ b/tests/test_config_faults.py
@@ -1,4 +1,4 @@
-"""Operators that change the configuration at any controller, as callers with a second of patience, while nodes fail."""
+"""Operators with a timeout of one second change the configuration at any controller while nodes fail."""
 
 import unittest
 
@@ -27,7 +27,7 @@
         return max((v for _, v in self.acked), default=0)
 
     async def call(self, *args):
-        """One call to some controller, as (status, body); None where it is silent for a second."""
+        """Calls a random controller; returns (status, body), or None if there is no clear response within a second."""
         controller = self.simulation.rng.choice(self.simulation.role("controller"))
         if not controller.alive or controller.frozen:
             return None
@@ -49,7 +49,7 @@
             if base < min_version:
                 self.faults.append(f"read {base} after {min_version} was acknowledged")
             if base and current[1] != self.sent[base]:
-                self.faults.append(f"version {base} is not what was sent")
+                self.faults.append(f"version {base} differs from what was sent")
             self.version += 1 + self.simulation.rng.randrange(3)
             version = self.version
             config = self.sent[version] = config_of(version, route_of(f"r{operator}", note=version))
@@ -74,7 +74,7 @@
         for a in self.simulation.role("gateway", alive=True):
             applied = a.ctx.cluster.cluster_state.routes.version
             if a.ctx.cluster.ready() and applied < min_version:
-                self.faults.append(f"{a.name} admits at version {applied}, {min_version} is in effect")
+                self.faults.append(f"{a.name} admits work at version {applied}, although {min_version} is in effect")
 
 
 class ConfigUnderFaults(unittest.TestCase):
@@ -116,10 +116,10 @@
         )
         return len(operators.acked)
 
-    def test_configurations_hold_while_controllers_fail(self):
+    def test_acknowledged_configurations_persist_while_controllers_fail(self):
         self.assertGreater(sum(self.run_seed(s, ("controller",)) for s in SEEDS), 5 * len(SEEDS))
 
-    def test_configurations_hold_while_everything_fails(self):
+    def test_acknowledged_configurations_persist_while_all_roles_fail(self):
         self.assertGreater(
             sum(self.run_seed(s, ("controller", "gateway", "storage", "gateway")) for s in SEEDS), 5 * len(SEEDS)
         )
--- a/tests/test_currency_interleavings.py
+++ b/tests/test_currency_interleavings.py
@@ -1,4 +1,4 @@
-"""Every order of a gateway's questions, an edit, a change of leader and time itself, against the admission rule."""
+"""Checks the admission rule in every interleaving of a gateway's requests, an edit, a leader change and time."""
 
 import itertools
 import unittest
@@ -40,7 +40,7 @@
 
 
 class _Consensus:
-    """One leader's view, and its log: an edit that is committed when the play says so."""
+    """Stands in for a leader's consensus and log; the schedule decides when its one edit is committed."""
 
     is_leader, leader_id, term = True, "controller", 0
 
@@ -57,7 +57,7 @@
 
 
 class _Replication:
-    """A leader's contact with its majority, up to a time."""
+    """Stands in for log replication: the leader has contact with a majority until a given time."""
 
     def __init__(self, ctx, elected_at, contact_until):
         self._ctx, self.elected_at, self._contact_until = ctx, elected_at, contact_until
@@ -74,8 +74,9 @@
 
 
 class _Schedule:
-    """One order of steps on the real admission and delivery code; `cut` takes the gateway off the first leader's
-    voters.
+    """Runs one sequence of steps on the real admission and delivery code.
+
+    With a change of leader, the first leader loses contact with its majority after 0.5 s.
     """
 
     def __init__(self, change_leader: bool):
@@ -112,7 +113,7 @@
             self.gateway.currency.leased_at = self.asked_at
 
     def elect(self):
-        """Voters refuse another leader for 600 ms after they heard theirs."""
+        """Voters reject another leader for 600 ms after they heard theirs."""
         if self.change_leader and self.ctx.now >= 1000.6:
             now = self.ctx.timers.now()
             self.leaders.append(_Leader(self.ctx, now, now + timedelta(days=1)))
@@ -130,7 +131,7 @@
 
 
 def interleavings(*sequences):
-    """All ways of running through these lines, each in its own order."""
+    """Yields all interleavings of these sequences; each sequence keeps its order."""
     if not any(sequences):
         yield ()
         return
@@ -171,8 +172,8 @@
                 self.explore(False, (("send", "respond", "apply_response"), ("commit", "acknowledge"), ("tick",) * 2))
 
     def test_majorities_of_witnesses_intersect_across_one_change(self):
-        """A majority of storage nodes meets any majority of the set before or after one change, whichever of them has
-        the edit.
+        """A majority of the storage nodes shares a node with any majority of the set before or after one change, so a
+        gateway's poll always includes a witness with the newest acknowledged edit.
         """
         storage_nodes = "abcd"
         for change in (set(storage_nodes), set("abc"), set("abcde")):
--- a/tests/test_edit_guards.py
+++ b/tests/test_edit_guards.py
@@ -1,5 +1,5 @@
-"""Each guard of the operators' orders is taken out in turn: the history checker must then find its scenario, and not
-before.
+"""Disables each guard of operators' edits in turn: the history checker must then report a violation in the guard's
+scenario, and none while the guard is active.
 """
 
 import unittest
@@ -20,7 +20,7 @@
 
 
 class Scenario:
-    """A small fleet, the orders that were sent to it, and what the checker says of them."""
+    """A small simulated cluster and the records of the edits sent to it, for the history checker."""
 
     def __init__(self, test):
         self.simulation = DelayingSimulation(43, placement_groups=2)
@@ -56,12 +56,12 @@
             self.records.append(ZoneSeen(ZONE, ZONE in state.empty_zones, now, now, a.node))
 
     def record_unanswered_copy(self):
-        """A copy of the order that empties the zone; its caller gives it up after a second and sends it again."""
+        """Records a copy of the edit that empties the zone; its client times out after a second and retries."""
         now = self.simulation.clock.seconds()
         self.records.append(ZoneOrder(ZONE, True, now, now + 1.1, Answer.UNKNOWN))
 
     def empty_and_fill(self):
-        """The order that was sent again is confirmed and taken back."""
+        """The retried edit is confirmed and then reverted."""
         self.simulation.run(1.1)
         self.zone(True)
         self.zone(False)
@@ -98,7 +98,7 @@
 
 
 def arrived_after_its_client_disconnected(s):
-    """A copy waits in a cut link together with its caller's leaving."""
+    """A copy waits in a cut link together with its client's disconnect."""
     s.empty_and_fill()
     late = s.caller.begin(s.delayed, "PUT", PATH)
     s.simulation.clock.callLater(0.005, late.hang_up)
@@ -156,34 +156,39 @@
 
 
 GUARDS = {
-    "a refusal is judged anew": (early_edit_sent_again, ClusterState, "apply", _apply_and_record_rejections),
-    "an order is fenced": (
+    "a rejected edit is evaluated again": (early_edit_sent_again, ClusterState, "apply", _apply_and_record_rejections),
+    "an edit is fenced": (
         delayed_on_the_way_to_the_leader,
         ClusterState,
         "_is_fenced",
         lambda self, command, kind: False,
     ),
-    "a controller that woke takes no order": (
+    "a resumed controller accepts no edit": (
         delayed_in_a_frozen_socket,
         EditFencing,
         "check_timely",
         lambda self, at: None,
     ),
-    "an order's caller is still there": (
+    "the client of an edit is still connected": (
         arrived_after_its_client_disconnected,
         edit_fencing,
         "DISCONNECT_CHECK_DELAY",
         ZERO,
     ),
-    "a change builds on the version in force": (
+    "a change is based on the current version": (
         two_edits_on_one_base,
         ClusterState,
         "_apply_config",
         _apply_on_any_base,
     ),
-    "what was taken is remembered": (edit_sent_again, ClusterState, "recorded_outcome", lambda self, command: None),
-    "an id stands for one content": (two_edits_under_one_id, cluster_state, "_content_digest", lambda command: b""),
-    "the newest is not forgotten": (
+    "a confirmed edit is recorded": (edit_sent_again, ClusterState, "recorded_outcome", lambda self, command: None),
+    "an edit id identifies one content": (
+        two_edits_under_one_id,
+        cluster_state,
+        "_content_digest",
+        lambda command: b"",
+    ),
+    "the newest outcome is not evicted": (
         edit_sent_again_after_many_others,
         ClusterState,
         "_record_outcome",
@@ -198,12 +203,12 @@
         run_scenario(s)
         return check_history(s.records)
 
-    def test_with_the_guard_nothing_is_found(self):
+    def test_with_the_guard_no_violation_is_found(self):
         for name, (run_scenario, *_) in GUARDS.items():
             with self.subTest(name):
                 self.assertEqual(self.violations(run_scenario), [])
 
-    def test_without_the_guard_it_is_found(self):
+    def test_without_the_guard_a_violation_is_found(self):
         for name, (run_scenario, owner, attribute, replacement) in GUARDS.items():
             with self.subTest(name), mock.patch.object(owner, attribute, replacement):
                 self.assertNotEqual(self.violations(run_scenario), [])
--- a/tests/test_operator_edits.py
+++ b/tests/test_operator_edits.py
@@ -1,4 +1,4 @@
-"""Orders that are sent again, late, reordered, or raced under one number or one edit id."""
+"""Operators' edits that are retried, delayed, reordered, or sent concurrently with the same version or edit id."""
 
 import unittest
 from unittest import mock
@@ -56,24 +56,24 @@
     def new_leader(self):
         old = self.simulation.leader()
         old.kill(power=True)
-        self.simulation.until(lambda: self.simulation.leader() not in (None, old), 15, "another leads")
+        self.simulation.until(lambda: self.simulation.leader() not in (None, old), 15, "another controller leads")
         self.simulation.run(2)
         old.start()
         self.simulation.until(
             lambda: {a.part.consensus.leader_id for a in self.controllers} == {self.simulation.leader().node},
             5,
-            "all follow",
+            "all controllers follow the leader",
         )
 
     def arriving_while_frozen(self, controller, *args):
-        """A call whose bytes wait in the controller's socket until it is run again."""
+        """Sends a call whose bytes wait in the controller's socket until the controller is resumed."""
         pending = []
         controller.clock.callLater(0, lambda: pending.append(self.caller.begin(controller, *args)))
         return pending
 
 
 class RepeatedEdits(_OperatorEdits):
-    def test_an_order_that_came_before_its_base_is_taken_when_it_is_sent_again_once_its_base_is_in_force(self):
+    def test_an_edit_that_arrived_before_its_base_version_succeeds_when_retried_after_it(self):
         early = config_of(9, route_of("early"))
         self.put(config_of(3), 0)
         self.assertEqual(self.put(early, 5)[0], 412)
@@ -81,14 +81,14 @@
         self.assertEqual(self.put(early, 5)[0], 200)
         self.assertEqual(self.version(), 9)
 
-    def test_a_patch_that_was_refused_is_taken_when_it_is_proper(self):
+    def test_a_rejected_patch_succeeds_when_it_has_become_valid(self):
         patch = {"version": 9, "puts": {"routes": [route_of("c", "q")]}}
         self.put(config_of(3), 0)
         self.assertEqual(self.caller.patch(self.other, patch, 5)[0], 412)
         self.assertEqual(self.put(config_of(5, pools=("p", "q")), 3)[0], 200)
         self.assertEqual(self.caller.patch(self.other, patch, 5)[0], 200)
 
-    def test_a_row_edit_that_was_refused_is_taken_under_its_id_when_it_is_proper(self):
+    def test_a_rejected_row_edit_succeeds_under_the_same_id_when_it_has_become_valid(self):
         state = ClusterState()
         early = Command(edit="e", table=TableEdit(base=2, removed_rows=["r"]))
         self.assertEqual(state.apply(1, early).code, "wrong_base")
@@ -96,7 +96,7 @@
         self.assertEqual(state.apply(3, early).code, "no_such_row")
         self.assertEqual(state.apply(4, Command(edit="e", table=TableEdit(base=2))).code, "done")
 
-    def test_the_newest_change_is_acknowledged_again_however_many_other_orders_came_since(self):
+    def test_the_newest_change_is_acknowledged_again_after_any_number_of_other_edits(self):
         with mock.patch.object(cluster_state, "MAX_OUTCOMES", 20):
             newest = config_of(4)
             self.assertEqual(self.put(newest, 0)[0], 200)
@@ -114,7 +114,7 @@
             self.assertEqual(self.put(newest, 0)[0], 200)
             self.assertEqual(self.version(), 4)
 
-    def test_a_refusal_is_the_same_again_as_long_as_another_version_is_in_force(self):
+    def test_a_retry_is_rejected_again_while_another_version_is_current(self):
         lost = config_of(7, route_of("lost"))
         self.put(config_of(7, route_of("won")), 0)
         for _ in range(2):
@@ -125,7 +125,7 @@
 
 
 class ConcurrentEdits(_OperatorEdits):
-    def test_two_changes_under_one_edit_id_are_not_both_confirmed(self):
+    def test_two_different_changes_with_one_edit_id_are_not_both_confirmed(self):
         headers = {"If-Match": "0", "Edit-Id": "mine"}
         first = self.caller.ask(self.other, "PUT", CONFIG, config_of(4, route_of("a")), headers)
         second = self.caller.ask(self.delayed, "PUT", CONFIG, config_of(4, route_of("b")), headers)
@@ -133,13 +133,13 @@
         self.assertEqual((second[0], second[1]["error"]["code"]), (409, "edit_id_used"))
         self.assertEqual(self.caller.ask(self.delayed, "PUT", CONFIG, config_of(4, route_of("a")), headers)[0], 200)
 
-    def test_a_zone_order_under_the_id_of_another_order_is_refused_and_not_confirmed_for_it(self):
+    def test_a_zone_edit_with_the_id_of_another_edit_is_rejected(self):
         headers = {"Edit-Id": "mine"}
         self.assertEqual(self.caller.ask(self.other, "PUT", ZONE, headers=headers)[0], 200)
         self.assertEqual(self.caller.ask(self.other, "DELETE", ZONE, headers=headers)[0], 409)
         self.assertTrue(self.empty())
 
-    def test_of_two_retirements_at_once_only_one_is_taken_where_two_would_leave_too_few(self):
+    def test_only_one_of_two_concurrent_retirements_succeeds_if_both_would_leave_too_few_nodes(self):
         for n in range(3):
             with self.subTest(n):
                 simulation = Simulation(50 + n, placement_groups=2)
@@ -159,24 +159,24 @@
                     )
                     for i, s in enumerate(("storage1", "storage2"))
                 ]
-                simulation.until(lambda: all(pending_calls), 10, "both are answered")
+                simulation.until(lambda: all(pending_calls), 10, "both calls are complete")
                 self.assertEqual(sorted(b[0][0] for b in pending_calls), [200, 409])
                 statuses = simulation.leader().part.consensus.cluster_state.storage_nodes.values()
                 self.assertEqual(sum(s != "serving" for s in statuses), 1)
 
-    def test_eight_orders_at_once_on_two_zones_are_all_taken(self):
+    def test_eight_concurrent_edits_of_two_zones_all_succeed(self):
         pending_calls = [
             self.caller.begin(
                 self.controllers[n % 4], "PUT" if n % 3 else "DELETE", f"/v1/zones/zone-{'ab'[n % 2]}/empty"
             )
             for n in range(8)
         ]
-        self.simulation.until(lambda: all(pending_calls), 3, "all are answered")
+        self.simulation.until(lambda: all(pending_calls), 3, "all calls are complete")
         self.assertEqual([b[0][0] for b in pending_calls], [200] * 8)
 
 
 class DelayedCopies(_OperatorEdits):
-    def test_an_emptied_zone_is_not_emptied_again_by_a_copy_that_waited_in_a_frozen_controllers_socket(self):
+    def test_a_copy_queued_in_a_frozen_controllers_socket_does_not_empty_a_zone_again(self):
         self.delayed.freeze()
         self.simulation.run(0.1)
         late = self.arriving_while_frozen(self.delayed, "PUT", ZONE)
@@ -190,12 +190,14 @@
         self.assertEqual(late[0][0][0], 503)
         self.assertEqual(self.zone("PUT", self.delayed), 200)
 
-    def test_nor_by_one_that_was_frozen_just_after_the_order_was_read(self):
+    def test_a_copy_at_a_controller_frozen_just_after_reading_it_does_not_empty_a_zone_again(self):
         for controller in (self.delayed, self.leader):
             late = self.caller.begin(controller, "PUT", ZONE)
             self.simulation.run(0.005)
             controller.freeze()
-            self.simulation.until(lambda: self.simulation.leader() not in (None, controller), 15, "another leads")
+            self.simulation.until(
+                lambda: self.simulation.leader() not in (None, controller), 15, "another controller leads"
+            )
             self.simulation.run(2)
             self.assertEqual(self.zone("PUT"), 200)
             self.assertEqual(self.zone("DELETE"), 200)
@@ -204,7 +206,7 @@
             self.assertFalse(self.empty(), controller.name)
             self.assertGreaterEqual(late[0][0], 500)
 
-    def test_nor_by_one_that_was_held_up_on_its_way_to_the_leader(self):
+    def test_a_copy_delayed_on_the_way_to_the_leader_does_not_empty_a_zone_again(self):
         fenced = self.delayed.part.consensus.cluster_state.sequence
         self.assertEqual(self.zone("PUT"), 200)
         self.assertEqual(self.zone("DELETE"), 200)
@@ -213,14 +215,14 @@
         self.assertEqual(outcome.code, "late")
         self.assertFalse(self.empty())
 
-    def test_an_order_whose_caller_has_hung_up_is_not_carried_out(self):
+    def test_an_edit_is_not_executed_if_its_client_has_disconnected(self):
         late = self.caller.begin(self.delayed, "PUT", ZONE)
         self.simulation.run(0.01)
         late.hang_up()
         self.simulation.run(2)
         self.assertFalse(self.empty())
 
-    def test_an_order_that_was_refused_as_early_does_not_come_in_force_by_a_copy_that_was_held_up(self):
+    def test_a_delayed_copy_of_an_edit_rejected_as_early_does_not_take_effect(self):
         early = config_of(9, route_of("early"))
         self.put(config_of(3), 0)
         delayed = config_command("early", 5, 9, fencing_token=self.delayed.part.consensus.cluster_state.sequence)
@@ -229,7 +231,7 @@
         self.assertEqual(self.simulation.do(self.leader.part.state_delivery.edit(delayed)).code, "late")
         self.assertEqual(self.version(), 5)
 
-    def test_a_retirement_that_was_held_up_does_not_take_a_retired_storage_node_back(self):
+    def test_a_delayed_retirement_does_not_change_a_retired_storage_node(self):
         state = ClusterState()
         state.apply(1, Command(storage_node=StorageNodeEdit(storage_node="s", status="serving")))
         for sequence, status in ((2, "retiring"), (3, "retired")):
@@ -238,7 +240,7 @@
         self.assertEqual(state.apply(4, late).code, "late")
         self.assertEqual(state.storage_nodes, {"s": "retired"})
 
-    def test_a_controller_that_lags_takes_an_order_at_once(self):
+    def test_a_lagging_controller_executes_an_edit_at_once(self):
         self.simulation.cut([self.leader.name], [self.delayed.name], one_way=True)
         self.simulation.run(0.2)
         self.assertEqual(self.zone("PUT"), 200)
@@ -251,7 +253,7 @@
         self.assertEqual(self.zone("DELETE", self.delayed), 200)
         self.assertLess(self.simulation.clock.seconds() - before, 0.3)
 
-    def test_an_order_whose_bytes_arrive_together_with_its_callers_leaving_is_not_carried_out(self):
+    def test_an_edit_that_arrives_together_with_its_clients_disconnect_is_not_executed(self):
         app = Klein()
         ControlApi(self.delayed.ctx, self.delayed.part, self.caller.control_format).add_routes(app.route)
         for leaves in (True, False):
@@ -266,10 +268,10 @@
         self.assertIn(b"200 OK", transport.value())
         connection.connectionLost(Failure(ConnectionDone()))
 
-    def test_an_order_whose_caller_left_while_it_was_being_agreed_still_counts_on_the_leaders_disk(self):
+    def test_an_edit_whose_client_disconnects_before_the_commit_is_still_synced_on_the_leader(self):
         part = self.leader.part
         late = self.caller.begin(self.leader, "PUT", ZONE)
-        self.simulation.until(lambda: part.log_replication.proposals, 1, "it is proposed")
+        self.simulation.until(lambda: part.log_replication.proposals, 1, "the edit is proposed")
         index = max(part.log_replication.proposals)
         late.hang_up()
         self.simulation.run(1)
@@ -277,7 +279,7 @@
 
 
 class SnapshotRoundTrip(unittest.TestCase):
-    def test_marks_and_outcomes_come_back_from_a_snapshot(self):
+    def test_change_sequences_and_outcomes_are_restored_from_a_snapshot(self):
         state = ClusterState()
         state.apply(3, config_command("c", 0, 4))
         state.apply(5, Command(edit="z", zone=ZoneEdit(zone="a", empty=True)))
--- a/tests/test_simulated_config.py
+++ b/tests/test_simulated_config.py
@@ -1,4 +1,4 @@
-"""The configuration of routes and pools, edited at any controller while others edit it, fail and come back."""
+"""The configuration of routes and pools, edited at any controller amid concurrent edits, failures and restarts."""
 
 import json
 import unittest
@@ -28,11 +28,11 @@
     def new_leader(self):
         old = self.simulation.leader()
         old.kill(power=True)
-        self.simulation.until(lambda: self.simulation.leader() not in (None, old), 15, "another leads")
+        self.simulation.until(lambda: self.simulation.leader() not in (None, old), 15, "another controller leads")
         self.simulation.run(2)
         return old
 
-    def test_an_edit_is_in_effect_at_every_gateway_when_it_is_acknowledged_and_that_is_soon(self):
+    def test_an_edit_is_acknowledged_soon_and_only_when_in_effect_at_every_gateway(self):
         for version, controller in ((3, self.simulation.leader()), (4, self.other), (9, self.controllers[3])):
             base = max(self.versions("gateway"))
             before = self.simulation.clock.seconds()
@@ -43,7 +43,7 @@
             self.simulation.role("gateway")[0].ctx.cluster.cluster_state.routes.match("h.example", "/r/x")
         )
 
-    def test_of_two_edits_on_the_same_base_one_wins(self):
+    def test_only_one_of_two_edits_on_the_same_base_succeeds(self):
         self.caller.put(self.other, config_of(1), 0)
         for n in range(1, 6):
             first, second = self.simulation.rng.sample(self.controllers, 2)
@@ -52,14 +52,14 @@
                 for base in [max(self.versions("gateway"))]
                 for i, controller in enumerate((first, second))
             ]
-            self.simulation.until(lambda: all(pending_calls), 8, "both are answered")
+            self.simulation.until(lambda: all(pending_calls), 8, "both calls are complete")
             response = sorted(b[0][0] for b in pending_calls)
             self.assertEqual(response, [200, 412])
             winner = 10 * n + [b[0][0] for b in pending_calls].index(200)
             self.assertEqual(self.versions("gateway"), {winner})
             self.assertEqual(self.caller.get(self.controllers[n % 4])[1], config_of(winner))
 
-    def test_a_stale_base_and_an_old_version_are_refused(self):
+    def test_a_stale_base_and_an_old_version_are_rejected(self):
         self.caller.put(self.other, config_of(5), 0)
         for base, version, status, code in (
             (0, 9, 412, "wrong_base"),
@@ -73,7 +73,7 @@
             self.assertEqual((response[0], response[1]["error"]["code"]), (status, code))
         self.assertEqual(self.caller.get(self.controllers[0])[1], config_of(5))
 
-    def test_an_edit_without_its_base_or_with_a_bad_one_is_refused(self):
+    def test_an_edit_without_a_base_or_with_an_invalid_one_is_rejected(self):
         for headers, status in (
             ({}, 428),
             ({"If-Match": "five"}, 400),
@@ -83,7 +83,7 @@
             self.assertEqual(self.caller.ask(self.other, "PUT", "/v1/config", config_of(5), headers)[0], status)
         self.assertEqual(self.caller.ask(self.other, "PUT", "/v1/config", config_of(5), {"If-Match": '"0"'})[0], 200)
 
-    def test_nothing_is_proposed_for_what_cannot_be_read_or_is_invalid(self):
+    def test_a_malformed_or_invalid_configuration_is_not_proposed(self):
         self.caller.put(self.other, config_of(5), 0)
         commit_index = self.simulation.leader().part.consensus.commit_index
         whole = json.dumps(config_of(6)).encode()
@@ -96,39 +96,39 @@
 
         invalid_bodies = {
             "empty": b"",
-            "cut short": whole[:-9],
+            "truncated": whole[:-9],
             "not UTF-8": whole[:-1] + b'"\xff"}',
             "an array": b"[]",
             "a name twice in an object": whole[:-1] + b',"version":7}',
             "NaN": whole.replace(b"2500", b"NaN"),
-            "an endless number": whole.replace(b"2500", b"1e999"),
-            "deep": b'{"version":' + b"[" * 100_000,
+            "an infinite number": whole.replace(b"2500", b"1e999"),
+            "deep nesting": b'{"version":' + b"[" * 100_000,
             "an unknown pool": config_of(6, route_of("r", "q")),
-            "no time": with_route(deadline_ms=0),
-            "negative time": with_route(deadline_ms=-5),
-            "a true time": with_route(deadline_ms=True),
-            "the same place": config_of(6, route_of("a", prefix="/x/"), route_of("b", prefix="/x/")),
-            "the same name": config_of(6, route_of("a"), route_of("a", prefix="/x/")),
-            "the same pool": config_of(6, pools=("p", "p")),
-            "a kind": with_route(kind="odd"),
-            "both": with_route(shares=[{"pool": "p", "share": 1}]),
+            "a zero deadline": with_route(deadline_ms=0),
+            "a negative deadline": with_route(deadline_ms=-5),
+            "a boolean deadline": with_route(deadline_ms=True),
+            "the same prefix": config_of(6, route_of("a", prefix="/x/"), route_of("b", prefix="/x/")),
+            "a duplicate route": config_of(6, route_of("a"), route_of("a", prefix="/x/")),
+            "a duplicate pool": config_of(6, pools=("p", "p")),
+            "an unknown kind": with_route(kind="odd"),
+            "pool and shares": with_route(shares=[{"pool": "p", "share": 1}]),
             "no weight": config_of(6, {**without("pool")["routes"][0], "shares": [{"pool": "p", "share": 0}]}),
             "negative weight": config_of(
                 6, {**without("pool")["routes"][0], "shares": [{"pool": "p", "share": -1}, {"pool": "p", "share": 3}]}
             ),
             "no shares": config_of(6, {**without("pool")["routes"][0], "shares": []}),
-            "a bare prefix": with_route(prefix="/x"),
-            "sticky": with_route(sticky=1),
-            "half a try": without("kind"),
-            "a text try": with_route(max_tries="2"),
-            "routes": {**config_of(6), "routes": {}},
+            "a prefix without its last slash": with_route(prefix="/x"),
+            "a number for sticky": with_route(sticky=1),
+            "a missing kind": without("kind"),
+            "a string for max_tries": with_route(max_tries="2"),
+            "routes that are no list": {**config_of(6), "routes": {}},
             "no pools": {k: v for k, v in config_of(6).items() if k != "pools"},
             "no bounds": {k: v for k, v in config_of(6).items() if k != "bounds"},
-            "a text version": config_of("6"),
+            "a string version": config_of("6"),
             "no version": config_of(None),
-            "a fraction": config_of(6.5),
+            "a fractional version": config_of(6.5),
             "a nameless pool": {**config_of(6), "pools": [{}]},
-            "a half letter": with_route(host="\ud800"),
+            "a lone surrogate": with_route(host="\ud800"),
             **{f"no {f}": without(f) for f in ("name", "host", "prefix", "deadline_ms", "pool")},
         }
         for case, body in invalid_bodies.items():
@@ -137,7 +137,7 @@
         self.assertEqual(self.simulation.leader().part.consensus.commit_index, commit_index)
         self.assertEqual(self.caller.get(self.controllers[0])[1], config_of(5))
 
-    def test_a_patch_that_would_leave_an_invalid_whole_is_refused(self):
+    def test_a_patch_that_would_make_the_configuration_invalid_is_rejected(self):
         self.caller.put(self.other, config_of(5, route_of("a"), route_of("b")), 0)
         for n, e in enumerate(
             (
@@ -153,7 +153,7 @@
             self.assertEqual(self.caller.patch(self.other, {"version": 6 + n, **e}, 5)[0], 400, e)
         self.assertEqual(self.caller.get(self.controllers[0])[1], config_of(5, route_of("a"), route_of("b")))
 
-    def test_a_patch_merges_by_name_and_all_comes_back_as_it_was_sent(self):
+    def test_a_patch_merges_by_name_and_fields_are_returned_as_sent(self):
         first = config_of(5, route_of("a", odd={"x": [1, 2.50, "\u00e9"]}), route_of("b"), pools=("p", "q"))
         self.caller.put(self.other, first, 0)
         self.assertEqual(self.caller.get(self.controllers[1])[1], first)
@@ -182,7 +182,7 @@
         table = self.simulation.role("gateway")[0].ctx.cluster.cluster_state.routes
         self.assertEqual((table.routes["a"].latency_target_ms, table.bounds.idle_timeout_ms), (3, 5))
 
-    def test_the_same_edit_again_has_the_same_outcome_at_any_controller_also_under_another_leader(self):
+    def test_a_repeated_edit_has_the_same_outcome_at_any_controller_and_after_a_leader_change(self):
         early = config_of(9, route_of("early"))
         self.assertEqual(self.caller.put(self.other, early, 5)[0], 412)
         self.assertEqual(self.caller.put(self.other, config_of(5), 0)[0], 200)
@@ -199,27 +199,29 @@
             self.simulation.until(
                 lambda: {a.part.consensus.leader_id for a in self.controllers} == {self.simulation.leader().node},
                 5,
-                "all follow",
+                "all controllers follow the leader",
             )
 
-    def test_a_call_that_was_cut_off_and_sent_again_elsewhere_is_taken_once(self):
+    def test_an_interrupted_edit_retried_elsewhere_takes_effect_once(self):
         leader = self.simulation.leader()
         lost = self.caller.begin(leader, "PUT", "/v1/config", config_of(4), {"If-Match": "0"})
-        self.simulation.until(lambda: leader.part.consensus.cluster_state.routes.version == 4, 5, "it is agreed")
+        self.simulation.until(
+            lambda: leader.part.consensus.cluster_state.routes.version == 4, 5, "the edit is committed"
+        )
         leader.kill()
         self.assertEqual(lost, [])
-        self.simulation.until(lambda: self.simulation.leader(), 15, "another leads")
+        self.simulation.until(lambda: self.simulation.leader(), 15, "another controller leads")
         self.assertEqual(self.caller.put(self.other, config_of(4), 0)[0], 200)
         self.assertEqual(self.caller.put(self.other, config_of(5), 4)[0], 200)
 
-    def test_the_same_edit_sent_over_and_over_grows_the_log_once(self):
+    def test_a_repeated_edit_adds_only_one_log_entry(self):
         self.caller.put(self.other, config_of(4), 0)
         commit_index = self.simulation.leader().part.consensus.commit_index
         for _ in range(20):
             self.assertEqual(self.caller.put(self.other, config_of(4), 0)[0], 200)
         self.assertEqual(self.simulation.leader().part.consensus.commit_index, commit_index)
 
-    def test_the_configuration_outlives_a_loss_of_power_at_every_controller(self):
+    def test_the_configuration_survives_a_power_loss_at_every_controller(self):
         self.caller.put(self.other, config_of(4), 0)
         self.caller.patch(self.other, {"version": 6, "puts": {"routes": [route_of("c")]}}, 4)
         for a in self.controllers:
@@ -230,9 +232,9 @@
         for a in self.controllers:
             self.assertEqual(self.caller.get(a)[1], config_of(6, route_of("r"), route_of("c")))
             self.assertEqual(self.caller.put(a, config_of(4), 0)[0], 200)
-        self.simulation.until(lambda: self.versions("gateway") == {6}, 5, "the gateways keep it")
+        self.simulation.until(lambda: self.versions("gateway") == {6}, 5, "the gateways have the configuration")
 
-    def test_the_configuration_outlives_snapshot_and_trim_and_reaches_a_newcomer(self):
+    def test_the_configuration_survives_compaction_and_reaches_a_new_controller(self):
         self.caller.put(self.other, config_of(4), 0)
         leader = self.simulation.leader()
 
@@ -241,24 +243,24 @@
                 await leader.part.log_replication.propose(Command(no_op=True))
 
         self.simulation.do(append_entries(), 600)
-        self.simulation.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "trimmed")
+        self.simulation.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "the log is compacted")
         newcomer = self.simulation.add("controller", "controller9", "zone-a", 1900)
         newcomer.start()
         self.simulation.until(
             lambda: newcomer.part.consensus.cluster_state.sequence == leader.part.consensus.cluster_state.sequence,
             10,
-            "the newcomer follows",
+            "the new controller is up to date",
         )
         for a in self.simulation.role("controller"):
             a.kill(power=True)
             a.start()
         self.simulation.ready()
         for a in (leader, newcomer):
-            self.simulation.until(lambda: a.part.consensus.leader_id, 2, "it hears who leads")
+            self.simulation.until(lambda: a.part.consensus.leader_id, 2, "it knows the leader")
             self.assertEqual(self.caller.get(a)[1], config_of(4))
             self.assertEqual(self.caller.put(a, config_of(4), 0)[0], 200)
 
-    def test_a_log_of_large_edits_is_trimmed_by_its_size(self):
+    def test_a_log_of_large_edits_is_compacted_by_its_size(self):
         with (
             mock.patch.object(durable_log, "COMPACTION_BYTES", 300_000),
             mock.patch.object(durable_log, "RETAINED_BYTES", 60_000),
@@ -269,9 +271,9 @@
                 self.assertEqual(self.caller.put(self.other, config_of(n, *big), n - 1)[0], 200)
             self.simulation.run(1)
             for a in self.controllers:
-                held = sum(e.ByteSize() for e in a.part.durable_log.entries)
-                self.assertLess(held, 400_000)
-                self.assertEqual(held, a.part.durable_log.entry_bytes)
+                entry_bytes = sum(e.ByteSize() for e in a.part.durable_log.entries)
+                self.assertLess(entry_bytes, 400_000)
+                self.assertEqual(entry_bytes, a.part.durable_log.entry_bytes)
             newcomer = self.simulation.add("controller", "controller9", "zone-a", 1900)
             newcomer.start()
             self.simulation.until(
@@ -280,16 +282,16 @@
                     == self.simulation.leader().part.consensus.cluster_state.sequence
                 ),
                 10,
-                "the newcomer follows",
+                "the new controller is up to date",
             )
             for a in self.simulation.role("controller"):
                 a.kill(power=True)
                 a.start()
             self.simulation.ready()
-            self.simulation.until(lambda: newcomer.part.consensus.leader_id, 2, "the newcomer hears who leads")
+            self.simulation.until(lambda: newcomer.part.consensus.leader_id, 2, "the new controller knows the leader")
             self.assertEqual(self.caller.get(newcomer)[1], config_of(30, *big))
 
-    def test_a_controller_without_a_leader_says_so_at_once(self):
+    def test_a_controller_without_a_leader_responds_with_503_at_once(self):
         others = [a.name for a in self.simulation.simulated_nodes.values() if a is not self.other]
         self.simulation.cut([self.other.name], others)
         self.simulation.run(2)
@@ -301,7 +303,7 @@
         self.simulation.run(3)
         self.assertEqual(self.caller.put(self.other, config_of(4), 0)[0], 200)
 
-    def test_zones_are_emptied_and_filled_in_effect_at_every_gateway(self):
+    def test_emptying_and_filling_a_zone_takes_effect_at_every_gateway(self):
         for n in range(2):
             for method, empty in (("PUT", True), ("PUT", True), ("DELETE", False), ("DELETE", False)):
                 self.assertEqual(self.caller.ask(self.other, method, "/v1/zones/zone-b/empty")[0], 200)
@@ -333,11 +335,13 @@
             controller or self.simulation.role("controller")[2], method, f"/v1/storage_nodes/{name}/retire"
         )
 
-    def test_a_storage_node_is_retired_by_its_name_and_stays_known_when_its_machine_is_gone(self):
+    def test_a_storage_node_retired_by_name_stays_known_after_its_machine_is_gone(self):
         self.assertEqual(self.ask("GET", "box-1"), (200, {"state": "serving"}))
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
-        self.simulation.until(lambda: self.ask("GET", "box-1")[1] == {"state": "retired"}, 60, "it is emptied")
+        self.simulation.until(
+            lambda: self.ask("GET", "box-1")[1] == {"state": "retired"}, 60, "the storage node is retired"
+        )
         placement_groups = self.simulation.leader().part.consensus.cluster_state.placement_groups.values()
         self.assertFalse([s for s in placement_groups if self.storage_node.node in (*s.storage_nodes, s.joining)])
         self.storage_node.kill(power=True)
@@ -350,7 +354,7 @@
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
         self.assertEqual(self.ask("GET", "box-1"), (200, {"state": "retired"}))
 
-    def test_an_emptied_machine_that_comes_back_with_another_disk_is_not_admitted(self):
+    def test_a_retired_machine_that_returns_with_another_disk_is_not_admitted(self):
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
         old = self.storage_node.node
         self.storage_node.kill(power=True)
@@ -360,9 +364,11 @@
         self.assertNotEqual(self.storage_node.node, old)
         self.simulation.run(8)
         self.assertNotIn(self.storage_node.node, self.simulation.leader().part.consensus.cluster_state.storage_nodes)
-        self.simulation.until(lambda: self.ask("GET", "box-1")[1] == {"state": "retired"}, 60, "it is emptied")
+        self.simulation.until(
+            lambda: self.ask("GET", "box-1")[1] == {"state": "retired"}, 60, "the storage node is retired"
+        )
 
-    def test_unknown_names_and_too_few_storage_nodes_are_refused_and_a_repeat_is_not(self):
+    def test_unknown_names_and_too_few_remaining_storage_nodes_are_rejected_but_a_repeat_is_not(self):
         for method in ("POST", "GET"):
             self.assertEqual(self.ask(method, "box-9")[0], 404)
         self.assertEqual(self.ask("POST", "box-1")[0], 200)
--- a/tests/test_simulated_edits.py
+++ b/tests/test_simulated_edits.py
@@ -1,4 +1,4 @@
-"""Histories of orders under cuts, freezes, lost answers, races, kills and losses of power, judged by the checker."""
+"""Checks histories of edits under network cuts, freezes, lost responses, races, kills and power losses."""
 
 import unittest
 from contextlib import ExitStack
@@ -15,14 +15,14 @@
 MIN_CONFIRMED_EDITS = 10
 GATEWAY_DELIVERY_S = 3.0
 DELAYED_COPY_GUARDS = (
-    "an order is fenced",
-    "a controller that woke takes no order",
-    "an order's caller is still there",
+    "an edit is fenced",
+    "a resumed controller accepts no edit",
+    "the client of an edit is still connected",
 )
 
 
 def run_history(seed: int, roles=("controller",), faults: int = 10) -> list[str]:
-    """Runs one seed; returns what is wrong with its history."""
+    """Runs one seed; returns the violations in its history."""
     simulation = DelayingSimulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
     try:
         return [f"seed {seed}: {line}" for line in _run(simulation, roles, faults)]
@@ -49,12 +49,12 @@
         operators.faults + [t for t in random_faults.injected if "work ended" in t] + check_history(operators.records)
     )
     if operators.taken() < MIN_CONFIRMED_EDITS:
-        violations.append(f"only {operators.taken()} orders were confirmed")
+        violations.append(f"only {operators.taken()} edits were confirmed")
     return violations
 
 
 def _lose_power(simulation):
-    """Every controller loses power at once, right among the orders."""
+    """Every controller loses power at once while edits are in progress."""
     controllers = simulation.role("controller")
     for a in controllers:
         a.kill(power=True)
@@ -64,14 +64,14 @@
 
 
 class EditHistories(unittest.TestCase):
-    def test_histories_hold_while_controllers_fail(self):
+    def test_histories_are_valid_while_controllers_fail(self):
         self.assertEqual([line for s in SEEDS for line in run_history(s)], [])
 
-    def test_histories_hold_while_everything_fails(self):
+    def test_histories_are_valid_while_all_roles_fail(self):
         roles = ("controller", "controller", "storage", "gateway")
         self.assertEqual([line for s in SEEDS for line in run_history(1000 + s, roles)], [])
 
-    def test_without_the_guards_against_late_copies_some_history_is_found_wrong(self):
+    def test_without_the_guards_against_delayed_copies_some_history_is_invalid(self):
         with ExitStack() as patches:
             for name in DELAYED_COPY_GUARDS:
                 _, owner, attribute, replacement = GUARDS[name]
