--- a/tests/partition_scenario.py
+++ b/tests/partition_scenario.py
@@ -1,4 +1,4 @@
-"""The scenario of a controller that is cut off for twenty seconds, with the calls to it and their answers."""
+"""Scenario of a controller that is isolated for twenty seconds, with the calls to it and their responses."""
 
 import attrs
 
@@ -19,7 +19,7 @@
 
 @attrs.define
 class _Call:
-    """One call to the controller that is cut off, and its answer."""
+    """One call to the isolated controller, and its response."""
 
     what: str
     at: float
@@ -32,7 +32,7 @@
 
 
 class Scenario:
-    """Controllers, one of them cut off while operators and engines call it; others go on changing the configuration."""
+    """One controller is isolated and called by operators and engines, while the others change the configuration."""
 
     def __init__(self, test, seed=5):
         self.simulation = Simulation(seed, placement_groups=2)
@@ -48,7 +48,7 @@
         self.change(self.simulation.leader())
 
     def register_engine_handler(self, gateway):
-        """Stands in for a gateway's list of engines."""
+        """Stands in for a gateway's engine registry."""
 
         async def accept(node, engines):
             pass
@@ -59,7 +59,7 @@
         return self.simulation.clock.seconds()
 
     def controller(self, role: str):
-        """The leader, a voter that follows it, or a standby."""
+        """Returns the leader, a voter that follows it, or a standby."""
         leader = self.simulation.leader()
         if role == "leader":
             return leader
@@ -69,7 +69,7 @@
         )
 
     def change(self, controller) -> int:
-        """Confirms one configuration more; returns the status."""
+        """Submits the next configuration; returns the status."""
         config = config_of(self.version + 1, route_of(f"r{self.version + 1}"))
         status, _ = self.caller.put(controller, config, self.version)
         if status == 200:
@@ -84,7 +84,7 @@
             self.simulation.cut(names, [simulated_node.name], one_way=True)
 
     def call_all(self, simulated_node, started_at: float):
-        """Every kind of call at once."""
+        """Starts a call of each kind."""
         n = len(self.calls)
         config = config_of(10_000 + n, route_of(f"lone{n}"))
         for what, *args in (
@@ -108,7 +108,7 @@
                     call.duration_s = self.now() - self.started_at - call.at
 
     def run_calls(self, simulated_node, direction: str, others=None, changing=True):
-        """Cuts the controller off, calls it again and again, and has the others confirm changes meanwhile."""
+        """Isolates the controller and calls it repeatedly, while the others commit changes."""
         self.started_at = self.now()
         self.cut(simulated_node, direction, others)
         for at, after in zip(CALL_TIMES_S, (*CALL_TIMES_S[1:], CUT_S)):
@@ -119,39 +119,39 @@
                 self.change(leader)
 
     def slow_calls(self) -> list[str]:
-        """Calls that were held for over a second, or not refused at once though the cut was known."""
-        held = [str(c) for c in self.calls if c.duration_s is None or c.duration_s > MAX_RESPONSE_S]
+        """Returns the calls held for over a second, and those not rejected at once after the cut was detected."""
+        slow = [str(c) for c in self.calls if c.duration_s is None or c.duration_s > MAX_RESPONSE_S]
         late = [
             str(c)
             for c in self.calls
             if c.at > CUT_DETECTED_S and c.duration_s is not None and c.duration_s > IMMEDIATE_RESPONSE_S
         ]
-        return held + late
+        return slow + late
 
     def unexpected_responses(self) -> list[str]:
-        """Orders and announcements that were confirmed, and reads older than what was confirmed before them."""
+        """Returns the edits and announcements that were confirmed, and the stale reads."""
         out = []
         for c in self.calls:
             status, body = c.pending[0] if c.pending else (None, None)
             if c.what == "GET config" and status == 200:
                 if body["version"] < c.min_version:
-                    out.append(f"old configuration: {c}")
+                    out.append(f"stale configuration: {c}")
             elif status != 503 and not (c.what == "PUT engine" and c.at < CUT_DETECTED_S):
-                out.append(f"not refused: {c}")
+                out.append(f"not rejected: {c}")
         return out
 
     def heal_and_time_recovery(self, simulated_node) -> float:
-        """Heals the cut; returns how long the controller took to take an order again."""
+        """Heals the cut; returns the time until the controller accepts an edit again."""
         self.simulation.heal()
         healed = self.now()
         while self.change_on_newest(simulated_node) != 200:
             if self.now() - healed > 10:
-                raise AssertionError("it takes no order")
+                raise AssertionError("the controller accepts no edit within 10 s")
             self.simulation.run(0.05)
         return self.now() - healed
 
     def change_on_newest(self, simulated_node) -> int:
-        """A change on top of what stands: one of the refused orders may have been taken before the cut was known."""
+        """Changes the current version: a rejected edit may have been committed before the cut was detected."""
         leader = self.simulation.leader()
         if leader is not None:
             self.version = leader.part.consensus.cluster_state.routes.version
--- a/tests/test_durable_log_power_loss.py
+++ b/tests/test_durable_log_power_loss.py
@@ -1,4 +1,4 @@
-"""The controller's durable log under a loss of power at every single disk call, with names and ends lost at random."""
+"""Power loss at every disk call of the controller's durable log; unsynced names and file ends are lost at random."""
 
 import tempfile
 import unittest
@@ -23,11 +23,11 @@
 
 
 class _PowerLost(BaseException):
-    """Not an error that the code under test may handle."""
+    """A BaseException, so that the code under test does not handle it."""
 
 
 class _StoppingDisk(PowerLossDisk):
-    """Loses power before the given disk call, counted from the first."""
+    """Loses power at the disk call with number `stop_at`, counted from 1."""
 
     def __init__(self, rng, stop_at=None):
         super().__init__(rng, names=True)
@@ -70,7 +70,7 @@
 
 
 class _Context:
-    """Calls that belong on a thread are held until `step` runs them, so that much is queued behind them."""
+    """Holds calls for the thread pool until `run_held_calls`, so that further writes queue up behind them."""
 
     def __init__(self):
         self.logger = _RecordingLogger()
@@ -103,7 +103,7 @@
 
 
 class _Controller:
-    """Plays a member's calls and remembers what it has promised: synced entries and terms."""
+    """Drives a durable log as a controller does, and records what was acknowledged: synced entries and terms."""
 
     def __init__(self, folder: Path, disk):
         self.ctx, self.folder = _Context(), folder
@@ -145,7 +145,7 @@
         d.addCallback(acknowledge)
 
     def run_history(self):
-        """Founding, a roll, a trim with writes around it, another branch, and a snapshot from a leader over it."""
+        """Runs a bootstrap, a new segment, a compaction amid writes, a conflicting branch and a snapshot over it."""
         self.install(snapshot(0, 0))
         self.ctx.run_held_calls()
         self.vote(1)
@@ -180,15 +180,15 @@
 
 
 GUARDS = {
-    "a segment is synced before the next one is made": (Segments, "_sync_before_roll", lambda self, touched: None),
-    "the folder of the log is synced in its parent": (
+    "a segment is synced before the next one is created": (Segments, "_sync_before_roll", lambda self, touched: None),
+    "the parent folder of the log is synced": (
         Segments,
         "_sync_folder_names",
         lambda self: self._disk.sync_folder(self._folder),
     ),
-    "an entry written again cuts nothing off": (LogReplay, "_add_entry", _always_truncate),
-    "entries follow a snapshot only behind its marker": (LogReplay, "has_marker_of", lambda self, snapshot: True),
-    "another branch ends at a snapshot": (LogReplay, "_conflicts", lambda self, snapshot: False),
+    "a rewritten entry truncates nothing": (LogReplay, "_add_entry", _always_truncate),
+    "entries follow a snapshot only after its marker": (LogReplay, "has_marker_of", lambda self, snapshot: True),
+    "a conflicting branch ends at a snapshot": (LogReplay, "_conflicts", lambda self, snapshot: False),
 }
 
 
@@ -220,14 +220,14 @@
         self.assertGreaterEqual(restarted.hard_state.term, controller.term)
         for index, term in controller.acknowledged.items():
             if index >= restarted.snapshot.index:
-                self.assertEqual(restarted.term_at(index), term, f"{index} was promised: {controller.acknowledged}")
+                self.assertEqual(restarted.term_at(index), term, f"{index} was acknowledged: {controller.acknowledged}")
         misplaced = {n: e for n, e in enumerate(restarted.entries, restarted.snapshot.index + 1) if e.index != n}
         self.assertEqual(misplaced, {})
         terms = [restarted.snapshot.term, *(e.term for e in restarted.entries)]
-        self.assertEqual(terms, sorted(terms), "entries of another branch behind a snapshot")
+        self.assertEqual(terms, sorted(terms), "entries of a conflicting branch follow a snapshot")
 
     def lose_power_twice(self, stop_at, seed):
-        """Loses power at a call, starts again, writes one entry, and loses power once more."""
+        """Loses power at a call, restarts, writes one entry, and loses power again."""
         controller, disk, folder = self.run_until(stop_at, seed)
         restarted = _Controller(folder, disk).start()
         self.check(controller, restarted.durable_log)
@@ -241,7 +241,7 @@
         self.check(controller, restarted_twice)
         restarted_twice.close()
 
-    def test_whatever_was_promised_is_there_after_a_loss_of_power_at_any_call(self):
+    def test_acknowledged_writes_survive_a_power_loss_at_any_disk_call(self):
         for seed in SEEDS:
             complete, disk, _ = self.run_until(None, seed)
             self.assertEqual(complete.acknowledged[31], 5)
@@ -250,7 +250,7 @@
                     self.lose_power_twice(stop_at, seed)
 
     def loses_acknowledged_data(self) -> bool:
-        """Whether some loss of power breaks a promise, over the same few seeds each time."""
+        """Whether some power loss loses acknowledged data; uses the same seeds each time."""
         for seed in range(1, 13):
             _, disk, _ = self.run_until(None, seed)
             for stop_at in range(1, disk.calls + 1):
@@ -260,14 +260,14 @@
                     return True
         return False
 
-    def test_without_a_guard_something_promised_is_lost(self):
+    def test_without_any_one_guard_acknowledged_data_is_lost(self):
         for name, (owner, method, replacement) in GUARDS.items():
             with self.subTest(name), mock.patch.object(owner, method, replacement):
                 self.assertTrue(self.loses_acknowledged_data())
 
 
 class RejectedWrites(unittest.TestCase):
-    def test_what_is_queued_while_a_refusal_is_told_goes_to_the_disk(self):
+    def test_a_write_queued_in_the_callback_of_a_rejected_write_is_synced(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         disk = PowerLossDisk(Random(1))
--- a/tests/test_simulated_controllers.py
+++ b/tests/test_simulated_controllers.py
@@ -1,4 +1,4 @@
-"""The agreed cluster state under trouble: edits, reads, delivery and votes, over many seeds."""
+"""The replicated cluster state under faults: edits, reads, delivery and votes, with random seeds."""
 
 import unittest
 import unittest.mock
@@ -21,7 +21,7 @@
 
 
 class _Operators:
-    """Operators that race with edits on the newest table they could read, and what they were told."""
+    """Operators that concurrently edit the newest table they could read, with the outcomes they received."""
 
     def __init__(self, simulation):
         self.simulation = simulation
@@ -62,14 +62,14 @@
                 pass
 
     def check_gateways(self):
-        """Every gateway that would admit work now has all that was acknowledged two seconds ago."""
+        """Every gateway that would admit work now must have all edits acknowledged more than two seconds ago."""
         now = self.simulation.clock.seconds()
         old = max((seq for at, seq, _ in self.acked if now - at > IN_EFFECT), default=0)
         for a in self.simulation.role("gateway", alive=True):
             cluster = a.ctx.cluster
             if cluster.ready() and cluster.cluster_state.table_sequence < old:
                 self.faults.append(
-                    f"{a.name} admits at table {cluster.cluster_state.table_sequence}, {old} is in effect, {now}"
+                    f"{a.name} admits work at table {cluster.cluster_state.table_sequence}, {old} is in effect, {now}"
                 )
 
 
@@ -99,7 +99,7 @@
         cluster_state = simulation.leader().part.consensus.cluster_state
         done = {o.edit: o.sequence for o in cluster_state.outcomes.values() if o.code == "done"}
         for _, sequence, text in ops.acked:
-            self.assertEqual(done.get(text), sequence, f"seed {seed}: {text} was acknowledged and is gone")
+            self.assertEqual(done.get(text), sequence, f"seed {seed}: {text} was acknowledged and is lost")
         self.assertFalse(ops.refused & set(done))
         tables = {a.part.consensus.cluster_state.table_sequence for a in simulation.role("controller")} | {
             a.ctx.cluster.cluster_state.table_sequence for a in simulation.role("gateway")
@@ -107,10 +107,10 @@
         self.assertEqual(tables, {cluster_state.table_sequence}, f"seed {seed}")
         return len(ops.acked)
 
-    def test_edits_hold_while_controllers_fail(self):
+    def test_acknowledged_edits_persist_while_controllers_fail(self):
         self.assertGreater(sum(self.run_seed(s, ("controller",)) for s in SEEDS), 5 * len(SEEDS))
 
-    def test_edits_hold_while_everything_fails(self):
+    def test_acknowledged_edits_persist_while_all_roles_fail(self):
         self.assertGreater(
             sum(self.run_seed(s, ("controller", "gateway", "storage", "gateway")) for s in SEEDS), 5 * len(SEEDS)
         )
@@ -123,7 +123,7 @@
         self.simulation.start()
         self.simulation.ready()
 
-    def test_an_empty_disk_is_a_newcomer_and_the_standby_takes_the_lost_vote(self):
+    def test_a_controller_with_an_empty_disk_is_a_newcomer_and_a_standby_replaces_it_as_voter(self):
         voters = self.simulation.leader().part.consensus.voters()
         lost = next(
             a for a in self.simulation.role("controller") if a.node in voters and a is not self.simulation.leader()
@@ -141,7 +141,7 @@
                 and len(self.simulation.leader().part.consensus.cluster_state.voters) == 3
             ),
             12,
-            "the standby votes",
+            "the standby is a voter",
         )
         self.simulation.until(
             lambda: (
@@ -149,10 +149,10 @@
                 == self.simulation.leader().part.consensus.cluster_state.sequence
             ),
             5,
-            "it follows",
+            "it is up to date",
         )
 
-    def test_a_lone_side_refuses_edits_and_reads(self):
+    def test_an_isolated_leader_rejects_edits_and_reads(self):
         leader = self.simulation.leader()
         others = [a.name for a in self.simulation.simulated_nodes.values() if a is not leader]
         self.simulation.cut([leader.name], others)
@@ -160,14 +160,14 @@
             self.simulation.do(leader.part.state_delivery.edit(edit_of("r", 0, "lone")), 10)
         with self.assertRaises(PipitlinkError):
             self.simulation.do(leader.part.log_replication.confirm_leadership(), 10)
-        self.simulation.until(lambda: self.simulation.leader() is not None, 10, "the others lead")
+        self.simulation.until(lambda: self.simulation.leader() is not None, 10, "another controller leads")
         self.assertIsNot(self.simulation.leader(), leader)
         self.simulation.do(self.simulation.leader().part.state_delivery.edit(edit_of("r", 0, "theirs")), 10)
         self.simulation.heal()
         self.simulation.run(3)
         self.assertEqual(leader.part.consensus.cluster_state.rows["r"].model, "theirs")
 
-    def test_an_edit_passed_on_to_a_leader_that_was_cut_off_is_unknown_as_soon_as_that_is_known(self):
+    def test_an_edit_forwarded_to_an_isolated_leader_is_unconfirmed_as_soon_as_the_loss_is_detected(self):
         leader = self.simulation.leader()
         other = next(
             a
@@ -183,7 +183,7 @@
                 3,
             )
 
-    def test_service_goes_on_with_all_controllers_cut_off_and_no_edit_is_acknowledged(self):
+    def test_gateways_serve_without_controllers_and_no_edit_is_acknowledged(self):
         controllers = [a.name for a in self.simulation.role("controller")]
         others = [a.name for a in self.simulation.simulated_nodes.values() if a.role != "controller"]
         self.simulation.cut(controllers, others)
@@ -197,7 +197,7 @@
         with self.assertRaises(PipitlinkError):
             self.simulation.do(self.simulation.leader().part.state_delivery.edit(edit_of("r", 0, "unheard")), 20)
 
-    def test_edits_go_on_with_two_of_four_storage_nodes_away_and_no_gateway_misses_one(self):
+    def test_edits_succeed_without_two_of_four_storage_nodes_and_no_gateway_misses_one(self):
         cluster_state = self.simulation.leader().part.consensus.cluster_state
         self.assertEqual(cluster_state.confirmed_witness_change, cluster_state.witnesses_changed_at)
         storage_nodes = self.simulation.role("storage")
@@ -230,7 +230,7 @@
                 leader.state_delivery.edit(edit_of("r", leader.consensus.cluster_state.table_sequence, "unsettled")), 6
             )
 
-    def test_nodes_that_met_need_no_seed_again_and_a_wrong_suspicion_is_refuted(self):
+    def test_restarted_nodes_rejoin_without_seeds_and_refute_a_false_suspicion(self):
         self.simulation.seeds = ("10.0.0.1:9", "10.0.0.1:10", "10.0.0.1:11")
         storage_node, controller = self.simulation.role("storage")[1], self.simulation.role("controller")[3]
         for a in (storage_node, controller):
@@ -238,19 +238,19 @@
             a.start()
         for a in (storage_node, controller):
             self.simulation.until(
-                lambda: len(a.ctx.membership.members(statuses=("alive",))) == 11, 10, "all are met again"
+                lambda: len(a.ctx.membership.members(statuses=("alive",))) == 11, 10, "all members are known again"
             )
         storage_node.freeze()
         self.simulation.until(
-            lambda: controller.ctx.membership.status(storage_node.node) == "gone", 10, "it is held for gone"
+            lambda: controller.ctx.membership.status(storage_node.node) == "gone", 10, "it is considered gone"
         )
         storage_node.thaw()
         self.simulation.until(
-            lambda: controller.ctx.membership.status(storage_node.node) == "alive", 10, "it has refuted that"
+            lambda: controller.ctx.membership.status(storage_node.node) == "alive", 10, "it has refuted the suspicion"
         )
         self.assertGreater(storage_node.ctx.membership.local_member.incarnation, 1)
 
-    def test_a_controller_without_room_refuses_edits_up_front(self):
+    def test_a_controller_without_disk_space_rejects_edits_before_proposing_them(self):
         part = self.simulation.leader().part
         with (
             unittest.mock.patch.object(part.durable_log, "used_bytes", lambda: 10**12),
@@ -260,7 +260,7 @@
         self.assertFalse(raised.exception.sent)
         self.assertEqual(self.simulation.do(part.state_delivery.edit(edit_of("r", 0, "room"))).code, "done")
 
-    def test_a_leader_whose_disk_refuses_an_entry_yields_and_never_puts_another_in_its_place(self):
+    def test_a_leader_whose_disk_rejects_an_entry_steps_down_and_never_reuses_its_index(self):
         leader = self.simulation.leader()
         leader.disk.full = True
         with self.assertRaises(PipitlinkError) as raised:
@@ -284,8 +284,8 @@
         self.assertEqual(len(cluster_states), 1, cluster_states)
         self.assertIsInstance(raised.exception, Unconfirmed)
 
-    def test_a_leader_does_not_count_what_its_own_disk_has_not_synced_in_this_term(self):
-        """Its mark from an earlier term may lie beyond a log that was cut back since."""
+    def test_a_leader_counts_only_what_its_own_disk_has_synced_in_this_term(self):
+        """Its synced index from an earlier term may be beyond the end of a log that was truncated since."""
         for a in self.simulation.role("controller"):
             a.part.log_replication.synced_index = 10**6
         self.simulation.leader().part.consensus.step_down()
@@ -304,7 +304,7 @@
             [a.name for a in self.simulation.role("controller") if "r" in a.part.consensus.cluster_state.rows], []
         )
 
-    def test_an_agreed_edit_whose_leader_yields_is_unproven_and_not_refused(self):
+    def test_a_committed_edit_whose_leader_steps_down_is_unconfirmed_and_not_rejected(self):
         part = self.simulation.leader().part
         self.simulation.clock.callLater(1, part.consensus.step_down)
         with (
@@ -317,7 +317,7 @@
         again = self.simulation.do(self.simulation.leader().part.state_delivery.edit(edit_of("r", 0, "agreed")))
         self.assertEqual(again.code, "done")
 
-    def test_a_controller_that_lost_its_ballot_or_its_snapshot_does_not_start_as_itself(self):
+    def test_a_controller_that_lost_its_log_or_its_snapshot_does_not_start(self):
         for name, pattern in (("controller0", "agreed/seg-*.log"), ("controller1", "setup-*/setup.dat")):
             a = self.simulation.simulated_nodes[name]
             a.kill()
@@ -327,7 +327,7 @@
                 a.start()
             a.alive = False
 
-    def test_the_same_edit_id_gives_its_true_outcome(self):
+    def test_a_repeated_edit_id_returns_the_recorded_outcome(self):
         part = self.simulation.leader().part
         first = self.simulation.do(part.state_delivery.edit(edit_of("r", 0, "once")))
         again = self.simulation.do(part.state_delivery.edit(edit_of("r", 0, "once")))
@@ -336,7 +336,7 @@
         self.assertEqual(lost.code, "wrong_base")
         self.assertEqual(part.consensus.cluster_state.rows["r"].model, "once")
 
-    def test_a_long_log_is_trimmed_and_a_newcomer_takes_the_snapshot(self):
+    def test_a_long_log_is_compacted_and_a_new_controller_installs_the_snapshot(self):
         leader = self.simulation.leader()
 
         async def append_entries():
@@ -344,13 +344,13 @@
                 await leader.part.log_replication.propose(Command(no_op=True))
 
         self.simulation.do(append_entries(), 600)
-        self.simulation.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "trimmed")
+        self.simulation.until(lambda: leader.part.durable_log.snapshot.index > 0, 10, "the log is compacted")
         newcomer = self.simulation.add("controller", "controller9", "zone-a", 1900)
         newcomer.start()
         self.simulation.until(
             lambda: newcomer.part.consensus.cluster_state.sequence == leader.part.consensus.cluster_state.sequence,
             10,
-            "the newcomer follows",
+            "the new controller is up to date",
         )
         for a in (leader, newcomer):
             a.kill(power=True)
--- a/tests/test_simulated_follow.py
+++ b/tests/test_simulated_follow.py
@@ -1,4 +1,4 @@
-"""Questions that a leader holds long, and the leases counted from its answers."""
+"""Follow requests that a leader holds for a long time, and the leases that start from its responses."""
 
 import unittest
 from unittest import mock
@@ -20,8 +20,8 @@
 
 
 class InitialState(unittest.TestCase):
-    def test_what_the_founders_agreed_before_the_first_change_is_followed_too(self):
-        """The leader had made its transfer before any change was agreed; the changes come with it."""
+    def test_a_follower_gets_the_bootstrapped_state_together_with_the_first_change(self):
+        """The leader created the transfer before the first commit, and sends the change along with it."""
         simulation = Simulation(4, controllers=3, storage_nodes=1, gateways=1, placement_groups=1)
         self.addCleanup(simulation.end)
         simulation.start()
@@ -43,7 +43,7 @@
         return simulation
 
     def request_rate(self, simulation, seconds) -> float:
-        """Questions of one gateway in a second."""
+        """Returns the number of follow requests per second and gateway."""
         requests = []
         simulation.watch_calls = lambda sender, method: (
             sender.role == "gateway" and method == "controller.follow" and requests.append(sender.name)
@@ -52,7 +52,7 @@
         simulation.watch_calls = None
         return len(requests) / seconds / len(simulation.role("gateway"))
 
-    def test_a_large_cluster_asks_less_often_and_never_without_a_proof(self):
+    def test_gateways_of_a_large_cluster_send_fewer_requests_and_always_hold_a_proof(self):
         small_cluster_rate = self.request_rate(self.simulation(4), 5)
         self.assertAlmostEqual(small_cluster_rate, 1 / MIN_FOLLOW_WAIT.total_seconds(), delta=0.2)
         simulation = self.simulation(60)
@@ -63,7 +63,7 @@
                 {a.ctx.cluster.ready() and a.ctx.cluster.state for a in simulation.role("gateway")}, {"led"}
             )
 
-    def test_an_edit_is_in_effect_as_soon_while_questions_are_held_long(self):
+    def test_an_edit_is_in_effect_soon_although_requests_are_held_long(self):
         with long_follow_waits():
             simulation = self.simulation()
             leader = simulation.leader().part
@@ -77,14 +77,14 @@
                 )
                 self.assertLess(simulation.clock.seconds() - started_at, 0.1)
 
-    def test_an_edit_waits_for_a_gateway_that_was_answered_last_just_before_it_was_cut_off(self):
-        """The lease is counted from the answer on both sides: the gateway's own end of it comes before the leader's."""
+    def test_an_edit_waits_for_the_lease_of_a_gateway_that_was_cut_off_just_after_a_response(self):
+        """The lease starts at the response on both sides, and ends at the gateway before it ends at the leader."""
         with long_follow_waits():
             simulation = self.simulation()
             gateway, leader = simulation.role("gateway")[0], simulation.leader()
             cluster = gateway.ctx.cluster
             others = [a for a in simulation.simulated_nodes if a != gateway.name]
-            for event in ("a question is held", "it was answered, and its next question is lost"):
+            for event in ("a request is held", "it got a response, and its next request is lost"):
                 before = cluster.currency.leased_at
                 simulation.until(lambda before=before: cluster.currency.leased_at != before, 2, event)
                 simulation.run(0.02)
@@ -100,23 +100,23 @@
                 led_steps += cluster.ready() and cluster.state == "led"
             self.assertEqual(results[0].code, "done")
             self.assertLess(cluster.sequence, leader.part.consensus.cluster_state.sequence)
-            self.assertFalse(cluster.ready() and cluster.state == "led", "it lacks an edit that was acknowledged")
+            self.assertFalse(cluster.ready() and cluster.state == "led", "it lacks an acknowledged edit")
             self.assertGreater(
-                led_steps * 0.01, FOLLOWER_LEASE_SPAN.total_seconds() - 0.1, "its lease counts from the answer"
+                led_steps * 0.01, FOLLOWER_LEASE_SPAN.total_seconds() - 0.1, "its lease starts at the response"
             )
 
-    def test_a_leader_that_yields_lets_go_of_the_questions_that_it_holds(self):
+    def test_a_leader_that_steps_down_releases_the_requests_that_it_holds(self):
         with long_follow_waits():
             simulation = self.simulation()
             leader = simulation.leader()
-            simulation.until(lambda: len(leader.part.state_delivery.pending_requests) >= 5, 2, "questions are held")
+            simulation.until(lambda: len(leader.part.state_delivery.pending_requests) >= 5, 2, "requests are held")
             leader.part.consensus.step_down()
             simulation.run(0.01)
             self.assertEqual(len(leader.part.state_delivery.pending_requests), 0)
 
 
 class LongFollowWaitsUnderFaults(under_faults.ClusterUnderFaults):
-    """The same troubles as with short holds."""
+    """Runs the fault tests with long waits."""
 
     def setUp(self):
         patched = long_follow_waits()
--- a/tests/test_simulated_long_logs.py
+++ b/tests/test_simulated_long_logs.py
@@ -1,4 +1,4 @@
-"""Hundreds of changes with members restarted, emptied and replaced: each is soon current, none acts on old state."""
+"""Hundreds of changes while controllers are restarted, wiped and replaced: each catches up, none uses stale state."""
 
 import unittest
 import zlib
@@ -20,7 +20,7 @@
 SETTLE_S = 0.5
 CHECK_INTERVAL_S = 0.02
 WRITE_TIMEOUT_S = 3
-"""A writer gives up on a controller that was ended with its order: nothing that it began goes on."""
+"""Timeout of a write at a controller that was killed meanwhile and so never completes it."""
 VOTERS_RESTORED_S = 10
 FAULTS = 8
 WRITERS = 4
@@ -28,14 +28,14 @@
 
 
 def digest(state) -> int:
-    """What two members at one sequence must have alike; of the outcomes their number and the newest few."""
+    """Digest of what must be equal on all controllers at one sequence, with the number of outcomes and the newest five."""
     rows = sorted((r.name, r.model) for r in state.rows.values())
     newest = [(o.edit, o.code, o.sequence) for o, _ in zip(reversed(state.outcomes.values()), range(5), strict=False)]
     return zlib.crc32(repr((state.table_sequence, state.voters, rows, len(state.outcomes), newest)).encode())
 
 
 class _InvariantChecker:
-    """Reads, all through a run, what each controller has applied, voted, led with and served."""
+    """Checks continuously what each controller has applied, voted for and led."""
 
     def __init__(self, simulation):
         self.simulation = simulation
@@ -51,7 +51,7 @@
         self.violations.append(f"{self.simulation.clock.seconds():.3f} {text}")
 
     def start_checking(self, simulated_node):
-        """A life begins: its votes are read from now on, and its state may be older than that of the life before."""
+        """Registers a started controller: its votes are checked, and its state may be older than before a restart."""
         part = simulated_node.part
         self.sequences[simulated_node.name] = 0
         vote = part.elections.vote
@@ -66,7 +66,7 @@
 
     def _voted(self, node, part, request):
         if part.consensus.role == "newcomer":
-            self.add_violation(f"{node} is empty and votes")
+            self.add_violation(f"{node} has no state and votes")
         before = self.votes.setdefault((node, request.term), request.candidate)
         if before != request.candidate:
             self.add_violation(f"{node} votes for {before} and {request.candidate} in {request.term}")
@@ -83,14 +83,14 @@
         state = part.consensus.cluster_state
         if state.sequence < self.sequences[simulated_node.name]:
             self.add_violation(
-                f"{simulated_node.name} goes back from {self.sequences[simulated_node.name]} to {state.sequence}"
+                f"{simulated_node.name} went back from {self.sequences[simulated_node.name]} to {state.sequence}"
             )
         if state.sequence == self.sequences[simulated_node.name]:
             return
         self.sequences[simulated_node.name] = state.sequence
         state_digest = digest(state)
         if self.states.setdefault(state.sequence, state_digest) != state_digest:
-            self.add_violation(f"{simulated_node.name} has another state at {state.sequence}")
+            self.add_violation(f"{simulated_node.name} has a different state at {state.sequence}")
         if (
             part.consensus.role == "leader"
             and self.leaders.setdefault(part.consensus.term, simulated_node.node) != simulated_node.node
@@ -104,7 +104,7 @@
 
 
 class _Writers:
-    """Operators that edit and read at whichever controller leads, one edit after another."""
+    """Operators that edit and read at the current leader, one edit after another."""
 
     def __init__(self, simulation, checker):
         self.simulation, self.checker = simulation, checker
@@ -185,7 +185,7 @@
             checker.check()
 
     def inject_fault(self, simulation, checker, kind, simulated_node, outage_s):
-        """One member is lost and comes back; returns whoever must be current now."""
+        """Takes one controller down and brings it back; returns the controller that must catch up."""
         if kind == "freeze":
             simulated_node.freeze()
             self.run_for(simulation, checker, outage_s)
@@ -207,7 +207,7 @@
         return simulated_node
 
     def wait_until_voters_are_restored(self, simulation, checker):
-        """A second loss before that is another test's matter: here each member lost is made good first."""
+        """Waits until all voters are alive again; a second loss before that is covered by another test."""
         end = simulation.clock.seconds() + VOTERS_RESTORED_S
         while simulation.clock.seconds() < end:
             nodes = {a.node for a in simulation.role("controller", alive=True)}
@@ -219,7 +219,7 @@
             ):
                 return
             self.run_for(simulation, checker, CHECK_INTERVAL_S)
-        checker.add_violation(f"the voters are not whole after {VOTERS_RESTORED_S} s")
+        checker.add_violation(f"the voters are not restored after {VOTERS_RESTORED_S} s")
 
     def run_seed(self, seed, faults=FAULTS):
         simulation, checker, writers = self.start_cluster(seed)
@@ -237,7 +237,7 @@
             expected = checker.commit_index_at(simulation.clock.seconds() - SETTLE_S)
             if restarted.part.consensus.cluster_state.sequence < expected:
                 checker.add_violation(
-                    f"{restarted.name} is at {restarted.part.consensus.cluster_state.sequence}, {expected} was agreed"
+                    f"{restarted.name} is at {restarted.part.consensus.cluster_state.sequence}, below {expected}"
                 )
             self.wait_until_voters_are_restored(simulation, checker)
         writers.over = True
@@ -249,9 +249,9 @@
         self.assertEqual(lost, [], f"seed {seed}: {history}")
         return len(writers.acked), simulation.leader().part.durable_log.snapshot.index
 
-    def test_each_member_is_current_in_time_and_none_acts_on_old_state(self):
+    def test_each_controller_catches_up_in_time_and_none_acts_on_stale_state(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                acked, trimmed = self.run_seed(seed)
+                acked, snapshot_index = self.run_seed(seed)
                 self.assertGreater(acked, 300)
-                self.assertGreater(trimmed, 300)
+                self.assertGreater(snapshot_index, 300)
--- a/tests/test_simulated_partition.py
+++ b/tests/test_simulated_partition.py
@@ -1,4 +1,4 @@
-"""A controller that is cut off for twenty seconds: what it answers meanwhile, and when it is back."""
+"""A controller is isolated for twenty seconds: its responses meanwhile, and its recovery."""
 
 import unittest
 import unittest.mock
@@ -32,27 +32,27 @@
         self.assertEqual(
             (s.simulation.leader(), s.simulation.leader().part.consensus.term),
             (led, term),
-            "the heal disturbed the leader",
+            "healing the partition caused an election",
         )
         self.assertEqual(s.caller.ask(simulated_node, "PUT", "/v1/engines/e9", {**ENGINE, "sequence": 1})[0], 200)
         self.assertEqual(s.caller.ask(simulated_node, "DELETE", "/v1/engines/e9")[0], 200)
 
-    def test_a_leader(self):
+    def test_an_isolated_leader(self):
         for direction in CUT_DIRECTIONS:
             with self.subTest(direction):
                 self.check("leader", direction)
 
-    def test_a_voter(self):
+    def test_an_isolated_voter(self):
         for direction in CUT_DIRECTIONS:
             with self.subTest(direction):
                 self.check("voter", direction)
 
-    def test_a_standby(self):
+    def test_an_isolated_standby(self):
         for direction in CUT_DIRECTIONS:
             with self.subTest(direction):
                 self.check("standby", direction)
 
-    def test_a_leader_whose_wall_clock_is_stepped(self):
+    def test_a_leader_whose_wall_clock_jumps(self):
         s = Scenario(self)
         simulated_node = s.controller("leader")
         for shift in (-86_400, 86_400):
@@ -63,8 +63,8 @@
             s.heal_and_time_recovery(simulated_node)
         self.assertEqual(s.slow_calls(), [])
 
-    def test_a_voter_and_the_leader_from_each_other_only(self):
-        """The others hear both: no election comes of it, and the voter refuses what it cannot pass on."""
+    def test_a_voter_and_the_leader_cut_off_only_from_each_other(self):
+        """The other controllers reach both, so there is no election; the voter rejects what it cannot forward."""
         for direction in CUT_DIRECTIONS:
             with self.subTest(direction):
                 s = Scenario(self)
@@ -72,18 +72,22 @@
                 term = leader.part.consensus.term
                 s.run_calls(voter, direction, [leader.name])
                 self.assertEqual((s.simulation.leader(), leader.part.consensus.term), (leader, term))
-                orders = [c for c in s.calls if c.what in ("GET config", "PUT config", "PUT empty")]
-                self.assertEqual([str(c) for c in orders if c.duration_s is None or c.duration_s > MAX_RESPONSE_S], [])
-                self.assertEqual([str(c) for c in orders if c.at > CUT_DETECTED_S and c.pending[0][0] != 503], [])
+                operator_calls = [c for c in s.calls if c.what in ("GET config", "PUT config", "PUT empty")]
+                self.assertEqual(
+                    [str(c) for c in operator_calls if c.duration_s is None or c.duration_s > MAX_RESPONSE_S], []
+                )
+                self.assertEqual(
+                    [str(c) for c in operator_calls if c.at > CUT_DETECTED_S and c.pending[0][0] != 503], []
+                )
                 self.assertLess(s.heal_and_time_recovery(voter), RECOVERY_S)
 
-    def test_a_leader_that_is_frozen_answers_what_waited_with_503_when_it_is_thawed(self):
+    def test_a_resumed_leader_responds_with_503_to_calls_queued_while_it_was_frozen(self):
         s = Scenario(self)
         leader = s.controller("leader")
         leader.freeze()
         s.started_at = s.now()
         leader.clock.callLater(0, s.call_all, leader, s.started_at)
-        new = s.simulation.until(s.simulation.leader, 10, "another leads")
+        new = s.simulation.until(s.simulation.leader, 10, "another controller leads")
         for _ in range(3):
             self.assertEqual(s.change(new), 200)
         s.run_and_record(CUT_S - 5)
@@ -99,26 +103,26 @@
         self.assertLess(s.heal_and_time_recovery(leader), RECOVERY_S)
         self.assertEqual(s.caller.get(leader)[1]["version"], s.version)
 
-    def test_a_leader_that_reaches_the_controllers_alone_does_not_hold_orders(self):
-        """It cannot show an order in effect: the outcome is open, and the order is acknowledged when it is repeated."""
+    def test_a_leader_that_reaches_only_controllers_does_not_hold_edits(self):
+        """It cannot confirm that an edit is in effect, so the outcome is unknown; a retry after the heal succeeds."""
         s = Scenario(self)
         leader = s.controller("leader")
         s.simulation.cut(
             [leader.name], [a.name for a in s.simulation.simulated_nodes.values() if a.role != "controller"]
         )
         s.simulation.run(3)
-        order = (leader, "PUT", "/v1/config", config_of(2, route_of("r2")), {"If-Match": "1"})
+        edit = (leader, "PUT", "/v1/config", config_of(2, route_of("r2")), {"If-Match": "1"})
         started_at = s.now()
-        self.assertEqual(s.caller.ask(*order)[0], 503)
+        self.assertEqual(s.caller.ask(*edit)[0], 503)
         self.assertLess(s.now() - started_at, MAX_RESPONSE_S)
         s.simulation.heal()
         s.simulation.run(2)
-        self.assertEqual(s.caller.ask(*order)[0], 200)
+        self.assertEqual(s.caller.ask(*edit)[0], 200)
 
 
 class RenewalsOnly(unittest.TestCase):
     def last_acknowledged(self, role=None) -> float:
-        """How long into a cut a controller acknowledges an engine that only renews itself, and changes nothing."""
+        """Returns how long after a cut a controller still acknowledges the unchanged renewals of an engine."""
         s = Scenario(self)
         voter = s.controller("voter")
         others = [a.name for a in s.simulation.role(role)] if role else None
@@ -131,19 +135,19 @@
             s.simulation.run(0.5)
         return last
 
-    def test_renewals_are_refused_before_the_engine_counts_as_silent(self):
+    def test_renewals_are_rejected_before_the_engine_counts_as_silent(self):
         for role in (None, "gateway"):
             with self.subTest(cut_off_from=role or "all"):
                 self.assertLess(self.last_acknowledged(role), 2.5)
 
-    def test_without_the_guard_notes_that_nobody_answers_are_taken_for_told(self):
+    def test_without_calls_unanswered_notifications_are_acknowledged_for_too_long(self):
         with unittest.mock.patch.object(GatewayNotifier, "_gateways_to_call", lambda self, gateways: []):
             for role in (None, "gateway"):
                 self.assertGreater(self.last_acknowledged(role), 2.5)
 
 
 class DisabledGuards(unittest.TestCase):
-    """Each guard is taken out: then the scenario shows the failure that it prevents."""
+    """Each guard is disabled in turn: the scenario must then show the failure that the guard prevents."""
 
     def slow_calls(self, role, direction, *patch):
         s = Scenario(self)
@@ -151,17 +155,17 @@
             s.run_calls(s.controller(role), direction, changing=False)
         return s.slow_calls()
 
-    def test_orders_are_held_where_contact_is_not_asked_for(self):
+    def test_edits_are_held_if_contact_is_not_checked(self):
         found = self.slow_calls(
             "voter", "both", LogReplication, "has_contact", lambda self: bool(self._consensus.leader_id)
         )
         self.assertTrue(any("PUT config" in line for line in found), found)
 
-    def test_orders_are_held_where_only_one_way_counts_as_contact(self):
+    def test_edits_are_held_if_one_direction_counts_as_contact(self):
         found = self.slow_calls("voter", "out", LogReplication, "_last_response_age_ms", lambda self, node: 0)
         self.assertTrue(any("PUT config" in line for line in found), found)
 
-    def test_orders_are_held_for_seconds_without_a_bound(self):
+    def test_edits_are_held_for_seconds_without_their_timeout(self):
         with unittest.mock.patch.object(state_delivery, "OPERATOR_EDIT_TIMEOUT", secs(5)):
             s = Scenario(self)
             leader = s.controller("leader")
@@ -170,11 +174,11 @@
             )
             s.simulation.run(3)
             started_at = s.now()
-            order = (leader, "PUT", "/v1/config", config_of(2, route_of("r2")), {"If-Match": "1"})
-            self.assertEqual(s.caller.ask(*order)[0], 503)
+            edit = (leader, "PUT", "/v1/config", config_of(2, route_of("r2")), {"If-Match": "1"})
+            self.assertEqual(s.caller.ask(*edit)[0], 503)
             self.assertGreater(s.now() - started_at, MAX_RESPONSE_S)
 
-    def test_announcements_are_acknowledged_that_no_gateway_hears(self):
+    def test_announcements_that_reach_no_gateway_are_acknowledged(self):
         s = Scenario(self)
         with unittest.mock.patch.object(GatewayNotifier, "reaches_majority", lambda self: True):
             s.run_calls(s.controller("voter"), "both", changing=False)
@@ -182,10 +186,10 @@
 
 
 class LeavingEngines(unittest.TestCase):
-    """Engines that leave, at a controller that reaches only some of the gateways."""
+    """Leaving engines at a controller that reaches only some of the gateways."""
 
     def leaving_statuses(self, reached=1):
-        """Whether one gateway of three, cut off together with the controller, is enough for an engine that leaves."""
+        """Returns the statuses of a leaving engine's calls to a controller cut off together with `reached` gateways."""
         s = Scenario(self)
         controller = s.controller("voter")
         side = [controller.name, *(g.name for g in s.simulation.role("gateway")[:reached])]
@@ -196,7 +200,7 @@
             s.simulation.run(4)
         return [status for status, _ in out]
 
-    def test_leaving_is_acknowledged_only_once_most_gateways_know(self):
+    def test_leaving_is_acknowledged_only_if_a_majority_of_gateways_is_reached(self):
         self.assertEqual(self.leaving_statuses(reached=1), [503] * 4)
         self.assertEqual(self.leaving_statuses(reached=2)[0], 200)
 
@@ -206,7 +210,7 @@
 
 
 class StartingNodes(unittest.TestCase):
-    def test_a_gateway_that_starts_and_reaches_only_the_controller_that_is_cut_off_does_not_serve(self):
+    def test_a_starting_gateway_that_reaches_only_an_isolated_controller_does_not_serve(self):
         for role in ("leader", "voter"):
             with self.subTest(role):
                 s = Scenario(self)
@@ -222,8 +226,8 @@
                 s.simulation.until(lambda g=gateway: g.ctx.cluster.ready(), 5, "it serves with the newest state")
 
     def write_on_both_sides(self):
-        """A machine with a storage node and a gateway is cut off until its copy has been moved. Then a storage node of
-        the new placement restarts, and reaches that machine alone. Returns what each side was told is durable.
+        """A storage node and a gateway are isolated until the node's replica has been moved. Then a storage node of the
+        new placement restarts and reaches only them. Returns whether a write was acknowledged on each side.
         """
         simulation = Simulation(5, controllers=3, storage_nodes=4, gateways=2, placement_groups=1)
         self.addCleanup(simulation.end)
@@ -239,7 +243,7 @@
         simulation.until(
             lambda: isolated.node not in simulation.leader().part.consensus.cluster_state.placement_group(0).all_nodes,
             40,
-            "its copy is moved",
+            "its replica is moved",
         )
         simulation.run(1)
         first.kill()
@@ -261,9 +265,9 @@
             return False
         return True
 
-    def test_a_storage_node_that_restarts_beside_a_machine_that_was_left_behind_takes_no_write(self):
+    def test_a_restarted_storage_node_that_reaches_only_outdated_nodes_accepts_no_write(self):
         self.assertEqual(self.write_on_both_sides(), [False, True])
 
-    def test_without_the_guard_two_sides_write_the_same_log(self):
+    def test_without_the_guard_both_sides_write_the_same_log(self):
         with unittest.mock.patch("pipitlink.cluster.ClusterFollower.caught_up", True):
             self.assertEqual(self.write_on_both_sides(), [True, True])
--- a/tests/test_simulated_slow_link.py
+++ b/tests/test_simulated_slow_link.py
@@ -1,4 +1,4 @@
-"""Members that are far behind, on links of 15 Mbit/s: what they need arrives in time, and the leader keeps leading."""
+"""Nodes that are far behind, on links of 15 Mbit/s: they catch up in time, and the leader keeps leading."""
 
 import unittest
 from random import Random
@@ -32,7 +32,7 @@
         return simulation
 
     def change(self, simulation, name, size):
-        """One agreed change of so many bytes, that no compression makes smaller than half."""
+        """Commits one change of `size` bytes, which compression can at most halve."""
         part = simulation.leader().part
         row = Row(name=name, model=self.random.randbytes(size // 2).hex())
         simulation.do(
@@ -46,7 +46,7 @@
         leader = simulation.leader()
         return leader is not None and simulated_node.part.consensus.commit_index == leader.part.consensus.commit_index
 
-    def test_a_log_of_large_edits_reaches_a_member_that_the_leader_needs(self):
+    def test_a_log_of_large_edits_reaches_a_voter_that_the_majority_needs(self):
         simulation = self.start_cluster()
         lagging, other = (a for a in simulation.role("controller") if a is not simulation.leader())
         lagging.kill()
@@ -54,13 +54,15 @@
             self.change(simulation, f"row{n % 3}", LARGE_EDIT_BYTES)
         other.kill()
         lagging.start()
-        simulation.until(lambda: self.is_current(simulation, lagging), CATCH_UP_S, "the member is current")
+        simulation.until(
+            lambda: self.is_current(simulation, lagging), CATCH_UP_S, "the lagging controller is up to date"
+        )
         self.change(simulation, "row", LARGE_EDIT_BYTES)
 
-    def test_a_leader_that_needs_a_member_without_its_log_keeps_leading_while_that_gets_the_snapshot(self):
-        self.leader_needs_a_member_without_its_log()
+    def test_a_leader_keeps_leading_while_a_voter_that_the_majority_needs_gets_a_snapshot(self):
+        self.majority_needs_a_voter_that_gets_a_snapshot()
 
-    def leader_needs_a_member_without_its_log(self):
+    def majority_needs_a_voter_that_gets_a_snapshot(self):
         with (
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
@@ -76,10 +78,12 @@
             term = simulation.leader().part.consensus.term
             other.kill()
             lagging.start()
-            simulation.until(lambda: self.is_current(simulation, lagging), CATCH_UP_S, "the member is current")
+            simulation.until(
+                lambda: self.is_current(simulation, lagging), CATCH_UP_S, "the lagging controller is up to date"
+            )
             self.assertEqual(simulation.leader().part.consensus.term, term, "the leader had to be elected again")
 
-    def test_a_snapshot_arrives_while_changes_go_on(self):
+    def test_a_snapshot_arrives_while_changes_continue(self):
         with (
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 8),
@@ -110,7 +114,7 @@
             self.assertLess(behind, 3)
             self.assertGreater(lagging.part.durable_log.snapshot.index, 0)
 
-    def test_a_broken_transfer_goes_on_where_it_was(self):
+    def test_an_interrupted_transfer_resumes_at_its_offset(self):
         with (
             mock.patch.object(durable_log, "COMPACTION_ENTRIES", 20),
             mock.patch.object(durable_log, "RETAINED_ENTRIES", 4),
@@ -126,7 +130,7 @@
             simulation.until(
                 lambda: lagging.part.snapshots.incoming and len(lagging.part.snapshots.incoming.data) > 10**6,
                 5,
-                "a part arrives",
+                "a part of the snapshot arrives",
             )
             simulation.cut([leader.name], [lagging.name])
             simulation.run(0.3)
@@ -137,9 +141,11 @@
                 sizes.append(len(lagging.part.snapshots.incoming.data))
                 simulation.run(0.02)
             self.assertGreaterEqual(min(sizes), before)
-            simulation.until(lambda: self.is_current(simulation, lagging), CATCH_UP_S, "the member is current")
+            simulation.until(
+                lambda: self.is_current(simulation, lagging), CATCH_UP_S, "the lagging controller is up to date"
+            )
 
-    def test_a_call_that_hangs_does_not_hold_up_the_same_leader_in_its_next_term(self):
+    def test_a_hanging_call_does_not_block_the_same_leader_in_its_next_term(self):
         self.elected_again_while_a_call_hangs()
 
     def elected_again_while_a_call_hangs(self):
@@ -157,10 +163,10 @@
         simulation.heal()
         leader.part.consensus.step_down()
         needed.part.elections.election_timeout = secs(60)
-        simulation.until(lambda: simulation.leader() is leader, REELECTION_S, "the same one leads again")
+        simulation.until(lambda: simulation.leader() is leader, REELECTION_S, "the same controller leads again")
         self.change(simulation, "row", 100)
 
-    def test_senders_by_node_alone_would_be_held_up(self):
+    def test_senders_identified_by_node_alone_would_be_blocked(self):
         with (
             mock.patch.object(LogReplication, "_sender_key", lambda self, node: SenderKey(node, 0)),
             self.assertRaises(AssertionError),
@@ -172,10 +178,10 @@
         simulation.until(
             lambda: cluster.ready() and cluster.sequence == simulation.leader().part.consensus.commit_index,
             CATCH_UP_S,
-            "the gateway is current",
+            "the gateway is up to date",
         )
 
-    def test_a_gateway_far_behind_follows_in_time(self):
+    def test_a_gateway_far_behind_catches_up_in_time(self):
         self.gateway_far_behind()
 
     def gateway_far_behind(self):
@@ -187,7 +193,7 @@
         simulation.heal()
         self.wait_until_gateway_is_current(simulation, lagging)
 
-    def test_a_gateway_that_starts_gets_a_large_state_in_time(self):
+    def test_a_starting_gateway_gets_a_large_state_in_time(self):
         self.gateway_starts()
 
     def gateway_starts(self):
@@ -203,9 +209,9 @@
             lagging.start()
             self.wait_until_gateway_is_current(simulation, lagging)
 
-    def test_without_a_bound_on_one_message_they_do_not_arrive(self):
+    def test_without_a_limit_on_message_size_the_state_does_not_arrive_in_time(self):
         for module, limit, scenario in (
-            (snapshot_transfer, "CHUNK_BYTES", self.leader_needs_a_member_without_its_log),
+            (snapshot_transfer, "CHUNK_BYTES", self.majority_needs_a_voter_that_gets_a_snapshot),
             (durable_log, "MAX_BATCH_BYTES", self.gateway_far_behind),
             (state_transfer, "CHUNK_BYTES", self.gateway_starts),
         ):
@@ -214,7 +220,7 @@
 
 
 class SnapshotChunks(unittest.TestCase):
-    def test_the_pieces_make_the_snapshot_and_none_is_larger_than_its_bound(self):
+    def test_the_chunks_make_up_the_snapshot_and_none_exceeds_its_size_limit(self):
         data = Random(2).randbytes(300_000)
         transfer = snapshot_transfer.OutgoingSnapshot(7, 2, data)
         received = b""
--- a/tests/test_snapshot_interleavings.py
+++ b/tests/test_snapshot_interleavings.py
@@ -1,4 +1,4 @@
-"""Every order in which a follower can meet snapshots, appends, commits, its own trims and the ends of disk calls."""
+"""Explores all interleavings of snapshots, appends, commits, compactions and disk calls at a follower."""
 
 import unittest
 import zlib
@@ -26,14 +26,14 @@
 
 
 def term_of(index: int) -> int:
-    """The agreed log's first entries are of an earlier leader."""
+    """The first entries of the committed log are of an earlier leader's term."""
     if index == 0:
         return 0
     return OLD_TERM if index <= OLD_TERM_LAST_INDEX else TERM
 
 
 class _History:
-    """The agreed entries, and the state after each of them."""
+    """The committed entries, and the state after each of them."""
 
     def __init__(self, voters):
         self._voters = voters
@@ -60,7 +60,7 @@
         )
 
     def other_branch(self, last: int) -> AppendRequest:
-        """What the earlier leader wrote on and never got agreed."""
+        """Entries that the earlier leader appended but never committed."""
         entries = [
             ControllerEntry(index=n, term=OLD_TERM, command=Command(edit=f"lost{n}", no_op=True))
             for n in range(OLD_TERM_LAST_INDEX + 1, last + 1)
@@ -75,7 +75,7 @@
         )
 
     def poll(self) -> AppendRequest:
-        """What the leader sends once all pieces are there, until they are adopted."""
+        """The leader's request after all chunks have arrived, until the snapshot is installed."""
         request = self.whole()
         request.chunk.offset, request.chunk.data = request.chunk.total, b""
         return request
@@ -95,7 +95,7 @@
 
 
 class _Follower:
-    """One controller whose disk calls end, and whose messages arrive, in the order that the choices give."""
+    """A controller whose disk calls complete and whose messages arrive in the order given by the choices."""
 
     def __init__(self, test, choices, other_branch=False):
         self.simulation = Simulation(3, controllers=1, storage_nodes=0, gateways=0)
@@ -103,7 +103,7 @@
         self.simulated_node = self.simulation.role("controller")[0]
         self.simulation.start()
         self.part = self.simulated_node.part
-        self.simulation.until(lambda: self.part.consensus.role != "newcomer", 5, "it is founded")
+        self.simulation.until(lambda: self.part.consensus.role != "newcomer", 5, "it is bootstrapped")
         self.history = _History((self.simulated_node.node, LEADER, "third"))
         self._begin()
         self.choices = choices
@@ -116,7 +116,7 @@
         self.rejected_writes = 0
 
     def _begin(self):
-        """Three voters, none of whom it hears, and the first three entries."""
+        """Resets the log to three voters, of whom the other two are unreachable, and the first three entries."""
         part = self.part
         s = Snapshot(index=0, term=0, cluster_state=self.history.first().data())
         part.durable_log.hard_state.CopyFrom(HardState())
@@ -150,7 +150,7 @@
                 self._run_disk_call(*chosen)
             self.simulation.clock.advance(STEP_S)
             self.check()
-        assert not messages and not self._disk_calls, "it goes on for ever"
+        assert not messages and not self._disk_calls, "messages or disk calls are left after the last step"
 
     def _run_disk_call(self, d, do, args):
         try:
@@ -159,7 +159,7 @@
             d.errback(e)
 
     def logged_failures(self) -> list[str]:
-        """What the logger says of snapshots and trims that failed."""
+        """Returns the logged failures of snapshots and compactions."""
         return [
             line
             for line in self.simulation.sink.lines
@@ -169,9 +169,11 @@
     def check(self):
         part, log = self.part, self.part.durable_log
         sequence = part.consensus.cluster_state.sequence
-        assert sequence >= self.sequence, f"back from {self.sequence} to {sequence}"
+        assert sequence >= self.sequence, f"went back from {self.sequence} to {sequence}"
         self.sequence = sequence
-        assert serialized(part.consensus.cluster_state) == self.history.states[sequence], f"another state at {sequence}"
+        assert serialized(part.consensus.cluster_state) == self.history.states[sequence], (
+            f"different state at {sequence}"
+        )
         assert part.consensus.commit_index <= log.last_index(), (
             f"commit {part.consensus.commit_index} beyond {log.last_index()}"
         )
@@ -184,12 +186,14 @@
             assert not isinstance(getattr(r, "value", None), Exception), r
 
     def restart(self):
-        """What is on the disk after all that is the same history as well."""
+        """Loses power and restarts; checks that the state on disk matches the history."""
         acknowledged_index = max((r.last_index for r in self.results if r.success), default=0)
         self.simulated_node.kill(power=True)
         self.simulated_node.start()
         log = self.simulated_node.part.durable_log
-        assert log.last_index() >= acknowledged_index, f"{acknowledged_index} was answered, {log.last_index()} is kept"
+        assert log.last_index() >= acknowledged_index, (
+            f"{acknowledged_index} was acknowledged, {log.last_index()} is on disk"
+        )
         state = self.simulated_node.part.consensus.cluster_state
         assert state.sequence == 0 or serialized(state) == self.history.states[state.sequence]
 
@@ -214,8 +218,8 @@
 
 
 GUARDS = {
-    "the state is taken in the same step as the snapshot": ("_install_locked", _restore_after_disk_write),
-    "a state that has gone further stays": ("_install_locked", _restore_always),
+    "the state is replaced in the same step as the snapshot": ("_install_locked", _restore_after_disk_write),
+    "a newer state is not replaced": ("_install_locked", _restore_always),
     "one snapshot at a time": ("install", _install_without_lock),
 }
 
@@ -232,7 +236,7 @@
             follower = _Follower(self, choices, other_branch)
             try:
                 follower.deliver(make_messages(follower.history))
-                assert not other_branch or follower.sequence >= SNAPSHOT_INDEX, "the snapshot was not taken"
+                assert not other_branch or follower.sequence >= SNAPSHOT_INDEX, "the snapshot was not installed"
                 follower.restart()
             finally:
                 follower.simulation.end()
@@ -242,23 +246,23 @@
     def all_messages(self, history):
         return [history.whole(), history.append(3, 8), history.append(8, 11), history.append(10, 13)]
 
-    def test_the_same_state_whatever_the_order(self):
+    def test_every_interleaving_leads_to_the_same_state(self):
         self.assertGreater(self.explore(self.all_messages), 500)
 
-    def snapshot_and_on(self, history):
+    def snapshot_and_later_entries(self, history):
         return [history.whole(), history.append(SNAPSHOT_INDEX, NEWEST_INDEX)]
 
-    def test_a_snapshot_replaces_another_branch_that_is_longer(self):
-        self.assertGreater(self.explore(self.snapshot_and_on, other_branch=True), 1)
+    def test_a_snapshot_replaces_a_longer_conflicting_branch(self):
+        self.assertGreater(self.explore(self.snapshot_and_later_entries, other_branch=True), 1)
 
-    def test_a_longer_branch_would_keep_the_snapshot_out(self):
+    def test_comparing_only_the_length_of_the_logs_would_reject_the_snapshot(self):
         def shorter(self, s):
             return self._consensus.is_newcomer or s.index > self._durable_log.last_index()
 
         with mock.patch.object(SnapshotManager, "is_needed", shorter), self.assertRaises(AssertionError):
-            self.explore(self.snapshot_and_on, other_branch=True)
+            self.explore(self.snapshot_and_later_entries, other_branch=True)
 
-    def test_a_disk_that_refuses_a_snapshot_is_tried_again_without_sending_it_again(self):
+    def test_a_snapshot_rejected_by_the_disk_is_written_again_without_being_resent(self):
         follower = _Follower(self, Choices([]))
         follower.rejected_writes = 2
         save = follower.part.durable_log.save_snapshot
@@ -279,7 +283,7 @@
         follower.restart()
         self.assertEqual(follower.part.durable_log.snapshot.index, SNAPSHOT_INDEX)
 
-    def test_without_a_guard_some_order_breaks_it(self):
+    def test_without_any_one_guard_some_interleaving_fails(self):
         for name, (part, replacement) in GUARDS.items():
             with (
                 self.subTest(name),
--- a/tests/test_voter_change_contact.py
+++ b/tests/test_voter_change_contact.py
@@ -1,11 +1,11 @@
-"""A leader that has lost contact leaves no change of the voters behind that the others could not follow."""
+"""A leader without contact to a majority must not append a voter change that prevents a later election."""
 
 import unittest
 
 from testbed.simulator.simulation import Simulation
 
 SECOND_LOSSES_S = (1.9, 2.0, 2.1, 2.2)
-"""How long after one voter was cut off another loses its disk: at least 0.9 s before the first is held for lost."""
+"""Times from the cut of one voter to the disk loss of another: at least 0.9 s before the first counts as lost."""
 
 RESTART_S = 0.3
 HEAL_S = 2.0
@@ -14,7 +14,7 @@
 
 class VoterChangeContact(unittest.TestCase):
     def lose_two_voters(self, second_loss_s):
-        """Cuts one voter off for a while and empties another, and waits until a leader is elected again."""
+        """Cuts off one voter, wipes another, heals the cut, and waits until a leader is elected."""
         simulation = Simulation(11, controllers=4, storage_nodes=3, gateways=1, placement_groups=2)
         self.addCleanup(simulation.end)
         simulation.start()
@@ -34,7 +34,7 @@
         simulation.heal()
         simulation.ready(READY_S)
 
-    def test_a_leader_is_elected_again_once_the_voter_that_was_cut_off_is_back(self):
+    def test_a_leader_is_elected_once_the_voter_that_was_cut_off_is_back(self):
         for second_loss_s in SECOND_LOSSES_S:
             with self.subTest(second_loss_s=second_loss_s):
                 self.lose_two_voters(second_loss_s)
