--- a/pipitlink/controller/durable_log.py
+++ b/pipitlink/controller/durable_log.py
@@ -155,7 +155,7 @@
 
     def _write(self, record: ControllerRecord) -> defer.Deferred[None]:
         body = record.SerializeToString()
-        synced = self._group_commit.submit(lambda ticket: self._segments.append(body, ticket))
+        synced = self._group_commit.submit(lambda completion: self._segments.append(body, completion))
         assert synced is not None
         return synced
 
--- a/pipitlink/group_commit.py
+++ b/pipitlink/group_commit.py
@@ -32,17 +32,17 @@
         self.in_progress = False
 
     def submit(self, enqueue: Callable[[defer.Deferred[None]], object]) -> defer.Deferred[None] | None:
-        """Has `enqueue` append entries with a ticket, and returns the ticket, which fires once they are durable.
+        """Has `enqueue` append entries with a completion, and returns the completion, which fires once they are durable.
 
         Returns None where `enqueue` returns False, which says that it appended nothing. Fails with StorageFull where
         the disk refuses the write.
         """
-        ticket: defer.Deferred[None] = defer.Deferred()
-        if enqueue(ticket) is False:
+        completion: defer.Deferred[None] = defer.Deferred()
+        if enqueue(completion) is False:
             return None
         if not self.in_progress:
             self._start()
-        return ticket
+        return completion
 
     def _start(self) -> None:
         self.in_progress = True
@@ -51,9 +51,9 @@
     async def _flush_pending(self) -> None:
         try:
             while self._segments.has_pending():
-                for ticket in await self._ctx.run_in_thread(self._segments.flush):
-                    if ticket is not None:
-                        ticket.callback(None)
+                for completion in await self._ctx.run_in_thread(self._segments.flush):
+                    if completion is not None:
+                        completion.callback(None)
         except CorruptData as error:
             self._ctx.logger.failure("disk_sync_failed", error)
             self._ctx.reactor.stop()
@@ -66,8 +66,8 @@
                 self._start()
 
     def _fail_pending(self, error: Exception) -> None:
-        tickets = self._segments.discard_pending()
+        completions = self._segments.discard_pending()
         self._recover()
-        for ticket in tickets:
-            if ticket is not None:
-                ticket.errback(StorageFull(f"the disk refused: {error}"))
+        for completion in completions:
+            if completion is not None:
+                completion.errback(StorageFull(f"the disk refused: {error}"))
--- a/pipitlink/segments.py
+++ b/pipitlink/segments.py
@@ -14,14 +14,14 @@
 from .disk import FRAME_HEADER_BYTES, Disk, decode_frames, encode_frame
 from .errors import CorruptData
 
-__all__ = ["Position", "Segments", "Ticket"]
+__all__ = ["Position", "Segments", "OptionalCompletion"]
 
 MAX_SEGMENT_BYTES = 16 * 1024 * 1024
 FIRST_SEGMENT = 1
 NAME_PREFIX = "seg-"
 
 # What a writer is told by once its entry is durable; None for entries that nobody waits for.
-Ticket = Deferred[None] | None
+OptionalCompletion = Deferred[None] | None
 
 
 class Position(NamedTuple):
@@ -34,7 +34,7 @@
 class _PendingWrite(NamedTuple):
     frame: bytes
     position: Position
-    ticket: Ticket
+    completion: OptionalCompletion
 
 
 class Segments:
@@ -111,22 +111,22 @@
         with self._lock:
             return sum(self._sizes.values()) + sum(len(write.frame) for write in self._pending)
 
-    def append(self, payload: bytes, ticket: Ticket) -> Position:
-        """Queues an entry, and returns the position that it will have. `flush` returns the ticket."""
+    def append(self, payload: bytes, completion: OptionalCompletion) -> Position:
+        """Queues an entry, and returns the position that it will have. `flush` returns the completion."""
         frame = encode_frame(payload)
         with self._lock:
             position = self._next
             if position.offset and position.offset + len(frame) > MAX_SEGMENT_BYTES:
                 position = Position(position.segment + 1, 0)
             self._next = Position(position.segment, position.offset + len(frame))
-            self._pending.append(_PendingWrite(frame, position, ticket))
+            self._pending.append(_PendingWrite(frame, position, completion))
             return position
 
-    def flush(self) -> list[Ticket]:
-        """Writes and syncs what is queued; returns the tickets of the entries that are now durable.
+    def flush(self) -> list[OptionalCompletion]:
+        """Writes and syncs what is queued; returns the completions of the entries that are now durable.
 
         Raises CorruptData where a sync fails, since what the files hold is then unknown, and OSError where a write
-        fails; `discard_pending` returns the tickets in either case.
+        fails; `discard_pending` returns the completions in either case.
         """
         with self._flush_lock:
             writes = self._take_pending()
@@ -135,7 +135,7 @@
                 self._write(write, unsynced)
             self._sync(unsynced)
             self._in_flight = []
-            return [write.ticket for write in writes]
+            return [write.completion for write in writes]
 
     def _take_pending(self) -> list[_PendingWrite]:
         with self._lock:
@@ -172,13 +172,13 @@
         with self._lock:
             return bool(self._pending)
 
-    def discard_pending(self) -> list[Ticket]:
-        """Drops what is queued or was being written, after a failed flush; returns its tickets."""
+    def discard_pending(self) -> list[OptionalCompletion]:
+        """Drops what is queued or was being written, after a failed flush; returns its completions."""
         with self._lock:
             writes = self._in_flight + self._pending
             self._in_flight = []
             self._pending = []
-        return [write.ticket for write in writes]
+        return [write.completion for write in writes]
 
     def read_bytes(self, position: Position, length: int) -> bytes:
         """Returns `length` bytes of the payload of the entry at a position. Raises CorruptData if there are fewer."""
--- a/pipitlink/storage/durable.py
+++ b/pipitlink/storage/durable.py
@@ -5,19 +5,19 @@
 from collections.abc import Callable
 
 from ..group_commit import GroupCommit
-from .log_store import SyncTicket
+from .log_store import SyncCompletion
 
 __all__ = ["sync"]
 
 
-async def sync(group_commit: GroupCommit, queue: Callable[[SyncTicket], object]) -> bool:
-    """Calls `queue` with a ticket and waits until the entry that it queued is on disk.
+async def sync(group_commit: GroupCommit, queue: Callable[[SyncCompletion], object]) -> bool:
+    """Calls `queue` with a completion and waits until the entry that it queued is on disk.
 
     Returns False if `queue` returned False because it queued nothing. Raises the errors of `queue`, and StorageFull if
     the disk refuses the write.
     """
-    ticket = group_commit.submit(queue)
-    if ticket is None:
+    completion = group_commit.submit(queue)
+    if completion is None:
         return False
-    await ticket
+    await completion
     return True
--- a/pipitlink/storage/log_store.py
+++ b/pipitlink/storage/log_store.py
@@ -16,7 +16,7 @@
 
 __all__ = ["LogStore", "SyncTicket"]
 
-SyncTicket = defer.Deferred[None]
+SyncCompletion = defer.Deferred[None]
 """A Deferred that fires once the entry queued with it is on disk."""
 
 GRANT_ENTRY_BYTES = 64
@@ -28,7 +28,7 @@
 class LogStore:
     """The replicas of one storage node, stored in segment files.
 
-    Methods that take a ticket change the state in memory at once and queue an entry, which is on disk once the ticket
+    Methods that take a completion change the state in memory at once and queue an entry, which is on disk once the completion
     fires. `budget` is the maximum size of the files in bytes; the last `reserve` bytes of it are kept for writes that
     must not be refused.
     """
@@ -103,7 +103,7 @@
         replica = self.logs.get(log)
         return replica.state() if replica is not None else LogState(log=log)
 
-    def grant_epoch(self, log: str, epoch: int, ticket: SyncTicket, leased: bool = True) -> None:
+    def grant_epoch(self, log: str, epoch: int, completion: SyncCompletion, leased: bool = True) -> None:
         """Queues the grant of an epoch, which fences writers with lower epochs. Raises StaleEpoch and StorageFull.
 
         `leased` is False if the grant is copied from another storage node.
@@ -115,9 +115,9 @@
         replica.epoch = epoch
         if leased:
             replica.leased_epoch = epoch
-        replica.epoch_location = self.segments.append(grant_entry(log, epoch).SerializeToString(), ticket)
+        replica.epoch_location = self.segments.append(grant_entry(log, epoch).SerializeToString(), completion)
 
-    def write(self, entry: Entry, expected: Tail, reserved: bool, ticket: SyncTicket) -> bool:
+    def write(self, entry: Entry, expected: Tail, reserved: bool, completion: SyncCompletion) -> bool:
         """Queues a leaseholder's write; returns False if the replica's tail is not the expected one.
 
         Raises StaleEpoch if a higher epoch is granted or committed bytes would change, and StorageFull.
@@ -125,9 +125,9 @@
         replica = self._replica(entry.log)
         if entry.epoch < replica.epoch:
             raise StaleEpoch(f"{entry.log}: epoch {replica.epoch} is already granted")
-        return self._write(replica, entry, expected, reserved, ticket)
+        return self._write(replica, entry, expected, reserved, completion)
 
-    def install(self, entry: Entry, expected: Tail, ticket: SyncTicket) -> bool:
+    def install(self, entry: Entry, expected: Tail, completion: SyncCompletion) -> bool:
         """Queues the state of another storage node's replica; returns False if the local tail is not the expected one.
 
         Raises StaleEpoch if committed bytes would change, or if this storage node has granted a lease under a later
@@ -136,9 +136,11 @@
         replica = self._replica(entry.log)
         if replica.leased_epoch > entry.epoch:
             raise StaleEpoch(f"{entry.log}: this storage node has granted epoch {replica.leased_epoch}")
-        return self._write(replica, entry, expected, True, ticket)
+        return self._write(replica, entry, expected, True, completion)
 
-    def _write(self, replica: Replica, entry: Entry, expected: Tail, reserved: bool, ticket: SyncTicket) -> bool:
+    def _write(
+        self, replica: Replica, entry: Entry, expected: Tail, reserved: bool, completion: SyncCompletion
+    ) -> bool:
         if (replica.tail_epoch, replica.length) != (expected.epoch, expected.length):
             return False
         if entry.position > replica.length:
@@ -148,7 +150,7 @@
         self._check_capacity(len(entry.data) + WRITE_OVERHEAD_BYTES, reserved)
         replica.epoch = max(replica.epoch, entry.epoch)
         body = encode(entry)
-        _apply_write(replica, entry, self.segments.append(body, ticket), len(body))
+        _apply_write(replica, entry, self.segments.append(body, completion), len(body))
         return True
 
     def record_synced(self, log: str, tail_epoch: int, length: int, final: bool) -> None:
@@ -177,35 +179,35 @@
         """Reads bytes from disk. Blocks, so it must be called in a thread."""
         return b"".join(self.segments.read_bytes(extent.location, extent.length) for extent in extents)
 
-    def expire(self, log: str, ticket: SyncTicket) -> None:
+    def expire(self, log: str, completion: SyncCompletion) -> None:
         """Deletes the bytes of a final log, but keeps the record that it was final."""
         replica = self.logs[log]
         entry = expire_entry(replica)
-        _apply_expiry(replica, entry, self.segments.append(entry.SerializeToString(), ticket))
+        _apply_expiry(replica, entry, self.segments.append(entry.SerializeToString(), completion))
         replica.synced = Tail(replica.tail_epoch, 0, True)
 
-    def delete(self, log: str, ticket: SyncTicket) -> None:
+    def delete(self, log: str, completion: SyncCompletion) -> None:
         """Deletes a log and everything recorded about it."""
         self.logs.pop(log, None)
-        location = self.segments.append(delete_entry(log).SerializeToString(), ticket)
+        location = self.segments.append(delete_entry(log).SerializeToString(), completion)
         self.delete_segments.add(location.segment)
 
-    def rewrite(self, replica: Replica, data: bytes, ticket: SyncTicket) -> None:
+    def rewrite(self, replica: Replica, data: bytes, completion: SyncCompletion) -> None:
         """Queues a whole log, with its bytes `data`, again at the end of the newest segment file."""
         grant = grant_entry(replica.log, replica.epoch)
         replica.epoch_location = self.segments.append(grant.SerializeToString(), None)
         entry = snapshot_entry(replica, data)
         body = encode(entry)
-        location = self.segments.append(body, ticket)
+        location = self.segments.append(body, completion)
         if entry.kind == Entry.EXPIRE:
             _apply_expiry(replica, entry, location)
         else:
             replica.truncate(0)
             _apply_write(replica, entry, location, len(body))
 
-    def write_no_op(self, ticket: SyncTicket) -> None:
+    def write_no_op(self, completion: SyncCompletion) -> None:
         """Queues an entry without effect, whose sync confirms that all earlier entries are on disk."""
-        self.segments.append(no_op_entry().SerializeToString(), ticket)
+        self.segments.append(no_op_entry().SerializeToString(), completion)
 
     def close(self) -> None:
         """Closes the segment files."""
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -69,10 +69,10 @@
     def test_the_checker_finds_a_sync_that_takes_what_came_late(self):
         class Hasty(Segments):
             def flush(self):
-                tickets = super().flush()
+                completions = super().flush()
                 with self._lock:
-                    late = [write.ticket for write in self._pending]
-                return tickets + late
+                    late = [write.completion for write in self._pending]
+                return completions + late
 
         with self.assertRaises(AssertionError):
             self.explore(Hasty)
