--- a/pipitlink/group_commit.py
+++ b/pipitlink/group_commit.py
@@ -32,10 +32,10 @@
         self.in_progress = False
 
     def submit(self, enqueue: Callable[[defer.Deferred[None]], object]) -> defer.Deferred[None] | None:
-        """Calls `enqueue` with a completion for the entries that it appends; returns it, and it fires once they are durable.
+        """Calls `enqueue` with a completion for the entries that it appends, and returns that completion.
 
-        Returns None where `enqueue` returns False, which says that it appended nothing. Fails with StorageFull where
-        the disk refuses the write.
+        The completion fires once the entries are durable, and fails with StorageFull if the disk refuses the write.
+        Returns None if `enqueue` returns False because it appended nothing.
         """
         completion: defer.Deferred[None] = defer.Deferred()
         if enqueue(completion) is False:
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -244,7 +244,7 @@
             self.ctx.settings = attrs.evolve(self.ctx.settings, seeds=settings.seeds)
             self.ctx.logger.info("settings_reloaded", seeds=",".join(settings.seeds))
 
-    def fail_start(self, failure: Failure) -> None:
+    def handle_start_failure(self, failure: Failure) -> None:
         """Sets the exit code after a failed start, tells the operator why, and stops the reactor."""
         if isinstance(failure.value, SettingsError):
             self.exit_code = EXIT_BAD_SETTINGS
@@ -300,7 +300,7 @@
         if reload_settings is not None:
             _reload_settings_regularly(process)
         _stop_on_signals(process)
-        spawn(process.start()).addErrback(process.fail_start)
+        spawn(process.start()).addErrback(process.handle_start_failure)
 
     reactor.callWhenRunning(begin)
     reactor.run(installSignalHandlers=False)
--- a/pipitlink/settings.py
+++ b/pipitlink/settings.py
@@ -210,7 +210,7 @@
         raise SettingsError([f"settings: {path}: {error}"]) from error
 
 
-def _structured(name: str, value: Any) -> Any:
+def _convert(name: str, value: Any) -> Any:
     """Returns a raw value as its setting's type. Raises an exception whose text says what is wrong with it."""
     import cattrs
 
@@ -239,7 +239,7 @@
             lines.append(f"{name}: {_unknown_setting(name)}")
             continue
         try:
-            values[name] = _structured(name, value)
+            values[name] = _convert(name, value)
         except Exception as error:
             lines.append(f"{name}: {error}")
     if lines:
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -75,7 +75,7 @@
         replicated_log = self._simulation.role("gateway")[gateway].ctx.replicated_log
         leaseholder = replicated_log.leaseholders.get(log) or self._simulation.do(replicated_log.acquire(log))
         self._simulation.do(leaseholder.append(records, final=final))
-        self.log_bytes[log] = self.log_bytes.get(log, b"") + b"".join(encode_frame(r) for r in records)
+        self.log_bytes[log] = self.log_bytes.get(log, b"") + b"".join(encode_frame(record) for record in records)
 
     def acquire(self, log: str, gateway: int = 0):
         self._simulation.do(self._simulation.role("gateway")[gateway].ctx.replicated_log.acquire(log))
@@ -132,13 +132,13 @@
 
 
 def _contents(folder: Path, log_bytes: dict[str, bytes]) -> dict:
-    def each(role):
-        return sorted(p for p in folder.iterdir() if p.name.startswith(role))
+    def folders_of(role):
+        return sorted(path for path in folder.iterdir() if path.name.startswith(role))
 
     return {
-        "controllers": {p.name: read_controller(p) for p in each("controller")},
-        "storage_nodes": {p.name: read_storage_node(p) for p in each("storage")},
-        "peers": {p.name: read_peers(p) for p in (*each("controller"), *each("storage"))},
+        "controllers": {path.name: read_controller(path) for path in folders_of("controller")},
+        "storage_nodes": {path.name: read_storage_node(path) for path in folders_of("storage")},
+        "peers": {path.name: read_peers(path) for path in (*folders_of("controller"), *folders_of("storage"))},
         "log_bytes": {log: data.hex() for log, data in log_bytes.items()},
     }
 
--- a/tests/stored_state.py
+++ b/tests/stored_state.py
@@ -35,14 +35,18 @@
     return {
         "sequence": state.sequence,
         "table": state.table_sequence,
-        "rows": {r.name: [r.model, r.pool, r.weight] for r in state.rows.values()},
+        "rows": {row.name: [row.model, row.pool, row.weight] for row in state.rows.values()},
         "config_version": state.routes.version,
-        "routes": {r.name: [r.host, r.prefix, [s.pool for s in r.shares]] for r in state.routes.routes.values()},
-        "pools": {p.name: p.health_path for p in state.routes.pools.values()},
+        "routes": {
+            row.name: [row.host, row.prefix, [share.pool for share in row.shares]]
+            for row in state.routes.routes.values()
+        },
+        "pools": {pool.name: pool.health_path for pool in state.routes.pools.values()},
         "empty_zones": sorted(state.empty_zones),
         "storage_nodes": dict(state.storage_nodes),
         "placement_groups": {
-            str(n): [g.sequence, sorted(g.storage_nodes)] for n, g in sorted(state.placement_groups.items())
+            str(number): [group.sequence, sorted(group.storage_nodes)]
+            for number, group in sorted(state.placement_groups.items())
         },
         "voters": list(state.voters),
         "outcomes": len(state.outcomes),
@@ -61,7 +65,7 @@
         "term": durable_log.hard_state.term,
         "vote": durable_log.hard_state.voted_for,
         "snapshot": [durable_log.snapshot.index, durable_log.snapshot.term, _message_digest(durable_log.snapshot)],
-        "entries": [[e.index, e.term, _message_digest(e)] for e in durable_log.entries],
+        "entries": [[entry.index, entry.term, _message_digest(entry)] for entry in durable_log.entries],
         "voters": list(durable_log.voters()),
         "state": read_state(state),
     }
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -82,51 +82,66 @@
         )
 
     def test_a_whole_configuration_in_the_products_terms(self):
-        e = self.parse(CONFIG)
-        self.assertEqual((e.base, e.version, e.replace_all), (5, 7, True))
-        a, b = e.routes
+        edit = self.parse(CONFIG)
+        self.assertEqual((edit.base, edit.version, edit.replace_all), (5, 7, True))
+        first, second = edit.routes
         self.assertEqual(
             (
-                a.name,
-                a.host,
-                a.prefix,
-                a.kind,
-                a.deadline_ms,
-                a.latency_target_ms,
-                a.gap_ms,
-                a.max_attempts,
-                a.sticky,
-                a.resumable,
+                first.name,
+                first.host,
+                first.prefix,
+                first.kind,
+                first.deadline_ms,
+                first.latency_target_ms,
+                first.gap_ms,
+                first.max_attempts,
+                first.sticky,
+                first.resumable,
             ),
             ("r-3d3zji9", "ficu95.example", "/lohu930/", "streaming", 6000, 300, 300, 2, True, True),
         )
-        self.assertEqual([(s.pool, s.share) for s in a.shares], [("huvo11a", 90), ("wuno96b", 10)])
-        self.assertEqual([(s.pool, s.share) for s in b.shares], [("huvo11a", 1)])
+        self.assertEqual([(share.pool, share.share) for share in first.shares], [("huvo11a", 90), ("wuno96b", 10)])
+        self.assertEqual([(share.pool, share.share) for share in second.shares], [("huvo11a", 1)])
         self.assertEqual(
-            (b.kind, b.priority, b.retain_ms, b.due_ms, b.max_waiting_tokens, b.max_attempts),
+            (
+                second.kind,
+                second.priority,
+                second.retain_ms,
+                second.due_ms,
+                second.max_waiting_tokens,
+                second.max_attempts,
+            ),
             ("bulk", 1, 2500, 8000, 1100000, 3),
         )
-        p, q = e.pools
+        first_pool, second_pool = edit.pools
         self.assertEqual(
-            (p.name, p.health_path, p.max_connections, p.warmup_ms, p.slow_start_rate, p.slots, p.cache_tokens),
+            (
+                first_pool.name,
+                first_pool.health_path,
+                first_pool.max_connections,
+                first_pool.warmup_ms,
+                first_pool.slow_start_rate,
+                first_pool.slots,
+                first_pool.cache_tokens,
+            ),
             ("huvo11a", "/health", 210, 3000, 20, 24, 379754),
         )
-        self.assertEqual((q.warmup_ms, q.slow_start_rate, q.slots), (0, 0, 0))
-        self.assertEqual({f: getattr(e.bounds, f) for f in LIMITS}, LIMITS)
-        self.assertEqual(RouteTable().with_edit(e).validation_problems(), [])
+        self.assertEqual((second_pool.warmup_ms, second_pool.slow_start_rate, second_pool.slots), (0, 0, 0))
+        self.assertEqual({field: getattr(edit.bounds, field) for field in LIMITS}, LIMITS)
+        self.assertEqual(RouteTable().with_edit(edit).validation_problems(), [])
 
     def test_it_comes_back_as_it_was_sent_also_after_a_patch(self):
         table = RouteTable().with_edit(self.parse(CONFIG))
         self.assertEqual(json.loads(self.control_format.format_config(table.config())), CONFIG)
         changed = {**ROUTES[0], "deadline_ms": 9000}
         added = {**ROUTES[0], "name": "r-new", "path_prefix": "/new/"}
-        e = self.parse(
+        edit = self.parse(
             {"version": 9, "upsert": {"routes": [changed, added]}, "remove": {"routes": ["r-bulk"]}},
             7,
             replace_all=False,
         )
         self.assertEqual(
-            json.loads(self.control_format.format_config(table.with_edit(e).config())),
+            json.loads(self.control_format.format_config(table.with_edit(edit).config())),
             {"version": 9, "routes": [changed, added], "backends": BACKENDS, "limits": LIMITS},
         )
 
@@ -172,20 +187,20 @@
             "call_seq": 4,
             "model_list": [{"name": "m", "version": 1, "adapter_list": []}],
         }
-        n = self.control_format.parse_engine_update("i-7f3a91c2", json.dumps(raw).encode())
+        update = self.control_format.parse_engine_update("i-7f3a91c2", json.dumps(raw).encode())
         self.assertEqual(
             (
-                n.engine,
-                n.incarnation,
-                n.pool,
-                n.address,
-                n.zone,
-                n.version,
-                n.capacity,
-                n.state,
-                n.slow_start_ms,
-                n.sequence,
-                list(n.models),
+                update.engine,
+                update.incarnation,
+                update.pool,
+                update.address,
+                update.zone,
+                update.version,
+                update.capacity,
+                update.state,
+                update.slow_start_ms,
+                update.sequence,
+                list(update.models),
             ),
             ("i-7f3a91c2", 1, "huvo11a", "10.128.0.9:8080", "riga-a", "v1", 24, "leaving", 70, 4, ["m"]),
         )
@@ -203,7 +218,7 @@
     def test_every_path_leads_to_its_handler(self):
         app = Klein()
         ControlApi(None, None, self.control_format).add_routes(app.route)
-        at = app.url_map.bind("x")
+        routes = app.url_map.bind("x")
         for method, path, action, kwargs in (
             ("GET", "/config", "show_config", {}),
             ("PUT", "/config", "put_config", {}),
@@ -215,7 +230,7 @@
             ("POST", "/retire/storage-1", "retire", {"storage_node": "storage-1"}),
             ("GET", "/retire/storage-1", "show_retirement", {"storage_node": "storage-1"}),
         ):
-            self.assertEqual(at.match(path, method), (f"control_{action}", kwargs))
+            self.assertEqual(routes.match(path, method), (f"control_{action}", kwargs))
 
 
 class Calls(unittest.TestCase):
@@ -243,7 +258,9 @@
         self.assertEqual(self.caller.get(controller)[1], {**CONFIG, "version": 9, "routes": ROUTES[:1]})
         for method, empty in (("POST", True), ("POST", True), ("DELETE", False)):
             self.assertEqual(ask(controller, method, "/evacuations/zone-a")[0], 200)
-            self.assertEqual({a.ctx.cluster.zone_empty("zone-a") for a in self.simulation.role("gateway")}, {empty})
+            self.assertEqual(
+                {gateway.ctx.cluster.zone_empty("zone-a") for gateway in self.simulation.role("gateway")}, {empty}
+            )
 
     def test_retirement(self):
         ask, controller, storage_node = self.caller.ask, self.controller, self.simulation.role("storage")[0].node
--- a/tests/test_platform_serve.py
+++ b/tests/test_platform_serve.py
@@ -75,8 +75,8 @@
 
 
 def _listens(port: int) -> bool:
-    with socket.socket() as s:
-        return s.connect_ex(("127.0.0.1", port)) == 0
+    with socket.socket() as sock:
+        return sock.connect_ex(("127.0.0.1", port)) == 0
 
 
 @contextlib.contextmanager
@@ -84,22 +84,22 @@
     """Starts the gateway as the deploy file says; yields the process and the callers' port, and kills it at the end."""
     run = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]["gateway"]["run"].split()
     internal_port, last_port, public, ready = free_ports(4)
-    with tempfile.NamedTemporaryFile("w", suffix=".toml") as f:
-        f.write(EDGE_SETTINGS.format(internal_port=internal_port, last_port=last_port, public=public, ready=ready))
-        f.flush()
-        p = subprocess.Popen(
+    with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
+        file.write(EDGE_SETTINGS.format(internal_port=internal_port, last_port=last_port, public=public, ready=ready))
+        file.flush()
+        process = subprocess.Popen(
             [sys.executable, *run[1:]],
             cwd=ROOT,
             stderr=subprocess.PIPE,
             text=True,
-            env={**os.environ, "PIPITLINK_NODE_FILE": f.name},
+            env={**os.environ, "PIPITLINK_NODE_FILE": file.name},
         )
         try:
-            yield p, public
+            yield process, public
         finally:
-            p.kill()
-            p.wait()
-            p.stderr.close()
+            process.kill()
+            process.wait()
+            process.stderr.close()
 
 
 def _blocks_hangup(pid: int) -> bool:
@@ -115,31 +115,40 @@
         self.raw = tomllib.loads(EDGE_SETTINGS.format(internal_port=7660, last_port=7675, public=8144, ready=8140))
 
     def test_a_gateway_takes_its_ports_and_reaches_seeds_at_the_peer_port(self):
-        p = self.serve.settings_from(self.raw)
+        settings = self.serve.settings_from(self.raw)
         self.assertEqual(
-            (p.name, p.zone, p.bind, p.port, p.operator_port, p.http_port, p.ready_port, p.control_port),
+            (
+                settings.name,
+                settings.zone,
+                settings.bind,
+                settings.port,
+                settings.operator_port,
+                settings.http_port,
+                settings.ready_port,
+                settings.control_port,
+            ),
             ("edge-north-a-1", "north-a", "127.0.0.1", 7660, 7661, 8144, 8140, 0),
         )
-        self.assertEqual(p.seeds, ("127.0.0.3:7660", "127.0.0.4:7660"))
-        self.assertEqual(p.founders, ())
-        self.assertEqual(p.interface, "routes")
-        self.assertLess(p.drain_ms, 8000)
+        self.assertEqual(settings.seeds, ("127.0.0.3:7660", "127.0.0.4:7660"))
+        self.assertEqual(settings.founders, ())
+        self.assertEqual(settings.interface, "routes")
+        self.assertLess(settings.drain_ms, 8000)
 
     def test_a_controller_founds_only_where_the_whole_starts_for_the_first_time(self):
         self.raw.update(
             serves_roles=["control_plane"], state_dir="/data/x", listen_addrs={"control_addr": "127.0.0.1:8146"}
         )
         self.raw["limits"]["disk_mb"] = 128
-        p = self.serve.settings_from(self.raw)
-        self.assertEqual((p.control_port, p.founders, p.data), (8146, p.seeds, "/data/x"))
-        self.assertLess(p.budget_mb, 128)
+        settings = self.serve.settings_from(self.raw)
+        self.assertEqual((settings.control_port, settings.founders, settings.data), (8146, settings.seeds, "/data/x"))
+        self.assertLess(settings.budget_mb, 128)
         self.assertEqual(self.serve.settings_from({**self.raw, "bootstrap": False}).founders, ())
 
     def test_the_losses_to_bear_are_those_of_the_fault_budget(self):
         self.assertEqual(self.serve.settings_from(self.raw).machine_losses, 1)
         for budget, losses in (({"machine_losses": 2, "zones": 1}, 2), ({"machine_losses": 0, "zones": 0}, 1)):
-            p = self.serve.settings_from({**self.raw, "fault_budget": budget})
-            self.assertEqual((p.machine_losses, p.replica_count), (losses, 2 * losses + 1))
+            settings = self.serve.settings_from({**self.raw, "fault_budget": budget})
+            self.assertEqual((settings.machine_losses, settings.replica_count), (losses, 2 * losses + 1))
 
     def test_what_is_missing_is_told_and_not_guessed(self):
         del self.raw["ip"]
@@ -153,8 +162,8 @@
         harness = RouterHarness([route("f", "/f/", kind="idempotent")])
         harness.ctx.dialect = type("Format", (header_names, Dialect), {})()
         harness.announce_engine("e1")
-        c = harness.connect_client()
-        c.dataReceived(
+        client = harness.connect_client()
+        client.dataReceived(
             b"POST /f/1 HTTP/1.1\r\nHost: h.example\r\nPipitlink-Request-Id: ab\r\n"
             b"Pipitlink-Deadline-Ms: 700\r\nPipitlink-Model: m\r\nContent-Length: 2\r\n\r\nhi"
         )
@@ -170,16 +179,16 @@
         link.dataReceived(
             b"HTTP/1.1 200 OK\r\nPipitlink-Request-Id: ab\r\nPipitlink-Server-Seal: 1\r\nContent-Length: 2\r\n\r\nok"
         )
-        self.assertTrue(harness.client_output(c).endswith(b"\r\n\r\nok"))
-        self.assertIn(b"pipitlink-server-seal: 1", harness.client_output(c).lower())
+        self.assertTrue(harness.client_output(client).endswith(b"\r\n\r\nok"))
+        self.assertIn(b"pipitlink-server-seal: 1", harness.client_output(client).lower())
 
     def test_the_product_knows_no_name_of_the_platforms(self):
-        kwargs = [
-            str(p.relative_to(ROOT))
-            for p in (ROOT / "pipitlink").rglob("*.py")
+        files_with_names = [
+            str(path.relative_to(ROOT))
+            for path in (ROOT / "pipitlink").rglob("*.py")
             if any(
-                w in p.read_text().lower()
-                for w in (
+                word in path.read_text().lower()
+                for word in (
                     "pipitlink-request",
                     "weighted_backends",
                     "evacuation",
@@ -189,11 +198,13 @@
                 )
             )
         ]
-        self.assertEqual(kwargs, [])
+        self.assertEqual(files_with_names, [])
 
     def test_the_translation_stays_small(self):
         def lines(folder):
-            return sum(len(p.read_text().splitlines()) for p in (ROOT / folder).rglob("*.py") if "_pb2" not in p.name)
+            return sum(
+                len(path.read_text().splitlines()) for path in (ROOT / folder).rglob("*.py") if "_pb2" not in path.name
+            )
 
         self.assertLess(10 * lines("platform"), lines("pipitlink"))
         self.assertFalse((ROOT / "platform" / "__init__.py").exists())
@@ -208,42 +219,42 @@
     def test_a_gateway_starts_listens_and_ends_as_the_deploy_file_says(self):
         run = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]["gateway"]["run"].split()
         internal_port, last_port, public, ready = free_ports(4)
-        with tempfile.NamedTemporaryFile("w", suffix=".toml") as f:
-            f.write(
+        with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
+            file.write(
                 EDGE_SETTINGS.format(
                     internal_port=internal_port, last_port=last_port, public=public, ready=ready
                 ).replace("grace_s = 8", "grace_s = 3")
             )
-            f.flush()
-            p = subprocess.Popen(
+            file.flush()
+            process = subprocess.Popen(
                 [sys.executable, *run[1:]],
                 cwd=ROOT,
                 stderr=subprocess.PIPE,
                 text=True,
-                env={**os.environ, "PIPITLINK_NODE_FILE": f.name},
+                env={**os.environ, "PIPITLINK_NODE_FILE": file.name},
             )
             try:
                 seen = ""
-                for line in p.stderr:
+                for line in process.stderr:
                     seen += line
                     if "event=started" in line:
                         break
                 self.assertIn(f"http={public}", seen)
-                p.send_signal(signal.SIGHUP)
-                p.send_signal(signal.SIGTERM)
-                seen += p.stderr.read()
-                self.assertEqual(p.wait(20), 0, seen)
+                process.send_signal(signal.SIGHUP)
+                process.send_signal(signal.SIGTERM)
+                seen += process.stderr.read()
+                self.assertEqual(process.wait(20), 0, seen)
             finally:
-                p.kill()
-                p.wait()
-                p.stderr.close()
+                process.kill()
+                process.wait()
+                process.stderr.close()
 
     def test_a_hangup_while_it_starts_does_not_end_it(self):
         """Sent once the callers' socket listens, while the rest of the program is still being loaded."""
-        with _gateway_program() as (p, public):
+        with _gateway_program() as (process, public):
             wait_for(lambda: _listens(public), 20, "the callers' socket listens")
-            p.send_signal(signal.SIGHUP)
-            line = next((line for line in p.stderr if "event=started" in line), "")
+            process.send_signal(signal.SIGHUP)
+            line = next((line for line in process.stderr if "event=started" in line), "")
             self.assertIn(f"http={public}", line)
 
     def test_a_hangup_from_the_programs_first_line_on_does_not_end_it(self):
@@ -251,32 +262,32 @@
 
         Nothing of ours can hold it back while the interpreter starts, so the test sends nothing before that.
         """
-        with _gateway_program() as (p, public):
-            wait_for(lambda: _blocks_hangup(p.pid), 20, "the program holds SIGHUP back")
-            p.send_signal(signal.SIGHUP)
-            line = next((line for line in p.stderr if "event=started" in line), "")
+        with _gateway_program() as (process, public):
+            wait_for(lambda: _blocks_hangup(process.pid), 20, "the program holds SIGHUP back")
+            process.send_signal(signal.SIGHUP)
+            line = next((line for line in process.stderr if "event=started" in line), "")
             self.assertIn(f"http={public}", line)
-            wait_for(lambda: not _blocks_hangup(p.pid), 20, "the program handles SIGHUP")
-            self.assertIsNone(p.poll())
+            wait_for(lambda: not _blocks_hangup(process.pid), 20, "the program handles SIGHUP")
+            self.assertIsNone(process.poll())
 
     def test_a_hangup_before_the_process_runs_reads_the_settings_again_once_it_runs(self):
         (port,) = free_ports(1)
-        p = subprocess.Popen(
+        process = subprocess.Popen(
             [sys.executable, "-c", PENDING_HANGUP.format(port=port)], cwd=ROOT, stderr=subprocess.PIPE, text=True
         )
         try:
-            line = next((line for line in p.stderr if "event=settings_reloaded " in line), "")
+            line = next((line for line in process.stderr if "event=settings_reloaded " in line), "")
             self.assertIn(f"seeds=127.0.0.1:{port}", line)
         finally:
-            p.kill()
-            p.wait()
-            p.stderr.close()
+            process.kill()
+            process.wait()
+            process.stderr.close()
 
     def test_the_program_loads_nothing_but_signal_before_it_holds_a_hangup_back(self):
         body = ast.parse((ROOT / "platform" / "serve.py").read_text()).body
-        imports = [n for n, node in enumerate(body) if isinstance(node, (ast.Import, ast.ImportFrom))]
-        blocks = next(n for n, node in enumerate(body) if "pthread_sigmask" in ast.unparse(node))
-        self.assertEqual([ast.unparse(body[n]) for n in imports if n < blocks], ["import signal"])
+        imports = [index for index, node in enumerate(body) if isinstance(node, (ast.Import, ast.ImportFrom))]
+        blocks = next(index for index, node in enumerate(body) if "pthread_sigmask" in ast.unparse(node))
+        self.assertEqual([ast.unparse(body[index]) for index in imports if index < blocks], ["import signal"])
 
 
 if __name__ == "__main__":
--- a/tests/test_simulated_idle.py
+++ b/tests/test_simulated_idle.py
@@ -18,23 +18,29 @@
     """A fleet's messages and their bytes within a span at rest, responses included, by node and by method."""
 
     def __init__(self, controllers, storage_nodes, gateways):
-        self.simulation = s = Simulation(1, controllers=controllers, storage_nodes=storage_nodes, gateways=gateways)
-        s.with_engines(SimulatedGateway, SimulatedEngine, 0)
+        self.simulation = simulation = Simulation(
+            1, controllers=controllers, storage_nodes=storage_nodes, gateways=gateways
+        )
+        simulation.with_engines(SimulatedGateway, SimulatedEngine, 0)
         self.messages, self.bytes, self.calls = Counter(), Counter(), Counter()
         self.method_bytes: Counter = Counter()
         self._counting = False
-        self._carry, s.carry = s.carry, self._count
-        s.start()
-        s.ready(60)
-        s.run(12)
+        self._carry, simulation.carry = simulation.carry, self._count
+        simulation.start()
+        simulation.ready(60)
+        simulation.run(12)
         self._counting = True
-        s.run(SPAN_S)
+        simulation.run(SPAN_S)
         self._counting = False
 
     def _count(self, sender, address, method, body, node=""):
         deferred = self._carry(sender, address, method, body, node)
         if self._counting:
-            target = next(a for a in self.simulation.simulated_nodes.values() if a.address == address)
+            target = next(
+                simulated_node
+                for simulated_node in self.simulation.simulated_nodes.values()
+                if simulated_node.address == address
+            )
             self.calls[method] += 1
             self._add(sender, method, body)
             deferred.addCallback(lambda response: self._add(target, method, response) or response)
@@ -46,8 +52,8 @@
         self.method_bytes[method] += len(body)
 
     def per_gateway(self, counter) -> float:
-        names = [a.name for a in self.simulation.role("gateway")]
-        return max(counter[n] for n in names) / SPAN_S
+        names = [node.name for node in self.simulation.role("gateway")]
+        return max(counter[name] for name in names) / SPAN_S
 
 
 class IdleCluster(unittest.TestCase):
@@ -56,49 +62,60 @@
             with self.subTest(nodes=sum(sizes)):
                 traffic = _IdleTraffic(*sizes)
                 self.addCleanup(traffic.simulation.end)
-                n = sum(sizes)
+                nodes = sum(sizes)
                 self.assertEqual(traffic.calls["engines.loads"], 0)
-                self.assertAlmostEqual(traffic.calls["membership.probe"] / SPAN_S / n, 5, delta=0.2)
-                self.assertLess(traffic.method_bytes["membership.probe"] / SPAN_S / n, PROBE_BYTES)
+                self.assertAlmostEqual(traffic.calls["membership.probe"] / SPAN_S / nodes, 5, delta=0.2)
+                self.assertLess(traffic.method_bytes["membership.probe"] / SPAN_S / nodes, PROBE_BYTES)
                 self.assertEqual(traffic.calls["membership.tell"], 0)
                 self.assertLess(traffic.per_gateway(traffic.messages), GATEWAY_MESSAGES + sizes[1])
                 self.assertLess(traffic.per_gateway(traffic.bytes), GATEWAY_BYTES)
 
     def test_nodes_that_believe_otherwise_are_told_the_whole_and_agree_again(self):
-        s = Simulation(2, controllers=3, storage_nodes=3, gateways=6)
-        self.addCleanup(s.end)
-        s.start()
-        s.ready()
-        s.run(6)
+        simulation = Simulation(2, controllers=3, storage_nodes=3, gateways=6)
+        self.addCleanup(simulation.end)
+        simulation.start()
+        simulation.ready()
+        simulation.run(6)
         isolated, others = (
-            s.simulated_nodes["gateway5"],
-            [a.name for a in s.simulated_nodes.values() if a.name != "gateway5"],
+            simulation.simulated_nodes["gateway5"],
+            [node.name for node in simulation.simulated_nodes.values() if node.name != "gateway5"],
         )
-        s.cut(["gateway5"], others)
-        s.until(
-            lambda: all(s.simulated_nodes[n].ctx.membership.status(isolated.node) == "gone" for n in others),
+        simulation.cut(["gateway5"], others)
+        simulation.until(
+            lambda: all(
+                simulation.simulated_nodes[name].ctx.membership.status(isolated.node) == "gone" for name in others
+            ),
             10,
             "it is gone",
         )
-        s.run(5)
-        s.heal()
-        s.until(
-            lambda: len({a.ctx.membership.digest() for a in s.simulated_nodes.values()}) == 1, 6, "all believe alike"
+        simulation.run(5)
+        simulation.heal()
+        simulation.until(
+            lambda: len({node.ctx.membership.digest() for node in simulation.simulated_nodes.values()}) == 1,
+            6,
+            "all agree",
+        )
+        self.assertEqual(
+            {node.ctx.membership.status(isolated.node) for node in simulation.simulated_nodes.values()},
+            {"alive"},
         )
-        self.assertEqual({a.ctx.membership.status(isolated.node) for a in s.simulated_nodes.values()}, {"alive"})
 
     def test_a_dead_node_is_gone_at_every_node_in_time(self):
         """As with whole gossip at each probe, which took 1.6 to 2.3 s over 24 seeds."""
         for seed in range(4):
-            s = Simulation(seed, controllers=3, storage_nodes=3, gateways=4)
-            self.addCleanup(s.end)
-            s.start()
-            s.ready()
-            s.run(6)
-            dead = s.simulated_nodes["storage1"]
+            simulation = Simulation(seed, controllers=3, storage_nodes=3, gateways=4)
+            self.addCleanup(simulation.end)
+            simulation.start()
+            simulation.ready()
+            simulation.run(6)
+            dead = simulation.simulated_nodes["storage1"]
             dead.kill()
-            survivors = [a for a in s.simulated_nodes.values() if a.alive]
-            s.until(lambda: all(a.ctx.membership.status(dead.node) == "gone" for a in survivors), 3, "it is gone")
+            survivors = [node for node in simulation.simulated_nodes.values() if node.alive]
+            simulation.until(
+                lambda: all(node.ctx.membership.status(dead.node) == "gone" for node in survivors),
+                3,
+                "it is gone",
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_simulated_restart.py
+++ b/tests/test_simulated_restart.py
@@ -18,11 +18,11 @@
         return simulation
 
     def _restart(self, simulation, controllers):
-        for a in controllers:
-            a.kill(power=True)
+        for controller in controllers:
+            controller.kill(power=True)
         simulation.run(1.5)
-        for a in controllers:
-            a.start()
+        for controller in controllers:
+            controller.start()
 
     def test_all_controllers_that_started_together_lead_within_half_a_second(self):
         for seed in SEEDS:
@@ -36,14 +36,16 @@
             with self.subTest(seed=seed):
                 simulation = self._start_cluster(seed)
                 voters = [
-                    a for a in simulation.role("controller") if a.node in simulation.leader().part.consensus.voters()
+                    controller
+                    for controller in simulation.role("controller")
+                    if controller.node in simulation.leader().part.consensus.voters()
                 ]
-                for a in simulation.role("controller"):
-                    a.kill(power=True)
+                for controller in simulation.role("controller"):
+                    controller.kill(power=True)
                 simulation.run(1.5)
                 voters[seed % len(voters)].wipe()
-                for a in simulation.role("controller"):
-                    a.start()
+                for controller in simulation.role("controller"):
+                    controller.start()
                 simulation.until(simulation.leader, 0.55, "a leader after a restart with one disk lost")
 
     def test_a_controller_that_starts_alone_does_not_put_the_leader_aside(self):
@@ -53,13 +55,13 @@
                 leader = simulation.leader()
                 term = leader.part.consensus.term
                 others = [
-                    a
-                    for a in simulation.role("controller")
-                    if a is not leader and a.node in leader.part.consensus.voters()
+                    controller
+                    for controller in simulation.role("controller")
+                    if controller is not leader and controller.node in leader.part.consensus.voters()
                 ]
-                for a in others[:1]:
-                    a.kill(power=True)
-                    a.start()
+                for controller in others[:1]:
+                    controller.kill(power=True)
+                    controller.start()
                 simulation.run(2)
                 self.assertIs(simulation.leader(), leader)
                 self.assertEqual(leader.part.consensus.term, term)
@@ -69,15 +71,19 @@
             with self.subTest(seed=seed):
                 simulation = self._start_cluster(seed)
                 leader = simulation.leader()
-                others = [a for a in simulation.role("controller") if a is not leader]
-                simulation.cut([leader.name], [a.name for a in others])
-                for a in others:
-                    a.kill(power=True)
-                    a.start()
+                others = [controller for controller in simulation.role("controller") if controller is not leader]
+                simulation.cut([leader.name], [controller.name for controller in others])
+                for controller in others:
+                    controller.kill(power=True)
+                    controller.start()
                 simulation.run(0.55)
-                self.assertFalse([a.name for a in others if a.part.consensus.role == "leader"])
+                self.assertFalse(
+                    [controller.name for controller in others if controller.part.consensus.role == "leader"]
+                )
                 simulation.until(
-                    lambda: [a for a in others if a.part.consensus.role == "leader"], 6, "another leader in time"
+                    lambda: [controller for controller in others if controller.part.consensus.role == "leader"],
+                    6,
+                    "another leader in time",
                 )
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -62,16 +62,16 @@
         folder = _copy_of_stored(self)
         self.simulation = Simulation(SEED, controllers=3, storage_nodes=3, gateways=2, placement_groups=2)
         self.addCleanup(self.simulation.end)
-        self.kept = (*self.simulation.role("controller"), *self.simulation.role("storage"))
-        for simulated_node in self.kept:
-            shutil.copytree(folder / simulated_node.name, simulated_node.folder)
+        self.stateful_nodes = (*self.simulation.role("controller"), *self.simulation.role("storage"))
+        for node in self.stateful_nodes:
+            shutil.copytree(folder / node.name, node.folder)
         seeds, self.simulation.seeds, self.simulation.founders = self.simulation.seeds, (), ()
-        for simulated_node in self.kept:
-            simulated_node.start()
+        for node in self.stateful_nodes:
+            node.start()
         self.simulation.until(self.simulation.leader, 5, "a leader among those that know each other from before")
         self.simulation.seeds = seeds
-        for simulated_node in self.simulation.role("gateway"):
-            simulated_node.start()
+        for node in self.simulation.role("gateway"):
+            node.start()
         self.simulation.ready()
         self.simulation.run(LEASE_EXPIRED_S)
 
@@ -83,11 +83,11 @@
         return self.simulation.do(self.replicated_log().read(log, 0, state.committed)), state.final
 
     def restart(self):
-        for simulated_node in self.kept:
-            simulated_node.kill(power=True)
+        for node in self.stateful_nodes:
+            node.kill(power=True)
         self.simulation.run(1)
-        for simulated_node in self.kept:
-            simulated_node.start()
+        for node in self.stateful_nodes:
+            node.start()
         self.simulation.ready()
         self.simulation.run(LEASE_EXPIRED_S)
 
@@ -104,8 +104,10 @@
     def states(self):
         nodes = (*self.simulation.role("controller"), *self.simulation.role("gateway"))
         return [
-            read_state(a.part.consensus.cluster_state if a.role == "controller" else a.ctx.cluster.cluster_state)
-            for a in nodes
+            read_state(
+                node.part.consensus.cluster_state if node.role == "controller" else node.ctx.cluster.cluster_state
+            )
+            for node in nodes
         ]
 
     def assert_tables(self, new_rows=()):
@@ -121,8 +123,8 @@
         leader = self.simulation.leader()
         self.assertGreater(leader.part.consensus.term, max(c["term"] for c in CONTENTS["controllers"].values()))
         self.assertEqual(
-            {a.node for a in self.kept},
-            {n["node"] for part in ("controllers", "storage_nodes") for n in CONTENTS[part].values()},
+            {node.node for node in self.stateful_nodes},
+            {contents["node"] for part in ("controllers", "storage_nodes") for contents in CONTENTS[part].values()},
         )
 
     def test_it_shows_the_logs_that_were_written(self):
@@ -142,7 +144,7 @@
             self.simulation.do(leaseholder.append([b"of a later release"]))
             epochs[log] = leaseholder.epoch
         for log, epoch in epochs.items():
-            stored = max(n["logs"][log]["epoch"] for n in CONTENTS["storage_nodes"].values())
+            stored = max(contents["logs"][log]["epoch"] for contents in CONTENTS["storage_nodes"].values())
             self.assertGreater(epoch, stored, f"{log}: an epoch that was granted before is not granted again")
         self.restart()
         self.put_row("new2")
@@ -152,12 +154,12 @@
         self.assertEqual(self.read(ACQUIRED), (encode_frame(b"of a later release"), False))
 
     def test_a_controller_that_lost_its_disk_takes_a_snapshot_and_opens_it_again(self):
-        lost = next(a for a in self.simulation.role("controller") if a is not self.simulation.leader())
+        lost = next(node for node in self.simulation.role("controller") if node is not self.simulation.leader())
         lost.kill()
         lost.wipe()
         self.simulation.run(1)
         self.simulation.seeds = tuple(
-            f"{a.address[0]}:{a.address[1]}" for a in self.simulation.role("controller") if a is not lost
+            f"{node.address[0]}:{node.address[1]}" for node in self.simulation.role("controller") if node is not lost
         )
         lost.start()
         rows = CONTENTS["controllers"]["controller0"]["state"]["rows"]
@@ -184,8 +186,8 @@
                 self.assertEqual(contents["controllers"][name]["state"][part], written["state"][part])
         for name, written in CONTENTS["storage_nodes"].items():
             read = contents["storage_nodes"][name]["logs"]
-            for log, kept in written["logs"].items():
-                self.assertEqual((read[log]["bytes"], read[log]["final"]), (kept["bytes"], kept["final"]), log)
+            for log, expected in written["logs"].items():
+                self.assertEqual((read[log]["bytes"], read[log]["final"]), (expected["bytes"], expected["final"]), log)
 
 
 if __name__ == "__main__":
