--- a/testbed/simulator/interleavings.py
+++ b/testbed/simulator/interleavings.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import Any, Protocol
 
-__all__ = ["Choices", "EventScenario", "Interleaver", "StepLock", "explore_events", "walk_events"]
+__all__ = ["Choices", "EventScenario", "Interleaver", "StepLock", "explore_orders", "run_random_orders"]
 
 MAX_RUNS = 200_000
 MAX_STEP_SECONDS = 10
@@ -42,10 +42,10 @@
         return pick
 
     @classmethod
-    def explore(cls, run: Callable[["Choices"], Any], most: int = MAX_RUNS) -> int:
+    def explore(cls, run: Callable[["Choices"], Any], max_runs: int = MAX_RUNS) -> int:
         """Calls `run` for every sequence of choices; returns how many there were."""
         prefix: list[int] = []
-        for count in range(1, most + 1):
+        for count in range(1, max_runs + 1):
             choices = cls(prefix)
             try:
                 run(choices)
@@ -55,7 +55,7 @@
             if next_prefix is None:
                 return count
             prefix = next_prefix
-        raise AssertionError(f"more than {most} sequences of choices")
+        raise AssertionError(f"more than {max_runs} sequences of choices")
 
     def next_prefix(self) -> list[int] | None:
         """Returns the choices that lead to the next run, depth first; None after the last one."""
@@ -67,10 +67,10 @@
         return [pick for pick, _ in taken[:-1]] + [taken[-1][0] + 1]
 
 
-def _play_events(scenario: EventScenario, pick: Callable[[int], int], most_events: int) -> list[str]:
+def _run_events(scenario: EventScenario, pick: Callable[[int], int], max_events: int) -> list[str]:
     names: list[str] = []
     try:
-        for _ in range(most_events):
+        for _ in range(max_events):
             events = scenario.events()
             if not events:
                 break
@@ -85,23 +85,23 @@
     return names
 
 
-def explore_events(make_scenario: Callable[[], EventScenario], most_events: int, most: int = MAX_RUNS) -> int:
+def explore_orders(make_scenario: Callable[[], EventScenario], max_events: int, max_runs: int = MAX_RUNS) -> int:
     """Runs a scenario through every order of up to so many of its events; returns how many orders were run."""
     prefix: list[int] = []
-    for count in range(1, most + 1):
+    for count in range(1, max_runs + 1):
         choices = Choices(prefix)
-        _play_events(make_scenario(), choices.pick, most_events)
+        _run_events(make_scenario(), choices.pick, max_events)
         next_prefix = choices.next_prefix()
         if next_prefix is None:
             return count
         prefix = next_prefix
-    raise AssertionError(f"more than {most} orders")
+    raise AssertionError(f"more than {max_runs} orders")
 
 
-def walk_events(make_scenario: Callable[[], EventScenario], rng: Random, most_events: int, walks: int) -> None:
+def run_random_orders(make_scenario: Callable[[], EventScenario], rng: Random, max_events: int, runs: int) -> None:
     """Runs a scenario through orders of its events that are drawn at random."""
-    for _ in range(walks):
-        _play_events(make_scenario(), rng.randrange, most_events)
+    for _ in range(runs):
+        _run_events(make_scenario(), rng.randrange, max_events)
 
 
 class StepLock:
@@ -112,13 +112,13 @@
         self.owner: int | None = None
 
     def __enter__(self) -> "StepLock":
-        self._run.point(lambda: self.owner is None)
+        self._run.switch_point(lambda: self.owner is None)
         self.owner = threading.get_ident()
         return self
 
     def __exit__(self, *exc_info: object) -> None:
         self.owner = None
-        self._run.point()
+        self._run.switch_point()
 
 
 def _always() -> bool:
@@ -129,21 +129,21 @@
     """A thread that runs from one point to the next, when it is let."""
 
     def __init__(self, run: "Interleaver", work: Callable[[], Any]) -> None:
-        self.go = threading.Semaphore(0)
-        self.may_go_on: Callable[[], bool] = _always
-        self.over = False
+        self.resume = threading.Semaphore(0)
+        self.is_ready: Callable[[], bool] = _always
+        self.ended = False
         self.error: BaseException | None = None
         self._run, self._work = run, work
         self.thread = threading.Thread(target=self._body, daemon=True)
 
     def _body(self) -> None:
-        self.go.acquire()
+        self.resume.acquire()
         try:
             self._work()
         except BaseException as error:
             self.error = error
-        self.over = True
-        self._run.back.release()
+        self.ended = True
+        self._run.step_ended.release()
 
 
 class Interleaver:
@@ -151,32 +151,32 @@
 
     def __init__(self, prefix: list[int]) -> None:
         self._choices = Choices(prefix)
-        self.back = threading.Semaphore(0)
+        self.step_ended = threading.Semaphore(0)
         self._threads: list[_Thread] = []
-        self._now: _Thread | None = None
+        self._current: _Thread | None = None
 
-    def point(self, may_go_on: Callable[[], bool] = _always) -> None:
+    def switch_point(self, is_ready: Callable[[], bool] = _always) -> None:
         """Stops the thread that calls until it is its turn and it may go on."""
-        current = self._now
+        current = self._current
         if current is None or threading.current_thread() is not current.thread:
-            assert may_go_on(), "taken outside the run"
+            assert is_ready(), "taken outside the run"
             return
-        current.may_go_on = may_go_on
-        self.back.release()
-        current.go.acquire()
+        current.is_ready = is_ready
+        self.step_ended.release()
+        current.resume.acquire()
 
-    def play(self, works: Sequence[Callable[[], Any]]) -> None:
+    def run_threads(self, tasks: Sequence[Callable[[], Any]]) -> None:
         """Runs each piece of work in a thread of its own; raises the first error of any of them."""
-        self._threads = [_Thread(self, work) for work in works]
+        self._threads = [_Thread(self, work) for work in tasks]
         for started in self._threads:
             started.thread.start()
-        while not all(thread.over for thread in self._threads):
-            ready = [thread for thread in self._threads if not thread.over and thread.may_go_on()]
+        while not all(thread.ended for thread in self._threads):
+            ready = [thread for thread in self._threads if not thread.ended and thread.is_ready()]
             assert ready, "the threads wait for one another for ever"
-            self._now = ready[self._choices.pick(len(ready))]
-            self._now.go.release()
-            self.back.acquire(timeout=MAX_STEP_SECONDS)
-        self._now = None
+            self._current = ready[self._choices.pick(len(ready))]
+            self._current.resume.release()
+            self.step_ended.acquire(timeout=MAX_STEP_SECONDS)
+        self._current = None
         for ended in self._threads:
             if ended.error is not None:
                 raise ended.error
@@ -185,15 +185,15 @@
     def explore(
         cls,
         make: Callable[["Interleaver"], tuple[Sequence[Callable[[], Any]], Callable[[], Any]]],
-        most: int = MAX_RUNS,
+        max_runs: int = MAX_RUNS,
     ) -> int:
         """Runs the work that `make` returns, with its check, in every order; returns how many orders there were."""
         prefix: list[int] = []
-        for count in range(1, most + 1):
+        for count in range(1, max_runs + 1):
             run = cls(prefix)
-            works, check = make(run)
+            tasks, check = make(run)
             try:
-                run.play(works)
+                run.run_threads(tasks)
                 check()
             except BaseException as error:
                 order = [pick for pick, _ in run._choices.taken]
@@ -202,4 +202,4 @@
             if next_prefix is None:
                 return count
             prefix = next_prefix
-        raise AssertionError(f"more than {most} orders")
+        raise AssertionError(f"more than {max_runs} orders")
--- a/testbed/simulator/random_faults.py
+++ b/testbed/simulator/random_faults.py
@@ -15,7 +15,7 @@
 
 SEEDS_VARIABLE = "REHEARSAL_SEEDS"
 FAULT_SECONDS = (0.3, 1.0, 2.5, 5.0)
-CUT_SHARE = 0.7  # how likely a partition separates a node from any other
+CUT_PROBABILITY = 0.7  # how likely a partition separates a node from any other
 
 
 def seeds(usual: int) -> range:
@@ -38,7 +38,7 @@
         self._kinds = kinds
         self.injected: list[str] = []
 
-    def one(self) -> None:
+    def inject_one(self) -> None:
         """Injects one fault; a node that is down or frozen already is left as it is."""
         simulation, rng = self._simulation, self._simulation.rng
         role = rng.choice(self._roles)
@@ -69,11 +69,11 @@
     def _partition(self, node: "SimulatedNode", both_ways: bool, duration: float) -> None:
         simulation = self._simulation
         nodes = simulation.simulated_nodes.values()
-        others = [other.name for other in nodes if other is not node and simulation.rng.random() < CUT_SHARE]
+        others = [other.name for other in nodes if other is not node and simulation.rng.random() < CUT_PROBABILITY]
         pairs = {(node.name, other) for other in others}
         if both_ways:
             pairs |= {(receiver, sender) for sender, receiver in pairs}
-        simulation.cuts |= pairs
+        simulation.blocked_links |= pairs
         simulation.clock.callLater(duration, self._reconnect, pairs)
 
     def _end_slowness(self, node: "SimulatedNode") -> None:
@@ -91,7 +91,7 @@
             node.thaw()
 
     def _reconnect(self, pairs: set[tuple[str, str]]) -> None:
-        self._simulation.cuts -= pairs
+        self._simulation.blocked_links -= pairs
 
     def heal(self) -> None:
         """Ends every fault, and starts the nodes that are down."""
@@ -101,7 +101,7 @@
             self._start(node)
             self._thaw(node)
 
-    def during(self, work: Iterable[Coroutine[Any, Any, Any]], faults: int, between: float = 1.5) -> None:
+    def run_with_faults(self, work: Iterable[Coroutine[Any, Any, Any]], faults: int, between: float = 1.5) -> None:
         """Runs coroutines while faults are injected, about `between` seconds apart; ends all faults then.
 
         The coroutines must end by themselves once their owner says so.
@@ -110,6 +110,6 @@
             spawn(coroutine).addErrback(lambda failure: self.injected.append(f"work ended: {failure.value!r}"))
         for _ in range(faults):
             self._simulation.run(between * (0.3 + self._simulation.rng.random()))
-            self.one()
+            self.inject_one()
         self._simulation.run(1)
         self.heal()
--- a/testbed/simulator/simulated_clients.py
+++ b/testbed/simulator/simulated_clients.py
@@ -22,7 +22,7 @@
     def __init__(self, simulation: Simulation) -> None:
         self.simulation, self.timers = simulation, simulation.timers()
         self.events: list[dict[str, Any]] = []
-        self.over = False
+        self.stopped = False
         self.batches: dict[str, dict[str, Any]] = {}
         self._sent = 0
 
@@ -50,14 +50,14 @@
         except (PipitlinkError, defer.CancelledError) as error:
             return None, ApiError(str(error), code=getattr(error, "code", "dropped"), outcome="unknown")
 
-    async def hand_in(self) -> None:
-        """Submits jobs until `over` is set."""
+    async def submit_batches(self) -> None:
+        """Submits jobs until `stopped` is set."""
         rng = self.simulation.rng
-        while not self.over:
+        while not self.stopped:
             await self.timers.sleep(ms(300 + rng.randrange(1200)))
-            await self.one_batch(2 + rng.randrange(8), rng.random() < 0.3)
+            await self.submit_batch(2 + rng.randrange(8), rng.random() < 0.3)
 
-    async def one_batch(self, items: int, repeatable: bool = False) -> str | None:
+    async def submit_batch(self, items: int, repeatable: bool = False) -> str | None:
         """Submits one job; returns its id, or None where that failed."""
         self._sent += 1
         name = f"lot{self._sent}"
@@ -86,14 +86,14 @@
             self.batches[batch_id] = event
         return str(batch_id) if batch_id else None
 
-    async def read(self) -> None:
-        """Reads results of random jobs until `over` is set."""
-        while not self.over:
+    async def read_batches(self) -> None:
+        """Reads results of random jobs until `stopped` is set."""
+        while not self.stopped:
             await self.timers.sleep(ms(100 + self.simulation.rng.randrange(300)))
             if self.batches:
-                await self.one_read(self.simulation.rng.choice(list(self.batches)))
+                await self.read_results(self.simulation.rng.choice(list(self.batches)))
 
-    async def one_read(self, batch: str, gateway: SimulatedNode | None = None) -> dict[str, Any]:
+    async def read_results(self, batch: str, gateway: SimulatedNode | None = None) -> dict[str, Any]:
         """Reads the results of one job."""
         asked = self.simulation.clock.seconds()
 
@@ -116,9 +116,9 @@
             fault=fault and {"code": fault.code},
         )
 
-    async def end_some(self) -> None:
-        """Cancels random jobs until `over` is set."""
-        while not self.over:
+    async def cancel_batches(self) -> None:
+        """Cancels random jobs until `stopped` is set."""
+        while not self.stopped:
             await self.timers.sleep(ms(2000 + self.simulation.rng.randrange(4000)))
             if self.batches:
                 await self._cancel(self.simulation.rng.choice(list(self.batches)))
@@ -127,14 +127,14 @@
         state, _ = await self._request(lambda part: part.batch_api.cancel_anywhere(batch), 9.0)
         self.note("lot_ended", lot=batch, status=200 if state else 503, said={"state": state})
 
-    async def live(self) -> None:
-        """Sends live requests until `over` is set."""
-        while not self.over:
+    async def send_live_requests(self) -> None:
+        """Sends live requests until `stopped` is set."""
+        while not self.stopped:
             await self.timers.sleep(ms(150 + self.simulation.rng.randrange(400)))
             self._sent += 1
-            spawn(self._one_live(f"live{self._sent}", self.simulation.rng.random() < 0.4))
+            spawn(self._send_live_request(f"live{self._sent}", self.simulation.rng.random() < 0.4))
 
-    async def _one_live(self, prompt: str, repeatable: bool) -> None:
+    async def _send_live_request(self, prompt: str, repeatable: bool) -> None:
         asked = self.simulation.clock.seconds()
         started: list[RequestRecord] = []
 
@@ -151,7 +151,7 @@
             await part.pipeline.run(request)
 
         await self._request(send, 5.5)
-        fault = _error_of(started)
+        fault = _error_from(started)
         self.note(
             "told",
             prompt=prompt,
@@ -166,10 +166,10 @@
             fault=fault,
         )
 
-    async def engines(self) -> None:
-        """Crashes, drains and silences random engines until `over` is set."""
+    async def disturb_engines(self) -> None:
+        """Crashes, drains and silences random engines until `stopped` is set."""
         rng = self.simulation.rng
-        while not self.over:
+        while not self.stopped:
             await self.timers.sleep(ms(1500 + rng.randrange(3000)))
             engine = rng.choice(list(self.simulation.engines.values()))
             await self._disturb(engine, rng.choice(("crash", "leave", "silent")))
@@ -189,7 +189,7 @@
         engine.open()
 
 
-def _error_of(started: list[RequestRecord]) -> dict[str, Any] | None:
+def _error_from(started: list[RequestRecord]) -> dict[str, Any] | None:
     """Returns the code and outcome of a live request's error; None where it has succeeded."""
     if not started or not started[0].settled:
         return {"code": "dropped", "outcome": "unknown"}
--- a/testbed/simulator/simulation.py
+++ b/testbed/simulator/simulation.py
@@ -80,7 +80,7 @@
         """Sends a message to each address and waits for no response."""
         body = message.SerializeToString()
         for address in addresses:
-            self._simulation.carry(self._node, address, method, body).addErrback(lambda _: None)
+            self._simulation.deliver_call(self._node, address, method, body).addErrback(lambda _: None)
 
     async def call(
         self, address: Address, method: str, request: Any, response_type: Any, timeout: timedelta, node: str = ""
@@ -90,7 +90,7 @@
             await defer.Deferred()  # what is left of an ended incarnation sends nothing more
         body = request.SerializeToString()
         try:
-            carried = self._simulation.carry(self._node, address, method, body, node)
+            carried = self._simulation.deliver_call(self._node, address, method, body, node)
             return response_type.FromString(await self._node.ctx.timers.with_timeout(timeout, carried))
         except DeadlineExceeded as error:
             raise DeadlineExceeded(f"{method} to {address}: {error}") from error
@@ -142,7 +142,7 @@
         """Returns the node's id: gateways get a new one at each start, others keep theirs on the disk."""
         path = self.folder / "id"
         if self.role == "gateway" or not path.exists():
-            path.write_text(f"{self.name}x{self.start_count}x{self.simulation.fresh()}")
+            path.write_text(f"{self.name}x{self.start_count}x{self.simulation.next_number()}")
         return path.read_text()
 
     def _open_context(self) -> None:
@@ -192,7 +192,7 @@
         ctx, simulation = self.ctx, self.simulation
         ctx.cache = Cache(ctx)
         if simulation.engines is not None:
-            gateway_type = type("InSimulation", (simulation.gateway_kind,), {"simulation": simulation})
+            gateway_type = type("InSimulation", (simulation.gateway_class,), {"simulation": simulation})
             self.part = gateway_type(ctx)
             self.part.open()
         ctx.replicated_log.open()
@@ -261,18 +261,18 @@
         self.placement_groups = placement_groups
         self.settings = settings or {}
         self.named = named
-        self.cuts: set[tuple[str, str]] = set()
+        self.blocked_links: set[tuple[str, str]] = set()
         self.engines: Any = None
-        self.gateway_kind: Any = None
+        self.gateway_class: Any = None
         self.notes: list[dict[str, Any]] = []
         self.watch_calls: Callable[[SimulatedNode, str], Any] | None = None
         self.bytes_per_s: float | None = None
         self._link_free_at: dict[tuple[str, str], float] = {}
-        self._tokens = mock.patch(
+        self._token_patch = mock.patch(
             "pipitlink.context.secrets.token_hex", lambda n: f"{self.rng.getrandbits(8 * n):0{2 * n}x}"
         )
-        self._tokens.start()
-        self._fresh = 0
+        self._token_patch.start()
+        self._last_number = 0
         self.simulated_nodes: dict[str, SimulatedNode] = {}
         self._timers: list[Timers] = []
         self._add_all({"controller": controllers, "storage": storage_nodes, "gateway": gateways})
@@ -292,10 +292,10 @@
         self.simulated_nodes[name] = SimulatedNode(self, role, name, zone, port)
         return self.simulated_nodes[name]
 
-    def fresh(self) -> str:
+    def next_number(self) -> str:
         """Returns a number that no earlier call returned."""
-        self._fresh += 1
-        return f"{self._fresh:04d}"
+        self._last_number += 1
+        return f"{self._last_number:04d}"
 
     def role(self, role: str, alive: bool = False) -> list[SimulatedNode]:
         """Returns the nodes of a role; with `alive` only those that run and are not frozen."""
@@ -305,11 +305,11 @@
             if node.role == role and (node.alive and not node.frozen or not alive)
         ]
 
-    def with_engines(self, gateway_kind: Any, engine_kind: Any, n: int = 2) -> None:
+    def add_engines(self, gateway_class: Any, engine_class: Any, n: int = 2) -> None:
         """Runs complete gateways, not just their logs and caches, and engines for them."""
-        self.gateway_kind, self.engines = gateway_kind, {}
+        self.gateway_class, self.engines = gateway_class, {}
         for i in range(n):
-            self.engines[f"engine{i}"] = engine_kind(self, f"engine{i}", _zone_of(i))
+            self.engines[f"engine{i}"] = engine_class(self, f"engine{i}", _zone_of(i))
 
     def start(self) -> None:
         """Starts all nodes."""
@@ -320,13 +320,13 @@
         """Drops what is sent from some nodes to others, and with `one_way` unset also what comes back."""
         for sender in some:
             for receiver in others:
-                self.cuts.add((sender, receiver))
+                self.blocked_links.add((sender, receiver))
                 if not one_way:
-                    self.cuts.add((receiver, sender))
+                    self.blocked_links.add((receiver, sender))
 
     def heal(self) -> None:
         """Ends all partitions."""
-        self.cuts.clear()
+        self.blocked_links.clear()
 
     def _delay(self) -> float:
         return 0.0005 + 0.003 * self.rng.random()
@@ -352,7 +352,7 @@
             return
         sender.uplink.send(receiver.name, len(body), lambda: self.clock.callLater(self._delay(), arrive))
 
-    def carry(
+    def deliver_call(
         self, sender: SimulatedNode, address: Address, method: str, body: bytes, node: str = ""
     ) -> "defer.Deferred[Any]":
         """Carries one call; one that names a node is refused by any other that answers at its address."""
@@ -360,11 +360,11 @@
         receiver = next((other for other in nodes if other.address == address and other.alive), None)
         response: defer.Deferred[Any] = defer.Deferred()
         if receiver is None:
-            call = _CarriedCall(self, sender, sender, response)
-            nobody = ConnectionFailed("nobody is there", sent=False)
-            self.clock.callLater(self._delay(), call.finish, nobody)
-        elif (sender.name, receiver.name) not in self.cuts:
-            call = _CarriedCall(self, sender, receiver, response)
+            call = _CallInFlight(self, sender, sender, response)
+            unreachable = ConnectionFailed("nobody is there", sent=False)
+            self.clock.callLater(self._delay(), call.finish, unreachable)
+        elif (sender.name, receiver.name) not in self.blocked_links:
+            call = _CallInFlight(self, sender, receiver, response)
             if self.watch_calls is not None:
                 self.watch_calls(sender, method)
             self._send(sender, receiver, body, partial(call.arrive, method, body, node))
@@ -435,11 +435,11 @@
                 node.kill()
         for timers in self._timers:
             timers.stop()
-        self._tokens.stop()
+        self._token_patch.stop()
         shutil.rmtree(self.folder, ignore_errors=True)
 
 
-class _CarriedCall:
+class _CallInFlight:
     """One call on its way through the simulated network, and its response."""
 
     def __init__(
@@ -474,7 +474,7 @@
 
     def _respond(self, result: bytes | Exception) -> None:
         simulation = self._simulation
-        if (self._receiver.name, self._sender.name) not in simulation.cuts and self._receiver.alive:
+        if (self._receiver.name, self._sender.name) not in simulation.blocked_links and self._receiver.alive:
             simulation._send(self._receiver, self._sender, result, partial(self.finish, result))
 
     def finish(self, result: bytes | Exception) -> None:
--- a/tests/batch_builders.py
+++ b/tests/batch_builders.py
@@ -106,7 +106,7 @@
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=gateways, placement_groups=2, **args)
     simulation.routes = {route_config.name: route_config for route_config in routes or [route()]}
     simulation.runs, simulation.finished, simulation.event_interval, simulation.break_probability = [], [], ms(40), 0.05
-    simulation.with_engines(BatchGateway, None, 0)
+    simulation.add_engines(BatchGateway, None, 0)
     simulation.start()
     simulation.ready()
     simulation.run(settle_s)
--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -82,7 +82,7 @@
 def _played(simulation):
     """The notes of a scenario and of its network; the fleet is ready, and ended in the end."""
     seen, network = _Notes(simulation.clock.seconds), _Notes(simulation.clock.seconds)
-    with mock.patch.object(Simulation, "carry", _tapped_carry(network)):
+    with mock.patch.object(Simulation, "deliver_call", _recorded_deliver_call(network)):
         try:
             simulation.start()
             simulation.ready()
@@ -91,14 +91,16 @@
             simulation.end()
 
 
-def _tapped_carry(network):
+def _recorded_deliver_call(network):
     """The simulation's one way for messages, with a note for each request and for what came back to its sender."""
-    plain_carry = Simulation.carry
+    plain_deliver_call = Simulation.deliver_call
 
-    def carry(simulation, sender, address, method, body, node=""):
+    def deliver_call(simulation, sender, address, method, body, node=""):
         goal = next((a.name for a in simulation.simulated_nodes.values() if a.address == address), str(address))
         network.note("request", sender.name, goal, method, node, len(body), _short_digest(body))
-        return plain_carry(simulation, sender, address, method, body, node).addBoth(back, sender.name, goal, method)
+        return plain_deliver_call(simulation, sender, address, method, body, node).addBoth(
+            back, sender.name, goal, method
+        )
 
     def back(result, sender, goal, method):
         if not isinstance(result, Failure):
@@ -109,7 +111,7 @@
             network.note("error", sender, goal, method, _code(result.value), getattr(result.value, "remote_code", ""))
         return result
 
-    return carry
+    return deliver_call
 
 
 def _code(error) -> str:
@@ -127,7 +129,7 @@
         operators, caller = TableOperators(simulation), Caller(simulation)
         operators.timers = simulation.timers()
         random_faults = RandomFaults(simulation, roles=("controller",) if seed % 2 else ALL_ROLES)
-        random_faults.during([operators.operate(0), operators.operate(1)], faults=8)
+        random_faults.run_with_faults([operators.operate(0), operators.operate(1)], faults=8)
         simulation.run(4)
         operators.over = True
         simulation.run(4)
@@ -187,7 +189,9 @@
         writers = _RecordedWriters(simulation, seen)
         gateways = simulation.role("gateway")
         random_faults = RandomFaults(simulation, roles=("storage", "storage", "gateway"))
-        random_faults.during([work for a in gateways for work in (writers.write(a), writers.read(a))], faults=8)
+        random_faults.run_with_faults(
+            [work for a in gateways for work in (writers.write(a), writers.read(a))], faults=8
+        )
         for a in gateways:
             _spawn(seen, writers.write(a))
             _spawn(seen, writers.read(a))
@@ -210,12 +214,22 @@
 def gateway_batches(seed):
     """SimulatedClients' lots, live requests, and engines that come and go, while everything fails."""
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
-    simulation.with_engines(SimulatedGateway, SimulatedEngine, 3)
+    simulation.add_engines(SimulatedGateway, SimulatedEngine, 3)
     with _played(simulation) as (seen, network):
         c = SimulatedClients(simulation)
         random_faults = RandomFaults(simulation, roles=("gateway", "gateway", "storage", "controller"))
-        random_faults.during([c.hand_in(), c.read(), c.read(), c.end_some(), c.live(), c.engines()], faults=8)
-        c.over = True
+        random_faults.run_with_faults(
+            [
+                c.submit_batches(),
+                c.read_batches(),
+                c.read_batches(),
+                c.cancel_batches(),
+                c.send_live_requests(),
+                c.disturb_engines(),
+            ],
+            faults=8,
+        )
+        c.stopped = True
         simulation.run(9)
         _read_all_batches(simulation, c)
         _note_customers(c, simulation, seen)
@@ -225,7 +239,7 @@
 def _read_all_batches(simulation, customers):
     for batch in list(customers.batches):
         for gateway in simulation.role("gateway"):
-            simulation.do(customers.one_read(batch, gateway), 10)
+            simulation.do(customers.read_results(batch, gateway), 10)
 
 
 class _RecordedBatchClients(batch_builders.BatchClients):
@@ -260,12 +274,12 @@
     simulation.routes = {"bulk": batch_builders.route()}
     simulation.runs, simulation.finished, simulation.break_probability = [], [], 0.05
     simulation.event_interval = batch_builders.ms(40)
-    simulation.with_engines(batch_builders.BatchGateway, None, 0)
+    simulation.add_engines(batch_builders.BatchGateway, None, 0)
     with _played(simulation) as (seen, network):
         simulation.run(2)
         c = _RecordedBatchClients(simulation, seen)
         random_faults = RandomFaults(simulation)
-        random_faults.during(
+        random_faults.run_with_faults(
             [c.submit_repeatedly(), c.submit_repeatedly(), c.read_some(), c.read_some(), c.cancel_some()], 8
         )
         c.stopped = True
@@ -313,7 +327,7 @@
     with _played(simulation) as (seen, network):
         operators = _RecordedOperators(simulation, seen)
         random_faults = RandomFaults(simulation, roles=("controller",) if seed % 2 else ALL_ROLES)
-        random_faults.during([operators.operate() for _ in range(3)], faults=8)
+        random_faults.run_with_faults([operators.operate() for _ in range(3)], faults=8)
         if seed % 3 == 0:
             _lose_power(simulation)
         simulation.run(4)
@@ -339,13 +353,21 @@
     simulation = DelayingSimulation(
         seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=4, named=bool(seed % 2)
     )
-    simulation.with_engines(SimulatedGateway, SimulatedEngine, 2)
+    simulation.add_engines(SimulatedGateway, SimulatedEngine, 2)
     with _played(simulation) as (seen, network):
         operators, c = _RecordedOperators(simulation, seen), SimulatedClients(simulation)
-        work = [operators.operate(), operators.operate(), c.hand_in(), c.read(), c.end_some(), c.live(), c.engines()]
-        RandomFaults(simulation, roles=ALL_ROLES).during(work, faults=8, between=1.0)
+        work = [
+            operators.operate(),
+            operators.operate(),
+            c.submit_batches(),
+            c.read_batches(),
+            c.cancel_batches(),
+            c.send_live_requests(),
+            c.disturb_engines(),
+        ]
+        RandomFaults(simulation, roles=ALL_ROLES).run_with_faults(work, faults=8, between=1.0)
         simulation.run(3)
-        operators.over = c.over = True
+        operators.over = c.stopped = True
         simulation.run(9)
         _read_all_batches(simulation, c)
         _note_control_paths(simulation, operators.caller, seen)
--- a/tests/guard_scenarios.py
+++ b/tests/guard_scenarios.py
@@ -32,7 +32,7 @@
     def __init__(self, test, engines=2, step=0.04, capacity=4):
         self.simulation = Simulation(7, controllers=3, storage_nodes=4, gateways=3, placement_groups=2)
         test.addCleanup(self.simulation.end)
-        self.simulation.with_engines(SimulatedGateway, SimulatedEngine, engines)
+        self.simulation.add_engines(SimulatedGateway, SimulatedEngine, engines)
         for engine in self.simulation.engines.values():
             engine.step, engine.capacity = step, capacity
         self.simulation.start()
@@ -43,7 +43,7 @@
 
     def submit_batch(self, items=8):
         return self.simulation.until(
-            lambda: self.simulation.do(self.clients.one_batch(items)), 10, "a batch is accepted"
+            lambda: self.simulation.do(self.clients.submit_batch(items)), 10, "a batch is accepted"
         )
 
     def engine_runs(self, prompt=""):
@@ -61,7 +61,7 @@
 
     def wait_until_closed(self, batch):
         self.simulation.until(
-            lambda: self.simulation.do(self.clients.one_read(batch), 10)["state"] in ("done", "ended"),
+            lambda: self.simulation.do(self.clients.read_results(batch), 10)["state"] in ("done", "ended"),
             60,
             "the batch is closed",
         )
@@ -95,7 +95,7 @@
     owner.thaw()
     scenario.wait_until_closed(batch)
     for _ in range(6):
-        scenario.simulation.do(scenario.clients.one_read(batch))
+        scenario.simulation.do(scenario.clients.read_results(batch))
 
 
 def batch_ended(scenario):
@@ -188,21 +188,21 @@
     scenario.simulation.ready()
     scenario.clients.events[:] = [event for event in scenario.clients.events if event["event"] != "table_read"]
     for _ in range(3):
-        scenario.simulation.do(scenario.clients.one_read(batch))
+        scenario.simulation.do(scenario.clients.read_results(batch))
 
 
 def gateway_cut_off(scenario):
     """A gateway is partitioned off after it read the results of a batch, while more results are added."""
     batch, gateways = scenario.submit_batch(10), scenario.simulation.role("gateway")
-    scenario.simulation.do(scenario.clients.one_read(batch, gateways[0]))
+    scenario.simulation.do(scenario.clients.read_results(batch, gateways[0]))
     scenario.simulation.cut(["gateway0"], [node for node in scenario.simulation.simulated_nodes if node != "gateway0"])
     scenario.simulation.until(
-        lambda: len(scenario.simulation.do(scenario.clients.one_read(batch, gateways[1]), 10)["results"] or ()) > 3,
+        lambda: len(scenario.simulation.do(scenario.clients.read_results(batch, gateways[1]), 10)["results"] or ()) > 3,
         60,
         "more results are readable",
     )
     scenario.simulation.run(2)
-    scenario.simulation.do(scenario.clients.one_read(batch, gateways[0]), 10)
+    scenario.simulation.do(scenario.clients.read_results(batch, gateways[0]), 10)
     scenario.clients.note("hurt", id=1, nodes=["gateway0"], bearable=True)
     scenario.clients.events[-1]["at"] = 0
     scenario.simulation.heal()
--- a/tests/order_simulation.py
+++ b/tests/order_simulation.py
@@ -22,22 +22,22 @@
 class DelayingSimulation(Simulation):
     """Edits that controllers pass on wait in a cut connection and arrive once it is healed."""
 
-    def carry(self, sender, address, method, body, node=""):
+    def deliver_call(self, sender, address, method, body, node=""):
         goal = next((a for a in self.simulated_nodes.values() if a.address == address), None)
-        if method == "controller.edit" and goal is not None and (sender.name, goal.name) in self.cuts:
+        if method == "controller.edit" and goal is not None and (sender.name, goal.name) in self.blocked_links:
             self._hold(sender, goal, method, body, sender.ctx, goal.ctx, self.clock.seconds() + HOLD_LIMIT)
-        return super().carry(sender, address, method, body, node)
+        return super().deliver_call(sender, address, method, body, node)
 
     def _hold(self, sender, goal, method, body, sending, receiving, end):
         if goal.ctx is not receiving or not goal.alive or sender.ctx is not sending or self.clock.seconds() > end:
             return
-        if (sender.name, goal.name) in self.cuts:
+        if (sender.name, goal.name) in self.blocked_links:
             self.clock.callLater(0.05, self._hold, sender, goal, method, body, sending, receiving, end)
             return
         self.clock.callLater(0.002, self._let_go, sender, goal, method, body)
 
     def _let_go(self, sender, goal, method, body):
-        super().carry(sender, goal.address, method, body).addErrback(lambda f: None)
+        super().deliver_call(sender, goal.address, method, body).addErrback(lambda f: None)
 
 
 @attrs.define
--- a/tests/test_batches_faults.py
+++ b/tests/test_batches_faults.py
@@ -16,7 +16,7 @@
         self.addCleanup(simulation.end)
         clients = BatchClients(simulation)
         random_faults = RandomFaults(simulation, **args)
-        random_faults.during(
+        random_faults.run_with_faults(
             [
                 clients.submit_repeatedly(),
                 clients.submit_repeatedly(),
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -32,7 +32,7 @@
 
     def start(self):
         simulation = self.simulation
-        self.start_count, self.alive, self.node = 1, True, f"{self.name}x{simulation.fresh()}"
+        self.start_count, self.alive, self.node = 1, True, f"{self.name}x{simulation.next_number()}"
         self.clock = NodeReactor(simulation.clock)
         self.ctx = ctx = Context(
             "gateway",
@@ -86,7 +86,7 @@
     def run_real(self, gateways, engines):
         simulation = Simulation(3, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
         self.addCleanup(simulation.end)
-        simulation.with_engines(SimulatedGateway, SimulatedEngine, engines)
+        simulation.add_engines(SimulatedGateway, SimulatedEngine, engines)
         return counted(simulation, engines)
 
     def run_lightweight(self, gateways, engines):
--- a/tests/test_config_faults.py
+++ b/tests/test_config_faults.py
@@ -93,7 +93,7 @@
 
         simulation.run = run
         random_faults = RandomFaults(simulation, roles=roles)
-        random_faults.during([operators.operate(0), operators.operate(1)], faults=12)
+        random_faults.run_with_faults([operators.operate(0), operators.operate(1)], faults=12)
         simulation.run(6)
         operators.over = True
         simulation.run(10)
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -17,12 +17,12 @@
         self.synced = 0
 
     def append(self, fd, data):
-        self._run.point()
+        self._run.switch_point()
         super().append(fd, data)
 
     def sync(self, fd):
         size = os.fstat(fd).st_size
-        self._run.point()
+        self._run.switch_point()
         self.synced = size
 
     def sync_folder(self, folder):
--- a/tests/test_member_selection.py
+++ b/tests/test_member_selection.py
@@ -26,7 +26,7 @@
                     snapshots.append(self.check_members(simulation))
 
             simulation.run = run
-            RandomFaults(simulation, roles=("controller", "gateway", "storage")).during([], faults=6)
+            RandomFaults(simulation, roles=("controller", "gateway", "storage")).run_with_faults([], faults=6)
             simulation.run(4)
             distinct_views += len(set(snapshots))
         self.assertGreater(distinct_views, 10, "member statuses changed during the run")
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -24,11 +24,11 @@
         super().__init__(*args, **kwargs)
         self._emptied: set[str] = set()
 
-    def one(self):
+    def inject_one(self):
         if self._simulation.rng.random() < 0.4 and self._whole():
             self._empty_one()
         else:
-            super().one()
+            super().inject_one()
 
     def _whole(self) -> bool:
         leader = self._simulation.leader()
@@ -130,7 +130,7 @@
     simulation.run = run
     random_faults = EmptyingFaults(simulation)
     writers = [work.write(a.name, log) for a in simulation.role("gateway") for log in LOGS]
-    random_faults.during([work.operate(0), work.operate(1), *writers], faults=faults, between=1.2)
+    random_faults.run_with_faults([work.operate(0), work.operate(1), *writers], faults=faults, between=1.2)
     simulation.run(4)
     work.over = True
     simulation.run(3)
--- a/tests/test_response_orders.py
+++ b/tests/test_response_orders.py
@@ -12,7 +12,7 @@
 from pipitlink.router.connection_pool import ConnectionPool
 from pipitlink.router.engine_exchange import EngineExchange
 from pipitlink.router.inbound_request import InboundRequest
-from testbed.simulator.interleavings import explore_events, walk_events
+from testbed.simulator.interleavings import explore_orders, run_random_orders
 
 from .response_scenarios import ROUTES, ItemScenario, ResponseScenario
 
@@ -94,33 +94,33 @@
     def test_all_short_orders(self):
         for kind in ROUTES:
             with self.subTest(kind):
-                self.assertGreater(explore_events(_live(kind), 4), 300)
-                self.assertGreater(explore_events(_live(kind, engines=1, clients=2), 4), 1500)
-                self.assertGreater(explore_events(_live(kind, engines=2, slow_connects=True), 4), 150)
-                self.assertGreater(explore_events(_live(kind, engines=2, short_waits=True), 4), 400)
+                self.assertGreater(explore_orders(_live(kind), 4), 300)
+                self.assertGreater(explore_orders(_live(kind, engines=1, clients=2), 4), 1500)
+                self.assertGreater(explore_orders(_live(kind, engines=2, slow_connects=True), 4), 150)
+                self.assertGreater(explore_orders(_live(kind, engines=2, short_waits=True), 4), 400)
 
     def test_long_orders_at_random(self):
         for kind in ROUTES:
             with self.subTest(kind):
                 rng = Random(kind)
-                walk_events(_live(kind), rng, 12, 300)
-                walk_events(_live(kind, engines=1, clients=2), rng, 14, 300)
-                walk_events(_live(kind, engines=2, clients=2, slow_connects=True, short_waits=True), rng, 16, 300)
+                run_random_orders(_live(kind), rng, 12, 300)
+                run_random_orders(_live(kind, engines=1, clients=2), rng, 14, 300)
+                run_random_orders(_live(kind, engines=2, clients=2, slow_connects=True, short_waits=True), rng, 16, 300)
 
     def test_each_guard_is_needed(self):
         for name, guard in GUARDS.items():
             with self.subTest(name), _without(guard):
                 with self.assertRaises(AssertionError) as caught:
-                    explore_events(guard.scenario, 4)
+                    explore_orders(guard.scenario, 4)
                 self.assertIn(guard.violation, str(caught.exception))
 
 
 class ItemOrders(unittest.TestCase):
     def test_all_short_orders(self):
-        self.assertGreater(explore_events(ItemScenario, 4), 800)
+        self.assertGreater(explore_orders(ItemScenario, 4), 800)
 
     def test_long_orders_at_random(self):
-        walk_events(ItemScenario, Random(1), 14, 600)
+        run_random_orders(ItemScenario, Random(1), 14, 600)
 
 
 if __name__ == "__main__":
--- a/tests/test_rpc_event_orders.py
+++ b/tests/test_rpc_event_orders.py
@@ -7,17 +7,17 @@
 from pipitlink.timers import secs, spawn
 from pipitlink.wire.connection import RpcConnection
 from pipitlink.wire.frame_pb2 import Hello
-from testbed.simulator.interleavings import explore_events, walk_events
+from testbed.simulator.interleavings import explore_orders, run_random_orders
 
 from .rpc_scenarios import ADDRESS, RpcScenario
 
 
 class RpcOrders(unittest.TestCase):
     def test_all_short_event_orders(self):
-        self.assertGreater(explore_events(RpcScenario, 7), 2500)
+        self.assertGreater(explore_orders(RpcScenario, 7), 2500)
 
     def test_random_long_event_orders(self):
-        walk_events(RpcScenario, Random(1), 16, 2000)
+        run_random_orders(RpcScenario, Random(1), 16, 2000)
 
     def test_a_call_made_from_the_errback_of_a_lost_connection_uses_a_new_one(self):
         scenario = RpcScenario()
@@ -40,13 +40,13 @@
 
         with unittest.mock.patch.object(RpcConnection, "_resolve_call", resolve_any):
             with self.assertRaisesRegex(AssertionError, "MIXED"):
-                explore_events(RpcScenario, 5)
+                explore_orders(RpcScenario, 5)
 
     def test_reused_call_ids_are_detected(self):
         constant = property(lambda _: 0, lambda *_: None)
         with unittest.mock.patch.object(RpcConnection, "_last_call_id", constant, create=True):
             with self.assertRaises(AssertionError):
-                explore_events(RpcScenario, 5)
+                explore_orders(RpcScenario, 5)
 
 
 if __name__ == "__main__":
--- a/tests/test_simulated_batches.py
+++ b/tests/test_simulated_batches.py
@@ -32,7 +32,7 @@
 
 def start_simulation(seed, gateways=4, engines=3):
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=gateways, placement_groups=2)
-    simulation.with_engines(SimulatedGateway, SimulatedEngine, engines)
+    simulation.add_engines(SimulatedGateway, SimulatedEngine, engines)
     simulation.start()
     simulation.ready()
     return simulation
@@ -49,22 +49,22 @@
             simulation,
             random_faults,
             [
-                clients.hand_in(),
-                clients.hand_in(),
-                clients.read(),
-                clients.read(),
-                clients.end_some(),
-                clients.live(),
-                clients.engines(),
+                clients.submit_batches(),
+                clients.submit_batches(),
+                clients.read_batches(),
+                clients.read_batches(),
+                clients.cancel_batches(),
+                clients.send_live_requests(),
+                clients.disturb_engines(),
             ],
         )
-        clients.over = True
+        clients.stopped = True
         simulation.run(9)
         clients.note("healed", id=0, settle=0)
         for batch in clients.batches:
 
             def closed():
-                return simulation.do(clients.one_read(batch), 10, "a read")["state"] in ("done", "ended")
+                return simulation.do(clients.read_results(batch), 10, "a read")["state"] in ("done", "ended")
 
             try:
                 simulation.until(closed, 90, f"{batch} is done or ended: {random_faults.injected}")
@@ -119,13 +119,13 @@
         self.assertGreater(sum(runs for _, runs in counts), 20 * len(counts))
 
     def test_batches_are_correct_under_random_faults(self):
-        self.check_seeds(lambda simulation, random_faults, work: random_faults.during(work, 10))
+        self.check_seeds(lambda simulation, random_faults, work: random_faults.run_with_faults(work, 10))
 
     def test_a_new_owner_with_slow_storage_nodes_records_started_items_and_runs_the_rest(self):
         simulation = start_simulation(5)
         self.addCleanup(simulation.end)
         clients = SimulatedClients(simulation)
-        batch = simulation.until(lambda: simulation.do(clients.one_batch(12)), 20, "a batch is accepted")
+        batch = simulation.until(lambda: simulation.do(clients.submit_batch(12)), 20, "a batch is accepted")
         simulation.until(lambda: sum(n["event"] == "run" for n in simulation.notes) >= 3, 30, "items are running")
 
         def owner():
@@ -145,14 +145,16 @@
         simulation.run(6)
         for node in simulation.role("storage"):
             node.slow = 0.0
-        simulation.until(lambda: simulation.do(clients.one_read(batch), 10)["state"] == "done", 60, "the batch is done")
+        simulation.until(
+            lambda: simulation.do(clients.read_results(batch), 10)["state"] == "done", 60, "the batch is done"
+        )
         self.assertEqual(check(clients.events, simulation.notes, {}, capacity=4), [])
 
     def test_a_cancellation_that_is_not_durable_leaves_the_batch_open_for_its_next_owner(self):
         simulation = start_simulation(6)
         self.addCleanup(simulation.end)
         clients = SimulatedClients(simulation)
-        batch = simulation.until(lambda: simulation.do(clients.one_batch(12)), 20, "a batch is accepted")
+        batch = simulation.until(lambda: simulation.do(clients.submit_batch(12)), 20, "a batch is accepted")
         owner = simulation.until(
             lambda: next(
                 (
@@ -173,7 +175,7 @@
         self.assertIsNone(result)
         simulation.heal()
         simulation.until(
-            lambda: simulation.do(clients.one_read(batch), 10)["state"] in ("done", "ended"),
+            lambda: simulation.do(clients.read_results(batch), 10)["state"] in ("done", "ended"),
             60,
             "the batch is done or ended",
         )
@@ -214,7 +216,7 @@
         def inject_faults(simulation, random_faults, work):
             steps = list(OWNER_CALLS)
             simulation.rng.shuffle(steps)
-            random_faults.during(work, 0)
+            random_faults.run_with_faults(work, 0)
             for method in steps[:5]:
                 skip = [simulation.rng.randrange(12)]
 
--- a/tests/test_simulated_controllers.py
+++ b/tests/test_simulated_controllers.py
@@ -90,7 +90,7 @@
 
         simulation.run = run
         random_faults = RandomFaults(simulation, roles=roles)
-        random_faults.during([ops.operate(0), ops.operate(1)], faults=12)
+        random_faults.run_with_faults([ops.operate(0), ops.operate(1)], faults=12)
         simulation.run(6)
         ops.over = True
         simulation.run(8)
--- a/tests/test_simulated_edits.py
+++ b/tests/test_simulated_edits.py
@@ -35,7 +35,7 @@
     simulation.ready()
     operators = Operators(simulation)
     random_faults = RandomFaults(simulation, roles=roles)
-    random_faults.during([operators.operate() for _ in range(OPERATORS)], faults=faults)
+    random_faults.run_with_faults([operators.operate() for _ in range(OPERATORS)], faults=faults)
     if simulation.seed % 3 == 0:
         _lose_power(simulation)
     simulation.run(4)
--- a/tests/test_simulated_idle.py
+++ b/tests/test_simulated_idle.py
@@ -19,11 +19,11 @@
 
     def __init__(self, controllers, storage_nodes, gateways):
         self.simulation = s = Simulation(1, controllers=controllers, storage_nodes=storage_nodes, gateways=gateways)
-        s.with_engines(SimulatedGateway, SimulatedEngine, 0)
+        s.add_engines(SimulatedGateway, SimulatedEngine, 0)
         self.messages, self.bytes, self.asks = Counter(), Counter(), Counter()
         self.verb_bytes: Counter = Counter()
         self._at_rest = False
-        self._carry, s.carry = s.carry, self._count
+        self._carry, s.deliver_call = s.deliver_call, self._count
         s.start()
         s.ready(60)
         s.run(12)
--- a/tests/test_simulated_logs.py
+++ b/tests/test_simulated_logs.py
@@ -78,7 +78,7 @@
         tasks = [
             task for member in simulation.role("gateway") for task in (writers.write(member), writers.read(member))
         ]
-        random_faults.during(tasks, faults=10)
+        random_faults.run_with_faults(tasks, faults=10)
         simulation.run(8)
         writers.stopped = True
         simulation.run(3)
--- a/tests/test_simulated_long_logs.py
+++ b/tests/test_simulated_long_logs.py
@@ -197,8 +197,10 @@
             simulated_node.wipe()
         if kind == "replace":
             del simulation.simulated_nodes[simulated_node.name]
-            name = f"controller-{simulation.fresh()}"
-            simulated_node = simulation.add("controller", name, simulated_node.zone, 2000 + int(simulation.fresh()))
+            name = f"controller-{simulation.next_number()}"
+            simulated_node = simulation.add(
+                "controller", name, simulated_node.zone, 2000 + int(simulation.next_number())
+            )
             self._check_each_start(simulated_node, checker)
         simulation.seeds = tuple(
             f"{a.address[0]}:{a.address[1]}" for a in simulation.role("controller") if a is not simulated_node
--- a/tests/test_stale_leaseholder.py
+++ b/tests/test_stale_leaseholder.py
@@ -62,7 +62,7 @@
             simulation.run(0.05)
             progress = stale.progress.get(joining.node)
             if progress is not None and progress.tail_epoch == stale.epoch:
-                simulation.cuts = {cut for cut in simulation.cuts if joining.name not in cut}
+                simulation.blocked_links = {cut for cut in simulation.blocked_links if joining.name not in cut}
 
     def test_it_acknowledges_nothing_after_the_placement_change(self):
         for seed in (1, 3, 4):
--- a/tests/test_wrong_peer.py
+++ b/tests/test_wrong_peer.py
@@ -170,14 +170,14 @@
 
     def test_calls_of_followers_name_the_node_that_they_are_for(self):
         node_names = []
-        original_carry = self.simulation.carry
+        original_deliver_call = self.simulation.deliver_call
 
-        def carry(sender, address, method, body, node=""):
+        def deliver_call(sender, address, method, body, node=""):
             if method in ("controller.follow", "cluster.pass_on"):
                 node_names.append(node)
-            return original_carry(sender, address, method, body, node)
+            return original_deliver_call(sender, address, method, body, node)
 
-        with unittest.mock.patch.object(self.simulation, "carry", carry):
+        with unittest.mock.patch.object(self.simulation, "deliver_call", deliver_call):
             self.simulation.run(1)
         self.assertTrue(node_names)
         self.assertTrue(all(node_names))
