--- a/testbed/checks/checker.py
+++ b/testbed/checks/checker.py
@@ -4,11 +4,11 @@
 
 from ..standins.engine import card_bytes, response_pieces
 from .cluster_checks import check_cluster, check_engines, check_floors
-from .downtime import SLACK, Downtimes
+from .downtime import SLACK_SECONDS, Downtimes
 
 __all__ = ["check"]
 
-READ_SPAN = 4.0
+MAX_READ_SECONDS = 4.0
 MAX_SHED_SECONDS = 3.0
 
 
@@ -25,23 +25,23 @@
     out: list[str] = []
     events = sorted(events, key=lambda e: e["at"])
     notes = sorted(notes, key=lambda n: n["at"])
-    spans = Downtimes(events)
+    downtimes = Downtimes(events)
     runs = defaultdict(list)
     for n in notes:
         if n["event"] == "run":
             runs[n["prompt"]].append(n)
-    _check_live(events, runs, spans, out)
+    _check_live(events, runs, downtimes, out)
     _check_cards(events, out)
-    _check_responses(events, spans, out)
-    _check_batches(events, notes, runs, spans, out, finished)
-    check_engines(events, notes, zones, capacity, limits or {}, spans, out)
-    check_cluster(events, notes, spans, out)
+    _check_responses(events, downtimes, out)
+    _check_batches(events, notes, runs, downtimes, out, finished)
+    check_engines(events, notes, zones, capacity, limits or {}, downtimes, out)
+    check_cluster(events, notes, downtimes, out)
     if floors:
-        check_floors(events, spans, out)
+        check_floors(events, downtimes, out)
     return out
 
 
-def _check_live(events, runs, spans, out):
+def _check_live(events, runs, downtimes, out):
     for e in events:
         if e["event"] != "told":
             continue
@@ -60,10 +60,14 @@
             out.append(f"{prompt}: ended as whole after {len(e['pieces'])} of {len(right)} pieces")
         if e["end"] and e["fault"]:
             out.append(f"{prompt}: both an end and a fault")
-        if not e["end"] and not e["fault"] and not spans.hurt(e["asked"], e["at"], e.get("resumed") or e["gateway"]):
+        if (
+            not e["end"]
+            and not e["fault"]
+            and not downtimes.is_affected(e["asked"], e["at"], e.get("resumed") or e["gateway"])
+        ):
             out.append(f"{prompt}: neither an end nor a fault")
         late = e["at"] - e["asked"] - e.get("limit", 18)
-        if late > 1.5 and not e.get("slow") and not spans.hurt(e["asked"], e["at"], e.get("gateway")):
+        if late > 1.5 and not e.get("slow") and not downtimes.is_affected(e["asked"], e["at"], e.get("gateway")):
             out.append(f"{prompt}: its final answer came {late:.1f} s after its limit")
 
 
@@ -73,7 +77,7 @@
             out.append(f"card {e['path']}: {e['size']} bytes that are not the back end's own")
 
 
-def _check_responses(events, spans, out):
+def _check_responses(events, downtimes, out):
     """A `not_run` says when to come back, where coming back can help, and is told as soon as it is known."""
     for e in events:
         if e["event"] not in ("told", "fetched", "lot", "edit") or e.get("resumed"):
@@ -88,12 +92,12 @@
         if (
             took > MAX_SHED_SECONDS
             and e["event"] in ("told", "fetched")
-            and not spans.hurt(e["asked"], e["at"], e.get("gateway"))
+            and not downtimes.is_affected(e["asked"], e["at"], e.get("gateway"))
         ):
             out.append(f"{name}: the answer {fault.get('code')} was held back for {took:.1f} s")
 
 
-def _check_batches(events, notes, runs, spans, out, finished):
+def _check_batches(events, notes, runs, downtimes, out, finished):
     batches = {e["lot"]: e for e in events if e["event"] == "lot" and e["lot"]}
     for e in events:
         if e["event"] == "lot" and (e["fault"] or {}).get("outcome") == "not_run":
@@ -115,12 +119,12 @@
             reads[e["lot"]].append(e)
     for batch, es in reads.items():
         for e in es:
-            _check_readable(batch, batches[batch], e, spans, out)
+            _check_readable(batch, batches[batch], e, downtimes, out)
             for r in e["results"] or ():
                 now = (r["item"], r["outcome"], r["text"])
                 if shown[batch].setdefault(r["n"], now) != now:
                     out.append(f"lot {batch}: place {r['n']} changed from {shown[batch][r['n']]} to {now}")
-        _check_kept_reading(batch, es, out)
+        _check_monotonic_reads(batch, es, out)
     for batch, e in batches.items():
         items = Counter(item for item, _, _ in shown[batch].values())
         doubled = [i for i, k in items.items() if k > 1]
@@ -139,16 +143,16 @@
                 if len(runs.get(p, ())) > 1:
                     out.append(f"lot {batch}: {p} may not be repeated and ran {len(runs[p])} times")
         if batch in ended:
-            _check_ended(batch, e, ended[batch], notes, out)
+            _check_cancelled(batch, e, ended[batch], notes, out)
         elif finished and batch not in over and len(items) != len(e["prompts"]):
             out.append(f"lot {batch}: {len(items)} of {len(e['prompts'])} items are listed at the end")
 
 
-def _check_readable(batch, accepted, e, spans, out):
+def _check_readable(batch, accepted, e, downtimes, out):
     """Any gateway that is not down, cut or frozen shows an accepted lot from a second after it was accepted."""
-    if e["asked"] < accepted["at"] + 1 or spans.hurt(e["asked"], e["at"], e.get("gateway")):
+    if e["asked"] < accepted["at"] + 1 or downtimes.is_affected(e["asked"], e["at"], e.get("gateway")):
         return
-    if spans.unbearable(e["asked"], e["at"]):
+    if downtimes.exceeds_tolerance(e["asked"], e["at"]):
         return
     code = (e.get("fault") or {}).get("code", "")
     if e["status"] != 200:
@@ -156,30 +160,30 @@
             f"lot {batch}: accepted and not readable ({e['status']} {code} at {e.get('gateway')}, "
             f"{e['asked'] - accepted['at']:.1f} s after)"
         )
-    elif e.get("took", 0) > READ_SPAN:
+    elif e.get("took", 0) > MAX_READ_SECONDS:
         out.append(f"lot {batch}: reading it took {e['took']:.1f} s")
 
 
-def _check_kept_reading(batch, es, out):
+def _check_monotonic_reads(batch, es, out):
     """What was shown to one caller is shown to any that asks a second later."""
     most = 0
     at = 0.0
     for e in sorted((e for e in es if e["status"] == 200), key=lambda e: e["asked"]):
         have = e["start"] + len(e["results"])
-        if have < most and e["asked"] > at + 1 + SLACK:
+        if have < most and e["asked"] > at + 1 + SLACK_SECONDS:
             out.append(f"lot {batch}: {most} results were shown at {at:.2f}, {have} at {e['asked']:.2f}")
         if have > most:
             most, at = have, e["at"]
 
 
-def _check_ended(batch, e, at, notes, out):
+def _check_cancelled(batch, e, at, notes, out):
     mine = set(e["prompts"])
     open_runs = {}
     for n in notes:
         if n["event"] == "run" and n["prompt"] in mine:
             open_runs[n["run"]] = n
-            if n["at"] > at + 3 + SLACK:
+            if n["at"] > at + 3 + SLACK_SECONDS:
                 out.append(f"lot {batch}: {n['prompt']} started {n['at'] - at:.1f} s after its end")
         elif n["event"] in ("done", "left", "cut") and n.get("run") in open_runs:
-            if n["at"] > at + 3 + SLACK:
+            if n["at"] > at + 3 + SLACK_SECONDS:
                 out.append(f"lot {batch}: an item ran on {n['at'] - at:.1f} s after its end")
--- a/testbed/checks/cluster_checks.py
+++ b/testbed/checks/cluster_checks.py
@@ -2,14 +2,14 @@
 
 from collections import defaultdict
 
-from .downtime import SLACK
+from .downtime import SLACK_SECONDS
 
 __all__ = ["check_engines", "check_cluster", "check_floors", "FLOORS"]
 
-RAMP_SPAN = 8.0
-RAMP_EXTRA = 2
-QUIET_BEFORE = 3.0
-NOTICE = 0.1
+RAMP_SECONDS = 8.0
+RAMP_EXTRA_RUNS = 2
+QUIET_BEFORE_SECONDS = 3.0
+END_NOTICE_SECONDS = 0.1
 FLOORS = {
     "live": (0.97, 0.6),
     "again": (0.97, 0.7),
@@ -19,18 +19,18 @@
     "read": (0.99, 0.6),
     "edit": (0.95, 0.4),
 }
-FEWEST = 8
+MIN_REQUESTS = 8
 
 
-def check_engines(events, notes, zones, capacity, limits, spans, out):
-    _check_leaving(notes, out)
-    _check_zones(events, notes, zones, out)
-    _check_cold(notes, capacity, out)
+def check_engines(events, notes, zones, capacity, limits, downtimes, out):
+    _check_draining_engines(notes, out)
+    _check_emptied_zones(events, notes, zones, out)
+    _check_slow_start(notes, capacity, out)
     for model, (rate, most) in limits.items():
-        _check_limits(model, rate, most, notes, spans, out)
+        _check_limits(model, rate, most, notes, downtimes, out)
 
 
-def _check_leaving(notes, out):
+def _check_draining_engines(notes, out):
     announced = {}
     for n in notes:
         if n["event"] == "told":
@@ -41,14 +41,16 @@
         elif n["event"] == "open":
             announced.pop(n["engine"], None)
         elif (
-            n["event"] in ("run", "card") and n["engine"] in announced and n["at"] > announced[n["engine"]] + 2 + SLACK
+            n["event"] in ("run", "card")
+            and n["engine"] in announced
+            and n["at"] > announced[n["engine"]] + 2 + SLACK_SECONDS
         ):
             out.append(
                 f"{n['engine']} got {n['prompt']} {n['at'] - announced[n['engine']]:.1f} s after it said it leaves"
             )
 
 
-def _check_zones(events, notes, zones, out):
+def _check_emptied_zones(events, notes, zones, out):
     emptied: dict[str, float] = {}
     marks = [e for e in events if e["event"] in ("zone_edit", "zone_asked")]
     for e in [*marks, {"event": "over", "at": float("inf")}]:
@@ -61,12 +63,12 @@
                     if (
                         n["event"] in ("run", "card")
                         and zones.get(n["engine"]) == zone
-                        and at + 5 + SLACK < n["at"] < e["at"]
+                        and at + 5 + SLACK_SECONDS < n["at"] < e["at"]
                     ):
                         out.append(f"{n['engine']} got work {n['at'] - at:.1f} s after {zone} was emptied")
 
 
-def _check_cold(notes, capacity, out):
+def _check_slow_start(notes, capacity, out):
     """From an open, or a return from silence or refusal, work runs no higher than the ramp, over the whole fleet."""
     by_engine = defaultdict(list)
     for n in notes:
@@ -85,28 +87,30 @@
             if n["event"] not in ("run", "refused") or since is None or announced:
                 continue
             age = n["at"] - since
-            allowed = max(1, int(capacity * min(1.0, 0.1 + 0.9 * age / RAMP_SPAN))) + RAMP_EXTRA
+            allowed = max(1, int(capacity * min(1.0, 0.1 + 0.9 * age / RAMP_SECONDS))) + RAMP_EXTRA_RUNS
             have = len(running) + (n["event"] == "refused")
-            if age < RAMP_SPAN and have > allowed:
+            if age < RAMP_SECONDS and have > allowed:
                 announced = True
                 out.append(f"{name} was cold and flooded: {have} at once {age:.2f} s after it came, {allowed} allowed")
 
 
-def _check_limits(model, rate, most, notes, spans, out):
+def _check_limits(model, rate, most, notes, downtimes, out):
     """A row's rate and concurrency hold over the whole fleet, at the engines."""
     starts = [n["at"] for n in notes if n["event"] == "run" and n.get("model") == model]
     if rate:
         for span in (1.0, 4.0, 10.0):
             for i, at in enumerate(starts):
                 n = sum(1 for t in starts[i:] if t < at + span)
-                if n > rate * (span + SLACK) + max(1.0, rate) + 1:
+                if n > rate * (span + SLACK_SECONDS) + max(1.0, rate) + 1:
                     out.append(f"{model}: {n} runs in {span:g} s at a rate of {rate:g}")
                     break
     running: dict[str, str] = {}
     began = {n["run"]: n["at"] for n in notes if n["event"] == "run"}
     seen = sorted(
         (
-            {**n, "at": max(began.get(n["run"], 0), n["at"] - NOTICE)} if n["event"] in ("left", "cut") else n
+            {**n, "at": max(began.get(n["run"], 0), n["at"] - END_NOTICE_SECONDS)}
+            if n["event"] in ("left", "cut")
+            else n
             for n in notes
         ),
         key=lambda n: (n["at"], n["event"] != "run"),
@@ -114,7 +118,7 @@
     for n in seen:
         if n["event"] == "run" and n.get("model") == model:
             running[n["run"]] = n["engine"]
-            sure = [e for e in running.values() if not spans.hurt(n["at"], n["at"], e)]
+            sure = [e for e in running.values() if not downtimes.is_affected(n["at"], n["at"], e)]
             if most and len(sure) > most:
                 out.append(f"{model}: {len(sure)} at once where {most} are allowed, at {n['at']:.2f}")
                 return
@@ -124,10 +128,10 @@
             running = {r: e for r, e in running.items() if e != n["engine"]}
 
 
-def check_cluster(events, notes, spans, out):
+def check_cluster(events, notes, downtimes, out):
     _check_table(events, out)
     _check_read_back(events, out)
-    _check_gates(events, notes, spans, out)
+    _check_weight_edits(events, notes, downtimes, out)
 
 
 def _check_table(events, out):
@@ -151,26 +155,26 @@
     for base, ids in bases.items():
         if len(ids) > 1:
             out.append(f"{len(ids)} edits took effect on base {base}")
-    doubtful = {e["base"] for e in edits if e["outcome"] == "unknown" and e["edit"] not in by_id}
+    unresolved_bases = {e["base"] for e in edits if e["outcome"] == "unknown" and e["edit"] not in by_id}
     cluster_states: dict[int, dict | None] = {}
     for e in sorted(by_id.values(), key=lambda e: e["sequence"]):
         before = cluster_states.get(e["base"], {} if not cluster_states and not e["base"] else None)
-        cluster_states[e["sequence"]] = _after(e, before)
+        cluster_states[e["sequence"]] = _rows_after(e, before)
     acked = sorted((e["at"], e["sequence"]) for e in by_id.values())
     for r in (e for e in events if e["event"] == "table_read"):
         newest = max((s for at, s in acked if at < r["asked"]), default=0)
         if r["sequence"] < newest:
             out.append(f"the table read as {r['sequence']} after {newest} was acknowledged")
         if r["sequence"] in cluster_states:
-            if cluster_states[r["sequence"]] is not None and not _same(cluster_states[r["sequence"]], r["rows"]):
-                differs = _differ(cluster_states[r["sequence"]], r)
+            if cluster_states[r["sequence"]] is not None and not _same_rows(cluster_states[r["sequence"]], r["rows"]):
+                differs = _differing_rows(cluster_states[r["sequence"]], r)
                 out.append(f"the table at {r['sequence']} is not what its edits made: {differs}")
             cluster_states[r["sequence"]] = r["rows"]
-        elif r["sequence"] and not doubtful and cluster_states:
+        elif r["sequence"] and not unresolved_bases and cluster_states:
             out.append(f"the table is at {r['sequence']}, which no edit made")
 
 
-def _after(e, before) -> dict | None:
+def _rows_after(e, before) -> dict | None:
     if e.get("whole") is not None:
         return e["whole"]
     if before is None:
@@ -179,16 +183,16 @@
     return rows if e["value"] is None else {**rows, e["row"]: e["value"]}
 
 
-def _same(model: dict, read: dict) -> bool:
+def _same_rows(model: dict, read: dict) -> bool:
     return model.keys() == read.keys() and all(read[k].get(f) == v for k in model for f, v in model[k].items())
 
 
-def _differ(model, r) -> str:
+def _differing_rows(model, r) -> str:
     return ",".join(
         sorted(
             k
             for k in model.keys() | r["rows"].keys()
-            if not _same({k: model.get(k, {})}, {k: r["rows"].get(k, {})}) or k not in model
+            if not _same_rows({k: model.get(k, {})}, {k: r["rows"].get(k, {})}) or k not in model
         )
     )[:200]
 
@@ -207,7 +211,7 @@
                     out.append(f"{zone} reads as {'emptied' if not empty else 'filled'} after it was set otherwise")
 
 
-def _check_gates(events, notes, spans, out):
+def _check_weight_edits(events, notes, downtimes, out):
     """Two seconds after an edit was acknowledged, back ends and callers see its effect."""
     models = {e["model"] for e in events if e["event"] == "gate"}
     for model in models:
@@ -225,7 +229,7 @@
                 late = [
                     n
                     for n in notes
-                    if n["event"] == "run" and n.get("model") == model and since + 2 + SLACK < n["at"] < until
+                    if n["event"] == "run" and n.get("model") == model and since + 2 + SLACK_SECONDS < n["at"] < until
                 ]
                 if late:
                     out.append(f"{model}: ran {late[0]['at'] - since:.1f} s after its weight was 0")
@@ -237,13 +241,13 @@
                         and since + 2 < e["asked"]
                         and e["at"] < until
                         and (e["fault"] or {}).get("code") in ("none_heard", "not_found")
-                        and not spans.hurt(e["asked"], e["at"], e["gateway"])
+                        and not downtimes.is_affected(e["asked"], e["at"], e["gateway"])
                     ):
                         out.append(f"{model}: refused {e['asked'] - since:.1f} s after it was opened")
                         break
 
 
-def _kinds(events):
+def _served_by_kind(events):
     for e in events:
         if e["event"] == "told" and not e["prompt"].startswith(("crowd-", "closing-")) and not e.get("slow"):
             kind = "resumed" if e.get("resumed") else "again" if e["repeatable"] else "live"
@@ -259,20 +263,20 @@
             yield "edit", e["status"] == 200, e
 
 
-def check_floors(events, spans, out):
+def check_floors(events, downtimes, out):
     """What share of each kind is served while nothing is wrong, and while one bearable fault lasts."""
     counts = defaultdict(lambda: [0, 0])
-    for kind, good, e in _kinds(events):
-        n = spans.count(e["asked"] - QUIET_BEFORE, e["at"])
-        if n < 2 and not spans.unbearable(e["asked"], e["at"]):
+    for kind, good, e in _served_by_kind(events):
+        n = downtimes.count(e["asked"] - QUIET_BEFORE_SECONDS, e["at"])
+        if n < 2 and not downtimes.exceeds_tolerance(e["asked"], e["at"]):
             counts[kind, n][0] += good
             counts[kind, n][1] += 1
     for kind, floors in FLOORS.items():
         for n, floor in enumerate(floors):
             good, every = counts[kind, n]
-            if n == 0 and every < FEWEST and any(k == kind for k, _ in counts):
+            if n == 0 and every < MIN_REQUESTS and any(k == kind for k, _ in counts):
                 out.append(f"{kind}: only {every} were asked while nothing was wrong")
-            elif every >= FEWEST and good < floor * every - 1:
+            elif every >= MIN_REQUESTS and good < floor * every - 1:
                 out.append(
                     f"{kind}: {good} of {every} were served while {'one fault lasted' if n else 'nothing was wrong'}"
                 )
--- a/testbed/checks/linearizability.py
+++ b/testbed/checks/linearizability.py
@@ -11,20 +11,20 @@
 
 import attrs
 
-__all__ = ["Response", "ConfigOrder", "ConfigSeen", "ZoneOrder", "ZoneSeen", "check_history"]
+__all__ = ["Response", "ConfigWrite", "ConfigRead", "ZoneWrite", "ZoneRead", "check_history"]
 
 
 class Response(Enum):
     """What an operator was told of an order in the end."""
 
-    TAKEN = "taken"
+    CONFIRMED = "taken"
     OTHER_VERSION = "refused for another version"
     REFUSED = "refused"
     UNKNOWN = "not answered clearly"
 
 
 @attrs.frozen
-class ConfigOrder:
+class ConfigWrite:
     """A change of the configuration; `content` stands for all of it, and is the same when it is sent again."""
 
     content: str
@@ -35,12 +35,12 @@
     response: Response
     valid: bool = True
 
-    def steps(self, chain: tuple) -> list[tuple]:
+    def next_states(self, chain: tuple) -> list[tuple]:
         """The states that may follow, a chain of (version, content) taken so far; none where it cannot come here."""
         newest = chain[-1][0] if chain else 0
         taken = any(content == self.content for _, content in chain)
         fits = self.valid and not taken and newest == self.base and self.version > newest
-        if self.response in (Response.TAKEN, Response.UNKNOWN):
+        if self.response in (Response.CONFIRMED, Response.UNKNOWN):
             if taken:
                 return [chain]
             return [(*chain, (self.version, self.content))] if fits else []
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class ConfigSeen:
+class ConfigRead:
     """A configuration that was in force at some time between `sent` and `ended`, read back, or served by a gateway."""
 
     version: int
@@ -58,15 +58,15 @@
     sent: float
     ended: float
     server: str = ""
-    response = Response.TAKEN
+    response = Response.CONFIRMED
 
-    def steps(self, chain: tuple) -> list[tuple]:
+    def next_states(self, chain: tuple) -> list[tuple]:
         newest = chain[-1] if chain else (0, "")
         return [chain] if newest == (self.version, self.content) else []
 
 
 @attrs.frozen
-class ZoneOrder:
+class ZoneWrite:
     """One copy of an order to empty or fill a zone."""
 
     zone: str
@@ -75,12 +75,12 @@
     ended: float
     response: Response
 
-    def steps(self, empty: bool) -> list[bool]:
-        return [self.empty] if self.response in (Response.TAKEN, Response.UNKNOWN) else [empty]
+    def next_states(self, empty: bool) -> list[bool]:
+        return [self.empty] if self.response in (Response.CONFIRMED, Response.UNKNOWN) else [empty]
 
 
 @attrs.frozen
-class ZoneSeen:
+class ZoneRead:
     """Whether a zone was empty at some time between `sent` and `ended`, read back, or served by a gateway."""
 
     zone: str
@@ -88,42 +88,42 @@
     sent: float
     ended: float
     server: str = ""
-    response = Response.TAKEN
+    response = Response.CONFIRMED
 
-    def steps(self, empty: bool) -> list[bool]:
+    def next_states(self, empty: bool) -> list[bool]:
         return [empty] if empty == self.empty else []
 
 
 def check_history(records: list) -> list[str]:
     """Every register whose records no order explains, with the record at which the longest order ends."""
-    out = _double_confirmations([r for r in records if isinstance(r, ConfigOrder)])
-    out += _explain("the configuration", [r for r in records if isinstance(r, ConfigOrder | ConfigSeen)], ())
-    for zone in sorted({r.zone for r in records if isinstance(r, ZoneOrder | ZoneSeen)}):
-        of_zone = [r for r in records if isinstance(r, ZoneOrder | ZoneSeen) and r.zone == zone]
-        out += _explain(f"zone {zone}", of_zone, False)
+    out = _conflicting_confirmations([r for r in records if isinstance(r, ConfigWrite)])
+    out += _check_register("the configuration", [r for r in records if isinstance(r, ConfigWrite | ConfigRead)], ())
+    for zone in sorted({r.zone for r in records if isinstance(r, ZoneWrite | ZoneRead)}):
+        of_zone = [r for r in records if isinstance(r, ZoneWrite | ZoneRead) and r.zone == zone]
+        out += _check_register(f"zone {zone}", of_zone, False)
     return out
 
 
-def _double_confirmations(orders: list[ConfigOrder]) -> list[str]:
+def _conflicting_confirmations(orders: list[ConfigWrite]) -> list[str]:
     """Implied by the search, and said in plain words: two changes confirmed on one base or under one version."""
     out = []
     for what in ("base", "version"):
         confirmed: dict[int, str] = {}
         for r in orders:
-            if r.response is Response.TAKEN and confirmed.setdefault(getattr(r, what), r.content) != r.content:
+            if r.response is Response.CONFIRMED and confirmed.setdefault(getattr(r, what), r.content) != r.content:
                 out.append(f"two changes were confirmed with {what} {getattr(r, what)}")
     return out
 
 
-def _explain(what: str, records: list, state) -> list[str]:
+def _check_register(what: str, records: list, state) -> list[str]:
     search = _Search(sorted(records, key=lambda r: (r.sent, r.ended)))
-    if search.explains(state):
+    if search.is_linearizable(state):
         return []
     return [f"no order explains {what}, at the latest from {search.stuck} on"]
 
 
-def _is_view(record) -> bool:
-    return isinstance(record, ConfigSeen | ZoneSeen)
+def _is_read(record) -> bool:
+    return isinstance(record, ConfigRead | ZoneRead)
 
 
 def _precedes(a, b) -> bool:
@@ -132,9 +132,9 @@
     """
     if a.ended >= b.sent:
         return False
-    if not _is_view(b) or not b.server:
+    if not _is_read(b) or not b.server:
         return True
-    return a.server == b.server if _is_view(a) else a.response is Response.TAKEN
+    return a.server == b.server if _is_read(a) else a.response is Response.CONFIRMED
 
 
 class _Search:
@@ -144,66 +144,68 @@
 
     def __init__(self, records: list):
         self._records = records
-        self._owed = sum(1 << i for i, r in enumerate(records) if r.response is not Response.UNKNOWN)
-        self._before = [sum(1 << i for i, a in enumerate(records) if _precedes(a, b)) & self._owed for b in records]
-        self._after = [sum(1 << i for i, b in enumerate(records) if _precedes(a, b)) for a in records]
-        self._free = [self._changes_nothing(r) for r in records]
-        self._closing = [
+        self._required = sum(1 << i for i, r in enumerate(records) if r.response is not Response.UNKNOWN)
+        self._predecessors = [
+            sum(1 << i for i, a in enumerate(records) if _precedes(a, b)) & self._required for b in records
+        ]
+        self._successors = [sum(1 << i for i, b in enumerate(records) if _precedes(a, b)) for a in records]
+        self._read_only = [self._is_read_only(r) for r in records]
+        self._unknown_predecessors = [
             sum(1 << i for i, a in enumerate(records) if a.response is Response.UNKNOWN and _precedes(a, b))
             for b in records
         ]
         self._deepest = -1
         self.stuck = None
 
-    def explains(self, state) -> bool:
-        tried = set()
-        ways = [(0, state)]
-        while ways:
-            done, state = self._take_free(*ways.pop())
-            if done & self._owed == self._owed:
+    def is_linearizable(self, state) -> bool:
+        visited = set()
+        branches = [(0, state)]
+        while branches:
+            done, state = self._apply_read_only(*branches.pop())
+            if done & self._required == self._required:
                 return True
-            if (done, state) in tried:
+            if (done, state) in visited:
                 continue
-            tried.add((done, state))
-            self._note(done)
-            ways += self._next(done, state)
+            visited.add((done, state))
+            self._record_progress(done)
+            branches += self._next_branches(done, state)
         return False
 
-    def _open(self, done: int):
+    def _available(self, done: int):
         """Operations that may come next."""
         for i, r in enumerate(self._records):
-            if not (done >> i & 1 or self._before[i] & ~done or self._after[i] & done):
+            if not (done >> i & 1 or self._predecessors[i] & ~done or self._successors[i] & done):
                 yield i, r
 
-    def _take_free(self, done: int, state):
+    def _apply_read_only(self, done: int, state):
         """Takes what changes nothing, may come now and closes the time of nothing else: to put it off gains nothing."""
-        while done & self._owed != self._owed:
+        while done & self._required != self._required:
             free = [
                 i
-                for i, r in self._open(done)
-                if self._free[i] and not self._closing[i] & ~done and state in r.steps(state)
+                for i, r in self._available(done)
+                if self._read_only[i] and not self._unknown_predecessors[i] & ~done and state in r.next_states(state)
             ]
             if not free:
                 break
             done |= sum(1 << i for i in free)
         return done, state
 
-    def _changes_nothing(self, r) -> bool:
-        return _is_view(r) or r.response in (Response.OTHER_VERSION, Response.REFUSED)
+    def _is_read_only(self, r) -> bool:
+        return _is_read(r) or r.response in (Response.OTHER_VERSION, Response.REFUSED)
 
-    def _next(self, done: int, state) -> list:
+    def _next_branches(self, done: int, state) -> list:
         """The ways on from here, the likeliest last: what is owed goes first, and of this what ended first."""
-        ways = [
+        branches = [
             (r.response is Response.UNKNOWN, r.ended, done | 1 << i, after)
-            for i, r in self._open(done)
-            for after in r.steps(state)
+            for i, r in self._available(done)
+            for after in r.next_states(state)
             if r.response is not Response.UNKNOWN or after != state
         ]
-        ways.sort(key=lambda w: w[:2], reverse=True)
-        return [(mask, after) for _, _, mask, after in ways]
+        branches.sort(key=lambda w: w[:2], reverse=True)
+        return [(mask, after) for _, _, mask, after in branches]
 
-    def _note(self, done: int):
-        depth = (done & self._owed).bit_count()
+    def _record_progress(self, done: int):
+        depth = (done & self._required).bit_count()
         if depth > self._deepest:
             self._deepest = depth
             left = [r for i, r in enumerate(self._records) if not done >> i & 1 and r.response is not Response.UNKNOWN]
--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -11,7 +11,7 @@
 from twisted.internet import defer
 from twisted.python.failure import Failure
 
-from testbed.checks.linearizability import ConfigOrder, ConfigSeen, ZoneOrder, ZoneSeen
+from testbed.checks.linearizability import ConfigRead, ConfigWrite, ZoneRead, ZoneWrite
 from testbed.simulator.random_faults import RandomFaults
 from testbed.simulator.simulated_clients import SimulatedClients
 from testbed.simulator.simulated_engine import SimulatedEngine
@@ -31,10 +31,10 @@
 BODY_SHOWN = 160
 SLOW_LINK = 2_000_000.0
 HISTORY_WORDS = {
-    ConfigOrder: "config-order",
-    ConfigSeen: "config-seen",
-    ZoneOrder: "zone-order",
-    ZoneSeen: "zone-seen",
+    ConfigWrite: "config-order",
+    ConfigRead: "config-seen",
+    ZoneWrite: "zone-order",
+    ZoneRead: "zone-seen",
 }
 CUSTOMER_FIELDS = {
     "lot": ("name", "lot", "status", "retry", "fault", "asked"),
--- a/tests/order_simulation.py
+++ b/tests/order_simulation.py
@@ -5,7 +5,7 @@
 import attrs
 
 from pipitlink.timers import ms, spawn
-from testbed.checks.linearizability import ConfigOrder, ConfigSeen, Response, ZoneOrder, ZoneSeen
+from testbed.checks.linearizability import ConfigRead, ConfigWrite, Response, ZoneRead, ZoneWrite
 from testbed.simulator.simulation import Simulation
 
 from .control_calls import Caller, config_of, route_of
@@ -76,7 +76,7 @@
         self.faults.append(repr(error))
 
     def taken(self) -> int:
-        return sum(isinstance(r, ConfigOrder | ZoneOrder) and r.response is Response.TAKEN for r in self.records)
+        return sum(isinstance(r, ConfigWrite | ZoneWrite) and r.response is Response.CONFIRMED for r in self.records)
 
     async def call(self, controller, *args):
         """One copy of a call: (status, body), or None where no clear answer came in time."""
@@ -142,7 +142,7 @@
             )
         outcome = await self.send(*args, {"If-Match": str(base)})
         self.records.append(
-            ConfigOrder(content, base, version, outcome.copies[0], outcome.ended, outcome.response, valid)
+            ConfigWrite(content, base, version, outcome.copies[0], outcome.ended, outcome.response, valid)
         )
         return outcome.response
 
@@ -150,7 +150,7 @@
         outcome = await self.send("PUT" if empty else "DELETE", f"/v1/zones/{zone}/empty")
         for n, sent in enumerate(outcome.copies, 1):
             response = outcome.response if n == len(outcome.copies) else Response.UNKNOWN
-            self.records.append(ZoneOrder(zone, empty, sent, outcome.ended, response))
+            self.records.append(ZoneWrite(zone, empty, sent, outcome.ended, response))
 
     async def read(self, controller=None):
         """The version and content that were read back, or None."""
@@ -161,7 +161,7 @@
             return None
         version, routes = outcome[1]["version"], outcome[1]["routes"]
         content = routes[0]["name"] if routes else ""
-        self.records.append(ConfigSeen(version, content, began, self.simulation.clock.seconds()))
+        self.records.append(ConfigRead(version, content, began, self.simulation.clock.seconds()))
         return version, content
 
     async def operate(self):
@@ -192,7 +192,7 @@
         else:
             replaced = content if content and rng.random() < 0.3 else None
             response = await self.change(name, base, version, replaced=replaced)
-            if response is Response.TAKEN and rng.random() < 0.3:
+            if response is Response.CONFIRMED and rng.random() < 0.3:
                 await self.change(name, base, version, replaced=replaced)
 
     async def _early(self, name: str, base: int):
@@ -213,9 +213,9 @@
                 continue
             state = a.ctx.cluster.cluster_state
             content = next(iter(state.routes.routes), "")
-            self._note_view(a, ConfigSeen(state.routes.version, content, now - IN_EFFECT, now, a.node))
+            self._note_view(a, ConfigRead(state.routes.version, content, now - IN_EFFECT, now, a.node))
             for zone in ZONES:
-                self._note_view(a, ZoneSeen(zone, zone in state.empty_zones, now - IN_EFFECT, now, a.node))
+                self._note_view(a, ZoneRead(zone, zone in state.empty_zones, now - IN_EFFECT, now, a.node))
 
     def _note_view(self, gateway, view):
         """One record for each second of an unchanged view; a version that goes back is a fault of its own."""
@@ -224,7 +224,7 @@
         same = last is not None and attrs.evolve(last, sent=view.sent, ended=view.ended) == view
         if same and view.ended - last.ended < 1:
             return
-        if isinstance(view, ConfigSeen) and last is not None and view.version < last.version:
+        if isinstance(view, ConfigRead) and last is not None and view.version < last.version:
             self.faults.append(f"{gateway.name} went back from {last.version} to {view.version}")
         self._views[key] = view
         self.records.append(view)
@@ -232,5 +232,5 @@
 
 def _meaning(status: int) -> Response:
     if status == 200:
-        return Response.TAKEN
+        return Response.CONFIRMED
     return Response.OTHER_VERSION if status == 412 else Response.REFUSED
--- a/tests/test_edit_guards.py
+++ b/tests/test_edit_guards.py
@@ -9,14 +9,14 @@
 from pipitlink.controller import edit_fencing
 from pipitlink.controller.edit_fencing import EditFencing
 from pipitlink.timers import ZERO
-from testbed.checks.linearizability import ConfigOrder, ConfigSeen, Response, ZoneOrder, ZoneSeen, check_history
+from testbed.checks.linearizability import ConfigRead, ConfigWrite, Response, ZoneRead, ZoneWrite, check_history
 
 from .control_calls import Caller, config_of, route_of
 from .order_simulation import DelayingSimulation
 
 ZONE = "zone-b"
 PATH = f"/v1/zones/{ZONE}/empty"
-ANSWERS = {200: Response.TAKEN, 412: Response.OTHER_VERSION, 400: Response.REFUSED, 409: Response.REFUSED}
+ANSWERS = {200: Response.CONFIRMED, 412: Response.OTHER_VERSION, 400: Response.REFUSED, 409: Response.REFUSED}
 
 
 class Scenario:
@@ -39,26 +39,26 @@
         body = config_of(version, route_of(content))
         args = ("PUT", "/v1/config", body, {"If-Match": str(base), **headers})
         response = ANSWERS[self.caller.ask(self.other, *args)[0]]
-        self.records.append(ConfigOrder(content, base, version, started_at, self.simulation.clock.seconds(), response))
+        self.records.append(ConfigWrite(content, base, version, started_at, self.simulation.clock.seconds(), response))
 
     def zone(self, empty: bool):
         self.simulation.run(0.01)
         started_at = self.simulation.clock.seconds()
         response = ANSWERS[self.caller.ask(self.other, "PUT" if empty else "DELETE", PATH)[0]]
-        self.records.append(ZoneOrder(ZONE, empty, started_at, self.simulation.clock.seconds(), response))
+        self.records.append(ZoneWrite(ZONE, empty, started_at, self.simulation.clock.seconds(), response))
 
     def record_gateways(self):
         now = self.simulation.clock.seconds()
         for a in self.simulation.role("gateway"):
             state = a.ctx.cluster.cluster_state
             content = next(iter(state.routes.routes), "")
-            self.records.append(ConfigSeen(state.routes.version, content, now, now, a.node))
-            self.records.append(ZoneSeen(ZONE, ZONE in state.empty_zones, now, now, a.node))
+            self.records.append(ConfigRead(state.routes.version, content, now, now, a.node))
+            self.records.append(ZoneRead(ZONE, ZONE in state.empty_zones, now, now, a.node))
 
     def record_unanswered_copy(self):
         """A copy of the order that empties the zone; its caller gives it up after a second and sends it again."""
         now = self.simulation.clock.seconds()
-        self.records.append(ZoneOrder(ZONE, True, now, now + 1.1, Response.UNKNOWN))
+        self.records.append(ZoneWrite(ZONE, True, now, now + 1.1, Response.UNKNOWN))
 
     def empty_and_fill(self):
         """The order that was sent again is confirmed and taken back."""
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -4,25 +4,25 @@
 from math import inf
 from random import Random
 
-from testbed.checks.linearizability import ConfigOrder, ConfigSeen, Response, ZoneOrder, ZoneSeen, check_history
+from testbed.checks.linearizability import ConfigRead, ConfigWrite, Response, ZoneRead, ZoneWrite, check_history
 
-TAKEN, OTHER, REFUSED, UNKNOWN = Response.TAKEN, Response.OTHER_VERSION, Response.REFUSED, Response.UNKNOWN
+CONFIRMED, OTHER, REFUSED, UNKNOWN = Response.CONFIRMED, Response.OTHER_VERSION, Response.REFUSED, Response.UNKNOWN
 
 
-def order(content, base, version, sent, ended, response=TAKEN, valid=True):
-    return ConfigOrder(content, base, version, sent, ended, response, valid)
+def order(content, base, version, sent, ended, response=CONFIRMED, valid=True):
+    return ConfigWrite(content, base, version, sent, ended, response, valid)
 
 
 def seen(version, content, sent, ended, server=""):
-    return ConfigSeen(version, content, sent, ended, server)
+    return ConfigRead(version, content, sent, ended, server)
 
 
-def zone(empty, sent, ended, response=TAKEN, name="a"):
-    return ZoneOrder(name, empty, sent, ended, response)
+def zone(empty, sent, ended, response=CONFIRMED, name="a"):
+    return ZoneWrite(name, empty, sent, ended, response)
 
 
 def zone_seen(empty, sent, ended, name="a", server=""):
-    return ZoneSeen(name, empty, sent, ended, server)
+    return ZoneRead(name, empty, sent, ended, server)
 
 
 A = order("a", 0, 3, 0, 1)
@@ -136,7 +136,7 @@
             records.append(order(f"l{n}", version + 7, version + 9, sent, ended, OTHER))
         else:
             records.append(
-                order(goes[1], version, goes[0], sent, inf if kind == 1 else ended, UNKNOWN if kind == 1 else TAKEN)
+                order(goes[1], version, goes[0], sent, inf if kind == 1 else ended, UNKNOWN if kind == 1 else CONFIRMED)
             )
             chain.append(goes)
             moments.append((now, *goes))
