--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -74,11 +74,11 @@
             int(arguments["--together"]),
         ).run()
     if arguments["bench"] and arguments["--promise"]:
-        from .benchmarks.recovery_times import PROMISES, RecoveryTimes
+        from .benchmarks.recovery_times import LIMIT_SECONDS, RecoveryTimes
 
-        names = list(PROMISES) if arguments["--promise"] == "all" else arguments["--promise"].split(",")
-        if set(names) - set(PROMISES):
-            print(f"promises: {', '.join(PROMISES)}")
+        names = list(LIMIT_SECONDS) if arguments["--promise"] == "all" else arguments["--promise"].split(",")
+        if set(names) - set(LIMIT_SECONDS):
+            print(f"promises: {', '.join(LIMIT_SECONDS)}")
             return 2
         return RecoveryTimes(arguments["--profile"], int(arguments["--seed"]), names, int(arguments["--rounds"])).run()
     if arguments["bench"]:
@@ -97,9 +97,9 @@
         return run_host()
     if arguments["capacity"]:
         return _capacity(arguments)
-    from .standins.engine import run_backend
+    from .standins.engine import run_engine
 
-    return run_backend(arguments)
+    return run_engine(arguments)
 
 
 def _capacity(arguments) -> int:
@@ -114,9 +114,9 @@
         print(f"series: {', '.join(SERIES)}")
         return 2
     if arguments["--inner"]:
-        from .benchmarks.step_timings import inner
+        from .benchmarks.step_timings import print_step_timings
 
-        return inner()
+        return print_step_timings()
     c = Capacity(
         names, float(arguments["--within"]), float(arguments["--cores"]), arguments["--keep"], arguments["--picture"]
     )
--- a/testbed/benchmarks/batch_impact.py
+++ b/testbed/benchmarks/batch_impact.py
@@ -12,7 +12,7 @@
 
 __all__ = ["Bench"]
 
-FIRST = r'^pipitlink_first_piece_seconds_bucket\{le="(\S+)"\} (\S+)$'
+FIRST_PIECE_BUCKET = r'^pipitlink_first_piece_seconds_bucket\{le="(\S+)"\} (\S+)$'
 ROW = {"model": "bench", "pool": "models", "weight": 1}
 
 
@@ -30,62 +30,62 @@
             capacity=8,
             step=0.02,
         )
-        self.calls = Clients(self.cluster, Random(seed))
+        self.clients = Clients(self.cluster, Random(seed))
         self._n = 0
         self._seen: list[float] = []
 
     def run(self) -> int:
         try:
             self.cluster.start(60)
-            wait_for(lambda: self.calls.generate("warm")["end"], 20, "an engine is known")
+            wait_for(lambda: self.clients.generate("warm")["end"], 20, "an engine is known")
             time.sleep(9)
-            c = self.calls
+            c = self.clients
             c.start(Client(c, "walk", 1 / self.p["live"], lambda c, n: c.generate(n, prefix=f"tour{hash(n) % 5}")))
             c.start(Client(c, "card", 1 / self.p["fetch"], lambda c, n: c.fetch(n)))
             windows = {"alone": [], "beside_lots": []}
             self.inside: dict = {k: {} for k in windows}
             for _ in range(self.rounds):
                 for kind, spans in windows.items():
-                    began, before = time.monotonic(), self._counts(FIRST)
+                    began, before = time.monotonic(), self._counts(FIRST_PIECE_BUCKET)
                     if kind == "beside_lots":
                         self._batches()
                     time.sleep(max(0.0, self.window - (time.monotonic() - began)))
                     spans.append((began, time.monotonic()))
-                    for le, n in self._counts(FIRST).items():
+                    for le, n in self._counts(FIRST_PIECE_BUCKET).items():
                         self.inside[kind][le] = self.inside[kind].get(le, 0) + n - before.get(le, 0)
                     if kind == "beside_lots":
                         self._drain()
             edits = [self._edit(n) for n in range(20)]
-            self.calls.stop()
-            self._say(windows, edits)
+            self.clients.stop()
+            self._report(windows, edits)
             return 0
         finally:
-            self.calls.stop()
+            self.clients.stop()
             self.cluster.stop()
 
     def _batches(self):
         for _ in range(4):
             self._n += 1
-            e = self.calls.batch(f"bench-{self._n}", 40, watch=False)
-            threading.Thread(target=self._watch, args=(e["lot"],), daemon=True).start()
+            e = self.clients.submit_batch(f"bench-{self._n}", 40, watch=False)
+            threading.Thread(target=self._watch_results, args=(e["lot"],), daemon=True).start()
 
-    def _watch(self, batch):
+    def _watch_results(self, batch):
         """Notes when each item is first visible at a gateway that need not own the lot."""
-        start, gateway = 0, self.calls.gateway()
+        start, gateway = 0, self.clients.pick_gateway()
         until = time.monotonic() + 60
         while time.monotonic() < until:
             status, said, _ = self.cluster.call(gateway, "GET", f"/v1/lots/{batch}/results?from={start}")
             now = time.monotonic()
             if status == 200:
                 for r in said["results"]:
-                    self.calls.note("visible", lot=batch, item=r["item"], seen=now)
+                    self.clients.note("visible", lot=batch, item=r["item"], seen=now)
                 start = said["next"]
                 if said["state"] == "done":
                     return
             time.sleep(0.03)
 
     def _drain(self):
-        batches = [e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]]
+        batches = [e["lot"] for e in self.clients.recorded_events() if e["event"] == "lot" and e["lot"]]
         gateway = self.cluster.nodes("gateway")[0]
         for batch in batches[-4:]:
             wait_for(
@@ -112,11 +112,11 @@
         wait_for(everywhere, 5, "every gateway has the edit")
         return {"acked": acked - began, "everywhere": time.monotonic() - began}
 
-    def _counts(self, shape=r"^pipitlink_cache_(\w+) (\S+)$") -> dict:
+    def _counts(self, pattern=r"^pipitlink_cache_(\w+) (\S+)$") -> dict:
         out: dict[str, float] = {}
         for g in self.cluster.nodes("gateway"):
             status, text, _ = self._metrics(g)
-            for name, value in re.findall(shape, text.decode(), re.M):
+            for name, value in re.findall(pattern, text.decode(), re.M):
                 out[name] = out.get(name, 0) + float(value)
         return out
 
@@ -128,8 +128,8 @@
         r = c.getresponse()
         return r.status, r.read(), r.headers
 
-    def _say(self, windows, edits):
-        events, notes = self.calls.taken(), self.cluster.notes()
+    def _report(self, windows, edits):
+        events, notes = self.clients.recorded_events(), self.cluster.notes()
         live_requests = [e for e in events if e["event"] == "told" and e["end"] and e["prompt"] != "warm"]
         batches = {e["lot"]: e for e in events if e["event"] == "lot" and e["lot"]}
         done = {}
--- a/testbed/benchmarks/capacity.py
+++ b/testbed/benchmarks/capacity.py
@@ -8,13 +8,13 @@
 import attrs
 
 from ..processes.host_processes import LightweightCluster, MachineOverloaded
-from .linear_fit import picture, report
+from .linear_fit import draw, report
 
 __all__ = ["Capacity", "SERIES"]
 
-LEAST_KEPT = 0.85
-LONGEST_POINT = 75
-PACES = 4
+MIN_TIMERS_KEPT = 0.85
+MAX_POINT_SECONDS = 75
+MAX_ATTEMPTS = 4
 
 
 @attrs.frozen
@@ -24,8 +24,8 @@
     unit: str
     xs: tuple
     pace: object
-    sets: object
-    kind: str = "hollow"
+    parameters: object
+    kind: str = "lightweight"
     span: float = 6.0
     roles: tuple = ("gateway", "storage", "controller", "leader")
 
@@ -94,20 +94,20 @@
                 if time.monotonic() > self._end:
                     print(f"not run, out of time: {name} {x}", flush=True)
                     continue
-                self._try(name, x)
+                self._measure_with_retries(name, x)
         return self.show()
 
     def show(self) -> int:
         report(self.points, SERIES)
         if self._picture:
-            picture(self.points, SERIES, Path(self._picture))
+            draw(self.points, SERIES, Path(self._picture))
         return 0
 
-    def _try(self, name: str, x: int):
+    def _measure_with_retries(self, name: str, x: int):
         pace = SERIES[name].pace(x)
-        for _ in range(PACES):
+        for _ in range(MAX_ATTEMPTS):
             try:
-                point = self._point(name, x, pace)
+                point = self._measure_point(name, x, pace)
             except MachineOverloaded as e:
                 print(f"{name} {x} at pace {pace}: {e}; slower", flush=True)
                 if SERIES[name].kind == "whole":
@@ -127,25 +127,25 @@
                 Path(self._keep).write_text(json.dumps(self.points))
             return
 
-    def _point(self, name: str, x: int, pace: float) -> dict:
+    def _measure_point(self, name: str, x: int, pace: float) -> dict:
         series = SERIES[name]
-        sets = dict(series.sets(x))
-        cluster = LightweightCluster(sets.pop("gateways"), series.kind, pace)
-        span = min(series.span, LONGEST_POINT / self._windows / pace)
+        parameters = dict(series.parameters(x))
+        cluster = LightweightCluster(parameters.pop("gateways"), series.kind, pace)
+        span = min(series.span, MAX_POINT_SECONDS / self._windows / pace)
         try:
             cluster.start()
-            cluster.load(**sets)
-            if sets.get("rows"):
-                cluster.rows(sets["rows"])
-            if sets.get("held"):
-                cluster.holding(sets["held"])
-            if sets.get("burst"):
-                cluster.settled()
+            cluster.start_load(**parameters)
+            if parameters.get("rows"):
+                cluster.wait_for_rows(parameters["rows"])
+            if parameters.get("held"):
+                cluster.wait_for_held_logs(parameters["held"])
+            if parameters.get("burst"):
+                cluster.wait_for_burst()
             time.sleep(3 * min(pace, 10))
-            cores, kept = cluster.busy(3.0 / max(1.0, pace / 4))
-            if cores > self._cores or kept < LEAST_KEPT and series.kind != "whole":
+            cores, kept = cluster.measure_usage(3.0 / max(1.0, pace / 4))
+            if cores > self._cores or kept < MIN_TIMERS_KEPT and series.kind != "whole":
                 raise MachineOverloaded(f"{cores:.1f} cores busy, {kept:.2f} of the timers came in time")
-            windows = [cluster.window(span) for _ in range(self._windows)]
+            windows = [cluster.measure_window(span) for _ in range(self._windows)]
         finally:
             cluster.end()
         return {
--- a/testbed/benchmarks/day_losses.py
+++ b/testbed/benchmarks/day_losses.py
@@ -26,7 +26,7 @@
     """What one kind of request lost, in parts of the worth of the whole day; `late` is what the others leave."""
 
     name: str
-    share: float
+    fraction: float
     late: float
     refused: float
     failed: float
@@ -43,11 +43,11 @@
     whole = sum(owed.values()) or 1.0
     losses = []
     for row in report["classes"]:
-        share = owed[row["name"]] / whole
+        fraction = owed[row["name"]] / whole
         count = max(1, row["n"] - row["not_owed"])
-        refused, failed = share * row["refused"] / count, share * row["failed"] / count
-        late = max(0.0, share * (1 - row["worth"]) - refused - failed)
-        losses.append(ClassLosses(row["name"], share, late, refused, failed))
+        refused, failed = fraction * row["refused"] / count, fraction * row["failed"] / count
+        late = max(0.0, fraction * (1 - row["worth"]) - refused - failed)
+        losses.append(ClassLosses(row["name"], fraction, late, refused, failed))
     return losses
 
 
@@ -62,7 +62,7 @@
     rows = list(losses)
     for row in rows:
         lines.append(
-            f"{row.name:24} {row.share:6.3f} {row.late:7.4f} {row.refused:8.4f} {row.failed:7.4f} {row.total:7.4f}"
+            f"{row.name:24} {row.fraction:6.3f} {row.late:7.4f} {row.refused:8.4f} {row.failed:7.4f} {row.total:7.4f}"
         )
     total = sum(row.total for row in rows)
     lines.append(f"{'all':24} {1:6.3f} {'':7} {'':8} {'':7} {total:7.4f}")
--- a/testbed/benchmarks/linear_fit.py
+++ b/testbed/benchmarks/linear_fit.py
@@ -5,12 +5,12 @@
 
 import attrs
 
-__all__ = ["Fit", "fit", "spread_of", "report", "picture"]
+__all__ = ["Fit", "fit", "spread_of", "report", "draw"]
 
 METRICS = ("cpu_percent", "memory_mb", "base_mb", "msgs_in", "msgs_out", "kb_in", "kb_out", "disk_syncs", "disk_bytes")
-VERBS_SHOWN = 4
-CURVED = 0.2
-CLEAR = 0.9
+METHODS_SHOWN = 4
+MIN_CURVATURE = 0.2
+MIN_EXPLAINED = 0.9
 
 
 @attrs.frozen
@@ -19,14 +19,14 @@
 
     base: float
     slope: float
-    bend: float
+    quadratic: float
     r2: float
-    off: float
+    max_residual: float
     curved: bool
 
     def __str__(self):
         line = f"{self.base:.3g} {self.slope:+.3g} x"
-        return f"{line} {self.bend:+.3g} x²" if self.curved else line
+        return f"{line} {self.quadratic:+.3g} x²" if self.curved else line
 
 
 def _solve(rows: list[list[float]], wanted: list[float]) -> list[float]:
@@ -44,7 +44,7 @@
     return out
 
 
-def _poly(xs, ys, degree: int) -> list[float]:
+def _fit_polynomial(xs, ys, degree: int) -> list[float]:
     powers = [[x**d for d in range(degree + 1)] for x in xs]
     rows = [[sum(p[i] * p[k] for p in powers) for k in range(degree + 1)] for i in range(degree + 1)]
     return _solve(rows, [sum(p[i] * y for p, y in zip(powers, ys)) for i in range(degree + 1)])
@@ -54,23 +54,23 @@
     """A line; or a parabola, where that leaves a tenth at most, half of the line's, and bends a fifth of the growth."""
     top = max(xs)
     scaled = [x / top for x in xs]
-    a, b = _poly(scaled, ys, 1)
+    a, b = _fit_polynomial(scaled, ys, 1)
     left = [y - a - b * x for x, y in zip(scaled, ys)]
     mean = statistics.mean(ys)
     total = sum((y - mean) ** 2 for y in ys)
     rest = sum(e * e for e in left)
     r2 = 1 - rest / total if total else 1.0
-    off = max(map(abs, left)) / ((max(ys) - min(ys)) or 1.0)
-    bend, curved = 0.0, False
+    max_residual = max(map(abs, left)) / ((max(ys) - min(ys)) or 1.0)
+    quadratic, curved = 0.0, False
     if len(set(xs)) > 3:
-        a2, b2, c2 = _poly(scaled, ys, 2)
+        a2, b2, c2 = _fit_polynomial(scaled, ys, 2)
         rest2 = sum((y - a2 - b2 * x - c2 * x * x) ** 2 for x, y in zip(scaled, ys))
         grows = abs(b2) + abs(c2)
-        clear = rest2 < total * (1 - CLEAR) and max(ys) - min(ys) > CURVED * abs(mean)
-        curved = bool(grows) and clear and abs(c2) > CURVED * grows and r2 < 0.995 and rest2 < rest / 2
+        clear = rest2 < total * (1 - MIN_EXPLAINED) and max(ys) - min(ys) > MIN_CURVATURE * abs(mean)
+        curved = bool(grows) and clear and abs(c2) > MIN_CURVATURE * grows and r2 < 0.995 and rest2 < rest / 2
         if curved:
-            a, b, bend = a2, b2, c2
-    return Fit(a, b / top, bend / top**2, r2, off, curved)
+            a, b, quadratic = a2, b2, c2
+    return Fit(a, b / top, quadratic / top**2, r2, max_residual, curved)
 
 
 def spread_of(windows: list[dict], role: str, metric: str) -> tuple[float, float, float]:
@@ -78,25 +78,25 @@
     return values[0], statistics.median(values), values[-1]
 
 
-def _verbs(point: dict, role: str) -> str:
+def _busiest_methods(point: dict, role: str) -> str:
     last = point["windows"][-1][role]
     calls = {k.removeprefix("in "): v for k, v in last.items() if k.startswith("in ") and v >= 0.05}
-    top = sorted(calls, key=calls.get, reverse=True)[:VERBS_SHOWN]
+    top = sorted(calls, key=calls.get, reverse=True)[:METHODS_SHOWN]
     return ", ".join(f"{k} {calls[k]:.1f}/s {last[f'in_bytes {k}'] / 1000:.1f} KB/s" for k in top)
 
 
-def _hollow_beside_whole(points: list[dict]):
+def _compare_lightweight(points: list[dict]):
     """What a hollow gateway sends and uses against a real one at the sizes where both were run."""
     for whole in [p for p in points if p["series"] == "whole"]:
-        for hollow in [p for p in points if p["series"] == "gateways" and p["x"] == whole["x"]]:
+        for lightweight in [p for p in points if p["series"] == "gateways" and p["x"] == whole["x"]]:
             for metric in ("msgs_in", "kb_in", "cpu_percent"):
-                a, b = (spread_of(p["windows"], "gateway", metric)[1] for p in (hollow, whole))
+                a, b = (spread_of(p["windows"], "gateway", metric)[1] for p in (lightweight, whole))
                 print(f"hollow beside real, {whole['x']} gateways, {metric}: {a:.3g} and {b:.3g}, ratio {a / b:.2f}")
 
 
 def report(points: list[dict], series: dict):
     """Markdown: every point with its least, median and greatest window, and each figure's fit."""
-    _hollow_beside_whole(points)
+    _compare_lightweight(points)
     for name in dict.fromkeys(p["series"] for p in points):
         mine = [p for p in points if p["series"] == name]
         print(f"\n### {name}: {series[name].unit}\n")
@@ -116,7 +116,7 @@
                     fit([p["x"] for p in mine], [spread_of(p["windows"], role, m)[1] for p in mine]) for m in metrics
                 ]
                 print("| fit | | " + " | ".join(f"{f}, r² {f.r2:.3f}" for f in fits) + " |")
-            print(f"\nMost calls in, {role}, x = {mine[-1]['x']}: {_verbs(mine[-1], role)}\n")
+            print(f"\nMost calls in, {role}, x = {mine[-1]['x']}: {_busiest_methods(mine[-1], role)}\n")
         for p in mine:
             if edits := sorted(e for w in p["windows"] for e in w["edits"]):
                 print(
@@ -127,7 +127,7 @@
                 print(f"x = {p['x']}: failed {p['windows'][-1]['failed']}, warned {p['windows'][-1]['warned']}")
 
 
-def picture(points: list[dict], series: dict, path: Path):
+def draw(points: list[dict], series: dict, path: Path):
     """One small state machine for each series and figure: points with their spread, and the fit."""
     try:
         import matplotlib
@@ -158,7 +158,7 @@
                 if len(xs) > 1:
                     f = fit(xs, list(mids))
                     grid = [max(xs) * i / 40 for i in range(41)]
-                    ax.plot(grid, [f.base + f.slope * x + f.bend * x * x for x in grid], color=colour, lw=1)
+                    ax.plot(grid, [f.base + f.slope * x + f.quadratic * x * x for x in grid], color=colour, lw=1)
             ax.set_title(f"{name}: {unit} a node", fontsize=9)
             ax.set_xlabel(series[name].unit, fontsize=8)
             ax.tick_params(labelsize=7)
--- a/testbed/benchmarks/recovery_times.py
+++ b/testbed/benchmarks/recovery_times.py
@@ -5,22 +5,22 @@
 import time
 from random import Random
 
-from ..faults.final_fault import CLOSINGS, PROMISE
+from ..faults.final_fault import FINAL_FAULTS, RECOVERY_LIMIT_SECONDS
 from ..processes.process_cluster import ZONES, wait_for
 from ..standins.clients import Client
 from .deployment_profiles import spread
 from .soak import Soak
 
-__all__ = ["RecoveryTimes", "PROMISES"]
+__all__ = ["RecoveryTimes", "LIMIT_SECONDS"]
 
-PROMISES = {
+LIMIT_SECONDS = {
     "leaving": 2.0,
     "edit": 2.0,
     "reading": 1.0,
     "result": 1.0,
     "ended": 3.0,
     "zone": 5.0,
-    "back": PROMISE,
+    "back": RECOVERY_LIMIT_SECONDS,
     "repair": 30.0,
 }
 
@@ -35,15 +35,15 @@
         try:
             self.cluster.start(60)
             self._began = time.monotonic()
-            wait_for(lambda: self.calls.generate("warm")["end"], 20, "an engine is known")
+            wait_for(lambda: self.clients.generate("warm")["end"], 20, "an engine is known")
             time.sleep(9)
-            c = self.calls
+            c = self.clients
             c.start(Client(c, "walk", 1 / self.profile["live"] / 2, lambda c, n: c.generate(n)))
             c.start(Client(c, "card", 1 / self.profile["fetch"], lambda c, n: c.fetch(n)))
-            c.start(Client(c, "night", 6, lambda c, n: self.batch(n, 40, 3_600_000)))
+            c.start(Client(c, "night", 6, lambda c, n: self.submit_batch(n, 40, 3_600_000)))
             for name in self.names:
                 took = [v for n in range(self.times) for v in getattr(self, "_measure_" + name)(n)]
-                limit = PROMISES[name]
+                limit = LIMIT_SECONDS[name]
                 print(
                     json.dumps(
                         {"promise": name, "limit_s": limit, "missed": sum(v > limit for v in took), "ms": spread(took)}
@@ -52,7 +52,7 @@
                 )
             return 0
         finally:
-            self.calls.stop()
+            self.clients.stop()
             self.cluster.stop()
 
     def _last_run(self, since, engines, until=None) -> float:
@@ -82,8 +82,8 @@
 
     def _measure_edit(self, n):
         """From the response to the moment when the last gateway shows the edit."""
-        e = self.calls.edit(
-            f"row-{n % 4}", {"model": f"m{n}"}, f"edit-{n}-{time.monotonic()}", self._any(self.c, "controller")
+        e = self.clients.edit(
+            f"row-{n % 4}", {"model": f"m{n}"}, f"edit-{n}-{time.monotonic()}", self._random_node(self.c, "controller")
         )
         acked = time.monotonic()
         if e.get("status") != 200:
@@ -103,14 +103,14 @@
         the lot.
         """
         p = self.cluster.programs[self.cluster.nodes("storage")[n % 4]]
-        e = self.calls.batch(f"reading-{n}", 4, watch=False)
+        e = self.clients.submit_batch(f"reading-{n}", 4, watch=False)
         acked, took = time.monotonic(), []
         if not e["lot"]:
             return [99.0]
         (p.freeze if n % 2 else p.kill)()
 
         def read(g):
-            wait_for(lambda: self.calls.read_batch(e["lot"], g)["status"] == 200, 20, f"{g} shows it")
+            wait_for(lambda: self.clients.read_batch(e["lot"], g)["status"] == 200, 20, f"{g} shows it")
             took.append(time.monotonic() - acked)
 
         threads = [threading.Thread(target=read, args=(g,)) for g in self.cluster.nodes("gateway")]
@@ -127,31 +127,31 @@
         meanwhile.
         """
         down = self.cluster.nodes("gateway")[n % len(self.cluster.nodes("gateway"))]
-        g = self.calls.gateway(but=down)
-        e = self.calls.batch(f"result-{n}", 6, watch=False, gateway=g)
-        self.calls.down.add(down)
+        g = self.clients.pick_gateway(exclude=down)
+        e = self.clients.submit_batch(f"result-{n}", 6, watch=False, gateway=g)
+        self.clients.excluded_gateways.add(down)
         self.cluster.programs[down].kill()
         seen: dict[int, float] = {}
 
         def all_seen():
-            r = self.calls.read_batch(e["lot"], g)
+            r = self.clients.read_batch(e["lot"], g)
             for x in r["results"] or ():
                 seen.setdefault(x["item"], time.monotonic())
             return len(seen) == 6
 
         wait_for(all_seen, 40, "all are listed")
         self.cluster.programs[down].start()
-        self._wait_up([down])
-        self.calls.down.discard(down)
+        self._wait_until_ready([down])
+        self.clients.excluded_gateways.discard(down)
         notes = self.cluster.notes()
         prompts = {x["run"]: x["prompt"] for x in notes if x["event"] == "run"}
         done = {prompts.get(x["run"]): x["at"] for x in notes if x["event"] == "done"}
         return [at - done[p] for i, at in seen.items() if (p := f"result-{n}/{i}") in done]
 
     def _measure_ended(self, n):
-        e = self.calls.batch(f"ended-{n}", 120, 3_600_000, watch=False)
+        e = self.clients.submit_batch(f"ended-{n}", 120, 3_600_000, watch=False)
         time.sleep(0.8)
-        self.calls.end_batch(e["lot"])
+        self.clients.cancel_batch(e["lot"])
         acked = time.monotonic()
         time.sleep(4)
         notes = self.cluster.notes()
@@ -160,7 +160,7 @@
 
     def _measure_zone(self, n):
         zone = ZONES[n % 4]
-        if self.calls.zone(zone, True, self.leader()) != 200:
+        if self.clients.zone(zone, True, self.leader()) != 200:
             return [99.0]
         acked = time.monotonic()
         time.sleep(6)
@@ -168,7 +168,7 @@
         took = self._last_run(
             acked, [e for e in self.cluster.engines + self.cluster.cards if self.cluster.zones[e] == zone], until
         )
-        self.calls.zone(zone, False, self.leader())
+        self.clients.zone(zone, False, self.leader())
         time.sleep(2)
         return [took]
 
@@ -180,25 +180,25 @@
         self.cluster.wipe(name)
         began = time.monotonic()
         self.cluster.programs[name].start()
-        self._wait_placed(lost)
+        self._wait_for_placement(lost)
         took = time.monotonic() - began
         time.sleep(3)
         return [took]
 
     def _measure_back(self, n):
         """Each kind of closing fault in turn; the repair is waited for in between."""
-        kind = CLOSINGS[n % len(CLOSINGS)]
+        kind = FINAL_FAULTS[n % len(FINAL_FAULTS)]
         names = (
-            self.inside(ZONES[n % 4], True)
+            self.nodes_in_zone(ZONES[n % 4], True)
             if kind == "zone"
-            else [self._any(self.c, "gateway"), self.busiest(), self.leader()]
+            else [self._random_node(self.c, "gateway"), self.busiest(), self.leader()]
         )
-        heal = self._closing_fault(kind, names, self.c)
-        took = self._wait_served(names, time.monotonic())
-        self.say(f"service back after {took:.1f} s")
+        heal = self._inject_final_fault(kind, names, self.c)
+        took = self._wait_for_service(names, time.monotonic())
+        self.log(f"service back after {took:.1f} s")
         heal()
-        self._wait_up([x for x in names if x in self.nodes()])
-        self.calls.down.clear()
+        self._wait_until_ready([x for x in names if x in self.nodes()])
+        self.clients.excluded_gateways.clear()
         wait_for(
             lambda: sum(d["placement_groups"] for d in self.storage_nodes().values() if d["heard"] == "alive") == 48,
             90,
--- a/testbed/benchmarks/soak.py
+++ b/testbed/benchmarks/soak.py
@@ -17,7 +17,7 @@
 
 FAULTS = tuple(sorted(n[5:] for c in (ComponentFailures, OverloadFaults) for n in vars(c) if n.startswith("plan_")))
 LIMITS = {"metered": (4.0, 0), "narrow": (0, 3)}
-QUIET = 12.0
+QUIET_SECONDS = 12.0
 
 
 class Soak(ComponentFailures, OverloadFaults, FinalFault):
@@ -30,7 +30,7 @@
         faults=FAULTS,
         level="info",
         together=2,
-        quiet=QUIET,
+        quiet=QUIET_SECONDS,
         floors=True,
     ):
         p = PROFILES[profile]
@@ -48,16 +48,16 @@
             level=level,
             models="pipit-small,gated,metered,narrow",
         )
-        self.calls = Clients(self.cluster, Random(seed + 1))
+        self.clients = Clients(self.cluster, Random(seed + 1))
         self.profile = p
         self.history: list[str] = []
         self._batches: list[str] = []
-        self._n = self._fresh = 0
+        self._n = self._added_nodes = 0
         self._began = 0.0
         self._claims: dict[int, list[str]] = {}
-        self._freed = threading.Condition()
+        self._claim_released = threading.Condition()
 
-    def say(self, text):
+    def log(self, text):
         line = f"{time.monotonic() - self._began:7.2f} {text}"
         self.history.append(line)
         print(line, flush=True)
@@ -69,25 +69,27 @@
             self._limits()
             self._load()
             end = time.monotonic() + self.quiet + self.minutes * 60
-            self.calls.over.wait(self.quiet)
-            self._trouble(end)
-            self._close()
+            self.clients.stopped.wait(self.quiet)
+            self._inject_faults(end)
+            self._run_final_fault()
             return self._report()
         finally:
-            self.calls.stop()
+            self.clients.stop()
             self.cluster.stop()
 
     def _limits(self):
-        wait_for(lambda: self.calls.generate("warm")["end"], 20, "an engine is known")
+        wait_for(lambda: self.clients.generate("warm")["end"], 20, "an engine is known")
         for model, (rate, runs) in LIMITS.items():
             row = {"model": model, **({"rate": rate} if rate else {"concurrency": runs})}
             wait_for(
-                lambda: self.calls.edit(model, row, f"{model}-{time.monotonic()}", self.leader()).get("status") == 200,
+                lambda: (
+                    self.clients.edit(model, row, f"{model}-{time.monotonic()}", self.leader()).get("status") == 200
+                ),
                 20,
                 f"{model} is limited",
             )
 
-    def _trouble(self, end):
+    def _inject_faults(self, end):
         """The n-th fault draws from its own rng, so that a seed makes the same schedule again."""
         n, running = 0, []
         while time.monotonic() < end:
@@ -99,7 +101,7 @@
             t = threading.Thread(target=self._run, args=(n, do), daemon=True)
             t.start()
             running.append(t)
-            self.calls.over.wait(0.2 + 2 * c.random() if n % 4 else 8)
+            self.clients.stopped.wait(0.2 + 2 * c.random() if n % 4 else 8)
         for t in running:
             t.join(150)
 
@@ -107,22 +109,22 @@
         try:
             do()
         except Exception as e:
-            self.calls.note("fault_failed", text=f"a fault did not heal: {e!r}")
+            self.clients.note("fault_failed", text=f"a fault did not heal: {e!r}")
         finally:
-            with self._freed:
+            with self._claim_released:
                 del self._claims[n]
-                self._freed.notify_all()
+                self._claim_released.notify_all()
 
     def _claim(self, n, names, end) -> bool:
-        with self._freed:
+        with self._claim_released:
             while time.monotonic() < end:
-                if len(self._claims) < self.together and self._bearable(names):
+                if len(self._claims) < self.together and self._is_tolerable(names):
                     self._claims[n] = names
                     return True
-                self._freed.wait(1)
+                self._claim_released.wait(1)
         return False
 
-    def _bearable(self, names) -> bool:
+    def _is_tolerable(self, names) -> bool:
         """Disk machines of one zone at a time, half of the gateways and half of each kind of back end."""
         have = [x for xs in self._claims.values() for x in xs]
         both = have + names
@@ -138,30 +140,36 @@
         )
 
     def _load(self):
-        p, rng = self.profile, self.calls.rng
-        c = self.calls
+        p, rng = self.profile, self.clients.rng
+        c = self.clients
         c.start(Client(c, "walk", 1 / p["live"], lambda c, n: c.generate(n, prefix=f"tour{hash(n) % 5}")))
         c.start(Client(c, "again", 2 / p["live"], lambda c, n: c.generate(n, repeatable=True)))
         c.start(Client(c, "card", 1 / p["fetch"], lambda c, n: c.fetch(n)))
         c.start(Client(c, "leaver", 0.7, self._leave_and_resume))
         c.start(Client(c, "slow", 2, lambda c, n: c.generate(n, slow=0.15, limit=25)))
-        c.start(Client(c, "stuck", 6, lambda c, n: c.stuck(n, 4)))
-        c.start(Client(c, "night", 20, lambda c, n: self.batch(n, 60, 3_600_000)))
-        c.start(Client(c, "brief", 1.2, lambda c, n: self.batch(n, 5, 20_000, priority=5)))
+        c.start(Client(c, "stuck", 6, lambda c, n: c.send_without_reading(n, 4)))
+        c.start(Client(c, "night", 20, lambda c, n: self.submit_batch(n, 60, 3_600_000)))
+        c.start(Client(c, "brief", 1.2, lambda c, n: self.submit_batch(n, 5, 20_000, priority=5)))
         c.start(Client(c, "reader", 0.5, lambda c, n: self._batches and c.read_batch(rng.choice(self._batches[-12:]))))
         c.start(Client(c, "operator", 1.2, self._edit))
-        c.start(Client(c, "gate", 6, lambda c, n: c.gate("gated", int(n[5:]) % 2 == 0, self._any(rng, "controller"))))
+        c.start(
+            Client(
+                c, "gate", 6, lambda c, n: c.gate("gated", int(n[5:]) % 2 == 0, self._random_node(rng, "controller"))
+            )
+        )
         c.start(Client(c, "gated", 0.3, lambda c, n: c.generate(n, model="gated")))
         c.start(Client(c, "metered", 0.15, lambda c, n: c.generate(n, model="metered")))
         c.start(Client(c, "narrow", 0.15, lambda c, n: c.generate(n, model="narrow")))
 
     def _leave_and_resume(self, c, name):
-        gateway = c.gateway()
-        c.generate(name, gateway=gateway, leave_at=2, then=gateway if int(name[7:]) % 2 else c.gateway(but=gateway))
+        gateway = c.pick_gateway()
+        c.generate(
+            name, gateway=gateway, leave_at=2, then=gateway if int(name[7:]) % 2 else c.pick_gateway(exclude=gateway)
+        )
 
-    def batch(self, name, items, limit_ms, priority=0):
+    def submit_batch(self, name, items, limit_ms, priority=0):
         self._n += 1
-        e = self.calls.batch(name, items, limit_ms, repeatable=self._n % 3 == 0, priority=priority)
+        e = self.clients.submit_batch(name, items, limit_ms, repeatable=self._n % 3 == 0, priority=priority)
         if e["lot"]:
             self.remember(e["lot"])
 
@@ -170,7 +178,7 @@
 
     def _edit(self, c, name):
         controller = c.rng.choice(self.cluster.nodes("controller"))
-        c.settle_unknown(controller)
+        c.resolve_unknown_edits(controller)
         row = None if int(name[9:]) % 9 == 0 else {"model": f"m-{name}", "weight": 1 + c.rng.randrange(5)}
         c.edit(f"row-{c.rng.randrange(4)}", row, name, controller)
 
@@ -199,15 +207,15 @@
     def nodes(self):
         return [n for r in ("gateway", "storage", "controller") for n in self.cluster.nodes(r)]
 
-    def inside(self, zone, back_ends):
-        names = self.nodes() + (self.cluster.engines + self.cluster.cards if back_ends else [])
+    def nodes_in_zone(self, zone, with_engines):
+        names = self.nodes() + (self.cluster.engines + self.cluster.cards if with_engines else [])
         return [n for n in names if self.cluster.zones[n] == zone]
 
     def _report(self) -> int:
-        for batch in {e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]}:
+        for batch in {e["lot"] for e in self.clients.recorded_events() if e["event"] == "lot" and e["lot"]}:
             for g in self.cluster.nodes("gateway")[:2]:
-                self.calls.read_batch(batch, g)
-        events, notes = self.calls.taken(), self.cluster.notes()
+                self.clients.read_batch(batch, g)
+        events, notes = self.clients.recorded_events(), self.cluster.notes()
         bad = check(
             events, notes, self.cluster.zones, floors=self.floors, capacity=self.cluster.capacity, limits=LIMITS
         )
--- a/testbed/benchmarks/step_timings.py
+++ b/testbed/benchmarks/step_timings.py
@@ -17,18 +17,18 @@
 from pipitlink.wire.rpc import RpcEndpoint
 
 from ..faults.disks import PowerLossDisk
-from ..processes.lightweight_nodes import TOLD_AT_ONCE, open_parts
+from ..processes.lightweight_nodes import MEMBERS_PER_MESSAGE, open_parts
 from .linear_fit import fit
 
-__all__ = ["inner", "STEPS"]
+__all__ = ["print_step_timings", "STEPS"]
 
 GATEWAYS = (100, 300, 1000, 3000)
-ENGINES_A_GATEWAY = 10 / 3
-TIMES = 3
-LEAST_SPAN = 0.05
+ENGINES_PER_GATEWAY = 10 / 3
+REPETITIONS = 3
+MIN_MEASURED_SECONDS = 0.05
 
 
-class _Quiet:
+class _NullSink:
     def log(self, *args):
         pass
 
@@ -37,8 +37,8 @@
     """A hollow gateway that knows so many peers and their engines, on a clock that stands still."""
     clock = Clock()
     timers = Timers(clock, seconds=clock.seconds)
-    rpc = RpcEndpoint(None, timers, StructuredLogger(_Quiet()), "pipit", "g0")
-    ctx = Context("gateway", "g0", Settings(), clock, timers, StructuredLogger(_Quiet()), rpc, Random(1))
+    rpc = RpcEndpoint(None, timers, StructuredLogger(_NullSink()), "pipit", "g0")
+    ctx = Context("gateway", "g0", Settings(), clock, timers, StructuredLogger(_NullSink()), rpc, Random(1))
     everyone = [
         Member(
             node=f"g{i}",
@@ -51,12 +51,12 @@
         )
         for i in range(gateways)
     ]
-    rpc.call = _unheard
-    part = open_parts(ctx, "hollow", everyone[0], PowerLossDisk(Random(1)))
-    for at in range(0, gateways, TOLD_AT_ONCE):
-        gossip = Gossip(sender="g1", members=everyone[at : at + TOLD_AT_ONCE])
+    rpc.call = _empty_response
+    part = open_parts(ctx, "lightweight", everyone[0], PowerLossDisk(Random(1)))
+    for at in range(0, gateways, MEMBERS_PER_MESSAGE):
+        gossip = Gossip(sender="g1", members=everyone[at : at + MEMBERS_PER_MESSAGE])
         spawn(rpc.dispatch(rpc.hello(), "membership.tell", gossip.SerializeToString()))
-    for i in range(int(gateways * ENGINES_A_GATEWAY)):
+    for i in range(int(gateways * ENGINES_PER_GATEWAY)):
         part.engines.merge(
             EngineUpdate(
                 engine=f"engine{i}",
@@ -72,7 +72,7 @@
     return ctx, part
 
 
-async def _unheard(*_, **__):
+async def _empty_response(*_, **__):
     return Gossip()
 
 
@@ -84,7 +84,7 @@
     ctx.membership.members("gateway", include_self=False)
 
 
-def _step_room(ctx, part):
+def _step_free_slots(ctx, part):
     part.slots.free_slots(next(iter(part.engines.unordered())))
 
 
@@ -95,7 +95,7 @@
 STEPS = {
     "the ring of cache replicas, built anew when a gateway comes or goes": _step_ring,
     "the list of gateways, by role": _step_members,
-    "one engine's room, for one pick": _step_room,
+    "one engine's room, for one pick": _step_free_slots,
     "telling all gateways the loads, less the wire": _step_loads,
 }
 
@@ -103,16 +103,16 @@
 def _time(do) -> list[float]:
     """Milliseconds of processor time for one step, each time over a span that the clock can tell."""
     out = []
-    for _ in range(TIMES):
+    for _ in range(REPETITIONS):
         n, began = 0, time.process_time()
-        while (span := time.process_time() - began) < LEAST_SPAN:
+        while (span := time.process_time() - began) < MIN_MEASURED_SECONDS:
             do()
             n += 1
         out.append(1000 * span / n)
     return sorted(out)
 
 
-def _rows() -> list[tuple]:
+def _time_row_changes() -> list[tuple]:
     """A cluster state with a row for each tenant and model, whole and by one change."""
     out = []
     for rows in (1000, 4000, 23180):
@@ -138,7 +138,7 @@
     return out
 
 
-def inner() -> int:
+def print_step_timings() -> int:
     print(
         "| step, ms | " + " | ".join(f"{g} gateways" for g in GATEWAYS) + " | fit |\n|" + "---|" * (len(GATEWAYS) + 2)
     )
@@ -156,7 +156,7 @@
         "| whole, bytes | change, bytes |"
         "\n|---|---|---|---|---|"
     )
-    for rows, whole, change, size, delta in _rows():
+    for rows, whole, change, size, delta in _time_row_changes():
         print(
             f"| {rows} | {whole[1]:.3g} ({whole[0]:.3g} to {whole[-1]:.3g}) | "
             f"{change[1]:.3g} ({change[0]:.3g} to {change[-1]:.3g}) | {size} | {delta} |"
--- a/testbed/faults/disks.py
+++ b/testbed/faults/disks.py
@@ -21,7 +21,7 @@
     def __init__(self, rng: Random, names: bool = False) -> None:
         self._rng = rng
         self._synced: dict[int, int] = {}
-        self._seen: set[Path] = set()
+        self._known_folders: set[Path] = set()
         self._durable: dict[Path, Path] = {}
         self._shadows = tempfile.TemporaryDirectory(prefix="durable-") if names else None
         self.full = False
@@ -33,22 +33,22 @@
             self._forget_removed_files()
             self._synced[os.fstat(fd).st_ino] = 0
         super().append(fd, data)
-        self._see(fd)
+        self._remember_folder(fd)
 
     def _forget_removed_files(self) -> None:
         """The file system may give the number of a removed file to one that is not written through this disk."""
         known = list(self._synced)
-        folders = [folder for folder in tuple(self._seen) if folder.exists()]
+        folders = [folder for folder in tuple(self._known_folders) if folder.exists()]
         present = {entry.inode() for folder in folders for entry in os.scandir(folder)}
         for number in known:
             if number not in present:
                 self._synced.pop(number, None)
 
-    def _see(self, fd: int) -> None:
-        self._seen.add(Path(os.readlink(f"/proc/self/fd/{fd}")).parent)
+    def _remember_folder(self, fd: int) -> None:
+        self._known_folders.add(Path(os.readlink(f"/proc/self/fd/{fd}")).parent)
 
     def sync(self, fd: int) -> None:
-        self._see(fd)
+        self._remember_folder(fd)
         self._synced[os.fstat(fd).st_ino] = os.fstat(fd).st_size
 
     def truncate(self, fd: int, length: int) -> None:
@@ -64,12 +64,12 @@
         """Keeps links to all that the folder names now, to restore it after a power loss; only with `names`."""
         if self._shadows is None:
             return
-        self._forget(Path(folder))
+        self._drop_shadow(Path(folder))
         shadow = self._durable[Path(folder)] = Path(tempfile.mkdtemp(dir=self._shadows.name))
         for path in Path(folder).iterdir():
             self._link(path, shadow / path.name)
 
-    def _forget(self, folder: Path) -> None:
+    def _drop_shadow(self, folder: Path) -> None:
         old = self._durable.pop(folder, None)
         if old is not None:
             shutil.rmtree(old)
@@ -83,17 +83,17 @@
     def lose_power(self) -> None:
         """Drops what was not synced, or a random part of it."""
         for folder, durable in sorted(self._durable.items()):
-            self._lose_names(folder, durable)
-        tops = [folder for folder in (*self._seen, *self._durable) if folder.exists()]
-        for path in sorted({p for top in tops for p in top.rglob("*") if p.is_file()}):
-            self._lose_end(path)
+            self._restore_names(folder, durable)
+        folders = [folder for folder in (*self._known_folders, *self._durable) if folder.exists()]
+        for path in sorted({p for top in folders for p in top.rglob("*") if p.is_file()}):
+            self._lose_unsynced_tail(path)
         for folder in list(self._durable):
             if folder.exists():
                 self.save_names(folder)
             else:
-                self._forget(folder)
+                self._drop_shadow(folder)
 
-    def _lose_names(self, folder: Path, durable: Path) -> None:
+    def _restore_names(self, folder: Path, durable: Path) -> None:
         if not folder.exists():
             return
         for name in sorted({p.name for p in (*folder.iterdir(), *durable.iterdir())}):
@@ -108,7 +108,7 @@
             if before.exists():
                 self._link(before, now)
 
-    def _lose_end(self, path: Path) -> None:
+    def _lose_unsynced_tail(self, path: Path) -> None:
         synced = self._synced.get(path.stat().st_ino)
         size = path.stat().st_size
         if synced is not None and size > synced:
--- a/testbed/faults/fault_plugin.py
+++ b/testbed/faults/fault_plugin.py
@@ -18,33 +18,33 @@
 __all__ = ["make_fault_plugin"]
 
 
-class _Plug:
+class _FaultPlugin:
     def __init__(self, path, ctx):
         self._path, self._ctx = path, ctx
         self._read_at = None
-        self._injected: dict = {}
+        self._faults: dict = {}
 
-    def _now(self) -> dict:
+    def _read_faults(self) -> dict:
         try:
             at = os.stat(self._path).st_mtime_ns
             if at != self._read_at:
                 with open(self._path) as f:
-                    self._injected = json.load(f)
+                    self._faults = json.load(f)
                 self._read_at = at
         except (OSError, ValueError):
             pass
-        return self._injected
+        return self._faults
 
-    def _mine(self) -> str:
+    def _local_address(self) -> str:
         return "{}:{}".format(*self._ctx.rpc.address)
 
     def is_full(self) -> bool:
-        return self._mine() in self._now().get("full", ())
+        return self._local_address() in self._read_faults().get("full", ())
 
     @hookimpl
     def outbound(self, address, method):
-        instructions = self._now()
-        mine, theirs = self._mine(), "{}:{}".format(*address)
+        instructions = self._read_faults()
+        mine, theirs = self._local_address(), "{}:{}".format(*address)
         if [mine, theirs] in instructions.get("cuts", ()):
             return defer.Deferred()
         delay = instructions.get("delays", {}).get(theirs) or instructions.get("delays", {}).get(mine)
@@ -56,4 +56,4 @@
 
 
 def make_fault_plugin(args, ctx):
-    return _Plug(args, ctx)
+    return _FaultPlugin(args, ctx)
--- a/testbed/faults/final_fault.py
+++ b/testbed/faults/final_fault.py
@@ -6,47 +6,47 @@
 
 from ..processes.process_cluster import ZONES, wait_for
 
-__all__ = ["FinalFault", "CLOSINGS"]
+__all__ = ["FinalFault", "FINAL_FAULTS"]
 
-CLOSINGS = ("kill", "power", "freeze", "emptied", "zone", "split")
-PROMISE = 12.0
+FINAL_FAULTS = ("kill", "power", "freeze", "emptied", "zone", "split")
+RECOVERY_LIMIT_SECONDS = 12.0
 
 
 class FinalFault:
     """Mixin: one last fault, then service back within 12 s and nothing acknowledged lost."""
 
-    def _close(self):
+    def _run_final_fault(self):
         c = Random(f"{self.seed}/closing")
-        kind = c.choice(CLOSINGS)
-        self.calls.settle_unknown(self.leader())
-        trio = [self._any(c, "gateway"), self.busiest(), self.leader()]
-        names = self.inside(c.choice(ZONES), True) if kind == "zone" else trio
-        with self.calls.hurting(f"closing {kind}", names, bearable=False, settle=3):
-            heal = self._closing_fault(kind, names, c)
+        kind = c.choice(FINAL_FAULTS)
+        self.clients.resolve_unknown_edits(self.leader())
+        trio = [self._random_node(c, "gateway"), self.busiest(), self.leader()]
+        names = self.nodes_in_zone(c.choice(ZONES), True) if kind == "zone" else trio
+        with self.clients.record_fault(f"closing {kind}", names, bearable=False, settle=3):
+            heal = self._inject_final_fault(kind, names, c)
             began = time.monotonic()
-            took = self._wait_served(names, began)
-            self.say(f"service back after {took:.1f} s")
-            if took > PROMISE:
-                self.calls.note("late", text=f"service was back after {took:.1f} s")
+            took = self._wait_for_service(names, began)
+            self.log(f"service back after {took:.1f} s")
+            if took > RECOVERY_LIMIT_SECONDS:
+                self.clients.note("late", text=f"service was back after {took:.1f} s")
             heal()
-            self._wait_up([n for n in names if n in self.nodes()])
-        self.calls.down.clear()
-        self.calls.stop()
-        wait_for(self._all_known, 60, "every edit's outcome is known")
-        batches = {e["lot"] for e in self.calls.taken() if e["event"] == "lot" and e["lot"]}
-        self.calls.over.clear()
-        wait_for(lambda: all(self._done(batch) for batch in batches), 240, "every lot is done or ended")
+            self._wait_until_ready([n for n in names if n in self.nodes()])
+        self.clients.excluded_gateways.clear()
+        self.clients.stop()
+        wait_for(self._all_edits_resolved, 60, "every edit's outcome is known")
+        batches = {e["lot"] for e in self.clients.recorded_events() if e["event"] == "lot" and e["lot"]}
+        self.clients.stopped.clear()
+        wait_for(lambda: all(self._is_done(batch) for batch in batches), 240, "every lot is done or ended")
         for n in self.cluster.nodes("controller"):
-            self.calls.read_table(n)
+            self.clients.read_table(n)
 
-    def _all_known(self):
-        self.calls.settle_unknown(self.leader())
-        return not self.calls.unsettled()
+    def _all_edits_resolved(self):
+        self.clients.resolve_unknown_edits(self.leader())
+        return not self.clients.unresolved_edits()
 
-    def _closing_fault(self, kind, names, c):
+    def _inject_final_fault(self, kind, names, c):
         """Returns what heals it."""
-        self.say(f"closing fault: {kind} of {','.join(names)}")
-        self.calls.down |= {n for n in names if n.startswith("gateway")}
+        self.log(f"closing fault: {kind} of {','.join(names)}")
+        self.clients.excluded_gateways |= {n for n in names if n.startswith("gateway")}
         if kind == "split":
             rest = [n for n in self.nodes() if n not in names]
             self.cluster.cut(names, rest)
@@ -55,7 +55,7 @@
             if kind == "freeze":
                 self.cluster.programs[n].freeze()
             elif kind == "power" and n.startswith(("storage", "controller")):
-                self.cluster.power(n, c)
+                self.cluster.cut_power(n, c)
             else:
                 self.cluster.programs[n].kill()
         if kind == "emptied":
@@ -67,14 +67,14 @@
 
         return heal
 
-    def _wait_served(self, names, began) -> float:
+    def _wait_for_service(self, names, began) -> float:
         """Until each kind of service works at every node that is left."""
         gateways = [g for g in self.cluster.nodes("gateway") if g not in names]
         controllers = [o for o in self.cluster.nodes("controller") if o not in names]
-        checks = [lambda g=g: self._streams(g) for g in gateways] + [
-            lambda: self._edits(controllers),
-            lambda: self._batches_again(gateways),
-            self._cards,
+        checks = [lambda g=g: self._is_streaming(g) for g in gateways] + [
+            lambda: self._is_accepting_edits(controllers),
+            lambda: self._is_running_batches(gateways),
+            self._is_serving_cards,
         ]
         back: list[float] = []
 
@@ -92,29 +92,29 @@
             t.join(60)
         return max(back) if len(back) == len(checks) else 99.0
 
-    def _streams(self, g) -> bool:
-        return self.calls.generate(f"closing-{g}-{time.monotonic()}", gateway=g, limit=5)["end"] is True
+    def _is_streaming(self, g) -> bool:
+        return self.clients.generate(f"closing-{g}-{time.monotonic()}", gateway=g, limit=5)["end"] is True
 
-    def _cards(self) -> bool:
-        return self.calls.fetch(f"closing-{time.monotonic()}", limit=5)["status"] == 200
+    def _is_serving_cards(self) -> bool:
+        return self.clients.fetch(f"closing-{time.monotonic()}", limit=5)["status"] == 200
 
-    def _batches_again(self, gateways) -> bool:
-        e = self.calls.batch(f"closing-{time.monotonic()}", 3, watch=False, gateway=gateways[0])
+    def _is_running_batches(self, gateways) -> bool:
+        e = self.clients.submit_batch(f"closing-{time.monotonic()}", 3, watch=False, gateway=gateways[0])
         if not e["lot"]:
             return False
         self.remember(e["lot"])
         until = time.monotonic() + 10
         while time.monotonic() < until:
-            r = self.calls.read_batch(e["lot"], gateways[-1])
+            r = self.clients.read_batch(e["lot"], gateways[-1])
             if r["state"] == "done" and len(r["results"]) == 3:
                 return True
             time.sleep(0.1)
         return False
 
-    def _edits(self, controllers) -> bool:
+    def _is_accepting_edits(self, controllers) -> bool:
         """An edit is acknowledged, and every controller that is left reads it back."""
         row = {"model": f"closing-{time.monotonic()}"}
-        e = self.calls.edit("closing", row, row["model"], controllers[0])
+        e = self.clients.edit("closing", row, row["model"], controllers[0])
         if e.get("status") != 200:
             return False
         for n in controllers:
@@ -123,6 +123,6 @@
                 return False
         return True
 
-    def _done(self, batch):
+    def _is_done(self, batch):
         status, said, _ = self.cluster.call(self.cluster.nodes("gateway")[0], "GET", f"/v1/lots/{batch}")
         return status == 200 and said["state"] in ("done", "ended")
--- a/testbed/faults/overload.py
+++ b/testbed/faults/overload.py
@@ -11,46 +11,46 @@
 class OverloadFaults:
     """Mixin: like `ComponentFailures`, for what callers, back ends and operators do."""
 
-    def _mode(self, name, mode, span):
+    def _switch_mode(self, name, mode, span):
         def do():
-            self.say(f"{name} {mode} for {span:.1f} s")
-            with self.calls.hurting(mode, [name]):
+            self.log(f"{name} {mode} for {span:.1f} s")
+            with self.clients.record_fault(mode, [name]):
                 self.cluster.call(name, "POST", f"/mode/{mode}")
                 time.sleep(span)
                 self.cluster.call(name, "POST", "/mode/well")
 
         return [name], do
 
-    def _engine(self, c):
+    def _random_engine(self, c):
         return c.choice(self.cluster.engines)
 
     def plan_engine_crash(self, c):
-        return self._down("kill", [self._engine(c)], 1 + 2 * c.random())
+        return self._stop_and_restart("kill", [self._random_engine(c)], 1 + 2 * c.random())
 
     def plan_engine_cut(self, c):
-        return self._mode(c.choice(self.cluster.engines + self.cluster.cards), "cut", 2)
+        return self._switch_mode(c.choice(self.cluster.engines + self.cluster.cards), "cut", 2)
 
     def plan_engine_refuse(self, c):
-        return self._mode(self._engine(c), "refuse", 2)
+        return self._switch_mode(self._random_engine(c), "refuse", 2)
 
     def plan_engine_hang(self, c):
-        return self._mode(self._engine(c), "hang", 2 + 2 * c.random())
+        return self._switch_mode(self._random_engine(c), "hang", 2 + 2 * c.random())
 
     def plan_engine_silent(self, c):
         """It says nothing for longer than it may and comes back by itself."""
-        return self._mode(self._engine(c), "silent", 5 + 2 * c.random())
+        return self._switch_mode(self._random_engine(c), "silent", 5 + 2 * c.random())
 
     def plan_engine_broken(self, c):
-        return self._mode(self._engine(c), c.choice(("mixed", "error", "unclosed")), 2)
+        return self._switch_mode(self._random_engine(c), c.choice(("mixed", "error", "unclosed")), 2)
 
     def plan_engine_vanish(self, c):
         """Its machine is gone without a word: nothing ends its streams."""
-        name = self._engine(c)
+        name = self._random_engine(c)
 
         def do():
             span = 3 + 3 * c.random()
-            self.say(f"{name} vanishes for {span:.1f} s")
-            with self.calls.hurting("vanished", [name]):
+            self.log(f"{name} vanishes for {span:.1f} s")
+            with self.clients.record_fault("vanished", [name]):
                 self.cluster.programs[name].freeze()
                 time.sleep(span)
                 self.cluster.programs[name].kill()
@@ -60,13 +60,13 @@
 
     def plan_engine_moved(self, c):
         """It crashes and comes back at another address under its name."""
-        name = self._engine(c)
+        name = self._random_engine(c)
 
         def do():
             p = self.cluster.programs[name]
             (port,) = free_ports(1)
-            self.say(f"{name} comes back at port {port}")
-            with self.calls.hurting("moved", [name]):
+            self.log(f"{name} comes back at port {port}")
+            with self.clients.record_fault("moved", [name]):
                 p.kill()
                 p.ports = (port,)
                 p.command[p.command.index("--port") + 1] = str(port)
@@ -79,8 +79,8 @@
         name = c.choice(self.cluster.engines + self.cluster.cards)
 
         def do():
-            self.say(f"{name} is leaving, then replaced")
-            with self.calls.hurting("leaving", [name]):
+            self.log(f"{name} is leaving, then replaced")
+            with self.clients.record_fault("leaving", [name]):
                 self.cluster.call(name, "POST", "/mode/leaving")
                 time.sleep(4)
                 self.cluster.programs[name].kill()
@@ -92,22 +92,22 @@
         zone = c.choice(ZONES)
 
         def do():
-            self.say(f"empty {zone}, then fill it")
-            with self.calls.hurting(
+            self.log(f"empty {zone}, then fill it")
+            with self.clients.record_fault(
                 "zone emptied", [n for n in self.cluster.engines + self.cluster.cards if self.cluster.zones[n] == zone]
             ):
-                if self.calls.zone(zone, True, self.leader()) == 200:
+                if self.clients.zone(zone, True, self.leader()) == 200:
                     time.sleep(7)
-                wait_for(lambda: self.calls.zone(zone, False, self.leader()) == 200, 30, f"{zone} is filled again")
+                wait_for(lambda: self.clients.zone(zone, False, self.leader()) == 200, 30, f"{zone} is filled again")
 
         return [n for n in self.cluster.engines + self.cluster.cards if self.cluster.zones[n] == zone] + ["zones"], do
 
     def plan_lots_crowd(self, c):
         def do():
-            self.say("many lots at once")
-            with self.calls.hurting("lots", []):
+            self.log("many lots at once")
+            with self.clients.record_fault("lots", []):
                 for n in range(6):
-                    self.batch(f"crowd-{n}-{time.monotonic()}", 25, 600_000)
+                    self.submit_batch(f"crowd-{n}-{time.monotonic()}", 25, 600_000)
 
         return ["lots"], do
 
@@ -117,18 +117,20 @@
         def do():
             n = 3 * self.cluster.capacity * len(self.cluster.engines)
             mark = f"crowd-{time.monotonic()}"
-            self.say(f"a crowd of {n}")
+            self.log(f"a crowd of {n}")
             began = time.monotonic()
-            with self.calls.hurting("crowd", []):
-                crowd = [threading.Thread(target=self.calls.generate, args=(f"{mark}-{i}",)) for i in range(n)]
+            with self.clients.record_fault("crowd", []):
+                crowd = [threading.Thread(target=self.clients.generate, args=(f"{mark}-{i}",)) for i in range(n)]
                 for t in crowd:
                     t.start()
                 for t in crowd:
                     t.join(30)
-            live_requests = [e for e in self.calls.taken() if e["event"] == "told" and e["prompt"].startswith(mark)]
+            live_requests = [
+                e for e in self.clients.recorded_events() if e["event"] == "told" and e["prompt"].startswith(mark)
+            ]
             shed = sorted(e["at"] - e["asked"] for e in live_requests if e["fault"])
             backs = sorted({int(e["retry"]) for e in live_requests if str(e["retry"] or "").isdigit()})
-            self.say(
+            self.log(
                 f"the crowd: {sum(bool(e['end']) for e in live_requests)} whole, {len(shed)} shed, the last after "
                 f"{shed[-1] if shed else 0:.2f} s, told to come back after {backs} s, "
                 f"all told after {time.monotonic() - began:.2f} s"
@@ -140,16 +142,16 @@
         """Lots pause while many more come in, and then go on together."""
 
         def do():
-            self.say("lots pause, and a backlog builds up")
+            self.log("lots pause, and a backlog builds up")
             row = {"model": "pipit-small", "weight": 1, "lot_share": 0.01}
-            with self.calls.hurting("backlog", []):
-                self.calls.edit("pause", row, f"pause-{time.monotonic()}", self.leader())
+            with self.clients.record_fault("backlog", []):
+                self.clients.edit("pause", row, f"pause-{time.monotonic()}", self.leader())
                 for n in range(5):
-                    self.batch(f"late-{n}-{time.monotonic()}", 20, 600_000)
+                    self.submit_batch(f"late-{n}-{time.monotonic()}", 20, 600_000)
                     time.sleep(1)
                 wait_for(
                     lambda: (
-                        self.calls.edit("pause", None, f"go-on-{time.monotonic()}", self.leader()).get("status")
+                        self.clients.edit("pause", None, f"go-on-{time.monotonic()}", self.leader()).get("status")
                         in (200, 404)
                     ),
                     30,
@@ -160,18 +162,18 @@
 
     def plan_end_lot(self, c):
         def do():
-            self.say("a lot is ended")
-            e = self.calls.batch(f"ending-{time.monotonic()}", 200, 3_600_000, watch=False)
+            self.log("a lot is ended")
+            e = self.clients.submit_batch(f"ending-{time.monotonic()}", 200, 3_600_000, watch=False)
             if e["lot"]:
                 self.remember(e["lot"])
                 time.sleep(c.random() * 2)
-                self.calls.end_batch(e["lot"])
+                self.clients.cancel_batch(e["lot"])
 
         return ["ending"], do
 
     def plan_two_editors(self, c):
         def do():
-            self.say("two operators edit at once, a row against the whole cluster state")
+            self.log("two operators edit at once, a row against the whole cluster state")
             controllers = self.cluster.nodes("controller")
             args = [
                 (f"row-{c.randrange(4)}", {"model": f"m-{time.monotonic()}", "weight": 2}, None),
@@ -179,7 +181,7 @@
             ]
             both = [
                 threading.Thread(
-                    target=self.calls.edit,
+                    target=self.clients.edit,
                     args=(name, row, f"both-{n}-{time.monotonic()}", c.choice(controllers), whole),
                 )
                 for n, (name, row, whole) in enumerate(args)
@@ -200,15 +202,17 @@
             return {**kept, **{f"route-{i}": {"model": f"route-{i}", "weight": 1 + i % 9} for i in range(many)}}
 
         def do():
-            self.say(f"the table grows by {many} routes")
-            with self.calls.hurting("table grows", []):
+            self.log(f"the table grows by {many} routes")
+            with self.clients.record_fault("table grows", []):
                 for what, whole in (
                     ("grow", routes),
                     ("shrink", lambda rows: {k: v for k, v in rows.items() if not k.startswith("route-")}),
                 ):
                     wait_for(
                         lambda: (
-                            self.calls.edit("", None, f"{what}-{time.monotonic()}", self.leader(), whole).get("status")
+                            self.clients.edit("", None, f"{what}-{time.monotonic()}", self.leader(), whole).get(
+                                "status"
+                            )
                             == 200
                         ),
                         30,
--- a/testbed/processes/host_processes.py
+++ b/testbed/processes/host_processes.py
@@ -15,11 +15,11 @@
 
 __all__ = ["LightweightCluster", "MachineOverloaded"]
 
-PER_HOST = 20
+GATEWAYS_PER_HOST = 20
 ZONES = 25
-READY_LIMIT = 60
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+READY_LIMIT_SECONDS = 60
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class MachineOverloaded(Exception):
@@ -34,7 +34,7 @@
                 [sys.executable, "-m", "testbed", "host"], stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=err
             )
 
-    def ask(self, do: str, **what) -> dict:
+    def send_command(self, do: str, **what) -> dict:
         self._process.stdin.write(json.dumps({"do": do, **what}).encode() + b"\n")
         self._process.stdin.flush()
         out = json.loads(self._process.stdout.readline() or '{"fault": "the host ended"}')
@@ -42,12 +42,12 @@
             raise RuntimeError(f"{self.role} host: {do}: {out['fault']}")
         return out
 
-    def seconds(self) -> float:
+    def cpu_seconds(self) -> float:
         fields = Path(f"/proc/{self._process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
-    def memory(self) -> int:
-        return int(Path(f"/proc/{self._process.pid}/statm").read_text().split()[1]) * PAGE
+    def memory_bytes(self) -> int:
+        return int(Path(f"/proc/{self._process.pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
     def end(self):
         self._process.kill()
@@ -67,7 +67,7 @@
         self._threads = ThreadPoolExecutor(64)
 
     def start(self):
-        per = {"controller": 1, "storage": 1, "gateway": 1 if self.kind == "whole" else PER_HOST}
+        per = {"controller": 1, "storage": 1, "gateway": 1 if self.kind == "whole" else GATEWAYS_PER_HOST}
         for role, n in self._counts.items():
             step = min(per[role], max(1, -(-n // 2))) if role == "gateway" else 1
             for at in range(0, n, step):
@@ -75,10 +75,10 @@
         ports = free_ports(self._counts["controller"])
         seeds = [f"127.0.0.1:{p}" for p in ports]
         spec = {"zones": ZONES, "folder": str(self.folder), "founders": seeds[:3], "seeds": seeds}
-        kinds = {"controller": "hollow", "storage": "hollow", "gateway": self.kind}
-        self.base = {id(h): h.memory() for h in self.hosts if h.ask("count")}
+        kinds = {"controller": "lightweight", "storage": "lightweight", "gateway": self.kind}
+        self.base = {id(h): h.memory_bytes() for h in self.hosts if h.send_command("count")}
         responses = self._all(
-            lambda h: h.ask(
+            lambda h: h.send_command(
                 "listen",
                 spec={
                     **spec,
@@ -90,17 +90,21 @@
             )
         )
         control = [h for h in self.hosts if h.role != "gateway"]
-        self._found(control, [m for h, t in zip(self.hosts, responses) if h.role != "gateway" for m in t["members"]])
+        self._start_control(
+            control, [m for h, t in zip(self.hosts, responses) if h.role != "gateway" for m in t["members"]]
+        )
         members = [m for t in responses for m in t["members"]]
-        self._all(lambda h: h.ask("pace", pace=self.pace))
-        self._all(lambda h: h.ask("meet" if h.role != "gateway" else "open", members=members))
-        self._until(lambda: all(h.ask("look")["ready"] for h in self.hosts), READY_LIMIT + 5 * self.pace)
+        self._all(lambda h: h.send_command("pace", pace=self.pace))
+        self._all(lambda h: h.send_command("meet" if h.role != "gateway" else "open", members=members))
+        self._until(
+            lambda: all(h.send_command("look")["ready"] for h in self.hosts), READY_LIMIT_SECONDS + 5 * self.pace
+        )
 
-    def _found(self, control: list[_HostProcess], members: list[str]):
+    def _start_control(self, control: list[_HostProcess], members: list[str]):
         """Controllers and storage nodes found the fleet at full pace, before there are gateways."""
         for h in control:
-            h.ask("open", members=members)
-        self._until(lambda: all(h.ask("look")["ready"] for h in control), READY_LIMIT)
+            h.send_command("open", members=members)
+        self._until(lambda: all(h.send_command("look")["ready"] for h in control), READY_LIMIT_SECONDS)
 
     def _all(self, do) -> list:
         return list(self._threads.map(do, self.hosts))
@@ -112,19 +116,19 @@
                 raise MachineOverloaded(f"not ready within {limit:.0f} s")
             time.sleep(0.2)
 
-    def rows(self, rows: int):
+    def wait_for_rows(self, rows: int):
         """Waits until every node has at least so many rows."""
-        self._until(lambda: all(h.ask("look")["rows"] >= rows for h in self.hosts), READY_LIMIT)
+        self._until(lambda: all(h.send_command("look")["rows"] >= rows for h in self.hosts), READY_LIMIT_SECONDS)
 
-    def holding(self, held: int):
+    def wait_for_held_logs(self, held: int):
         """Waits until so many logs are held."""
-        self._until(lambda: sum(h.ask("count")["held"] for h in self.hosts) >= held, 2 * READY_LIMIT)
+        self._until(lambda: sum(h.send_command("count")["held"] for h in self.hosts) >= held, 2 * READY_LIMIT_SECONDS)
 
-    def settled(self):
+    def wait_for_burst(self):
         """Waits until what was to be written at once is durable."""
-        self._until(lambda: not any(h.ask("count")["bursting"] for h in self.hosts), 2 * READY_LIMIT)
+        self._until(lambda: not any(h.send_command("count")["bursting"] for h in self.hosts), 2 * READY_LIMIT_SECONDS)
 
-    def load(self, engines: int = 0, tails: int = 0, held: int = 0, **more):
+    def start_load(self, engines: int = 0, tails: int = 0, held: int = 0, **more):
         gateways = [h for h in self.hosts if h.role == "gateway"]
         names = [f"engine{i}" for i in range(engines)]
         logs = [f"results/held{i}" for i in range(held)]
@@ -132,55 +136,57 @@
             here = gateways.index(h) if h.role == "gateway" else 0
             mine = slice(here, None, len(gateways))
             if h.role == "gateway":
-                share = len(logs[mine]) / held if held else 0
-                h.ask(
+                fraction = len(logs[mine]) / held if held else 0
+                h.send_command(
                     "load",
                     engines=names[mine],
                     tails=[f"results/tail{n}" for n in range(tails)],
                     held=logs[mine],
-                    items=more.get("items", 0) * share,
+                    items=more.get("items", 0) * fraction,
                     burst=more.get("burst", 0),
                 )
             elif h.role == "controller":
-                h.ask("load", rows=more.get("rows", 0), changes=more.get("changes", 0))
+                h.send_command("load", rows=more.get("rows", 0), changes=more.get("changes", 0))
 
-    def look(self) -> list[dict]:
+    def sample(self) -> list[dict]:
         """What each host has used and counted so far."""
         return self._all(
             lambda h: {
                 "role": h.role,
                 "nodes": len(h.numbers),
-                "cpu": h.seconds(),
-                "memory": h.memory(),
+                "cpu": h.cpu_seconds(),
+                "memory": h.memory_bytes(),
                 "base": self.base[id(h)],
                 "real": time.monotonic(),
-                **h.ask("count"),
+                **h.send_command("count"),
             }
         )
 
-    def busy(self, model_seconds: float) -> tuple[float, float]:
+    def measure_usage(self, model_seconds: float) -> tuple[float, float]:
         """Cores in use by all hosts together, and the share of their timers that came in time at the worst of them."""
-        w = self.window(model_seconds)
+        w = self.measure_window(model_seconds)
         return w["cores"], w["kept"]
 
-    def window(self, model_seconds: float) -> dict:
+    def measure_window(self, model_seconds: float) -> dict:
         """One window's figures for each role: per node, and a second of the nodes' own time."""
-        before = self.look()
+        before = self.sample()
         time.sleep(model_seconds * self.pace)
-        after = self.look()
+        after = self.sample()
         out = {
             "cores": sum(b["cpu"] - a["cpu"] for a, b in zip(before, after)) / (after[0]["real"] - before[0]["real"])
         }
         pairs = list(zip(before, after))
         out["kept"] = min((b["ticks"] - a["ticks"]) / (b["at"] - a["at"]) for a, b in pairs)
         for role in (*self._counts, "leader"):
-            out[role] = self._role([(a, b) for a, b in pairs if role == ("leader" if b["leads"] else b["role"])])
+            out[role] = self._role_figures(
+                [(a, b) for a, b in pairs if role == ("leader" if b["leads"] else b["role"])]
+            )
         out["edits"] = [e for b in after for e in b["edits"]]
         out["failed"] = sum(b["failed"] for b in after)
         out["warned"] = dict(sum((Counter(b["warned"]) for b in after), Counter()))
         return out
 
-    def _role(self, pairs) -> dict:
+    def _role_figures(self, pairs) -> dict:
         nodes = sum(a["nodes"] for a, _ in pairs)
         if not nodes:
             return {}
--- a/testbed/processes/lightweight_nodes.py
+++ b/testbed/processes/lightweight_nodes.py
@@ -25,20 +25,20 @@
 from pipitlink.wire.membership_pb2 import Gossip, Member
 from pipitlink.wire.rpc import RpcEndpoint
 
-from .synthetic_load import Work
+from .synthetic_load import SyntheticLoad
 
 __all__ = ["LightweightGateway", "CountedRpcEndpoint", "open_parts", "run_host"]
 
-TOLD_AT_ONCE = 100
-TICK = 0.1
-CALL_FRAME, RESPONSE_FRAME = 14, 11
+MEMBERS_PER_MESSAGE = 100
+TICK_SECONDS = 0.1
+CALL_FRAME_BYTES, RESPONSE_FRAME_BYTES = 14, 11
 
 
 class LightweightGateway(GatewayNode):
     """A whole gateway but for its HTTP side: every beat, call and answer between peers is the gateway's own."""
 
 
-class _Member:
+class _PeerOnly:
     """A node that is only a peer: membership and cluster state, nothing of a gateway's work."""
 
     def __init__(self, ctx):
@@ -62,28 +62,28 @@
     async def dispatch(self, peer, method, body):
         is_remote = peer.node != self.node
         if is_remote:
-            self._count("in", method, len(body) + len(method) + CALL_FRAME)
+            self._count("in", method, len(body) + len(method) + CALL_FRAME_BYTES)
         response = await super().dispatch(peer, method, body)
         if is_remote:
-            self._count("out", f"{method}:response", response.ByteSize() + RESPONSE_FRAME)
+            self._count("out", f"{method}:response", response.ByteSize() + RESPONSE_FRAME_BYTES)
         return response
 
     async def handle_notification(self, peer, method, body):
-        self._count("in", method, len(body) + len(method) + CALL_FRAME)
+        self._count("in", method, len(body) + len(method) + CALL_FRAME_BYTES)
         await RpcEndpoint.dispatch(self, peer, method, body)
 
     def notify(self, addresses, method, message):
         for _ in addresses:
-            self._count("out", method, message.ByteSize() + len(method) + CALL_FRAME)
+            self._count("out", method, message.ByteSize() + len(method) + CALL_FRAME_BYTES)
         super().notify(addresses, method, message)
 
     async def _call(self, address, method, request, response_type, node=""):
         is_remote = address != self.address
         if is_remote:
-            self._count("out", method, request.ByteSize() + len(method) + CALL_FRAME)
+            self._count("out", method, request.ByteSize() + len(method) + CALL_FRAME_BYTES)
         response = await super()._call(address, method, request, response_type, node)
         if is_remote:
-            self._count("in", f"{method}:response", response.ByteSize() + RESPONSE_FRAME)
+            self._count("in", f"{method}:response", response.ByteSize() + RESPONSE_FRAME_BYTES)
         return response
 
 
@@ -101,7 +101,7 @@
         self._counts["disk_syncs"] += 1
 
 
-class _Slowed:
+class _SlowedReactor:
     """The reactor, with its calls and the limits of its connects `pace` times later."""
 
     def __init__(self, host):
@@ -122,7 +122,7 @@
     ctx.membership, ctx.cluster, ctx.replicated_log = Membership(ctx), ClusterFollower(ctx), ReplicatedLog(ctx)
     if ctx.role == "gateway":
         ctx.cache = Cache(ctx)
-        part = (_Member if kind == "member" else LightweightGateway)(ctx)
+        part = (_PeerOnly if kind == "member" else LightweightGateway)(ctx)
     else:
         part = {"storage": StorageNode, "controller": ControllerNode}[ctx.role](ctx, disk)
     part.open()
@@ -134,7 +134,7 @@
     return part
 
 
-class _Sink:
+class _WarningCounter:
     def __init__(self):
         self.counts: Counter = Counter()
 
@@ -158,7 +158,7 @@
         )
         Path(settings.data).mkdir(parents=True, exist_ok=True)
         logger = StructuredLogger(host.sink, node=node)
-        slowed = _Slowed(host)
+        slowed = _SlowedReactor(host)
         timers = Timers(slowed, seconds=host.now)
         self.rpc = CountedRpcEndpoint(slowed, timers, logger, settings.fleet, node)
         self.ctx = Context(role, node, settings, slowed, timers, logger, self.rpc, Random())
@@ -231,8 +231,8 @@
         self.pace = 1.0
         self._boot = Timers(reactor)._seconds
         self._paced_at = (self._boot(), self._boot())
-        self.sink = _Sink()
-        self.work = Work(self)
+        self.sink = _WarningCounter()
+        self.load = SyntheticLoad(self)
         self._ticks = 0
 
     def now(self) -> float:
@@ -245,9 +245,9 @@
 
     def lineReceived(self, line):
         what = json.loads(line)
-        spawn(self._do(what)).addCallbacks(self._say, lambda f: self._say({"fault": repr(f.value)}))
+        spawn(self._do(what)).addCallbacks(self._send_response, lambda f: self._send_response({"fault": repr(f.value)}))
 
-    def _say(self, out):
+    def _send_response(self, out):
         self.sendLine(json.dumps(out or {}).encode())
 
     async def _do(self, what: dict):
@@ -256,7 +256,7 @@
     async def do_listen(self, spec: dict):
         kind = _CompleteNode if spec["kind"] == "whole" else _LightweightNode
         self.nodes = [kind(self, spec["role"], n, spec) for n in spec["numbers"]]
-        Timers(_Slowed(self)).call_repeatedly(secs(TICK), self._tick, self.sink.log)
+        Timers(_SlowedReactor(self)).call_repeatedly(secs(TICK_SECONDS), self._tick, self.sink.log)
         return {"members": [(await n.listen()).SerializeToString().hex() for n in self.nodes]}
 
     async def do_pace(self, pace: float):
@@ -274,8 +274,8 @@
         """Tells each node, by the product's own call, who is in the fleet."""
         everyone = [Member.FromString(bytes.fromhex(m)) for m in members]
         for n in self.nodes:
-            for at in range(0, len(everyone), TOLD_AT_ONCE):
-                gossip = Gossip(sender=everyone[0].node, members=everyone[at : at + TOLD_AT_ONCE])
+            for at in range(0, len(everyone), MEMBERS_PER_MESSAGE):
+                gossip = Gossip(sender=everyone[0].node, members=everyone[at : at + MEMBERS_PER_MESSAGE])
                 await n.rpc.dispatch(n.rpc.hello(), "membership.tell", gossip.SerializeToString())
 
     async def do_look(self):
@@ -298,12 +298,12 @@
             "counts": counts,
             "warned": self.sink.counts,
             "leads": leads,
-            "ticks": self._ticks * TICK,
-            **self.work.told(),
+            "ticks": self._ticks * TICK_SECONDS,
+            **self.load.counters(),
         }
 
     async def do_load(self, **what):
-        await self.work.begin(**what)
+        await self.load.start(**what)
 
     def connectionLost(self, reason):
         if reactor.running:
--- a/testbed/processes/process_cluster.py
+++ b/testbed/processes/process_cluster.py
@@ -18,7 +18,7 @@
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
 
 
-_given: set[int] = set()
+_reserved_ports: set[int] = set()
 
 
 def free_ports(n: int) -> list[int]:
@@ -27,14 +27,14 @@
     at = 12_000 + os.getpid() * 97 % 18_000
     while len(out) < n:
         at = at + 1 if at < 31_000 else 12_000
-        if at in _given:
+        if at in _reserved_ports:
             continue
         with socket.socket() as s:
             try:
                 s.bind(("127.0.0.1", at))
             except OSError:
                 continue
-        _given.add(at)
+        _reserved_ports.add(at)
         out.append(at)
     return out
 
@@ -103,15 +103,15 @@
         self.programs: dict[str, Program] = {}
         self.level = level
         self.settings = settings or {}
-        self._wiped = 0
+        self._wiped_count = 0
         self._lock = threading.Lock()
         self._injected: dict = {}
         self.capacity, self.step = capacity, step
         self.zones: dict[str, str] = {}
         counts = {"gateway": gateways, "storage": storage_nodes, "controller": controllers}
         self._ports = {f"{role}{i}": tuple(free_ports(3)) for role, n in counts.items() for i in range(n)}
-        firsts = [self._ports[f"{r}0"][0] for r in ("controller", "storage", "gateway") if counts[r]]
-        self.seeds = [f"127.0.0.1:{p}" for p in firsts]
+        first_ports = [self._ports[f"{r}0"][0] for r in ("controller", "storage", "gateway") if counts[r]]
+        self.seeds = [f"127.0.0.1:{p}" for p in first_ports]
         self.founders = [f"127.0.0.1:{self._ports[f'controller{i}'][0]}" for i in range(min(3, controllers))]
         for name in self._ports:
             role = name.rstrip("0123456789")
@@ -119,14 +119,14 @@
         self.engines = [f"engine{i}" for i in range(engines)]
         self.cards = [f"card{i}" for i in range(cards)]
         for i, name in enumerate(self.engines):
-            self.add_backend(name, "models", models, ZONES[i % 4])
+            self.add_engine(name, "models", models, ZONES[i % 4])
         for i, name in enumerate(self.cards):
-            self.add_backend(name, "cards", "", ZONES[i % 4])
+            self.add_engine(name, "cards", "", ZONES[i % 4])
 
     def add_node(self, role: str, name: str, zone: str, seeds=None, **more) -> Program:
         ports = self._ports.setdefault(name, tuple(free_ports(3)))
         self.zones[name] = zone
-        sets = {
+        options = {
             "zone": zone,
             "port": ports[0],
             "seeds": ",".join(seeds or self.seeds),
@@ -135,20 +135,20 @@
             **self.settings,
             **more,
         }
-        sets["operator_port"] = ports[2]
+        options["operator_port"] = ports[2]
         if role == "gateway":
-            sets["http_port"] = ports[1]
+            options["http_port"] = ports[1]
         else:
-            sets["data"] = self.folder / name
+            options["data"] = self.folder / name
         if role == "controller" and self.founders and not seeds:
-            sets["founders"] = ",".join(self.founders)
+            options["founders"] = ",".join(self.founders)
         command = ["pipitlink", role]
-        for k, v in sets.items():
+        for k, v in options.items():
             command += [f"--{k.replace('_', '-')}", str(v)]
         p = self.programs[name] = Program(name, command, self.folder / f"{name}.log", ports)
         return p
 
-    def add_backend(self, name: str, pool: str, models: str, zone: str) -> Program:
+    def add_engine(self, name: str, pool: str, models: str, zone: str) -> Program:
         (port,) = free_ports(1)
         self.zones[name] = zone
         command = [
@@ -184,7 +184,7 @@
         self.programs[name].kill()
         self._ports.pop(name, None)
 
-    def power(self, name: str, rng):
+    def cut_power(self, name: str, rng):
         """Cuts a node's power: what it had not synced is gone, but for a torn part of it."""
         self.programs[name].kill()
         synced_file = self.folder / f"{name}.synced"
@@ -203,8 +203,8 @@
 
     def wipe(self, name: str):
         """A node's disk is lost: it will find an empty folder."""
-        self._wiped += 1
-        (self.folder / name).rename(self.folder / f"{name}-lost-{self._wiped}")
+        self._wiped_count += 1
+        (self.folder / name).rename(self.folder / f"{name}-lost-{self._wiped_count}")
 
     def start(self, limit: float = 30):
         for p in self.programs.values():
@@ -250,12 +250,12 @@
         pairs = [[self.address(a), self.address(b)] for a in some for b in others]
         if not one_way:
             pairs += [[b, a] for a, b in pairs]
-        self.tell(cuts=pairs)
+        self.inject(cuts=pairs)
 
     def heal(self):
-        self.tell(cuts=[])
+        self.inject(cuts=[])
 
-    def tell(self, **more):
+    def inject(self, **more):
         """What the nodes' plug does from now on: cuts, delays by place, full disks."""
         with self._lock:
             self._injected.update(more)
@@ -263,7 +263,7 @@
             new.write_text(json.dumps(self._injected))
             new.replace(self.folder / "cuts.json")
 
-    def operator(self, name: str) -> str:
+    def operator_address(self, name: str) -> str:
         return f"127.0.0.1:{self.programs[name].ports[2]}"
 
     def notes(self) -> list[dict]:
--- a/testbed/processes/synthetic_load.py
+++ b/testbed/processes/synthetic_load.py
@@ -7,13 +7,13 @@
 from pipitlink.wire.lots_pb2 import LogRecord, Result
 from pipitlink.wire.membership_pb2 import EngineUpdate
 
-__all__ = ["Work"]
+__all__ = ["SyntheticLoad"]
 
-RENEW = secs(1)
-ROWS_AT_ONCE = 1000
-LAST_KEPT = 1000
-BURST_STEP = 100
-HOLD_SPREAD = secs(5)
+HEARTBEAT_INTERVAL = secs(1)
+ROWS_PER_EDIT = 1000
+MAX_KEPT_DURATIONS = 1000
+RESULTS_PER_APPEND = 100
+MAX_ACQUIRE_DELAY = secs(5)
 
 
 def _result(item: int) -> bytes:
@@ -21,7 +21,7 @@
     return LogRecord(result=r).SerializeToString()
 
 
-class Work:
+class SyntheticLoad:
     """The load on one host's nodes, told beforehand and the same until the host ends."""
 
     def __init__(self, host):
@@ -32,17 +32,17 @@
         self._bursting = 0
         self._held = 0
 
-    def told(self) -> dict:
+    def counters(self) -> dict:
         edits, self._edits = self._edits, []
         return {"edits": edits, "failed": self._failed, "bursting": self._bursting, "held": self._held}
 
-    async def begin(
+    async def start(
         self, engines=(), rows: int = 0, changes: float = 0, tails=(), held=(), items: float = 0, burst: int = 0
     ):
         gateways = [n for n in self._host.nodes if n.role == "gateway"]
         for i, name in enumerate(engines):
             n = gateways[i % len(gateways)]
-            n.ctx.timers.call_later(RENEW * n.ctx.rng.random(), self._announce, n, name, 0)
+            n.ctx.timers.call_later(HEARTBEAT_INTERVAL * n.ctx.rng.random(), self._announce, n, name, 0)
         for n in gateways:
             for log in tails:
                 n.ctx.cache.tail(log)
@@ -69,38 +69,38 @@
                 state="ready",
             )
         )
-        n.ctx.timers.call_later(RENEW, self._announce, n, name, times + 1)
+        n.ctx.timers.call_later(HEARTBEAT_INTERVAL, self._announce, n, name, times + 1)
 
     async def _write(self, n, log: str, rate: float):
         """Holds a log, shadowed into the caches, and lists results in it; what could not be had is asked for again."""
         try:
             h = None
             while h is None:
-                await n.ctx.timers.sleep(HOLD_SPREAD * n.ctx.rng.random())
+                await n.ctx.timers.sleep(MAX_ACQUIRE_DELAY * n.ctx.rng.random())
                 try:
                     h = await acquire_log(n.ctx, log)
                     self._held += 1
                 except PipitlinkError as e:
-                    self._fail(e)
+                    self._count_failure(e)
             k = 0
             while rate and not h.lost:
-                spawn(h.append([_result(k)])).addErrback(self._fail)
+                spawn(h.append([_result(k)])).addErrback(self._count_failure)
                 k += 1
                 await n.ctx.timers.sleep(secs(1 / rate))
         except PipitlinkError as e:
-            self._fail(e)
+            self._count_failure(e)
 
     async def _burst(self, n, size: int):
         """One lot's results, as fast as they get durable."""
         try:
             h = await acquire_log(n.ctx, "results/lot")
-            for at in range(0, size, BURST_STEP):
-                await h.append([_result(k) for k in range(at, min(size, at + BURST_STEP))])
+            for at in range(0, size, RESULTS_PER_APPEND):
+                await h.append([_result(k) for k in range(at, min(size, at + RESULTS_PER_APPEND))])
         except PipitlinkError as e:
-            self._fail(e)
+            self._count_failure(e)
         self._bursting = 0
 
-    def _fail(self, _):
+    def _count_failure(self, _):
         self._failed += 1
 
     async def _edit_on(self, n, rows: int, changes: float):
@@ -111,7 +111,7 @@
             if n.part.consensus.role != "leader" or not n.part.consensus.cluster_state.placement_groups:
                 continue
             if done < rows:
-                end = min(rows, done + ROWS_AT_ONCE)
+                end = min(rows, done + ROWS_PER_EDIT)
                 puts = [Row(name=f"row{i}", model=f"model{i}", weight=1) for i in range(done, end)]
                 if await self._edit(n, puts):
                     done += len(puts)
@@ -124,13 +124,13 @@
                 self._n += 1
                 began = timers.now()
                 if await self._edit(n, [Row(name="edited", model="edited", weight=self._n % 100 + 1)]):
-                    self._edits = self._edits[-LAST_KEPT:] + [(timers.now() - began).total_seconds()]
+                    self._edits = self._edits[-MAX_KEPT_DURATIONS:] + [(timers.now() - began).total_seconds()]
 
     async def _edit(self, n, puts) -> bool:
         try:
             e = TableEdit(base=n.part.consensus.cluster_state.table_sequence, upserts=puts)
             out = await n.part.state_delivery.edit(Command(edit=f"{n.ctx.node}{n.ctx.timers.now()}", table=e))
         except PipitlinkError as e:
-            self._fail(e)
+            self._count_failure(e)
             return False
         return out.code == "done"
--- a/testbed/standins/clients.py
+++ b/testbed/standins/clients.py
@@ -20,7 +20,7 @@
 
     def run(self):
         n = 0
-        while not self.clients.over.wait(self.every):
+        while not self.clients.stopped.wait(self.every):
             n += 1
             if self._slots.acquire(blocking=False):
                 threading.Thread(target=self._one, args=(n,), daemon=True).start()
@@ -44,13 +44,13 @@
     def __init__(self, cluster, rng):
         self.cluster = cluster
         self.rng = rng
-        self.over = threading.Event()
+        self.stopped = threading.Event()
         self._lock = threading.Lock()
         self.events: list[dict] = []
         self._threads: list[threading.Thread] = []
-        self._hurt = 0
-        self.down: set[str] = set()
-        self._open_operating()
+        self._fault_count = 0
+        self.excluded_gateways: set[str] = set()
+        self._init_operators()
 
     def note(self, event, **pairs):
         line = {"at": time.monotonic(), "event": event, **pairs}
@@ -58,16 +58,16 @@
             self.events.append(line)
         return line
 
-    def taken(self) -> list[dict]:
+    def recorded_events(self) -> list[dict]:
         with self._lock:
             return list(self.events)
 
     @contextmanager
-    def hurting(self, what: str, nodes, bearable=True, settle=2.0):
+    def record_fault(self, what: str, nodes, bearable=True, settle=2.0):
         """Tells the checker which nodes are down, cut or frozen meanwhile, and for a while after."""
         with self._lock:
-            self._hurt += 1
-            n = self._hurt
+            self._fault_count += 1
+            n = self._fault_count
         self.note("hurt", id=n, what=what, nodes=list(nodes), bearable=bearable)
         try:
             yield
@@ -80,13 +80,13 @@
         self._threads.append(t)
 
     def stop(self):
-        self.over.set()
+        self.stopped.set()
         for t in self._threads:
             t.join(5)
 
-    def gateway(self, but: str = "") -> str:
+    def pick_gateway(self, exclude: str = "") -> str:
         """A gateway that the platform would send a caller to: it moves clients off gateways that it took down."""
-        up = [g for g in self.cluster.nodes("gateway") if g not in self.down and g != but]
+        up = [g for g in self.cluster.nodes("gateway") if g not in self.excluded_gateways and g != exclude]
         with self._lock:
             return self.rng.choice(up or self.cluster.nodes("gateway"))
 
@@ -109,7 +109,7 @@
 
         With `leave_at` the caller leaves after so many pieces and goes on at the gateway `then`.
         """
-        gateway = gateway or self.gateway()
+        gateway = gateway or self.pick_gateway()
         asked = self.note("ask", kind="live", prompt=prompt, gateway=gateway, repeatable=repeatable)
         t = {
             "pieces": [],
@@ -189,20 +189,20 @@
             elif line.startswith("data: "):
                 yield name, json.loads(line[6:])
 
-    def stuck(self, prompt: str, span: float, gateway=None):
+    def send_without_reading(self, prompt: str, span: float, gateway=None):
         """A caller that asks and then reads nothing for a while, and goes away."""
-        c = self._connect(gateway or self.gateway(), span + 5)
+        c = self._connect(gateway or self.pick_gateway(), span + 5)
         try:
             body = {"model": "pipit-small", "prompt": prompt, "limit_ms": int(span * 1000)}
             c.request("POST", "/v1/generate", json.dumps(body), {"Content-Type": "application/json"})
-            self.over.wait(span)
+            self.stopped.wait(span)
         except (OSError, http.client.HTTPException):
             pass
         finally:
             c.close()
 
     def fetch(self, path: str, limit=15):
-        asked, gateway = time.monotonic(), self.gateway()
+        asked, gateway = time.monotonic(), self.pick_gateway()
         status, body, heads = self.cluster.call(gateway, "GET", f"/v1/fetch/cards/cards/{path}", limit=limit)
         return self.note(
             "fetched",
@@ -217,7 +217,9 @@
             retry=heads.get("Retry-After"),
         )
 
-    def batch(self, name: str, items: int, limit_ms=600_000, repeatable=False, priority=0, watch=True, gateway=None):
+    def submit_batch(
+        self, name: str, items: int, limit_ms=600_000, repeatable=False, priority=0, watch=True, gateway=None
+    ):
         prompts = [f"{name}/{i}" for i in range(items)]
         body = {
             "items": [{"model": "pipit-small", "prompt": p, "repeatable": repeatable} for p in prompts],
@@ -225,7 +227,7 @@
             "priority": priority,
             "customer": name.partition("-")[0],
         }
-        gateway = gateway or self.gateway()
+        gateway = gateway or self.pick_gateway()
         asked = time.monotonic()
         status, said, heads = self.cluster.call(gateway, "POST", "/v1/lots", body, limit=15)
         batch = said["lot"] if status == 201 else ""
@@ -243,12 +245,12 @@
             fault=_error(said) if status != 201 else None,
         )
         if batch and watch:
-            self.over.wait(1.0)
+            self.stopped.wait(1.0)
             self.read_batch(batch)
         return event
 
     def read_batch(self, batch: str, gateway=None, start=0):
-        gateway = gateway or self.gateway()
+        gateway = gateway or self.pick_gateway()
         asked = time.monotonic()
         status, said, _ = self.cluster.call(gateway, "GET", f"/v1/lots/{batch}/results?from={start}", limit=15)
         return self.note(
@@ -264,6 +266,6 @@
             fault=_error(said) if status != 200 else None,
         )
 
-    def end_batch(self, batch: str):
-        status, said, _ = self.cluster.call(self.gateway(), "DELETE", f"/v1/lots/{batch}", limit=15)
+    def cancel_batch(self, batch: str):
+        status, said, _ = self.cluster.call(self.pick_gateway(), "DELETE", f"/v1/lots/{batch}", limit=15)
         return self.note("lot_ended", lot=batch, status=status, said=said)
--- a/testbed/standins/engine.py
+++ b/testbed/standins/engine.py
@@ -10,7 +10,7 @@
 from twisted.internet import defer, endpoints, reactor, task
 from twisted.web.server import Site
 
-__all__ = ["Backend", "response_pieces", "card_bytes"]
+__all__ = ["StandInEngine", "response_pieces", "card_bytes"]
 
 
 def response_pieces(prompt: str, most: int) -> list[str]:
@@ -24,13 +24,13 @@
     return (seed * (20 + int(seed[:2], 16))).encode()
 
 
-_BAD_CHUNKS = {
+_INVALID_CHUNKS = {
     "mixed": b'data: {"id": "another", "choices": [{"index": 0, "text": "not mine "}]}\n\n',
     "error": b'data: {"error": {"message": "out of memory", "code": 500}}\n\n',
 }
 
 
-class Backend:
+class StandInEngine:
     app = Klein()
 
     def __init__(self, name, pool, models, zone, capacity, gateways, notes, step, port):
@@ -108,8 +108,8 @@
                     self.note("cut", run=run)
                     request.transport.abortConnection()
                     return b""
-                if n == len(pieces) // 2 and self.mode in _BAD_CHUNKS:
-                    request.write(_BAD_CHUNKS[self.mode])
+                if n == len(pieces) // 2 and self.mode in _INVALID_CHUNKS:
+                    request.write(_INVALID_CHUNKS[self.mode])
                 chunk = {"id": run, "choices": [{"index": 0, "text": text, "finish_reason": None}]}
                 request.write(f"data: {json.dumps(chunk)}\n\n".encode())
             if self.mode != "unclosed":
@@ -147,8 +147,8 @@
         return b"ok"
 
 
-def run_backend(arguments: dict) -> int:
-    b = Backend(
+def run_engine(arguments: dict) -> int:
+    b = StandInEngine(
         arguments["--name"],
         arguments["--pool"],
         [m for m in arguments["--models"].split(",") if m],
--- a/testbed/standins/operators.py
+++ b/testbed/standins/operators.py
@@ -9,7 +9,7 @@
 class OperatorWorkload:
     """Mixin: operators that edit what they read first, and ask again after an unknown outcome until they know it."""
 
-    def _open_operating(self):
+    def _init_operators(self):
         self._unknown: list[tuple] = []
         self._unknown_lock = threading.Lock()
 
@@ -65,7 +65,7 @@
             code=bad["code"] if bad else None,
         )
 
-    def settle_unknown(self, controller: str):
+    def resolve_unknown_edits(self, controller: str):
         """Sends each edit of unknown outcome again with its id, until it is known; twice, since it must not change."""
         with self._unknown_lock:
             waiting, self._unknown = self._unknown, []
@@ -76,7 +76,7 @@
                 with self._unknown_lock:
                     self._unknown.append(one)
 
-    def unsettled(self) -> int:
+    def unresolved_edits(self) -> int:
         return len(self._unknown)
 
     def zone(self, zone: str, empty: bool, controller: str) -> int:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -18,7 +18,7 @@
 from testbed.benchmarks.capacity import SERIES
 from testbed.benchmarks.linear_fit import fit
 from testbed.processes.lightweight_nodes import CountedRpcEndpoint, open_parts
-from testbed.processes.synthetic_load import Work
+from testbed.processes.synthetic_load import SyntheticLoad
 from testbed.simulator.simulated_engine import SimulatedEngine
 from testbed.simulator.simulated_gateway import SimulatedGateway
 from testbed.simulator.simulation import SimulatedNode, SimulatedRpcEndpoint, Simulation
@@ -47,7 +47,7 @@
         ctx.rpc = SimulatedRpcEndpoint(simulation, self)
         self.part = open_parts(
             ctx,
-            "hollow",
+            "lightweight",
             Member(
                 node=self.node,
                 incarnation=1,
@@ -68,12 +68,12 @@
         return self.simulated_nodes[name]
 
 
-def counted(simulation, engines: int, work=None) -> Counter:
+def counted(simulation, engines: int, load=None) -> Counter:
     """Calls a second by role and method, per node of the role, over a span that starts when the fleet is settled."""
     simulation.start()
     simulation.ready()
-    if work:
-        simulation.do(work.begin(engines=[f"engine{i}" for i in range(engines)]))
+    if load:
+        simulation.do(load.start(engines=[f"engine{i}" for i in range(engines)]))
     simulation.run(6)
     counts: Counter = Counter()
     simulation.watch_calls = lambda sender, method: counts.update([(sender.role, method)])
@@ -93,7 +93,7 @@
         simulation = LightweightSimulation(3, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
         self.addCleanup(simulation.end)
         host = type("Host", (), {"nodes": simulation.role("gateway")})
-        return counted(simulation, engines, Work(host))
+        return counted(simulation, engines, SyntheticLoad(host))
 
     def test_a_hollow_gateway_sends_what_a_real_one_does(self):
         real, lightweight = self.run_real(6, 4), self.run_lightweight(6, 4)
@@ -115,7 +115,7 @@
         simulation = LightweightSimulation(5, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
         self.addCleanup(simulation.end)
         host = type("Host", (), {"nodes": simulation.role("gateway")})
-        return counted(simulation, engines, Work(host))
+        return counted(simulation, engines, SyntheticLoad(host))
 
     def test_calls_a_node_at_growing_sizes(self):
         for gateways in (3, 6, 12, 20):
@@ -206,7 +206,7 @@
     def test_what_grows_by_its_square_is_told_so(self):
         f = fit([8, 16, 24, 48, 96], [2 + 0.1 * x + 0.03 * x * x for x in (8, 16, 24, 48, 96)])
         self.assertTrue(f.curved)
-        self.assertAlmostEqual(f.bend, 0.03, delta=0.001)
+        self.assertAlmostEqual(f.quadratic, 0.03, delta=0.001)
 
     def test_noise_is_not_taken_for_a_curve(self):
         for ys in ((8.3, 6.9, 7.5, 8.9), (0.12, 0.16, 0.15, 0.1), (85, 86, 82, 85)):
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -90,7 +90,7 @@
     return events, notes
 
 
-class Planted(unittest.TestCase):
+class PlantedViolations(unittest.TestCase):
     def caught(self, plant, **more) -> list[str]:
         events, notes = copy.deepcopy(good())
         plant(events, notes)
--- a/tests/test_day_losses.py
+++ b/tests/test_day_losses.py
@@ -22,7 +22,7 @@
 class Losses(unittest.TestCase):
     def test_the_rows_of_a_kind_add_up_to_what_it_lost_of_the_whole_day(self):
         ask, bulk = class_losses(REPORT, {"ask": 2.0, "bulk": 4.0})
-        self.assertAlmostEqual(ask.share + bulk.share, 1)
+        self.assertAlmostEqual(ask.fraction + bulk.fraction, 1)
         self.assertAlmostEqual(ask.total, 0.5 * 0.1)
         self.assertAlmostEqual(ask.refused, 0.5 * 0.02)
         self.assertAlmostEqual(ask.failed, 0.5 * 0.01)
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -73,7 +73,7 @@
     ],
 }
 
-REFUSED_ACCOUNTS = {
+REJECTED = {
     "two confirmed on one base": [A, order("b", 3, 5, 2, 3), order("c", 3, 6, 2, 3)],
     "two confirmed under one number": [A, order("b", 3, 5, 2, 3), order("c", 3, 5, 2, 3)],
     "confirmed, and an older one read": [A, B, seen(3, "a", 4, 5)],
@@ -146,20 +146,20 @@
     return records
 
 
-class Accounts(unittest.TestCase):
+class Histories(unittest.TestCase):
     def test_true_accounts_are_accepted(self):
         for name, records in ACCEPTED.items():
             with self.subTest(name):
                 self.assertEqual(check_history(records), [])
 
     def test_false_accounts_are_refused(self):
-        for name, records in REFUSED_ACCOUNTS.items():
+        for name, records in REJECTED.items():
             with self.subTest(name):
                 self.assertNotEqual(check_history(records), [])
 
     def test_the_order_in_which_records_are_given_does_not_matter(self):
         rng = Random(3)
-        for accounts, good in ((ACCEPTED, True), (REFUSED_ACCOUNTS, False)):
+        for accounts, good in ((ACCEPTED, True), (REJECTED, False)):
             for name, records in accounts.items():
                 with self.subTest(name):
                     self.assertEqual(check_history(rng.sample(records, len(records))) == [], good)
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -241,13 +241,13 @@
         cluster = ProcessCluster(gateways=2, storage_nodes=3, controllers=3, engines=2, cards=0, step=0.15)
         self.addCleanup(cluster.stop)
         cluster.start()
-        calls = Clients(cluster, Random(1))
-        wait_for(lambda: calls.generate("warm", gateway="gateway0")["end"], 20, "an engine is known")
+        clients = Clients(cluster, Random(1))
+        wait_for(lambda: clients.generate("warm", gateway="gateway0")["end"], 20, "an engine is known")
         batch = cluster.call(
             "gateway0", "POST", "/v1/lots", {"items": [{"model": "pipit-small", "prompt": f"d{n}"} for n in range(20)]}
         )[1]["lot"]
         results = []
-        t = threading.Thread(target=lambda: results.append(calls.generate("draining", gateway="gateway0")))
+        t = threading.Thread(target=lambda: results.append(clients.generate("draining", gateway="gateway0")))
         t.start()
         wait_for(lambda: any(n["event"] == "run" and n["prompt"] == "draining" for n in cluster.notes()), 10, "it runs")
         self.assertEqual(cluster.programs["gateway0"].end(), 0)
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -64,15 +64,15 @@
         self.assertTrue(events[-1].startswith("event: end\n"))
 
     def test_a_caller_that_was_moved_goes_on_at_any_gateway_exactly_where_it_stopped(self):
-        calls = Clients(self.cluster, Random(1))
+        clients = Clients(self.cluster, Random(1))
         for then in ("gateway0", "gateway1", "gateway2"):
             prompt = f"moved to {then}"
-            e = calls.generate(prompt, gateway="gateway0", leave_at=2, then=then)
+            e = clients.generate(prompt, gateway="gateway0", leave_at=2, then=then)
             self.assertEqual((e["end"], e["fault"]), (True, None))
             self.assertEqual(e["pieces"], list(enumerate(response_pieces(prompt, 256))))
         run = e["run"]
         self.assertEqual(self.cluster.call("gateway1", "GET", f"/v1/generate/{run}?from=99")[0], 416)
-        self.assertEqual(check(calls.taken(), self.cluster.notes(), {}), [])
+        self.assertEqual(check(clients.recorded_events(), self.cluster.notes(), {}), [])
         for gone in (f"{'0' * 16}-{run[17:]}", f"{run[:16]}-{'0' * 16}"):
             status, said, _ = self.cluster.call("gateway1", "GET", f"/v1/generate/{gone}?from=0")
             self.assertEqual(
@@ -121,7 +121,7 @@
             self.assertEqual((status, said["error"].get("field")), (400, field), said)
 
     def test_compare_tells_where_two_nodes_differ(self):
-        at = self.cluster.operator
+        at = self.cluster.operator_address
 
         def compare(*args):
             return subprocess.run(
