--- a/testbed/simulator/interleavings.py
+++ b/testbed/simulator/interleavings.py
@@ -1,4 +1,4 @@
-"""Model checking of real code: every order in which its threads, or the events around it, can come."""
+"""Model checking of real code: explores every order of its threads, or of the events that reach it."""
 
 import threading
 from collections.abc import Callable, Sequence
@@ -12,30 +12,30 @@
 
 
 class EventScenario(Protocol):
-    """A scenario whose events may come in any order."""
+    """A scenario whose events may occur in any order."""
 
     def events(self) -> Sequence[tuple[str, Callable[[], Any]]]:
-        """Returns the pairs of name and action that may come next."""
+        """Returns the events that may occur next, as pairs of name and action."""
         ...
 
     def check(self) -> Any:
-        """Fails where the state after an event is wrong."""
+        """Checks the state after an event; raises if it is wrong."""
         ...
 
     def finish(self) -> Any:
-        """Lets all that is in flight end."""
+        """Completes everything that is still in flight."""
         ...
 
 
 class Choices:
-    """The choices of one run: those of a prefix, and then the first of each."""
+    """The choices of one run: those of a prefix, followed by the first option at each further choice."""
 
     def __init__(self, prefix: list[int]) -> None:
         self._prefix = prefix
         self.taken: list[tuple[int, int]] = []
 
     def pick(self, count: int) -> int:
-        """Returns the next choice, a number below `count`."""
+        """Makes the next choice; returns a number below `count`."""
         n = len(self.taken)
         pick = self._prefix[n] if n < len(self._prefix) else 0
         self.taken.append((pick, count))
@@ -43,7 +43,7 @@
 
     @classmethod
     def explore(cls, run: Callable[["Choices"], Any], max_runs: int = MAX_RUNS) -> int:
-        """Calls `run` for every sequence of choices; returns how many there were."""
+        """Calls `run` for every sequence of choices; returns the number of sequences."""
         prefix: list[int] = []
         for count in range(1, max_runs + 1):
             choices = cls(prefix)
@@ -58,7 +58,7 @@
         raise AssertionError(f"more than {max_runs} sequences of choices")
 
     def next_prefix(self) -> list[int] | None:
-        """Returns the choices that lead to the next run, depth first; None after the last one."""
+        """Returns the prefix of the next run in depth-first order; None after the last run."""
         taken = list(self.taken)
         while taken and taken[-1][0] + 1 >= taken[-1][1]:
             taken.pop()
@@ -86,7 +86,7 @@
 
 
 def explore_orders(make_scenario: Callable[[], EventScenario], max_events: int, max_runs: int = MAX_RUNS) -> int:
-    """Runs a scenario through every order of up to so many of its events; returns how many orders were run."""
+    """Runs a scenario in every order of up to `max_events` events; returns the number of orders."""
     prefix: list[int] = []
     for count in range(1, max_runs + 1):
         choices = Choices(prefix)
@@ -99,13 +99,13 @@
 
 
 def run_random_orders(make_scenario: Callable[[], EventScenario], rng: Random, max_events: int, runs: int) -> None:
-    """Runs a scenario through orders of its events that are drawn at random."""
+    """Runs a scenario in random orders of its events."""
     for _ in range(runs):
         _run_events(make_scenario(), rng.randrange, max_events)
 
 
 class StepLock:
-    """A lock whose acquisition and release are points at which another thread may go first."""
+    """A lock whose acquisition and release are switch points."""
 
     def __init__(self, run: "Interleaver") -> None:
         self._run = run
@@ -126,7 +126,7 @@
 
 
 class _Thread:
-    """A thread that runs from one point to the next, when it is let."""
+    """A thread that runs from one switch point to the next each time it is resumed."""
 
     def __init__(self, run: "Interleaver", work: Callable[[], Any]) -> None:
         self.resume = threading.Semaphore(0)
@@ -147,7 +147,7 @@
 
 
 class Interleaver:
-    """One run of threads in a given order. `explore` makes as many as there are orders."""
+    """One run of threads in a given order; `explore` runs all orders."""
 
     def __init__(self, prefix: list[int]) -> None:
         self._choices = Choices(prefix)
@@ -156,23 +156,23 @@
         self._current: _Thread | None = None
 
     def switch_point(self, is_ready: Callable[[], bool] = _always) -> None:
-        """Stops the thread that calls until it is its turn and it may go on."""
+        """Suspends the calling thread until it is chosen to run; it can only be chosen while `is_ready` holds."""
         current = self._current
         if current is None or threading.current_thread() is not current.thread:
-            assert is_ready(), "taken outside the run"
+            assert is_ready(), "a lock is held by a thread outside the run"
             return
         current.is_ready = is_ready
         self.step_ended.release()
         current.resume.acquire()
 
     def run_threads(self, tasks: Sequence[Callable[[], Any]]) -> None:
-        """Runs each piece of work in a thread of its own; raises the first error of any of them."""
+        """Runs each task in a thread of its own; raises the error of the first failed task."""
         self._threads = [_Thread(self, work) for work in tasks]
         for started in self._threads:
             started.thread.start()
         while not all(thread.ended for thread in self._threads):
             ready = [thread for thread in self._threads if not thread.ended and thread.is_ready()]
-            assert ready, "the threads wait for one another for ever"
+            assert ready, "deadlock: each thread waits for another"
             self._current = ready[self._choices.pick(len(ready))]
             self._current.resume.release()
             self.step_ended.acquire(timeout=MAX_STEP_SECONDS)
@@ -187,7 +187,7 @@
         make: Callable[["Interleaver"], tuple[Sequence[Callable[[], Any]], Callable[[], Any]]],
         max_runs: int = MAX_RUNS,
     ) -> int:
-        """Runs the work that `make` returns, with its check, in every order; returns how many orders there were."""
+        """Runs the tasks that `make` returns in every order, with a check after each; returns the number of orders."""
         prefix: list[int] = []
         for count in range(1, max_runs + 1):
             run = cls(prefix)
--- a/testbed/simulator/random_faults.py
+++ b/testbed/simulator/random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults in a simulation, by its seed: kills, power losses, freezes, partitions, full and slow disks."""
+"""Random faults in a simulation, drawn from its seed: kills, power losses, freezes, partitions, full and slow disks."""
 
 import os
 from collections.abc import Coroutine, Iterable, Sequence
@@ -15,17 +15,17 @@
 
 SEEDS_VARIABLE = "REHEARSAL_SEEDS"
 FAULT_SECONDS = (0.3, 1.0, 2.5, 5.0)
-CUT_PROBABILITY = 0.7  # how likely a partition separates a node from any other
+CUT_PROBABILITY = 0.7  # probability that a partition separates a node from each other node
 
 
 def seeds(usual: int) -> range:
-    """Returns the seeds of a run: the same few each time, or as REHEARSAL_SEEDS=FIRST:LAST says."""
+    """Returns the seeds 1 to `usual`, or the range given by the variable REHEARSAL_SEEDS=FIRST:LAST."""
     first, _, last = os.environ.get(SEEDS_VARIABLE, f"1:{usual}").partition(":")
     return range(int(first), int(last) + 1)
 
 
 class RandomFaults:
-    """Injects faults into the nodes of a simulation; each ends by itself after a few seconds."""
+    """Injects faults into the nodes of a simulation; each fault ends by itself after a few seconds."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self.injected: list[str] = []
 
     def inject_one(self) -> None:
-        """Injects one fault; a node that is down or frozen already is left as it is."""
+        """Injects one fault, unless the chosen node is already down or frozen."""
         simulation, rng = self._simulation, self._simulation.rng
         role = rng.choice(self._roles)
         node = rng.choice(simulation.role(role))
@@ -94,7 +94,7 @@
         self._simulation.blocked_links -= pairs
 
     def heal(self) -> None:
-        """Ends every fault, and starts the nodes that are down."""
+        """Ends all faults and starts the nodes that are down."""
         self._simulation.heal()
         for node in self._simulation.simulated_nodes.values():
             node.disk.full, node.slow = False, 0.0
@@ -102,9 +102,9 @@
             self._thaw(node)
 
     def run_with_faults(self, work: Iterable[Coroutine[Any, Any, Any]], faults: int, between: float = 1.5) -> None:
-        """Runs coroutines while faults are injected, about `between` seconds apart; ends all faults then.
+        """Runs coroutines while it injects faults about `between` seconds apart, and then ends all faults.
 
-        The coroutines must end by themselves once their owner says so.
+        It doesn't stop the coroutines; the code that created them must do so.
         """
         for coroutine in work:
             spawn(coroutine).addErrback(lambda failure: self.injected.append(f"work ended: {failure.value!r}"))
--- a/testbed/simulator/simulated_clients.py
+++ b/testbed/simulator/simulated_clients.py
@@ -1,4 +1,4 @@
-"""Clients in a simulation: batch jobs, reads of results, cancellations and live requests at any gateway."""
+"""Clients in a simulation: they submit, read and cancel batches and send live requests, at any gateway."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 class SimulatedClients:
-    """Submits, reads and cancels batch jobs and sends live requests, recorded as the checker reads them."""
+    """Submits, reads and cancels batches and sends live requests; records the events that the checker expects."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation, self.timers = simulation, simulation.timers()
@@ -39,7 +39,7 @@
     async def _request(
         self, send: Callable[[Any], Coroutine[Any, Any, Any]], limit: float = 6.0, gateway: SimulatedNode | None = None
     ) -> tuple[Any, ApiError | None]:
-        """Returns the response or the error; a gateway that is killed or frozen sends neither."""
+        """Returns the response or the error; a timeout stands for a killed or frozen gateway, which sends neither."""
         chosen = gateway or self._gateway()
         if chosen is None:
             return None, ApiError("nobody is there", code="dropped", outcome="unknown")
@@ -51,14 +51,14 @@
             return None, ApiError(str(error), code=getattr(error, "code", "dropped"), outcome="unknown")
 
     async def submit_batches(self) -> None:
-        """Submits jobs until `stopped` is set."""
+        """Submits batches until `stopped` is set."""
         rng = self.simulation.rng
         while not self.stopped:
             await self.timers.sleep(ms(300 + rng.randrange(1200)))
             await self.submit_batch(2 + rng.randrange(8), rng.random() < 0.3)
 
     async def submit_batch(self, items: int, repeatable: bool = False) -> str | None:
-        """Submits one job; returns its id, or None where that failed."""
+        """Submits one batch; returns its id, or None if that failed."""
         self._sent += 1
         name = f"lot{self._sent}"
         now = wall_ms(self.timers.utc_now())
@@ -87,14 +87,14 @@
         return str(batch_id) if batch_id else None
 
     async def read_batches(self) -> None:
-        """Reads results of random jobs until `stopped` is set."""
+        """Reads the results of random batches until `stopped` is set."""
         while not self.stopped:
             await self.timers.sleep(ms(100 + self.simulation.rng.randrange(300)))
             if self.batches:
                 await self.read_results(self.simulation.rng.choice(list(self.batches)))
 
     async def read_results(self, batch: str, gateway: SimulatedNode | None = None) -> dict[str, Any]:
-        """Reads the results of one job."""
+        """Reads the results of one batch."""
         asked = self.simulation.clock.seconds()
 
         async def read(part: Any) -> dict[str, Any]:
@@ -117,7 +117,7 @@
         )
 
     async def cancel_batches(self) -> None:
-        """Cancels random jobs until `stopped` is set."""
+        """Cancels random batches until `stopped` is set."""
         while not self.stopped:
             await self.timers.sleep(ms(2000 + self.simulation.rng.randrange(4000)))
             if self.batches:
@@ -190,7 +190,7 @@
 
 
 def _error_from(started: list[RequestRecord]) -> dict[str, Any] | None:
-    """Returns the code and outcome of a live request's error; None where it has succeeded."""
+    """Returns the code and outcome of a live request's error; None if the request succeeded."""
     if not started or not started[0].settled:
         return {"code": "dropped", "outcome": "unknown"}
     error = started[0].error
--- a/testbed/simulator/simulated_engine.py
+++ b/testbed/simulator/simulated_engine.py
@@ -1,4 +1,4 @@
-"""Engines in a simulation: they announce themselves, and run requests token by token."""
+"""Engines in a simulation: they announce themselves to gateways and stream responses chunk by chunk."""
 
 from typing import Any
 
@@ -21,7 +21,7 @@
 
 
 class _Call(defer.Deferred[None]):
-    """A request that an engine serves, with the reactor of the gateway's incarnation that sent it."""
+    """A request that an engine serves, bound to the reactor of the gateway incarnation that sent it."""
 
     def __init__(self, reactor: NodeReactor) -> None:
         super().__init__(lambda _: None)
@@ -29,11 +29,11 @@
 
     @property
     def active(self) -> bool:
-        """Whether the incarnation that sent the request still runs."""
+        """Whether the gateway incarnation that sent the request is still running."""
         return not self._reactor.stopped
 
     def finish(self, error: Exception | None) -> None:
-        """Ends the request at the gateway: later if that is frozen, and not if it was killed."""
+        """Ends the request at the gateway: after a thaw if the gateway is frozen, never if it was killed."""
         self._reactor.callLater(0, self._finish, error)
 
     def _finish(self, error: Exception | None) -> None:
@@ -45,7 +45,7 @@
             self.callback(None)
 
     def append_chunk(self, request: Any, chunk: Any) -> None:
-        """Hands a chunk to the gateway."""
+        """Delivers a chunk to the gateway."""
         self._reactor.callLater(0, self._append_chunk, request, chunk)
 
     def _append_chunk(self, request: Any, chunk: Any) -> None:
@@ -54,7 +54,7 @@
 
 
 class SimulatedEngine:
-    """An engine that can crash, leave and fall silent; it notes all that it runs."""
+    """An engine that can crash, shut down and stop announcing itself; it records every run."""
 
     def __init__(self, simulation: Simulation, name: str, zone: str, capacity: int = 4) -> None:
         self.simulation, self.name, self.zone, self.capacity = simulation, name, zone, capacity
@@ -69,7 +69,7 @@
         self.notes.append({"at": self.simulation.clock.seconds(), "engine": self.name, "event": event, **details})
 
     def open(self) -> None:
-        """Starts a new incarnation, which announces itself each second."""
+        """Starts a new incarnation, which sends a heartbeat each second."""
         self.alive, self.state = True, "ready"
         self.incarnation += 1
         self.note("open")
@@ -105,7 +105,7 @@
             self.note("told", state="leaving")
 
     def crash(self) -> None:
-        """Ends the engine at once, with all that it runs."""
+        """Stops the engine at once and fails all its running requests."""
         self.alive = False
         for run, call in list(self.running.items()):
             self._end(run, "cut", call, EngineError("the engine's token stream was cut short", code="cut_short"))
@@ -117,7 +117,7 @@
             call.finish(error)
 
     def serve(self, reactor: NodeReactor, request: Any) -> "defer.Deferred[None]":
-        """Runs a request, which is on its way from now on, whatever becomes of the gateway."""
+        """Accepts a request; from then on it runs independently of the gateway that sent it."""
         call = _Call(reactor)
         run = f"{request.id}.{request.attempts}"
         chunks = response_pieces(request.prompt, MAX_CHUNKS)
--- a/testbed/simulator/simulated_gateway.py
+++ b/testbed/simulator/simulated_gateway.py
@@ -1,4 +1,4 @@
-"""Complete gateways in a simulation: their own code, with streams to simulated engines."""
+"""Complete gateways in a simulation: real gateway code that streams from simulated engines."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 
 class SimulatedGateway(GatewayNode):
-    """A gateway with simulated streams to engines: a connect takes a while, and then the engine runs by itself."""
+    """A gateway whose engine streams are simulated: connecting takes time, then the engine calls the gateway."""
 
     simulation: Any = None
 
@@ -22,14 +22,14 @@
 
 
 class SimulatedRelay(EngineRelay):
-    """Exchanges requests with the engines of a simulation."""
+    """Relays requests to the engines of a simulation."""
 
     def __init__(self, simulation: Any, *collaborators: Any) -> None:
         super().__init__(*collaborators)
         self.simulation = simulation
 
     async def exchange(self, request: Any, engine: Any) -> None:
-        """Sends a request to an engine and waits until it ends; raises ServiceUnavailable where that is down."""
+        """Sends a request to an engine and waits for its end; raises ServiceUnavailable if the engine is down."""
         simulated_engine = self.simulation.engines[engine.name]
         await self._ctx.timers.sleep(secs(self.simulation.rng.choice(CONNECT_SECONDS)))
         if not simulated_engine.alive:
--- a/testbed/simulator/simulation.py
+++ b/testbed/simulator/simulation.py
@@ -1,4 +1,4 @@
-"""Nodes that run their own code on virtual time, over a simulated network and disks that lose what is not synced."""
+"""Simulated clusters: real node code on virtual time, a simulated network, and disks that lose unsynced data."""
 
 import shutil
 import tempfile
@@ -42,18 +42,18 @@
 
 
 class _LogSink:
-    """Keeps the lines that nodes log."""
+    """Keeps the log lines of all nodes in memory."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
 
     def log(self, level: str, shape: str, line: str) -> None:  # noqa: ARG002 - the interface of a sink
-        """Keeps one line."""
+        """Appends a line with its level."""
         self.lines.append(f"{level} {line}")
 
 
 class SimulatedRpcEndpoint:
-    """The RPC endpoint of a simulated node: the same calls as the real one, carried by the simulation."""
+    """RPC endpoint of a simulated node, with the interface of the real one; the simulation delivers its calls."""
 
     def __init__(self, simulation: "Simulation", node: "SimulatedNode") -> None:
         self._simulation = simulation
@@ -65,11 +65,11 @@
         self._handlers: dict[str, tuple[Any, Any]] = {}
 
     def register_handler(self, method: str, request_type: Any, handler: Any) -> None:
-        """Serves a method by a coroutine function of the caller's node and the request."""
+        """Registers a coroutine function that takes the id of the calling node and the request."""
         self._handlers[method] = (request_type, handler)
 
     async def dispatch(self, node: str, method: str, body: bytes) -> bytes:
-        """Serves one call, and returns the response as bytes; raises UnknownMethod without a handler."""
+        """Handles one call and returns the serialized response; raises UnknownMethod if there is no handler."""
         if method not in self._handlers:
             raise UnknownMethod(f"no such call here: {method}")
         request_type, handler = self._handlers[method]
@@ -77,7 +77,7 @@
         return (Empty() if response is None else response).SerializeToString()
 
     def notify(self, addresses: Iterable[Address], method: str, message: Any) -> None:
-        """Sends a message to each address and waits for no response."""
+        """Sends a message to each address without waiting for responses."""
         body = message.SerializeToString()
         for address in addresses:
             self._simulation.deliver_call(self._node, address, method, body).addErrback(lambda _: None)
@@ -85,9 +85,9 @@
     async def call(
         self, address: Address, method: str, request: Any, response_type: Any, timeout: timedelta, node: str = ""
     ) -> Any:
-        """Returns the response of a peer; raises DeadlineExceeded after the timeout."""
+        """Calls a peer and returns its response; raises DeadlineExceeded after the timeout."""
         if self is not self._node.ctx.rpc or not self._node.alive:
-            await defer.Deferred()  # what is left of an ended incarnation sends nothing more
+            await defer.Deferred()  # never fires: code of an incarnation that has ended must not send
         body = request.SerializeToString()
         try:
             carried = self._simulation.deliver_call(self._node, address, method, body, node)
@@ -97,7 +97,7 @@
 
 
 class SimulatedNode:
-    """A node of the simulation; it can be killed, frozen, thawed and started again on the same disk."""
+    """A simulated node, which can be killed, frozen, resumed, and restarted on the same disk."""
 
     ctx: Any
     part: Any
@@ -112,12 +112,12 @@
         self.start_count = 0
         self.alive = False
         self.frozen = False
-        self.uplink: Uplink | None = None  # what the node sends shares its rate; None: no limit
-        self.slow = 0.0  # seconds that each piece of work in a thread takes longer
+        self.uplink: Uplink | None = None  # limits the rate of all that the node sends; None: unlimited
+        self.slow = 0.0  # seconds added to each function that runs in a thread
         self.ctx = None
 
     def start(self) -> None:
-        """Starts a new incarnation on the node's disk."""
+        """Starts a new incarnation of the node on its disk."""
         self.start_count += 1
         self.alive = True
         self.folder.mkdir(exist_ok=True)
@@ -139,7 +139,7 @@
             self.ctx.cluster.open()
 
     def _read_node_id(self) -> str:
-        """Returns the node's id: gateways get a new one at each start, others keep theirs on the disk."""
+        """Returns the node's id: gateways get a new one at each start, other roles persist theirs on disk."""
         path = self.folder / "id"
         if self.role == "gateway" or not path.exists():
             path.write_text(f"{self.name}x{self.start_count}x{self.simulation.next_number()}")
@@ -199,7 +199,10 @@
         ctx.cache.open()
 
     def _run_in_thread(self, clock: NodeReactor, function: Callable[..., Any], *args: Any) -> "defer.Deferred[Any]":
-        """Uses the incarnation's own time: what is left of an ended one must not reach the next one's disk."""
+        """Runs a function after a delay on the incarnation's reactor.
+
+        The reactor drops the call once the incarnation has ended, so that it cannot write to the disk of the next one.
+        """
         finished: defer.Deferred[Any] = defer.Deferred()
         duration = self.slow + 0.001 + 0.004 * self.simulation.rng.random()
 
@@ -215,7 +218,7 @@
         return finished
 
     def kill(self, power: bool = False) -> None:
-        """Ends the incarnation at once; without power also what was not synced is lost."""
+        """Ends the incarnation at once; with `power` set, the disk also loses its unsynced data."""
         self.alive = self.frozen = False
         self.ctx.timers.stopped = True
         self.clock.stop()
@@ -225,23 +228,23 @@
             self.disk.lose_power()
 
     def wipe(self) -> None:
-        """Empties the disk of a node that is down."""
+        """Replaces the disk of a stopped node by an empty one."""
         shutil.rmtree(self.folder, ignore_errors=True)
         self.disk = PowerLossDisk(self.simulation.rng)
 
     def freeze(self) -> None:
-        """Halts the node, which goes on later where it stopped."""
+        """Suspends the node; `thaw` resumes it with its state intact."""
         self.frozen = True
         self.clock.freeze()
 
     def thaw(self) -> None:
-        """Lets a frozen node go on."""
+        """Resumes a frozen node."""
         self.frozen = False
         self.clock.thaw()
 
 
 class Simulation:
-    """A cluster of simulated nodes on virtual time, the same run for the same seed."""
+    """A cluster of simulated nodes on virtual time; runs with the same seed are identical."""
 
     def __init__(
         self,
@@ -288,17 +291,17 @@
         self.founders = tuple("{}:{}".format(*node.address) for node in self.role("controller")[:FOUNDERS])
 
     def add(self, role: str, name: str, zone: str, port: int) -> SimulatedNode:
-        """Adds a node that is not started yet."""
+        """Adds a node without starting it."""
         self.simulated_nodes[name] = SimulatedNode(self, role, name, zone, port)
         return self.simulated_nodes[name]
 
     def next_number(self) -> str:
-        """Returns a number that no earlier call returned."""
+        """Returns the next number of a counter, as four digits."""
         self._last_number += 1
         return f"{self._last_number:04d}"
 
     def role(self, role: str, alive: bool = False) -> list[SimulatedNode]:
-        """Returns the nodes of a role; with `alive` only those that run and are not frozen."""
+        """Returns the nodes of a role; with `alive` set, only those that are running and not frozen."""
         return [
             node
             for node in self.simulated_nodes.values()
@@ -306,7 +309,7 @@
         ]
 
     def add_engines(self, gateway_class: Any, engine_class: Any, n: int = 2) -> None:
-        """Runs complete gateways, not just their logs and caches, and engines for them."""
+        """Adds engines, and runs complete gateways instead of only their logs and caches."""
         self.gateway_class, self.engines = gateway_class, {}
         for i in range(n):
             self.engines[f"engine{i}"] = engine_class(self, f"engine{i}", _zone_of(i))
@@ -317,7 +320,7 @@
             node.start()
 
     def cut(self, some: Iterable[str], others: Iterable[str], one_way: bool = False) -> None:
-        """Drops what is sent from some nodes to others, and with `one_way` unset also what comes back."""
+        """Drops messages from some nodes to others, and in the reverse direction too unless `one_way` is set."""
         for sender in some:
             for receiver in others:
                 self.blocked_links.add((sender, receiver))
@@ -332,7 +335,7 @@
         return 0.0005 + 0.003 * self.rng.random()
 
     def _transfer(self, sender: SimulatedNode, receiver: SimulatedNode, body: bytes | Exception) -> float:
-        """Returns how long a message is on its way: each pair of nodes has a link of its own, where there is a rate."""
+        """Returns the transfer time of a message; with a rate limit, each ordered pair of nodes has its own link."""
         if self.bytes_per_s is None or isinstance(body, Exception):
             return self._delay()
         now, link = self.clock.seconds(), (sender.name, receiver.name)
@@ -346,7 +349,7 @@
         body: bytes | Exception,
         arrive: Callable[[], object],
     ) -> None:
-        """Calls `arrive` once a message has passed the sender's uplink, where it has one, and the network."""
+        """Calls `arrive` after the message has passed the sender's uplink, if any, and the network."""
         if sender.uplink is None or not body or isinstance(body, Exception):
             self.clock.callLater(self._transfer(sender, receiver, body), arrive)
             return
@@ -355,7 +358,7 @@
     def deliver_call(
         self, sender: SimulatedNode, address: Address, method: str, body: bytes, node: str = ""
     ) -> "defer.Deferred[Any]":
-        """Carries one call; one that names a node is refused by any other that answers at its address."""
+        """Delivers one call; if it names a node, any other node at that address rejects it."""
         nodes = self.simulated_nodes.values()
         receiver = next((other for other in nodes if other.address == address and other.alive), None)
         response: defer.Deferred[Any] = defer.Deferred()
@@ -371,13 +374,13 @@
         return response
 
     def run(self, seconds: float, step: float = STEP_SECONDS) -> None:
-        """Lets so much virtual time pass."""
+        """Advances virtual time by a number of seconds."""
         end = self.clock.seconds() + seconds
         while self.clock.seconds() < end:
             self.clock.advance(step)
 
     def until(self, check: Callable[[], Any], limit: float, what: str) -> Any:
-        """Lets time pass until the check returns something true, and returns it; fails after `limit` seconds."""
+        """Advances time until the check returns a true value, and returns it; fails after `limit` seconds."""
         end = self.clock.seconds() + limit
         while True:
             found = check()
@@ -388,7 +391,7 @@
             self.clock.advance(STEP_SECONDS)
 
     def do(self, work: Any, limit: float = 20, what: str = "the work") -> Any:
-        """Runs a coroutine to its end in virtual time; returns its result or raises its error."""
+        """Runs a coroutine to completion in virtual time; returns its result or raises its error."""
         results: list[Any] = []
         spawn(work).addBoth(results.append)
         self.until(lambda: results, limit, what)
@@ -397,7 +400,7 @@
         return results[0]
 
     def timers(self, clock: Any = None) -> Timers:
-        """Returns timers on virtual time, for one incarnation of a node or for whoever stands outside the nodes."""
+        """Returns timers on virtual time, for one incarnation of a node or for code outside the nodes."""
         reactor: Any = clock or self.clock
         timers = Timers(reactor, seconds=self.clock.seconds)
         self._timers.append(timers)
@@ -408,7 +411,7 @@
         return datetime.fromtimestamp(START_UTC + self.clock.seconds(), UTC)
 
     def leader(self) -> SimulatedNode | None:
-        """Returns the one controller that leads and has a quorum; None if there is none, or more than one."""
+        """Returns the only leader that has a quorum; None if there is none or more than one."""
         leaders = [
             node
             for node in self.role("controller", alive=True)
@@ -417,15 +420,15 @@
         return leaders[0] if len(leaders) == 1 else None
 
     def ready(self, limit: float = 30) -> None:
-        """Lets time pass until there is a leader and each gateway knows the cluster state."""
-        self.until(self._is_ready, limit, "the fleet is ready")
+        """Advances time until there is a leader and each gateway knows the cluster state."""
+        self.until(self._is_ready, limit, "the cluster is ready")
 
     def _is_ready(self) -> bool:
         gateways_ready = (node.ctx.cluster.ready() for node in self.role("gateway", alive=True))
         return self.leader() is not None and all(gateways_ready)
 
     def wait(self, duration: timedelta) -> None:
-        """Lets so much virtual time pass."""
+        """Advances virtual time by a duration."""
         self.run(duration.total_seconds())
 
     def end(self) -> None:
@@ -440,7 +443,7 @@
 
 
 class _CallInFlight:
-    """One call on its way through the simulated network, and its response."""
+    """One call in flight through the simulated network, and its response."""
 
     def __init__(
         self, simulation: Simulation, sender: SimulatedNode, receiver: SimulatedNode, response: "defer.Deferred[Any]"
@@ -452,7 +455,7 @@
         self._sender_ctx = sender.ctx
 
     def arrive(self, method: str, body: bytes, node: str) -> None:
-        """Hands the request to its receiver, or fails where that has ended meanwhile."""
+        """Delivers the request to its receiver, or fails the call if the receiver has stopped meanwhile."""
         if not self._receiver.alive:
             self.finish(ConnectionFailed("the peer ended", sent=True))
             return
@@ -478,7 +481,7 @@
             simulation._send(self._receiver, self._sender, result, partial(self.finish, result))
 
     def finish(self, result: bytes | Exception) -> None:
-        """Hands the result to the sender, unless that was restarted or has given up."""
+        """Delivers the result to the sender, unless the sender was restarted or the call has timed out."""
         sender = self._sender
         if sender.alive and sender.ctx is self._sender_ctx and not self._response.called:
             deliver = self._response.errback if isinstance(result, Exception) else self._response.callback
--- a/testbed/simulator/uplink.py
+++ b/testbed/simulator/uplink.py
@@ -1,4 +1,4 @@
-"""A node's one link to the network, whose rate all that the node sends shares."""
+"""The network link of a node; all messages that the node sends share its bandwidth."""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,16 +14,16 @@
 
 @attrs.define
 class _Transfer:
-    """A message that has `remaining` bytes to go."""
+    """A message of which `remaining` bytes are still to be sent."""
 
     remaining: int
     done: Callable[[], object]
 
 
 class Uplink:
-    """Sends messages at `bytes_per_s` in all: in order to each receiver, and to several of them by turns.
+    """Sends messages at a total rate of `bytes_per_s`: in order per receiver, round-robin between receivers.
 
-    So do the connections of one machine share its link. `sent_bytes` counts what has left.
+    This models the connections of a machine, which share its link. `sent_bytes` counts the bytes sent.
     """
 
     def __init__(self, clock: VirtualTime, bytes_per_s: float) -> None:
@@ -34,7 +34,7 @@
         self.sent_bytes = 0
 
     def send(self, receiver: str, size: int, done: Callable[[], object]) -> None:
-        """Sends a message of so many bytes, and calls `done` once the last one has left."""
+        """Sends a message of `size` bytes, and calls `done` once the last byte was sent."""
         self._queues.setdefault(receiver, deque()).append(_Transfer(size, done))
         if not self._is_busy:
             self._is_busy = True
--- a/testbed/simulator/virtual_time.py
+++ b/testbed/simulator/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time: one heap of delayed calls, and a reactor on it for each incarnation of a simulated node."""
+"""Virtual time: a heap of delayed calls, and a reactor per incarnation of a simulated node."""
 
 import heapq
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 
 class DelayedCall:
-    """A call that is due later, on the simulation's time or on that of one incarnation of a node."""
+    """A scheduled call, owned by the simulation or by one incarnation of a node."""
 
     def __init__(
         self, reactor: "NodeReactor | None", callback: Callable[..., Any], args: tuple[Any, ...], kwargs: dict[str, Any]
@@ -18,15 +18,15 @@
         self._work: tuple[Callable[..., Any], tuple[Any, ...], dict[str, Any]] | None = (callback, args, kwargs)
 
     def active(self) -> bool:
-        """Returns whether the call was neither made nor cancelled."""
+        """Returns whether the call is still pending."""
         return self._work is not None
 
     def cancel(self) -> None:
-        """Drops the call."""
+        """Cancels the call."""
         self._work = None
 
     def fire(self) -> None:
-        """Makes the call; defers it while its node is frozen, and drops it once its node has stopped."""
+        """Makes the call, unless its node is frozen (the call is deferred) or stopped (the call is dropped)."""
         if self._work is None or (self._reactor is not None and self._reactor.stopped):
             return
         if self._reactor is not None and self._reactor.deferred_calls is not None:
@@ -37,7 +37,7 @@
 
 
 class VirtualTime:
-    """The simulation's time: a heap of calls, since each second of it sets and cancels thousands of timeouts."""
+    """The clock of a simulation. It uses a heap, since each second sets and cancels thousands of timeouts."""
 
     def __init__(self) -> None:
         self._now = 1000.0
@@ -55,7 +55,7 @@
         return call
 
     def advance(self, seconds: float) -> None:
-        """Moves time on, and makes the calls that are due on the way in their order."""
+        """Advances the time, and makes the calls that become due in order."""
         end = self._now + seconds
         while self._calls and self._calls[0][0] <= end:
             due_at, _, call = heapq.heappop(self._calls)
@@ -65,7 +65,7 @@
 
 
 class NodeReactor:
-    """The reactor of one incarnation of a node: its calls end when the node is killed and wait while it is frozen."""
+    """The reactor of one incarnation of a node: drops calls once the node is killed, defers them while it is frozen."""
 
     def __init__(self, time: VirtualTime) -> None:
         self._time = time
@@ -89,5 +89,5 @@
             call.fire()
 
     def stop(self) -> None:
-        """Drops all calls."""
+        """Drops all pending and future calls."""
         self.stopped = True
