--- a/testbed/checks/__init__.py
+++ b/testbed/checks/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of what clients, engines and operators recorded."""
+"""Checks of the events that clients, engines and operators recorded."""
--- a/testbed/checks/checker.py
+++ b/testbed/checks/checker.py
@@ -1,4 +1,4 @@
-"""Checks what must never happen, from what clients, engines and operators recorded."""
+"""Checks the safety properties of a cluster on the events that clients, engines and operators recorded."""
 
 from collections import Counter, defaultdict
 
@@ -21,7 +21,10 @@
     capacity: int = 8,
     limits: dict | None = None,
 ) -> list[str]:
-    """Every violation found, in words. `zones` tells each engine's zone, `limits` each limited model's (rate, runs)."""
+    """Returns a description of each violation.
+
+    `zones` maps each engine to its zone, and `limits` each limited model to its (rate, concurrent runs).
+    """
     out: list[str] = []
     events = sorted(events, key=lambda e: e["at"])
     notes = sorted(notes, key=lambda n: n["at"])
@@ -55,9 +58,9 @@
         if [n for n, _ in e["pieces"]] != list(range(len(e["pieces"]))):
             out.append(f"{prompt}: pieces out of order or repeated: {[n for n, _ in e['pieces']]}")
         if [t for _, t in e["pieces"]] != right[: len(e["pieces"])]:
-            out.append(f"{prompt}: not the engine's own answer")
+            out.append(f"{prompt}: the pieces differ from the engine's response")
         if e["end"] and len(e["pieces"]) != len(right):
-            out.append(f"{prompt}: ended as whole after {len(e['pieces'])} of {len(right)} pieces")
+            out.append(f"{prompt}: reported as complete after {len(e['pieces'])} of {len(right)} pieces")
         if e["end"] and e["fault"]:
             out.append(f"{prompt}: both an end and a fault")
         if (
@@ -68,17 +71,17 @@
             out.append(f"{prompt}: neither an end nor a fault")
         late = e["at"] - e["asked"] - e.get("limit", 18)
         if late > 1.5 and not e.get("slow") and not downtimes.is_affected(e["asked"], e["at"], e.get("gateway")):
-            out.append(f"{prompt}: its final answer came {late:.1f} s after its limit")
+            out.append(f"{prompt}: its final response came {late:.1f} s after its limit")
 
 
 def _check_cards(events, out):
     for e in events:
         if e["event"] == "fetched" and e["status"] == 200 and e["body"] != card_bytes(e["path"]):
-            out.append(f"card {e['path']}: {e['size']} bytes that are not the back end's own")
+            out.append(f"card {e['path']}: {e['size']} bytes that differ from those of the engine")
 
 
 def _check_responses(events, downtimes, out):
-    """A `not_run` says when to come back, where coming back can help, and is told as soon as it is known."""
+    """Checks that `not_run` responses are sent promptly, with a Retry-After header where a retry can help."""
     for e in events:
         if e["event"] not in ("told", "fetched", "lot", "edit") or e.get("resumed"):
             continue
@@ -87,14 +90,14 @@
         if fault.get("outcome") != "not_run" or e.get("status") not in (429, 503, 507):
             continue
         if not str(e.get("retry") or "").isdigit() or int(e["retry"]) < 1:
-            out.append(f"{name}: shed ({fault.get('code')}) without saying when to come back")
+            out.append(f"{name}: shed ({fault.get('code')}) without a Retry-After header")
         took = e["at"] - e["asked"]
         if (
             took > MAX_SHED_SECONDS
             and e["event"] in ("told", "fetched")
             and not downtimes.is_affected(e["asked"], e["at"], e.get("gateway"))
         ):
-            out.append(f"{name}: the answer {fault.get('code')} was held back for {took:.1f} s")
+            out.append(f"{name}: the response {fault.get('code')} was delayed by {took:.1f} s")
 
 
 def _check_batches(events, notes, runs, downtimes, out, finished):
@@ -111,7 +114,7 @@
     }
     asked = {e["lot"] for e in events if e["event"] == "lot_ended"}
     over = {e["lot"] for e in events if e["event"] == "results" and e.get("state") == "ended"}
-    out += [f"lot {batch}: ended, and nobody asked for that" for batch in sorted(over - asked)]
+    out += [f"lot {batch}: ended without a request to cancel it" for batch in sorted(over - asked)]
     shown: dict[str, dict[int, tuple]] = defaultdict(dict)
     reads = defaultdict(list)
     for e in events:
@@ -123,7 +126,7 @@
             for r in e["results"] or ():
                 now = (r["item"], r["outcome"], r["text"])
                 if shown[batch].setdefault(r["n"], now) != now:
-                    out.append(f"lot {batch}: place {r['n']} changed from {shown[batch][r['n']]} to {now}")
+                    out.append(f"lot {batch}: result {r['n']} changed from {shown[batch][r['n']]} to {now}")
         _check_monotonic_reads(batch, es, out)
     for batch, e in batches.items():
         items = Counter(item for item, _, _ in shown[batch].values())
@@ -133,7 +136,7 @@
         for item, outcome, text in shown[batch].values():
             prompt = e["prompts"][item]
             if outcome == "done" and text != "".join(response_pieces(prompt, 256)):
-                out.append(f"lot {batch} item {item}: not the engine's own answer")
+                out.append(f"lot {batch} item {item}: the text differs from the engine's response")
             if outcome == "not_run" and runs.get(prompt):
                 out.append(f"lot {batch} item {item}: listed as not_run and ran")
             if outcome == "done" and not runs.get(prompt):
@@ -149,7 +152,7 @@
 
 
 def _check_readable(batch, accepted, e, downtimes, out):
-    """Any gateway that is not down, cut or frozen shows an accepted lot from a second after it was accepted."""
+    """Checks that every gateway that is not down, partitioned or frozen shows a batch 1 s after its acceptance."""
     if e["asked"] < accepted["at"] + 1 or downtimes.is_affected(e["asked"], e["at"], e.get("gateway")):
         return
     if downtimes.exceeds_tolerance(e["asked"], e["at"]):
@@ -157,15 +160,15 @@
     code = (e.get("fault") or {}).get("code", "")
     if e["status"] != 200:
         out.append(
-            f"lot {batch}: accepted and not readable ({e['status']} {code} at {e.get('gateway')}, "
-            f"{e['asked'] - accepted['at']:.1f} s after)"
+            f"lot {batch}: accepted but not readable ({e['status']} {code} at {e.get('gateway')}, "
+            f"{e['asked'] - accepted['at']:.1f} s later)"
         )
     elif e.get("took", 0) > MAX_READ_SECONDS:
         out.append(f"lot {batch}: reading it took {e['took']:.1f} s")
 
 
 def _check_monotonic_reads(batch, es, out):
-    """What was shown to one caller is shown to any that asks a second later."""
+    """Checks that results shown to one client are shown to every client that reads a second later."""
     most = 0
     at = 0.0
     for e in sorted((e for e in es if e["status"] == 200), key=lambda e: e["asked"]):
--- a/testbed/checks/cluster_checks.py
+++ b/testbed/checks/cluster_checks.py
@@ -1,4 +1,4 @@
-"""Checks of engines, of the cluster state and its effects, and of the cluster's availability."""
+"""Checks of the load on engines, of the cluster state and its effects, and of the cluster's availability."""
 
 from collections import defaultdict
 
@@ -69,7 +69,7 @@
 
 
 def _check_slow_start(notes, capacity, out):
-    """From an open, or a return from silence or refusal, work runs no higher than the ramp, over the whole fleet."""
+    """Checks that an engine that starts or recovers gets no more load than its slow start allows, from all gateways."""
     by_engine = defaultdict(list)
     for n in notes:
         by_engine[n["engine"]].append(n)
@@ -95,7 +95,7 @@
 
 
 def _check_limits(model, rate, most, notes, downtimes, out):
-    """A row's rate and concurrency hold over the whole fleet, at the engines."""
+    """Checks that the engines together never exceed the rate and concurrency of a row."""
     starts = [n["at"] for n in notes if n["event"] == "run" and n.get("model") == model]
     if rate:
         for span in (1.0, 4.0, 10.0):
@@ -135,7 +135,7 @@
 
 
 def _check_table(events, out):
-    """Every table that was read is the one that the edits made, in whole; an edit's outcome never changes."""
+    """Checks that each table that was read is the exact result of the edits, and that edit outcomes never change."""
     edits = [e for e in events if e["event"] == "edit"]
     by_id: dict[str, dict] = {}
     for e in edits:
@@ -168,7 +168,7 @@
         if r["sequence"] in cluster_states:
             if cluster_states[r["sequence"]] is not None and not _same_rows(cluster_states[r["sequence"]], r["rows"]):
                 differs = _differing_rows(cluster_states[r["sequence"]], r)
-                out.append(f"the table at {r['sequence']} is not what its edits made: {differs}")
+                out.append(f"the table at {r['sequence']} is not the result of its edits: {differs}")
             cluster_states[r["sequence"]] = r["rows"]
         elif r["sequence"] and not unresolved_bases and cluster_states:
             out.append(f"the table is at {r['sequence']}, which no edit made")
@@ -198,7 +198,7 @@
 
 
 def _check_read_back(events, out):
-    """Zones read back as they were last set, where nothing else was asked meanwhile."""
+    """Checks that zones read back as last set, unless another change was requested in between."""
     set_to: dict[str, bool | None] = {}
     for e in events:
         if e["event"] == "zone_asked":
@@ -212,7 +212,7 @@
 
 
 def _check_weight_edits(events, notes, downtimes, out):
-    """Two seconds after an edit was acknowledged, back ends and callers see its effect."""
+    """Checks that engines and clients see the effect of an edit two seconds after its acknowledgement."""
     models = {e["model"] for e in events if e["event"] == "gate"}
     for model in models:
         state, since = None, 0.0
@@ -264,7 +264,7 @@
 
 
 def check_floors(events, downtimes, out):
-    """What share of each kind is served while nothing is wrong, and while one bearable fault lasts."""
+    """Checks the success rate of each kind of request without faults and during a single tolerable fault."""
     counts = defaultdict(lambda: [0, 0])
     for kind, good, e in _served_by_kind(events):
         n = downtimes.count(e["asked"] - QUIET_BEFORE_SECONDS, e["at"])
@@ -275,8 +275,6 @@
         for n, floor in enumerate(floors):
             good, every = counts[kind, n]
             if n == 0 and every < MIN_REQUESTS and any(k == kind for k, _ in counts):
-                out.append(f"{kind}: only {every} were asked while nothing was wrong")
+                out.append(f"{kind}: only {every} requests were sent while no fault was active")
             elif every >= MIN_REQUESTS and good < floor * every - 1:
-                out.append(
-                    f"{kind}: {good} of {every} were served while {'one fault lasted' if n else 'nothing was wrong'}"
-                )
+                out.append(f"{kind}: {good} of {every} were served while {'one fault' if n else 'no fault'} was active")
--- a/testbed/checks/downtime.py
+++ b/testbed/checks/downtime.py
@@ -1,4 +1,4 @@
-"""Which nodes were down, partitioned or frozen when, by the schedule of faults."""
+"""When nodes were down, partitioned or frozen, according to the recorded faults."""
 
 __all__ = ["Downtimes", "SLACK_SECONDS"]
 
@@ -6,7 +6,7 @@
 
 
 class Downtimes:
-    """The faults of a run, each from its start until its effects have ended."""
+    """The faults of a run, each with the time span from its start until its effects have settled."""
 
     def __init__(self, events):
         open_faults, self._spans = {}, []
@@ -25,7 +25,10 @@
         return any(node in h["nodes"] for h in self._overlapping(start, end))
 
     def exceeds_tolerance(self, start, end) -> bool:
-        """More may be lost than the fleet promises to bear without a pause: the closing fault, for its 12 s."""
+        """Whether a fault was active that the cluster doesn't tolerate without an interruption of service.
+
+        This is the final fault of a run, for which 12 s are allowed.
+        """
         return any(not h["bearable"] for h in self._overlapping(start, end))
 
     def count(self, start, end) -> int:
--- a/testbed/checks/linearizability.py
+++ b/testbed/checks/linearizability.py
@@ -1,10 +1,10 @@
-"""Checks histories of operators' orders: some order of the confirmed changes must explain all that was seen.
+"""Checks that histories of operators' writes and of reads are linearizable.
 
-The configuration is a versioned register, and each zone a register of its own; a history is accepted where it is
-linearizable. A change of the configuration is one operation from its first sending to its clear answer, however often
-it was sent, since it takes effect once. A zone's order bears no number, so that each copy of it is an operation; one
-without an answer may take effect until the order as a whole is confirmed, and not after that. What a gateway serves
-may lag behind what others see, but for what was confirmed in time, and never goes back.
+The configuration is a versioned register, and each zone is a register of its own. A configuration write is a single
+operation, from its first attempt to its definite response, however often it was sent, since it takes effect once.
+Zone writes have no version, so each attempt is an operation of its own; an attempt without a response may take effect
+until the write as a whole is confirmed, but not later. The state that a gateway serves may lag behind other reads, but
+it must include all writes that were confirmed before, and must never go back.
 """
 
 from enum import Enum
@@ -15,7 +15,7 @@
 
 
 class Response(Enum):
-    """What an operator was told of an order in the end."""
+    """The final response to an operator's write."""
 
     CONFIRMED = "taken"
     OTHER_VERSION = "refused for another version"
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class ConfigWrite:
-    """A change of the configuration; `content` stands for all of it, and is the same when it is sent again."""
+    """A write of the configuration; `content` identifies all of it, and is the same in each retry."""
 
     content: str
     base: int
@@ -36,7 +36,10 @@
     valid: bool = True
 
     def next_states(self, chain: tuple) -> list[tuple]:
-        """The states that may follow, a chain of (version, content) taken so far; none where it cannot come here."""
+        """Returns the states that may follow a state; empty if the write is impossible in it.
+
+        A state is the tuple of (version, content) pairs that took effect so far.
+        """
         newest = chain[-1][0] if chain else 0
         taken = any(content == self.content for _, content in chain)
         fits = self.valid and not taken and newest == self.base and self.version > newest
@@ -51,7 +54,7 @@
 
 @attrs.frozen
 class ConfigRead:
-    """A configuration that was in force at some time between `sent` and `ended`, read back, or served by a gateway."""
+    """A configuration that was read back, or served by a gateway, at some time between `sent` and `ended`."""
 
     version: int
     content: str
@@ -67,7 +70,7 @@
 
 @attrs.frozen
 class ZoneWrite:
-    """One copy of an order to empty or fill a zone."""
+    """One attempt of a write that empties or fills a zone."""
 
     zone: str
     empty: bool
@@ -81,7 +84,7 @@
 
 @attrs.frozen
 class ZoneRead:
-    """Whether a zone was empty at some time between `sent` and `ended`, read back, or served by a gateway."""
+    """The state of a zone that was read back, or served by a gateway, at some time between `sent` and `ended`."""
 
     zone: str
     empty: bool
@@ -95,7 +98,7 @@
 
 
 def check_history(records: list) -> list[str]:
-    """Every register whose records no order explains, with the record at which the longest order ends."""
+    """Returns each register whose records are not linearizable, with the record at which the search got stuck."""
     out = _conflicting_confirmations([r for r in records if isinstance(r, ConfigWrite)])
     out += _check_register("the configuration", [r for r in records if isinstance(r, ConfigWrite | ConfigRead)], ())
     for zone in sorted({r.zone for r in records if isinstance(r, ZoneWrite | ZoneRead)}):
@@ -105,13 +108,16 @@
 
 
 def _conflicting_confirmations(orders: list[ConfigWrite]) -> list[str]:
-    """Implied by the search, and said in plain words: two changes confirmed on one base or under one version."""
+    """Finds two writes that were confirmed on the same base or version.
+
+    The search would reject them too; this gives a clearer message.
+    """
     out = []
     for what in ("base", "version"):
         confirmed: dict[int, str] = {}
         for r in orders:
             if r.response is Response.CONFIRMED and confirmed.setdefault(getattr(r, what), r.content) != r.content:
-                out.append(f"two changes were confirmed with {what} {getattr(r, what)}")
+                out.append(f"two writes were confirmed with {what} {getattr(r, what)}")
     return out
 
 
@@ -127,8 +133,9 @@
 
 
 def _precedes(a, b) -> bool:
-    """Whether one must come before the other. What a gateway serves must only follow its own earlier views and what
-    was confirmed.
+    """Whether `a` must come before `b`.
+
+    A read served by a gateway must only follow that gateway's earlier reads and the confirmed writes.
     """
     if a.ended >= b.sent:
         return False
@@ -138,8 +145,9 @@
 
 
 class _Search:
-    """Looks for an order of operations that respects their times and their answers (Wing and Gong, with the states
-    that were tried kept). Sets of operations are bit masks.
+    """Searches for an order of operations that is consistent with their times and responses.
+
+    It uses the algorithm of Wing and Gong with memoized states. Sets of operations are bit masks.
     """
 
     def __init__(self, records: list):
@@ -172,13 +180,16 @@
         return False
 
     def _available(self, done: int):
-        """Operations that may come next."""
+        """Yields the operations that may come next."""
         for i, r in enumerate(self._records):
             if not (done >> i & 1 or self._predecessors[i] & ~done or self._successors[i] & done):
                 yield i, r
 
     def _apply_read_only(self, done: int, state):
-        """Takes what changes nothing, may come now and closes the time of nothing else: to put it off gains nothing."""
+        """Applies read-only operations that are possible now and end the window of no unanswered operation.
+
+        Postponing such an operation can't make the search succeed.
+        """
         while done & self._required != self._required:
             free = [
                 i
@@ -194,7 +205,7 @@
         return _is_read(r) or r.response in (Response.OTHER_VERSION, Response.REFUSED)
 
     def _next_branches(self, done: int, state) -> list:
-        """The ways on from here, the likeliest last: what is owed goes first, and of this what ended first."""
+        """Returns the next branches, the most promising last: answered operations first, by the time they ended."""
         branches = [
             (r.response is Response.UNKNOWN, r.ended, done | 1 << i, after)
             for i, r in self._available(done)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The outside checker catches each violation that is planted."""
+"""The checker reports each violation that is planted in a correct history."""
 
 import copy
 import unittest
@@ -96,10 +96,10 @@
         plant(events, notes)
         return check(events, notes, {"e": "zone-a", "f": "zone-b"}, **more)
 
-    def test_a_good_account_has_none(self):
+    def test_correct_history_has_no_violations(self):
         self.assertEqual(self.caught(lambda events, notes: None), [])
 
-    def test_what_was_hurt_excuses_only_itself(self):
+    def test_fault_excuses_only_the_nodes_it_affects(self):
         def unread(gateway, bearable):
             def plant(ev, no):
                 ev.append({**ev[2], "status": 503, "results": None, "at": 26, "asked": 25, "fault": {"code": "x"}})
@@ -112,7 +112,7 @@
         self.assertEqual(self.caught(unread("g", True)), [])
         self.assertEqual(self.caught(unread("other", False)), [])
 
-    def test_runs_that_end_at_once_do_not_count_as_running(self):
+    def test_runs_that_ended_do_not_count_as_concurrent(self):
         def short(ev, no):
             for i in range(6):
                 no.append(
@@ -122,7 +122,7 @@
 
         self.assertEqual(self.caught(short, limits={"narrow": (0, 3)}), [])
 
-    def test_floors_are_judged_while_nothing_is_wrong_and_while_one_fault_lasts(self):
+    def test_success_rates_are_checked_without_faults_and_during_one_fault(self):
         def asked(n, good, hurt=False):
             def plant(ev, no):
                 ev += [
@@ -145,12 +145,12 @@
             return [line for line in self.caught(plant, floors=True) if line.startswith("card")]
 
         self.assertEqual(about_cards(asked(40, 40)), [])
-        self.assertIn("while nothing was wrong", about_cards(asked(40, 30))[0])
-        self.assertIn("only 1 were asked", about_cards(asked(40, 30, True))[0])
+        self.assertIn("while no fault was active", about_cards(asked(40, 30))[0])
+        self.assertIn("only 1 requests were sent", about_cards(asked(40, 30, True))[0])
         self.assertEqual(len(about_cards(asked(40, 30, True))), 1)
-        self.assertIn("while one fault lasted", about_cards(asked(40, 10, True))[1])
+        self.assertIn("while one fault was active", about_cards(asked(40, 10, True))[1])
 
-    def test_each_violation_is_caught(self):
+    def test_each_violation_is_reported(self):
         def fault(outcome, pieces=(), **more):
             return lambda ev, no: ev[0].update(
                 fault={"outcome": outcome, "code": "x"}, end=False, pieces=list(pieces), **more
@@ -190,25 +190,25 @@
         plants = {
             "ran 2 times": lambda ev, no: no.append({**no[0], "at": 11.5}),
             "told not_run": fault("not_run"),
-            "not the engine's own answer": lambda ev, no: ev[0]["pieces"].__setitem__(1, (1, "mixed up")),
-            "ended as whole": lambda ev, no: ev[0]["pieces"].pop(),
+            "pieces differ from the engine's response": lambda ev, no: ev[0]["pieces"].__setitem__(1, (1, "mixed up")),
+            "reported as complete": lambda ev, no: ev[0]["pieces"].pop(),
             "out of order or repeated": lambda ev, no: ev[0]["pieces"].insert(1, ev[0]["pieces"][0]),
             "neither an end nor a fault": lambda ev, no: ev[0].update(end=False),
             "after its limit": lambda ev, no: ev[0].update(asked=-9),
-            "without saying when": shed(retry=None),
-            "was held back": shed(retry="1", asked=5),
-            "bytes that are not": lambda ev, no: ev[3].update(body=card_bytes("c")[:-1]),
+            "without a Retry-After": shed(retry=None),
+            "was delayed by": shed(retry="1", asked=5),
+            "bytes that differ": lambda ev, no: ev[3].update(body=card_bytes("c")[:-1]),
             "are listed twice": results(lambda rs: rs[1].update(rs[0], n=1)),
-            "item 1: not the engine's own": results(lambda rs: rs[1].update(text="cut")),
+            "item 1: the text differs": results(lambda rs: rs[1].update(text="cut")),
             "listed as not_run and ran": results(lambda rs: rs[1].update(outcome="not_run", text="")),
-            "place 0 changed": again(25, [{"n": 0, "item": 1, "outcome": "unknown", "text": ""}]),
+            "result 0 changed": again(25, [{"n": 0, "item": 1, "outcome": "unknown", "text": ""}]),
             "results were shown": again(25, []),
             "not readable (404": more(read, status=404, results=None, at=26),
             "not readable (503": more(read, status=503, results=None, at=26),
             "reading it took": more(read, at=26, took=5.0),
             "are listed at the end": results(lambda rs: rs.pop()),
             "may not be repeated": lambda ev, no: no.append({**no[1], "at": 16}),
-            "nobody asked for that": lambda ev, no: ev[2].update(state="ended"),
+            "without a request to cancel": lambda ev, no: ev[2].update(state="ended"),
             "s after its end": lambda ev, no: ev.append(
                 {"at": 10, "event": "lot_ended", "lot": "x.1.0", "status": 200, "said": {"state": "ended"}}
             ),
@@ -223,8 +223,8 @@
             "and took effect": more(edit, status=412, outcome="not_run", sequence=None, at=23.5),
             "took effect at 7 and at 8": more(edit, sequence=8, at=23.5),
             "was acknowledged": lambda ev, no: ev[6].update(sequence=6),
-            "is not what its edits made: r": lambda ev, no: ev[6].update(rows={"r": {"model": "other"}}),
-            "is not what its edits made: s": lambda ev, no: ev[6]["rows"].update(s={"model": "n"}),
+            "is not the result of its edits: r": lambda ev, no: ev[6].update(rows={"r": {"model": "other"}}),
+            "is not the result of its edits: s": lambda ev, no: ev[6]["rows"].update(s={"model": "n"}),
             "which no edit made": more(table, sequence=9),
             "reads as": lambda ev, no: ev[8].update(zones={"zone-b": False}),
             "after its weight was 0": runs("gated", [43]),
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The history checker: what it accepts, and false accounts that it must refuse."""
+"""The history checker accepts linearizable histories and rejects all others."""
 
 import unittest
 from math import inf
@@ -32,19 +32,23 @@
     "nothing": [],
     "one after the other": [A, B, seen(3, "a", 1, 2), seen(5, "b", 3, 4)],
     "read while it is made, old or new": [A, B, seen(3, "a", 2, 3), seen(5, "b", 2, 3)],
-    "a race with one winner": [A, order("b", 3, 5, 2, 3), order("c", 3, 5, 2, 3, OTHER), seen(5, "b", 4, 5)],
-    "sent again and confirmed again": [A, B, order("a", 0, 3, 4, 5), order("b", 3, 5, 4, 5)],
-    "no answer, not in force": [A, order("b", 3, 5, 2, inf, UNKNOWN), seen(3, "a", 9, 10)],
-    "no answer, in force late": [A, order("b", 3, 5, 2, inf, UNKNOWN), seen(3, "a", 9, 10), seen(5, "b", 11, 12)],
-    "no answer, and one builds on it": [A, order("b", 3, 5, 2, inf, UNKNOWN), order("c", 5, 6, 9, 10)],
-    "early, refused, sent again": [order("b", 3, 5, 0, 1, OTHER), order("a", 0, 3, 2, 3), order("b", 3, 5, 4, 5)],
-    "early beside its base": [order("b", 3, 5, 0, 4), order("a", 0, 3, 1, 3)],
+    "two at once, one confirmed": [A, order("b", 3, 5, 2, 3), order("c", 3, 5, 2, 3, OTHER), seen(5, "b", 4, 5)],
+    "retried and confirmed again": [A, B, order("a", 0, 3, 4, 5), order("b", 3, 5, 4, 5)],
+    "no response, not in effect": [A, order("b", 3, 5, 2, inf, UNKNOWN), seen(3, "a", 9, 10)],
+    "no response, in effect late": [A, order("b", 3, 5, 2, inf, UNKNOWN), seen(3, "a", 9, 10), seen(5, "b", 11, 12)],
+    "no response, base of another": [A, order("b", 3, 5, 2, inf, UNKNOWN), order("c", 5, 6, 9, 10)],
+    "before its base, refused, retried": [
+        order("b", 3, 5, 0, 1, OTHER),
+        order("a", 0, 3, 2, 3),
+        order("b", 3, 5, 4, 5),
+    ],
+    "concurrent with its base": [order("b", 3, 5, 0, 4), order("a", 0, 3, 1, 3)],
     "invalid, refused": [A, order("x", 3, 5, 2, 3, REFUSED, valid=False)],
     "an old version, refused": [A, order("x", 3, 3, 2, 3, REFUSED)],
     "a zone emptied and filled": [zone(True, 0, 1), zone_seen(True, 1, 2), zone(False, 3, 4), zone_seen(False, 5, 6)],
-    "zones at once": [zone(True, 0, 5), zone(False, 0, 5), zone_seen(True, 6, 7)],
+    "concurrent writes of one zone": [zone(True, 0, 5), zone(False, 0, 5), zone_seen(True, 6, 7)],
     "another zone": [zone(True, 0, 1), zone_seen(False, 2, 3, name="b")],
-    "a zone emptied twice by two copies of one order, before it is confirmed": [
+    "a zone emptied twice by two attempts of one write, before it is confirmed": [
         zone(True, 0, 8, UNKNOWN),
         zone_seen(True, 1, 2),
         zone(False, 3, 4),
@@ -52,21 +56,25 @@
         zone(True, 6, 8),
         zone_seen(True, 9, 10),
     ],
-    "a copy that takes effect within its order": [zone(True, 0, 3, UNKNOWN), zone(True, 2, 3), zone_seen(True, 1, 2)],
+    "an attempt that takes effect before its write is confirmed": [
+        zone(True, 0, 3, UNKNOWN),
+        zone(True, 2, 3),
+        zone_seen(True, 1, 2),
+    ],
     "a gateway behind another, before it is confirmed": [
         order("a", 0, 3, 0, 9),
         seen(3, "a", 1, 2, "g"),
         seen(0, "", 4, 5, "h"),
         seen(3, "a", 6, 7, "h"),
     ],
-    "a gateway behind what was read, before it is confirmed": [
+    "a gateway behind another read, before the write is confirmed": [
         A,
         order("b", 3, 5, 2, 9),
         seen(5, "b", 3, 4),
         order("c", 3, 6, 3, 4, OTHER),
         seen(3, "a", 5, 6, "g"),
     ],
-    "a zone order without an answer, late": [
+    "a zone write without a response, in effect late": [
         zone(True, 0, inf, UNKNOWN),
         zone_seen(False, 3, 4),
         zone_seen(True, 5, 6),
@@ -75,39 +83,43 @@
 
 REJECTED = {
     "two confirmed on one base": [A, order("b", 3, 5, 2, 3), order("c", 3, 6, 2, 3)],
-    "two confirmed under one number": [A, order("b", 3, 5, 2, 3), order("c", 3, 5, 2, 3)],
+    "two confirmed under one version": [A, order("b", 3, 5, 2, 3), order("c", 3, 5, 2, 3)],
     "confirmed, and an older one read": [A, B, seen(3, "a", 4, 5)],
     "confirmed, and another content read": [A, seen(3, "z", 4, 5)],
-    "confirmed, and gone": [A, seen(0, "", 4, 5)],
-    "goes back": [A, order("b", 3, 5, 2, inf, UNKNOWN), seen(5, "b", 4, 5), seen(3, "a", 6, 7)],
+    "confirmed, and an empty configuration read": [A, seen(0, "", 4, 5)],
+    "an older version read later": [A, order("b", 3, 5, 2, inf, UNKNOWN), seen(5, "b", 4, 5), seen(3, "a", 6, 7)],
     "seen before it was sent": [A, B, seen(5, "b", 1, 1.5)],
-    "refused, and in force": [A, order("b", 3, 5, 2, 3, OTHER), seen(5, "b", 4, 5)],
-    "refused early, and in force by a copy held up": [
+    "refused, and in effect": [A, order("b", 3, 5, 2, 3, OTHER), seen(5, "b", 4, 5)],
+    "refused before its base existed, and in effect by a delayed attempt": [
         order("b", 3, 5, 0, 1, OTHER),
         order("a", 0, 3, 2, 3),
         seen(5, "b", 4, 5),
     ],
-    "a proper one refused": [A, order("b", 3, 5, 2, 3, OTHER)],
-    "a proper one refused for good": [
+    "a valid one refused": [A, order("b", 3, 5, 2, 3, OTHER)],
+    "a valid one refused in its retry": [
         order("b", 3, 5, 0, 1, OTHER),
         order("a", 0, 3, 2, 3),
         order("b", 3, 5, 4, 5, OTHER),
     ],
-    "a confirmed one sent again and refused": [A, order("a", 0, 3, 4, 5, OTHER)],
-    "a confirmed one sent again and refused as invalid": [A, order("a", 0, 3, 4, 5, REFUSED)],
+    "a confirmed one retried and refused": [A, order("a", 0, 3, 4, 5, OTHER)],
+    "a confirmed one retried and refused as invalid": [A, order("a", 0, 3, 4, 5, REFUSED)],
     "an invalid one confirmed": [A, order("x", 3, 5, 2, 3, valid=False)],
-    "an invalid one in force": [A, order("x", 3, 5, 2, inf, UNKNOWN, valid=False), seen(5, "x", 4, 5)],
-    "the loser of a race built upon": [A, B, order("c", 3, 6, 2, 3, OTHER), order("d", 6, 9, 4, 5)],
-    "a zone emptied again by a copy held up": [
+    "an invalid one in effect": [A, order("x", 3, 5, 2, inf, UNKNOWN, valid=False), seen(5, "x", 4, 5)],
+    "confirmed on a refused base": [A, B, order("c", 3, 6, 2, 3, OTHER), order("d", 6, 9, 4, 5)],
+    "a zone emptied again by a delayed attempt": [
         zone(True, 0, 2),
         zone(False, 3, 4),
         zone_seen(False, 4, 5),
         zone_seen(True, 6, 7),
     ],
-    "a gateway behind what was confirmed": [A, seen(0, "", 2, 4, "g")],
-    "read behind what a gateway served": [A, order("b", 3, 5, 2, 9), seen(5, "b", 3, 4, "g"), seen(3, "a", 5, 6)],
-    "a gateway that goes back": [order("a", 0, 3, 0, 9), seen(3, "a", 1, 2, "g"), seen(0, "", 4, 5, "g")],
-    "a zone emptied once more by a copy without an answer, after its order was confirmed": [
+    "a gateway behind a confirmed write": [A, seen(0, "", 2, 4, "g")],
+    "a read behind what a gateway served": [A, order("b", 3, 5, 2, 9), seen(5, "b", 3, 4, "g"), seen(3, "a", 5, 6)],
+    "a gateway that goes back to an older version": [
+        order("a", 0, 3, 0, 9),
+        seen(3, "a", 1, 2, "g"),
+        seen(0, "", 4, 5, "g"),
+    ],
+    "a zone emptied again by an attempt without a response, after its write was confirmed": [
         zone(True, 0, 2, UNKNOWN),
         zone(True, 1, 2),
         zone(False, 3, 4),
@@ -121,7 +133,7 @@
 
 
 def made(seed: int, orders: int = 12) -> list:
-    """A true account with overlapping orders: each takes effect at a moment of its own between its two ends."""
+    """A linearizable history of overlapping writes: each takes effect at one moment between its start and end."""
     rng = Random(seed)
     now, chain, records = 0.0, [(0, "")], []
     moments = []
@@ -147,29 +159,29 @@
 
 
 class Histories(unittest.TestCase):
-    def test_true_accounts_are_accepted(self):
+    def test_linearizable_histories_are_accepted(self):
         for name, records in ACCEPTED.items():
             with self.subTest(name):
                 self.assertEqual(check_history(records), [])
 
-    def test_false_accounts_are_refused(self):
+    def test_other_histories_are_rejected(self):
         for name, records in REJECTED.items():
             with self.subTest(name):
                 self.assertNotEqual(check_history(records), [])
 
-    def test_the_order_in_which_records_are_given_does_not_matter(self):
+    def test_result_does_not_depend_on_the_order_of_the_records(self):
         rng = Random(3)
         for accounts, good in ((ACCEPTED, True), (REJECTED, False)):
             for name, records in accounts.items():
                 with self.subTest(name):
                     self.assertEqual(check_history(rng.sample(records, len(records))) == [], good)
 
-    def test_what_stands_in_the_way_is_named(self):
+    def test_message_names_the_record_that_does_not_fit(self):
         late = zone_seen(True, 6, 7)
         found = check_history([zone(True, 0, 2), zone(False, 3, 4), late])
         self.assertEqual(found, [f"no order explains zone a, at the latest from {late} on"])
 
-    def test_made_accounts_are_accepted_and_refused_once_a_later_view_is_turned_back(self):
+    def test_generated_histories_are_accepted_but_rejected_with_a_stale_or_wrong_final_read(self):
         for seed in range(60):
             records = made(seed)
             self.assertEqual(check_history(records), [], seed)
