--- a/testbed/benchmarks/capacity.py
+++ b/testbed/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Measures what a node costs against the cluster's size: series of points, three windows each, fitted by lines."""
+"""Measures the cost of a node as the cluster grows: series of points with three windows each, and a fit per series."""
 
 import json
 import statistics
@@ -8,24 +8,24 @@
 import attrs
 
 from ..processes.host_processes import LightweightCluster, MachineOverloaded
-from .linear_fit import picture, report
+from .linear_fit import draw, report
 
 __all__ = ["Capacity", "SERIES"]
 
-LEAST_KEPT = 0.85
-LONGEST_POINT = 75
-PACES = 4
+MIN_TIMERS_KEPT = 0.85
+MAX_POINT_SECONDS = 75
+MAX_ATTEMPTS = 4
 
 
 @attrs.frozen
 class Series:
-    """Points of one kind: x is the number that grows, `sets` the rest, `pace` how much the clock is slowed."""
+    """A series of points over x; `parameters` and `pace` (the factor by which clocks are slowed) are functions of x."""
 
     unit: str
     xs: tuple
     pace: object
-    sets: object
-    kind: str = "hollow"
+    parameters: object
+    kind: str = "lightweight"
     span: float = 6.0
     roles: tuple = ("gateway", "storage", "controller", "leader")
 
@@ -39,7 +39,7 @@
         kind="member",
     ),
     "gateways": Series(
-        "gateways (hollow)", (8, 16, 24, 48, 96), lambda x: max(1, x * x // 500), lambda x: {"gateways": x}
+        "gateways (lightweight)", (8, 16, 24, 48, 96), lambda x: max(1, x * x // 500), lambda x: {"gateways": x}
     ),
     "whole": Series("gateways (real processes)", (8, 16, 24), lambda x: 1, lambda x: {"gateways": x}, kind="whole"),
     "engines": Series(
@@ -88,28 +88,28 @@
         self.points: list[dict] = []
 
     def run(self) -> int:
-        """Measures, saves after each point, and stops by itself when its minutes are over."""
+        """Measures all series, saving after each point; starts no new point after the time limit."""
         for name in self._names:
             for x in SERIES[name].xs:
                 if time.monotonic() > self._end:
                     print(f"not run, out of time: {name} {x}", flush=True)
                     continue
-                self._try(name, x)
+                self._measure_with_retries(name, x)
         return self.show()
 
     def show(self) -> int:
         report(self.points, SERIES)
         if self._picture:
-            picture(self.points, SERIES, Path(self._picture))
+            draw(self.points, SERIES, Path(self._picture))
         return 0
 
-    def _try(self, name: str, x: int):
+    def _measure_with_retries(self, name: str, x: int):
         pace = SERIES[name].pace(x)
-        for _ in range(PACES):
+        for _ in range(MAX_ATTEMPTS):
             try:
-                point = self._point(name, x, pace)
+                point = self._measure_point(name, x, pace)
             except MachineOverloaded as e:
-                print(f"{name} {x} at pace {pace}: {e}; slower", flush=True)
+                print(f"{name} {x} at pace {pace}: {e}; retrying at a slower pace", flush=True)
                 if SERIES[name].kind == "whole":
                     continue
                 pace *= 2
@@ -127,25 +127,25 @@
                 Path(self._keep).write_text(json.dumps(self.points))
             return
 
-    def _point(self, name: str, x: int, pace: float) -> dict:
+    def _measure_point(self, name: str, x: int, pace: float) -> dict:
         series = SERIES[name]
-        sets = dict(series.sets(x))
-        cluster = LightweightCluster(sets.pop("gateways"), series.kind, pace)
-        span = min(series.span, LONGEST_POINT / self._windows / pace)
+        parameters = dict(series.parameters(x))
+        cluster = LightweightCluster(parameters.pop("gateways"), series.kind, pace)
+        span = min(series.span, MAX_POINT_SECONDS / self._windows / pace)
         try:
             cluster.start()
-            cluster.load(**sets)
-            if sets.get("rows"):
-                cluster.rows(sets["rows"])
-            if sets.get("held"):
-                cluster.holding(sets["held"])
-            if sets.get("burst"):
-                cluster.settled()
+            cluster.start_load(**parameters)
+            if parameters.get("rows"):
+                cluster.wait_for_rows(parameters["rows"])
+            if parameters.get("held"):
+                cluster.wait_for_held_logs(parameters["held"])
+            if parameters.get("burst"):
+                cluster.wait_for_burst()
             time.sleep(3 * min(pace, 10))
-            cores, kept = cluster.busy(3.0 / max(1.0, pace / 4))
-            if cores > self._cores or kept < LEAST_KEPT and series.kind != "whole":
-                raise MachineOverloaded(f"{cores:.1f} cores busy, {kept:.2f} of the timers came in time")
-            windows = [cluster.window(span) for _ in range(self._windows)]
+            cores, kept = cluster.measure_usage(3.0 / max(1.0, pace / 4))
+            if cores > self._cores or kept < MIN_TIMERS_KEPT and series.kind != "whole":
+                raise MachineOverloaded(f"{cores:.1f} cores busy, {kept:.2f} of the timers ran in time")
+            windows = [cluster.measure_window(span) for _ in range(self._windows)]
         finally:
             cluster.end()
         return {
--- a/testbed/benchmarks/recovery_times.py
+++ b/testbed/benchmarks/recovery_times.py
@@ -1,26 +1,26 @@
-"""Measures recovery times: injects each fault many times into a cluster, and times each recovery."""
+"""Measures recovery times: injects each fault repeatedly into a cluster and times each recovery."""
 
 import json
 import threading
 import time
 from random import Random
 
-from ..faults.final_fault import CLOSINGS, PROMISE
+from ..faults.final_fault import FINAL_FAULTS, RECOVERY_LIMIT_SECONDS
 from ..processes.process_cluster import ZONES, wait_for
 from ..standins.clients import Client
 from .deployment_profiles import spread
 from .soak import Soak
 
-__all__ = ["RecoveryTimes", "PROMISES"]
+__all__ = ["RecoveryTimes", "LIMIT_SECONDS"]
 
-PROMISES = {
+LIMIT_SECONDS = {
     "leaving": 2.0,
     "edit": 2.0,
     "reading": 1.0,
     "result": 1.0,
     "ended": 3.0,
     "zone": 5.0,
-    "back": PROMISE,
+    "back": RECOVERY_LIMIT_SECONDS,
     "repair": 30.0,
 }
 
@@ -35,15 +35,15 @@
         try:
             self.cluster.start(60)
             self._began = time.monotonic()
-            wait_for(lambda: self.calls.generate("warm")["end"], 20, "an engine is known")
+            wait_for(lambda: self.clients.generate("warm")["end"], 20, "an engine is known")
             time.sleep(9)
-            c = self.calls
+            c = self.clients
             c.start(Client(c, "walk", 1 / self.profile["live"] / 2, lambda c, n: c.generate(n)))
             c.start(Client(c, "card", 1 / self.profile["fetch"], lambda c, n: c.fetch(n)))
-            c.start(Client(c, "night", 6, lambda c, n: self.batch(n, 40, 3_600_000)))
+            c.start(Client(c, "night", 6, lambda c, n: self.submit_batch(n, 40, 3_600_000)))
             for name in self.names:
                 took = [v for n in range(self.times) for v in getattr(self, "_measure_" + name)(n)]
-                limit = PROMISES[name]
+                limit = LIMIT_SECONDS[name]
                 print(
                     json.dumps(
                         {"promise": name, "limit_s": limit, "missed": sum(v > limit for v in took), "ms": spread(took)}
@@ -52,11 +52,11 @@
                 )
             return 0
         finally:
-            self.calls.stop()
+            self.clients.stop()
             self.cluster.stop()
 
     def _last_run(self, since, engines, until=None) -> float:
-        """Seconds from a moment to the last run that began at any of these engines; 0 where none did."""
+        """Returns the seconds from `since` to the last run that started at one of the engines; 0 if there was none."""
         return max(
             (
                 n["at"] - since
@@ -81,9 +81,9 @@
         return [self._last_run(notified_at, [name], until)]
 
     def _measure_edit(self, n):
-        """From the response to the moment when the last gateway shows the edit."""
-        e = self.calls.edit(
-            f"row-{n % 4}", {"model": f"m{n}"}, f"edit-{n}-{time.monotonic()}", self._any(self.c, "controller")
+        """Measures the time from the response to an edit until all gateways have it."""
+        e = self.clients.edit(
+            f"row-{n % 4}", {"model": f"m{n}"}, f"edit-{n}-{time.monotonic()}", self._random_node(self.c, "controller")
         )
         acked = time.monotonic()
         if e.get("status") != 200:
@@ -94,23 +94,24 @@
                 for g in self.cluster.nodes("gateway")
             ),
             10,
-            "every gateway has it",
+            "every gateway has the edit",
         )
         return [time.monotonic() - acked]
 
     def _measure_reading(self, n):
-        """A storage node is killed, or freezes, as a lot is accepted; until every gateway, asked at once, has shown
-        the lot.
+        """Kills or freezes a storage node right after a batch is accepted.
+
+        Measures the time until every gateway has shown the batch.
         """
         p = self.cluster.programs[self.cluster.nodes("storage")[n % 4]]
-        e = self.calls.batch(f"reading-{n}", 4, watch=False)
+        e = self.clients.submit_batch(f"reading-{n}", 4, watch=False)
         acked, took = time.monotonic(), []
         if not e["lot"]:
             return [99.0]
         (p.freeze if n % 2 else p.kill)()
 
         def read(g):
-            wait_for(lambda: self.calls.read_batch(e["lot"], g)["status"] == 200, 20, f"{g} shows it")
+            wait_for(lambda: self.clients.read_batch(e["lot"], g)["status"] == 200, 20, f"{g} shows it")
             took.append(time.monotonic() - acked)
 
         threads = [threading.Thread(target=read, args=(g,)) for g in self.cluster.nodes("gateway")]
@@ -123,35 +124,33 @@
         return [max(took) if len(took) == len(threads) else 99.0]
 
     def _measure_result(self, n):
-        """From the end of an item's run to its place in the list at another gateway, with one gateway killed
-        meanwhile.
-        """
+        """Measures the time from the end of an item's run until another gateway lists it, while a gateway is down."""
         down = self.cluster.nodes("gateway")[n % len(self.cluster.nodes("gateway"))]
-        g = self.calls.gateway(but=down)
-        e = self.calls.batch(f"result-{n}", 6, watch=False, gateway=g)
-        self.calls.down.add(down)
+        g = self.clients.pick_gateway(exclude=down)
+        e = self.clients.submit_batch(f"result-{n}", 6, watch=False, gateway=g)
+        self.clients.excluded_gateways.add(down)
         self.cluster.programs[down].kill()
         seen: dict[int, float] = {}
 
         def all_seen():
-            r = self.calls.read_batch(e["lot"], g)
+            r = self.clients.read_batch(e["lot"], g)
             for x in r["results"] or ():
                 seen.setdefault(x["item"], time.monotonic())
             return len(seen) == 6
 
         wait_for(all_seen, 40, "all are listed")
         self.cluster.programs[down].start()
-        self._wait_up([down])
-        self.calls.down.discard(down)
+        self._wait_until_ready([down])
+        self.clients.excluded_gateways.discard(down)
         notes = self.cluster.notes()
         prompts = {x["run"]: x["prompt"] for x in notes if x["event"] == "run"}
         done = {prompts.get(x["run"]): x["at"] for x in notes if x["event"] == "done"}
         return [at - done[p] for i, at in seen.items() if (p := f"result-{n}/{i}") in done]
 
     def _measure_ended(self, n):
-        e = self.calls.batch(f"ended-{n}", 120, 3_600_000, watch=False)
+        e = self.clients.submit_batch(f"ended-{n}", 120, 3_600_000, watch=False)
         time.sleep(0.8)
-        self.calls.end_batch(e["lot"])
+        self.clients.cancel_batch(e["lot"])
         acked = time.monotonic()
         time.sleep(4)
         notes = self.cluster.notes()
@@ -160,7 +159,7 @@
 
     def _measure_zone(self, n):
         zone = ZONES[n % 4]
-        if self.calls.zone(zone, True, self.leader()) != 200:
+        if self.clients.zone(zone, True, self.leader()) != 200:
             return [99.0]
         acked = time.monotonic()
         time.sleep(6)
@@ -168,41 +167,41 @@
         took = self._last_run(
             acked, [e for e in self.cluster.engines + self.cluster.cards if self.cluster.zones[e] == zone], until
         )
-        self.calls.zone(zone, False, self.leader())
+        self.clients.zone(zone, False, self.leader())
         time.sleep(2)
         return [took]
 
     def _measure_repair(self, n):
-        """A storage node comes back empty; until each of its placement groups has three copies again."""
+        """Restarts a storage node with an empty disk; measures until all its placement groups have three replicas."""
         name = self.cluster.nodes("storage")[n % 4]
         lost = self.storage_node_id(name)
         self.cluster.programs[name].kill()
         self.cluster.wipe(name)
         began = time.monotonic()
         self.cluster.programs[name].start()
-        self._wait_placed(lost)
+        self._wait_for_placement(lost)
         took = time.monotonic() - began
         time.sleep(3)
         return [took]
 
     def _measure_back(self, n):
-        """Each kind of closing fault in turn; the repair is waited for in between."""
-        kind = CLOSINGS[n % len(CLOSINGS)]
+        """Injects each kind of final fault in turn, and waits for the repair in between."""
+        kind = FINAL_FAULTS[n % len(FINAL_FAULTS)]
         names = (
-            self.inside(ZONES[n % 4], True)
+            self.nodes_in_zone(ZONES[n % 4], True)
             if kind == "zone"
-            else [self._any(self.c, "gateway"), self.busiest(), self.leader()]
+            else [self._random_node(self.c, "gateway"), self.busiest(), self.leader()]
         )
-        heal = self._closing_fault(kind, names, self.c)
-        took = self._wait_served(names, time.monotonic())
-        self.say(f"service back after {took:.1f} s")
+        heal = self._inject_final_fault(kind, names, self.c)
+        took = self._wait_for_service(names, time.monotonic())
+        self.log(f"service recovered after {took:.1f} s")
         heal()
-        self._wait_up([x for x in names if x in self.nodes()])
-        self.calls.down.clear()
+        self._wait_until_ready([x for x in names if x in self.nodes()])
+        self.clients.excluded_gateways.clear()
         wait_for(
             lambda: sum(d["placement_groups"] for d in self.storage_nodes().values() if d["heard"] == "alive") == 48,
             90,
-            "placed",
+            "all placement groups are placed again",
         )
         time.sleep(3)
         return [took]
--- a/testbed/faults/disks.py
+++ b/testbed/faults/disks.py
@@ -1,4 +1,4 @@
-"""Disks that lose what was not synced, in a simulation and under real processes."""
+"""Disks that lose unsynced data, in simulations and for real processes."""
 
 import os
 import shutil
@@ -13,15 +13,16 @@
 
 
 class PowerLossDisk(Disk):
-    """Knows what was synced; `lose_power` drops the rest, and may leave a torn part of it.
+    """Tracks what was synced; `lose_power` truncates each file to its synced length plus a random part of the rest.
 
-    With `names` each file that was made, renamed or removed without a sync of its folder is kept or lost by itself.
+    With `names` set, each creation, rename or removal of a file since the last sync of its folder is also kept or
+    lost at random, independently of the others.
     """
 
     def __init__(self, rng: Random, names: bool = False) -> None:
         self._rng = rng
         self._synced: dict[int, int] = {}
-        self._seen: set[Path] = set()
+        self._known_folders: set[Path] = set()
         self._durable: dict[Path, Path] = {}
         self._shadows = tempfile.TemporaryDirectory(prefix="durable-") if names else None
         self.full = False
@@ -33,22 +34,22 @@
             self._forget_removed_files()
             self._synced[os.fstat(fd).st_ino] = 0
         super().append(fd, data)
-        self._see(fd)
+        self._remember_folder(fd)
 
     def _forget_removed_files(self) -> None:
-        """The file system may give the number of a removed file to one that is not written through this disk."""
+        """Drops removed files, whose inode numbers may be reused for files that this disk doesn't write."""
         known = list(self._synced)
-        folders = [folder for folder in tuple(self._seen) if folder.exists()]
+        folders = [folder for folder in tuple(self._known_folders) if folder.exists()]
         present = {entry.inode() for folder in folders for entry in os.scandir(folder)}
         for number in known:
             if number not in present:
                 self._synced.pop(number, None)
 
-    def _see(self, fd: int) -> None:
-        self._seen.add(Path(os.readlink(f"/proc/self/fd/{fd}")).parent)
+    def _remember_folder(self, fd: int) -> None:
+        self._known_folders.add(Path(os.readlink(f"/proc/self/fd/{fd}")).parent)
 
     def sync(self, fd: int) -> None:
-        self._see(fd)
+        self._remember_folder(fd)
         self._synced[os.fstat(fd).st_ino] = os.fstat(fd).st_size
 
     def truncate(self, fd: int, length: int) -> None:
@@ -61,15 +62,15 @@
         self.save_names(folder)
 
     def save_names(self, folder: Path) -> None:
-        """Keeps links to all that the folder names now, to restore it after a power loss; only with `names`."""
+        """Records the entries of a folder as hard links, to restore them after a power loss; only with `names`."""
         if self._shadows is None:
             return
-        self._forget(Path(folder))
+        self._drop_shadow(Path(folder))
         shadow = self._durable[Path(folder)] = Path(tempfile.mkdtemp(dir=self._shadows.name))
         for path in Path(folder).iterdir():
             self._link(path, shadow / path.name)
 
-    def _forget(self, folder: Path) -> None:
+    def _drop_shadow(self, folder: Path) -> None:
         old = self._durable.pop(folder, None)
         if old is not None:
             shutil.rmtree(old)
@@ -81,19 +82,19 @@
             os.link(path, goal)
 
     def lose_power(self) -> None:
-        """Drops what was not synced, or a random part of it."""
+        """Drops all unsynced data, or a random part of it."""
         for folder, durable in sorted(self._durable.items()):
-            self._lose_names(folder, durable)
-        tops = [folder for folder in (*self._seen, *self._durable) if folder.exists()]
-        for path in sorted({p for top in tops for p in top.rglob("*") if p.is_file()}):
-            self._lose_end(path)
+            self._restore_names(folder, durable)
+        folders = [folder for folder in (*self._known_folders, *self._durable) if folder.exists()]
+        for path in sorted({p for top in folders for p in top.rglob("*") if p.is_file()}):
+            self._lose_unsynced_tail(path)
         for folder in list(self._durable):
             if folder.exists():
                 self.save_names(folder)
             else:
-                self._forget(folder)
+                self._drop_shadow(folder)
 
-    def _lose_names(self, folder: Path, durable: Path) -> None:
+    def _restore_names(self, folder: Path, durable: Path) -> None:
         if not folder.exists():
             return
         for name in sorted({p.name for p in (*folder.iterdir(), *durable.iterdir())}):
@@ -108,7 +109,7 @@
             if before.exists():
                 self._link(before, now)
 
-    def _lose_end(self, path: Path) -> None:
+    def _lose_unsynced_tail(self, path: Path) -> None:
         synced = self._synced.get(path.stat().st_ino)
         size = path.stat().st_size
         if synced is not None and size > synced:
@@ -121,7 +122,7 @@
 
 
 class ReportingDisk(Disk):
-    """Reports beside the data folder what was synced, so that the harness can drop the rest."""
+    """Writes the synced length of each file to a report beside the data folder, so that a harness can drop the rest."""
 
     def __init__(self, plugin: "_FullDisks", data: str) -> None:
         self._plugin = plugin
--- a/tests/test_simulated_idle.py
+++ b/tests/test_simulated_idle.py
@@ -21,11 +21,11 @@
         self.simulation = simulation = Simulation(
             1, controllers=controllers, storage_nodes=storage_nodes, gateways=gateways
         )
-        simulation.with_engines(SimulatedGateway, SimulatedEngine, 0)
+        simulation.add_engines(SimulatedGateway, SimulatedEngine, 0)
         self.messages, self.bytes, self.calls = Counter(), Counter(), Counter()
         self.method_bytes: Counter = Counter()
         self._counting = False
-        self._carry, simulation.carry = simulation.carry, self._count
+        self._carry, simulation.deliver_call = simulation.deliver_call, self._count
         simulation.start()
         simulation.ready(60)
         simulation.run(12)
