--- a/pipitlink/router/call_relay.py
+++ b/pipitlink/router/call_relay.py
@@ -34,7 +34,7 @@
 
 
 class CallRelay:
-    """Sends each call to an engine; retries on another only if the call may be repeated or was not executed.
+    """Sends each call to an engine; retries it if it was not executed, or may be repeated or resumed.
 
     Owns `calls`, the calls in progress, and `counters` of attempts.
     """
--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -208,7 +208,7 @@
             self._eject(engine)
 
     def record_unreachable(self, engine: Engine) -> None:
-        """Ejects an engine that refuses connections or sends nothing at all."""
+        """Ejects an engine to which no connection can be opened, or that sends nothing at all."""
         engine.failures = min(max(2, engine.failures + 1), MAX_COUNTED_FAILURES)
         self._eject(engine)
 
--- a/pipitlink/router/engine_selector.py
+++ b/pipitlink/router/engine_selector.py
@@ -35,7 +35,7 @@
 # The maximum number of requests on an engine, as a multiple of its slots.
 MAX_LIVE_FILL = 1.5
 MAX_BATCH_FILL = 1.3
-# A live call waits for capacity for this fraction of its latency target, and at most MAX_WAIT.
+# A live call waits for capacity for WAIT_FRACTION of its latency target, but at most MAX_WAIT.
 MAX_WAIT = ms(60)
 WAIT_FRACTION = 0.2
 RECHECK_INTERVAL = ms(15)
@@ -54,7 +54,7 @@
 # The remaining connections of an engine are reserved for gateways that join.
 CONNECTION_FRACTION = 0.9
 MIN_RETRY_AFTER_S = 0.05
-RETRY_AFTER_SPREAD_S = 0.15
+RETRY_AFTER_JITTER_S = 0.15
 
 
 class _CallTraits(NamedTuple):
@@ -143,7 +143,7 @@
 
     def retry_after(self) -> float:
         """Returns the number of seconds after which to retry, with jitter so that clients do not retry at once."""
-        return round(MIN_RETRY_AFTER_S + RETRY_AFTER_SPREAD_S * self._ctx.rng.random(), 3)
+        return round(MIN_RETRY_AFTER_S + RETRY_AFTER_JITTER_S * self._ctx.rng.random(), 3)
 
     def _choose_pool(self, call: Call) -> str:
         """Returns a random pool of the route, chosen by weight; the call keeps it for its retries."""
--- a/pipitlink/router/gateway_watch.py
+++ b/pipitlink/router/gateway_watch.py
@@ -17,6 +17,8 @@
 class GatewayWatch:
     """The gateways that are alive, the time of their last change, and since when this gateway owns its keys.
 
+    Each key is assigned to one of the gateways that are alive, by rendezvous hashing.
+
     A suspension of this process counts as a change, and so does a suspicion that it has refuted, since the other
     gateways may have considered it gone in the meantime.
     """
--- a/pipitlink/router/http_frontend.py
+++ b/pipitlink/router/http_frontend.py
@@ -30,7 +30,7 @@
 # The approximate time after its start at which a gateway has received its cluster state.
 STARTUP_TIME = ms(600)
 MIN_RETRY_AFTER_S = 0.2
-RETRY_AFTER_SPREAD_S = 0.2
+RETRY_AFTER_JITTER_S = 0.2
 DRAIN_CHECK_INTERVAL = ms(50)
 # Statuses by which clients infer that nothing was executed.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
@@ -159,7 +159,7 @@
     def _retry_after(self) -> float:
         """Returns the number of seconds after which to retry: once the start is complete, with jitter."""
         remaining = (STARTUP_TIME - (self._ctx.timers.now() - self._opened_at)).total_seconds()
-        return round(max(MIN_RETRY_AFTER_S, remaining) + RETRY_AFTER_SPREAD_S * self._ctx.rng.random(), 3)
+        return round(max(MIN_RETRY_AFTER_S, remaining) + RETRY_AFTER_JITTER_S * self._ctx.rng.random(), 3)
 
     def _deadline(self, request: InboundRequest, route: Route, started_at: timedelta) -> timedelta:
         """Returns the deadline of a request; its header may shorten the route's, and for batches also extend it."""
--- a/tests/response_scenarios.py
+++ b/tests/response_scenarios.py
@@ -123,11 +123,11 @@
             if f"second {n}" not in self._used_events:
                 out.append(("1 s passes", lambda n=n: self._advance_second(n)))
                 break
-        return [(name, self._with_collect(do)) for name, do in out]
+        return [(name, self._with_collect(action)) for name, action in out]
 
-    def _with_collect(self, do):
+    def _with_collect(self, action):
         def event():
-            do()
+            action()
             if not self._short_waits:
                 self.harness.advance_ms(50)
             self._collect()
--- a/tests/test_response_orders.py
+++ b/tests/test_response_orders.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class Guard:
+class SafetyCheck:
     """A safety check: its replacement, the violation that the replacement causes, and the scenario that shows it."""
 
     target: object
@@ -30,7 +30,7 @@
     scenario: object
 
 
-def _live(kind, **args):
+def _live_scenario(kind, **args):
     return lambda: ResponseScenario(kind, **args)
 
 
@@ -38,85 +38,95 @@
     call.discard_connection()
 
 
-GUARDS = {
-    "a response is accepted by its id": Guard(
-        EngineExchange, "_belongs_to", lambda *_: True, "MIXED", _live("mutating", engines=1, clients=2)
+SAFETY_CHECKS = {
+    "a response is accepted by its id": SafetyCheck(
+        EngineExchange, "_belongs_to", lambda *_: True, "MIXED", _live_scenario("mutating", engines=1, clients=2)
     ),
-    "a response without an id is accepted only on a new connection": Guard(
+    "a response without an id is accepted only on a new connection": SafetyCheck(
         EngineExchange,
         "_belongs_to",
         lambda self, call, connection, r: r.headers.getRawHeaders(b"x-request-id", (call.id,))[0] == call.id,
         "TWICE",
-        _live("mutating", engines=2, clients=2),
+        _live_scenario("mutating", engines=2, clients=2),
     ),
-    "a call is sent at most once on a connection": Guard(
+    "a call is sent at most once on a connection": SafetyCheck(
         ConnectionPool,
         "take_idle",
         lambda self, address, _, max_idle_time: _take_idle(self, address, b"", max_idle_time),
         "TWICE",
-        _live("mutating"),
+        _live_scenario("mutating"),
     ),
-    "a lost call that must not be repeated is not retried": Guard(
+    "a lost call that must not be repeated is not retried": SafetyCheck(
         CallRelay,
         "_may_retry",
         lambda self, call, f: call.attempts < 4 and f.code != "no_room",
         "TWICE",
-        _live("mutating"),
+        _live_scenario("mutating"),
     ),
-    "a lost stream that cannot be resumed is not retried": Guard(
+    "a lost stream that cannot be resumed is not retried": SafetyCheck(
         CallRelay,
         "_may_retry",
         lambda self, call, f: call.attempts < 4 and f.code != "no_room",
         "TWICE",
-        _live("stream"),
+        _live_scenario("stream"),
     ),
-    "the engines of an idempotent call are limited": Guard(Call, "budget_spent", False, "BUDGET", _live("idempotent")),
-    "the engines of a resumable call are limited": Guard(Call, "budget_spent", False, "BUDGET", _live("resumable")),
-    "a retryable status requires confirmation by the engine": Guard(
-        engine_exchange, "RETRYABLE_STATUSES", (), "REFUSED", _live("mutating")
+    "the engines of an idempotent call are limited": SafetyCheck(
+        Call, "budget_spent", False, "BUDGET", _live_scenario("idempotent")
     ),
-    "a call that may have run is not reported as not executed": Guard(
-        Call, "has_lost_attempt", property(lambda _: False, lambda *_: None), "REFUSED", _live("idempotent", engines=1)
+    "the engines of a resumable call are limited": SafetyCheck(
+        Call, "budget_spent", False, "BUDGET", _live_scenario("resumable")
     ),
-    "a truncated response is detected": Guard(
-        response_stream, "ResponseDone", Exception, "MIXED", _live("mutating", engines=1)
+    "a retryable status requires confirmation by the engine": SafetyCheck(
+        engine_exchange, "RETRYABLE_STATUSES", (), "REFUSED", _live_scenario("mutating")
     ),
-    "a truncated response is forwarded as truncated": Guard(
-        InboundRequest, "abort_response", InboundRequest.complete, "ORDER", _live("stream", engines=1)
+    "a call that may have run is not reported as not executed": SafetyCheck(
+        Call,
+        "has_lost_attempt",
+        property(lambda _: False, lambda *_: None),
+        "REFUSED",
+        _live_scenario("idempotent", engines=1),
     ),
-    "a client that disconnects ends its call": Guard(
-        Call, "abort", _abort_without_reason, "UNASKED", _live("idempotent")
+    "a truncated response is detected": SafetyCheck(
+        response_stream, "ResponseDone", Exception, "MIXED", _live_scenario("mutating", engines=1)
+    ),
+    "a truncated response is forwarded as truncated": SafetyCheck(
+        InboundRequest, "abort_response", InboundRequest.complete, "ORDER", _live_scenario("stream", engines=1)
+    ),
+    "a client that disconnects ends its call": SafetyCheck(
+        Call, "abort", _abort_without_reason, "UNASKED", _live_scenario("idempotent")
     ),
 }
 
 
-def _without(guard: Guard):
-    return unittest.mock.patch.object(guard.target, guard.name, guard.replacement, create=True)
+def _without(check: SafetyCheck):
+    return unittest.mock.patch.object(check.target, check.name, check.replacement, create=True)
 
 
 class LiveRequestOrders(unittest.TestCase):
     def test_all_short_sequences(self):
         for kind in ROUTES:
             with self.subTest(kind):
-                self.assertGreater(explore_events(_live(kind), 4), 300)
-                self.assertGreater(explore_events(_live(kind, engines=1, clients=2), 4), 1500)
-                self.assertGreater(explore_events(_live(kind, engines=2, slow_connects=True), 4), 150)
-                self.assertGreater(explore_events(_live(kind, engines=2, short_waits=True), 4), 400)
+                self.assertGreater(explore_events(_live_scenario(kind), 4), 300)
+                self.assertGreater(explore_events(_live_scenario(kind, engines=1, clients=2), 4), 1500)
+                self.assertGreater(explore_events(_live_scenario(kind, engines=2, slow_connects=True), 4), 150)
+                self.assertGreater(explore_events(_live_scenario(kind, engines=2, short_waits=True), 4), 400)
 
     def test_long_random_sequences(self):
         for kind in ROUTES:
             with self.subTest(kind):
                 rng = Random(kind)
-                walk_events(_live(kind), rng, 12, 300)
-                walk_events(_live(kind, engines=1, clients=2), rng, 14, 300)
-                walk_events(_live(kind, engines=2, clients=2, slow_connects=True, short_waits=True), rng, 16, 300)
+                walk_events(_live_scenario(kind), rng, 12, 300)
+                walk_events(_live_scenario(kind, engines=1, clients=2), rng, 14, 300)
+                walk_events(
+                    _live_scenario(kind, engines=2, clients=2, slow_connects=True, short_waits=True), rng, 16, 300
+                )
 
     def test_each_safety_check_is_needed(self):
-        for name, guard in GUARDS.items():
-            with self.subTest(name), _without(guard):
+        for name, check in SAFETY_CHECKS.items():
+            with self.subTest(name), _without(check):
                 with self.assertRaises(AssertionError) as caught:
-                    explore_events(guard.scenario, 4)
-                self.assertIn(guard.violation, str(caught.exception))
+                    explore_events(check.scenario, 4)
+                self.assertIn(check.violation, str(caught.exception))
 
 
 class BatchItemOrders(unittest.TestCase):
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -14,7 +14,7 @@
 from .router_builders import END, RouterHarness, chunk, event, head, route
 
 
-class Counting(unittest.TestCase):
+class TrafficCounting(unittest.TestCase):
     def test_bytes_are_counted_by_purpose_and_zone(self):
         traffic = TrafficCounter("zone-a")
         for purpose, zone, size in (("probe", "zone-a", 10), ("probe", "zone-b", 7), ("write", "", 5)):
@@ -33,7 +33,7 @@
         self.assertEqual(lines, ["event=traffic_counted totals=write:0/40,probe:90/0"])
 
 
-class Phases(unittest.TestCase):
+class CallPhases(unittest.TestCase):
     def test_durations_of_phases_that_are_entered_again_are_added(self):
         clock = VirtualTime()
         timers = Timers(clock, seconds=clock.seconds)
