--- a/pipitlink/controller/durable_log.py
+++ b/pipitlink/controller/durable_log.py
@@ -30,7 +30,7 @@
 
 
 def ignore_failure(_failure: object) -> None:
-    """Ignores a failed write. Records queued together fail together, and the caller waits for the last of them."""
+    """Ignores a failed write: the last write queued with it fails too, and the caller waits for that one."""
 
 
 @attrs.frozen
@@ -148,7 +148,7 @@
         return self._write(ControllerRecord(entry=entry))
 
     def _write_marker(self) -> None:
-        """Writes the snapshot's marker. Entries after it on disk belong to the snapshot's branch of the log."""
+        """Writes the snapshot's marker, which must precede entries on disk so that no other branch can claim them."""
         self._marker_missing = False
         marker = Snapshot(index=self.snapshot.index, term=self.snapshot.term, cluster_state=ClusterStateData())
         self._write(ControllerRecord(snapshot=marker)).addErrback(ignore_failure)
--- a/tests/test_simulated_long_logs.py
+++ b/tests/test_simulated_long_logs.py
@@ -28,7 +28,7 @@
 
 
 def digest(state) -> int:
-    """Digest of what must be equal on all controllers at one sequence, with the number of outcomes and the newest five."""
+    """Digest of what must be equal on all controllers at one sequence, with the outcome count and the newest five."""
     rows = sorted((r.name, r.model) for r in state.rows.values())
     newest = [(o.edit, o.code, o.sequence) for o, _ in zip(reversed(state.outcomes.values()), range(5), strict=False)]
     return zlib.crc32(repr((state.table_sequence, state.voters, rows, len(state.outcomes), newest)).encode())
