--- a/pipitlink/cluster/currency.py
+++ b/pipitlink/cluster/currency.py
@@ -56,7 +56,7 @@
         """Whether the lease is live: a leader recently confirmed that this node has every committed command."""
         return self._is_within(self.leased_at, FOLLOWER_LEASE_SPAN)
 
-    def was_proved_within(self, span: timedelta) -> bool:
+    def was_proven_within(self, span: timedelta) -> bool:
         """Whether there was a proof of either kind within the last `span`."""
         return self._is_within(self.leased_at, span) or self._is_within(self.witnessed_at, span)
 
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -113,7 +113,7 @@
         grace_s = self._ctx.settings.unproved_s
         if not grace_s or not self.sequence:
             return False
-        return self.currency.was_proved_within(secs(grace_s))
+        return self.currency.was_proven_within(secs(grace_s))
 
     def placement_group(self, number: int) -> PlacementGroup:
         """Returns a placement group, without storage nodes if it has not been placed yet."""
@@ -190,7 +190,7 @@
 
     async def _follow_once(self, failures: int) -> None:
         source = self._choose_source(failures)
-        asked_at = self._ctx.timers.now()
+        requested_at = self._ctx.timers.now()
         request = FollowRequest(
             node=self._ctx.node,
             role=self._ctx.role,
@@ -199,17 +199,17 @@
             received=self._receiver.received(),
             max_wait_ms=to_ms(self.max_follow_wait()),
         )
-        response = await self._ask(source.member, source.method, request)
+        response = await self._call(source.member, source.method, request)
         if response.controller and source.method == FOLLOW_CONTROLLER:
             self._controller = response.controller
         if not self.apply_response(response):
             return
         if response.leased:
-            self.currency.leased_at = min(asked_at + ms(response.waited_ms), self._ctx.timers.now())
+            self.currency.leased_at = min(requested_at + ms(response.waited_ms), self._ctx.timers.now())
             self._caught_up = True
             self.ready()
 
-    async def _ask(self, member: Member, method: str, request: FollowRequest) -> FollowResponse:
+    async def _call(self, member: Member, method: str, request: FollowRequest) -> FollowResponse:
         timeout = FOLLOW_TIMEOUT + ms(request.max_wait_ms)
         address = (member.host, member.port)
         response: FollowResponse = await self._ctx.rpc.call(
@@ -238,7 +238,7 @@
         controller = self._ctx.membership.find(self._controller) if self._controller else None
         if controller is None:
             raise WireError("this peer cannot reach a controller either")
-        return await self._ask(controller, FOLLOW_CONTROLLER, request)
+        return await self._call(controller, FOLLOW_CONTROLLER, request)
 
 
 def _leader_from_error(error: WireError) -> str:
--- a/pipitlink/cluster/witnesses.py
+++ b/pipitlink/cluster/witnesses.py
@@ -33,17 +33,17 @@
 
     def open(self) -> None:
         """Registers the RPC handlers."""
-        self._ctx.rpc.register_handler("cluster.witness", Empty, self._answer_witness)
-        self._ctx.rpc.register_handler("cluster.cluster_state", Empty, self._answer_state)
+        self._ctx.rpc.register_handler("cluster.witness", Empty, self._handle_witness)
+        self._ctx.rpc.register_handler("cluster.cluster_state", Empty, self._handle_state)
 
     def start_polling(self) -> None:
-        """Starts to poll the witnesses at intervals whenever this node holds no lease."""
+        """Starts to poll the witnesses at intervals while the renewal of the lease is overdue."""
         self._ctx.timers.call_repeatedly(POLL_INTERVAL, self._poll, self._ctx.error_reporter("witness_poll"))
 
-    async def _answer_witness(self, _node: str, _request: Empty) -> WitnessResponse:
+    async def _handle_witness(self, _node: str, _request: Empty) -> WitnessResponse:
         return WitnessResponse(caught_up=self._follower.caught_up, sequence=self._follower.sequence)
 
-    async def _answer_state(self, _node: str, _request: Empty) -> FollowResponse:
+    async def _handle_state(self, _node: str, _request: Empty) -> FollowResponse:
         return FollowResponse(sequence=self._follower.sequence, cluster_state=self._follower.cluster_state.data())
 
     async def _poll(self) -> None:
--- a/pipitlink/controller/bootstrap.py
+++ b/pipitlink/controller/bootstrap.py
@@ -32,7 +32,7 @@
 
     def open(self) -> None:
         """Registers the RPC handler."""
-        self._ctx.rpc.register_handler("controller.empty", Empty, self._answer)
+        self._ctx.rpc.register_handler("controller.empty", Empty, self._handle_empty)
 
     def start_timer(self) -> None:
         """Starts to attempt the bootstrap at intervals, until this controller has a cluster state."""
@@ -48,15 +48,15 @@
         if not self._consensus.is_newcomer or not founders:
             return
         responses = [await self._ask(_address(founder)) for founder in founders]
-        answered = [response for response in responses if response is not None]
-        for response in answered:
+        received = [response for response in responses if response is not None]
+        for response in received:
             if self._ctx.node in response.voters:
                 await self._install_voters(tuple(response.voters))
                 return
         decides = _address(founders[0]) == self._ctx.rpc.address
-        all_empty = len(answered) == len(responses) and not any(response.bootstrapped for response in answered)
+        all_empty = len(received) == len(responses) and not any(response.bootstrapped for response in received)
         if decides and all_empty:
-            await self._install_voters(tuple(sorted(response.node for response in answered)))
+            await self._install_voters(tuple(sorted(response.node for response in received)))
 
     async def _ask(self, address: Address) -> BootstrapResponse | None:
         try:
@@ -67,7 +67,7 @@
             return None
         return response
 
-    async def _answer(self, _node: str, _request: Empty) -> BootstrapResponse:
+    async def _handle_empty(self, _node: str, _request: Empty) -> BootstrapResponse:
         bootstrapped = not self._consensus.is_newcomer
         voters = self._consensus.initial_voters if bootstrapped else ()
         return BootstrapResponse(node=self._ctx.node, bootstrapped=bootstrapped, voters=voters)
--- a/pipitlink/controller/consensus_state.py
+++ b/pipitlink/controller/consensus_state.py
@@ -162,8 +162,8 @@
             outcome = self.cluster_state.apply(entry.index, entry.command)
             for callback in self._on_applied:
                 callback(entry.index, entry.term, outcome)
-        for advanced in self._on_advanced:
-            advanced()
+        for listener in self._on_advanced:
+            listener()
 
     def restore(self, snapshot: Snapshot) -> None:
         """Replaces the cluster state by that of a snapshot, which is committed."""
--- a/pipitlink/controller/control_api.py
+++ b/pipitlink/controller/control_api.py
@@ -111,8 +111,8 @@
             )
         if outcome.code != OutcomeCode.DONE:
             raise BadRequest(f"the edit was rejected: {outcome.code}", code=outcome.code)
-        answer = {"version": outcome.sequence, "edit": command.edit}
-        return send_json(request, answer, 200, {"ETag": f'"{outcome.sequence}"'})
+        response = {"version": outcome.sequence, "edit": command.edit}
+        return send_json(request, response, 200, {"ETag": f'"{outcome.sequence}"'})
 
     @http_handler
     async def empty_zone(self, request: Request, zone: str) -> bytes:
--- a/pipitlink/controller/elections.py
+++ b/pipitlink/controller/elections.py
@@ -60,7 +60,7 @@
         """Registers the RPC handler for vote requests."""
         self.election_timeout = self._random_timeout()
         self._consensus.when_stepped_down(self._wake_timer)
-        self._ctx.rpc.register_handler("controller.vote", VoteRequest, self._answer_vote_request)
+        self._ctx.rpc.register_handler("controller.vote", VoteRequest, self._handle_vote_request)
 
     def start_timer(self) -> None:
         """Starts the timer of elections."""
@@ -161,7 +161,7 @@
         )
         return await VotePoll(self._ctx, self._consensus, self._calls, request).run()
 
-    async def _answer_vote_request(self, _node: str, request: VoteRequest) -> VoteResponse:
+    async def _handle_vote_request(self, _node: str, request: VoteRequest) -> VoteResponse:
         response = await self.vote(request)
         response.node = self._ctx.node
         return response
@@ -189,10 +189,10 @@
         """Makes a vote durable; returns whether it is still valid after the write."""
         await self._durable_log.save_hard_state(request.term, request.candidate)
         hard_state = self._durable_log.hard_state
-        stands = (hard_state.term, hard_state.voted_for) == (request.term, request.candidate)
-        if stands:
+        is_valid = (hard_state.term, hard_state.voted_for) == (request.term, request.candidate)
+        if is_valid:
             self._contact.reset_election_timer()
-        return stands
+        return is_valid
 
     def _confirms_full_restart(self, request: VoteRequest) -> bool:
         return request.full_restart and self._just_started() and tuple(request.voters) == self._consensus.voters()
--- a/pipitlink/controller/engine_announcements.py
+++ b/pipitlink/controller/engine_announcements.py
@@ -104,10 +104,10 @@
         propagation = self._current_propagation(engine)
         end = self._ctx.timers.now() + ACKNOWLEDGE_TIMEOUT
         while self._notifier.reaches_majority():
-            left = end - self._ctx.timers.now()
-            if self._is_complete(propagation) or left <= ms(0):
+            remaining = end - self._ctx.timers.now()
+            if self._is_complete(propagation) or remaining <= ms(0):
                 break
-            await self._ctx.timers.wait_at_most(propagation.wait(), left)
+            await self._ctx.timers.wait_at_most(propagation.wait(), remaining)
         if not self._notifier.is_majority(propagation.acknowledged):
             raise ServiceUnavailable(
                 "too few gateways have acknowledged that this engine is leaving", code=UNREACHED_CODE
--- a/pipitlink/controller/log_replication.py
+++ b/pipitlink/controller/log_replication.py
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class SenderKey:
-    """Identifies a sender of entries by node and term, so that a hanging call of an earlier term does not block it."""
+    """Identifies a sender of entries, with its term, so that a hanging call of an earlier term cannot block it."""
 
     node: str
     term: int
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class _Proposal:
-    """A proposed entry whose outcome is awaited. Errors are passed as values, since no waiter may be left."""
+    """A proposed entry whose outcome is awaited. Errors are passed as values, since it may no longer be awaited."""
 
     term: int
     result: defer.Deferred[Outcome | Unconfirmed]
@@ -275,13 +275,13 @@
         CONTACT_TIMEOUT at most.
         """
         self._require_leader()
-        began_at = self._ctx.timers.now()
+        started_at = self._ctx.timers.now()
         term = self._consensus.term
-        deadline = began_at + CONTACT_TIMEOUT
+        deadline = started_at + CONTACT_TIMEOUT
         while True:
             if not self._consensus.leads_in(term):
                 raise NotLeader(self._consensus.leader_id, self._consensus.leader_id)
-            if self.quorum_contact_at() >= began_at and self._consensus.term_is_committed():
+            if self.quorum_contact_at() >= started_at and self._consensus.term_is_committed():
                 return
             if not self.has_contact() or self._ctx.timers.now() > deadline:
                 raise Unconfirmed("a majority of the controllers did not respond")
--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -128,14 +128,14 @@
         Raises NotLeader.
         """
         self._require_recent_quorum()
-        asked_at = self._ctx.timers.now()
-        self._followers[request.node] = Follower(request.role, request.sequence, asked_at + LEASE_SPAN)
+        requested_at = self._ctx.timers.now()
+        self._followers[request.node] = Follower(request.role, request.sequence, requested_at + LEASE_SPAN)
         self._waiting_edits.wake()
         if request.sequence >= self._consensus.cluster_state.sequence and not request.no_wait:
             await self._wait_for_newer_state(request)
         self._require_recent_quorum()
         response = self._follow_response(request)
-        response.waited_ms = self._renew_lease(request.node, asked_at)
+        response.waited_ms = self._renew_lease(request.node, requested_at)
         return response
 
     async def _wait_for_newer_state(self, request: FollowRequest) -> None:
@@ -171,7 +171,7 @@
         return [Delta(sequence=entry.index, command=entry.command) for entry in committed]
 
     def _state_chunk(self, received: StateChunk) -> StateChunk:
-        """Returns the next chunk of the state that the follower is receiving, or else the first of a recent state."""
+        """Returns the next chunk of the state that the follower is receiving, or the first chunk of a recent state."""
         transfers = [transfer for transfer in self._transfers if self._is_usable(transfer)]
         continued = next((transfer for transfer in transfers if transfer.matches(received)), None)
         if continued is None:
@@ -186,7 +186,7 @@
         """Whether the log still has all commands after this state."""
         return transfer.term == self._consensus.term and transfer.sequence >= self._durable_log.snapshot.index
 
-    def _renew_lease(self, node: str, asked_at: timedelta) -> int:
+    def _renew_lease(self, node: str, requested_at: timedelta) -> int:
         """Renews the lease from the time of the response: on both sides it starts after the time the request was held.
 
         Returns that time in whole milliseconds, rounded down, so that the lease never ends later at the node than here.
@@ -195,7 +195,7 @@
         follower = self._followers.get(node)
         if follower is not None:
             follower.leased_until = max(follower.leased_until, now + LEASE_SPAN)
-        return to_ms(now - asked_at)
+        return to_ms(now - requested_at)
 
     def _wake_all(self) -> None:
         """Responds to held requests and checks edits again after a change of the cluster state or the role."""
--- a/pipitlink/controller/storage_retirement.py
+++ b/pipitlink/controller/storage_retirement.py
@@ -63,12 +63,12 @@
             if status == StorageStatus.SERVING and node != leaving and not self._storage_nodes.is_replaced(node)
         ]
         replicas = self._ctx.settings.replica_count
-        left = len(remaining) + len(self._storage_nodes.candidates(cluster_state))
-        if left >= replicas:
+        remaining_count = len(remaining) + len(self._storage_nodes.candidates(cluster_state))
+        if remaining_count >= replicas:
             return
-        enough_soon = left + self._recently_lost(cluster_state) >= replicas
+        enough_soon = remaining_count + self._recently_lost(cluster_state) >= replicas
         raise ApiError(
-            f"only {left} storage nodes would remain, and each placement group needs {replicas}",
+            f"only {remaining_count} storage nodes would remain, and each placement group needs {replicas}",
             code="too_few_copies_now" if enough_soon else "too_few_copies",
             status=503 if enough_soon else 409,
             outcome="not_run",
--- a/tests/test_loss_model.py
+++ b/tests/test_loss_model.py
@@ -126,9 +126,9 @@
     lost = [v for v in voters if self._is_lost(v)]
     live = [v for v in voters if v not in lost]
     if len(voters) > self._ctx.settings.replica_count:
-        return self._without(voters, live, lost[0])
+        return self._remove_voter(voters, live, lost[0])
     standbys = self._standbys(voters, live)
-    return self._with(voters, live, standbys[0]) if lost and standbys else None
+    return self._add_voter(voters, live, standbys[0]) if lost and standbys else None
 
 
 class VoterSteps(unittest.TestCase):
--- a/tests/test_simulated_controllers.py
+++ b/tests/test_simulated_controllers.py
@@ -79,33 +79,33 @@
         self.addCleanup(simulation.end)
         simulation.start()
         simulation.ready()
-        ops = _Operators(simulation)
-        ops.timers = simulation.timers()
+        operators = _Operators(simulation)
+        operators.timers = simulation.timers()
         original_run = simulation.run
 
         def run(seconds, step=0.005):
             for _ in range(int(seconds / 0.05)):
                 original_run(0.05, step)
-                ops.check_gateways()
+                operators.check_gateways()
 
         simulation.run = run
         random_faults = RandomFaults(simulation, roles=roles)
-        random_faults.during([ops.operate(0), ops.operate(1)], faults=12)
+        random_faults.during([operators.operate(0), operators.operate(1)], faults=12)
         simulation.run(6)
-        ops.over = True
+        operators.over = True
         simulation.run(8)
         simulation.ready()
-        self.assertEqual(ops.faults, [], f"seed {seed}: {random_faults.injected}")
+        self.assertEqual(operators.faults, [], f"seed {seed}: {random_faults.injected}")
         cluster_state = simulation.leader().part.consensus.cluster_state
         done = {o.edit: o.sequence for o in cluster_state.outcomes.values() if o.code == "done"}
-        for _, sequence, text in ops.acked:
+        for _, sequence, text in operators.acked:
             self.assertEqual(done.get(text), sequence, f"seed {seed}: {text} was acknowledged and is lost")
-        self.assertFalse(ops.refused & set(done))
+        self.assertFalse(operators.refused & set(done))
         tables = {a.part.consensus.cluster_state.table_sequence for a in simulation.role("controller")} | {
             a.ctx.cluster.cluster_state.table_sequence for a in simulation.role("gateway")
         }
         self.assertEqual(tables, {cluster_state.table_sequence}, f"seed {seed}")
-        return len(ops.acked)
+        return len(operators.acked)
 
     def test_acknowledged_edits_persist_while_controllers_fail(self):
         self.assertGreater(sum(self.run_seed(s, ("controller",)) for s in SEEDS), 5 * len(SEEDS))
