--- a/pipitlink/controller/bootstrap.py
+++ b/pipitlink/controller/bootstrap.py
@@ -32,7 +32,7 @@
 
     def open(self) -> None:
         """Registers the RPC handler."""
-        self._ctx.rpc.register_handler("controller.empty", Empty, self._respond)
+        self._ctx.rpc.register_handler("controller.empty", Empty, self._handle_empty)
 
     def start_timer(self) -> None:
         """Starts to attempt the bootstrap at intervals, until this controller has a cluster state."""
@@ -67,7 +67,7 @@
             return None
         return response
 
-    async def _respond(self, _node: str, _request: Empty) -> BootstrapResponse:
+    async def _handle_empty(self, _node: str, _request: Empty) -> BootstrapResponse:
         bootstrapped = not self._consensus.is_newcomer
         voters = self._consensus.initial_voters if bootstrapped else ()
         return BootstrapResponse(node=self._ctx.node, bootstrapped=bootstrapped, voters=voters)
--- a/tests/test_loss_model.py
+++ b/tests/test_loss_model.py
@@ -141,9 +141,9 @@
     lost = [voter for voter in voters if self._is_lost(voter)]
     live = [voter for voter in voters if voter not in lost]
     if len(voters) > self._ctx.settings.replica_count:
-        return self._without(voters, live, lost[0])
+        return self._remove_voter(voters, live, lost[0])
     standbys = self._standbys(voters, live)
-    return self._with(voters, live, standbys[0]) if lost and standbys else None
+    return self._add_voter(voters, live, standbys[0]) if lost and standbys else None
 
 
 class VoterSteps(unittest.TestCase):
