--- a/pipitlink/__init__.py
+++ b/pipitlink/__init__.py
@@ -1,4 +1,4 @@
-"""A serving tier for model requests: live calls and batches of items on the same engines."""
+"""A serving tier for model requests: live requests and batches on the same engines."""
 
 __all__ = ["__version__"]
 
--- a/pipitlink/changes.py
+++ b/pipitlink/changes.py
@@ -1,4 +1,4 @@
-"""Publishes changes of the cluster's state as CloudEvents to an HTTP listener."""
+"""Publishes changes of the cluster state as CloudEvents to an HTTP listener."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
     "placement_group_changed": "placement_group",
     "voters_changed": "voters",
 }
-"""The log events that are published, each with its CloudEvent type, which stays where the event is renamed."""
+"""Published log events and their CloudEvent types. Listeners match the types, which stay when an event is renamed."""
 
 
 class ChangePublisher:
-    """Publishes the logger's events in PUBLISHED_TYPES as CloudEvents, where a setting names a listener.
+    """Publishes the log events listed in PUBLISHED_TYPES as CloudEvents if the setting `changes_to` names a listener.
 
-    Nothing waits for it: the queue is bounded, one task empties it, and what cannot be delivered in time is dropped and
-    counted.
+    Logging never waits for delivery. Events go through a bounded queue that one task sends from; the oldest are dropped
+    when it is full. Events that are dropped, or not delivered in time, are counted.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -54,7 +54,7 @@
         self.dropped = 0
 
     def open(self) -> None:
-        """Starts to observe the logger, where a listener is set."""
+        """Starts observing the logger if a listener is set."""
         if self._ctx.settings.changes_to:
             self._ctx.logger.add_observer(self._observe)
             self._ctx.run_in_background(self._publish_queued(), "publish_changes")
@@ -114,4 +114,4 @@
         )
         await treq.content(response)
         if response.code >= 400:
-            raise ValueError(f"the listener answered {response.code}")
+            raise ValueError(f"the listener responded with status {response.code}")
--- a/pipitlink/command.py
+++ b/pipitlink/command.py
@@ -1,4 +1,4 @@
-"""The command line: starts a node, or runs one of the operators' commands."""
+"""The command line: starts a node or runs an operator command."""
 
 from __future__ import annotations
 
@@ -15,40 +15,41 @@
 __all__ = ["main"]
 
 EXIT_USAGE = 2
-"""The exit code where the command or the settings are refused."""
+"""The exit code for an invalid command line or invalid settings."""
 
-_HELP = """pipitlink: live model requests, and lots on the same engines.
+_HELP = """pipitlink: live model requests and batches on the same engines.
 
 Usage:
   pipitlink (gateway | storage | controller) [--settings FILE] [options]
   pipitlink compare A B [--json]
-  pipitlink table show [--at PLACES]
-  pipitlink table put FILE [--base N] [--edit ID] [--at PLACES]
-  pipitlink table set ROW FIELD=VALUE... [--base N] [--edit ID] [--at PLACES]
-  pipitlink table drop ROW [--base N] [--edit ID] [--at PLACES]
-  pipitlink config show [--at PLACES]
-  pipitlink config put FILE [--base N] [--edit ID] [--at PLACES]
-  pipitlink zone (show | (empty | fill) ZONE) [--at PLACES]
-  pipitlink storage (show | retire STORAGE_NODE) [--at PLACES]
-  pipitlink status [--at PLACES]
-  pipitlink lot (show | end) LOT [--at PLACES]
+  pipitlink table show [--at ADDRESSES]
+  pipitlink table put FILE [--base N] [--edit ID] [--at ADDRESSES]
+  pipitlink table set ROW FIELD=VALUE... [--base N] [--edit ID] [--at ADDRESSES]
+  pipitlink table drop ROW [--base N] [--edit ID] [--at ADDRESSES]
+  pipitlink config show [--at ADDRESSES]
+  pipitlink config put FILE [--base N] [--edit ID] [--at ADDRESSES]
+  pipitlink zone (show | (empty | fill) ZONE) [--at ADDRESSES]
+  pipitlink storage (show | retire STORAGE_NODE) [--at ADDRESSES]
+  pipitlink status [--at ADDRESSES]
+  pipitlink lot (show | end) LOT [--at ADDRESSES]
   pipitlink -h | --help
   pipitlink --version
 
-A and B are two nodes' operator addresses, HOST:PORT. `compare` ends with 0 where they believe alike, 1 where they
-differ, 2 where one cannot be reached. The other commands end with 1 when the fleet refuses and 2 when nothing answers
-or the command is not understood.
+A and B are two nodes' operator addresses, HOST:PORT. `compare` exits with 0 if the nodes report the same state, 1 if
+they differ and 2 if a node cannot be reached. The other commands exit with 1 if the cluster rejects the request and 2
+if no node responds or the command line is invalid.
 
 Options:
-  --at PLACES           Operator addresses to ask, with commas; for `lot`, callers' addresses. Else $PIPITLINK_AT.
-  --base N              What an edit builds on, the table's sequence or the configuration's version; the newest where
-                        it is left out.
-  --edit ID             The edit's id; sent again, it gives the edit's true outcome.
+  --at ADDRESSES        Operator addresses of nodes, separated by commas; for `lot`, the client addresses of gateways.
+                        Default: $PIPITLINK_AT.
+  --base N              The table's sequence or the configuration's version that an edit is based on. Default: the
+                        newest.
+  --edit ID             The edit's id; an edit that is sent again with the same id returns the outcome of the first.
   --json                Print JSON.
   -h --help             Show this.
   --version             Show the version.
 
-Settings, each also a line of the settings file:
+Settings, each of which can also be set in the settings file:
   --settings FILE          The node's settings, a TOML file.
 """
 
@@ -63,7 +64,7 @@
 
 
 def _role_to_run(arguments: dict[str, Any]) -> str | None:
-    """Returns the role of the node to start; None for operators' commands, of which `storage` is also one."""
+    """Returns the role of the node to start, or None for an operator command; `storage` can be either."""
     if arguments.get("show") or arguments.get("retire"):
         return None
     return next((role for role in ROLES if arguments[role]), None)
@@ -83,9 +84,9 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs one command and returns its exit code; 2 where the command or the settings are refused.
+    """Runs one command and returns its exit code, which is 2 if the command line or the settings are invalid.
 
-    `argv` is the command line without the program's name; None takes the process's own.
+    `argv` is the command line without the program's name; None stands for the process's own.
     """
     try:
         arguments = docopt(_help_text(), argv=argv, version=f"pipitlink {__version__}")
--- a/pipitlink/context.py
+++ b/pipitlink/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one process share: settings, timers, RPC endpoint, membership and cluster state."""
+"""Objects shared by all parts of a process: settings, timers, RPC endpoint, membership and cluster state."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
     """Runs a function on a thread."""
 
     def __call__(self, function: Callable[..., ResultT], /, *args: Any) -> Deferred[ResultT]:
-        """Starts the function, and returns the Deferred of its result."""
+        """Starts the function and returns a Deferred of its result."""
 
 
 @attrs.define(eq=False)
 class Context:
-    """All that the parts of a process share, passed to the constructor of each of them.
+    """The objects that all parts of a process share, passed to the constructor of each part.
 
-    `Process` makes it from settings, timers, logger and RPC endpoint. It sets the parts declared with `init=False` in
-    its start-up, before it opens anything that reads them; reading one before that is a programming error and raises
-    AttributeError.
+    `Process` creates it from settings, timers, logger and RPC endpoint. During start-up `Process` sets the attributes
+    declared with `init=False` before it opens anything that reads them. Reading one earlier is a programming error and
+    raises AttributeError.
     """
 
     role: str
@@ -68,7 +68,7 @@
     # Set in gateways only.
     cache: Cache = attrs.field(init=False)
     changes: ChangePublisher = attrs.field(init=False)
-    # Tests inject one that runs on virtual time.
+    # Tests inject a function that runs on virtual time.
     run_in_thread: RunInThread = deferToThread
     dialect: Dialect = attrs.field(factory=Dialect)
     traffic: TrafficCounter = attrs.field(factory=TrafficCounter)
@@ -78,5 +78,5 @@
         return lambda error: self.logger.failure(event, error)
 
     def run_in_background(self, work: Coroutine[Any, Any, object], event: str) -> Deferred[Any]:
-        """Starts work that nobody waits for; an error is logged as a failure named `event`."""
+        """Starts a coroutine without waiting for it; an error is logged as a failure named `event`."""
         return spawn(work).addErrback(lambda failure: self.logger.failure(event, failure.value))
--- a/pipitlink/disk.py
+++ b/pipitlink/disk.py
@@ -1,4 +1,4 @@
-"""Durable file operations, and the checksummed frames that logs are made of."""
+"""Durable file operations, and the checksummed frames that log files consist of."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class Disk:
-    """The file operations that durability rests on, in one place so that tests can inject faults.
+    """The file operations on which durability depends, in one class so that tests can inject faults.
 
-    All of them block, and raise OSError.
+    All of them block and raise OSError on failure.
     """
 
     def append(self, fd: int, data: bytes) -> None:
@@ -34,7 +34,7 @@
         os.ftruncate(fd, length)
 
     def sync_folder(self, folder: Path) -> None:
-        """Makes the names in a folder durable."""
+        """Makes the directory entries of a folder durable."""
         fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
@@ -45,7 +45,7 @@
 def replace_file(path: Path, data: bytes, disk: Disk | None = None) -> None:
     """Replaces a file atomically: writes `data` beside it, syncs, renames it over `path` and syncs the folder.
 
-    Blocks until it is durable. Raises OSError; the old file or the new one is then in place, complete.
+    Blocks until the new file is durable. On OSError, `path` still holds a complete file, either the old or the new one.
     """
     disk = disk or Disk()
     new_path = path.with_name(path.name + ".new")
@@ -60,7 +60,7 @@
 
 
 def quarantine_data(folder: Path) -> None:
-    """Moves everything in a data folder into its `damaged` folder, and deletes what that folder held before."""
+    """Moves the contents of a data folder into its `damaged` subfolder, whose previous contents are deleted."""
     quarantine = folder / QUARANTINE_FOLDER
     shutil.rmtree(quarantine, ignore_errors=True)
     quarantine.mkdir()
@@ -70,13 +70,13 @@
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """Returns a frame: size of the payload, CRC-32 over size and payload, payload; 4-byte numbers are big-endian."""
+    """Returns a frame: payload size, CRC-32 of size and payload, payload. Both numbers are 4 bytes, big-endian."""
     size = len(payload).to_bytes(4, "big")
     return size + zlib.crc32(payload, zlib.crc32(size)).to_bytes(4, "big") + payload
 
 
 def decode_frames(data: bytes, start: int = 0) -> Iterator[tuple[int, bytes, int]]:
-    """Yields (offset, payload, end) of each complete frame from `start`, up to the first that is torn or damaged."""
+    """Yields (offset, payload, end) of each frame from `start` on, up to the first incomplete or corrupt one."""
     offset = start
     while offset + FRAME_HEADER_BYTES <= len(data):
         size = int.from_bytes(data[offset : offset + 4], "big")
--- a/pipitlink/early_listener.py
+++ b/pipitlink/early_listener.py
@@ -1,4 +1,4 @@
-"""A listening socket before the rest of the program is loaded, so that callers wait a moment instead of being reset."""
+"""Opens a listening socket before the program is loaded, so that early connections wait instead of being refused."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def listen_early(host: str, port: int) -> socket.socket:
-    """Returns a socket that listens on host:port; its connections are accepted once the program runs.
+    """Returns a socket that listens on host:port; connections queue until the program accepts them.
 
-    Raises OSError where the address cannot be bound.
+    Raises OSError if the address cannot be bound.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listening_socket = socket.socket(family, socket.SOCK_STREAM)
--- a/pipitlink/errors.py
+++ b/pipitlink/errors.py
@@ -1,19 +1,19 @@
-"""The exceptions of pipitlink, one tree for each layer.
-
-`code` is the name of an error on the wire and in answers to callers; it stays the same when a class is renamed.
-
-- SettingsError: at the start, before anything is opened.
-- WireError: RPC between nodes. ConnectionFailed and DeadlineExceeded leave open what the peer did, unless
-  ConnectionFailed says `sent=False`; RemoteError means that the peer answered with an error; UnknownMethod is raised at
-  the node that was called.
-- ReplicatedLogError: storage nodes and the clients of their logs. StaleEpoch and LeaseNotHeld end a leaseholder's work;
-  NoQuorum and StorageFull may pass; after StalePlacement the writer looks up the placement again; CorruptData is for
-  bytes that cannot be read back.
-- ApiError: what callers and operators get over HTTP, with status, outcome and the time after which to retry.
-- ControllerError: the consensus on the cluster state, and edits of it.
-
-An error that a handler raises reaches the calling node as a RemoteError with its `code`. `web.send_error` maps errors
-of the lower layers to an ApiError.
+"""The exceptions of pipitlink, one class hierarchy for each layer.
+
+`code` identifies an error on the wire and in responses to clients; it stays the same if a class is renamed.
+
+- SettingsError: raised at start-up, before anything is opened.
+- WireError: RPC between nodes. After ConnectionFailed (unless `sent` is False) and DeadlineExceeded it is unknown
+  whether the peer ran the call. RemoteError means that the peer responded with an error. UnknownMethod is raised at the
+  node that received the call.
+- ReplicatedLogError: storage nodes and the clients of their logs. StaleEpoch and LeaseNotHeld are final for a
+  leaseholder; NoQuorum and StorageFull may be transient; after StalePlacement the writer looks up the placement again;
+  CorruptData means bytes that cannot be read back.
+- ApiError: HTTP error responses to clients and operators, with status, outcome and retry delay.
+- ControllerError: the consensus on the cluster state, and edits of that state.
+
+An error raised by an RPC handler reaches the calling node as a RemoteError with the same code. `web.send_error` maps
+errors of the lower layers to an ApiError.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 class ExecutionOutcome(StrEnum):
-    """What is known of a request that failed, as callers read it."""
+    """Whether a failed request was executed, as reported to clients."""
 
     NOT_RUN = "not_run"
     FAILED = "failed"
@@ -60,13 +60,13 @@
 
 
 class PipitlinkError(Exception):
-    """The base class of all exceptions here; never raised itself."""
+    """The base class of all exceptions of pipitlink; never raised itself."""
 
     code = "fault"
 
 
 class SettingsError(PipitlinkError):
-    """Settings that cannot be used, one line for each. Raised where settings are read and a data folder opened."""
+    """Invalid settings, with one line for each. Raised when settings are read or a data folder is opened."""
 
     code = "bad_settings"
 
@@ -76,13 +76,13 @@
 
 
 class WireError(PipitlinkError):
-    """The RPC layer cannot make a call or understand a peer: no known address, another fleet or wire version."""
+    """The RPC layer cannot call a peer or decode its messages: unknown address, another cluster or wire version."""
 
     code = "wire"
 
 
 class ConnectionFailed(WireError):
-    """The peer could not be reached or the connection broke. `sent` is False where the call certainly never left."""
+    """The peer could not be reached or the connection broke. `sent` is False if the call was certainly not sent."""
 
     code = "cut_off"
 
@@ -92,22 +92,22 @@
 
 
 class WrongPeer(ConnectionFailed):
-    """Another node answers at the address of the one that the call names: the call was not run."""
+    """A different node responds at the address of the node that was called. The call was not run."""
 
     code = "wrong_peer"
 
     def __init__(self, expected: str, actual: str) -> None:
-        super().__init__(f"node {expected} was meant, {actual} answers there", sent=False)
+        super().__init__(f"expected node {expected} at this address, found node {actual}", sent=False)
 
 
 class DeadlineExceeded(WireError):
-    """No result within the time limit; the work may still take effect. Raised by Timers, RPC and edits."""
+    """No result within the time limit; the operation may still take effect. Raised by Timers, RPC and edits."""
 
     code = "overdue"
 
 
 class RemoteError(WireError):
-    """The peer answered a call with an error: `remote_code` is its code, `message` its text."""
+    """The peer responded to a call with an error: `remote_code` is its code, `message` its text."""
 
     code = "refused"
 
@@ -118,7 +118,7 @@
 
 
 class UnknownMethod(WireError):
-    """The RPC endpoint has no handler for the call that a peer makes."""
+    """The RPC endpoint has no handler for the method that a peer called."""
 
     code = "unmet"
 
@@ -130,19 +130,19 @@
 
 
 class StaleEpoch(ReplicatedLogError):
-    """The log has a newer epoch, holds other committed bytes here, or has ended: nothing is written."""
+    """Nothing was written: the log has a newer epoch, other committed bytes at this offset, or is final."""
 
     code = "fenced"
 
 
 class NoQuorum(ReplicatedLogError):
-    """Too few storage nodes answered a leaseholder or reader of a log."""
+    """Too few storage nodes responded to a leaseholder or reader of a log."""
 
     code = "no_majority"
 
 
 class StorageFull(ReplicatedLogError):
-    """A disk or the budget of a data folder is full. `sent` is False where certainly nothing was written."""
+    """A disk or the budget of a data folder is full. `sent` is False if certainly nothing was written."""
 
     code = "no_room"
 
@@ -152,13 +152,13 @@
 
 
 class StalePlacement(ReplicatedLogError):
-    """A storage node knows a newer placement than the writer that calls it."""
+    """A storage node knows a newer placement than the writer that called it."""
 
     code = "old_placement_group"
 
 
 class LeaseNotHeld(ReplicatedLogError):
-    """This process does not, or no longer, hold the log's lease. `leaseholder` is the node that does, if known."""
+    """This process does not hold the log's lease. `leaseholder` is the node that does, if known."""
 
     code = "not_held"
 
@@ -168,16 +168,16 @@
 
 
 class CorruptData(ReplicatedLogError):
-    """Bytes on disk, or of a log, fail their checksum or are missing. Raised by segments, archive and cache reads."""
+    """Bytes on disk or of a log are missing or fail their checksum. Raised by segments, archive and cache reads."""
 
     code = "damaged"
 
 
 class ApiError(PipitlinkError):
-    """An error response to a caller, raised by gateways and by HTTP handlers of controllers.
+    """An error response to an HTTP client, raised by gateways and by HTTP handlers of controllers.
 
     `outcome` is a value of ExecutionOutcome; `retry_after` is in seconds, 0 for none; `field` names the invalid field.
-    Arguments that are left out have the value of the class.
+    Omitted arguments default to the attributes of the class.
     """
 
     code = "gateway"
@@ -196,7 +196,7 @@
 
 
 class BadRequest(ApiError):
-    """A caller's request is malformed. Raised by HTTP handlers and dialects before anything runs."""
+    """A client's request is malformed. Raised by HTTP handlers and dialects before anything runs."""
 
     code = "bad_request"
     status = 400
@@ -204,7 +204,7 @@
 
 
 class NotFound(ApiError):
-    """The resource that a caller names does not exist. Raised by HTTP handlers."""
+    """The requested resource does not exist. Raised by HTTP handlers."""
 
     code = "not_found"
     status = 404
@@ -212,7 +212,7 @@
 
 
 class ServiceUnavailable(ApiError):
-    """The request cannot be served now; the caller may retry after `retry_after` s. It was not run by default."""
+    """The request cannot be served now; the client may retry after `retry_after` s. Default outcome: not run."""
 
     code = "crowded"
     status = 503
@@ -223,7 +223,7 @@
 
 
 class EngineError(ApiError):
-    """An engine failed during an exchange, and may have run the request. Raised by gateways."""
+    """An engine failed while handling a request, and may have run it. Raised by gateways."""
 
     code = "back_end"
     status = 502
@@ -237,7 +237,7 @@
 
 
 class NotLeader(ControllerError):
-    """This controller does not lead. `leader` is the node that does, if known."""
+    """This controller is not the leader. `leader` is the node that is, if known."""
 
     code = "not_leading"
 
@@ -247,13 +247,13 @@
 
 
 class Unconfirmed(ControllerError):
-    """The leader cannot confirm the outcome of an edit, or its leadership; the edit may still take effect."""
+    """The leader cannot confirm an edit's outcome or its own leadership; the edit may still take effect."""
 
     code = "unproven"
 
 
 class VersionConflict(ControllerError):
-    """An edit is based on a version of the table older than the current one, which is `sequence`. Raised by edits."""
+    """An edit is not based on the current version of the table, which is `sequence`. Raised by edits."""
 
     code = "wrong_base"
 
@@ -263,7 +263,7 @@
 
 
 class InvalidRows(ControllerError):
-    """Rows of an edit are invalid; `faults` has row, field and message of each. Raised while they are parsed."""
+    """Rows of an edit are invalid; `faults` has the row, field and message of each problem. Raised during parsing."""
 
     code = "bad_rows"
 
--- a/pipitlink/fault_injection.py
+++ b/pipitlink/fault_injection.py
@@ -1,4 +1,4 @@
-"""Fault injection in the transport, for tests only. Nothing is injected unless a setting names a plug-in."""
+"""Fault injection into RPC messages and file operations, for tests only; off unless `plug` names a plug-in."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
     @hookspec(firstresult=True)
     def outbound(self, address: tuple[str, int], method: str) -> Awaitable[None] | None:
-        """Called before a message leaves: None lets it go, an awaitable delays it."""
+        """Called before a message is sent: returns None to send it now, or an awaitable to wait for first."""
 
     @hookspec(firstresult=True)
     def disk(self) -> Disk | None:
-        """Returns the file operations below logs, votes and snapshots; None for the plain ones."""
+        """Returns the file operations used for logs, votes and snapshots, or None for the default ones."""
 
 
 class FaultInjector:
-    """Calls the hooks of the plug-in that the settings name as MODULE:ARGUMENT.
+    """Calls the hooks of the plug-in that is given as MODULE:ARGUMENT.
 
-    The module offers `make_fault_plugin(argument, context)`, which returns the object with the hooks.
+    The module defines `make_fault_plugin(argument, context)`, which returns the object that implements the hooks.
     """
 
     def __init__(self, plugin: str, ctx: Context) -> None:
@@ -46,12 +46,12 @@
         self._manager.register(module.make_fault_plugin(argument, ctx))
 
     async def outbound(self, address: tuple[str, int], method: str) -> None:
-        """Returns once a message to `address` may leave."""
+        """Returns once a message to `address` may be sent."""
         delay = self._manager.hook.outbound(address=address, method=method)
         if delay is not None:
             await delay
 
     def disk(self) -> Disk | None:
-        """Returns the plug-in's file operations, or None for the plain ones."""
+        """Returns the plug-in's file operations, or None for the default ones."""
         disk: Disk | None = self._manager.hook.disk()
         return disk
--- a/pipitlink/group_commit.py
+++ b/pipitlink/group_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: writes that are queued while the disk is busy are synced together."""
+"""Group commit: entries queued while the disk is busy are written and synced together."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class GroupCommit:
-    """Flushes segment files on a thread, as long as entries are queued in them.
+    """Flushes segment files on a thread while entries are queued.
 
-    After a failed write the queued entries are dropped, their writers get StorageFull, and `recover` is called, which
-    is to restore the state in memory from the files. A failed sync stops the process, since nobody can tell what is on
-    disk then.
+    After a failed write, the queued entries are dropped, `recover` is called to restore the state in memory from the
+    files, and the writers get StorageFull. A failed sync stops the process, since the contents of the files are then
+    unknown.
     """
 
     def __init__(self, ctx: Context, segments: Segments, recover: Callable[[], object]) -> None:
@@ -70,4 +70,4 @@
         self._recover()
         for completion in completions:
             if completion is not None:
-                completion.errback(StorageFull(f"the disk refused: {error}"))
+                completion.errback(StorageFull(f"disk write failed: {error}"))
--- a/pipitlink/node_factory.py
+++ b/pipitlink/node_factory.py
@@ -1,4 +1,4 @@
-"""Loads the node class of one role and no other's, since a start's processor time is mostly the loading."""
+"""Imports the node class of one role only, since most of the CPU time of a start is spent on imports."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class GatewayFactory(Protocol):
-    """Makes a gateway's node."""
+    """Creates a gateway's node."""
 
     def __call__(self, ctx: Context, /) -> ClientFacingNode:
         """Returns a node that is not open yet."""
 
 
 class StatefulNodeFactory(Protocol):
-    """Makes the node of a role that keeps its state on disk, with file operations of its own where `disk` is given."""
+    """Creates the node of a role that keeps its state on disk; `disk` replaces the default file operations if given."""
 
     def __call__(self, ctx: Context, disk: Disk | None, /) -> Node:
         """Returns a node that is not open yet."""
 
 
 def load_gateway_factory(interface: str) -> GatewayFactory:
-    """Returns the class of a gateway that serves by `routes` or by `models`."""
+    """Returns the gateway class for an interface, `routes` or `models`."""
     if interface == "routes":
         from .router import RouterNode
 
--- a/pipitlink/node_interfaces.py
+++ b/pipitlink/node_interfaces.py
@@ -1,4 +1,4 @@
-"""What a role's node offers to the process that runs it and to the operators' HTTP interface."""
+"""Interfaces of a role's node to the process that runs it and to the HTTP interface for operators."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 class Node(Protocol):
-    """The part of a process that belongs to its role."""
+    """The part of a process that is specific to its role."""
 
     def open(self) -> None:
-        """Recovers what is on disk, registers RPC handlers and starts timers. Raises CorruptData."""
+        """Recovers the state on disk, registers RPC handlers and starts timers. Raises CorruptData."""
 
     async def end(self) -> None:
-        """Shuts down gracefully: hands leases over and leaves the membership."""
+        """Shuts down gracefully: hands over leases and leaves the membership."""
 
     def readiness(self) -> tuple[bool, dict[str, Any]]:
-        """Returns whether the node is ready, and the fields that say why."""
+        """Returns whether the node is ready, and fields that explain the result."""
 
     def reported_state(self) -> dict[str, Any]:
         """Returns the role's part of the node's state, by topic, for comparison with other nodes."""
@@ -41,13 +41,13 @@
 
 
 class ClientFacingNode(Node, Protocol):
-    """A gateway's node, which serves callers."""
+    """A gateway's node, which serves clients."""
 
     listening_socket: socket.socket | None
-    """A socket that listens already, taken in place of a new one."""
+    """A socket that is already listening, used instead of a new one."""
 
     async def listen(self, host: str, port: int) -> int:
-        """Binds the callers' address and returns the port's number."""
+        """Binds the address for clients and returns the port number."""
 
 
 @runtime_checkable
@@ -64,7 +64,7 @@
 
 @runtime_checkable
 class MetricFamilySource(Protocol):
-    """A node with metrics that are no plain gauges."""
+    """A node with metrics other than plain gauges."""
 
     def metric_families(self) -> Iterable[Metric]:
         """Returns metric families with their full names."""
--- a/pipitlink/node_metrics.py
+++ b/pipitlink/node_metrics.py
@@ -1,4 +1,4 @@
-"""A node's metrics in Prometheus' text format. Loaded at the first request for them."""
+"""A node's metrics for Prometheus. Imported at the first request for them."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class NodeMetrics:
-    """A Prometheus collector: what all nodes have in common, and the role's own metrics."""
+    """A Prometheus collector of the metrics that all nodes have in common and those of the role."""
 
     def __init__(self, ctx: Context, node: Node) -> None:
         self._ctx = ctx
         self._node = node
 
     def collect(self) -> Iterator[Metric]:
-        """Yields the metric families with their present values."""
+        """Yields the metric families with their current values."""
         cluster_state = cluster_state_of(self._ctx, self._node)
         yield GaugeMetricFamily(
             "pipitlink_cluster_sequence", "The cluster state's sequence here", cluster_state.sequence
--- a/pipitlink/node_report.py
+++ b/pipitlink/node_report.py
@@ -1,4 +1,4 @@
-"""A node's state as JSON documents for operators: its view of the cluster, and its status and that of its peers."""
+"""JSON documents for operators: a node's view of the cluster, its status and that of its peers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def cluster_state_of(ctx: Context, node: Node) -> ClusterState:
-    """Returns the cluster state at this node: a controller's own, elsewhere the one that is followed."""
+    """Returns the cluster state at this node: a controller's own state, or the copy that other roles follow."""
     if isinstance(node, ClusterStateEditor):
         return node.cluster_state
     cluster_state: ClusterState = ctx.cluster.cluster_state
@@ -25,7 +25,7 @@
 
 
 def reported_state_of(ctx: Context, node: Node) -> Document:
-    """Returns what a node holds to be true, topic by topic, each a flat map that can be compared between nodes."""
+    """Returns a node's state by topic. Each topic is a flat map that can be compared between nodes."""
     cluster_state = cluster_state_of(ctx, node)
     local_member = ctx.membership.local_member
     reported_state: Document = {
@@ -59,7 +59,7 @@
 
 
 def status_of(ctx: Context, node: Node) -> Document:
-    """Returns a node's readiness, its peers with their addresses and status, and the engines that it knows."""
+    """Returns a node's readiness, its peers with their addresses and status, and the engines known to it."""
     membership = ctx.membership
     members = sorted(membership.all_members(), key=lambda member: (member.role, member.zone, member.node))
     peers = [
--- a/pipitlink/operator.py
+++ b/pipitlink/operator.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of each node for operators: state, health and metrics."""
+"""Each node's HTTP interface for operators: state, health and metrics."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class OperatorServer:
-    """Serves a node's state, liveness, readiness and metrics, and at controllers the edits of the cluster state."""
+    """Serves a node's state, liveness, readiness and metrics; on controllers also edits of the cluster state."""
 
     def __init__(self, ctx: Context, node: Node) -> None:
         self._ctx = ctx
@@ -31,7 +31,7 @@
         self._listening_port: ListeningPort | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """Binds the operators' address and returns the port's number. Raises CannotListenError."""
+        """Binds the address for operators and returns the port number. Raises CannotListenError."""
         site = Site(LazyResource(self._build_resource), MAX_BODY_BYTES)
         self._listening_port, bound_port = await listen(self._ctx.reactor, site, host, port)
         return bound_port
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -1,4 +1,4 @@
-"""Builds one node from its settings and runs it until it is told to end."""
+"""Builds one node from its settings and runs it until it is told to stop."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 __all__ = ["Process", "run"]
 
 reactor: Any = installed_reactor
-"""The process's reactor, whose type twisted leaves open."""
+"""The process's reactor; Twisted does not declare its type."""
 
 SettingsReader = Callable[[], Settings]
 """Reads the settings. Raises SettingsError."""
 
 CLOSE_TIMEOUT = secs(2)
-"""How long an end may take beyond the time that is set for draining."""
+"""How long a shutdown may take in addition to the setting `drain_ms`."""
 
 RELOAD_INTERVAL = secs(2)
 GC_THRESHOLDS = (20_000, 20, 20)
@@ -58,7 +58,7 @@
 
 
 def _node_id(role: str, settings: Settings) -> str:
-    """Returns the node's id: a gateway's is new at each start, the other roles keep theirs in the data folder."""
+    """Returns the node's id: a new one at each start of a gateway, the one in the data folder for other roles."""
     if role == "gateway":
         return random_id()
     from .storage import node_id
@@ -67,9 +67,9 @@
 
 
 class Process:
-    """One gateway, storage node or controller, from its settings to its end.
+    """One gateway, storage node or controller process, from start-up to shutdown.
 
-    `reload_settings` reads the settings again; `listening_socket` is the callers' socket, if it listens already.
+    `reload_settings` reads the settings again; `listening_socket` is the socket for clients if it is already listening.
     """
 
     def __init__(
@@ -116,7 +116,7 @@
     async def start(self) -> None:
         """Opens the node, its servers and its services, and joins the cluster.
 
-        Raises SettingsError, CannotListenError or what the node's `open` raises.
+        Raises SettingsError, CannotListenError or an error of the node's `open`.
         """
         ctx, settings = self.ctx, self.ctx.settings
         self._create_services()
@@ -159,9 +159,10 @@
         )
 
     def _open_stateful_node(self) -> Node:
-        """Opens what is on disk.
+        """Opens the node on its data folder.
 
-        Damaged data that the replicas can repair is set aside, and the node begins anew, empty and with another id.
+        Corrupt data that can be repaired from the replicas is moved to quarantine, and the node starts empty with a new
+        id.
         """
         ctx = self.ctx
         disk = ctx.rpc.fault_injector.disk() if ctx.rpc.fault_injector is not None else None
@@ -179,7 +180,7 @@
         return node
 
     async def _open_gateway(self) -> int:
-        """Opens the gateway and the services that only gateways have; returns the callers' port."""
+        """Opens the gateway and the services that only gateways have; returns the port for clients."""
         from .cache import Cache
 
         ctx, settings = self.ctx, self.ctx.settings
@@ -195,7 +196,7 @@
 
     async def _open_operator_server(self) -> int:
         settings = self.ctx.settings
-        assert self.node is not None  # opened before, for each role
+        assert self.node is not None  # opened earlier in `start`, for each role
         self._operator_server = OperatorServer(self.ctx, self.node)
         return await self._operator_server.listen(settings.bind, settings.operator_port)
 
@@ -210,7 +211,7 @@
         await self._control_server.listen(settings.bind, settings.control_port)
 
     async def stop(self) -> None:
-        """Shuts the node down gracefully, within the time that is set for draining, and stops the reactor."""
+        """Shuts the node down gracefully within `drain_ms` plus CLOSE_TIMEOUT, then stops the reactor."""
         if self._stopping:
             return
         self._stopping = True
@@ -225,7 +226,7 @@
         if self.node is not None:
             await self.node.end()
         if self._operator_server is None:
-            raise RuntimeError("the node was told to end before it had started")
+            raise RuntimeError("shutdown was requested before start-up was complete")
         await self._operator_server.end()
         if self._control_server is not None:
             await self._control_server.end()
@@ -233,8 +234,8 @@
         await self.ctx.rpc.close()
 
     def reload_settings(self) -> None:
-        """Takes new seeds from the settings, where they changed; all else is as it was at the start."""
-        assert self._read_settings is not None  # else nothing has this called
+        """Reads the settings again and applies changed seeds. Other changes take effect at the next start only."""
+        assert self._read_settings is not None  # called only by timers and signals set up with a reader
         try:
             settings = self._read_settings()
         except SettingsError as error:
@@ -245,7 +246,7 @@
             self.ctx.logger.info("settings_reloaded", seeds=",".join(settings.seeds))
 
     def handle_start_failure(self, failure: Failure) -> None:
-        """Sets the exit code after a failed start, tells the operator why, and stops the reactor."""
+        """Sets the exit code after a failed start, reports the error and stops the reactor."""
         if isinstance(failure.value, SettingsError):
             self.exit_code = EXIT_BAD_SETTINGS
             for line in failure.value.lines:
@@ -257,7 +258,7 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Leaves what is loaded by now out of all later collections, and collects less often than by default."""
+    """Excludes all objects loaded so far from later collections, and collects less often than by default."""
     gc.collect()
     gc.freeze()
     gc.enable()
@@ -265,7 +266,7 @@
 
 
 def _reload_settings_regularly(process: Process) -> None:
-    """Reloads the settings on SIGHUP, also on one that is pending, and at an interval."""
+    """Reloads the settings at an interval and on SIGHUP, including a SIGHUP that is already pending."""
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(process.reload_settings))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     report_error = process.ctx.error_reporter("settings_reload_failed")
@@ -287,11 +288,11 @@
     reload_settings: SettingsReader | None = None,
     listening_socket: socket.socket | None = None,
 ) -> int:
-    """Runs one node until it is told to end, and returns the exit code.
+    """Runs one node until it is told to stop, and returns the exit code.
 
-    `reload_settings`, if given, reads its settings again: on SIGHUP and at an interval. A caller that has SIGHUP
-    blocked while the program loads gets it unblocked here, so that a pending one is handled. `listening_socket` is the
-    callers' socket, if it listens already. Raises SettingsError.
+    `reload_settings`, if given, is called on SIGHUP and at an interval to read the settings again. If SIGHUP was
+    blocked while the program was loading, it is unblocked here, so that a pending one is handled. `listening_socket` is
+    the socket for clients if it is already listening. Raises SettingsError.
     """
     process = Process(role, settings, dialect, reload_settings, listening_socket)
 
--- a/pipitlink/reactor_types.py
+++ b/pipitlink/reactor_types.py
@@ -1,6 +1,7 @@
-"""What pipitlink uses of Twisted's reactor and transports, as types.
+"""Types for the parts of Twisted's reactor and transports that pipitlink uses.
 
-Twisted describes them by zope interfaces, which mypy cannot check without a plug-in. Nothing here exists at run time.
+Twisted describes them by zope interfaces, which mypy cannot check without a plug-in. These protocols are only used for
+type checking.
 """
 
 from __future__ import annotations
@@ -17,37 +18,37 @@
 
 
 class DelayedCall(Protocol):
-    """A call that the reactor makes later."""
+    """A call that is scheduled on the reactor."""
 
     def active(self) -> int:
-        """Returns whether the call is still to come."""
+        """Returns whether the call is still pending."""
 
     def cancel(self) -> None:
-        """Drops the call. Raises AlreadyCalled or AlreadyCancelled where it is not active."""
+        """Cancels the call. Raises AlreadyCalled or AlreadyCancelled if it is not active."""
 
 
 class ListeningPort(Protocol):
     """A TCP port that accepts connections."""
 
     def getHost(self) -> IPv4Address | IPv6Address:
-        """Returns the address that it is bound to."""
+        """Returns the address that the port is bound to."""
 
     def stopListening(self) -> Deferred[None]:
-        """Accepts no more connections; fires once the port is closed."""
+        """Stops accepting connections; the Deferred fires once the port is closed."""
 
 
 class Clock(Protocol):
-    """The part of a reactor that makes calls later."""
+    """The part of a reactor that schedules calls."""
 
     def callLater(self, delay: float, callable: Callable[..., Any], *args: object, **kw: object) -> DelayedCall:
         """Calls a function after `delay` seconds."""
 
 
 class Reactor(Clock, Protocol):
-    """The reactor, as far as parts of a node call it themselves."""
+    """The methods of the reactor that parts of a node call directly."""
 
     def stop(self) -> None:
-        """Ends the process in order."""
+        """Stops the reactor and so ends the process in an orderly way."""
 
     def adoptStreamPort(
         self,
@@ -55,26 +56,26 @@
         addressFamily: socket.AddressFamily,
         factory: Factory,
     ) -> ListeningPort:
-        """Accepts connections on a socket that listens already."""
+        """Accepts connections on a socket that is already listening."""
 
 
 class TcpTransport(Protocol):
-    """A TCP connection, as far as protocols call it."""
+    """The methods of a TCP connection that protocols call."""
 
     def write(self, data: bytes) -> None:
-        """Sends bytes, without waiting."""
+        """Sends bytes without blocking."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Has small segments sent at once."""
+        """Sends small segments without delay (disables Nagle's algorithm) if `enabled`."""
 
     def pauseProducing(self) -> None:
-        """Reads no more from the peer for now."""
+        """Stops reading from the peer until `resumeProducing` is called."""
 
     def resumeProducing(self) -> None:
-        """Reads from the peer again."""
+        """Resumes reading from the peer."""
 
     def loseConnection(self) -> None:
-        """Closes the connection after what was written has left."""
+        """Closes the connection once all written data has been sent."""
 
     def abortConnection(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection immediately and drops unsent data."""
--- a/pipitlink/rendezvous.py
+++ b/pipitlink/rendezvous.py
@@ -13,5 +13,5 @@
 
 @lru_cache(maxsize=CACHED_RANKS)
 def rank(key: str, name: str) -> bytes:
-    """Returns the weight of a name for a key; all that know the same names order them in the same way."""
+    """Returns the weight of a name for a key; nodes that know the same names rank them in the same order."""
     return blake2b(f"{key}\0{name}".encode(), digest_size=RANK_BYTES).digest()
--- a/pipitlink/repeating_call.py
+++ b/pipitlink/repeating_call.py
@@ -1,4 +1,4 @@
-"""Work that is repeated at an interval."""
+"""Function calls repeated at an interval."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
 
 class RepeatingCall:
-    """Calls a function at an interval, counted from the end of each run; the function may return an awaitable.
+    """Calls a function at an interval that is measured from the end of each run; the function may return an awaitable.
 
-    Errors go to `report_error`, and the repetition goes on. `idle_time`, if given, returns after each run how long none
-    is needed, or None for until `wake` is called: runs in that time are skipped, and the others keep their phase.
+    Errors are passed to `report_error` and do not stop the repetition. `idle_time`, if given, is called after each run
+    and returns for how long no run is needed, or None if none is needed until `wake` is called. Runs in that time are
+    skipped; the next one still starts at a multiple of the interval.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
         self._running: Deferred[Any] | None = None
 
     def run(self) -> None:
-        """Calls the function now, and schedules the next run at its end."""
+        """Calls the function now and schedules the next run when it has finished."""
         self._delayed_call = None
         self._next_slot = None
         if self._timers.stopped or self._cancelled:
@@ -64,7 +65,7 @@
             self._schedule_next()
 
     def wake(self) -> None:
-        """Has the function run at the end of the present interval, whatever `idle_time` returned."""
+        """Schedules a run at the end of the current interval, whatever `idle_time` returned."""
         if self._cancelled or self._next_slot is None:
             return
         now = self._timers.now()
@@ -77,7 +78,7 @@
         self._schedule(wake_at, now)
 
     def cancel(self) -> None:
-        """Ends the repetition, and cancels the run under way."""
+        """Stops the repetition and cancels a run in progress."""
         self._cancelled = True
         if self._delayed_call is not None and self._delayed_call.active():
             self._delayed_call.cancel()
--- a/pipitlink/segments.py
+++ b/pipitlink/segments.py
@@ -1,4 +1,4 @@
-"""The append-only segment files of a node's logs: group writes, syncs and recovery."""
+"""Append-only segment files for a node's logs: batched writes, syncs and recovery."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 FIRST_SEGMENT = 1
 NAME_PREFIX = "seg-"
 
-# What a writer is told by once its entry is durable; None for entries that nobody waits for.
+# Fires once a writer's entry is durable; None for entries that no writer waits for.
 OptionalCompletion = Deferred[None] | None
 
 
 class Position(NamedTuple):
-    """Where the frame of an entry begins."""
+    """The start of an entry's frame: a segment's number and an offset in bytes."""
 
     segment: int
     offset: int
@@ -40,8 +40,8 @@
 class Segments:
     """A sequence of append-only files of checksummed frames.
 
-    Writers queue entries with `append`; `flush`, on a thread, writes and syncs all that are queued. The other methods
-    are called on the reactor's thread.
+    Writers queue entries with `append`; `flush` writes and syncs all queued entries and runs on a separate thread. The
+    other methods are called on the reactor's thread.
     """
 
     def __init__(
@@ -59,9 +59,9 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     def recover(self) -> Iterator[tuple[Position, bytes]]:
-        """Opens the files, and yields position and payload of each entry; drops what is queued.
+        """Opens the files and yields position and payload of each entry; drops queued entries.
 
-        Cuts off a torn end of the newest file. Raises CorruptData where another file is damaged.
+        Truncates the newest file after its last intact frame. Raises CorruptData if any other file is corrupt.
         """
         self.close()
         self._sizes = {}
@@ -87,7 +87,7 @@
         self._sizes[number] = end
         if end < len(data):
             if not is_newest:
-                raise CorruptData(f"{self._path(number).name} is damaged at {end}")
+                raise CorruptData(f"{self._path(number).name} is corrupt at offset {end}")
             self._disk.truncate(self._fds[number], end)
         if is_newest:
             self._disk.sync(self._fds[number])
@@ -99,7 +99,7 @@
         return int(path.stem[len(NAME_PREFIX) :])
 
     def _sync_folder_names(self) -> None:
-        """The name of the folder must be durable as well, or all files in it are lost with it."""
+        """Syncs the folder and its parent: without a durable entry in the parent, all files could be lost."""
         self._disk.sync_folder(self._folder)
         self._disk.sync_folder(self._folder.parent)
 
@@ -107,12 +107,12 @@
         self._fds[number] = os.open(self._path(number), os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
 
     def used_bytes(self) -> int:
-        """Returns the size of all files, with what is queued."""
+        """Returns the total size of all files and queued entries."""
         with self._lock:
             return sum(self._sizes.values()) + sum(len(write.frame) for write in self._pending)
 
     def append(self, payload: bytes, completion: OptionalCompletion) -> Position:
-        """Queues an entry, and returns the position that it will have. `flush` returns the completion."""
+        """Queues an entry and returns the position that it will have. `flush` returns the completion."""
         frame = encode_frame(payload)
         with self._lock:
             position = self._next
@@ -123,10 +123,10 @@
             return position
 
     def flush(self) -> list[OptionalCompletion]:
-        """Writes and syncs what is queued; returns the completions of the entries that are now durable.
+        """Writes and syncs the queued entries; returns the completions of the entries that are now durable.
 
-        Raises CorruptData where a sync fails, since what the files hold is then unknown, and OSError where a write
-        fails; `discard_pending` returns the completions in either case.
+        Raises CorruptData if a sync fails, since the contents of the files are then unknown, and OSError if a write
+        fails. In either case `discard_pending` returns the completions.
         """
         with self._flush_lock:
             writes = self._take_pending()
@@ -156,7 +156,7 @@
             self._sizes[number] = offset + len(write.frame)
 
     def _sync_before_roll(self, unsynced: set[int]) -> None:
-        """Runs before a new file is made: only the newest one may have a torn end after a loss of power."""
+        """Syncs before a new file is created, so that after a power loss only the newest file can be incomplete."""
         self._sync(unsynced)
 
     def _sync(self, unsynced: set[int]) -> None:
@@ -168,12 +168,12 @@
         unsynced.clear()
 
     def has_pending(self) -> bool:
-        """Returns whether entries are queued that no flush has taken."""
+        """Returns whether entries are queued that no flush has started to write."""
         with self._lock:
             return bool(self._pending)
 
     def discard_pending(self) -> list[OptionalCompletion]:
-        """Drops what is queued or was being written, after a failed flush; returns its completions."""
+        """Drops entries that are queued or were being written when a flush failed; returns their completions."""
         with self._lock:
             writes = self._in_flight + self._pending
             self._in_flight = []
@@ -181,15 +181,15 @@
         return [write.completion for write in writes]
 
     def read_bytes(self, position: Position, length: int) -> bytes:
-        """Returns `length` bytes of the payload of the entry at a position. Raises CorruptData if there are fewer."""
+        """Returns the first `length` bytes of the payload at a position. Raises CorruptData if there are fewer."""
         number, offset = position
         data = os.pread(self._fds[number], length, offset + FRAME_HEADER_BYTES)
         if len(data) != length:
-            raise CorruptData(f"{self._path(number).name} ends early at {offset}")
+            raise CorruptData(f"{self._path(number).name} is truncated: incomplete entry at offset {offset}")
         return data
 
     def roll(self) -> None:
-        """Has what is queued from now on go to a new file."""
+        """Starts a new file: entries queued from now on are written to it."""
         with self._lock:
             if self._next.offset:
                 self._next = Position(self._next.segment + 1, 0)
@@ -200,17 +200,17 @@
             return sorted(self._sizes)
 
     def segment_size(self, number: int) -> int:
-        """Returns how many bytes of a file are written, 0 for one that does not exist."""
+        """Returns how many bytes of a file are written, or 0 if it does not exist."""
         with self._lock:
             return self._sizes.get(number, 0)
 
     def newest_segment(self) -> int:
-        """Returns the number of the file that the next entry goes to."""
+        """Returns the number of the file that the next entry is written to, unless it does not fit."""
         with self._lock:
             return self._next.segment
 
     def remove_segment(self, number: int) -> None:
-        """Deletes a file, and makes that durable."""
+        """Deletes a file and makes the deletion durable."""
         fd = self._fds.pop(number)
         with self._lock:
             self._sizes.pop(number, None)
--- a/pipitlink/settings.py
+++ b/pipitlink/settings.py
@@ -1,6 +1,6 @@
-"""The settings of a node: defaults, checks, and reading them from a TOML file and flags."""
+"""The settings of a node: defaults, validation, and reading them from a TOML file and command-line flags."""
 
-# No `from __future__ import annotations` here: cattrs reads the types of the fields.
+# No `from __future__ import annotations` here: cattrs needs the types of the fields at run time.
 import re
 import tomllib
 from collections.abc import Iterable, Mapping
@@ -16,7 +16,7 @@
 
 ROLES = ("gateway", "storage", "controller")
 RENAMED_SETTINGS = {"shelves": "placement_groups"}
-"""Settings by the names that earlier releases knew, and what they are called now."""
+"""Setting names of earlier releases, mapped to their current names."""
 
 INTERFACES = ("models", "routes")
 LOG_LEVELS = ("debug", "info", "warning", "error")
@@ -36,7 +36,7 @@
     try:
         ip_address(value)
     except ValueError:
-        raise ValueError(f"{attribute.name} must be an IP number, not {value!r}") from None
+        raise ValueError(f"{attribute.name} must be an IP address, not {value!r}") from None
 
 
 def _check_optional_ip(settings: object, attribute: _Attribute, value: str) -> None:
@@ -46,7 +46,7 @@
 
 def _check_name(_settings: object, attribute: _Attribute, value: str) -> None:
     if not _NAME_PATTERN.match(value):
-        raise ValueError(f"{attribute.name} must be a short lower-case name, not {value!r}")
+        raise ValueError(f"{attribute.name} must be up to 63 lower-case letters, digits, _, . or -, not {value!r}")
 
 
 def _check_optional_name(settings: object, attribute: _Attribute, value: str) -> None:
@@ -66,7 +66,7 @@
 def _check_addresses(_settings: object, attribute: _Attribute, value: tuple[str, ...]) -> None:
     for address in value:
         if not _is_address(address):
-            raise ValueError(f"{attribute.name} must be IP:PORT places, not {address!r}")
+            raise ValueError(f"{attribute.name} must be IP:PORT addresses, not {address!r}")
 
 
 def _check_listener(settings: object, attribute: _Attribute, value: str) -> None:
@@ -81,12 +81,12 @@
 
 def _check_not_negative(_settings: object, attribute: _Attribute, value: int) -> None:
     if value < 0:
-        raise ValueError(f"{attribute.name} must not be below 0, not {value}")
+        raise ValueError(f"{attribute.name} must be 0 or more, not {value}")
 
 
 def _check_fraction(_settings: object, attribute: _Attribute, value: float) -> None:
     if not 0 <= value < 1:
-        raise ValueError(f"{attribute.name} must be from 0 up to 1, not {value}")
+        raise ValueError(f"{attribute.name} must be at least 0 and below 1, not {value}")
 
 
 def _check_interface(_settings: object, attribute: _Attribute, value: str) -> None:
@@ -109,27 +109,27 @@
 
 @attrs.frozen(kw_only=True)
 class Settings:
-    """All settings of one node, checked. Durations end in their unit: `_ms`, `_s`; sizes in `_kb` or `_mb`.
+    """All settings of one node, validated. Names of durations end in `_ms` or `_s`, those of sizes in `_kb` or `_mb`.
 
-    The order is that of the command line's help. Raises ValueError where a value is out of its bounds.
+    The command line's help lists them in this order. Raises ValueError if a value is out of bounds.
     """
 
-    # Identity and addresses; ports are 0 where the system chooses or, for the optional ones, where there is none.
+    # Identity and addresses. Port 0 lets the system choose a port; for optional ports it means none.
     fleet: str = attrs.field(default="pipit", validator=_check_name)
     name: str = attrs.field(default="", validator=_check_optional_name)
     zone: str = attrs.field(default="zone-a", validator=_check_name)
     bind: str = attrs.field(default="127.0.0.1", validator=_check_ip)
-    # The address that peers connect to, where `bind` is a wildcard.
+    # The address that peers connect to, needed if `bind` is a wildcard.
     advertise: str = attrs.field(default="", converter=_text_or_empty, validator=_check_optional_ip)
     port: int = attrs.field(default=0, validator=_check_port)
     http_port: int = attrs.field(default=0, validator=_check_port)
     operator_port: int = attrs.field(default=0, validator=_check_port)
     ready_port: int = attrs.field(default=0, validator=_check_port)
-    # What a gateway serves by: models, or the configuration's routes.
+    # Whether a gateway selects engines by model or by the routes of the configuration.
     interface: str = attrs.field(default="models", validator=_check_interface)
-    # How long a gateway serves by a cluster state that no leader has confirmed to be the newest.
+    # How long a gateway serves from a cluster state that no leader has confirmed as current.
     unproved_s: int = attrs.field(default=0, validator=_check_not_negative)
-    # Graceful shutdown: how long new connections are accepted, and how long all of it may take.
+    # Graceful shutdown: how long new connections are still accepted, and how long the drain may take in total.
     accept_ms: int = attrs.field(default=0, validator=_check_not_negative)
     drain_ms: int = attrs.field(default=6000, validator=_check_positive)
     control_port: int = attrs.field(default=0, validator=_check_port)
@@ -144,11 +144,11 @@
     placement_groups: int = attrs.field(default=16, validator=_check_positive)
     machine_losses: int = attrs.field(default=1, validator=_check_positive)
 
-    # Limits on requests and batch jobs.
+    # Limits on requests and batches.
     max_body_kb: int = attrs.field(default=1024, validator=_check_positive)
     max_items: int = attrs.field(default=1000, validator=_check_positive)
     max_running: int = attrs.field(default=512, validator=_check_positive)
-    # The share of each engine's capacity that batch jobs leave free.
+    # The fraction of each engine's capacity that batches leave free.
     lot_reserve: float = attrs.field(default=0.25, validator=_check_fraction)
 
     # Reads of replicated logs: polling, hedged requests and the cache.
@@ -156,17 +156,17 @@
     hot_poll_ms: int = attrs.field(default=10, validator=_check_positive)
     durable_poll_ms: int = attrs.field(default=250, validator=_check_positive)
     hedge_ms: int = attrs.field(default=30, validator=_check_positive)
-    # The longest that a durable read waits for the cache to catch up.
+    # The maximum time that a durable read waits for the cache to catch up.
     postpone_ms: int = attrs.field(default=200, validator=_check_positive)
     chunk_ttl_s: int = attrs.field(default=600, validator=_check_positive)
     cache_mb: int = attrs.field(default=64, validator=_check_positive)
     reader_kb_s: int = attrs.field(default=20480, validator=_check_positive)
 
     engine_silence_s: int = attrs.field(default=30, validator=_check_positive)
-    # How long a run outlives the connection of its caller.
+    # How long a run continues after its client has disconnected.
     resume_hold_s: int = attrs.field(default=5, validator=_check_positive)
     retention_s: int = attrs.field(default=86400, validator=_check_positive)
-    # IP:PORT/PATH of the listener for CloudEvents.
+    # The listener for CloudEvents, as IP:PORT/PATH.
     changes_to: str = attrs.field(default="", validator=_check_listener)
     # A plug-in for fault injection, MODULE:ARGUMENT.
     plug: str = ""
@@ -178,7 +178,7 @@
 
     @property
     def replica_count(self) -> int:
-        """How many voters, and how many replicas of each log: a majority is left after `machine_losses` at once."""
+        """The number of voters and of replicas of each log: a majority survives `machine_losses` concurrent losses."""
         return 2 * self.machine_losses + 1
 
 
@@ -186,12 +186,12 @@
 
 
 def _check_role(role: str, settings: Settings) -> list[str]:
-    """Returns a line for each setting that does not fit the role or another setting."""
+    """Returns a line for each setting that is missing for the role or inconsistent with another setting."""
     lines = []
     if role != "gateway" and not settings.data:
-        lines.append(f"data: a {role} needs a data folder")
+        lines.append(f"data: a {role} requires a data folder")
     if settings.bind in WILDCARD_ADDRESSES and not settings.advertise:
-        lines.append("advertise: needed when bind is a wildcard")
+        lines.append("advertise: required if bind is a wildcard")
     return lines
 
 
@@ -211,7 +211,7 @@
 
 
 def _convert(name: str, value: Any) -> Any:
-    """Returns a raw value as its setting's type. Raises an exception whose text says what is wrong with it."""
+    """Converts a raw value to its setting's type. Raises an exception whose text describes what is wrong."""
     import cattrs
 
     field_type = _FIELDS[name].type
@@ -219,15 +219,15 @@
         raise ValueError(f"{value!r} is not a whole number")
     if field_type == tuple[str, ...] and isinstance(value, str):
         value = [part for part in value.split(",") if part]
-    structured = cattrs.structure(value, field_type)  # type: ignore[arg-type] # each field has a type
+    structured = cattrs.structure(value, field_type)  # type: ignore[arg-type] # each field has a type annotation
     Settings(**{name: structured})
     return structured
 
 
 def read_settings(role: str, path: str | None, flags: Mapping[str, Any]) -> Settings:
-    """Reads a TOML file, if one is named, and flags over it, and checks all of it for a role.
+    """Reads settings from a TOML file if `path` is given, and from flags, which take precedence, and validates them.
 
-    Raises SettingsError with a line for each setting that is refused.
+    Raises SettingsError with a line for each invalid setting.
     """
     raw = _read_file(path) if path else {}
     raw.update({name: value for name, value in flags.items() if value is not None})
--- a/pipitlink/single_flight.py
+++ b/pipitlink/single_flight.py
@@ -1,4 +1,4 @@
-"""Work that is done once for all that ask for it at the same time."""
+"""Deduplicates concurrent work: callers that need the same result at the same time share one run."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class SingleFlight(Generic[KeyT, ResultT]):
-    """Runs work at most once at a time for each key, and shares its result among all that wait for it."""
+    """Runs at most one coroutine at a time for each key, and passes its result to all waiters."""
 
     def __init__(self) -> None:
         self._waiters: dict[KeyT, list[Deferred[ResultT]]] = {}
 
     def run(self, key: KeyT, start: Callable[[], Coroutine[Any, Any, ResultT]]) -> Deferred[ResultT]:
-        """Returns the result of the work under way for `key`, or of a new run of `start` where there is none.
+        """Returns the result of the run in progress for `key`, or of a new run of `start` if there is none.
 
-        A waiter that is cancelled ends only its own wait. An error of the work is raised to each waiter.
+        Cancelling a waiter does not cancel the run or the other waiters. An error of the run is raised to each waiter.
         """
         is_first = key not in self._waiters
         waiters = self._waiters.setdefault(key, [])
--- a/pipitlink/structured_log.py
+++ b/pipitlink/structured_log.py
@@ -15,10 +15,10 @@
 
 
 class LogSink(Protocol):
-    """Takes finished lines; loguru's logger is one."""
+    """Receives formatted lines, as loguru's logger does."""
 
     def log(self, level: str, message: str, /, *args: Any, **kwargs: Any) -> None:
-        """Writes one line at a level (`DEBUG`, `INFO` or `WARNING`), made from a format string and its arguments."""
+        """Writes one line at a level (`DEBUG`, `INFO` or `WARNING`), given as a format string and its arguments."""
 
 
 def _quoted(value: object) -> str:
@@ -31,7 +31,7 @@
 class StructuredLogger:
     """Writes one line of key=value pairs for each event.
 
-    `context` is added to each line. Events at level info are also passed to the observers.
+    `context` is added to each line. Events that `info` logs are also passed to the observers.
     """
 
     def __init__(self, sink: LogSink, **context: Any) -> None:
@@ -40,25 +40,25 @@
         self._observers: list[EventObserver] = []
 
     def bind(self, **context: Any) -> StructuredLogger:
-        """Returns a logger on the same sink, without observers, that adds `context` to each line as well."""
+        """Returns a logger on the same sink that also adds `context` to each line. It has no observers."""
         return StructuredLogger(self._sink, **{**self._context, **context})
 
     def add_observer(self, observer: EventObserver) -> None:
-        """Has `observer` called with name and fields of each event at level info from now on."""
+        """Registers a function that is called with name and fields of each later event at level info."""
         self._observers.append(observer)
 
     def info(self, event: str, **fields: Any) -> None:
-        """Logs a change of state that an operator may want to follow."""
+        """Logs a state change that operators may want to follow."""
         self._write("INFO", event, fields)
         for observer in self._observers:
             observer(event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Logs what an operator should look at."""
+        """Logs a condition that an operator should look into."""
         self._write("WARNING", event, fields)
 
     def debug(self, event: str, **fields: Any) -> None:
-        """Logs what happens often in a healthy cluster."""
+        """Logs an event that is frequent in a healthy cluster."""
         self._write("DEBUG", event, fields)
 
     def failure(self, event: str, error: object, **fields: Any) -> None:
@@ -78,7 +78,7 @@
 def open_logger(level: str, stream: TextIO | None = None, **context: Any) -> StructuredLogger:
     """Returns a logger on `stream`, stderr by default, with `context` added to each line.
 
-    `level` is the lowest level that is written. Sinks that were opened before are removed.
+    `level` is the lowest level that is written. Replaces all sinks that were opened before.
     """
     logger.remove()
     logger.add(stream or sys.stderr, level=level.upper(), format=_format_record, backtrace=False)
--- a/pipitlink/timers.py
+++ b/pipitlink/timers.py
@@ -35,7 +35,7 @@
 ResultT = TypeVar("ResultT")
 
 ZERO = timedelta(0)
-# Shorter than any wait that matters, and long enough for what was written before to leave.
+# Short enough to be negligible, and long enough for data that was written before to be sent.
 TURN_PAUSE = timedelta(milliseconds=1)
 
 
@@ -60,7 +60,7 @@
 
 
 def spawn(coroutine: Coroutine[Any, Any, ResultT]) -> defer.Deferred[ResultT]:
-    """Starts a coroutine, without waiting for it, and returns the Deferred of its result."""
+    """Starts a coroutine without waiting for it, and returns a Deferred of its result."""
     return defer.ensureDeferred(coroutine)
 
 
@@ -96,9 +96,9 @@
 
 
 class Timers:
-    """Monotonic time that also counts while the machine sleeps, and the timers of one process.
+    """Monotonic time, which includes the time that the machine is suspended, and the timers of one process.
 
-    `seconds` gives the time in seconds from any fixed point; tests inject a clock as both arguments.
+    `seconds` returns the time in seconds since an arbitrary fixed point. Tests inject a clock for both arguments.
     """
 
     def __init__(self, reactor: Clock, seconds: Callable[[], float] = _boot_time) -> None:
@@ -108,7 +108,7 @@
         self._repeating_calls: list[RepeatingCall] = []
 
     def now(self) -> timedelta:
-        """Returns the monotonic time, from a point that stays the same while the machine is up."""
+        """Returns the monotonic time since a point that stays the same until the machine is restarted."""
         return timedelta(seconds=self._seconds())
 
     def utc_now(self) -> datetime:
@@ -116,24 +116,24 @@
         return datetime.now(UTC)
 
     def call_later(self, delay: timedelta, function: Callable[..., object], *args: object) -> DelayedCall:
-        """Calls a function after a delay; one below zero counts as zero."""
+        """Calls a function after a delay; a negative delay counts as zero."""
         return self._reactor.callLater(max(0.0, delay.total_seconds()), function, *args)
 
     def sleep(self, duration: timedelta) -> defer.Deferred[None]:
-        """Returns a Deferred that fires after a duration, and whose cancelling drops the timer."""
+        """Returns a Deferred that fires after a duration; cancelling it cancels the timer."""
         done: defer.Deferred[None] = defer.Deferred(lambda _: _cancel_if_active(timer))
         timer = self.call_later(duration, done.callback, None)
         return done
 
     def next_turn(self) -> defer.Deferred[None]:
-        """Returns a Deferred that fires in a later turn of the reactor.
+        """Returns a Deferred that fires in a later iteration of the reactor.
 
-        For work in many parts: responses that are written, and requests that are due, go between them.
+        Long work awaits it between its parts, so that the reactor can send responses and handle requests in between.
         """
         return self.sleep(TURN_PAUSE)
 
     async def wait_at_most(self, event: defer.Deferred[None], timeout: timedelta) -> None:
-        """Waits until a Deferred fires, and fires it with None once the timeout has passed."""
+        """Waits until a Deferred fires; fires it with None if it has not fired when the timeout expires."""
         timer = self.call_later(timeout, _fire_unless_called, event)
         try:
             await event
@@ -146,16 +146,16 @@
         interval: timedelta,
         work: defer.Deferred[ResultT] | Coroutine[Any, Any, ResultT],
     ) -> ResultT:
-        """Returns the result of work that runs as long as a condition holds, which is checked at an interval.
+        """Returns the result of work that may run while a condition holds; the condition is checked at an interval.
 
-        Cancels the work and raises CancelledError once the condition does not hold.
+        If the condition does not hold, cancels the work and raises CancelledError.
         """
         pending = _spawn_unless_deferred(work)
         self._cancel_unless(condition, interval, pending)
         return await pending
 
     def _cancel_unless(self, condition: Callable[[], bool], interval: timedelta, pending: defer.Deferred[Any]) -> None:
-        """Checks a condition at an interval while work is pending, and cancels the work where it does not hold."""
+        """Checks a condition at an interval while work is pending, and cancels the work if it does not hold."""
         if pending.called:
             return
         if not condition():
@@ -165,7 +165,7 @@
     def with_timeout(
         self, timeout: timedelta, work: defer.Deferred[ResultT] | Coroutine[Any, Any, ResultT]
     ) -> defer.Deferred[ResultT]:
-        """Returns the result of work, or cancels it and fails with DeadlineExceeded once the timeout has passed."""
+        """Returns the result of work; cancels it and fails with DeadlineExceeded when the timeout expires."""
         pending = _spawn_unless_deferred(work)
         limited: defer.Deferred[ResultT] = defer.Deferred(lambda _: pending.cancel())
         timer = self.call_later(timeout, _expire, limited, pending, timeout)
@@ -179,9 +179,9 @@
         report_error: ErrorReporter,
         idle_time: Callable[[], timedelta | None] | None = None,
     ) -> RepeatingCall:
-        """Calls a function now, and again an interval after the end of each run, until the timers are stopped.
+        """Calls a function now, and again one interval after the end of each run, until the timers are stopped.
 
-        `idle_time`, if given, returns how long no run is needed, or None for until the RepeatingCall is woken.
+        `idle_time`, if given, returns for how long no run is needed, or None if none is needed until `wake` is called.
         """
         repeating_call = RepeatingCall(self, interval, function, report_error, idle_time)
         self._repeating_calls.append(repeating_call)
@@ -189,7 +189,7 @@
         return repeating_call
 
     def stop(self) -> None:
-        """Cancels all repeating calls; none starts again."""
+        """Cancels all repeating calls and starts no further runs."""
         self.stopped = True
         repeating_calls, self._repeating_calls = self._repeating_calls, []
         for repeating_call in repeating_calls:
--- a/pipitlink/traffic.py
+++ b/pipitlink/traffic.py
@@ -1,4 +1,4 @@
-"""How many bytes a node has exchanged with others, by purpose and by whether the other one is in its zone."""
+"""Counts the bytes exchanged with other nodes, by purpose and by whether the peer is in the same zone."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class TrafficTotal(NamedTuple):
-    """The bytes of one purpose within the own zone, and to and from all other zones."""
+    """The bytes of one purpose exchanged within the node's zone and with all other zones."""
 
     purpose: str
     own_zone_bytes: int
@@ -25,9 +25,9 @@
 
 
 class TrafficCounter:
-    """Counts bytes by purpose, which is a method of an RPC or a kind of HTTP exchange.
+    """Counts bytes by purpose, which is an RPC method or a kind of HTTP exchange.
 
-    `zone` is the node's own; a node whose zone is not known yet counts as one in another zone.
+    `zone` is the zone of this node. A peer whose zone is not known yet counts as in another zone.
     """
 
     def __init__(self, zone: str = "") -> None:
@@ -36,18 +36,18 @@
         self._other_zones: dict[str, int] = {}
 
     def add(self, purpose: str, zone: str, size: int) -> None:
-        """Counts `size` bytes to or from a node in a zone."""
+        """Counts `size` bytes sent to or received from a node in a zone."""
         counts = self._own_zone if zone == self._zone else self._other_zones
         counts[purpose] = counts.get(purpose, 0) + size
 
     def totals(self) -> Iterator[TrafficTotal]:
-        """Yields the totals of all purposes, by name."""
+        """Yields the totals of all purposes, sorted by name."""
         for purpose in sorted(self._own_zone.keys() | self._other_zones.keys()):
             yield TrafficTotal(purpose, self._own_zone.get(purpose, 0), self._other_zones.get(purpose, 0))
 
 
 class TrafficLog:
-    """Logs the totals of a node's traffic now and then, the largest between zones first."""
+    """Periodically logs the totals of a node's traffic, sorted by bytes exchanged with other zones, largest first."""
 
     def __init__(self, traffic: TrafficCounter, timers: Timers, logger: StructuredLogger) -> None:
         self._traffic = traffic
@@ -55,7 +55,7 @@
         self._logger = logger
 
     def open(self, report_error: ErrorReporter) -> None:
-        """Begins to log."""
+        """Starts logging."""
         self._timers.call_repeatedly(LOG_INTERVAL, self._log, report_error)
 
     def _log(self) -> None:
--- a/pipitlink/web.py
+++ b/pipitlink/web.py
@@ -1,4 +1,4 @@
-"""Shared parts of the HTTP servers: bounded bodies, JSON responses, errors as JSON."""
+"""Shared parts of the HTTP servers: limits on request bodies, JSON responses and JSON errors."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class _ContextOwner(Protocol):
-    """A part of a process, with the context that all its parts share."""
+    """A part of a process; `_ctx` is the context that all parts share."""
 
     _ctx: Context
 
@@ -52,20 +52,20 @@
 
 
 class _BoundedRequest(server.Request):
-    """A request whose connection is closed with status 413 once its body is longer than the site allows."""
+    """A request that is rejected with status 413, and its connection closed, if its body exceeds the site's limit."""
 
     channel: Any
     """An HTTPChannel, whose `site` is a Site of this module."""
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802 - twisted's interface
-        """Takes the body's length in bytes, None where it is not said."""
+        """Receives the body's length in bytes, or None if the request does not state it."""
         if length is not None and length > self.channel.site.max_body_bytes:
             self._reject_body()
             return
         server.Request.gotLength(self, length)
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
-        """Takes a part of the body."""
+        """Receives a part of the body."""
         if self.content is None:
             return
         if self.content.tell() + len(data) > self.channel.site.max_body_bytes:
@@ -74,7 +74,7 @@
         server.Request.handleContentChunk(self, data)
 
     def process(self) -> None:
-        """Serves a request whose body was read, unless it was rejected."""
+        """Serves a request whose body has been received, unless it was rejected."""
         if self.content is not None:
             server.Request.process(self)
 
@@ -82,7 +82,7 @@
         error = {
             "code": "body_too_long",
             "outcome": "not_run",
-            "message": f"a body may have {self.channel.site.max_body_bytes} bytes",
+            "message": f"the body exceeds the limit of {self.channel.site.max_body_bytes} bytes",
         }
         body = json.dumps({"error": error}).encode()
         self.content = None
@@ -94,7 +94,7 @@
 
 
 class Site(server.Site):
-    """An HTTP server whose request bodies and idle connections are bounded; `max_body_bytes` is in bytes."""
+    """An HTTP server with a limit on request bodies and a timeout for idle connections."""
 
     def __init__(self, root: resource.Resource, max_body_bytes: int) -> None:
         server.Site.__init__(self, root, requestFactory=_BoundedRequest, timeout=IDLE_TIMEOUT_S)
@@ -107,7 +107,7 @@
 
 
 class LazyResource(resource.Resource):
-    """A resource that is built at its first request, since most processes end without one."""
+    """A resource that is built at its first request, since most processes never receive one."""
 
     isLeaf = True  # noqa: N815 - twisted's interface
 
@@ -135,7 +135,7 @@
 def send_json(
     request: server.Request, body: object, status: int = 200, headers: Mapping[str, object] | None = None
 ) -> bytes:
-    """Sets status and headers of a JSON response and returns its body, which the handler is to return."""
+    """Sets status and headers of a JSON response and returns its body, which the handler must return."""
     request.setResponseCode(status)
     request.setHeader(b"Content-Type", b"application/json")
     for name, value in (headers or {}).items():
@@ -145,7 +145,7 @@
 
 @attrs.frozen
 class _ErrorResponse:
-    """How errors of some classes are answered; `retry_after` is in seconds, 0 for none."""
+    """The response to errors of some classes; `retry_after` is in seconds, 0 for none."""
 
     classes: tuple[type[PipitlinkError], ...]
     status: int
@@ -173,7 +173,7 @@
 
 
 def _to_api_error(error: BaseException) -> ApiError:
-    """Turns an error from a layer below into what a caller gets."""
+    """Maps an error of a lower layer to the error that the client gets."""
     if isinstance(error, ApiError):
         return error
     if isinstance(error, StorageFull):
@@ -188,13 +188,13 @@
                 outcome=response.outcome,
                 retry_after=response.retry_after,
             )
-    return ApiError("the module failed on this request", code="internal", status=500, outcome="unknown")
+    return ApiError("internal error", code="internal", status=500, outcome="unknown")
 
 
 def send_error(request: server.Request, error: BaseException) -> bytes:
     """Sets up the JSON error response for an exception and returns its body.
 
-    An exception that is no ApiError is mapped to one first; what is not known becomes a 500 with outcome unknown.
+    An exception other than an ApiError is mapped to one; an unexpected exception becomes a 500 with outcome unknown.
     """
     api_error = _to_api_error(error)
     body: dict[str, Any] = {"code": api_error.code, "message": str(api_error), "outcome": api_error.outcome}
@@ -209,7 +209,7 @@
 
 
 def _respond_to_failure(owner: _ContextOwner, request: server.Request, failure: Failure) -> bytes:
-    """Returns the body of the error response; a response that has begun is broken off in place of it."""
+    """Returns the body of the error response; if the response has started, closes the connection instead."""
     if failure.check(defer.CancelledError):
         return b""
     error = failure.value
@@ -226,9 +226,9 @@
 def http_handler(
     method: Callable[Concatenate[_Owner, server.Request, _Params], Coroutine[Any, Any, Any]],
 ) -> Callable[Concatenate[_Owner, server.Request, _Params], defer.Deferred[Any]]:
-    """Makes a klein handler of a coroutine method: errors become JSON responses, a lost caller cancels the work.
+    """Turns a coroutine method into a Klein handler: errors become JSON responses, a client's disconnect cancels it.
 
-    The object that the method belongs to has a `_ctx`, to whose logger unexpected errors go.
+    Unexpected errors are logged by the logger of the `_ctx` of the object that the method belongs to.
     """
 
     def handler(
