--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -1,4 +1,4 @@
-"""Writes the data folders of a small simulated fleet, and what they hold, for tests of later releases.
+"""Writes the data folders of a small simulated cluster, and a list of their contents, for tests of later releases.
 
 Usage: python -m tests.stored_data FOLDER
 """
@@ -31,7 +31,7 @@
 
 
 class _Writer:
-    """Operators' edits and gateways' logs on a simulated fleet."""
+    """Makes operators' edits and gateways' appends in a simulated cluster."""
 
     def __init__(self, simulation: Simulation):
         self._simulation = simulation
@@ -101,7 +101,7 @@
 
 
 def _run_scenario(simulation: Simulation, writer: _Writer):
-    """A log that is forgotten, one that is trimmed, a final one and a live one, between edits under two leaders."""
+    """Makes edits under two leaders, and creates a deleted, a trimmed, a final, a live and an acquired, empty log."""
     writer.append(DELETED, _records(DELETED, 3), final=True)
     for n in range(30):
         writer.put_row(f"row{n % 6}", f"model{n}", 1 + n / 4)
@@ -125,7 +125,7 @@
 def _change_leader(simulation: Simulation):
     old = simulation.leader()
     old.kill(power=True)
-    simulation.until(lambda: simulation.leader() not in (None, old), 15, "another leads")
+    simulation.until(lambda: simulation.leader() not in (None, old), 15, "another controller is the leader")
     old.start()
     simulation.ready()
     simulation.run(2)
@@ -144,7 +144,7 @@
 
 
 def write(folder: Path):
-    """Writes the folders of all nodes that keep any, and `contents.json`, what they acquire."""
+    """Writes the data folders of the controllers and storage nodes, and their contents to `contents.json`."""
     with (
         mock.patch.object(segments, "MAX_SEGMENT_BYTES", SMALL_SEGMENT_BYTES),
         mock.patch.object(durable_log, "COMPACTION_ENTRIES", SMALL_COMPACTION_ENTRIES),
--- a/tests/stored_state.py
+++ b/tests/stored_state.py
@@ -1,4 +1,4 @@
-"""Reads the data folders of a controller and of a storage node by the node classes, as plain values.
+"""Reads data folders of controllers and storage nodes with the classes of the nodes, and returns plain values.
 
 Messages are compared by digests of their wire format, which depends on field numbers and not on field names.
 """
@@ -31,7 +31,7 @@
 
 
 def read_state(state: ClusterState) -> dict:
-    """The cluster state's tables, by name."""
+    """Returns the tables of the cluster state by name."""
     return {
         "sequence": state.sequence,
         "table": state.table_sequence,
@@ -54,7 +54,7 @@
 
 
 def read_controller(folder: Path) -> dict:
-    """A controller's ballot, snapshot, log and the state that they make; its log is agreed to the end."""
+    """Returns a controller's vote, snapshot, log entries and resulting state; its whole log must be committed."""
     durable_log = DurableLog(mock.Mock(rng=Random(1)), folder, Disk())
     durable_log.recover()
     state = ClusterState(durable_log.snapshot.cluster_state)
@@ -74,7 +74,7 @@
 
 
 def read_storage_node(folder: Path) -> dict:
-    """A storage node's logs: epochs, lengths, final marks and a digest of the bytes of each."""
+    """Returns epochs, lengths, final flag and a digest of the bytes of each log of a storage node."""
     store = LogStore(folder / "logs", Disk(), BUDGET_BYTES, RESERVE_BYTES)
     store.recover()
     logs = {}
@@ -96,5 +96,5 @@
 
 
 def read_peers(folder: Path) -> list[list]:
-    """The places of the peers that a node met last."""
+    """Returns the last known peers of a node, with their addresses."""
     return json.loads((folder / "colleagues.json").read_text())
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the cluster's state that are published as CloudEvents."""
+"""Changes of the cluster state that are published as CloudEvents."""
 
 import ast
 import json
@@ -18,7 +18,7 @@
 from pipitlink.timers import Timers
 
 PACKAGE = Path(__file__).resolve().parent.parent / "pipitlink"
-TYPES_THAT_LISTENERS_KNOW = {
+EXPECTED_TYPES = {
     "cluster",
     "status",
     "met",
@@ -36,7 +36,7 @@
 
 
 def logged_events() -> set[str]:
-    """The events that the package logs at level info, where they are written out."""
+    """Returns the events that the package logs at level info under a literal name."""
     calls = (
         node
         for path in PACKAGE.rglob("*.py")
@@ -47,7 +47,7 @@
 
 
 class _Publisher(ChangePublisher):
-    """Keeps what it posts; each post succeeds, fails or stays open as `outcomes` says."""
+    """Records posted events; `outcomes` holds the results of the next posts, which succeed by default."""
 
     def __init__(self, ctx):
         super().__init__(ctx)
@@ -65,7 +65,7 @@
         timers = Timers(self.clock, seconds=self.clock.seconds)
         timers.utc_now = lambda: datetime(2026, 1, 2, 3, 4, 5, tzinfo=UTC)
         self.failures = []
-        self.logger = StructuredLogger(SimpleNamespace(log=lambda level, shape, line: None))
+        self.logger = StructuredLogger(SimpleNamespace(log=lambda level, template, line: None))
         self.ctx = SimpleNamespace(
             node="n1",
             timers=timers,
@@ -97,11 +97,11 @@
             self.logger.info("leadership_taken", term=3)
         self.assertEqual([event["type"] for event in self.publisher.posted], ["pipitlink.leading"])
 
-    def test_listeners_get_the_types_they_know_and_each_is_still_logged(self):
-        self.assertEqual(set(PUBLISHED_TYPES.values()), TYPES_THAT_LISTENERS_KNOW)
+    def test_the_published_types_are_unchanged_and_their_events_are_logged(self):
+        self.assertEqual(set(PUBLISHED_TYPES.values()), EXPECTED_TYPES)
         self.assertEqual(set(PUBLISHED_TYPES) - logged_events(), set())
 
-    def test_the_oldest_are_dropped_and_counted_while_a_post_hangs(self):
+    def test_the_oldest_events_are_dropped_and_counted_while_a_post_hangs(self):
         self.publisher.outcomes = [defer.Deferred()]
         self.publisher.open()
         for term in range(MAX_QUEUED + 3):
@@ -111,14 +111,14 @@
         self.assertEqual([e["data"]["term"] for e in self.publisher.posted[1:3]], [3, 4])
         self.assertEqual((self.publisher.published, self.publisher.dropped), (MAX_QUEUED, 3))
 
-    def test_a_post_that_fails_is_dropped_and_the_next_is_tried(self):
+    def test_a_failed_post_is_counted_as_dropped_and_the_next_event_is_posted(self):
         self.publisher.outcomes = [defer.fail(ValueError("the listener answered 500"))]
         self.publisher.open()
         self.logger.info("member_joined", node="a")
         self.logger.info("member_joined", node="b")
         self.assertEqual((self.publisher.published, self.publisher.dropped), (1, 1))
 
-    def test_nothing_is_published_where_no_listener_is_set(self):
+    def test_nothing_is_published_if_no_listener_is_set(self):
         self.ctx.settings = Settings()
         self.publisher.open()
         self.logger.info("member_joined", node="a")
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -1,4 +1,4 @@
-"""The platform's control interface: its JSON read into the product's terms, and given back as it was sent."""
+"""The platform's control interface: its JSON is parsed into pipitlink's messages and returned as it was sent."""
 
 import json
 import platform
@@ -81,7 +81,7 @@
             raw if isinstance(raw, bytes) else json.dumps(raw).encode(), base, replace_all
         )
 
-    def test_a_whole_configuration_in_the_products_terms(self):
+    def test_a_full_configuration_is_parsed_into_messages(self):
         edit = self.parse(CONFIG)
         self.assertEqual((edit.base, edit.version, edit.replace_all), (5, 7, True))
         first, second = edit.routes
@@ -130,7 +130,7 @@
         self.assertEqual({field: getattr(edit.bounds, field) for field in LIMITS}, LIMITS)
         self.assertEqual(RouteTable().with_edit(edit).validation_problems(), [])
 
-    def test_it_comes_back_as_it_was_sent_also_after_a_patch(self):
+    def test_a_configuration_is_returned_as_it_was_sent_even_after_a_patch(self):
         table = RouteTable().with_edit(self.parse(CONFIG))
         self.assertEqual(json.loads(self.control_format.format_config(table.config())), CONFIG)
         changed = {**ROUTES[0], "deadline_ms": 9000}
@@ -145,7 +145,7 @@
             {"version": 9, "routes": [changed, added], "backends": BACKENDS, "limits": LIMITS},
         )
 
-    def test_every_bad_configuration_is_refused(self):
+    def test_invalid_configurations_are_rejected(self):
         raw = json.dumps(CONFIG).encode()
 
         def route(**more):
@@ -174,7 +174,7 @@
         ):
             self.assertNotEqual(RouteTable().with_edit(self.parse(body)).validation_problems(), [], body)
 
-    def test_an_engines_announcement(self):
+    def test_an_engine_update_is_parsed(self):
         raw = {
             "backend": "huvo11a",
             "address": "10.128.0.9:8080",
@@ -208,14 +208,14 @@
             with self.assertRaises(BadRequest):
                 self.control_format.parse_engine_update("i", json.dumps(bad).encode())
 
-    def test_the_folder_leaves_the_standard_librarys_module_in_its_place(self):
+    def test_the_folder_does_not_shadow_the_platform_module_of_the_standard_library(self):
         self.assertEqual(
             Path(platform.__file__).resolve(), Path(sysconfig.get_path("stdlib")).resolve() / "platform.py"
         )
         self.assertFalse((Path(__file__).resolve().parent.parent / "platform" / "__init__.py").exists())
         self.assertTrue(platform.python_version().startswith(f"{sys.version_info.major}."))
 
-    def test_every_path_leads_to_its_handler(self):
+    def test_every_path_is_routed_to_its_handler(self):
         app = Klein()
         ControlApi(None, None, self.control_format).add_routes(app.route)
         routes = app.url_map.bind("x")
@@ -244,29 +244,31 @@
             20,
             "all storage nodes are admitted",
         )
-        self.caller = Caller(self.simulation, platform_control_format())
+        self.client = Caller(self.simulation, platform_control_format())
         self.controller = self.simulation.role("controller")[1]
 
-    def test_the_operators_day(self):
-        ask, controller = self.caller.ask, self.controller
-        self.assertEqual(self.caller.get(controller)[1], {"version": 0, "routes": [], "backends": [], "limits": {}})
-        self.assertEqual(self.caller.put(controller, CONFIG, 5)[0], 412)
-        self.assertEqual(self.caller.put(controller, CONFIG, 0)[0], 200)
-        self.assertEqual(self.caller.get(controller), (200, CONFIG))
-        self.assertEqual(self.caller.put(controller, {**CONFIG, "version": 7}, 7)[0], 400)
-        self.assertEqual(self.caller.patch(controller, {"version": 9, "remove": {"routes": ["r-bulk"]}}, 7)[0], 200)
-        self.assertEqual(self.caller.get(controller)[1], {**CONFIG, "version": 9, "routes": ROUTES[:1]})
+    def test_an_operator_edits_the_configuration_and_empties_and_fills_a_zone(self):
+        ask, controller = self.client.ask, self.controller
+        self.assertEqual(self.client.get(controller)[1], {"version": 0, "routes": [], "backends": [], "limits": {}})
+        self.assertEqual(self.client.put(controller, CONFIG, 5)[0], 412)
+        self.assertEqual(self.client.put(controller, CONFIG, 0)[0], 200)
+        self.assertEqual(self.client.get(controller), (200, CONFIG))
+        self.assertEqual(self.client.put(controller, {**CONFIG, "version": 7}, 7)[0], 400)
+        self.assertEqual(self.client.patch(controller, {"version": 9, "remove": {"routes": ["r-bulk"]}}, 7)[0], 200)
+        self.assertEqual(self.client.get(controller)[1], {**CONFIG, "version": 9, "routes": ROUTES[:1]})
         for method, empty in (("POST", True), ("POST", True), ("DELETE", False)):
             self.assertEqual(ask(controller, method, "/evacuations/zone-a")[0], 200)
             self.assertEqual(
                 {gateway.ctx.cluster.zone_empty("zone-a") for gateway in self.simulation.role("gateway")}, {empty}
             )
 
-    def test_retirement(self):
-        ask, controller, storage_node = self.caller.ask, self.controller, self.simulation.role("storage")[0].node
+    def test_a_storage_node_is_retired(self):
+        ask, controller, storage_node = self.client.ask, self.controller, self.simulation.role("storage")[0].node
         self.assertEqual(ask(controller, "POST", "/retire/nowhere", {"within_s": 10})[0], 404)
         self.assertEqual(ask(controller, "GET", f"/retire/{storage_node}"), (200, {"state": "serving"}))
         self.assertEqual(ask(controller, "POST", f"/retire/{storage_node}", {"within_s": 10})[0], 200)
         self.simulation.until(
-            lambda: ask(controller, "GET", f"/retire/{storage_node}") == (200, {"state": "complete"}), 60, "emptied"
+            lambda: ask(controller, "GET", f"/retire/{storage_node}") == (200, {"state": "complete"}),
+            60,
+            "the storage node is retired",
         )
--- a/tests/test_platform_serve.py
+++ b/tests/test_platform_serve.py
@@ -1,5 +1,5 @@
-"""The platform's settings file as settings, its headers on the live path, and its programs started as the deploy file
-says.
+"""The platform's settings file converted to settings, its header names on forwarded requests, and its programs started
+with the commands of the deploy file.
 """
 
 import ast
@@ -48,7 +48,7 @@
 status_poll_s = 120
 """
 
-PENDING_HANGUP = """
+PENDING_SIGHUP_SCRIPT = """
 import os, signal
 signal.pthread_sigmask(signal.SIG_BLOCK, {{signal.SIGHUP}})
 os.kill(os.getpid(), signal.SIGHUP)
@@ -74,14 +74,14 @@
             sys.modules.pop(other, None)
 
 
-def _listens(port: int) -> bool:
+def _is_listening(port: int) -> bool:
     with socket.socket() as sock:
         return sock.connect_ex(("127.0.0.1", port)) == 0
 
 
 @contextlib.contextmanager
 def _gateway_program():
-    """Starts the gateway as the deploy file says; yields the process and the callers' port, and kills it at the end."""
+    """Runs the gateway's command from the deploy file; yields the process and its port for clients, then kills it."""
     run = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]["gateway"]["run"].split()
     internal_port, last_port, public, ready = free_ports(4)
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
@@ -102,8 +102,8 @@
             process.stderr.close()
 
 
-def _blocks_hangup(pid: int) -> bool:
-    """Whether a process holds SIGHUP back, by the kernel's own account of its signal mask."""
+def _blocks_sighup(pid: int) -> bool:
+    """Returns whether a process blocks SIGHUP, according to its signal mask in /proc."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     mask = next((line.split()[1] for line in lines if line.startswith("SigBlk:")), "0")
     return bool(int(mask, 16) >> (signal.SIGHUP - 1) & 1)
@@ -114,7 +114,7 @@
         self.serve = _load("serve")
         self.raw = tomllib.loads(EDGE_SETTINGS.format(internal_port=7660, last_port=7675, public=8144, ready=8140))
 
-    def test_a_gateway_takes_its_ports_and_reaches_seeds_at_the_peer_port(self):
+    def test_a_gateway_gets_its_ports_and_contacts_seeds_at_the_internal_port(self):
         settings = self.serve.settings_from(self.raw)
         self.assertEqual(
             (
@@ -134,7 +134,7 @@
         self.assertEqual(settings.interface, "routes")
         self.assertLess(settings.drain_ms, 8000)
 
-    def test_a_controller_founds_only_where_the_whole_starts_for_the_first_time(self):
+    def test_a_controller_has_founders_only_if_the_cluster_is_bootstrapped(self):
         self.raw.update(
             serves_roles=["control_plane"], state_dir="/data/x", listen_addrs={"control_addr": "127.0.0.1:8146"}
         )
@@ -144,13 +144,13 @@
         self.assertLess(settings.budget_mb, 128)
         self.assertEqual(self.serve.settings_from({**self.raw, "bootstrap": False}).founders, ())
 
-    def test_the_losses_to_bear_are_those_of_the_fault_budget(self):
+    def test_machine_losses_are_taken_from_the_fault_budget(self):
         self.assertEqual(self.serve.settings_from(self.raw).machine_losses, 1)
         for budget, losses in (({"machine_losses": 2, "zones": 1}, 2), ({"machine_losses": 0, "zones": 0}, 1)):
             settings = self.serve.settings_from({**self.raw, "fault_budget": budget})
             self.assertEqual((settings.machine_losses, settings.replica_count), (losses, 2 * losses + 1))
 
-    def test_what_is_missing_is_told_and_not_guessed(self):
+    def test_a_missing_field_raises_an_error(self):
         del self.raw["ip"]
         with self.assertRaises(KeyError):
             self.serve.settings_from(self.raw)
@@ -182,7 +182,7 @@
         self.assertTrue(harness.client_output(client).endswith(b"\r\n\r\nok"))
         self.assertIn(b"pipitlink-server-seal: 1", harness.client_output(client).lower())
 
-    def test_the_product_knows_no_name_of_the_platforms(self):
+    def test_the_package_contains_no_name_of_the_platform(self):
         files_with_names = [
             str(path.relative_to(ROOT))
             for path in (ROOT / "pipitlink").rglob("*.py")
@@ -200,7 +200,7 @@
         ]
         self.assertEqual(files_with_names, [])
 
-    def test_the_translation_stays_small(self):
+    def test_the_platform_code_is_smaller_than_a_tenth_of_the_package(self):
         def lines(folder):
             return sum(
                 len(path.read_text().splitlines()) for path in (ROOT / folder).rglob("*.py") if "_pb2" not in path.name
@@ -211,12 +211,12 @@
 
 
 class Programs(unittest.TestCase):
-    def test_the_deploy_file_lists_what_a_clean_build_calls(self):
+    def test_the_deploy_file_lists_the_packages_that_the_build_needs(self):
         deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         self.assertIn("python3 -m pip", deploy["build"])
         self.assertEqual(deploy["packages"], ["python3", "python3-pip", "ca-certificates"])
 
-    def test_a_gateway_starts_listens_and_ends_as_the_deploy_file_says(self):
+    def test_a_gateway_started_from_the_deploy_file_listens_and_shuts_down(self):
         run = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]["gateway"]["run"].split()
         internal_port, last_port, public, ready = free_ports(4)
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
@@ -249,31 +249,31 @@
                 process.wait()
                 process.stderr.close()
 
-    def test_a_hangup_while_it_starts_does_not_end_it(self):
-        """Sent once the callers' socket listens, while the rest of the program is still being loaded."""
+    def test_sighup_during_start_up_does_not_end_the_process(self):
+        """Sends SIGHUP once the socket for clients listens, while the rest of the program is still being loaded."""
         with _gateway_program() as (process, public):
-            wait_for(lambda: _listens(public), 20, "the callers' socket listens")
+            wait_for(lambda: _is_listening(public), 20, "the socket for clients listens")
             process.send_signal(signal.SIGHUP)
             line = next((line for line in process.stderr if "event=started" in line), "")
             self.assertIn(f"http={public}", line)
 
-    def test_a_hangup_from_the_programs_first_line_on_does_not_end_it(self):
-        """Sent as soon as the program is seen to hold it back.
+    def test_sighup_directly_after_it_is_blocked_does_not_end_the_process(self):
+        """Sends SIGHUP as soon as the process blocks it.
 
-        Nothing of ours can hold it back while the interpreter starts, so the test sends nothing before that.
+        The program cannot block the signal while the interpreter is starting, so the test does not send it earlier.
         """
         with _gateway_program() as (process, public):
-            wait_for(lambda: _blocks_hangup(process.pid), 20, "the program holds SIGHUP back")
+            wait_for(lambda: _blocks_sighup(process.pid), 20, "the process blocks SIGHUP")
             process.send_signal(signal.SIGHUP)
             line = next((line for line in process.stderr if "event=started" in line), "")
             self.assertIn(f"http={public}", line)
-            wait_for(lambda: not _blocks_hangup(process.pid), 20, "the program handles SIGHUP")
+            wait_for(lambda: not _blocks_sighup(process.pid), 20, "the process unblocks SIGHUP")
             self.assertIsNone(process.poll())
 
-    def test_a_hangup_before_the_process_runs_reads_the_settings_again_once_it_runs(self):
+    def test_a_pending_sighup_reloads_the_settings_once_the_process_runs(self):
         (port,) = free_ports(1)
         process = subprocess.Popen(
-            [sys.executable, "-c", PENDING_HANGUP.format(port=port)], cwd=ROOT, stderr=subprocess.PIPE, text=True
+            [sys.executable, "-c", PENDING_SIGHUP_SCRIPT.format(port=port)], cwd=ROOT, stderr=subprocess.PIPE, text=True
         )
         try:
             line = next((line for line in process.stderr if "event=settings_reloaded " in line), "")
@@ -283,11 +283,11 @@
             process.wait()
             process.stderr.close()
 
-    def test_the_program_loads_nothing_but_signal_before_it_holds_a_hangup_back(self):
+    def test_the_program_imports_only_signal_before_it_blocks_sighup(self):
         body = ast.parse((ROOT / "platform" / "serve.py").read_text()).body
         imports = [index for index, node in enumerate(body) if isinstance(node, (ast.Import, ast.ImportFrom))]
-        blocks = next(index for index, node in enumerate(body) if "pthread_sigmask" in ast.unparse(node))
-        self.assertEqual([ast.unparse(body[index]) for index in imports if index < blocks], ["import signal"])
+        first_block = next(index for index, node in enumerate(body) if "pthread_sigmask" in ast.unparse(node))
+        self.assertEqual([ast.unparse(body[index]) for index in imports if index < first_block], ["import signal"])
 
 
 if __name__ == "__main__":
--- a/tests/test_simulated_idle.py
+++ b/tests/test_simulated_idle.py
@@ -1,4 +1,4 @@
-"""What a fleet at rest sends: in the simulation, so that nothing depends on the machine."""
+"""What an idle cluster sends, counted in the simulation so that the results do not depend on the machine."""
 
 import unittest
 from collections import Counter
@@ -15,7 +15,7 @@
 
 
 class _IdleTraffic:
-    """A fleet's messages and their bytes within a span at rest, responses included, by node and by method."""
+    """Counts the messages and bytes of an idle cluster over SPAN_S, including responses, by node and by method."""
 
     def __init__(self, controllers, storage_nodes, gateways):
         self.simulation = simulation = Simulation(
@@ -57,7 +57,7 @@
 
 
 class IdleCluster(unittest.TestCase):
-    def test_a_nodes_share_does_not_grow_with_the_fleet(self):
+    def test_the_traffic_of_a_node_does_not_grow_with_the_cluster(self):
         for sizes in CLUSTERS:
             with self.subTest(nodes=sum(sizes)):
                 traffic = _IdleTraffic(*sizes)
@@ -70,7 +70,7 @@
                 self.assertLess(traffic.per_gateway(traffic.messages), GATEWAY_MESSAGES + sizes[1])
                 self.assertLess(traffic.per_gateway(traffic.bytes), GATEWAY_BYTES)
 
-    def test_nodes_that_believe_otherwise_are_told_the_whole_and_agree_again(self):
+    def test_nodes_with_different_membership_get_the_full_state_and_agree_again(self):
         simulation = Simulation(2, controllers=3, storage_nodes=3, gateways=6)
         self.addCleanup(simulation.end)
         simulation.start()
@@ -86,22 +86,22 @@
                 simulation.simulated_nodes[name].ctx.membership.status(isolated.node) == "gone" for name in others
             ),
             10,
-            "it is gone",
+            "the node is gone",
         )
         simulation.run(5)
         simulation.heal()
         simulation.until(
             lambda: len({node.ctx.membership.digest() for node in simulation.simulated_nodes.values()}) == 1,
             6,
-            "all agree",
+            "all nodes agree",
         )
         self.assertEqual(
             {node.ctx.membership.status(isolated.node) for node in simulation.simulated_nodes.values()},
             {"alive"},
         )
 
-    def test_a_dead_node_is_gone_at_every_node_in_time(self):
-        """As with whole gossip at each probe, which took 1.6 to 2.3 s over 24 seeds."""
+    def test_a_dead_node_is_gone_at_every_node_within_three_seconds(self):
+        """Must not take longer than with full gossip in each probe, which took 1.6 to 2.3 s over 24 seeds."""
         for seed in range(4):
             simulation = Simulation(seed, controllers=3, storage_nodes=3, gateways=4)
             self.addCleanup(simulation.end)
@@ -114,7 +114,7 @@
             simulation.until(
                 lambda: all(node.ctx.membership.status(dead.node) == "gone" for node in survivors),
                 3,
-                "it is gone",
+                "the node is gone",
             )
 
 
--- a/tests/test_simulated_restart.py
+++ b/tests/test_simulated_restart.py
@@ -1,4 +1,4 @@
-"""How soon the controllers lead again after all of them ended, and that nobody else's leader is put aside by it."""
+"""How soon controllers elect a leader after a restart of all of them, and that restarts do not depose a live leader."""
 
 import unittest
 
@@ -24,14 +24,14 @@
         for controller in controllers:
             controller.start()
 
-    def test_all_controllers_that_started_together_lead_within_half_a_second(self):
+    def test_controllers_restarted_together_elect_a_leader_within_half_a_second(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 simulation = self._start_cluster(seed)
                 self._restart(simulation, simulation.role("controller"))
-                simulation.until(simulation.leader, 0.55, "a leader after a restart of all controllers")
+                simulation.until(simulation.leader, 0.55, "a leader is elected after a restart of all controllers")
 
-    def test_a_voter_that_came_back_empty_need_not_be_waited_out(self):
+    def test_a_voter_that_restarts_with_an_empty_disk_does_not_delay_the_election(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 simulation = self._start_cluster(seed)
@@ -46,9 +46,9 @@
                 voters[seed % len(voters)].wipe()
                 for controller in simulation.role("controller"):
                     controller.start()
-                simulation.until(simulation.leader, 0.55, "a leader after a restart with one disk lost")
+                simulation.until(simulation.leader, 0.55, "a leader is elected after a restart with one disk lost")
 
-    def test_a_controller_that_starts_alone_does_not_put_the_leader_aside(self):
+    def test_a_restarted_controller_does_not_depose_the_leader(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 simulation = self._start_cluster(seed)
@@ -66,7 +66,7 @@
                 self.assertIs(simulation.leader(), leader)
                 self.assertEqual(leader.part.consensus.term, term)
 
-    def test_two_that_started_wait_out_a_leader_that_they_cannot_hear(self):
+    def test_restarted_controllers_wait_before_they_replace_an_unreachable_leader(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 simulation = self._start_cluster(seed)
@@ -83,7 +83,7 @@
                 simulation.until(
                     lambda: [controller for controller in others if controller.part.consensus.role == "leader"],
                     6,
-                    "another leader in time",
+                    "another leader is elected",
                 )
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a process loads before it serves: what its role needs, since a start's processor time is mostly the loading."""
+"""A process imports only the modules of its role before it serves, since imports take most of a start's CPU time."""
 
 import subprocess
 import sys
@@ -28,7 +28,7 @@
         out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=True)
         return set(out.stdout.split())
 
-    def test_no_role_loads_what_only_another_needs(self):
+    def test_a_role_imports_no_modules_that_only_other_roles_need(self):
         for role, excluded in OTHER_ROLES_PACKAGES.items():
             with self.subTest(role=role):
                 loaded_modules = self.modules_loaded_by(role)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Data folders that an earlier release wrote: opened, compared with what was written, started from and written on."""
+"""Data folders of an earlier release are opened, compared with their recorded contents, and used by a cluster."""
 
 import json
 import shutil
@@ -17,7 +17,7 @@
 CONTENTS = json.loads((STORED / "contents.json").read_text())
 LIVE, FINAL, TRIMMED, ACQUIRED = "results/live", "results/final", "results/trimmed", "results/promised"
 LEASE_EXPIRED_S = 5
-"""A storage node that has just started grants no log with an epoch before a lease of the life before has lapsed."""
+"""After a restart, a storage node grants no lease of a log with an epoch until earlier leases have expired."""
 
 SEED = 31
 
@@ -32,31 +32,31 @@
     def setUp(self):
         self.folder = _copy_of_stored(self)
 
-    def test_a_controller_reads_ballot_snapshot_entries_voters_and_state(self):
+    def test_a_controller_reads_its_vote_snapshot_entries_voters_and_state(self):
         for name, written in CONTENTS["controllers"].items():
             with self.subTest(name):
                 self.assertTrue(written["entries"])
                 self.assertEqual(read_controller(self.folder / name), written)
 
-    def test_a_storage_node_reads_epochs_lengths_final_marks_and_bytes(self):
+    def test_a_storage_node_reads_epochs_lengths_final_flags_and_bytes(self):
         for name, written in CONTENTS["storage_nodes"].items():
             with self.subTest(name):
                 self.assertEqual(read_storage_node(self.folder / name), written)
                 self.assertEqual(set(written["logs"]), {LIVE, FINAL, TRIMMED, ACQUIRED})
 
-    def test_reading_a_second_time_gives_the_same(self):
-        """Opening recovers the files, and that changes nothing in them."""
+    def test_opening_a_folder_twice_reads_the_same_contents(self):
+        """Opening runs the recovery, which must not change the contents."""
         for _ in range(2):
             self.assertEqual(read_controller(self.folder / "controller0"), CONTENTS["controllers"]["controller0"])
             self.assertEqual(read_storage_node(self.folder / "storage0"), CONTENTS["storage_nodes"]["storage0"])
 
-    def test_the_known_peers_are_there(self):
+    def test_the_known_peers_are_read(self):
         for name, written in CONTENTS["peers"].items():
             self.assertEqual(read_peers(self.folder / name), written, name)
 
 
 class Started(unittest.TestCase):
-    """A simulated cluster on copies of the folders: nodes know each other by `colleagues.json` alone, with no seeds."""
+    """A simulated cluster on copies of the folders; nodes have no seeds and read their peers from `colleagues.json`."""
 
     def setUp(self):
         folder = _copy_of_stored(self)
@@ -68,7 +68,7 @@
         seeds, self.simulation.seeds, self.simulation.founders = self.simulation.seeds, (), ()
         for node in self.stateful_nodes:
             node.start()
-        self.simulation.until(self.simulation.leader, 5, "a leader among those that know each other from before")
+        self.simulation.until(self.simulation.leader, 5, "a leader is elected without seeds")
         self.simulation.seeds = seeds
         for node in self.simulation.role("gateway"):
             node.start()
@@ -99,7 +99,7 @@
         )
         outcome = self.simulation.do(leader.state_delivery.edit(Command(edit=f"edit-{name}", table=edit)))
         self.assertEqual(outcome.code, "done")
-        self.simulation.run(1)  # until the followers have it as well
+        self.simulation.run(1)  # until the followers have applied it
 
     def states(self):
         nodes = (*self.simulation.role("controller"), *self.simulation.role("gateway"))
@@ -118,7 +118,7 @@
             for part in ("routes", "config_version", "pools", "empty_zones", "voters", "storage_nodes"):
                 self.assertEqual(state[part], written[part], part)
 
-    def test_it_elects_in_a_higher_term_and_shows_the_tables_that_were_written(self):
+    def test_a_leader_is_elected_in_a_higher_term_and_all_nodes_have_the_stored_tables(self):
         self.assert_tables()
         leader = self.simulation.leader()
         self.assertGreater(leader.part.consensus.term, max(c["term"] for c in CONTENTS["controllers"].values()))
@@ -127,7 +127,7 @@
             {contents["node"] for part in ("controllers", "storage_nodes") for contents in CONTENTS[part].values()},
         )
 
-    def test_it_shows_the_logs_that_were_written(self):
+    def test_the_stored_logs_can_be_acquired_and_read(self):
         for log, final in ((LIVE, False), (FINAL, True)):
             leaseholder = self.simulation.do(self.replicated_log().acquire(log))
             data = bytes.fromhex(CONTENTS["log_bytes"][log])
@@ -136,7 +136,7 @@
         state = self.simulation.do(self.replicated_log().states([TRIMMED]))[TRIMMED]
         self.assertEqual((state.length, state.final), (0, True))
 
-    def test_it_takes_edits_and_appends_and_has_them_after_a_restart(self):
+    def test_new_edits_and_appends_survive_a_restart(self):
         self.put_row("new1")
         epochs = {}
         for log in (LIVE, ACQUIRED):
@@ -145,7 +145,7 @@
             epochs[log] = leaseholder.epoch
         for log, epoch in epochs.items():
             stored = max(contents["logs"][log]["epoch"] for contents in CONTENTS["storage_nodes"].values())
-            self.assertGreater(epoch, stored, f"{log}: an epoch that was granted before is not granted again")
+            self.assertGreater(epoch, stored, f"{log}: the new epoch is above all epochs granted before")
         self.restart()
         self.put_row("new2")
         self.assert_tables(("new1", "new2"))
@@ -153,7 +153,7 @@
         self.assertEqual(self.read(LIVE), (before + encode_frame(b"of a later release"), False))
         self.assertEqual(self.read(ACQUIRED), (encode_frame(b"of a later release"), False))
 
-    def test_a_controller_that_lost_its_disk_takes_a_snapshot_and_opens_it_again(self):
+    def test_a_controller_that_lost_its_disk_receives_a_snapshot_and_recovers_from_it(self):
         lost = next(node for node in self.simulation.role("controller") if node is not self.simulation.leader())
         lost.kill()
         lost.wipe()
@@ -164,18 +164,24 @@
         lost.start()
         rows = CONTENTS["controllers"]["controller0"]["state"]["rows"]
         self.simulation.until(
-            lambda: read_state(lost.part.consensus.cluster_state)["rows"] == rows, 20, "it has the state"
+            lambda: read_state(lost.part.consensus.cluster_state)["rows"] == rows,
+            20,
+            "the controller has the stored rows",
         )
         lost.kill(power=True)
         self.assertEqual(read_controller(lost.folder)["state"]["rows"], rows)
         lost.start()
         self.put_row("new1")
-        self.simulation.until(lambda: "new1" in read_state(lost.part.consensus.cluster_state)["rows"], 10, "it follows")
+        self.simulation.until(
+            lambda: "new1" in read_state(lost.part.consensus.cluster_state)["rows"],
+            10,
+            "the controller has the new row",
+        )
 
 
 class Written(unittest.TestCase):
-    def test_the_code_at_hand_writes_such_folders_and_reads_the_same_tables_and_logs(self):
-        """What it writes may differ in its files; the same edits and appends give the same tables and log bytes."""
+    def test_the_current_code_writes_folders_with_the_same_tables_and_logs(self):
+        """The same edits and appends must give the same tables and log bytes; the files themselves may differ."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         stored_data.write(Path(folder.name))
