--- a/testbed/benchmarks/recovery_times.py
+++ b/testbed/benchmarks/recovery_times.py
@@ -29,7 +29,7 @@
     def __init__(self, profile: str, seed: int, names, times: int):
         super().__init__(profile, seed, 0)
         self.names, self.times = names, times
-        self.c = Random(seed)
+        self.rng = Random(seed)
 
     def run(self) -> int:
         try:
@@ -83,7 +83,10 @@
     def _measure_edit(self, n):
         """Measures the time from the response to an edit until all gateways have it."""
         e = self.clients.edit(
-            f"row-{n % 4}", {"model": f"m{n}"}, f"edit-{n}-{time.monotonic()}", self._random_node(self.c, "controller")
+            f"row-{n % 4}",
+            {"model": f"m{n}"},
+            f"edit-{n}-{time.monotonic()}",
+            self._random_node(self.rng, "controller"),
         )
         acked = time.monotonic()
         if e.get("status") != 200:
@@ -190,9 +193,9 @@
         names = (
             self.nodes_in_zone(ZONES[n % 4], True)
             if kind == "zone"
-            else [self._random_node(self.c, "gateway"), self.busiest(), self.leader()]
+            else [self._random_node(self.rng, "gateway"), self.busiest(), self.leader()]
         )
-        heal = self._inject_final_fault(kind, names, self.c)
+        heal = self._inject_final_fault(kind, names, self.rng)
         took = self._wait_for_service(names, time.monotonic())
         self.log(f"service recovered after {took:.1f} s")
         heal()
--- a/testbed/benchmarks/soak.py
+++ b/testbed/benchmarks/soak.py
@@ -95,19 +95,19 @@
         while time.monotonic() < end:
             n += 1
             c = Random(f"{self.seed}/{n}")
-            names, do = getattr(self, "plan_" + c.choice(self.faults))(c)
+            names, inject = getattr(self, "plan_" + c.choice(self.faults))(c)
             if not self._claim(n, names, end):
                 continue
-            t = threading.Thread(target=self._run, args=(n, do), daemon=True)
+            t = threading.Thread(target=self._run, args=(n, inject), daemon=True)
             t.start()
             running.append(t)
             self.clients.stopped.wait(0.2 + 2 * c.random() if n % 4 else 8)
         for t in running:
             t.join(150)
 
-    def _run(self, n, do):
+    def _run(self, n, inject):
         try:
-            do()
+            inject()
         except Exception as e:
             self.clients.note("fault_failed", text=f"a fault did not heal: {e!r}")
         finally:
--- a/testbed/benchmarks/step_timings.py
+++ b/testbed/benchmarks/step_timings.py
@@ -100,13 +100,13 @@
 }
 
 
-def _time(do) -> list[float]:
+def _time(step) -> list[float]:
     """Returns the CPU milliseconds of one step in each repetition; each is long enough for the clock's resolution."""
     out = []
     for _ in range(REPETITIONS):
         n, began = 0, time.process_time()
         while (span := time.process_time() - began) < MIN_MEASURED_SECONDS:
-            do()
+            step()
             n += 1
         out.append(1000 * span / n)
     return sorted(out)
--- a/testbed/checks/cluster_checks.py
+++ b/testbed/checks/cluster_checks.py
@@ -22,15 +22,15 @@
 MIN_REQUESTS = 8
 
 
-def check_engines(events, notes, zones, capacity, limits, downtimes, out):
-    _check_draining_engines(notes, out)
-    _check_emptied_zones(events, notes, zones, out)
-    _check_slow_start(notes, capacity, out)
+def check_engines(events, notes, zones, capacity, limits, downtimes, violations):
+    _check_draining_engines(notes, violations)
+    _check_emptied_zones(events, notes, zones, violations)
+    _check_slow_start(notes, capacity, violations)
     for model, (rate, most) in limits.items():
-        _check_limits(model, rate, most, notes, downtimes, out)
+        _check_limits(model, rate, most, notes, downtimes, violations)
 
 
-def _check_draining_engines(notes, out):
+def _check_draining_engines(notes, violations):
     announced = {}
     for n in notes:
         if n["event"] == "told":
@@ -45,12 +45,12 @@
             and n["engine"] in announced
             and n["at"] > announced[n["engine"]] + 2 + SLACK_SECONDS
         ):
-            out.append(
+            violations.append(
                 f"{n['engine']} got {n['prompt']} {n['at'] - announced[n['engine']]:.1f} s after it said it leaves"
             )
 
 
-def _check_emptied_zones(events, notes, zones, out):
+def _check_emptied_zones(events, notes, zones, violations):
     emptied: dict[str, float] = {}
     marks = [e for e in events if e["event"] in ("zone_edit", "zone_asked")]
     for e in [*marks, {"event": "over", "at": float("inf")}]:
@@ -65,10 +65,10 @@
                         and zones.get(n["engine"]) == zone
                         and at + 5 + SLACK_SECONDS < n["at"] < e["at"]
                     ):
-                        out.append(f"{n['engine']} got work {n['at'] - at:.1f} s after {zone} was emptied")
+                        violations.append(f"{n['engine']} got work {n['at'] - at:.1f} s after {zone} was emptied")
 
 
-def _check_slow_start(notes, capacity, out):
+def _check_slow_start(notes, capacity, violations):
     """Checks that an engine that starts or recovers gets no more load than its slow start allows, from all gateways."""
     by_engine = defaultdict(list)
     for n in notes:
@@ -91,10 +91,12 @@
             have = len(running) + (n["event"] == "refused")
             if age < RAMP_SECONDS and have > allowed:
                 announced = True
-                out.append(f"{name} was cold and flooded: {have} at once {age:.2f} s after it came, {allowed} allowed")
+                violations.append(
+                    f"{name} was cold and flooded: {have} at once {age:.2f} s after it came, {allowed} allowed"
+                )
 
 
-def _check_limits(model, rate, most, notes, downtimes, out):
+def _check_limits(model, rate, most, notes, downtimes, violations):
     """Checks that the engines together never exceed the rate and concurrency of a row."""
     starts = [n["at"] for n in notes if n["event"] == "run" and n.get("model") == model]
     if rate:
@@ -102,7 +104,7 @@
             for i, at in enumerate(starts):
                 n = sum(1 for t in starts[i:] if t < at + span)
                 if n > rate * (span + SLACK_SECONDS) + max(1.0, rate) + 1:
-                    out.append(f"{model}: {n} runs in {span:g} s at a rate of {rate:g}")
+                    violations.append(f"{model}: {n} runs in {span:g} s at a rate of {rate:g}")
                     break
     running: dict[str, str] = {}
     began = {n["run"]: n["at"] for n in notes if n["event"] == "run"}
@@ -120,7 +122,7 @@
             running[n["run"]] = n["engine"]
             sure = [e for e in running.values() if not downtimes.is_affected(n["at"], n["at"], e)]
             if most and len(sure) > most:
-                out.append(f"{model}: {len(sure)} at once where {most} are allowed, at {n['at']:.2f}")
+                violations.append(f"{model}: {len(sure)} at once where {most} are allowed, at {n['at']:.2f}")
                 return
         elif n["event"] in ("done", "left", "cut"):
             running.pop(n["run"], None)
@@ -128,13 +130,13 @@
             running = {r: e for r, e in running.items() if e != n["engine"]}
 
 
-def check_cluster(events, notes, downtimes, out):
-    _check_table(events, out)
-    _check_read_back(events, out)
-    _check_weight_edits(events, notes, downtimes, out)
+def check_cluster(events, notes, downtimes, violations):
+    _check_table(events, violations)
+    _check_read_back(events, violations)
+    _check_weight_edits(events, notes, downtimes, violations)
 
 
-def _check_table(events, out):
+def _check_table(events, violations):
     """Checks that each table that was read is the exact result of the edits, and that edit outcomes never change."""
     edits = [e for e in events if e["event"] == "edit"]
     by_id: dict[str, dict] = {}
@@ -142,19 +144,19 @@
         if e["status"] == 200:
             first = by_id.setdefault(e["edit"], e)
             if first["sequence"] != e["sequence"]:
-                out.append(f"edit {e['edit']} took effect at {first['sequence']} and at {e['sequence']}")
+                violations.append(f"edit {e['edit']} took effect at {first['sequence']} and at {e['sequence']}")
     unsure = set()
     for e in edits:
         if e["outcome"] == "unknown":
             unsure.add(e["edit"])
         elif e["outcome"] == "not_run" and e["edit"] in by_id and not (e["status"] == 503 and e["edit"] in unsure):
-            out.append(f"edit {e['edit']} was refused and took effect")
+            violations.append(f"edit {e['edit']} was refused and took effect")
     bases = defaultdict(set)
     for e in by_id.values():
         bases[e["base"]].add(e["edit"])
     for base, ids in bases.items():
         if len(ids) > 1:
-            out.append(f"{len(ids)} edits took effect on base {base}")
+            violations.append(f"{len(ids)} edits took effect on base {base}")
     unresolved_bases = {e["base"] for e in edits if e["outcome"] == "unknown" and e["edit"] not in by_id}
     cluster_states: dict[int, dict | None] = {}
     for e in sorted(by_id.values(), key=lambda e: e["sequence"]):
@@ -164,14 +166,14 @@
     for r in (e for e in events if e["event"] == "table_read"):
         newest = max((s for at, s in acked if at < r["asked"]), default=0)
         if r["sequence"] < newest:
-            out.append(f"the table read as {r['sequence']} after {newest} was acknowledged")
+            violations.append(f"the table read as {r['sequence']} after {newest} was acknowledged")
         if r["sequence"] in cluster_states:
             if cluster_states[r["sequence"]] is not None and not _same_rows(cluster_states[r["sequence"]], r["rows"]):
                 differs = _differing_rows(cluster_states[r["sequence"]], r)
-                out.append(f"the table at {r['sequence']} is not the result of its edits: {differs}")
+                violations.append(f"the table at {r['sequence']} is not the result of its edits: {differs}")
             cluster_states[r["sequence"]] = r["rows"]
         elif r["sequence"] and not unresolved_bases and cluster_states:
-            out.append(f"the table is at {r['sequence']}, which no edit made")
+            violations.append(f"the table is at {r['sequence']}, which no edit made")
 
 
 def _rows_after(e, before) -> dict | None:
@@ -197,7 +199,7 @@
     )[:200]
 
 
-def _check_read_back(events, out):
+def _check_read_back(events, violations):
     """Checks that zones read back as last set, unless another change was requested in between."""
     set_to: dict[str, bool | None] = {}
     for e in events:
@@ -208,10 +210,12 @@
         elif e["event"] == "zones_read":
             for zone, empty in set_to.items():
                 if empty is not None and e["zones"].get(zone, False) != empty:
-                    out.append(f"{zone} reads as {'emptied' if not empty else 'filled'} after it was set otherwise")
+                    violations.append(
+                        f"{zone} reads as {'emptied' if not empty else 'filled'} after it was set otherwise"
+                    )
 
 
-def _check_weight_edits(events, notes, downtimes, out):
+def _check_weight_edits(events, notes, downtimes, violations):
     """Checks that engines and clients see the effect of an edit two seconds after its acknowledgement."""
     models = {e["model"] for e in events if e["event"] == "gate"}
     for model in models:
@@ -232,7 +236,7 @@
                     if n["event"] == "run" and n.get("model") == model and since + 2 + SLACK_SECONDS < n["at"] < until
                 ]
                 if late:
-                    out.append(f"{model}: ran {late[0]['at'] - since:.1f} s after its weight was 0")
+                    violations.append(f"{model}: ran {late[0]['at'] - since:.1f} s after its weight was 0")
             elif state is True:
                 for e in events:
                     if (
@@ -243,7 +247,7 @@
                         and (e["fault"] or {}).get("code") in ("none_heard", "not_found")
                         and not downtimes.is_affected(e["asked"], e["at"], e["gateway"])
                     ):
-                        out.append(f"{model}: refused {e['asked'] - since:.1f} s after it was opened")
+                        violations.append(f"{model}: refused {e['asked'] - since:.1f} s after it was opened")
                         break
 
 
@@ -263,7 +267,7 @@
             yield "edit", e["status"] == 200, e
 
 
-def check_floors(events, downtimes, out):
+def check_floors(events, downtimes, violations):
     """Checks the success rate of each kind of request without faults and during a single tolerable fault."""
     counts = defaultdict(lambda: [0, 0])
     for kind, good, e in _served_by_kind(events):
@@ -275,6 +279,8 @@
         for n, floor in enumerate(floors):
             good, every = counts[kind, n]
             if n == 0 and every < MIN_REQUESTS and any(k == kind for k, _ in counts):
-                out.append(f"{kind}: only {every} requests were sent while no fault was active")
+                violations.append(f"{kind}: only {every} requests were sent while no fault was active")
             elif every >= MIN_REQUESTS and good < floor * every - 1:
-                out.append(f"{kind}: {good} of {every} were served while {'one fault' if n else 'no fault'} was active")
+                violations.append(
+                    f"{kind}: {good} of {every} were served while {'one fault' if n else 'no fault'} was active"
+                )
--- a/testbed/faults/component_failures.py
+++ b/testbed/faults/component_failures.py
@@ -19,7 +19,7 @@
     def _stop_and_restart(self, what, names, span, power=None, wiped=False, settle=3.0):
         """Kills nodes together and restarts them; with a rng as `power`, their disks lose unsynced data."""
 
-        def do():
+        def inject():
             gateways = {n for n in names if n.startswith("gateway")}
             self.log(f"{what} {','.join(names)} for {span:.1f} s")
             with self.clients.record_fault(what, names, settle=settle):
@@ -38,7 +38,7 @@
                 self._wait_until_ready(names)
                 self.clients.excluded_gateways -= gateways
 
-        return names, do
+        return names, inject
 
     def _wait_until_ready(self, names):
         for n in names:
@@ -52,47 +52,47 @@
     def _random_node(self, rng, role):
         return rng.choice(self.cluster.nodes(role))
 
-    def plan_kill_gateway(self, c):
-        return self._stop_and_restart("kill", [self._random_node(c, "gateway")], 2 * c.random())
+    def plan_kill_gateway(self, rng):
+        return self._stop_and_restart("kill", [self._random_node(rng, "gateway")], 2 * rng.random())
 
-    def plan_kill_storage_node(self, c):
-        return self._stop_and_restart("kill", [self._random_node(c, "storage")], 3 * c.random())
+    def plan_kill_storage_node(self, rng):
+        return self._stop_and_restart("kill", [self._random_node(rng, "storage")], 3 * rng.random())
 
-    def plan_kill_controller(self, c):
-        return self._stop_and_restart("kill", [self._random_node(c, "controller")], 2 * c.random())
+    def plan_kill_controller(self, rng):
+        return self._stop_and_restart("kill", [self._random_node(rng, "controller")], 2 * rng.random())
 
-    def plan_kill_leader(self, c):
-        return self._stop_and_restart("kill", [self.leader()], 2 * c.random())
+    def plan_kill_leader(self, rng):
+        return self._stop_and_restart("kill", [self.leader()], 2 * rng.random())
 
-    def plan_power_controller(self, c):
-        return self._stop_and_restart("power", [self.leader()], 2 * c.random(), power=c)
+    def plan_power_controller(self, rng):
+        return self._stop_and_restart("power", [self.leader()], 2 * rng.random(), power=rng)
 
-    def plan_power_storage_node(self, c):
+    def plan_power_storage_node(self, rng):
         """The storage node with the most data loses power right after a batch was acknowledged."""
-        names, do = self._stop_and_restart("power", [self.busiest()], 2 * c.random(), power=c)
+        names, inject = self._stop_and_restart("power", [self.busiest()], 2 * rng.random(), power=rng)
 
-        def at_once():
+        def inject_after_batch():
             e = self.clients.submit_batch(f"power-{time.monotonic()}", 8, watch=False)
-            do()
+            inject()
             if e["lot"]:
                 self.remember(e["lot"])
                 for g in self.cluster.nodes("gateway")[:2]:
                     self.clients.read_batch(e["lot"], g)
 
-        return names, at_once
+        return names, inject_after_batch
 
-    def plan_kill_zone(self, c):
-        i = c.randrange(4)
-        return self._stop_and_restart("zone lost", self.nodes_in_zone(ZONES[i], True), 2 + 5 * c.random())
+    def plan_kill_zone(self, rng):
+        i = rng.randrange(4)
+        return self._stop_and_restart("zone lost", self.nodes_in_zone(ZONES[i], True), 2 + 5 * rng.random())
 
-    def plan_power_zone(self, c):
-        i = c.randrange(4)
+    def plan_power_zone(self, rng):
+        i = rng.randrange(4)
         return self._stop_and_restart(
-            "zone without power", self.nodes_in_zone(ZONES[i], False), 2 + 5 * c.random(), power=c
+            "zone without power", self.nodes_in_zone(ZONES[i], False), 2 + 5 * rng.random(), power=rng
         )
 
     def _freeze(self, names, span):
-        def do():
+        def inject():
             self.log(f"freeze {','.join(names)} for {span:.1f} s")
             with self.clients.record_fault("freeze", names):
                 for n in names:
@@ -101,30 +101,30 @@
                 for n in names:
                     self.cluster.programs[n].thaw()
 
-        return names, do
+        return names, inject
 
-    def plan_freeze_gateway(self, c):
-        return self._freeze([self._random_node(c, "gateway")], 1 + 5 * c.random())
+    def plan_freeze_gateway(self, rng):
+        return self._freeze([self._random_node(rng, "gateway")], 1 + 5 * rng.random())
 
-    def plan_freeze_storage_node(self, c):
-        return self._freeze([self._random_node(c, "storage")], 1 + 5 * c.random())
+    def plan_freeze_storage_node(self, rng):
+        return self._freeze([self._random_node(rng, "storage")], 1 + 5 * rng.random())
 
-    def plan_freeze_leader(self, c):
-        return self._freeze([self.leader()], 1 + 5 * c.random())
+    def plan_freeze_leader(self, rng):
+        return self._freeze([self.leader()], 1 + 5 * rng.random())
 
-    def plan_gateway_roll(self, c):
-        return self._roll([self._random_node(c, "gateway"), self._random_node(c, "gateway")])
+    def plan_gateway_roll(self, rng):
+        return self._roll([self._random_node(rng, "gateway"), self._random_node(rng, "gateway")])
 
-    def plan_storage_node_roll(self, c):
+    def plan_storage_node_roll(self, rng):
         return self._roll(self.cluster.nodes("storage"))
 
-    def plan_controller_roll(self, c):
+    def plan_controller_roll(self, rng):
         return self._roll(self.cluster.nodes("controller"))
 
     def _roll(self, names):
         names = sorted(set(names))
 
-        def do():
+        def inject():
             self.log(f"restart {','.join(names)} one by one")
             for name in names:
                 with self.clients.record_fault("roll", [name]):
@@ -134,23 +134,23 @@
                     self._wait_until_ready([name])
                     self.clients.excluded_gateways.discard(name)
 
-        return names if names[0].startswith("gateway") else ["core"], do
+        return names if names[0].startswith("gateway") else ["core"], inject
 
-    def plan_storage_node_empty(self, c):
-        name = self._random_node(c, "storage")
+    def plan_storage_node_empty(self, rng):
+        name = self._random_node(rng, "storage")
 
-        def do():
+        def inject():
             lost = self.storage_node_id(name)
             self._stop_and_restart("disk lost", [name], 0.1, wiped=True)[1]()
             self._wait_for_placement(lost)
 
-        return [name, "core"], do
+        return [name, "core"], inject
 
-    def plan_replace_seeds(self, c):
+    def plan_replace_seeds(self, rng):
         """The three seed nodes are replaced by empty ones at new addresses; the other nodes keep the old seeds."""
         old_nodes = [next(n for n in self.cluster.nodes(r)) for r in ("controller", "storage", "gateway")]
 
-        def do():
+        def inject():
             self.log(f"replace {','.join(old_nodes)} by empty nodes at new addresses")
             lost = self.storage_node_id(old_nodes[1])
             seeds = [self.cluster.address(self.cluster.nodes(r)[1]) for r in ("controller", "storage", "gateway")]
@@ -168,13 +168,13 @@
                 self.clients.excluded_gateways -= set(new_nodes)
             self._wait_for_placement(lost)
 
-        return [*old_nodes, "core"], do
+        return [*old_nodes, "core"], inject
 
-    def plan_retire_storage_node(self, c):
+    def plan_retire_storage_node(self, rng):
         """A storage node is added and another is retired; a third one is down for a while as placement groups move."""
-        old, other = c.sample(self.cluster.nodes("storage"), 2)
+        old, other = rng.sample(self.cluster.nodes("storage"), 2)
 
-        def do():
+        def inject():
             self._added_nodes += 1
             new = f"storage{100 + self._added_nodes}"
             self.log(f"add {new} and retire {old}, and kill {other} meanwhile")
@@ -190,20 +190,20 @@
                 30,
                 f"the retirement of {old} is accepted",
             )
-            self._stop_and_restart("kill", [other], 1 + 2 * c.random())[1]()
+            self._stop_and_restart("kill", [other], 1 + 2 * rng.random())[1]()
             wait_for(lambda: self.storage_nodes().get(gone, {}).get("status") == "retired", 120, f"{old} is retired")
             self.log(f"{old} is retired")
             with self.clients.record_fault("retired", [old]):
                 self.cluster.remove(old)
             self._wait_for_placement(gone, retired=True)
 
-        return [old, other, "core"], do
+        return [old, other, "core"], inject
 
-    def plan_disk_full(self, c):
+    def plan_disk_full(self, rng):
         """The disk of one storage node is full, then the disks of two: batches may be refused, but nothing is lost."""
-        names = c.sample(self.cluster.nodes("storage"), 2)
+        names = rng.sample(self.cluster.nodes("storage"), 2)
 
-        def do():
+        def inject():
             for full, bearable in ((names[:1], True), (names, False)):
                 self.log(f"fill the disks of {','.join(full)}")
                 with self.clients.record_fault("disk full", full, bearable=bearable, settle=4):
@@ -212,63 +212,63 @@
                     self.cluster.inject(full=[])
             time.sleep(REPAIR_SECONDS)
 
-        return [*names, "core"], do
+        return [*names, "core"], inject
 
     def _cut(self, what, some, others, span, one_way=False, affected=None):
-        def do():
+        def inject():
             self.log(f"{what} for {span:.1f} s: {','.join(some)} | {','.join(others)}")
             with self.clients.record_fault(what, affected if affected is not None else some, settle=3):
                 self.cluster.cut(some, others, one_way)
                 time.sleep(span)
                 self.cluster.heal()
 
-        return ["core", "net"], do
+        return ["core", "net"], inject
 
-    def plan_split_controllers(self, c):
+    def plan_split_controllers(self, rng):
         controllers = self.cluster.nodes("controller")
-        c.shuffle(controllers)
-        k = c.choice((1, 2))
-        return self._cut("controllers split", controllers[:k], controllers[k:], 2 + 4 * c.random())
+        rng.shuffle(controllers)
+        k = rng.choice((1, 2))
+        return self._cut("controllers split", controllers[:k], controllers[k:], 2 + 4 * rng.random())
 
-    def plan_controllers_away(self, c):
+    def plan_controllers_away(self, rng):
         return self._cut(
             "controllers away",
             self.cluster.nodes("controller"),
             [n for n in self.nodes() if "controller" not in n],
-            2 + 5 * c.random(),
+            2 + 5 * rng.random(),
         )
 
-    def plan_zone_cut(self, c):
+    def plan_zone_cut(self, rng):
         """A zone is partitioned from the others; its clients move to gateways in other zones."""
-        inside = self.nodes_in_zone(c.choice(ZONES), False)
-        names, cut = self._cut("zone cut", inside, [n for n in self.nodes() if n not in inside], 2 + 4 * c.random())
+        inside = self.nodes_in_zone(rng.choice(ZONES), False)
+        names, cut = self._cut("zone cut", inside, [n for n in self.nodes() if n not in inside], 2 + 4 * rng.random())
         gateways = {n for n in inside if n.startswith("gateway")}
 
-        def do():
+        def inject():
             self.clients.excluded_gateways |= gateways
             cut()
             time.sleep(2)
             self.clients.excluded_gateways -= gateways
 
-        return names, do
+        return names, inject
 
-    def plan_one_way(self, c):
-        one = c.choice(self.nodes())
-        return self._cut("one-way cut", [one], [n for n in self.nodes() if n != one], 2 + 3 * c.random(), True)
+    def plan_one_way(self, rng):
+        one = rng.choice(self.nodes())
+        return self._cut("one-way cut", [one], [n for n in self.nodes() if n != one], 2 + 3 * rng.random(), True)
 
-    def plan_slow_links(self, c):
+    def plan_slow_links(self, rng):
         """Calls from and to the nodes of a zone are delayed."""
-        inside = self.nodes_in_zone(c.choice(ZONES), False)
-        span, delay = 3 + 3 * c.random(), 0.05 + 0.1 * c.random()
+        inside = self.nodes_in_zone(rng.choice(ZONES), False)
+        span, delay = 3 + 3 * rng.random(), 0.05 + 0.1 * rng.random()
 
-        def do():
+        def inject():
             self.log(f"delay calls of {','.join(inside)} by {delay * 1000:.0f} ms for {span:.1f} s")
             with self.clients.record_fault("slow links", inside):
                 self.cluster.inject(delays={self.cluster.address(n): delay for n in inside})
                 time.sleep(span)
                 self.cluster.inject(delays={})
 
-        return ["net"], do
+        return ["net"], inject
 
     def _wait_for_placement(self, lost: str, retired=False):
         def placed():
--- a/testbed/faults/final_fault.py
+++ b/testbed/faults/final_fault.py
@@ -16,13 +16,13 @@
     """Mixin that injects a final fault; service must recover within 12 s, and no acknowledged data may be lost."""
 
     def _run_final_fault(self):
-        c = Random(f"{self.seed}/closing")
-        kind = c.choice(FINAL_FAULTS)
+        rng = Random(f"{self.seed}/closing")
+        kind = rng.choice(FINAL_FAULTS)
         self.clients.resolve_unknown_edits(self.leader())
-        trio = [self._random_node(c, "gateway"), self.busiest(), self.leader()]
-        names = self.nodes_in_zone(c.choice(ZONES), True) if kind == "zone" else trio
+        trio = [self._random_node(rng, "gateway"), self.busiest(), self.leader()]
+        names = self.nodes_in_zone(rng.choice(ZONES), True) if kind == "zone" else trio
         with self.clients.record_fault(f"closing {kind}", names, bearable=False, settle=3):
-            heal = self._inject_final_fault(kind, names, c)
+            heal = self._inject_final_fault(kind, names, rng)
             began = time.monotonic()
             took = self._wait_for_service(names, began)
             self.log(f"service recovered after {took:.1f} s")
@@ -43,7 +43,7 @@
         self.clients.resolve_unknown_edits(self.leader())
         return not self.clients.unresolved_edits()
 
-    def _inject_final_fault(self, kind, names, c):
+    def _inject_final_fault(self, kind, names, rng):
         """Injects the fault and returns the function that heals it."""
         self.log(f"final fault: {kind} of {','.join(names)}")
         self.clients.excluded_gateways |= {n for n in names if n.startswith("gateway")}
@@ -55,7 +55,7 @@
             if kind == "freeze":
                 self.cluster.programs[n].freeze()
             elif kind == "power" and n.startswith(("storage", "controller")):
-                self.cluster.cut_power(n, c)
+                self.cluster.cut_power(n, rng)
             else:
                 self.cluster.programs[n].kill()
         if kind == "emptied":
--- a/testbed/faults/overload.py
+++ b/testbed/faults/overload.py
@@ -12,43 +12,43 @@
     """Mixin like `ComponentFailures`, for the behaviour of clients, engines and operators."""
 
     def _switch_mode(self, name, mode, span):
-        def do():
+        def inject():
             self.log(f"{name} {mode} for {span:.1f} s")
             with self.clients.record_fault(mode, [name]):
                 self.cluster.call(name, "POST", f"/mode/{mode}")
                 time.sleep(span)
                 self.cluster.call(name, "POST", "/mode/well")
 
-        return [name], do
+        return [name], inject
 
-    def _random_engine(self, c):
-        return c.choice(self.cluster.engines)
+    def _random_engine(self, rng):
+        return rng.choice(self.cluster.engines)
 
-    def plan_engine_crash(self, c):
-        return self._stop_and_restart("kill", [self._random_engine(c)], 1 + 2 * c.random())
+    def plan_engine_crash(self, rng):
+        return self._stop_and_restart("kill", [self._random_engine(rng)], 1 + 2 * rng.random())
 
-    def plan_engine_cut(self, c):
-        return self._switch_mode(c.choice(self.cluster.engines + self.cluster.cards), "cut", 2)
+    def plan_engine_cut(self, rng):
+        return self._switch_mode(rng.choice(self.cluster.engines + self.cluster.cards), "cut", 2)
 
-    def plan_engine_refuse(self, c):
-        return self._switch_mode(self._random_engine(c), "refuse", 2)
+    def plan_engine_refuse(self, rng):
+        return self._switch_mode(self._random_engine(rng), "refuse", 2)
 
-    def plan_engine_hang(self, c):
-        return self._switch_mode(self._random_engine(c), "hang", 2 + 2 * c.random())
+    def plan_engine_hang(self, rng):
+        return self._switch_mode(self._random_engine(rng), "hang", 2 + 2 * rng.random())
 
-    def plan_engine_silent(self, c):
+    def plan_engine_silent(self, rng):
         """An engine stops announcing itself for longer than allowed and recovers by itself."""
-        return self._switch_mode(self._random_engine(c), "silent", 5 + 2 * c.random())
+        return self._switch_mode(self._random_engine(rng), "silent", 5 + 2 * rng.random())
 
-    def plan_engine_broken(self, c):
-        return self._switch_mode(self._random_engine(c), c.choice(("mixed", "error", "unclosed")), 2)
+    def plan_engine_broken(self, rng):
+        return self._switch_mode(self._random_engine(rng), rng.choice(("mixed", "error", "unclosed")), 2)
 
-    def plan_engine_vanish(self, c):
+    def plan_engine_vanish(self, rng):
         """The machine of an engine fails without closing its connections."""
-        name = self._random_engine(c)
+        name = self._random_engine(rng)
 
-        def do():
-            span = 3 + 3 * c.random()
+        def inject():
+            span = 3 + 3 * rng.random()
             self.log(f"{name} is unresponsive for {span:.1f} s")
             with self.clients.record_fault("vanished", [name]):
                 self.cluster.programs[name].freeze()
@@ -56,13 +56,13 @@
                 self.cluster.programs[name].kill()
                 self.cluster.programs[name].start()
 
-        return [name], do
+        return [name], inject
 
-    def plan_engine_moved(self, c):
+    def plan_engine_moved(self, rng):
         """An engine crashes and comes back under the same name at another address."""
-        name = self._random_engine(c)
+        name = self._random_engine(rng)
 
-        def do():
+        def inject():
             p = self.cluster.programs[name]
             (port,) = free_ports(1)
             self.log(f"restart {name} at port {port}")
@@ -73,12 +73,12 @@
                 p.start()
                 time.sleep(2)
 
-        return [name], do
+        return [name], inject
 
-    def plan_engine_leaving(self, c):
-        name = c.choice(self.cluster.engines + self.cluster.cards)
+    def plan_engine_leaving(self, rng):
+        name = rng.choice(self.cluster.engines + self.cluster.cards)
 
-        def do():
+        def inject():
             self.log(f"{name} announces that it leaves, and is restarted")
             with self.clients.record_fault("leaving", [name]):
                 self.cluster.call(name, "POST", "/mode/leaving")
@@ -86,12 +86,12 @@
                 self.cluster.programs[name].kill()
                 self.cluster.programs[name].start()
 
-        return [name], do
+        return [name], inject
 
-    def plan_zone(self, c):
-        zone = c.choice(ZONES)
+    def plan_zone(self, rng):
+        zone = rng.choice(ZONES)
 
-        def do():
+        def inject():
             self.log(f"empty {zone}, then fill it")
             with self.clients.record_fault(
                 "zone emptied", [n for n in self.cluster.engines + self.cluster.cards if self.cluster.zones[n] == zone]
@@ -100,21 +100,23 @@
                     time.sleep(7)
                 wait_for(lambda: self.clients.zone(zone, False, self.leader()) == 200, 30, f"{zone} is filled again")
 
-        return [n for n in self.cluster.engines + self.cluster.cards if self.cluster.zones[n] == zone] + ["zones"], do
+        return [n for n in self.cluster.engines + self.cluster.cards if self.cluster.zones[n] == zone] + [
+            "zones"
+        ], inject
 
-    def plan_lots_crowd(self, c):
-        def do():
+    def plan_lots_crowd(self, rng):
+        def inject():
             self.log("submit many batches at once")
             with self.clients.record_fault("lots", []):
                 for n in range(6):
                     self.submit_batch(f"crowd-{n}-{time.monotonic()}", 25, 600_000)
 
-        return ["lots"], do
+        return ["lots"], inject
 
-    def plan_crowd(self, c):
+    def plan_crowd(self, rng):
         """Sends far more concurrent live requests than the engines can run: each is served or refused."""
 
-        def do():
+        def inject():
             n = 3 * self.cluster.capacity * len(self.cluster.engines)
             mark = f"crowd-{time.monotonic()}"
             self.log(f"send {n} live requests at once")
@@ -136,12 +138,12 @@
                 f"all responses after {time.monotonic() - began:.2f} s"
             )
 
-        return ["crowd"], do
+        return ["crowd"], inject
 
-    def plan_backlog(self, c):
+    def plan_backlog(self, rng):
         """Batches are paused while more are submitted, and then all resume together."""
 
-        def do():
+        def inject():
             self.log("pause batches while a backlog builds up")
             row = {"model": "pipit-small", "weight": 1, "lot_share": 0.01}
             with self.clients.record_fault("backlog", []):
@@ -158,31 +160,31 @@
                     "batches resume",
                 )
 
-        return ["lots", "table"], do
+        return ["lots", "table"], inject
 
-    def plan_end_lot(self, c):
-        def do():
+    def plan_end_lot(self, rng):
+        def inject():
             self.log("cancel a batch")
             e = self.clients.submit_batch(f"ending-{time.monotonic()}", 200, 3_600_000, watch=False)
             if e["lot"]:
                 self.remember(e["lot"])
-                time.sleep(c.random() * 2)
+                time.sleep(rng.random() * 2)
                 self.clients.cancel_batch(e["lot"])
 
-        return ["ending"], do
+        return ["ending"], inject
 
-    def plan_two_editors(self, c):
-        def do():
+    def plan_two_editors(self, rng):
+        def inject():
             self.log("two operators edit at once: one a row, the other the whole table")
             controllers = self.cluster.nodes("controller")
             args = [
-                (f"row-{c.randrange(4)}", {"model": f"m-{time.monotonic()}", "weight": 2}, None),
+                (f"row-{rng.randrange(4)}", {"model": f"m-{time.monotonic()}", "weight": 2}, None),
                 ("", None, lambda rows: {**rows, "both": {"model": f"both-{time.monotonic()}"}}),
             ]
             both = [
                 threading.Thread(
                     target=self.clients.edit,
-                    args=(name, row, f"both-{n}-{time.monotonic()}", c.choice(controllers), whole),
+                    args=(name, row, f"both-{n}-{time.monotonic()}", rng.choice(controllers), whole),
                 )
                 for n, (name, row, whole) in enumerate(args)
             ]
@@ -191,17 +193,17 @@
             for t in both:
                 t.join(30)
 
-        return ["editors"], do
+        return ["editors"], inject
 
-    def plan_table_grows(self, c):
+    def plan_table_grows(self, rng):
         """Adds thousands of routes to the table under load, and removes them again."""
-        many = 2000 + c.randrange(2000)
+        many = 2000 + rng.randrange(2000)
 
         def routes(rows):
             kept = {k: v for k, v in rows.items() if not k.startswith("route-")}
             return {**kept, **{f"route-{i}": {"model": f"route-{i}", "weight": 1 + i % 9} for i in range(many)}}
 
-        def do():
+        def inject():
             self.log(f"the table grows by {many} routes")
             with self.clients.record_fault("table grows", []):
                 for what, whole in (
@@ -220,4 +222,4 @@
                     )
                     time.sleep(3)
 
-        return ["table"], do
+        return ["table"], inject
--- a/testbed/processes/host_processes.py
+++ b/testbed/processes/host_processes.py
@@ -34,12 +34,12 @@
                 [sys.executable, "-m", "testbed", "host"], stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=err
             )
 
-    def send_command(self, do: str, **what) -> dict:
-        self._process.stdin.write(json.dumps({"do": do, **what}).encode() + b"\n")
+    def send_command(self, command: str, **what) -> dict:
+        self._process.stdin.write(json.dumps({"do": command, **what}).encode() + b"\n")
         self._process.stdin.flush()
         out = json.loads(self._process.stdout.readline() or '{"fault": "the host process has ended"}')
         if "fault" in out:
-            raise RuntimeError(f"{self.role} host: {do}: {out['fault']}")
+            raise RuntimeError(f"{self.role} host: {command}: {out['fault']}")
         return out
 
     def cpu_seconds(self) -> float:
@@ -109,8 +109,8 @@
             h.send_command("open", members=members)
         self._until(lambda: all(h.send_command("look")["ready"] for h in control), READY_LIMIT_SECONDS)
 
-    def _all(self, do) -> list:
-        return list(self._threads.map(do, self.hosts))
+    def _all(self, operation) -> list:
+        return list(self._threads.map(operation, self.hosts))
 
     def _until(self, check, limit: float):
         end = time.monotonic() + limit
--- a/testbed/processes/lightweight_nodes.py
+++ b/testbed/processes/lightweight_nodes.py
@@ -110,8 +110,8 @@
     def __getattr__(self, name):
         return getattr(reactor, name)
 
-    def callLater(self, span, do, *args, **kwargs):
-        return reactor.callLater(span * self._host.pace, do, *args, **kwargs)
+    def callLater(self, delay, callback, *args, **kwargs):
+        return reactor.callLater(delay * self._host.pace, callback, *args, **kwargs)
 
     def connectTCP(self, host, port, factory, timeout=30, bindAddress=None):
         return reactor.connectTCP(host, port, factory, timeout * self._host.pace, bindAddress)
@@ -248,12 +248,14 @@
 
     def lineReceived(self, line):
         what = json.loads(line)
-        spawn(self._do(what)).addCallbacks(self._send_response, lambda f: self._send_response({"fault": repr(f.value)}))
+        spawn(self._execute(what)).addCallbacks(
+            self._send_response, lambda f: self._send_response({"fault": repr(f.value)})
+        )
 
     def _send_response(self, out):
         self.sendLine(json.dumps(out or {}).encode())
 
-    async def _do(self, what: dict):
+    async def _execute(self, what: dict):
         return await getattr(self, "do_" + what.pop("do"))(**what)
 
     async def do_listen(self, spec: dict):
--- a/testbed/standins/clients.py
+++ b/testbed/standins/clients.py
@@ -14,13 +14,13 @@
 class Client:
     """A client that sends requests at a fixed rate, each in a thread of its own; the threads are limited in number."""
 
-    def __init__(self, clients, name, every, do, most=64):
-        self.clients, self.name, self.every, self.do = clients, name, every, do
-        self._slots = threading.Semaphore(most)
+    def __init__(self, clients, name, interval, send, max_threads=64):
+        self.clients, self.name, self.interval, self.send = clients, name, interval, send
+        self._slots = threading.Semaphore(max_threads)
 
     def run(self):
         n = 0
-        while not self.clients.stopped.wait(self.every):
+        while not self.clients.stopped.wait(self.interval):
             n += 1
             if self._slots.acquire(blocking=False):
                 threading.Thread(target=self._one, args=(n,), daemon=True).start()
@@ -29,7 +29,7 @@
 
     def _one(self, n):
         try:
-            self.do(self.clients, f"{self.name}-{n}")
+            self.send(self.clients, f"{self.name}-{n}")
         except Exception as e:
             self.clients.note("caller_failed", caller=self.name, text=repr(e))
         finally:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -25,7 +25,7 @@
 from testbed.simulator.simulation import SimulatedNode, SimulatedRpcEndpoint, Simulation
 from testbed.simulator.virtual_time import NodeReactor
 
-SPAN = 12
+MEASURED_SECONDS = 12
 
 
 class LightweightNode(SimulatedNode):
@@ -69,7 +69,7 @@
         return self.simulated_nodes[name]
 
 
-def counted(simulation, engines: int, load=None) -> Counter:
+def measure_call_rates(simulation, engines: int, load=None) -> Counter:
     """Returns the calls per second and node by role and method, counted once the cluster has settled."""
     simulation.start()
     simulation.ready()
@@ -78,9 +78,9 @@
     simulation.run(6)
     counts: Counter = Counter()
     simulation.watch_calls = lambda sender, method: counts.update([(sender.role, method)])
-    simulation.run(SPAN)
+    simulation.run(MEASURED_SECONDS)
     nodes = Counter(a.role for a in simulation.simulated_nodes.values())
-    return Counter({k: n / SPAN / nodes[k[0]] for k, n in counts.items()})
+    return Counter({k: n / MEASURED_SECONDS / nodes[k[0]] for k, n in counts.items()})
 
 
 class LightweightNodes(unittest.TestCase):
@@ -88,13 +88,13 @@
         simulation = Simulation(3, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
         self.addCleanup(simulation.end)
         simulation.add_engines(SimulatedGateway, SimulatedEngine, engines)
-        return counted(simulation, engines)
+        return measure_call_rates(simulation, engines)
 
     def run_lightweight(self, gateways, engines):
         simulation = LightweightSimulation(3, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
         self.addCleanup(simulation.end)
         host = type("Host", (), {"nodes": simulation.role("gateway")})
-        return counted(simulation, engines, SyntheticLoad(host))
+        return measure_call_rates(simulation, engines, SyntheticLoad(host))
 
     def test_lightweight_gateway_sends_the_same_calls_as_a_real_one(self):
         real, lightweight = self.run_real(6, 4), self.run_lightweight(6, 4)
@@ -117,7 +117,7 @@
         simulation = LightweightSimulation(5, controllers=3, storage_nodes=3, gateways=gateways, placement_groups=2)
         self.addCleanup(simulation.end)
         host = type("Host", (), {"nodes": simulation.role("gateway")})
-        return counted(simulation, engines, SyntheticLoad(host))
+        return measure_call_rates(simulation, engines, SyntheticLoad(host))
 
     def test_calls_per_node_are_bounded_as_the_cluster_grows(self):
         for gateways in (3, 6, 12, 20):
@@ -159,8 +159,8 @@
             hold = timers.wait_at_most
             timers.wait_at_most = lambda d, span: waits.append(span) or hold(d, span)
             simulation.watch_calls = lambda sender, method: method == "controller.follow" and asked.append(method)
-            simulation.run(SPAN)
-            heartbeats = 2 * SPAN * 10
+            simulation.run(MEASURED_SECONDS)
+            heartbeats = 2 * MEASURED_SECONDS * 10
             self.assertLessEqual(len(waits), 1.05 * len(asked) + heartbeats, gateways)
             self.assertLessEqual(len(leader.part.state_delivery.pending_requests), gateways + 3, gateways)
 
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -10,7 +10,7 @@
 PIECES = list(enumerate(response_pieces(PROMPT, 256)))
 
 
-def good():
+def correct_history():
     told = {
         "at": 12,
         "event": "told",
@@ -91,13 +91,13 @@
 
 
 class PlantedViolations(unittest.TestCase):
-    def caught(self, plant, **more) -> list[str]:
-        events, notes = copy.deepcopy(good())
+    def violations(self, plant, **more) -> list[str]:
+        events, notes = copy.deepcopy(correct_history())
         plant(events, notes)
         return check(events, notes, {"e": "zone-a", "f": "zone-b"}, **more)
 
     def test_correct_history_has_no_violations(self):
-        self.assertEqual(self.caught(lambda events, notes: None), [])
+        self.assertEqual(self.violations(lambda events, notes: None), [])
 
     def test_fault_excuses_only_the_nodes_it_affects(self):
         def unread(gateway, bearable):
@@ -108,9 +108,9 @@
 
             return plant
 
-        self.assertTrue(self.caught(unread("other", True)))
-        self.assertEqual(self.caught(unread("g", True)), [])
-        self.assertEqual(self.caught(unread("other", False)), [])
+        self.assertTrue(self.violations(unread("other", True)))
+        self.assertEqual(self.violations(unread("g", True)), [])
+        self.assertEqual(self.violations(unread("other", False)), [])
 
     def test_runs_that_ended_do_not_count_as_concurrent(self):
         def short(ev, no):
@@ -120,7 +120,7 @@
                 )
                 no.append({"at": 70.05 + i, "event": "cut", "engine": "e", "run": f"r{i}"})
 
-        self.assertEqual(self.caught(short, limits={"narrow": (0, 3)}), [])
+        self.assertEqual(self.violations(short, limits={"narrow": (0, 3)}), [])
 
     def test_success_rates_are_checked_without_faults_and_during_one_fault(self):
         def asked(n, good, hurt=False):
@@ -142,7 +142,7 @@
             return plant
 
         def about_cards(plant):
-            return [line for line in self.caught(plant, floors=True) if line.startswith("card")]
+            return [line for line in self.violations(plant, floors=True) if line.startswith("card")]
 
         self.assertEqual(about_cards(asked(40, 40)), [])
         self.assertIn("while no fault was active", about_cards(asked(40, 30))[0])
@@ -185,7 +185,7 @@
 
             return plant
 
-        events, _ = good()
+        events, _ = correct_history()
         read, edit, table = events[2], events[4], events[6]
         plants = {
             "ran 2 times": lambda ev, no: no.append({**no[0], "at": 11.5}),
@@ -246,8 +246,8 @@
         }
         for finding, plant in plants.items():
             with self.subTest(finding):
-                caught = self.caught(plant, limits={"metered": (4.0, 0), "narrow": (0, 3)})
-                self.assertTrue(any(finding in line for line in caught), caught)
+                violations = self.violations(plant, limits={"metered": (4.0, 0), "narrow": (0, 3)})
+                self.assertTrue(any(finding in line for line in violations), violations)
 
 
 if __name__ == "__main__":
--- a/tests/test_interleavings.py
+++ b/tests/test_interleavings.py
@@ -67,7 +67,7 @@
         self.assertGreater(self.explore(), 500)
 
     def test_explorer_finds_a_flush_that_acknowledges_later_appends(self):
-        class Hasty(Segments):
+        class EarlyFlush(Segments):
             def flush(self):
                 tickets = super().flush()
                 with self._lock:
@@ -75,4 +75,4 @@
                 return tickets + late
 
         with self.assertRaises(AssertionError):
-            self.explore(Hasty)
+            self.explore(EarlyFlush)
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -20,11 +20,11 @@
     return chunk("data: " + json.dumps({"id": id, "choices": [{"text": text, "finish_reason": finish}]}) + "\n\n")
 
 
-class _Raw:
+class _RawEngine:
     """An engine that reads a request, sends given bytes and closes; it counts the requests that reached it."""
 
-    def __init__(self, answer: bytes, read=True, hold=False):
-        self.answer, self.read, self.hold = answer, read, hold
+    def __init__(self, response: bytes, read=True, hold=False):
+        self.response, self.read, self.hold = response, read, hold
         self.reached = 0
         self._sock = socket.create_server(("127.0.0.1", 0))
         self.port = self._sock.getsockname()[1]
@@ -40,7 +40,7 @@
             if self.read:
                 c.recv(65536)
                 self.reached += 1
-            c.sendall(self.answer)
+            c.sendall(self.response)
             if self.hold:
                 self._kept.append(c)
             else:
@@ -77,7 +77,7 @@
         )
         self.assertEqual(status, 200, said)
 
-    def ask(self, model, stream=False, repeatable=False, limit_ms=1500):
+    def generate(self, model, stream=False, repeatable=False, limit_ms=1500):
         return self.cluster.call(
             "gateway0",
             "POST",
@@ -85,12 +85,12 @@
             {"model": model, "prompt": "p", "stream": stream, "repeatable": repeatable, "limit_ms": limit_ms},
         )
 
-    def told(self, answer, **more):
-        raw = _Raw(answer, **more)
+    def call_raw_engine(self, response, **more):
+        raw = _RawEngine(response, **more)
         self.addCleanup(raw.close)
         model = f"model{raw.port}"
         self.announce(raw.port, model)
-        status, said, headers = self.ask(model)
+        status, said, headers = self.generate(model)
         return raw, status, said["error"]["outcome"], headers
 
     def test_outcome_of_each_invalid_or_interrupted_response(self):
@@ -128,9 +128,9 @@
             "refused as busy": (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "not_run", 503),
             "refused as invalid": (b"HTTP/1.1 400 No\r\nContent-Length: 3\r\n\r\nbad", "failed", 502),
         }
-        for name, (answer, outcome, code) in cases.items():
+        for name, (response, outcome, code) in cases.items():
             with self.subTest(name):
-                raw, status, results, headers = self.told(answer)
+                raw, status, results, headers = self.call_raw_engine(response)
                 self.assertEqual((status, results), (code, outcome))
                 self.assertEqual(raw.reached, 1)
                 self.assertEqual("Retry-After" in headers, outcome == "not_run")
@@ -138,47 +138,47 @@
     def test_refused_connection_is_not_run(self):
         (port,) = free_ports(1)
         self.announce(port, "nobody")
-        status, said, headers = self.ask("nobody")
+        status, said, headers = self.generate("nobody")
         self.assertEqual((status, said["error"]["outcome"], headers["Retry-After"]), (503, "not_run", "1"))
 
     def test_request_to_a_hanging_engine_ends_at_its_deadline_with_an_unknown_outcome(self):
-        raw, status, results, _ = self.told(b"", hold=True)
+        raw, status, results, _ = self.call_raw_engine(b"", hold=True)
         self.assertEqual((raw.reached, status, results), (1, 504, "unknown"))
 
     def test_only_a_repeatable_request_is_retried_at_a_second_engine(self):
         for repeatable in (False, True):
             model = f"two-{repeatable}"
-            bad = _Raw(b"")
-            good = _Raw(HEAD + piece("whole") + chunk("data: [DONE]\n\n") + b"0\r\n\r\n")
+            bad = _RawEngine(b"")
+            good = _RawEngine(HEAD + piece("whole") + chunk("data: [DONE]\n\n") + b"0\r\n\r\n")
             self.addCleanup(bad.close)
             self.addCleanup(good.close)
             self.announce(bad.port, model)
             if not repeatable:
-                got = self.ask(model)
+                got = self.generate(model)
                 self.assertEqual((got[0], bad.reached), (502, 1))
                 continue
             self.announce(good.port, model)
             for _ in range(40):
-                got = self.ask(model, repeatable=True)
+                got = self.generate(model, repeatable=True)
                 self.assertEqual((got[0], got[1].get("text")), (200, "whole"))
                 if bad.reached:
                     break
             self.assertEqual((bad.reached, good.reached > 0), (1, True))
 
     def test_attempt_with_an_unknown_outcome_prevails_over_a_later_refused_one(self):
-        bad = _Raw(b"")
-        busy = _Raw(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+        bad = _RawEngine(b"")
+        busy = _RawEngine(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         for raw in (bad, busy):
             self.addCleanup(raw.close)
             self.announce(raw.port, "both")
         for _ in range(6):
             reached = bad.reached
-            status, said, _ = self.ask("both", repeatable=True)
+            status, said, _ = self.generate("both", repeatable=True)
             self.assertNotEqual(status, 200)
             self.assertEqual(said["error"]["outcome"], "unknown" if bad.reached > reached else "not_run")
 
     def test_interrupted_stream_ends_with_a_fault_and_without_an_end_record(self):
-        raw = _Raw(HEAD + piece("a") + piece("b"))
+        raw = _RawEngine(HEAD + piece("a") + piece("b"))
         self.addCleanup(raw.close)
         self.announce(raw.port, "cut")
         c = socket.create_connection(("127.0.0.1", self.cluster.programs["gateway0"].ports[1]), timeout=5)
@@ -194,7 +194,7 @@
         self.assertFalse(data.endswith(b"0\r\n\r\n"), "the body ends as if it were complete")
 
     def test_run_resumes_at_the_given_position_and_other_positions_or_runs_are_refused(self):
-        raw = _Raw(HEAD + piece("a") + piece("b"), hold=True)
+        raw = _RawEngine(HEAD + piece("a") + piece("b"), hold=True)
         self.addCleanup(raw.close)
         self.announce(raw.port, "resumed")
         c = socket.create_connection(("127.0.0.1", self.cluster.programs["gateway0"].ports[1]), timeout=5)
--- a/tests/test_process_cluster.py
+++ b/tests/test_process_cluster.py
@@ -19,11 +19,11 @@
 class _Listener(BaseHTTPRequestHandler):
     """Receives CloudEvents, as an operator's endpoint would."""
 
-    told: list = []
+    received: list = []
 
     def do_POST(self):
         body = self.rfile.read(int(self.headers["Content-Length"]))
-        self.told.append(from_structured(HTTPMessage(dict(self.headers), body), JSONFormat()))
+        self.received.append(from_structured(HTTPMessage(dict(self.headers), body), JSONFormat()))
         self.send_response(204)
         self.end_headers()
 
@@ -101,15 +101,15 @@
             "gateway0", "POST", "/v1/lots", {"items": [{"model": "pipit-small", "prompt": "told"}]}
         )[1]["lot"]
 
-        def told(kind):
-            return [e for e in _Listener.told if e.get_type() == f"pipitlink.{kind}"]
+        def received(kind):
+            return [e for e in _Listener.received if e.get_type() == f"pipitlink.{kind}"]
 
         done = wait_for(
-            lambda: [e for e in told("lot_done") if e.get_data()["lot"] == batch], 20, "its end is published"
+            lambda: [e for e in received("lot_done") if e.get_data()["lot"] == batch], 20, "its end is published"
         )
         self.assertEqual(len(done), 1)
         self.assertTrue(done[0].get_source().startswith("/pipit/zone-"))
-        self.assertTrue(told("engine") and told("cluster") and told("leading"))
+        self.assertTrue(received("engine") and received("cluster") and received("leading"))
 
     def test_invalid_requests_are_refused_with_the_name_of_the_field(self):
         for body, field in (
