--- a/pipitlink/controller/placement_planner.py
+++ b/pipitlink/controller/placement_planner.py
@@ -19,7 +19,7 @@
 
 MAX_CONCURRENT_CHANGES = 16
 """Maximum number of placement groups that change their storage nodes at the same time."""
-MAX_CAUGHT_UP = 10_000
+MAX_CAUGHT_UP_REPORTS = 10_000
 
 
 @attrs.frozen
@@ -68,7 +68,7 @@
     def add_caught_up(self, replica: CaughtUpReplica) -> None:
         """Records a storage node's report. All reports are dropped if there are too many; storage nodes repeat them."""
         self._caught_up.add(replica)
-        if len(self._caught_up) > MAX_CAUGHT_UP:
+        if len(self._caught_up) > MAX_CAUGHT_UP_REPORTS:
             self._caught_up.clear()
 
     def initial_groups(self, storage_nodes: list[str], replicas: int) -> list[PlacementGroupRow]:
--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -29,11 +29,11 @@
 CONTACT_CHECK_INTERVAL = ms(50)
 EFFECT_CHECK_INTERVAL = ms(50)
 FOLLOWER_RETENTION = secs(60)
-DISK_USE_LIMIT = 0.9
+MAX_DISK_USE_FRACTION = 0.9
 DISK_BYTES_PER_EDIT_BYTE = 3
 """An edit is written as an entry, and may be written again in a snapshot while the previous snapshot still exists."""
 MAX_DELTAS = 4096
-MAX_TRANSFER_LAG = 50
+MAX_TRANSFER_LAG_ENTRIES = 50
 MAX_TRANSFERS = 4
 MEGABYTE = 1024 * 1024
 
@@ -176,7 +176,7 @@
         continued = next((transfer for transfer in transfers if transfer.matches(received)), None)
         if continued is None:
             newest = self._consensus.cluster_state
-            if not transfers or newest.sequence - transfers[-1].sequence > MAX_TRANSFER_LAG:
+            if not transfers or newest.sequence - transfers[-1].sequence > MAX_TRANSFER_LAG_ENTRIES:
                 transfers.append(StateTransfer.compress(newest, self._consensus.term))
             continued = transfers[-1]
         self._transfers = transfers[-MAX_TRANSFERS:]
@@ -261,7 +261,7 @@
 
     def _require_disk_space(self, command: Command) -> None:
         needed_bytes = self._durable_log.used_bytes() + DISK_BYTES_PER_EDIT_BYTE * command.ByteSize()
-        if needed_bytes > self._ctx.settings.budget_mb * MEGABYTE * DISK_USE_LIMIT:
+        if needed_bytes > self._ctx.settings.budget_mb * MEGABYTE * MAX_DISK_USE_FRACTION:
             raise StorageFull("the controller's data folder has no room for this edit", sent=False)
 
     async def _wait_for_effect(self, sequence: int, deadline: timedelta) -> None:
--- a/pipitlink/controller/voter_changes.py
+++ b/pipitlink/controller/voter_changes.py
@@ -17,7 +17,7 @@
 Voters = tuple[str, ...]
 
 MAX_RESPONSE_AGE = secs(1)
-MAX_CAUGHT_UP_LAG = 50
+MAX_CAUGHT_UP_LAG_ENTRIES = 50
 NO_MATCH_INDEX = -1
 LOSS_TIMEOUTS = {"gone": secs(1), "unknown": secs(2), "suspect": secs(3)}
 """How long a voter must be silent before it is replaced, by its status in the membership."""
@@ -76,7 +76,7 @@
         match_index = self._leader_log.match_index(node)
         if match_index is None:
             match_index = NO_MATCH_INDEX
-        return match_index >= self._consensus.commit_index - MAX_CAUGHT_UP_LAG
+        return match_index >= self._consensus.commit_index - MAX_CAUGHT_UP_LAG_ENTRIES
 
     def _is_lost(self, voter: str) -> bool:
         status = self._ctx.membership.status(voter)
--- a/tests/test_config_faults.py
+++ b/tests/test_config_faults.py
@@ -9,7 +9,7 @@
 from .control_calls import Caller, config_of, route_of
 
 SEEDS = seeds(3)
-IN_EFFECT = 2.0
+IN_EFFECT_S = 2.0
 
 
 class _Operators:
@@ -70,7 +70,7 @@
 
     def check_gateways(self):
         now = self.simulation.clock.seconds()
-        min_version = max((v for at, v in self.acked if now - at > IN_EFFECT), default=0)
+        min_version = max((v for at, v in self.acked if now - at > IN_EFFECT_S), default=0)
         for a in self.simulation.role("gateway", alive=True):
             applied = a.ctx.cluster.cluster_state.routes.version
             if a.ctx.cluster.ready() and applied < min_version:
--- a/tests/test_currency_interleavings.py
+++ b/tests/test_currency_interleavings.py
@@ -22,7 +22,7 @@
 )
 from pipitlink.wire.controller_pb2 import ControllerEntry, Snapshot
 
-TICK = 0.5
+TICK_S = 0.5
 BASE = ClusterStateData(sequence=1, placement_groups=[PlacementGroupRow(number=0, sequence=1, storage_nodes=["d"])])
 EDIT = Command(table=TableEdit(base=0, upserts=[Row(name="r", model="m")]))
 
@@ -94,7 +94,7 @@
         self.acknowledged = False
 
     def tick(self):
-        self.ctx.now += TICK
+        self.ctx.now += TICK_S
 
     def send(self):
         self.asked_at = self.ctx.timers.now()
@@ -172,8 +172,8 @@
                 self.explore(False, (("send", "respond", "apply_response"), ("commit", "acknowledge"), ("tick",) * 2))
 
     def test_majorities_of_witnesses_intersect_across_one_change(self):
-        """A majority of the storage nodes shares a node with any majority of the set before or after one change, so a
-        gateway's poll always includes a witness with the newest acknowledged edit.
+        """A majority of the storage nodes intersects any majority of the set before or after one change, whichever of
+        the two has the edit.
         """
         storage_nodes = "abcd"
         for change in (set(storage_nodes), set("abc"), set("abcde")):
--- a/tests/test_simulated_controllers.py
+++ b/tests/test_simulated_controllers.py
@@ -13,7 +13,7 @@
 from testbed.simulator.simulation import Simulation
 
 SEEDS = seeds(4)
-IN_EFFECT = 2.0
+IN_EFFECT_S = 2.0
 
 
 def edit_of(name, base, text):
@@ -64,12 +64,12 @@
     def check_gateways(self):
         """Every gateway that would admit work now must have all edits acknowledged more than two seconds ago."""
         now = self.simulation.clock.seconds()
-        old = max((seq for at, seq, _ in self.acked if now - at > IN_EFFECT), default=0)
+        min_sequence = max((seq for at, seq, _ in self.acked if now - at > IN_EFFECT_S), default=0)
         for a in self.simulation.role("gateway", alive=True):
             cluster = a.ctx.cluster
-            if cluster.ready() and cluster.cluster_state.table_sequence < old:
+            if cluster.ready() and cluster.cluster_state.table_sequence < min_sequence:
                 self.faults.append(
-                    f"{a.name} admits work at table {cluster.cluster_state.table_sequence}, {old} is in effect, {now}"
+                    f"{a.name} admits work at table {cluster.cluster_state.table_sequence}, {min_sequence} is in effect, {now}"
                 )
 
 
