--- a/tests/test_simulated_controllers.py
+++ b/tests/test_simulated_controllers.py
@@ -69,7 +69,7 @@
             cluster = a.ctx.cluster
             if cluster.ready() and cluster.cluster_state.table_sequence < min_sequence:
                 self.faults.append(
-                    f"{a.name} admits work at table {cluster.cluster_state.table_sequence}, {min_sequence} is in effect, {now}"
+                    f"{a.name} admits at {cluster.cluster_state.table_sequence}, {min_sequence} is in effect, {now}"
                 )
 
 
