--- a/pipitlink/cache/log_writer.py
+++ b/pipitlink/cache/log_writer.py
@@ -85,7 +85,7 @@
         writes = [spawn(self._write_serialized(number)) for number in {first, last}]
         for number in range(first + 1, last):
             if len(writes) % MAX_WRITES_PER_TURN == 0:
-                await self._ctx.timers.next_turn()
+                await self._ctx.timers.yield_to_reactor()
             writes.append(spawn(self._write(number)))
         await defer.gatherResults(writes)
         await self._advance_cached_length()
--- a/pipitlink/controller/control_api.py
+++ b/pipitlink/controller/control_api.py
@@ -175,7 +175,7 @@
         self._port, bound_port = await listen(self._ctx.reactor, Site(app.resource(), MAX_BODY_BYTES), host, port)
         return int(bound_port)
 
-    async def end(self) -> None:
+    async def close(self) -> None:
         """Stops listening; open connections continue."""
         if self._port is not None:
             await self._port.stopListening()
--- a/pipitlink/controller/node.py
+++ b/pipitlink/controller/node.py
@@ -177,7 +177,7 @@
         """Closes the files."""
         self.durable_log.close()
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Steps down and leaves the membership."""
         if self.consensus.is_leader:
             self.consensus.step_down()
--- a/pipitlink/gateway/item_dispatcher.py
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -86,7 +86,7 @@
 
     async def _dispatch_in_turns(self) -> None:
         while self._start_items() == MAX_STARTS_PER_TURN:
-            await self._ctx.timers.next_turn()
+            await self._ctx.timers.yield_to_reactor()
 
     def _start_items(self) -> int:
         """Starts items while there are free slots, at most MAX_STARTS_PER_TURN; returns how many were started."""
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -203,7 +203,7 @@
         name = "pipitlink_first_piece_seconds"
         return [self.table.first_chunk_latency.family(name, "From a live request's arrival to its first piece")]
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Shuts down gracefully: rejects new requests, waits for running ones and releases the leases."""
         self.serving.draining = True
         if self._port is not None:
--- a/pipitlink/node_interfaces.py
+++ b/pipitlink/node_interfaces.py
@@ -27,7 +27,7 @@
     def open(self) -> None:
         """Recovers the state on disk, registers RPC handlers and starts timers. Raises CorruptData."""
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Shuts down gracefully: hands over leases and leaves the membership."""
 
     def readiness(self) -> tuple[bool, dict[str, Any]]:
--- a/pipitlink/operator.py
+++ b/pipitlink/operator.py
@@ -36,7 +36,7 @@
         self._listening_port, bound_port = await listen(self._ctx.reactor, site, host, port)
         return bound_port
 
-    async def end(self) -> None:
+    async def close(self) -> None:
         """Stops listening."""
         if self._listening_port is not None:
             await self._listening_port.stopListening()
@@ -58,7 +58,7 @@
         return app.resource()
 
     def _show_not_found(self, request: Request, path: str) -> bytes:
-        return send_error(request, NotFound(f"nothing is at /{path}", code="no_such_path"))
+        return send_error(request, NotFound(f"no resource at /{path}", code="no_such_path"))
 
     def _show_state(self, request: Request) -> bytes:
         from .node_report import reported_state_of
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -224,18 +224,18 @@
 
     async def _close(self) -> None:
         if self.node is not None:
-            await self.node.end()
+            await self.node.shut_down()
         if self._operator_server is None:
             raise RuntimeError("shutdown was requested before start-up was complete")
-        await self._operator_server.end()
+        await self._operator_server.close()
         if self._control_server is not None:
-            await self._control_server.end()
+            await self._control_server.close()
         self.ctx.timers.stop()
         await self.ctx.rpc.close()
 
     def reload_settings(self) -> None:
         """Reads the settings again and applies changed seeds. Other changes take effect at the next start only."""
-        assert self._read_settings is not None  # called only by timers and signals set up with a reader
+        assert self._read_settings is not None  # only called if a reader was given
         try:
             settings = self._read_settings()
         except SettingsError as error:
--- a/pipitlink/router/batch_scheduler.py
+++ b/pipitlink/router/batch_scheduler.py
@@ -114,7 +114,7 @@
         while not self._ctx.timers.stopped:
             outcome = self._start_items_safely()
             if outcome == _RoundOutcome.TURN_LIMIT_REACHED:
-                await self._ctx.timers.next_turn()
+                await self._ctx.timers.yield_to_reactor()
                 continue
             wake: defer.Deferred[None] = defer.Deferred()
             self._wake = wake
--- a/pipitlink/router/node.py
+++ b/pipitlink/router/node.py
@@ -115,7 +115,7 @@
         metrics.update(self.batches.table.metrics())
         return metrics
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Drains: not ready at once, new requests are served a while, what runs may end, leases are handed over."""
         self._is_draining = True
         settings = self._ctx.settings
--- a/pipitlink/storage/node.py
+++ b/pipitlink/storage/node.py
@@ -116,7 +116,7 @@
             "logs": ("Logs kept", len(self.log_store.logs)),
         }
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Leaves the membership and closes the files."""
         await self._ctx.membership.leave()
         self.close()
--- a/pipitlink/timers.py
+++ b/pipitlink/timers.py
@@ -22,7 +22,7 @@
     "ErrorReporter",
     "RepeatingCall",
     "SingleFlight",
-    "TURN_PAUSE",
+    "YIELD_DELAY",
     "Timers",
     "ZERO",
     "ms",
@@ -36,7 +36,7 @@
 
 ZERO = timedelta(0)
 # Short enough to be negligible, and long enough for data that was written before to be sent.
-TURN_PAUSE = timedelta(milliseconds=1)
+YIELD_DELAY = timedelta(milliseconds=1)
 
 
 def ms(n: float) -> timedelta:
@@ -125,12 +125,12 @@
         timer = self.call_later(duration, done.callback, None)
         return done
 
-    def next_turn(self) -> defer.Deferred[None]:
+    def yield_to_reactor(self) -> defer.Deferred[None]:
         """Returns a Deferred that fires in a later iteration of the reactor.
 
         Long work awaits it between its parts, so that the reactor can send responses and handle requests in between.
         """
-        return self.sleep(TURN_PAUSE)
+        return self.sleep(YIELD_DELAY)
 
     async def wait_at_most(self, event: defer.Deferred[None], timeout: timedelta) -> None:
         """Waits until a Deferred fires; fires it with None if it has not fired when the timeout expires."""
--- a/pipitlink/web.py
+++ b/pipitlink/web.py
@@ -57,14 +57,14 @@
     channel: Any
     """An HTTPChannel, whose `site` is a Site of this module."""
 
-    def gotLength(self, length: int | None) -> None:  # noqa: N802 - twisted's interface
+    def gotLength(self, length: int | None) -> None:  # noqa: N802 - Twisted's interface
         """Receives the body's length in bytes, or None if the request does not state it."""
         if length is not None and length > self.channel.site.max_body_bytes:
             self._reject_body()
             return
         server.Request.gotLength(self, length)
 
-    def handleContentChunk(self, data: bytes) -> None:  # noqa: N802 - twisted's interface
+    def handleContentChunk(self, data: bytes) -> None:  # noqa: N802 - Twisted's interface
         """Receives a part of the body."""
         if self.content is None:
             return
@@ -109,7 +109,7 @@
 class LazyResource(resource.Resource):
     """A resource that is built at its first request, since most processes never receive one."""
 
-    isLeaf = True  # noqa: N815 - twisted's interface
+    isLeaf = True  # noqa: N815 - Twisted's interface
 
     def __init__(self, build: Callable[[], resource.Resource]) -> None:
         resource.Resource.__init__(self)
@@ -117,14 +117,14 @@
         self._resource: resource.Resource | None = None
 
     def render(self, request: server.Request) -> Any:
-        """Passes the request on to the resource, and returns what that one's `render` returns."""
+        """Passes the request to the built resource and returns the result of its `render`."""
         if self._resource is None:
             self._resource = self._build()
         return self._resource.render(request)
 
 
 async def listen(reactor: Any, site: Site, host: str, port: int) -> tuple[ListeningPort, int]:
-    """Binds an HTTP site and returns the listening port object and the port's number. Raises CannotListenError."""
+    """Binds an HTTP site and returns the listening port object and the port number. Raises CannotListenError."""
     from twisted.internet.endpoints import TCP4ServerEndpoint
 
     endpoint = TCP4ServerEndpoint(reactor, port, backlog=LISTEN_BACKLOG, interface=host)
@@ -213,7 +213,7 @@
     if failure.check(defer.CancelledError):
         return b""
     error = failure.value
-    assert error is not None  # a failure always has one
+    assert error is not None  # a Failure always has an exception
     if not hasattr(error, "code"):
         owner._ctx.logger.failure("request_failed", error, path=request.path.decode("utf-8", "replace"))
     if request.startedWriting:
--- a/tests/loss_simulation.py
+++ b/tests/loss_simulation.py
@@ -176,7 +176,7 @@
         elif kind == "planned":
             self.add_successor(simulated_node)
             self.run(0.3)
-            spawn(simulated_node.part.end())
+            spawn(simulated_node.part.shut_down())
             self.run(0.1)
             simulated_node.kill()
         elif kind == "frozen":
--- a/tests/test_gateway_components.py
+++ b/tests/test_gateway_components.py
@@ -24,7 +24,7 @@
 from pipitlink.gateway.retry_after import RetryAfterEstimator
 from pipitlink.gateway.retry_policy import RetryBudget
 from pipitlink.settings import ROLES, Settings, read_settings
-from pipitlink.timers import TURN_PAUSE, Timers, secs, spawn, wall_ms
+from pipitlink.timers import YIELD_DELAY, Timers, secs, spawn, wall_ms
 from pipitlink.wire.cluster_pb2 import Row
 from pipitlink.wire.lots_pb2 import Item, Lot
 
@@ -300,7 +300,7 @@
         """Starts items, over as many reactor turns as needed, until no more can be started."""
         dispatched = self.dispatcher.dispatch()
         while not dispatched.called:
-            self.clock.advance(TURN_PAUSE.total_seconds())
+            self.clock.advance(YIELD_DELAY.total_seconds())
 
     def add_batch(self, name, customer, items, due_s, priority=0):
         wall = wall_ms(self.timers.utc_now())
@@ -341,7 +341,7 @@
         gateway.dispatcher.dispatch()
         started = [len(gateway.started)]
         for _ in range(4):
-            gateway.clock.advance(TURN_PAUSE.total_seconds())
+            gateway.clock.advance(YIELD_DELAY.total_seconds())
             started.append(len(gateway.started))
         self.assertEqual(started, [4, 8, 12, 12, 12])
 
--- a/tests/test_simulated_cache.py
+++ b/tests/test_simulated_cache.py
@@ -9,7 +9,7 @@
 from pipitlink.cache.log_writer import MAX_WRITES_PER_TURN, WRITE_DELAY, LogCacheWriter
 from pipitlink.cache.stores import DataStore, LengthStore
 from pipitlink.structured_log import StructuredLogger
-from pipitlink.timers import TURN_PAUSE, Timers, ms, secs, spawn
+from pipitlink.timers import YIELD_DELAY, Timers, ms, secs, spawn
 from pipitlink.wire.cache_pb2 import Lengths
 from testbed.simulator.simulation import Simulation
 
@@ -130,7 +130,7 @@
         self.grow(20 * CHUNK_BYTES)
         begun = [len(self.cache.waiting)]
         while len(self.cache.waiting) < 20:
-            self.ctx.clock.advance(TURN_PAUSE.total_seconds())
+            self.ctx.clock.advance(YIELD_DELAY.total_seconds())
             begun.append(len(self.cache.waiting))
         self.assertLessEqual(max(b - a for a, b in zip([0, *begun], begun, strict=False)), MAX_WRITES_PER_TURN)
 
