--- a/pipitlink/errors.py
+++ b/pipitlink/errors.py
@@ -52,7 +52,7 @@
 
 
 class ExecutionOutcome(StrEnum):
-    """Whether a failed request was executed, as reported to clients."""
+    """Whether a failed request was run, as reported to clients."""
 
     NOT_RUN = "not_run"
     FAILED = "failed"
@@ -158,7 +158,7 @@
 
 
 class LeaseNotHeld(ReplicatedLogError):
-    """This process does not hold the log's lease. `leaseholder` is the node that does, if known."""
+    """This process does not or no longer hold the log's lease. `leaseholder` is the node that does, if known."""
 
     code = "not_held"
 
--- a/pipitlink/settings.py
+++ b/pipitlink/settings.py
@@ -119,7 +119,7 @@
     name: str = attrs.field(default="", validator=_check_optional_name)
     zone: str = attrs.field(default="zone-a", validator=_check_name)
     bind: str = attrs.field(default="127.0.0.1", validator=_check_ip)
-    # The address that peers connect to, needed if `bind` is a wildcard.
+    # The address that peers connect to, if it is not `bind`; required if `bind` is a wildcard.
     advertise: str = attrs.field(default="", converter=_text_or_empty, validator=_check_optional_ip)
     port: int = attrs.field(default=0, validator=_check_port)
     http_port: int = attrs.field(default=0, validator=_check_port)
