--- a/pipitlink/router/node.py
+++ b/pipitlink/router/node.py
@@ -115,7 +115,7 @@
         metrics.update(self.batches.table.metrics())
         return metrics
 
-    async def end(self) -> None:
+    async def shut_down(self) -> None:
         """Drains the gateway and leaves the cluster.
 
         It reports itself as not ready immediately, accepts new requests for a time, lets running requests finish, and
