--- a/testbed/benchmarks/soak.py
+++ b/testbed/benchmarks/soak.py
@@ -94,14 +94,14 @@
         n, running = 0, []
         while time.monotonic() < end:
             n += 1
-            c = Random(f"{self.seed}/{n}")
-            names, inject = getattr(self, "plan_" + c.choice(self.faults))(c)
+            rng = Random(f"{self.seed}/{n}")
+            names, inject = getattr(self, "plan_" + rng.choice(self.faults))(rng)
             if not self._claim(n, names, end):
                 continue
             t = threading.Thread(target=self._run, args=(n, inject), daemon=True)
             t.start()
             running.append(t)
-            self.clients.stopped.wait(0.2 + 2 * c.random() if n % 4 else 8)
+            self.clients.stopped.wait(0.2 + 2 * rng.random() if n % 4 else 8)
         for t in running:
             t.join(150)
 
@@ -127,9 +127,9 @@
     def _is_tolerable(self, names) -> bool:
         """Whether the cluster tolerates a fault of these nodes beside the active ones.
 
-        At most half of the gateways, of the engines and of the card servers may be affected, and controllers and
-        storage nodes in one zone only. Beside a fault of the network or of placement ("core"), no other fault is
-        tolerated if either affects controllers or storage nodes.
+        At most half of the gateways, of the engines and of the card servers may be affected. Controllers and storage
+        nodes may be affected in one zone only, except by a single fault of the network or of placement ("core"), which
+        excludes all other faults if any of them affects controllers or storage nodes.
         """
         have = [x for xs in self._claims.values() for x in xs]
         both = have + names
--- a/testbed/checks/checker.py
+++ b/testbed/checks/checker.py
@@ -3,7 +3,7 @@
 from collections import Counter, defaultdict
 
 from ..standins.engine import card_bytes, response_pieces
-from .cluster_checks import check_cluster, check_engines, check_floors
+from .cluster_checks import check_cluster, check_engines, check_success_rates
 from .downtime import SLACK_SECONDS, Downtimes
 
 __all__ = ["check"]
@@ -40,7 +40,7 @@
     check_engines(events, notes, zones, capacity, limits or {}, downtimes, violations)
     check_cluster(events, notes, downtimes, violations)
     if floors:
-        check_floors(events, downtimes, violations)
+        check_success_rates(events, downtimes, violations)
     return violations
 
 
@@ -58,7 +58,7 @@
         if [n for n, _ in e["pieces"]] != list(range(len(e["pieces"]))):
             violations.append(f"{prompt}: pieces out of order or repeated: {[n for n, _ in e['pieces']]}")
         if [t for _, t in e["pieces"]] != expected[: len(e["pieces"])]:
-            violations.append(f"{prompt}: the pieces differ from the engine's response")
+            violations.append(f"{prompt}: not the engine's own response")
         if e["end"] and len(e["pieces"]) != len(expected):
             violations.append(f"{prompt}: reported as complete after {len(e['pieces'])} of {len(expected)} pieces")
         if e["end"] and e["fault"]:
@@ -136,7 +136,7 @@
         for item, outcome, text in shown[batch].values():
             prompt = e["prompts"][item]
             if outcome == "done" and text != "".join(response_pieces(prompt, 256)):
-                violations.append(f"lot {batch} item {item}: the text differs from the engine's response")
+                violations.append(f"lot {batch} item {item}: not the engine's own response")
             if outcome == "not_run" and runs.get(prompt):
                 violations.append(f"lot {batch} item {item}: listed as not_run and ran")
             if outcome == "done" and not runs.get(prompt):
@@ -169,14 +169,16 @@
 
 def _check_monotonic_reads(batch, es, violations):
     """Checks that results shown to one client are shown to every client that reads a second later."""
-    most = 0
+    max_shown = 0
     at = 0.0
     for e in sorted((e for e in es if e["status"] == 200), key=lambda e: e["asked"]):
-        have = e["start"] + len(e["results"])
-        if have < most and e["asked"] > at + 1 + SLACK_SECONDS:
-            violations.append(f"lot {batch}: {most} results were shown at {at:.2f}, {have} at {e['asked']:.2f}")
-        if have > most:
-            most, at = have, e["at"]
+        shown_count = e["start"] + len(e["results"])
+        if shown_count < max_shown and e["asked"] > at + 1 + SLACK_SECONDS:
+            violations.append(
+                f"lot {batch}: {max_shown} results were shown at {at:.2f}, {shown_count} at {e['asked']:.2f}"
+            )
+        if shown_count > max_shown:
+            max_shown, at = shown_count, e["at"]
 
 
 def _check_cancelled(batch, e, at, notes, violations):
--- a/testbed/checks/cluster_checks.py
+++ b/testbed/checks/cluster_checks.py
@@ -4,13 +4,14 @@
 
 from .downtime import SLACK_SECONDS
 
-__all__ = ["check_engines", "check_cluster", "check_floors", "FLOORS"]
+__all__ = ["check_engines", "check_cluster", "check_success_rates", "MIN_SUCCESS_RATES"]
 
 RAMP_SECONDS = 8.0
 RAMP_EXTRA_RUNS = 2
 QUIET_BEFORE_SECONDS = 3.0
 END_NOTICE_SECONDS = 0.1
-FLOORS = {
+# The success rates that are required without faults and during one fault.
+MIN_SUCCESS_RATES = {
     "live": (0.97, 0.6),
     "again": (0.97, 0.7),
     "resumed": (0.9, 0.4),
@@ -26,8 +27,8 @@
     _check_draining_engines(notes, violations)
     _check_emptied_zones(events, notes, zones, violations)
     _check_slow_start(notes, capacity, violations)
-    for model, (rate, most) in limits.items():
-        _check_limits(model, rate, most, notes, downtimes, violations)
+    for model, (rate, max_runs) in limits.items():
+        _check_limits(model, rate, max_runs, notes, downtimes, violations)
 
 
 def _check_draining_engines(notes, violations):
@@ -96,7 +97,7 @@
                 )
 
 
-def _check_limits(model, rate, most, notes, downtimes, violations):
+def _check_limits(model, rate, max_runs, notes, downtimes, violations):
     """Checks that the engines together never exceed the rate and concurrency of a row."""
     starts = [n["at"] for n in notes if n["event"] == "run" and n.get("model") == model]
     if rate:
@@ -120,9 +121,9 @@
     for n in seen:
         if n["event"] == "run" and n.get("model") == model:
             running[n["run"]] = n["engine"]
-            sure = [e for e in running.values() if not downtimes.is_affected(n["at"], n["at"], e)]
-            if most and len(sure) > most:
-                violations.append(f"{model}: {len(sure)} at once where {most} are allowed, at {n['at']:.2f}")
+            certain = [e for e in running.values() if not downtimes.is_affected(n["at"], n["at"], e)]
+            if max_runs and len(certain) > max_runs:
+                violations.append(f"{model}: {len(certain)} at once where {max_runs} are allowed, at {n['at']:.2f}")
                 return
         elif n["event"] in ("done", "left", "cut"):
             running.pop(n["run"], None)
@@ -267,7 +268,7 @@
             yield "edit", e["status"] == 200, e
 
 
-def check_floors(events, downtimes, violations):
+def check_success_rates(events, downtimes, violations):
     """Checks the success rate of each kind of request without faults and during a single tolerable fault."""
     counts = defaultdict(lambda: [0, 0])
     for kind, good, e in _served_by_kind(events):
@@ -275,7 +276,7 @@
         if n < 2 and not downtimes.exceeds_tolerance(e["asked"], e["at"]):
             counts[kind, n][0] += good
             counts[kind, n][1] += 1
-    for kind, floors in FLOORS.items():
+    for kind, floors in MIN_SUCCESS_RATES.items():
         for n, floor in enumerate(floors):
             good, every = counts[kind, n]
             if n == 0 and every < MIN_REQUESTS and any(k == kind for k, _ in counts):
--- a/testbed/simulator/simulated_clients.py
+++ b/testbed/simulator/simulated_clients.py
@@ -42,7 +42,7 @@
         """Returns the response or the error; a timeout stands for a killed or frozen gateway, which sends neither."""
         chosen = gateway or self._gateway()
         if chosen is None:
-            return None, ApiError("nobody is there", code="dropped", outcome="unknown")
+            return None, ApiError("no gateway is running", code="dropped", outcome="unknown")
         try:
             return await self.timers.with_timeout(secs(limit), send(chosen.part)), None
         except ApiError as error:
--- a/testbed/simulator/simulated_engine.py
+++ b/testbed/simulator/simulated_engine.py
@@ -126,7 +126,7 @@
 
     def _begin(self, run: str, request: Any, call: _Call, chunks: list[str]) -> None:
         if not self.alive:
-            self._end(run, "lost", call, EngineError("no answer came", code="lost"))
+            self._end(run, "lost", call, EngineError("no response was received", code="lost"))
             return
         if call.called:
             return
--- a/testbed/simulator/simulation.py
+++ b/testbed/simulator/simulation.py
@@ -71,7 +71,7 @@
     async def dispatch(self, node: str, method: str, body: bytes) -> bytes:
         """Handles one call and returns the serialized response; raises UnknownMethod if there is no handler."""
         if method not in self._handlers:
-            raise UnknownMethod(f"no such call here: {method}")
+            raise UnknownMethod(f"unknown method: {method}")
         request_type, handler = self._handlers[method]
         response = await handler(node, request_type.FromString(body))
         return (Empty() if response is None else response).SerializeToString()
@@ -364,7 +364,7 @@
         response: defer.Deferred[Any] = defer.Deferred()
         if receiver is None:
             call = _CallInFlight(self, sender, sender, response)
-            unreachable = ConnectionFailed("nobody is there", sent=False)
+            unreachable = ConnectionFailed("no node is running at this address", sent=False)
             self.clock.callLater(self._delay(), call.finish, unreachable)
         elif (sender.name, receiver.name) not in self.blocked_links:
             call = _CallInFlight(self, sender, receiver, response)
@@ -457,7 +457,7 @@
     def arrive(self, method: str, body: bytes, node: str) -> None:
         """Delivers the request to its receiver, or fails the call if the receiver has stopped meanwhile."""
         if not self._receiver.alive:
-            self.finish(ConnectionFailed("the peer ended", sent=True))
+            self.finish(ConnectionFailed("the peer stopped", sent=True))
             return
         self._receiver.clock.callLater(0, self._serve, method, body, node)
 
--- a/tests/guard_scenarios.py
+++ b/tests/guard_scenarios.py
@@ -69,7 +69,7 @@
     def send_live(self, n=1, repeatable=False):
         for i in range(n):
             self.clients._sent += 1
-            self.simulation.do(self.clients._one_live(f"live{self.clients._sent}", repeatable), 10)
+            self.simulation.do(self.clients._send_live_request(f"live{self.clients._sent}", repeatable), 10)
 
     def edit(self, command):
         return self.simulation.do(self.simulation.leader().part.state_delivery.edit(command), 10, "an edit")
@@ -140,7 +140,7 @@
         before = len(scenario.engine_runs())
         result = []
         scenario.clients._sent += 1
-        spawn(scenario.clients._one_live(f"live{scenario.clients._sent}", True)).addBoth(result.append)
+        spawn(scenario.clients._send_live_request(f"live{scenario.clients._sent}", True)).addBoth(result.append)
         scenario.simulation.until(
             lambda: len(scenario.engine_runs()) > before or result, 10, "the request runs or has ended"
         )
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -190,7 +190,7 @@
         plants = {
             "ran 2 times": lambda ev, no: no.append({**no[0], "at": 11.5}),
             "told not_run": fault("not_run"),
-            "pieces differ from the engine's response": lambda ev, no: ev[0]["pieces"].__setitem__(1, (1, "mixed up")),
+            "not the engine's own response": lambda ev, no: ev[0]["pieces"].__setitem__(1, (1, "mixed up")),
             "reported as complete": lambda ev, no: ev[0]["pieces"].pop(),
             "out of order or repeated": lambda ev, no: ev[0]["pieces"].insert(1, ev[0]["pieces"][0]),
             "neither an end nor a fault": lambda ev, no: ev[0].update(end=False),
@@ -199,7 +199,7 @@
             "was delayed by": shed(retry="1", asked=5),
             "bytes that differ": lambda ev, no: ev[3].update(body=card_bytes("c")[:-1]),
             "are listed twice": results(lambda rs: rs[1].update(rs[0], n=1)),
-            "item 1: the text differs": results(lambda rs: rs[1].update(text="cut")),
+            "item 1: not the engine's own": results(lambda rs: rs[1].update(text="cut")),
             "listed as not_run and ran": results(lambda rs: rs[1].update(outcome="not_run", text="")),
             "result 0 changed": again(25, [{"n": 0, "item": 1, "outcome": "unknown", "text": ""}]),
             "results were shown": again(25, []),
