--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -7,18 +7,18 @@
 
 from twisted.logger import globalLogPublisher
 
-from .side_by_side import run_files
+from .parallel_runner import run_files
 
 __all__ = ["run"]
 
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def _id(test) -> str:
+def _test_id(test) -> str:
     return getattr(test, "test_case", test).id()
 
 
-class _Left:
+class _FinishedTest:
     """Stands for a test that has ended, in the list of errors."""
 
     def __init__(self, name: str):
@@ -39,7 +39,7 @@
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
         self._unhandled: list = []
-        self._last = ""
+        self._last_test = ""
         self.passed: set[str] = set()
 
     def startTestRun(self):
@@ -54,11 +54,11 @@
     def startTest(self, test):
         self._flush()
         super().startTest(test)
-        self._last = test.id()
+        self._last_test = test.id()
 
     def addSuccess(self, test):
         super().addSuccess(test)
-        self.passed.add(_id(test))
+        self.passed.add(_test_id(test))
 
     def _observe(self, event):
         if event.get("log_failure") is not None:
@@ -69,43 +69,43 @@
         gc.collect()
         left, self._unhandled = self._unhandled, []
         for f in left:
-            self.stream.writeln(f"{self._last} left an unhandled error: {f.getErrorMessage()}")
-            self.errors.append((_Left(self._last), f.getTraceback()))
+            self.stream.writeln(f"{self._last_test} left an unhandled error: {f.getErrorMessage()}")
+            self.errors.append((_FinishedTest(self._last_test), f.getTraceback()))
 
     def failed(self) -> set[str]:
         bad = [t for t, _ in self.failures + self.errors] + self.unexpectedSuccesses
-        return {_id(t) for t in bad}
+        return {_test_id(t) for t in bad}
 
     def wasSuccessful(self):
         return not self.failed()
 
 
-def _known_red(path: Path) -> dict[str, str]:
+def _read_known_red(path: Path) -> dict[str, str]:
     """The tests that fail for a known fault: `test id: cause, issue`, one a line."""
     lines = path.read_text().splitlines() if path.exists() else []
     return {line.partition(": ")[0].strip(): line.strip() for line in lines if line.strip()}
 
 
 def run(suite, out, known_red: Path) -> int:
-    red = _known_red(known_red)
+    known = _read_known_red(known_red)
     r = unittest.TextTestRunner(verbosity=2, stream=out, resultclass=_Result).run(suite)
     failed = r.failed()
-    for name, line in red.items():
+    for name, line in known.items():
         print(f"known red: {line}", file=out)
         if name in r.passed - failed:
             print(f"{name} passes now: take it off the list", file=out)
     passed = len(r.passed - failed)
     print(f"{passed} passed, {len(failed)} failed, {len(r.skipped)} skipped", file=out)
-    return 1 if failed - red.keys() or not r.testsRun else 0
+    return 1 if failed - known.keys() or not r.testsRun else 0
 
 
 def main() -> int:
-    here = Path(__file__).resolve().parent
+    tests_dir = Path(__file__).resolve().parent
     pattern = sys.argv[1] if len(sys.argv) > 1 else "test_*.py"
-    names = sorted((p.name for p in here.glob(pattern)), reverse=True)
+    names = sorted((p.name for p in tests_dir.glob(pattern)), reverse=True)
     if len(names) > 1:
         return run_files(names, sys.stdout)
-    suite = unittest.TestLoader().discover(str(here), pattern=pattern, top_level_dir=str(ROOT))
+    suite = unittest.TestLoader().discover(str(tests_dir), pattern=pattern, top_level_dir=str(ROOT))
     return run(suite, sys.stdout, ROOT / "KNOWN-RED.txt")
 
 
--- a/tests/side_by_side.py
+++ b/tests/parallel_runner.py
@@ -12,7 +12,7 @@
 __all__ = ["FileResult", "run_files"]
 
 ROOT = Path(__file__).resolve().parent.parent
-MOST_AT_ONCE = 4
+MAX_PARALLEL_FILES = 4
 _COUNT = re.compile(r"^(\d+) passed, (\d+) failed, (\d+) skipped$")
 
 
@@ -21,18 +21,18 @@
     """What one file's run said and came to; one that closed without a count has failed."""
 
     name: str
-    said: str
+    output: str
     code: int
     passed: int = 0
     failed: int = 1
     skipped: int = 0
 
     @classmethod
-    def of(cls, name: str, said: str, code: int) -> "FileResult":
-        lines = said.rstrip().split("\n")
+    def of(cls, name: str, output: str, code: int) -> "FileResult":
+        lines = output.rstrip().split("\n")
         count = _COUNT.match(lines[-1])
         if count is None:
-            return cls(name, said, code or 1)
+            return cls(name, output, code or 1)
         passed, failed, skipped = map(int, count.groups())
         return cls(name, "\n".join(lines[:-1]), code, passed, failed, skipped)
 
@@ -47,9 +47,9 @@
 def run_files(names: list[str], out, run_file=_run_file) -> int:
     """Runs all files, prints what each said in the order given, and returns 1 if any of them failed."""
     results = []
-    with ThreadPoolExecutor(min(MOST_AT_ONCE, os.cpu_count() or 1)) as pool:
+    with ThreadPoolExecutor(min(MAX_PARALLEL_FILES, os.cpu_count() or 1)) as pool:
         for result in pool.map(run_file, names):
-            print(f"{result.name}:\n{result.said}", file=out, flush=True)
+            print(f"{result.name}:\n{result.output}", file=out, flush=True)
             results.append(result)
     passed, failed, skipped = (sum(getattr(r, field) for r in results) for field in ("passed", "failed", "skipped"))
     for result in results:
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -14,7 +14,7 @@
 from pipitlink.timers import Timers, ms
 from testbed.simulator.simulation import Simulation
 
-from .side_by_side import FileResult, run_files
+from .parallel_runner import FileResult, run_files
 
 _CASES = """
 import unittest
@@ -78,8 +78,8 @@
         self.assertEqual(self.run_these("Bad", "Leaves", red="cases.Bad.test_bad: a cause, issue 1")[0], 1)
         self.assertEqual(self.run_these("Bad")[0], 1)
 
-    def test_files_side_by_side_close_with_one_count_and_fail_together(self):
-        said = {
+    def test_parallel_files_are_counted_together_and_one_failure_fails_the_run(self):
+        output = {
             "test_a.py": ("a ... ok\n3 passed, 0 failed, 1 skipped\n", 0),
             "test_b.py": ("b ... FAIL\n1 passed, 2 failed, 0 skipped\n", 1),
             "test_c.py": ("ended without a count\n", -9),
@@ -87,7 +87,7 @@
 
         def run(*names):
             out = io.StringIO()
-            code = run_files(list(names), out, lambda name: FileResult.of(name, *said[name]))
+            code = run_files(list(names), out, lambda name: FileResult.of(name, *output[name]))
             return code, out.getvalue().splitlines()
 
         code, lines = run("test_a.py", "test_b.py")
