--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -19,7 +19,7 @@
 from testbed.simulator.simulation import Simulation
 
 from . import batch_builders
-from .control_calls import Caller
+from .control_client import ControlClient
 from .order_simulation import DelayingSimulation, Operators
 from .router_builders import END, RouterHarness, chunk, event, head, route
 from .test_simulated_controllers import _Operators as TableOperators
@@ -126,7 +126,7 @@
     """Edits of the table of models and their outcomes while controllers fail."""
     simulation = Simulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
     with _played(simulation) as (seen, network):
-        operators, caller = TableOperators(simulation), Caller(simulation)
+        operators, client = TableOperators(simulation), ControlClient(simulation)
         operators.timers = simulation.timers()
         random_faults = RandomFaults(simulation, roles=("controller",) if seed % 2 else ALL_ROLES)
         random_faults.run_with_faults([operators.operate(0), operators.operate(1)], faults=8)
@@ -137,16 +137,16 @@
         for at, sequence, text in operators.acked:
             seen.note("acknowledged", sequence, text, at=at)
         seen.note("refused", sorted(operators.refused), operators.reads, operators.faults)
-        _note_control_paths(simulation, caller, seen)
+        _note_control_paths(simulation, client, seen)
     return seen.lines, network.lines
 
 
-def _note_control_paths(simulation, caller, seen):
+def _note_control_paths(simulation, client, seen):
     """What each controller answers to every path that is only read and names nothing."""
     for controller in simulation.role("controller"):
-        for method, path, _ in caller.control_format.control_paths:
+        for method, path, _ in client.control_format.control_paths:
             if method == "GET" and "<" not in path:
-                seen.note(controller.name, path, *_answer(caller.ask(controller, method, path)))
+                seen.note(controller.name, path, *_answer(client.call(controller, method, path)))
 
 
 def _answer(answer) -> tuple:
@@ -334,7 +334,7 @@
         operators.over = True
         simulation.run(8)
         simulation.ready()
-        _note_control_paths(simulation, operators.caller, seen)
+        _note_control_paths(simulation, operators.client, seen)
         _note_history(operators, seen)
     return seen.lines, network.lines
 
@@ -370,7 +370,7 @@
         operators.over = c.stopped = True
         simulation.run(9)
         _read_all_batches(simulation, c)
-        _note_control_paths(simulation, operators.caller, seen)
+        _note_control_paths(simulation, operators.client, seen)
         _note_history(operators, seen)
         _note_customers(c, simulation, seen)
     return seen.lines, network.lines
--- a/tests/control_calls.py
+++ b/tests/control_client.py
@@ -11,7 +11,7 @@
 from pipitlink.controller.control_api import ControlApi
 from pipitlink.dialect.control import ControlFormat
 
-__all__ = ["Caller", "platform_control_format", "config_of", "route_of"]
+__all__ = ["ControlClient", "platform_control_format", "config_of", "route_of"]
 
 
 def platform_control_format():
@@ -67,34 +67,34 @@
         return self.finish
 
 
-class _Answer(list):
+class _PendingResponse(list):
     """Holds (status, body) once a call is answered; its caller may hang up before."""
 
     def __init__(self, request):
         super().__init__()
         self._request = request
 
-    def hang_up(self):
+    def disconnect(self):
         if not self:
             self._request.finish.errback(ConnectionDone())
 
 
-class Caller:
+class ControlClient:
     """Sends requests to a controller by the paths of a control format, as its HTTP server would."""
 
     def __init__(self, simulation, control_format=None):
         self.simulation = simulation
         self.control_format = control_format or ControlFormat()
 
-    def begin(self, controller, method: str, path: str, body=None, headers=None) -> list:
+    def start_call(self, controller, method: str, path: str, body=None, headers=None) -> list:
         """Starts a call; the list holds (status, body) once it is answered."""
         raw = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         request = _Request(method, raw, headers or {})
         action, kwargs = self._find(method, path)
-        box = _Answer(request)
+        response = _PendingResponse(request)
         d = getattr(ControlApi(controller.ctx, controller.part, self.control_format), action)(request, **kwargs)
-        d.addCallback(lambda out: box.append((request.status, json.loads(out or b"null"))))
-        return box
+        d.addCallback(lambda out: response.append((request.status, json.loads(out or b"null"))))
+        return response
 
     def _find(self, method, path):
         for m, pattern, action in self.control_format.control_paths:
@@ -103,19 +103,19 @@
                 return action, {p[1:-1]: g for p, g in zip(parts, given) if p[:1] == "<"}
         raise AssertionError(f"{method} {path} is not among the paths")
 
-    def ask(self, controller, *args, limit: float = 8, **kwargs):
-        box = self.begin(controller, *args, **kwargs)
-        self.simulation.until(lambda: box, limit, "the call is answered")
-        return box[0]
+    def call(self, controller, *args, limit: float = 8, **kwargs):
+        response = self.start_call(controller, *args, **kwargs)
+        self.simulation.until(lambda: response, limit, "the call is answered")
+        return response[0]
 
     def put(self, controller, config, base: int):
-        return self.ask(controller, "PUT", self._config_path(), config, {"If-Match": str(base)})
+        return self.call(controller, "PUT", self._config_path(), config, {"If-Match": str(base)})
 
     def patch(self, controller, config, base: int):
-        return self.ask(controller, "PATCH", self._config_path(), config, {"If-Match": str(base)})
+        return self.call(controller, "PATCH", self._config_path(), config, {"If-Match": str(base)})
 
     def get(self, controller):
-        return self.ask(controller, "GET", self._config_path())
+        return self.call(controller, "GET", self._config_path())
 
     def _config_path(self) -> str:
         return self.control_format.control_paths[0][1]
--- a/tests/order_simulation.py
+++ b/tests/order_simulation.py
@@ -8,7 +8,7 @@
 from testbed.checks.linearizability import ConfigRead, ConfigWrite, Response, ZoneRead, ZoneWrite
 from testbed.simulator.simulation import Simulation
 
-from .control_calls import Caller, config_of, route_of
+from .control_client import ControlClient, config_of, route_of
 
 __all__ = ["DelayingSimulation", "Operators", "IN_EFFECT"]
 
@@ -63,7 +63,7 @@
     """Several operators who change one fleet at once, each as a caller with a second of patience."""
 
     def __init__(self, simulation, tries: int = 8, lost: float = 0.05, held: float = 0.12, unacknowledged: float = 0.1):
-        self.simulation, self.caller, self.timers = simulation, Caller(simulation), simulation.timers()
+        self.simulation, self.client, self.timers = simulation, ControlClient(simulation), simulation.timers()
         self.tries, self.lost, self.held, self.unacknowledged = tries, lost, held, unacknowledged
         self.records: list = []
         self.over = False
@@ -108,13 +108,13 @@
         controller.clock.callLater(0, self._read, controller, sent, args)
 
     def _read(self, controller, sent, args):
-        sent.response = self.caller.begin(controller, *args)
+        sent.response = self.client.start_call(controller, *args)
         if sent.left:
             self.simulation.clock.callLater(0.008 * self.simulation.rng.random(), self._hang_up, controller, sent)
 
     def _hang_up(self, controller, sent):
         if controller.alive and controller.ctx is sent.life:
-            controller.clock.callLater(0, sent.response.hang_up)
+            controller.clock.callLater(0, sent.response.disconnect)
 
     async def send(self, *args) -> _OrderOutcome:
         """An order sent until it has a clear answer."""
--- a/tests/partition_scenario.py
+++ b/tests/partition_scenario.py
@@ -5,7 +5,7 @@
 from pipitlink.wire.membership_pb2 import EngineList
 from testbed.simulator.simulation import Simulation
 
-from .control_calls import Caller, config_of, route_of
+from .control_client import ControlClient, config_of, route_of
 
 CUT_S = 20.0
 MAX_RESPONSE_S = 1.0
@@ -42,7 +42,7 @@
             self.register_engine_handler(gateway)
         self.simulation.ready()
         self.simulation.run(3)
-        self.caller = Caller(self.simulation)
+        self.client = ControlClient(self.simulation)
         self.version = 0
         self.calls: list[_Call] = []
         self.change(self.simulation.leader())
@@ -71,7 +71,7 @@
     def change(self, controller) -> int:
         """Submits the next configuration; returns the status."""
         config = config_of(self.version + 1, route_of(f"r{self.version + 1}"))
-        status, _ = self.caller.put(controller, config, self.version)
+        status, _ = self.client.put(controller, config, self.version)
         if status == 200:
             self.version += 1
         return status
@@ -96,7 +96,7 @@
             ("DELETE engine", "DELETE", f"/v1/engines/d{n}"),
             ("POST retire", "POST", f"/v1/storage_nodes/{self.simulation.role('storage')[3].node}/retire"),
         ):
-            pending = self.caller.begin(simulated_node, *args)
+            pending = self.client.start_call(simulated_node, *args)
             self.calls.append(_Call(what, self.now() - started_at, self.version, pending))
 
     def run_and_record(self, duration_s: float):
--- a/tests/test_announcing.py
+++ b/tests/test_announcing.py
@@ -7,7 +7,7 @@
 from pipitlink.wire.membership_pb2 import EngineList
 from testbed.simulator.simulation import Simulation
 
-from .control_calls import Caller
+from .control_client import ControlClient
 
 
 class _UpdateRecorder:
@@ -37,12 +37,12 @@
         self.simulation.start()
         self.gateways = [_UpdateRecorder(a) for a in self.simulation.role("gateway")]
         self.simulation.ready()
-        self.client = Caller(self.simulation)
+        self.client = ControlClient(self.simulation)
         self.controller, self.second = self.simulation.role("controller")[1:3]
         self.simulation.run(1)
 
     def announce(self, sequence, state="ready", engine="e1", controller=None, **more):
-        return self.client.ask(
+        return self.client.call(
             controller or self.controller,
             "PUT",
             f"/v1/engines/{engine}",
@@ -58,7 +58,7 @@
         )
 
     def remove_engine(self, engine="e1", controller=None):
-        return self.client.ask(controller or self.controller, "DELETE", f"/v1/engines/{engine}")
+        return self.client.call(controller or self.controller, "DELETE", f"/v1/engines/{engine}")
 
     def now(self):
         return self.simulation.clock.seconds()
@@ -162,7 +162,7 @@
         slow = self.gateways[1]
         self.simulation.cut([self.controller.name], [slow.simulated_node.name])
         started_at = self.now()
-        responses = self.client.begin(
+        responses = self.client.start_call(
             self.controller,
             "PUT",
             "/v1/engines/e1",
@@ -263,7 +263,7 @@
             {**good, "capacity": True},
             *({k: v for k, v in good.items() if k != f} for f in good),
         ):
-            self.assertEqual(self.client.ask(self.controller, "PUT", "/v1/engines/e1", bad)[0], 400, bad)
+            self.assertEqual(self.client.call(self.controller, "PUT", "/v1/engines/e1", bad)[0], 400, bad)
         self.assertEqual(self.controller.part.announcements.registry.engines, {})
 
 
@@ -277,7 +277,7 @@
         self.gateways = self.simulation.role("gateway")
         self.registries = {g.name: self.create_registry(g) for g in self.gateways}
         self.simulation.ready()
-        self.client = Caller(self.simulation)
+        self.client = ControlClient(self.simulation)
         self.controller, self.second = self.simulation.role("controller")[1:3]
         self.simulation.run(1)
 
@@ -289,7 +289,7 @@
 
     def announce(self, sequence, state="ready", controller=None):
         announcement = {"pool": "p", "address": "10.9.0.1:80", "zone": "zone-a", "state": state, "sequence": sequence}
-        return self.client.ask(controller or self.controller, "PUT", "/v1/engines/e1", announcement)[0]
+        return self.client.call(controller or self.controller, "PUT", "/v1/engines/e1", announcement)[0]
 
     def restart(self, simulated_node):
         simulated_node.kill()
@@ -315,7 +315,7 @@
 
     def test_a_late_announcement_to_a_restarted_controller_does_not_revive_a_removed_engine(self):
         self.announce(1)
-        self.assertEqual(self.client.ask(self.controller, "DELETE", "/v1/engines/e1")[0], 200)
+        self.assertEqual(self.client.call(self.controller, "DELETE", "/v1/engines/e1")[0], 200)
         self.restart(self.controller)
         for sequence in (3, 9):
             self.announce(sequence)
--- a/tests/test_config_faults.py
+++ b/tests/test_config_faults.py
@@ -6,7 +6,7 @@
 from testbed.simulator.random_faults import RandomFaults, seeds
 from testbed.simulator.simulation import Simulation
 
-from .control_calls import Caller, config_of, route_of
+from .control_client import ControlClient, config_of, route_of
 
 SEEDS = seeds(3)
 IN_EFFECT = 2.0
@@ -14,7 +14,7 @@
 
 class _Operators:
     def __init__(self, simulation):
-        self.simulation, self.caller, self.timers = simulation, Caller(simulation), simulation.timers()
+        self.simulation, self.client, self.timers = simulation, ControlClient(simulation), simulation.timers()
         self.over = False
         self.sent: dict[int, dict] = {}
         self.bases: dict[int, list[int]] = {}
@@ -31,7 +31,7 @@
         controller = self.simulation.rng.choice(self.simulation.role("controller"))
         if not controller.alive or controller.frozen:
             return None
-        pending = self.caller.begin(controller, *args)
+        pending = self.client.start_call(controller, *args)
         for _ in range(100):
             if pending:
                 return pending[0] if pending[0][0] < 500 else None
@@ -102,7 +102,7 @@
         self.assertEqual(operators.faults, [], context)
         self.assertEqual([t for t in random_faults.injected if "work ended" in t], [])
         self.assertEqual({b: v for b, v in operators.bases.items() if len(v) > 1}, {}, context)
-        last = Caller(simulation).get(simulation.leader())[1]
+        last = ControlClient(simulation).get(simulation.leader())[1]
         self.assertEqual(last, operators.sent[last["version"]], context)
         self.assertGreaterEqual(last["version"], operators.newest(), context)
         self.assertNotIn(last["version"], operators.refused, context)
--- a/tests/test_edit_guards.py
+++ b/tests/test_edit_guards.py
@@ -11,7 +11,7 @@
 from pipitlink.timers import ZERO
 from testbed.checks.linearizability import ConfigRead, ConfigWrite, Response, ZoneRead, ZoneWrite, check_history
 
-from .control_calls import Caller, config_of, route_of
+from .control_client import ControlClient, config_of, route_of
 from .order_simulation import DelayingSimulation
 
 ZONE = "zone-b"
@@ -28,7 +28,7 @@
         self.simulation.start()
         self.simulation.ready()
         self.simulation.run(2)
-        self.caller = Caller(self.simulation)
+        self.client = ControlClient(self.simulation)
         self.records: list = []
         self.leader = self.simulation.leader()
         self.delayed, self.other, *_ = [a for a in self.simulation.role("controller") if a is not self.leader]
@@ -38,13 +38,13 @@
         started_at = self.simulation.clock.seconds()
         body = config_of(version, route_of(content))
         args = ("PUT", "/v1/config", body, {"If-Match": str(base), **headers})
-        response = ANSWERS[self.caller.ask(self.other, *args)[0]]
+        response = ANSWERS[self.client.call(self.other, *args)[0]]
         self.records.append(ConfigWrite(content, base, version, started_at, self.simulation.clock.seconds(), response))
 
     def zone(self, empty: bool):
         self.simulation.run(0.01)
         started_at = self.simulation.clock.seconds()
-        response = ANSWERS[self.caller.ask(self.other, "PUT" if empty else "DELETE", PATH)[0]]
+        response = ANSWERS[self.client.call(self.other, "PUT" if empty else "DELETE", PATH)[0]]
         self.records.append(ZoneWrite(ZONE, empty, started_at, self.simulation.clock.seconds(), response))
 
     def record_gateways(self):
@@ -79,7 +79,7 @@
 def delayed_on_the_way_to_the_leader(s):
     s.simulation.cut([s.delayed.name], [s.leader.name], one_way=True)
     s.record_unanswered_copy()
-    s.caller.begin(s.delayed, "PUT", PATH)
+    s.client.start_call(s.delayed, "PUT", PATH)
     s.empty_and_fill()
     s.simulation.heal()
     s.simulation.run(1)
@@ -89,7 +89,7 @@
 def delayed_in_a_frozen_socket(s):
     s.delayed.freeze()
     s.record_unanswered_copy()
-    s.delayed.clock.callLater(0, s.caller.begin, s.delayed, "PUT", PATH)
+    s.delayed.clock.callLater(0, s.client.start_call, s.delayed, "PUT", PATH)
     s.empty_and_fill()
     s.simulation.run(3)
     s.delayed.thaw()
@@ -100,8 +100,8 @@
 def arrived_after_its_client_disconnected(s):
     """A copy waits in a cut link together with its client's disconnect."""
     s.empty_and_fill()
-    late = s.caller.begin(s.delayed, "PUT", PATH)
-    s.simulation.clock.callLater(0.005, late.hang_up)
+    late = s.client.start_call(s.delayed, "PUT", PATH)
+    s.simulation.clock.callLater(0.005, late.disconnect)
     s.simulation.run(1)
     s.record_gateways()
 
--- a/tests/test_operator_edits.py
+++ b/tests/test_operator_edits.py
@@ -14,7 +14,7 @@
 from pipitlink.wire.cluster_pb2 import Command, ConfigEdit, StorageNodeEdit, TableEdit, ZoneEdit
 from testbed.simulator.simulation import Simulation
 
-from .control_calls import Caller, config_of, route_of
+from .control_client import ControlClient, config_of, route_of
 
 ZONE = "/v1/zones/zone-b/empty"
 CONFIG = "/v1/config"
@@ -36,16 +36,16 @@
             "all storage nodes are admitted",
         )
         self.simulation.run(2)
-        self.caller = Caller(self.simulation)
+        self.client = ControlClient(self.simulation)
         self.controllers = self.simulation.role("controller")
         self.leader = self.simulation.leader()
         self.delayed, self.other, *_ = [a for a in self.controllers if a is not self.leader]
 
     def put(self, config, base, controller=None):
-        return self.caller.put(controller or self.other, config, base)
+        return self.client.put(controller or self.other, config, base)
 
     def zone(self, method, controller=None):
-        return self.caller.ask(controller or self.other, method, ZONE)[0]
+        return self.client.call(controller or self.other, method, ZONE)[0]
 
     def empty(self):
         return "zone-b" in self.simulation.leader().part.consensus.cluster_state.empty_zones
@@ -68,7 +68,7 @@
     def arriving_while_frozen(self, controller, *args):
         """Sends a call whose bytes wait in the controller's socket until the controller is resumed."""
         pending = []
-        controller.clock.callLater(0, lambda: pending.append(self.caller.begin(controller, *args)))
+        controller.clock.callLater(0, lambda: pending.append(self.client.start_call(controller, *args)))
         return pending
 
 
@@ -84,9 +84,9 @@
     def test_a_rejected_patch_succeeds_when_it_has_become_valid(self):
         patch = {"version": 9, "puts": {"routes": [route_of("c", "q")]}}
         self.put(config_of(3), 0)
-        self.assertEqual(self.caller.patch(self.other, patch, 5)[0], 412)
+        self.assertEqual(self.client.patch(self.other, patch, 5)[0], 412)
         self.assertEqual(self.put(config_of(5, pools=("p", "q")), 3)[0], 200)
-        self.assertEqual(self.caller.patch(self.other, patch, 5)[0], 200)
+        self.assertEqual(self.client.patch(self.other, patch, 5)[0], 200)
 
     def test_a_rejected_row_edit_succeeds_under_the_same_id_when_it_has_become_valid(self):
         state = ClusterState()
@@ -121,22 +121,22 @@
             for controller in self.controllers:
                 self.assertEqual(self.put(lost, 0, controller)[0], 412)
             self.new_leader()
-        self.assertEqual(self.caller.get(self.other)[1]["routes"], [route_of("won")])
+        self.assertEqual(self.client.get(self.other)[1]["routes"], [route_of("won")])
 
 
 class ConcurrentEdits(_OperatorEdits):
     def test_two_different_changes_with_one_edit_id_are_not_both_confirmed(self):
         headers = {"If-Match": "0", "Edit-Id": "mine"}
-        first = self.caller.ask(self.other, "PUT", CONFIG, config_of(4, route_of("a")), headers)
-        second = self.caller.ask(self.delayed, "PUT", CONFIG, config_of(4, route_of("b")), headers)
+        first = self.client.call(self.other, "PUT", CONFIG, config_of(4, route_of("a")), headers)
+        second = self.client.call(self.delayed, "PUT", CONFIG, config_of(4, route_of("b")), headers)
         self.assertEqual(first[0], 200)
         self.assertEqual((second[0], second[1]["error"]["code"]), (409, "edit_id_used"))
-        self.assertEqual(self.caller.ask(self.delayed, "PUT", CONFIG, config_of(4, route_of("a")), headers)[0], 200)
+        self.assertEqual(self.client.call(self.delayed, "PUT", CONFIG, config_of(4, route_of("a")), headers)[0], 200)
 
     def test_a_zone_edit_with_the_id_of_another_edit_is_rejected(self):
         headers = {"Edit-Id": "mine"}
-        self.assertEqual(self.caller.ask(self.other, "PUT", ZONE, headers=headers)[0], 200)
-        self.assertEqual(self.caller.ask(self.other, "DELETE", ZONE, headers=headers)[0], 409)
+        self.assertEqual(self.client.call(self.other, "PUT", ZONE, headers=headers)[0], 200)
+        self.assertEqual(self.client.call(self.other, "DELETE", ZONE, headers=headers)[0], 409)
         self.assertTrue(self.empty())
 
     def test_only_one_of_two_concurrent_retirements_succeeds_if_both_would_leave_too_few_nodes(self):
@@ -150,9 +150,9 @@
                     lambda: len(simulation.leader().part.consensus.cluster_state.storage_nodes) == 4, 20, "admitted"
                 )
                 simulation.run(2)
-                caller = Caller(simulation)
+                client = ControlClient(simulation)
                 pending_calls = [
-                    caller.begin(
+                    client.start_call(
                         simulation.role("controller")[(n + i) % 4],
                         "POST",
                         f"/v1/storage_nodes/{simulation.simulated_nodes[s].node}/retire",
@@ -166,7 +166,7 @@
 
     def test_eight_concurrent_edits_of_two_zones_all_succeed(self):
         pending_calls = [
-            self.caller.begin(
+            self.client.start_call(
                 self.controllers[n % 4], "PUT" if n % 3 else "DELETE", f"/v1/zones/zone-{'ab'[n % 2]}/empty"
             )
             for n in range(8)
@@ -192,7 +192,7 @@
 
     def test_a_copy_at_a_controller_frozen_just_after_reading_it_does_not_empty_a_zone_again(self):
         for controller in (self.delayed, self.leader):
-            late = self.caller.begin(controller, "PUT", ZONE)
+            late = self.client.start_call(controller, "PUT", ZONE)
             self.simulation.run(0.005)
             controller.freeze()
             self.simulation.until(
@@ -216,9 +216,9 @@
         self.assertFalse(self.empty())
 
     def test_an_edit_is_not_executed_if_its_client_has_disconnected(self):
-        late = self.caller.begin(self.delayed, "PUT", ZONE)
+        late = self.client.start_call(self.delayed, "PUT", ZONE)
         self.simulation.run(0.01)
-        late.hang_up()
+        late.disconnect()
         self.simulation.run(2)
         self.assertFalse(self.empty())
 
@@ -255,7 +255,7 @@
 
     def test_an_edit_that_arrives_together_with_its_clients_disconnect_is_not_executed(self):
         app = Klein()
-        ControlApi(self.delayed.ctx, self.delayed.part, self.caller.control_format).add_routes(app.route)
+        ControlApi(self.delayed.ctx, self.delayed.part, self.client.control_format).add_routes(app.route)
         for leaves in (True, False):
             connection = Site(app.resource(), 1000).buildProtocol(None)
             transport = StringTransport()
@@ -270,10 +270,10 @@
 
     def test_an_edit_whose_client_disconnects_before_the_commit_is_still_synced_on_the_leader(self):
         part = self.leader.part
-        late = self.caller.begin(self.leader, "PUT", ZONE)
+        late = self.client.start_call(self.leader, "PUT", ZONE)
         self.simulation.until(lambda: part.log_replication.proposals, 1, "the edit is proposed")
         index = max(part.log_replication.proposals)
-        late.hang_up()
+        late.disconnect()
         self.simulation.run(1)
         self.assertGreaterEqual(part.log_replication.synced_index, index)
 
--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -14,7 +14,7 @@
 from pipitlink.errors import BadRequest
 from testbed.simulator.simulation import Simulation
 
-from .control_calls import Caller, platform_control_format
+from .control_client import ControlClient, platform_control_format
 
 ROUTES = [
     {
@@ -244,7 +244,7 @@
             20,
             "all storage nodes are admitted",
         )
-        self.client = Caller(self.simulation, platform_control_format())
+        self.client = ControlClient(self.simulation, platform_control_format())
         self.controller = self.simulation.role("controller")[1]
 
     def test_an_operator_edits_the_configuration_and_empties_and_fills_a_zone(self):
--- a/tests/test_simulated_config.py
+++ b/tests/test_simulated_config.py
@@ -8,7 +8,7 @@
 from pipitlink.wire.cluster_pb2 import Command
 from testbed.simulator.simulation import Simulation
 
-from .control_calls import Caller, config_of, route_of
+from .control_client import ControlClient, config_of, route_of
 
 
 class Configuration(unittest.TestCase):
@@ -18,7 +18,7 @@
         self.simulation.start()
         self.simulation.ready()
         self.simulation.run(2)
-        self.caller = Caller(self.simulation)
+        self.client = ControlClient(self.simulation)
         self.controllers = self.simulation.role("controller")
         self.other = next(a for a in self.controllers if a is not self.simulation.leader())
 
@@ -36,7 +36,7 @@
         for version, controller in ((3, self.simulation.leader()), (4, self.other), (9, self.controllers[3])):
             base = max(self.versions("gateway"))
             before = self.simulation.clock.seconds()
-            self.assertEqual(self.caller.put(controller, config_of(version), base)[0], 200)
+            self.assertEqual(self.client.put(controller, config_of(version), base)[0], 200)
             self.assertLess(self.simulation.clock.seconds() - before, 0.5)
             self.assertEqual(self.versions("gateway"), {version})
         self.assertIsNotNone(
@@ -44,11 +44,11 @@
         )
 
     def test_only_one_of_two_edits_on_the_same_base_succeeds(self):
-        self.caller.put(self.other, config_of(1), 0)
+        self.client.put(self.other, config_of(1), 0)
         for n in range(1, 6):
             first, second = self.simulation.rng.sample(self.controllers, 2)
             pending_calls = [
-                self.caller.begin(controller, "PUT", "/v1/config", config_of(10 * n + i), {"If-Match": str(base)})
+                self.client.start_call(controller, "PUT", "/v1/config", config_of(10 * n + i), {"If-Match": str(base)})
                 for base in [max(self.versions("gateway"))]
                 for i, controller in enumerate((first, second))
             ]
@@ -57,21 +57,21 @@
             self.assertEqual(response, [200, 412])
             winner = 10 * n + [b[0][0] for b in pending_calls].index(200)
             self.assertEqual(self.versions("gateway"), {winner})
-            self.assertEqual(self.caller.get(self.controllers[n % 4])[1], config_of(winner))
+            self.assertEqual(self.client.get(self.controllers[n % 4])[1], config_of(winner))
 
     def test_a_stale_base_and_an_old_version_are_rejected(self):
-        self.caller.put(self.other, config_of(5), 0)
+        self.client.put(self.other, config_of(5), 0)
         for base, version, status, code in (
             (0, 9, 412, "wrong_base"),
             (4, 9, 412, "wrong_base"),
             (5, 5, 400, "old_version"),
             (5, 4, 400, "old_version"),
         ):
-            response = self.caller.put(self.other, config_of(version), base)
+            response = self.client.put(self.other, config_of(version), base)
             self.assertEqual((response[0], response[1]["error"]["code"]), (status, code))
-            response = self.caller.patch(self.other, {"version": version}, base)
+            response = self.client.patch(self.other, {"version": version}, base)
             self.assertEqual((response[0], response[1]["error"]["code"]), (status, code))
-        self.assertEqual(self.caller.get(self.controllers[0])[1], config_of(5))
+        self.assertEqual(self.client.get(self.controllers[0])[1], config_of(5))
 
     def test_an_edit_without_a_base_or_with_an_invalid_one_is_rejected(self):
         for headers, status in (
@@ -80,11 +80,11 @@
             ({"If-Match": "-1"}, 400),
             ({"If-Match": str(2**70)}, 400),
         ):
-            self.assertEqual(self.caller.ask(self.other, "PUT", "/v1/config", config_of(5), headers)[0], status)
-        self.assertEqual(self.caller.ask(self.other, "PUT", "/v1/config", config_of(5), {"If-Match": '"0"'})[0], 200)
+            self.assertEqual(self.client.call(self.other, "PUT", "/v1/config", config_of(5), headers)[0], status)
+        self.assertEqual(self.client.call(self.other, "PUT", "/v1/config", config_of(5), {"If-Match": '"0"'})[0], 200)
 
     def test_a_malformed_or_invalid_configuration_is_not_proposed(self):
-        self.caller.put(self.other, config_of(5), 0)
+        self.client.put(self.other, config_of(5), 0)
         commit_index = self.simulation.leader().part.consensus.commit_index
         whole = json.dumps(config_of(6)).encode()
 
@@ -133,12 +133,12 @@
         }
         for case, body in invalid_bodies.items():
             with self.subTest(case):
-                self.assertEqual(self.caller.put(self.other, body, 5)[0], 400)
+                self.assertEqual(self.client.put(self.other, body, 5)[0], 400)
         self.assertEqual(self.simulation.leader().part.consensus.commit_index, commit_index)
-        self.assertEqual(self.caller.get(self.controllers[0])[1], config_of(5))
+        self.assertEqual(self.client.get(self.controllers[0])[1], config_of(5))
 
     def test_a_patch_that_would_make_the_configuration_invalid_is_rejected(self):
-        self.caller.put(self.other, config_of(5, route_of("a"), route_of("b")), 0)
+        self.client.put(self.other, config_of(5, route_of("a"), route_of("b")), 0)
         for n, e in enumerate(
             (
                 {"drops": {"pools": ["p"]}},
@@ -150,15 +150,15 @@
                 {"puts": {"routes": [route_of("a"), route_of("a")]}},
             )
         ):
-            self.assertEqual(self.caller.patch(self.other, {"version": 6 + n, **e}, 5)[0], 400, e)
-        self.assertEqual(self.caller.get(self.controllers[0])[1], config_of(5, route_of("a"), route_of("b")))
+            self.assertEqual(self.client.patch(self.other, {"version": 6 + n, **e}, 5)[0], 400, e)
+        self.assertEqual(self.client.get(self.controllers[0])[1], config_of(5, route_of("a"), route_of("b")))
 
     def test_a_patch_merges_by_name_and_fields_are_returned_as_sent(self):
         first = config_of(5, route_of("a", odd={"x": [1, 2.50, "\u00e9"]}), route_of("b"), pools=("p", "q"))
-        self.caller.put(self.other, first, 0)
-        self.assertEqual(self.caller.get(self.controllers[1])[1], first)
+        self.client.put(self.other, first, 0)
+        self.assertEqual(self.client.get(self.controllers[1])[1], first)
         changed = route_of("a", "new", sticky=True, aim_ms=2.5)
-        status, _ = self.caller.patch(
+        status, _ = self.client.patch(
             self.other,
             {
                 "version": 8,
@@ -169,7 +169,7 @@
         )
         self.assertEqual(status, 200)
         self.assertEqual(
-            self.caller.get(self.controllers[0])[1],
+            self.client.get(self.controllers[0])[1],
             {
                 "version": 8,
                 "routes": [changed, route_of("c")],
@@ -177,23 +177,23 @@
                 "pools": [{"name": "p"}, {"name": "new", "cold_rate": 0.5}],
             },
         )
-        self.assertEqual(self.caller.patch(self.other, {"version": 9, "bounds": {"idle_timeout_ms": 5}}, 8)[0], 200)
-        self.assertEqual(self.caller.get(self.controllers[0])[1]["bounds"], {"idle_timeout_ms": 5})
+        self.assertEqual(self.client.patch(self.other, {"version": 9, "bounds": {"idle_timeout_ms": 5}}, 8)[0], 200)
+        self.assertEqual(self.client.get(self.controllers[0])[1]["bounds"], {"idle_timeout_ms": 5})
         table = self.simulation.role("gateway")[0].ctx.cluster.cluster_state.routes
         self.assertEqual((table.routes["a"].latency_target_ms, table.bounds.idle_timeout_ms), (3, 5))
 
     def test_a_repeated_edit_has_the_same_outcome_at_any_controller_and_after_a_leader_change(self):
         early = config_of(9, route_of("early"))
-        self.assertEqual(self.caller.put(self.other, early, 5)[0], 412)
-        self.assertEqual(self.caller.put(self.other, config_of(5), 0)[0], 200)
-        self.assertEqual(self.caller.put(self.other, config_of(7, route_of("x")), 5)[0], 200)
-        self.assertEqual(self.caller.put(self.other, config_of(8, route_of("x"), route_of("y")), 7)[0], 200)
+        self.assertEqual(self.client.put(self.other, early, 5)[0], 412)
+        self.assertEqual(self.client.put(self.other, config_of(5), 0)[0], 200)
+        self.assertEqual(self.client.put(self.other, config_of(7, route_of("x")), 5)[0], 200)
+        self.assertEqual(self.client.put(self.other, config_of(8, route_of("x"), route_of("y")), 7)[0], 200)
         for _ in range(2):
             for controller in self.simulation.role("controller", alive=True):
-                self.assertEqual(self.caller.put(controller, config_of(5), 0)[0], 200)
-                self.assertEqual(self.caller.put(controller, config_of(7, route_of("x")), 5)[0], 200)
-                self.assertEqual(self.caller.put(controller, early, 5)[0], 412)
-                self.assertEqual(self.caller.put(controller, config_of(7, route_of("z")), 5)[0], 412)
+                self.assertEqual(self.client.put(controller, config_of(5), 0)[0], 200)
+                self.assertEqual(self.client.put(controller, config_of(7, route_of("x")), 5)[0], 200)
+                self.assertEqual(self.client.put(controller, early, 5)[0], 412)
+                self.assertEqual(self.client.put(controller, config_of(7, route_of("z")), 5)[0], 412)
             self.assertEqual(self.versions("gateway"), {8})
             self.new_leader().start()
             self.simulation.until(
@@ -204,38 +204,38 @@
 
     def test_an_interrupted_edit_retried_elsewhere_takes_effect_once(self):
         leader = self.simulation.leader()
-        lost = self.caller.begin(leader, "PUT", "/v1/config", config_of(4), {"If-Match": "0"})
+        lost = self.client.start_call(leader, "PUT", "/v1/config", config_of(4), {"If-Match": "0"})
         self.simulation.until(
             lambda: leader.part.consensus.cluster_state.routes.version == 4, 5, "the edit is committed"
         )
         leader.kill()
         self.assertEqual(lost, [])
         self.simulation.until(lambda: self.simulation.leader(), 15, "another controller leads")
-        self.assertEqual(self.caller.put(self.other, config_of(4), 0)[0], 200)
-        self.assertEqual(self.caller.put(self.other, config_of(5), 4)[0], 200)
+        self.assertEqual(self.client.put(self.other, config_of(4), 0)[0], 200)
+        self.assertEqual(self.client.put(self.other, config_of(5), 4)[0], 200)
 
     def test_a_repeated_edit_adds_only_one_log_entry(self):
-        self.caller.put(self.other, config_of(4), 0)
+        self.client.put(self.other, config_of(4), 0)
         commit_index = self.simulation.leader().part.consensus.commit_index
         for _ in range(20):
-            self.assertEqual(self.caller.put(self.other, config_of(4), 0)[0], 200)
+            self.assertEqual(self.client.put(self.other, config_of(4), 0)[0], 200)
         self.assertEqual(self.simulation.leader().part.consensus.commit_index, commit_index)
 
     def test_the_configuration_survives_a_power_loss_at_every_controller(self):
-        self.caller.put(self.other, config_of(4), 0)
-        self.caller.patch(self.other, {"version": 6, "puts": {"routes": [route_of("c")]}}, 4)
+        self.client.put(self.other, config_of(4), 0)
+        self.client.patch(self.other, {"version": 6, "puts": {"routes": [route_of("c")]}}, 4)
         for a in self.controllers:
             a.kill(power=True)
         for a in self.controllers:
             a.start()
         self.simulation.ready()
         for a in self.controllers:
-            self.assertEqual(self.caller.get(a)[1], config_of(6, route_of("r"), route_of("c")))
-            self.assertEqual(self.caller.put(a, config_of(4), 0)[0], 200)
+            self.assertEqual(self.client.get(a)[1], config_of(6, route_of("r"), route_of("c")))
+            self.assertEqual(self.client.put(a, config_of(4), 0)[0], 200)
         self.simulation.until(lambda: self.versions("gateway") == {6}, 5, "the gateways have the configuration")
 
     def test_the_configuration_survives_compaction_and_reaches_a_new_controller(self):
-        self.caller.put(self.other, config_of(4), 0)
+        self.client.put(self.other, config_of(4), 0)
         leader = self.simulation.leader()
 
         async def append_entries():
@@ -257,8 +257,8 @@
         self.simulation.ready()
         for a in (leader, newcomer):
             self.simulation.until(lambda: a.part.consensus.leader_id, 2, "it knows the leader")
-            self.assertEqual(self.caller.get(a)[1], config_of(4))
-            self.assertEqual(self.caller.put(a, config_of(4), 0)[0], 200)
+            self.assertEqual(self.client.get(a)[1], config_of(4))
+            self.assertEqual(self.client.put(a, config_of(4), 0)[0], 200)
 
     def test_a_log_of_large_edits_is_compacted_by_its_size(self):
         with (
@@ -268,7 +268,7 @@
         ):
             big = [route_of(f"r{n}", note="x" * 300) for n in range(50)]
             for n in range(1, 31):
-                self.assertEqual(self.caller.put(self.other, config_of(n, *big), n - 1)[0], 200)
+                self.assertEqual(self.client.put(self.other, config_of(n, *big), n - 1)[0], 200)
             self.simulation.run(1)
             for a in self.controllers:
                 entry_bytes = sum(e.ByteSize() for e in a.part.durable_log.entries)
@@ -289,24 +289,24 @@
                 a.start()
             self.simulation.ready()
             self.simulation.until(lambda: newcomer.part.consensus.leader_id, 2, "the new controller knows the leader")
-            self.assertEqual(self.caller.get(newcomer)[1], config_of(30, *big))
+            self.assertEqual(self.client.get(newcomer)[1], config_of(30, *big))
 
     def test_a_controller_without_a_leader_responds_with_503_at_once(self):
         others = [a.name for a in self.simulation.simulated_nodes.values() if a is not self.other]
         self.simulation.cut([self.other.name], others)
         self.simulation.run(2)
         before = self.simulation.clock.seconds()
-        for response in (self.caller.put(self.other, config_of(4), 0), self.caller.get(self.other)):
+        for response in (self.client.put(self.other, config_of(4), 0), self.client.get(self.other)):
             self.assertEqual((response[0], response[1]["error"]["outcome"]), (503, response[1]["error"]["outcome"]))
         self.assertLess(self.simulation.clock.seconds() - before, 0.1)
         self.simulation.heal()
         self.simulation.run(3)
-        self.assertEqual(self.caller.put(self.other, config_of(4), 0)[0], 200)
+        self.assertEqual(self.client.put(self.other, config_of(4), 0)[0], 200)
 
     def test_emptying_and_filling_a_zone_takes_effect_at_every_gateway(self):
         for n in range(2):
             for method, empty in (("PUT", True), ("PUT", True), ("DELETE", False), ("DELETE", False)):
-                self.assertEqual(self.caller.ask(self.other, method, "/v1/zones/zone-b/empty")[0], 200)
+                self.assertEqual(self.client.call(self.other, method, "/v1/zones/zone-b/empty")[0], 200)
                 self.assertEqual({a.ctx.cluster.zone_empty("zone-b") for a in self.simulation.role("gateway")}, {empty})
 
 
@@ -324,14 +324,14 @@
             "all storage nodes are admitted",
         )
         self.simulation.run(3)
-        self.caller = Caller(self.simulation)
+        self.client = ControlClient(self.simulation)
 
     def name_storage_node(self):
         self.storage_node.ctx.membership.local_member.name = "box-1"
         self.storage_node.ctx.membership.local_member.incarnation += 1
 
     def ask(self, method, name, controller=None):
-        return self.caller.ask(
+        return self.client.call(
             controller or self.simulation.role("controller")[2], method, f"/v1/storage_nodes/{name}/retire"
         )
 
--- a/tests/test_simulated_partition.py
+++ b/tests/test_simulated_partition.py
@@ -11,7 +11,7 @@
 from pipitlink.timers import secs
 from testbed.simulator.simulation import Simulation
 
-from .control_calls import config_of, route_of
+from .control_client import config_of, route_of
 from .partition_scenario import CUT_DETECTED_S, CUT_DIRECTIONS, CUT_S, ENGINE, MAX_RESPONSE_S, RECOVERY_S, Scenario
 
 
@@ -27,15 +27,15 @@
         self.assertIsNot(led, simulated_node)
         self.assertEqual(s.change_on_newest(led), 200)
         self.assertLess(s.heal_and_time_recovery(simulated_node), RECOVERY_S)
-        self.assertEqual(s.caller.get(simulated_node)[1]["version"], s.version)
+        self.assertEqual(s.client.get(simulated_node)[1]["version"], s.version)
         s.simulation.run(3)
         self.assertEqual(
             (s.simulation.leader(), s.simulation.leader().part.consensus.term),
             (led, term),
             "healing the partition caused an election",
         )
-        self.assertEqual(s.caller.ask(simulated_node, "PUT", "/v1/engines/e9", {**ENGINE, "sequence": 1})[0], 200)
-        self.assertEqual(s.caller.ask(simulated_node, "DELETE", "/v1/engines/e9")[0], 200)
+        self.assertEqual(s.client.call(simulated_node, "PUT", "/v1/engines/e9", {**ENGINE, "sequence": 1})[0], 200)
+        self.assertEqual(s.client.call(simulated_node, "DELETE", "/v1/engines/e9")[0], 200)
 
     def test_an_isolated_leader(self):
         for direction in CUT_DIRECTIONS:
@@ -101,7 +101,7 @@
             [line for line in s.unexpected_responses() if "engine" not in line and "leaving" not in line], []
         )
         self.assertLess(s.heal_and_time_recovery(leader), RECOVERY_S)
-        self.assertEqual(s.caller.get(leader)[1]["version"], s.version)
+        self.assertEqual(s.client.get(leader)[1]["version"], s.version)
 
     def test_a_leader_that_reaches_only_controllers_does_not_hold_edits(self):
         """It cannot confirm that an edit is in effect, so the outcome is unknown; a retry after the heal succeeds."""
@@ -113,11 +113,11 @@
         s.simulation.run(3)
         edit = (leader, "PUT", "/v1/config", config_of(2, route_of("r2")), {"If-Match": "1"})
         started_at = s.now()
-        self.assertEqual(s.caller.ask(*edit)[0], 503)
+        self.assertEqual(s.client.call(*edit)[0], 503)
         self.assertLess(s.now() - started_at, MAX_RESPONSE_S)
         s.simulation.heal()
         s.simulation.run(2)
-        self.assertEqual(s.caller.ask(*edit)[0], 200)
+        self.assertEqual(s.client.call(*edit)[0], 200)
 
 
 class RenewalsOnly(unittest.TestCase):
@@ -130,7 +130,7 @@
         for n in range(16):
             if n == 4:
                 s.cut(voter, "both", others)
-            status, _ = s.caller.ask(voter, "PUT", "/v1/engines/e1", {**ENGINE, "sequence": n})
+            status, _ = s.client.call(voter, "PUT", "/v1/engines/e1", {**ENGINE, "sequence": n})
             last = (n - 4) * 0.5 if status == 200 else last
             s.simulation.run(0.5)
         return last
@@ -175,7 +175,7 @@
             s.simulation.run(3)
             started_at = s.now()
             edit = (leader, "PUT", "/v1/config", config_of(2, route_of("r2")), {"If-Match": "1"})
-            self.assertEqual(s.caller.ask(*edit)[0], 503)
+            self.assertEqual(s.client.call(*edit)[0], 503)
             self.assertGreater(s.now() - started_at, MAX_RESPONSE_S)
 
     def test_announcements_that_reach_no_gateway_are_acknowledged(self):
@@ -196,7 +196,9 @@
         s.simulation.cut(side, [a for a in s.simulation.simulated_nodes if a not in side])
         out = []
         for n in range(4):
-            out.append(s.caller.ask(controller, "PUT", "/v1/engines/e1", {**ENGINE, "state": "leaving", "sequence": n}))
+            out.append(
+                s.client.call(controller, "PUT", "/v1/engines/e1", {**ENGINE, "state": "leaving", "sequence": n})
+            )
             s.simulation.run(4)
         return [status for status, _ in out]
 
