--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -20,7 +20,7 @@
 
 from . import batch_builders
 from .control_client import ControlClient
-from .order_simulation import DelayingSimulation, Operators
+from .operator_simulation import DelayingSimulation, Operators
 from .router_builders import END, RouterHarness, chunk, event, head, route
 from .test_simulated_controllers import _Operators as TableOperators
 from .test_simulated_logs import _Writers as LogWriters
@@ -318,7 +318,7 @@
 def _note_history(operators, seen):
     for r in operators.records:
         seen.note(HISTORY_WORDS[type(r)], attrs.astuple(r), at=r.sent)
-    seen.note("faults", operators.faults)
+    seen.note("faults", operators.violations)
 
 
 def orders(seed):
@@ -331,7 +331,7 @@
         if seed % 3 == 0:
             _lose_power(simulation)
         simulation.run(4)
-        operators.over = True
+        operators.stopped = True
         simulation.run(8)
         simulation.ready()
         _note_control_paths(simulation, operators.client, seen)
@@ -367,7 +367,7 @@
         ]
         RandomFaults(simulation, roles=ALL_ROLES).run_with_faults(work, faults=8, between=1.0)
         simulation.run(3)
-        operators.over = c.stopped = True
+        operators.stopped = c.stopped = True
         simulation.run(9)
         _read_all_batches(simulation, c)
         _note_control_paths(simulation, operators.client, seen)
--- a/tests/order_simulation.py
+++ b/tests/operator_simulation.py
@@ -10,11 +10,11 @@
 
 from .control_client import ControlClient, config_of, route_of
 
-__all__ = ["DelayingSimulation", "Operators", "IN_EFFECT"]
+__all__ = ["DelayingSimulation", "Operators", "IN_EFFECT_WITHIN_S"]
 
-IN_EFFECT = 2.0
-PATIENCE = 1.0
-HOLD_LIMIT = 8.0
+IN_EFFECT_WITHIN_S = 2.0
+CLIENT_TIMEOUT_S = 1.0
+MAX_HOLD_S = 8.0
 ZONES = ("zone-a", "zone-b")
 CONFIG = "/v1/config"
 
@@ -23,108 +23,129 @@
     """Edits that controllers pass on wait in a cut connection and arrive once it is healed."""
 
     def deliver_call(self, sender, address, method, body, node=""):
-        goal = next((a for a in self.simulated_nodes.values() if a.address == address), None)
-        if method == "controller.edit" and goal is not None and (sender.name, goal.name) in self.blocked_links:
-            self._hold(sender, goal, method, body, sender.ctx, goal.ctx, self.clock.seconds() + HOLD_LIMIT)
+        receiver = next((a for a in self.simulated_nodes.values() if a.address == address), None)
+        if method == "controller.edit" and receiver is not None and (sender.name, receiver.name) in self.blocked_links:
+            self._hold(sender, receiver, method, body, sender.ctx, receiver.ctx, self.clock.seconds() + MAX_HOLD_S)
         return super().deliver_call(sender, address, method, body, node)
 
-    def _hold(self, sender, goal, method, body, sending, receiving, end):
-        if goal.ctx is not receiving or not goal.alive or sender.ctx is not sending or self.clock.seconds() > end:
+    def _hold(self, sender, receiver, method, body, sender_ctx, receiver_ctx, deadline):
+        if (
+            receiver.ctx is not receiver_ctx
+            or not receiver.alive
+            or sender.ctx is not sender_ctx
+            or self.clock.seconds() > deadline
+        ):
             return
-        if (sender.name, goal.name) in self.blocked_links:
-            self.clock.callLater(0.05, self._hold, sender, goal, method, body, sending, receiving, end)
+        if (sender.name, receiver.name) in self.blocked_links:
+            self.clock.callLater(0.05, self._hold, sender, receiver, method, body, sender_ctx, receiver_ctx, deadline)
             return
-        self.clock.callLater(0.002, self._let_go, sender, goal, method, body)
+        self.clock.callLater(0.002, self._deliver_held, sender, receiver, method, body)
 
-    def _let_go(self, sender, goal, method, body):
-        super().deliver_call(sender, goal.address, method, body).addErrback(lambda f: None)
+    def _deliver_held(self, sender, receiver, method, body):
+        super().deliver_call(sender, receiver.address, method, body).addErrback(lambda f: None)
 
 
 @attrs.define
-class _OrderOutcome:
+class _RequestOutcome:
     """What became of an order: when its copies were sent, and its clear answer, if there was one."""
 
-    copies: list[float] = attrs.Factory(list)
+    sent_at: list[float] = attrs.Factory(list)
     response: Response = Response.UNKNOWN
     ended: float = inf
 
 
 @attrs.define
-class _Sent:
+class _Attempt:
     """One copy of an order on its way: the controller's life that it reached, and whether its caller has left."""
 
-    life: object = None
+    controller_ctx: object = None
     response: list | None = None
     failed: bool = False
-    left: bool = False
+    abandoned: bool = False
 
 
 class Operators:
     """Several operators who change one fleet at once, each as a caller with a second of patience."""
 
-    def __init__(self, simulation, tries: int = 8, lost: float = 0.05, held: float = 0.12, unacknowledged: float = 0.1):
+    def __init__(
+        self,
+        simulation,
+        max_attempts: int = 8,
+        loss_probability: float = 0.05,
+        delay_probability: float = 0.12,
+        lost_response_probability: float = 0.1,
+    ):
         self.simulation, self.client, self.timers = simulation, ControlClient(simulation), simulation.timers()
-        self.tries, self.lost, self.held, self.unacknowledged = tries, lost, held, unacknowledged
+        self.max_attempts, self.loss_probability, self.delay_probability, self.lost_response_probability = (
+            max_attempts,
+            loss_probability,
+            delay_probability,
+            lost_response_probability,
+        )
         self.records: list = []
-        self.over = False
+        self.stopped = False
         self._number = 0
         self._views: dict = {}
-        self.timers.call_repeatedly(ms(200), self._watch, self._fault)
-        self.faults: list[str] = []
+        self.timers.call_repeatedly(ms(200), self._sample_gateways, self._record_error)
+        self.violations: list[str] = []
 
-    def _fault(self, error):
-        self.faults.append(repr(error))
+    def _record_error(self, error):
+        self.violations.append(repr(error))
 
-    def taken(self) -> int:
+    def confirmed_count(self) -> int:
         return sum(isinstance(r, ConfigWrite | ZoneWrite) and r.response is Response.CONFIRMED for r in self.records)
 
     async def call(self, controller, *args):
         """One copy of a call: (status, body), or None where no clear answer came in time."""
         simulation, rng = self.simulation, self.simulation.rng
-        sent = _Sent()
-        lost_response = rng.random() < self.unacknowledged
-        span = 0.001 + 0.003 * rng.random()
-        if rng.random() < self.held:
-            span = rng.choice((0.2, 0.6, 1.5, 3.0, 6.0))
-        if rng.random() >= self.lost:
-            simulation.clock.callLater(span, self._arrive, controller, sent, args)
-        until = simulation.clock.seconds() + PATIENCE
-        while simulation.clock.seconds() < until:
+        attempt = _Attempt()
+        lost_response = rng.random() < self.lost_response_probability
+        delay_s = 0.001 + 0.003 * rng.random()
+        if rng.random() < self.delay_probability:
+            delay_s = rng.choice((0.2, 0.6, 1.5, 3.0, 6.0))
+        if rng.random() >= self.loss_probability:
+            simulation.clock.callLater(delay_s, self._arrive, controller, attempt, args)
+        deadline = simulation.clock.seconds() + CLIENT_TIMEOUT_S
+        while simulation.clock.seconds() < deadline:
             await self.timers.sleep(ms(10))
-            if sent.failed or sent.life is not None and (not controller.alive or controller.ctx is not sent.life):
+            if (
+                attempt.failed
+                or attempt.controller_ctx is not None
+                and (not controller.alive or controller.ctx is not attempt.controller_ctx)
+            ):
                 return None
-            if sent.response and not lost_response:
-                return sent.response[0] if sent.response[0][0] < 500 else None
-        sent.left = True
-        if sent.response is not None:
-            simulation.clock.callLater(0.002, self._hang_up, controller, sent)
+            if attempt.response and not lost_response:
+                return attempt.response[0] if attempt.response[0][0] < 500 else None
+        attempt.abandoned = True
+        if attempt.response is not None:
+            simulation.clock.callLater(0.002, self._disconnect, controller, attempt)
         return None
 
-    def _arrive(self, controller, sent, args):
+    def _arrive(self, controller, attempt, args):
         if not controller.alive:
-            sent.failed = True
+            attempt.failed = True
             return
-        sent.life = controller.ctx
-        controller.clock.callLater(0, self._read, controller, sent, args)
+        attempt.controller_ctx = controller.ctx
+        controller.clock.callLater(0, self._start_call, controller, attempt, args)
 
-    def _read(self, controller, sent, args):
-        sent.response = self.client.start_call(controller, *args)
-        if sent.left:
-            self.simulation.clock.callLater(0.008 * self.simulation.rng.random(), self._hang_up, controller, sent)
+    def _start_call(self, controller, attempt, args):
+        attempt.response = self.client.start_call(controller, *args)
+        if attempt.abandoned:
+            self.simulation.clock.callLater(0.008 * self.simulation.rng.random(), self._disconnect, controller, attempt)
 
-    def _hang_up(self, controller, sent):
-        if controller.alive and controller.ctx is sent.life:
-            controller.clock.callLater(0, sent.response.disconnect)
+    def _disconnect(self, controller, attempt):
+        if controller.alive and controller.ctx is attempt.controller_ctx:
+            controller.clock.callLater(0, attempt.response.disconnect)
 
-    async def send(self, *args) -> _OrderOutcome:
+    async def send(self, *args) -> _RequestOutcome:
         """An order sent until it has a clear answer."""
-        outcome, pause = _OrderOutcome(), 50
+        outcome, pause = _RequestOutcome(), 50
         await self.timers.sleep(ms(5))
-        for _ in range(self.tries):
-            outcome.copies.append(self.simulation.clock.seconds())
-            got = await self.call(self.simulation.rng.choice(self.simulation.role("controller")), *args)
-            if got is not None:
-                outcome.response, outcome.ended = _meaning(got[0]), self.simulation.clock.seconds()
+        for _ in range(self.max_attempts):
+            outcome.sent_at.append(self.simulation.clock.seconds())
+            response = await self.call(self.simulation.rng.choice(self.simulation.role("controller")), *args)
+            if response is not None:
+                outcome.response, outcome.ended = _response_for(response[0]), self.simulation.clock.seconds()
                 return outcome
             await self.timers.sleep(ms(pause))
             pause = min(400, 2 * pause)
@@ -142,14 +163,14 @@
             )
         outcome = await self.send(*args, {"If-Match": str(base)})
         self.records.append(
-            ConfigWrite(content, base, version, outcome.copies[0], outcome.ended, outcome.response, valid)
+            ConfigWrite(content, base, version, outcome.sent_at[0], outcome.ended, outcome.response, valid)
         )
         return outcome.response
 
     async def change_zone(self, zone, empty):
         outcome = await self.send("PUT" if empty else "DELETE", f"/v1/zones/{zone}/empty")
-        for n, sent in enumerate(outcome.copies, 1):
-            response = outcome.response if n == len(outcome.copies) else Response.UNKNOWN
+        for n, sent in enumerate(outcome.sent_at, 1):
+            response = outcome.response if n == len(outcome.sent_at) else Response.UNKNOWN
             self.records.append(ZoneWrite(zone, empty, sent, outcome.ended, response))
 
     async def read(self, controller=None):
@@ -166,27 +187,27 @@
 
     async def operate(self):
         rng = self.simulation.rng
-        while not self.over:
+        while not self.stopped:
             await self.timers.sleep(ms(50 + rng.randrange(500)))
-            got = await self.read()
-            if got is not None:
-                await self._one(*got)
+            response = await self.read()
+            if response is not None:
+                await self._send_one(*response)
 
-    async def _one(self, base: int, content: str):
+    async def _send_one(self, base: int, content: str):
         rng = self.simulation.rng
-        name, version = self._name(), base + 1 + rng.randrange(2)
-        roll = rng.random()
-        if roll < 0.3:
+        name, version = self._next_name(), base + 1 + rng.randrange(2)
+        draw = rng.random()
+        if draw < 0.3:
             zone, empty = rng.choice(ZONES), rng.random() < 0.5
             await self.change_zone(zone, empty)
             if rng.random() < 0.7:
                 await self.change_zone(zone, not empty)
-        elif roll < 0.37:
+        elif draw < 0.37:
             await self.change(name, base, version, valid=False)
-        elif roll < 0.47:
-            await self._early(name, base + 1 + rng.randrange(2))
-        elif roll < 0.6:
-            second = spawn(self._early(self._name(), version))
+        elif draw < 0.47:
+            await self._change_ahead(name, base + 1 + rng.randrange(2))
+        elif draw < 0.6:
+            second = spawn(self._change_ahead(self._next_name(), version))
             await self.change(name, base, version)
             await second
         else:
@@ -195,17 +216,17 @@
             if response is Response.CONFIRMED and rng.random() < 0.3:
                 await self.change(name, base, version, replaced=replaced)
 
-    async def _early(self, name: str, base: int):
+    async def _change_ahead(self, name: str, base: int):
         """A change on a version that may not be in force yet; sent again once where that was refused."""
         if await self.change(name, base, base + 2) is Response.OTHER_VERSION:
             await self.timers.sleep(ms(300))
             await self.change(name, base, base + 2)
 
-    def _name(self) -> str:
+    def _next_name(self) -> str:
         self._number += 1
         return f"c{self._number}"
 
-    def _watch(self):
+    def _sample_gateways(self):
         """What gateways that may admit work serve by: in force at some time within the last two seconds."""
         now = self.simulation.clock.seconds()
         for a in self.simulation.role("gateway", alive=True):
@@ -213,9 +234,9 @@
                 continue
             state = a.ctx.cluster.cluster_state
             content = next(iter(state.routes.routes), "")
-            self._note_view(a, ConfigRead(state.routes.version, content, now - IN_EFFECT, now, a.node))
+            self._note_view(a, ConfigRead(state.routes.version, content, now - IN_EFFECT_WITHIN_S, now, a.node))
             for zone in ZONES:
-                self._note_view(a, ZoneRead(zone, zone in state.empty_zones, now - IN_EFFECT, now, a.node))
+                self._note_view(a, ZoneRead(zone, zone in state.empty_zones, now - IN_EFFECT_WITHIN_S, now, a.node))
 
     def _note_view(self, gateway, view):
         """One record for each second of an unchanged view; a version that goes back is a fault of its own."""
@@ -225,12 +246,12 @@
         if same and view.ended - last.ended < 1:
             return
         if isinstance(view, ConfigRead) and last is not None and view.version < last.version:
-            self.faults.append(f"{gateway.name} went back from {last.version} to {view.version}")
+            self.violations.append(f"{gateway.name} went back from {last.version} to {view.version}")
         self._views[key] = view
         self.records.append(view)
 
 
-def _meaning(status: int) -> Response:
+def _response_for(status: int) -> Response:
     if status == 200:
         return Response.CONFIRMED
     return Response.OTHER_VERSION if status == 412 else Response.REFUSED
--- a/tests/test_edit_guards.py
+++ b/tests/test_edit_guards.py
@@ -12,7 +12,7 @@
 from testbed.checks.linearizability import ConfigRead, ConfigWrite, Response, ZoneRead, ZoneWrite, check_history
 
 from .control_client import ControlClient, config_of, route_of
-from .order_simulation import DelayingSimulation
+from .operator_simulation import DelayingSimulation
 
 ZONE = "zone-b"
 PATH = f"/v1/zones/{ZONE}/empty"
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -12,7 +12,7 @@
 from .model.recorder import Recorder
 
 SEEDS = seeds(3)
-IN_EFFECT = 2.0
+IN_EFFECT_WITHIN_S = 2.0
 LOGS = ("results/x", "results/y")
 FAULTS = 12
 
@@ -150,7 +150,7 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 recorder, told = run_recorded(seed)
-                self.assertEqual(recorder.found(IN_EFFECT), [], f"seed {seed}: {told}")
+                self.assertEqual(recorder.found(IN_EFFECT_WITHIN_S), [], f"seed {seed}: {told}")
                 for observed in (recorder.votes, recorder.elected, recorder.counted, recorder.applied):
                     self.assertTrue(observed, "the recorder no longer sees the consensus")
                 acknowledged += len(recorder.acknowledged)
--- a/tests/test_simulated_edits.py
+++ b/tests/test_simulated_edits.py
@@ -7,7 +7,7 @@
 from testbed.checks.linearizability import check_history
 from testbed.simulator.random_faults import RandomFaults, seeds
 
-from .order_simulation import DelayingSimulation, Operators
+from .operator_simulation import DelayingSimulation, Operators
 from .test_edit_guards import GUARDS
 
 SEEDS = seeds(3)
@@ -39,17 +39,19 @@
     if simulation.seed % 3 == 0:
         _lose_power(simulation)
     simulation.run(4)
-    operators.over = True
+    operators.stopped = True
     simulation.run(14)
     simulation.ready()
     for a in simulation.role("controller"):
         simulation.until(lambda a=a: simulation.do(operators.read(a), 5), 10, f"{a.name} is read")
     simulation.run(GATEWAY_DELIVERY_S)
     violations = (
-        operators.faults + [t for t in random_faults.injected if "work ended" in t] + check_history(operators.records)
+        operators.violations
+        + [t for t in random_faults.injected if "work ended" in t]
+        + check_history(operators.records)
     )
-    if operators.taken() < MIN_CONFIRMED_EDITS:
-        violations.append(f"only {operators.taken()} edits were confirmed")
+    if operators.confirmed_count() < MIN_CONFIRMED_EDITS:
+        violations.append(f"only {operators.confirmed_count()} edits were confirmed")
     return violations
 
 
--- a/tests/test_stale_leaseholder.py
+++ b/tests/test_stale_leaseholder.py
@@ -8,7 +8,7 @@
 from testbed.simulator.simulation import Simulation
 
 from .model.recorder import Recorder
-from .test_model_conformance import IN_EFFECT
+from .test_model_conformance import IN_EFFECT_WITHIN_S
 
 LOG = "results/x"
 
@@ -25,7 +25,7 @@
         try:
             with recorder.recording():
                 self.run_scenario(simulation)
-            return recorder.found(IN_EFFECT)
+            return recorder.found(IN_EFFECT_WITHIN_S)
         finally:
             simulation.end()
 
--- a/tests/test_wiped_nodes.py
+++ b/tests/test_wiped_nodes.py
@@ -7,7 +7,7 @@
 from testbed.simulator.simulation import Simulation
 
 from .model.recorder import Recorder
-from .test_model_conformance import IN_EFFECT, settled_anew
+from .test_model_conformance import IN_EFFECT_WITHIN_S, settled_anew
 
 
 class WipedNodes(unittest.TestCase):
@@ -41,7 +41,7 @@
             )
         simulation.heal()
         simulation.run(6)
-        self.assertEqual(recorder.found(IN_EFFECT), [])
+        self.assertEqual(recorder.found(IN_EFFECT_WITHIN_S), [])
 
     def test_a_wiped_storage_node_does_not_count_as_the_replica_it_was(self):
         simulation, recorder = self.start_recorded_simulation(4, controllers=3, storage_nodes=3, gateways=2)
@@ -62,5 +62,5 @@
         simulation.heal()
         simulation.run(8)
         simulation.do(settled_anew(second.ctx, "results/x"), 30)
-        self.assertEqual(recorder.found(IN_EFFECT), [])
+        self.assertEqual(recorder.found(IN_EFFECT_WITHIN_S), [])
         self.assertTrue([state for state in recorder.settled if state.node == second.node])
