--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -64,13 +64,13 @@
 
 def play(scenario: str, seed: int) -> BehaviourRecord:
     """Plays one scenario with one seed."""
-    collected = gc.isenabled()
+    gc_was_enabled = gc.isenabled()
     gc.collect()
     gc.disable()
     try:
         seen, network = SCENARIOS[scenario](seed)
     finally:
-        if collected:
+        if gc_was_enabled:
             gc.enable()
     return BehaviourRecord(seen, network)
 
@@ -101,17 +101,17 @@
 
 def _check(path: str, scenarios: list[str], seeds: range) -> int:
     expected = read_digests(path)
-    checked = found = 0
+    checked = differing = 0
     for scenario in scenarios:
         for seed in seeds:
             if str(seed) not in expected.get(scenario, {}):
                 continue
-            wrong = mismatches(expected, scenario, seed)
-            checked, found = checked + 1, found + bool(wrong)
-            for line in wrong:
+            differences = mismatches(expected, scenario, seed)
+            checked, differing = checked + 1, differing + bool(differences)
+            for line in differences:
                 print(line, flush=True)
-    print(f"{checked} records checked, {found} differ")
-    return 1 if found or not checked else 0
+    print(f"{checked} records checked, {differing} differ")
+    return 1 if differing or not checked else 0
 
 
 def _print_difference(path: str, lines: list[str]) -> int:
--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -28,37 +28,41 @@
 __all__ = ["SCENARIOS"]
 
 ALL_ROLES = ("controller", "controller", "storage", "gateway", "gateway")
-BODY_SHOWN = 160
-SLOW_LINK = 2_000_000.0
-HISTORY_WORDS = {
+MAX_TEXT_SHOWN = 160
+SLOW_LINK_BYTES_PER_S = 2_000_000.0
+HISTORY_LABELS = {
     ConfigWrite: "config-order",
     ConfigRead: "config-seen",
     ZoneWrite: "zone-order",
     ZoneRead: "zone-seen",
 }
-CUSTOMER_FIELDS = {
+CLIENT_EVENT_FIELDS = {
     "lot": ("name", "lot", "status", "retry", "fault", "asked"),
     "results": ("lot", "status", "state", "results", "fault", "asked"),
     "lot_ended": ("lot", "status", "said"),
     "told": ("prompt", "pieces", "end", "fault", "asked"),
 }
-ENGINE_FIELDS = ("engine", "event", "run", "prompt", "model", "state")
+ENGINE_EVENT_FIELDS = ("engine", "event", "run", "prompt", "model", "state")
 
 
-def _plain(value):
+def _canonical(value):
     """A value in one spelling: sorted keys, times in whole ms, long bytes and texts by their digest."""
     if isinstance(value, float):
         return f"{value:.3f}"
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, bytes):
-        return _plain(value.decode("latin-1"))
+        return _canonical(value.decode("latin-1"))
     if isinstance(value, str):
-        return value if len(value) <= BODY_SHOWN else f"{value[:BODY_SHOWN]}... {len(value)} {_short_digest(value)}"
+        return (
+            value
+            if len(value) <= MAX_TEXT_SHOWN
+            else f"{value[:MAX_TEXT_SHOWN]}... {len(value)} {_short_digest(value)}"
+        )
     if isinstance(value, dict):
-        return {str(k): _plain(v) for k, v in sorted(value.items())}
+        return {str(k): _canonical(v) for k, v in sorted(value.items())}
     if isinstance(value, list | tuple):
-        return [_plain(v) for v in value]
+        return [_canonical(v) for v in value]
     return value
 
 
@@ -66,7 +70,7 @@
     return sha256(data.encode() if isinstance(data, str) else data).hexdigest()[:16]
 
 
-class _Notes:
+class _Lines:
     """Lines with the virtual time at which they were noted."""
 
     def __init__(self, seconds):
@@ -75,13 +79,13 @@
 
     def note(self, *args, at: float | None = None):
         at = self._seconds() if at is None else at
-        self.lines.append(f"{at:.3f} {json.dumps(_plain(args))}")
+        self.lines.append(f"{at:.3f} {json.dumps(_canonical(args))}")
 
 
 @contextmanager
-def _played(simulation):
+def _running(simulation):
     """The notes of a scenario and of its network; the fleet is ready, and ended in the end."""
-    seen, network = _Notes(simulation.clock.seconds), _Notes(simulation.clock.seconds)
+    seen, network = _Lines(simulation.clock.seconds), _Lines(simulation.clock.seconds)
     with mock.patch.object(Simulation, "deliver_call", _recorded_deliver_call(network)):
         try:
             simulation.start()
@@ -93,22 +97,24 @@
 
 def _recorded_deliver_call(network):
     """The simulation's one way for messages, with a note for each request and for what came back to its sender."""
-    plain_deliver_call = Simulation.deliver_call
+    original_deliver_call = Simulation.deliver_call
 
     def deliver_call(simulation, sender, address, method, body, node=""):
-        goal = next((a.name for a in simulation.simulated_nodes.values() if a.address == address), str(address))
-        network.note("request", sender.name, goal, method, node, len(body), _short_digest(body))
-        return plain_deliver_call(simulation, sender, address, method, body, node).addBoth(
-            back, sender.name, goal, method
+        receiver = next((a.name for a in simulation.simulated_nodes.values() if a.address == address), str(address))
+        network.note("request", sender.name, receiver, method, node, len(body), _short_digest(body))
+        return original_deliver_call(simulation, sender, address, method, body, node).addBoth(
+            note_result, sender.name, receiver, method
         )
 
-    def back(result, sender, goal, method):
+    def note_result(result, sender, receiver, method):
         if not isinstance(result, Failure):
-            network.note("response", sender, goal, method, len(result), _short_digest(result))
+            network.note("response", sender, receiver, method, len(result), _short_digest(result))
         elif isinstance(result.value, defer.CancelledError):
-            network.note("cancelled", sender, goal, method)
+            network.note("cancelled", sender, receiver, method)
         else:
-            network.note("error", sender, goal, method, _code(result.value), getattr(result.value, "remote_code", ""))
+            network.note(
+                "error", sender, receiver, method, _code(result.value), getattr(result.value, "remote_code", "")
+            )
         return result
 
     return deliver_call
@@ -118,14 +124,14 @@
     return str(getattr(error, "code", ""))
 
 
-def _spawn(seen, work):
+def _run_in_background(seen, work):
     defer.ensureDeferred(work).addErrback(lambda f: seen.note("work ended", _code(f.value)))
 
 
 def controllers(seed):
     """Edits of the table of models and their outcomes while controllers fail."""
     simulation = Simulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
-    with _played(simulation) as (seen, network):
+    with _running(simulation) as (seen, network):
         operators, client = TableOperators(simulation), ControlClient(simulation)
         operators.timers = simulation.timers()
         random_faults = RandomFaults(simulation, roles=("controller",) if seed % 2 else ALL_ROLES)
@@ -146,12 +152,12 @@
     for controller in simulation.role("controller"):
         for method, path, _ in client.control_format.control_paths:
             if method == "GET" and "<" not in path:
-                seen.note(controller.name, path, *_answer(client.call(controller, method, path)))
+                seen.note(controller.name, path, *_status_and_content(client.call(controller, method, path)))
 
 
-def _answer(answer) -> tuple:
+def _status_and_content(response) -> tuple:
     """The status and the body; of an error's body its code alone."""
-    status, body = answer
+    status, body = response
     if isinstance(body, dict) and "error" in body:
         error = body["error"]
         body = error.get("code") if isinstance(error, dict) else error
@@ -184,8 +190,8 @@
 def logs(seed):
     """Gateways that race for one replicated log while storage nodes and gateways fail."""
     simulation = Simulation(seed, controllers=3, storage_nodes=3 + seed % 2, gateways=3, placement_groups=2)
-    simulation.bytes_per_s = SLOW_LINK if seed % 3 == 0 else None
-    with _played(simulation) as (seen, network):
+    simulation.bytes_per_s = SLOW_LINK_BYTES_PER_S if seed % 3 == 0 else None
+    with _running(simulation) as (seen, network):
         writers = _RecordedWriters(simulation, seen)
         gateways = simulation.role("gateway")
         random_faults = RandomFaults(simulation, roles=("storage", "storage", "gateway"))
@@ -193,8 +199,8 @@
             [work for a in gateways for work in (writers.write(a), writers.read(a))], faults=8
         )
         for a in gateways:
-            _spawn(seen, writers.write(a))
-            _spawn(seen, writers.read(a))
+            _run_in_background(seen, writers.write(a))
+            _run_in_background(seen, writers.read(a))
         simulation.run(8)
         writers.stopped = True
         simulation.run(3)
@@ -202,20 +208,20 @@
     return seen.lines, network.lines
 
 
-def _note_customers(customers, simulation, seen):
-    lines = [(e["at"], 0, e) for e in customers.events] + [(n["at"], 1, n) for n in simulation.notes]
+def _note_client_events(clients, simulation, seen):
+    lines = [(e["at"], 0, e) for e in clients.events] + [(n["at"], 1, n) for n in simulation.notes]
     for at, source, e in sorted(lines, key=lambda line: line[:2]):
         if source:
-            seen.note(*(e.get(field) for field in ENGINE_FIELDS), at=at)
+            seen.note(*(e.get(field) for field in ENGINE_EVENT_FIELDS), at=at)
         else:
-            seen.note(e["event"], *(e[field] for field in CUSTOMER_FIELDS[e["event"]]), at=at)
+            seen.note(e["event"], *(e[field] for field in CLIENT_EVENT_FIELDS[e["event"]]), at=at)
 
 
 def gateway_batches(seed):
     """SimulatedClients' lots, live requests, and engines that come and go, while everything fails."""
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
     simulation.add_engines(SimulatedGateway, SimulatedEngine, 3)
-    with _played(simulation) as (seen, network):
+    with _running(simulation) as (seen, network):
         c = SimulatedClients(simulation)
         random_faults = RandomFaults(simulation, roles=("gateway", "gateway", "storage", "controller"))
         random_faults.run_with_faults(
@@ -232,14 +238,14 @@
         c.stopped = True
         simulation.run(9)
         _read_all_batches(simulation, c)
-        _note_customers(c, simulation, seen)
+        _note_client_events(c, simulation, seen)
     return seen.lines, network.lines
 
 
-def _read_all_batches(simulation, customers):
-    for batch in list(customers.batches):
+def _read_all_batches(simulation, clients):
+    for batch in list(clients.batches):
         for gateway in simulation.role("gateway"):
-            simulation.do(customers.read_results(batch, gateway), 10)
+            simulation.do(clients.read_results(batch, gateway), 10)
 
 
 class _RecordedBatchClients(batch_builders.BatchClients):
@@ -251,10 +257,10 @@
 
     async def call(self, do, gateway=None, timeout_s=6.0):
         gateway = gateway or self.gateway()
-        asked = self.simulation.clock.seconds()
+        started_at = self.simulation.clock.seconds()
         status, headers, body = await super().call(do, gateway, timeout_s)
         name = gateway.name if gateway else ""
-        self._seen.note("answer", name, asked, status, dict(headers), _error_code(status, body))
+        self._seen.note("answer", name, started_at, status, dict(headers), _error_code(status, body))
         return status, headers, body
 
 
@@ -263,7 +269,7 @@
     if status < 400:
         return body
     try:
-        return _answer((status, json.loads(body)))[1]
+        return _status_and_content((status, json.loads(body)))[1]
     except ValueError:
         return body
 
@@ -275,7 +281,7 @@
     simulation.runs, simulation.finished, simulation.break_probability = [], [], 0.05
     simulation.event_interval = batch_builders.ms(40)
     simulation.add_engines(batch_builders.BatchGateway, None, 0)
-    with _played(simulation) as (seen, network):
+    with _running(simulation) as (seen, network):
         simulation.run(2)
         c = _RecordedBatchClients(simulation, seen)
         random_faults = RandomFaults(simulation)
@@ -309,22 +315,22 @@
         self._seen = seen
 
     async def call(self, controller, *args):
-        asked = self.simulation.clock.seconds()
+        started_at = self.simulation.clock.seconds()
         got = await super().call(controller, *args)
-        self._seen.note("answer", controller.name, asked, args, _answer(got) if got else None)
+        self._seen.note("answer", controller.name, started_at, args, _status_and_content(got) if got else None)
         return got
 
 
 def _note_history(operators, seen):
     for r in operators.records:
-        seen.note(HISTORY_WORDS[type(r)], attrs.astuple(r), at=r.sent)
+        seen.note(HISTORY_LABELS[type(r)], attrs.astuple(r), at=r.sent)
     seen.note("faults", operators.violations)
 
 
-def orders(seed):
+def operator_requests(seed):
     """Operators' orders that are lost, held up, sent again and raced, while controllers or everything fails."""
     simulation = DelayingSimulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
-    with _played(simulation) as (seen, network):
+    with _running(simulation) as (seen, network):
         operators = _RecordedOperators(simulation, seen)
         random_faults = RandomFaults(simulation, roles=("controller",) if seed % 2 else ALL_ROLES)
         random_faults.run_with_faults([operators.operate() for _ in range(3)], faults=8)
@@ -354,7 +360,7 @@
         seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=4, named=bool(seed % 2)
     )
     simulation.add_engines(SimulatedGateway, SimulatedEngine, 2)
-    with _played(simulation) as (seen, network):
+    with _running(simulation) as (seen, network):
         operators, c = _RecordedOperators(simulation, seen), SimulatedClients(simulation)
         work = [
             operators.operate(),
@@ -372,7 +378,7 @@
         _read_all_batches(simulation, c)
         _note_control_paths(simulation, operators.client, seen)
         _note_history(operators, seen)
-        _note_customers(c, simulation, seen)
+        _note_client_events(c, simulation, seen)
     return seen.lines, network.lines
 
 
@@ -393,7 +399,7 @@
     return next((line[len(ID_HEADER) :].decode() for line in lines if line.startswith(ID_HEADER)), "")
 
 
-class _OrderedSet(dict):
+class _InsertionOrderedSet(dict):
     """Stands for the set of calls under way, which is walked in the order of their memory addresses."""
 
     def add(self, member):
@@ -412,42 +418,42 @@
     def __init__(self, seed):
         self.rng = Random(seed)
         self.harness = RouterHarness(ROUTES, seed=seed, gateways=2)
-        self.seen = _Notes(self.harness.clock.seconds)
-        self.callers: list = []
-        self.open: list = []
+        self.seen = _Lines(self.harness.clock.seconds)
+        self.channels: list = []
+        self.exchanges: list = []
         self.states = dict.fromkeys(self.ENGINES, "ready")
         self._announce()
 
     def play(self) -> list[str]:
-        actions = (self._ask, self._respond, self._pass, self._change_engine, self._hang_up)
+        actions = (self._send_request, self._respond, self._advance, self._change_engine, self._disconnect)
         for _ in range(self.STEPS):
             self.rng.choices(actions, (4, 12, 4, 0.4, 0.4))[0]()
-            self._note_all()
+            self._note_traffic()
         for _ in range(20):
-            self._pass_time(500)
+            self._advance_ms(500)
         return self.seen.lines
 
     def _announce(self):
         for n, (name, state) in enumerate(self.states.items()):
             self.harness.announce_engine(name, zone="zone-" + "ab"[n % 2], capacity=3, state=state)
 
-    def _ask(self):
+    def _send_request(self):
         path = self.rng.choice(PATHS)
         headers = [h for h in CALL_HEADERS if self.rng.random() < 0.3]
-        call_id = f"c{len(self.callers)}"
+        call_id = f"c{len(self.channels)}"
         body = b"b" * self.rng.randrange(200)
         self.seen.note("asks", call_id, path, headers, len(body))
-        self.callers.append(self.harness.send_request(path, call_id, body, headers))
+        self.channels.append(self.harness.send_request(path, call_id, body, headers))
 
-    def _pass(self):
-        self._pass_time(self.rng.choice((5, 20, 20, 100, 400, 1500)))
+    def _advance(self):
+        self._advance_ms(self.rng.choice((5, 20, 20, 100, 400, 1500)))
 
-    def _pass_time(self, span_ms: int):
+    def _advance_ms(self, span_ms: int):
         """Time passes in short steps; engines tell of themselves at the end of each."""
         for start in range(0, span_ms, 100):
             self.harness.advance_ms(min(100, span_ms - start))
             self._announce()
-            self._note_all()
+            self._note_traffic()
 
     def _change_engine(self):
         name = self.rng.choice(self.ENGINES)
@@ -459,50 +465,50 @@
         self.seen.note("engine", name, self.states[name], address in self.harness.refused_addresses)
         self._announce()
 
-    def _hang_up(self):
-        if self.callers:
-            n = self.rng.randrange(len(self.callers))
+    def _disconnect(self):
+        if self.channels:
+            n = self.rng.randrange(len(self.channels))
             self.seen.note("hangs up", n)
-            self.callers[n].transport.close()
+            self.channels[n].transport.close()
 
     def _respond(self):
-        if not self.open:
+        if not self.exchanges:
             return
-        answer = self.rng.choice(self.open)
-        name, link, call_id, sent = answer
-        if link.transport.closed:
-            self.open.remove(answer)
+        exchange = self.rng.choice(self.exchanges)
+        name, connection, call_id, sent = exchange
+        if connection.transport.closed:
+            self.exchanges.remove(exchange)
             return
         roll = self.rng.random()
         if roll < 0.1:
-            self.open.remove(answer)
+            self.exchanges.remove(exchange)
             self.seen.note("engine breaks", name, call_id)
-            link.transport.close()
+            connection.transport.close()
         elif not sent:
-            self._respond_head(answer)
+            self._respond_head(exchange)
         elif sent < 4:
-            answer[3] += 1
-            link.dataReceived(chunk(event(sent, f"text {sent}")))
+            exchange[3] += 1
+            connection.dataReceived(chunk(event(sent, f"text {sent}")))
         else:
-            self.open.remove(answer)
-            link.dataReceived(END)
+            self.exchanges.remove(exchange)
+            connection.dataReceived(END)
 
-    def _respond_head(self, answer):
-        name, link, call_id, _ = answer
+    def _respond_head(self, exchange):
+        name, connection, call_id, _ = exchange
         status = self.rng.choice(STATUSES)
-        answer[3] = 1
+        exchange[3] = 1
         if status == STATUSES[0]:
-            link.dataReceived(head(call_id))
+            connection.dataReceived(head(call_id))
             return
-        self.open.remove(answer)
-        link.dataReceived(head(call_id, status, seal=self.rng.random() < 0.7, length=4) + b"body")
+        self.exchanges.remove(exchange)
+        connection.dataReceived(head(call_id, status, seal=self.rng.random() < 0.7, length=4) + b"body")
 
-    def _note_all(self):
-        for name, link, data in self.harness.take_engine_requests():
+    def _note_traffic(self):
+        for name, connection, data in self.harness.take_engine_requests():
             self.seen.note("engine is sent", name, data)
             call_id = _call_id(data)
-            self.open.append([name, link, call_id, 0])
-        for n, channel in enumerate(self.callers):
+            self.exchanges.append([name, connection, call_id, 0])
+        for n, channel in enumerate(self.channels):
             data = self.harness.client_output(channel)
             if data:
                 channel.transport.clear()
@@ -511,7 +517,7 @@
 
 def router(seed):
     """Live requests by routes through one gateway, whose callers and engines act at random; without other nodes."""
-    with mock.patch("pipitlink.router.call_relay.set", _OrderedSet, create=True):
+    with mock.patch("pipitlink.router.call_relay.set", _InsertionOrderedSet, create=True):
         return _RouterScenario(seed).play(), []
 
 
@@ -520,7 +526,7 @@
     "logs": logs,
     "lots": gateway_batches,
     "batches": batches,
-    "orders": orders,
+    "orders": operator_requests,
     "everything": everything,
     "router": router,
 }
