--- a/tests/model/explorer.py
+++ b/tests/model/explorer.py
@@ -7,9 +7,9 @@
 
 import attrs
 
-__all__ = ["Model", "Found", "explore", "walk"]
+__all__ = ["Model", "Exploration", "explore", "walk"]
 
-RARE_SHARE = 0.15
+RARE_WEIGHT = 0.15
 
 
 class Model(Protocol):
@@ -19,53 +19,53 @@
 
     def steps(self, state) -> Iterable[tuple[str, Hashable]]: ...
 
-    def wrong(self, state) -> list[str]: ...
+    def violations(self, state) -> list[str]: ...
 
 
 @attrs.frozen
-class Found:
+class Exploration:
     """What a run of the explorer saw: the number of states, and the first violation with the steps that led there."""
 
     states: int
-    whole: bool
-    wrong: tuple[str, ...] = ()
+    complete: bool
+    violations: tuple[str, ...] = ()
     trace: tuple[str, ...] = ()
 
 
-def explore(model: Model, most: int = 2_000_000, begin: tuple[str, ...] = ()) -> Found:
+def explore(model: Model, max_states: int = 2_000_000, first_steps: tuple[str, ...] = ()) -> Exploration:
     """Breadth first, so a violation comes with a shortest trace. `whole` says that no state was left out.
 
     `begin` names the first steps, where a run is too long to be found from the start.
     """
     start = model.start()
-    for name in begin:
+    for name in first_steps:
         start = dict(model.steps(start))[name]
-    came_from: dict = {start: None}
-    waiting = deque([start])
-    while waiting:
-        state = waiting.popleft()
+    predecessors: dict = {start: None}
+    queue = deque([start])
+    while queue:
+        state = queue.popleft()
         for name, after in model.steps(state):
-            if after in came_from:
+            if after in predecessors:
                 continue
-            came_from[after] = state, name
-            wrong = model.wrong(after)
-            if wrong:
-                return Found(len(came_from), False, tuple(wrong), _trace(came_from, after))
-            if len(came_from) >= most:
-                return Found(len(came_from), False)
-            waiting.append(after)
-    return Found(len(came_from), True)
+            predecessors[after] = state, name
+            violations = model.violations(after)
+            if violations:
+                return Exploration(len(predecessors), False, tuple(violations), _trace(predecessors, after))
+            if len(predecessors) >= max_states:
+                return Exploration(len(predecessors), False)
+            queue.append(after)
+    return Exploration(len(predecessors), True)
 
 
-def _trace(came_from: dict, state) -> tuple[str, ...]:
+def _trace(predecessors: dict, state) -> tuple[str, ...]:
     names = []
-    while came_from[state] is not None:
-        state, name = came_from[state]
+    while predecessors[state] is not None:
+        state, name = predecessors[state]
         names.append(name)
     return tuple(reversed(names))
 
 
-def walk(model: Model, seed: int, walks: int, depth: int, rare: tuple[str, ...] = ()) -> Found:
+def walk(model: Model, seed: int, walks: int, depth: int, rare: tuple[str, ...] = ()) -> Exploration:
     """Random walks. Steps are first drawn by kind, so that a kind with many variants doesn't crowd out the others."""
     rng = Random(seed)
     seen: set[int] = set()
@@ -78,11 +78,11 @@
             if not kinds:
                 break
             names = sorted(kinds)
-            kind = rng.choices(names, [RARE_SHARE if k in rare else 1 for k in names])[0]
+            kind = rng.choices(names, [RARE_WEIGHT if k in rare else 1 for k in names])[0]
             name, state = rng.choice(kinds[kind])
             trace.append(name)
             seen.add(hash(state))
-            wrong = model.wrong(state)
-            if wrong:
-                return Found(len(seen), False, tuple(wrong), tuple(trace))
-    return Found(len(seen), False)
+            violations = model.violations(state)
+            if violations:
+                return Exploration(len(seen), False, tuple(violations), tuple(trace))
+    return Exploration(len(seen), False)
--- a/tests/model/leases.py
+++ b/tests/model/leases.py
@@ -15,7 +15,7 @@
 from pipitlink.replicated_log.placement_group import PlacementGroup
 
 from . import properties
-from .properties import Acknowledged, Copies, Settled, Tail
+from .properties import Acknowledged, LogReplicas, RecoveredTail, Tail
 
 __all__ = ["Leases"]
 
@@ -102,7 +102,7 @@
         return self._replace(replicas=_replaced(self.replicas, node, replica))
 
     def with_recovered(self, index: int, leaseholder: Leaseholder) -> "State":
-        recovered = Settled(LOG, leaseholder.epoch, index, leaseholder.data)
+        recovered = RecoveredTail(LOG, leaseholder.epoch, index, leaseholder.data)
         return self._replace(recovered=self.recovered | {recovered})
 
 
@@ -128,14 +128,14 @@
     write_checks_epoch: bool = True
     write_checks_position: bool = True
     recovers_tail: bool = True
-    newest_tail: bool = True
-    both_sets: bool = True
+    picks_newest_tail: bool = True
+    quorum_in_both_sets: bool = True
     stale_placement_is_rejected: bool = True
     transfers_before_join: bool = True
     transfer_is_fenced: bool = True
     resets_progress_after_move: bool = True
     wiped_node_has_new_identity: bool = True
-    majority: bool = True
+    needs_majority: bool = True
 
     def group(self, sequence: int) -> PlacementGroup:
         """Before, during and after the replacement of the last node by one that joins."""
@@ -143,7 +143,7 @@
         names = tuple(str(n) for n in range(self.replicas))
         if sequence == 0:
             return PlacementGroup(0, sequence, names)
-        if sequence == 1 and self.both_sets:
+        if sequence == 1 and self.quorum_in_both_sets:
             return PlacementGroup(0, sequence, names, joining, names[-1])
         if sequence == 1:
             return PlacementGroup(0, sequence, names)
@@ -159,16 +159,18 @@
         state = State(replicas, (first, *(Leaseholder(),) * (self.leaseholders - 1)))
         return state.with_recovered(0, first)
 
-    def wrong(self, state: State) -> list[str]:
+    def violations(self, state: State) -> list[str]:
         tails = [Tail(LOG, r.tail_epoch, n, r.data) for n, r in enumerate(state.replicas) if not r.lost]
-        held = tuple(r.data for r in state.replicas if not r.lost)
+        replicas = tuple(r.data for r in state.replicas if not r.lost)
         shown = [Acknowledged(LOG, t.epoch, t.data) for t in state.recovered]
         return [
-            *properties.one_leaseholder_an_epoch(state.recovered),
-            *properties.one_tail_an_epoch(tails),
+            *properties.one_leaseholder_per_epoch(state.recovered),
+            *properties.one_tail_per_epoch(tails),
             *properties.acknowledged_in_later_tails(state.acknowledged, state.recovered),
             *properties.acknowledged_in_later_tails(shown, state.recovered),
-            *properties.copies_are_kept(state.acknowledged, (Copies(LOG, 1, held), *state.moved)),
+            *properties.enough_replicas_keep_acknowledged(
+                state.acknowledged, (LogReplicas(LOG, 1, replicas), *state.moved)
+            ),
         ]
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
@@ -205,7 +207,7 @@
             informed = leaseholder.with_progress(node, replica.reported())
             yield f"grant {node} to {index}", after.with_leaseholder(index, informed)
 
-    def _first_of_its_like(self, state: State, node: int) -> bool:
+    def _is_representative(self, state: State, node: int) -> bool:
         """False where a lower node could be put in this one's place: its steps stand for both."""
         staying = self.replicas - 1 if self.moves else self.replicas
         if node >= staying or state.transfer.source >= 0:
@@ -222,12 +224,12 @@
             node
             for node in map(int, self.group(leaseholder.sequence).all_nodes)
             if not state.replicas[node].lost
-            and self._first_of_its_like(state, node)
+            and self._is_representative(state, node)
             and (state.replicas[node].sequence <= leaseholder.sequence or not self.stale_placement_is_rejected)
         ]
 
     def _is_quorum(self, leaseholder: Leaseholder, nodes: Collection[int]) -> bool:
-        if not self.majority:
+        if not self.needs_majority:
             return bool(nodes)
         return self.group(leaseholder.sequence).is_quorum({str(n) for n in nodes})
 
@@ -235,7 +237,9 @@
         progress = dict(leaseholder.progress)
         if leaseholder.phase != REQUESTING or not self._is_quorum(leaseholder, progress):
             return
-        source = max(progress, key=lambda n: (progress[n].tail_epoch, progress[n].length) if self.newest_tail else n)
+        source = max(
+            progress, key=lambda n: (progress[n].tail_epoch, progress[n].length) if self.picks_newest_tail else n
+        )
         data = state.replicas[source].data[: progress[source].length]
         if state.replicas[source].lost or len(data) < progress[source].length:
             return
@@ -285,7 +289,7 @@
         if leaseholder.phase not in (RECOVERING, HELD) or not self._is_quorum(leaseholder, lengths):
             return
         group = self.group(leaseholder.sequence)
-        position = group.quorum_position(lengths) if self.majority else max(lengths.values())
+        position = group.quorum_position(lengths) if self.needs_majority else max(lengths.values())
         if leaseholder.phase == RECOVERING and position >= leaseholder.recovered_length:
             after = leaseholder._replace(phase=HELD, committed=max(leaseholder.committed, position))
             yield f"hold {index}", state.with_leaseholder(index, after).with_recovered(index, leaseholder)
@@ -313,12 +317,12 @@
             yield f"look {index} at {state.sequence}", state.with_leaseholder(index, after)
 
     def _follow(self, state: State, node: int, replica: Replica):
-        if replica.sequence < state.sequence and not replica.lost and self._first_of_its_like(state, node):
+        if replica.sequence < state.sequence and not replica.lost and self._is_representative(state, node):
             yield f"follow {node}", state.with_replica(node, replica._replace(sequence=state.sequence))
 
     def _wipe(self, state: State, node: int, replica: Replica):
         """A disk is lost: nobody answers for that identity any more. Only as many are lost at once as is tolerated."""
-        tolerated = state.wiped < self.wipes and node < self.replicas and self._first_of_its_like(state, node)
+        tolerated = state.wiped < self.wipes and node < self.replicas and self._is_representative(state, node)
         if tolerated and not replica.lost and replica != Replica(sequence=replica.sequence):
             wiped = Replica(lost=True) if self.wiped_node_has_new_identity else Replica(sequence=replica.sequence)
             yield f"empty {node}", state.with_replica(node, wiped)._replace(wiped=state.wiped + 1)
@@ -332,9 +336,9 @@
         if state.sequence == 1 and (state.transfer.complete or not self.transfers_before_join):
             members = [state.replicas[int(n)] for n in self.group(2).storage_nodes]
             lost = sum(r.lost for r in members)
-            moved = Copies(LOG, self.replicas // 2 + 1 - lost, tuple(r.data for r in members))
-            wrong = properties.copies_are_kept(state.acknowledged, [moved])
-            yield "end", state._replace(sequence=2, moved=(moved,) if wrong else ())
+            moved = LogReplicas(LOG, self.replicas // 2 + 1 - lost, tuple(r.data for r in members))
+            violations = properties.enough_replicas_keep_acknowledged(state.acknowledged, [moved])
+            yield "end", state._replace(sequence=2, moved=(moved,) if violations else ())
 
     def _list(self, state: State):
         """Any majority of the old set that has heard of the move may be the one that responds."""
--- a/tests/model/proofs.py
+++ b/tests/model/proofs.py
@@ -20,30 +20,30 @@
 
 
 class Leader(NamedTuple):
-    """Ages in ticks: since a majority was heard, since its election, since the gateway asked it with `shown`."""
+    """Ages in ticks: since a majority was heard, since its election, since the gateway asked it with `reported`."""
 
-    heard: int = NEVER
-    elected: int = NEVER
-    agreed: bool = False
-    asked: int = NEVER
-    shown: bool = False
+    quorum_age: int = NEVER
+    election_age: int = NEVER
+    has_change: bool = False
+    request_age: int = NEVER
+    gateway_had_change: bool = False
 
 
 class Gateway(NamedTuple):
     """`new` says whether it has the change; an answer under way carries what it will prove, and how old it is."""
 
-    new: bool = False
-    led: int = NEVER
-    proved: int = NEVER
-    answer: tuple = ()
-    asking: int = NEVER
+    has_change: bool = False
+    lease_age: int = NEVER
+    proof_age: int = NEVER
+    response: tuple = ()
+    poll_age: int = NEVER
 
 
 class Witness(NamedTuple):
     """Whether it has the change, and what it showed to the question that the gateway asks: nothing, old or new."""
 
-    new: bool = False
-    shown: str = ""
+    has_change: bool = False
+    reported: str = ""
 
 
 class State(NamedTuple):
@@ -51,7 +51,7 @@
     second: Leader
     gateway: Gateway
     witnesses: tuple[Witness, ...]
-    told: int = NEVER
+    acknowledged_age: int = NEVER
 
 
 @attrs.frozen
@@ -61,140 +61,177 @@
     witnesses: int = 3
     by_leaders: bool = True
     by_witnesses: bool = True
-    fresh: int = 3
-    sticky: int = 3
-    own: int = 3
-    lease: int = 4
-    proof: int = 2
+    leadership_span: int = 3
+    leader_stickiness: int = 3
+    follower_lease_span: int = 3
+    lease_span: int = 4
+    witness_proof_span: int = 2
     voters_wait: bool = True
-    leader_is_heard: bool = True
+    leader_needs_recent_quorum: bool = True
     gateways_confirm: bool = True
     new_leader_waits: bool = True
-    enough_witnesses: bool = True
-    half_needs_even: bool = True
-    counted_from_the_question: bool = True
+    needs_enough_witnesses: bool = True
+    rounds_half_up: bool = True
+    counts_from_request: bool = True
     proof_needs_majority: bool = True
 
     @property
-    def most(self) -> int:
-        return max(self.lease, self.own, self.sticky, self.proof) + 1
+    def max_age(self) -> int:
+        return max(self.lease_span, self.follower_lease_span, self.leader_stickiness, self.witness_proof_span) + 1
 
     def start(self) -> State:
-        return State(Leader(0, self.most, False), Leader(), Gateway(), (Witness(),) * self.witnesses)
+        return State(Leader(0, self.max_age, False), Leader(), Gateway(), (Witness(),) * self.witnesses)
 
-    def wrong(self, s: State) -> list[str]:
-        if s.told == NEVER or s.gateway.new:
+    def violations(self, state: State) -> list[str]:
+        if state.acknowledged_age == NEVER or state.gateway.has_change:
             return []
-        changes, admitted = [Change(-s.told, 1)], [Admitted(0, "gateway", 0)]
-        led = properties.no_old_state_admits(changes, admitted, -1) if s.gateway.led < self.own else []
-        proved = s.gateway.proved < self.proof
-        return led or (properties.no_old_state_admits(changes, admitted, self.proof) if proved else [])
-
-    def steps(self, s: State) -> Iterator[tuple[str, State]]:
-        yield "tick", self._tick(s)
+        changes, admitted = [Change(-state.acknowledged_age, 1)], [Admitted(0, "gateway", 0)]
+        by_lease = (
+            properties.no_stale_admission(changes, admitted, -1)
+            if state.gateway.lease_age < self.follower_lease_span
+            else []
+        )
+        has_proof = state.gateway.proof_age < self.witness_proof_span
+        return by_lease or (
+            properties.no_stale_admission(changes, admitted, self.witness_proof_span) if has_proof else []
+        )
+
+    def steps(self, state: State) -> Iterator[tuple[str, State]]:
+        yield "tick", self._tick(state)
         if self.by_leaders:
-            yield from self._lead(s)
+            yield from self._step_leaders(state)
         for name in ("first", "second"):
-            yield from self._agree(s, name)
-            yield from self._tell(s, name)
+            yield from self._commit(state, name)
+            yield from self._acknowledge(state, name)
             if self.by_leaders:
-                yield from self._ask(s, name)
-        yield from self._take(s)
-        yield from self._follow(s)
+                yield from self._ask(state, name)
+        yield from self._receive(state)
+        yield from self._follow(state)
         if self.by_witnesses:
-            yield from self._witness(s)
+            yield from self._witness(state)
 
-    def _tick(self, s: State) -> State:
+    def _tick(self, state: State) -> State:
         def older(age: int) -> int:
-            return age if age == NEVER else min(age + 1, self.most)
-
-        def led(c: Leader) -> Leader:
-            return c._replace(heard=older(c.heard), elected=older(c.elected), asked=older(c.asked))
-
-        g = s.gateway
-        answer = (g.answer[0], older(g.answer[1])) if g.answer else ()
-        g = g._replace(led=older(g.led), proved=older(g.proved), answer=answer, asking=older(g.asking))
-        return s._replace(first=led(s.first), second=led(s.second), gateway=g, told=older(s.told))
-
-    def _lead(self, s: State):
+            return age if age == NEVER else min(age + 1, self.max_age)
+
+        def aged(leader: Leader) -> Leader:
+            return leader._replace(
+                quorum_age=older(leader.quorum_age),
+                election_age=older(leader.election_age),
+                request_age=older(leader.request_age),
+            )
+
+        gateway = state.gateway
+        response = (gateway.response[0], older(gateway.response[1])) if gateway.response else ()
+        gateway = gateway._replace(
+            lease_age=older(gateway.lease_age),
+            proof_age=older(gateway.proof_age),
+            response=response,
+            poll_age=older(gateway.poll_age),
+        )
+        return state._replace(
+            first=aged(state.first),
+            second=aged(state.second),
+            gateway=gateway,
+            acknowledged_age=older(state.acknowledged_age),
+        )
+
+    def _step_leaders(self, state: State):
         """The first leader hears its majority, until that majority has waited it out and elects the second."""
-        if s.second.elected == NEVER:
-            if s.first.heard:
-                yield "hear first", s._replace(first=s.first._replace(heard=0))
-            if s.first.heard >= self.sticky or not self.voters_wait:
-                second = Leader(heard=0, elected=0, agreed=s.first.agreed)
-                yield "elect", s._replace(second=second)
-        elif s.second.heard:
-            yield "hear second", s._replace(second=s.second._replace(heard=0))
-
-    def _agree(self, s: State, name: str):
+        if state.second.election_age == NEVER:
+            if state.first.quorum_age:
+                yield "hear first", state._replace(first=state.first._replace(quorum_age=0))
+            if state.first.quorum_age >= self.leader_stickiness or not self.voters_wait:
+                second = Leader(quorum_age=0, election_age=0, has_change=state.first.has_change)
+                yield "elect", state._replace(second=second)
+        elif state.second.quorum_age:
+            yield "hear second", state._replace(second=state.second._replace(quorum_age=0))
+
+    def _commit(self, state: State, name: str):
         """A majority has the change; only who leads the newest term can get that."""
-        c = getattr(s, name)
-        newest = "first" if s.second.elected == NEVER else "second"
-        if name == newest and not c.agreed and c.heard == 0:
-            yield f"agree {name}", s._replace(**{name: c._replace(agreed=True)})
+        leader = getattr(state, name)
+        newest = "first" if state.second.election_age == NEVER else "second"
+        if name == newest and not leader.has_change and leader.quorum_age == 0:
+            yield f"agree {name}", state._replace(**{name: leader._replace(has_change=True)})
 
-    def _ask(self, s: State, name: str):
+    def _ask(self, state: State, name: str):
         """The gateway's question is on record at once; the answer is given while the leader is sure that it leads."""
-        c, g = getattr(s, name), s.gateway
-        sure = c.heard < self.fresh or (not self.leader_is_heard and c.heard != NEVER)
-        if c.elected == NEVER or g.answer or not sure:
+        leader, gateway = getattr(state, name), state.gateway
+        sure = leader.quorum_age < self.leadership_span or (
+            not self.leader_needs_recent_quorum and leader.quorum_age != NEVER
+        )
+        if leader.election_age == NEVER or gateway.response or not sure:
             return
-        noted = c._replace(asked=0, shown=g.new)
-        yield f"ask {name}", s._replace(**{name: noted}, gateway=g._replace(answer=(c.agreed, 0)))
+        asked_leader = leader._replace(request_age=0, gateway_had_change=gateway.has_change)
+        yield (
+            f"ask {name}",
+            state._replace(**{name: asked_leader}, gateway=gateway._replace(response=(leader.has_change, 0))),
+        )
 
-    def _take(self, s: State):
+    def _receive(self, state: State):
         """The answer arrives, or is lost. What it proves counts from the question."""
-        g = s.gateway
-        if not g.answer:
+        gateway = state.gateway
+        if not gateway.response:
             return
-        new, age = g.answer
-        led = min(g.led, age if self.counted_from_the_question else 0) if new or not g.new else g.led
-        yield "answer", s._replace(gateway=g._replace(new=g.new or new, led=led, answer=()))
-        yield "answer_lost", s._replace(gateway=g._replace(answer=()))
-
-    def _tell(self, s: State, name: str):
+        has_change, age = gateway.response
+        lease_age = (
+            min(gateway.lease_age, age if self.counts_from_request else 0)
+            if has_change or not gateway.has_change
+            else gateway.lease_age
+        )
+        yield (
+            "answer",
+            state._replace(
+                gateway=gateway._replace(has_change=gateway.has_change or has_change, lease_age=lease_age, response=())
+            ),
+        )
+        yield "answer_lost", state._replace(gateway=gateway._replace(response=()))
+
+    def _acknowledge(self, state: State, name: str):
         """The leader acknowledges the change."""
-        c = getattr(s, name)
-        if not c.agreed or s.told != NEVER:
+        leader = getattr(state, name)
+        if not leader.has_change or state.acknowledged_age != NEVER:
             return
-        if self.new_leader_waits and c.elected < self.lease:
+        if self.new_leader_waits and leader.election_age < self.lease_span:
             return
-        if self.gateways_confirm and c.asked < self.lease and not c.shown:
+        if self.gateways_confirm and leader.request_age < self.lease_span and not leader.gateway_had_change:
             return
-        have, least = sum(w.new for w in s.witnesses), len(s.witnesses) / 2
-        enough = have >= (least if self.half_needs_even else len(s.witnesses) // 2)
-        if enough or not self.enough_witnesses:
-            yield f"tell {name}", s._replace(told=0)
+        informed, least = sum(witness.has_change for witness in state.witnesses), len(state.witnesses) / 2
+        enough = informed >= (least if self.rounds_half_up else len(state.witnesses) // 2)
+        if enough or not self.needs_enough_witnesses:
+            yield f"tell {name}", state._replace(acknowledged_age=0)
 
-    def _follow(self, s: State):
+    def _follow(self, state: State):
         """Storage nodes follow a leader that has the change."""
-        if s.first.agreed or s.second.agreed:
-            for w in {w for w in s.witnesses if not w.new}:
-                yield "follow", s._replace(witnesses=_instead(s.witnesses, w, w._replace(new=True)))
-
-    def _witness(self, s: State):
+        if state.first.has_change or state.second.has_change:
+            for witness in {witness for witness in state.witnesses if not witness.has_change}:
+                yield (
+                    "follow",
+                    state._replace(witnesses=_replaced(state.witnesses, witness, witness._replace(has_change=True))),
+                )
+
+    def _witness(self, state: State):
         """A gateway asks the storage nodes and collects what they show, each at its own time."""
-        g = s.gateway
-        if g.asking == NEVER:
-            yield "ask_witnesses", s._replace(gateway=g._replace(asking=0))
+        gateway = state.gateway
+        if gateway.poll_age == NEVER:
+            yield "ask_witnesses", state._replace(gateway=gateway._replace(poll_age=0))
             return
-        for w in {w for w in s.witnesses if not w.shown}:
-            after = w._replace(shown="new" if w.new else "old")
-            yield f"shown {after.shown}", s._replace(witnesses=_instead(s.witnesses, w, after))
-        shown = [w.shown for w in s.witnesses if w.shown]
-        asked_again = tuple(sorted(w._replace(shown="") for w in s.witnesses))
-        yield "end_witnesses", s._replace(gateway=self._proved(g, shown), witnesses=asked_again)
-
-    def _proved(self, g: Gateway, shown: list[str]) -> Gateway:
-        over = g._replace(new=g.new or "new" in shown, asking=NEVER)
-        if 2 * len(shown) > self.witnesses or (shown and not self.proof_needs_majority):
-            age = g.asking if self.counted_from_the_question else 0
-            return over._replace(proved=min(g.proved, age))
-        return over
-
-
-def _instead(witnesses: tuple[Witness, ...], old: Witness, new: Witness) -> tuple[Witness, ...]:
+        for witness in {witness for witness in state.witnesses if not witness.reported}:
+            after = witness._replace(reported="new" if witness.has_change else "old")
+            yield f"shown {after.reported}", state._replace(witnesses=_replaced(state.witnesses, witness, after))
+        reported = [witness.reported for witness in state.witnesses if witness.reported]
+        reset_witnesses = tuple(sorted(witness._replace(reported="") for witness in state.witnesses))
+        yield "end_witnesses", state._replace(gateway=self._with_proof(gateway, reported), witnesses=reset_witnesses)
+
+    def _with_proof(self, gateway: Gateway, reported: list[str]) -> Gateway:
+        finished = gateway._replace(has_change=gateway.has_change or "new" in reported, poll_age=NEVER)
+        if 2 * len(reported) > self.witnesses or (reported and not self.proof_needs_majority):
+            age = gateway.poll_age if self.counts_from_request else 0
+            return finished._replace(proof_age=min(gateway.proof_age, age))
+        return finished
+
+
+def _replaced(witnesses: tuple[Witness, ...], old: Witness, new: Witness) -> tuple[Witness, ...]:
     """Sorted, since it doesn't matter which storage node is which."""
     rest = list(witnesses)
     rest[rest.index(old)] = new
--- a/tests/model/properties.py
+++ b/tests/model/properties.py
@@ -10,25 +10,25 @@
     "Vote",
     "Elected",
     "Committed",
-    "Counted",
+    "CommitQuorum",
     "Applied",
     "Tail",
-    "Settled",
+    "RecoveredTail",
     "Acknowledged",
-    "Copies",
+    "LogReplicas",
     "Change",
     "Admitted",
-    "one_vote_a_term",
-    "one_leader_a_term",
+    "one_vote_per_term",
+    "one_leader_per_term",
     "committed_entries_agree",
     "leaders_are_complete",
     "only_voters_are_counted",
-    "one_state_a_sequence",
-    "one_leaseholder_an_epoch",
-    "one_tail_an_epoch",
+    "one_state_per_sequence",
+    "one_leaseholder_per_epoch",
+    "one_tail_per_epoch",
     "acknowledged_in_later_tails",
-    "copies_are_kept",
-    "no_old_state_admits",
+    "enough_replicas_keep_acknowledged",
+    "no_stale_admission",
 ]
 
 
@@ -54,10 +54,10 @@
 
     index: int
     entry: tuple
-    known_in: int
+    known_in_term: int
 
 
-class Counted(NamedTuple):
+class CommitQuorum(NamedTuple):
     """A leader's commit: the voters that its log then names, and the nodes that hold the entry on disk in truth."""
 
     index: int
@@ -83,7 +83,7 @@
     data: Any
 
 
-class Settled(NamedTuple):
+class RecoveredTail(NamedTuple):
     """A leaseholder that has made the tail it found durable under its epoch, and that tail."""
 
     log: Any
@@ -100,12 +100,12 @@
     data: Any
 
 
-class Copies(NamedTuple):
+class LogReplicas(NamedTuple):
     """All copies of a log in its placement group at a moment, and how many of them must hold what is acknowledged."""
 
     log: Any
     needed: int
-    held: tuple
+    replicas: tuple
 
 
 class Change(NamedTuple):
@@ -123,28 +123,30 @@
     sequence: int
 
 
-def one_vote_a_term(votes: Iterable[Vote]) -> list[str]:
-    given: dict[tuple, Any] = {}
+def one_vote_per_term(votes: Iterable[Vote]) -> list[str]:
+    candidates: dict[tuple, Any] = {}
     return [
-        f"{v.voter} voted for {given[v.term, v.voter]} and {v.candidate} in term {v.term}"
+        f"{v.voter} voted for {candidates[v.term, v.voter]} and {v.candidate} in term {v.term}"
         for v in votes
-        if given.setdefault((v.term, v.voter), v.candidate) != v.candidate
+        if candidates.setdefault((v.term, v.voter), v.candidate) != v.candidate
     ]
 
 
-def one_leader_a_term(elected: Iterable[Elected]) -> list[str]:
-    led: dict[int, Any] = {}
+def one_leader_per_term(elected: Iterable[Elected]) -> list[str]:
+    leaders: dict[int, Any] = {}
     return [
-        f"{led[e.term]} and {e.node} lead term {e.term}" for e in elected if led.setdefault(e.term, e.node) != e.node
+        f"{leaders[e.term]} and {e.node} lead term {e.term}"
+        for e in elected
+        if leaders.setdefault(e.term, e.node) != e.node
     ]
 
 
 def committed_entries_agree(committed: Iterable[Committed]) -> list[str]:
-    agreed: dict[int, tuple] = {}
+    entries: dict[int, tuple] = {}
     return [
-        f"entry {c.index} was committed as {agreed[c.index]} and as {c.entry}"
+        f"entry {c.index} was committed as {entries[c.index]} and as {c.entry}"
         for c in committed
-        if agreed.setdefault(c.index, c.entry) != c.entry
+        if entries.setdefault(c.index, c.entry) != c.entry
     ]
 
 
@@ -152,28 +154,28 @@
     """A leader has all that was committed in earlier terms."""
     newest: dict[int, Committed] = {}
     for c in committed:
-        if c.index not in newest or c.known_in < newest[c.index].known_in:
+        if c.index not in newest or c.known_in_term < newest[c.index].known_in_term:
             newest[c.index] = c
     return [
-        f"{e.node} leads term {e.term} without entry {c.index} of {c.entry}, committed by term {c.known_in}"
+        f"{e.node} leads term {e.term} without entry {c.index} of {c.entry}, committed by term {c.known_in_term}"
         for e in elected
         for c in newest.values()
-        if c.known_in < e.term
+        if c.known_in_term < e.term
         and c.index > e.start
         and e.entries[c.index - e.start - 1 : c.index - e.start] != (c.entry,)
     ]
 
 
-def only_voters_are_counted(counted: Iterable[Counted]) -> list[str]:
+def only_voters_are_counted(quorums: Iterable[CommitQuorum]) -> list[str]:
     """A commit rests on a majority of the voters themselves, not on others that answer at their places."""
     return [
         f"entry {c.index} was committed in term {c.term} with {sorted(map(str, c.holders))} of {c.voters}"
-        for c in counted
+        for c in quorums
         if 2 * sum(v in c.holders for v in c.voters) <= len(c.voters)
     ]
 
 
-def one_state_a_sequence(applied: Iterable[Applied]) -> list[str]:
+def one_state_per_sequence(applied: Iterable[Applied]) -> list[str]:
     first: dict[int, Applied] = {}
     return [
         f"{first[a.sequence].node} and {a.node} differ in the cluster state at {a.sequence}"
@@ -182,16 +184,16 @@
     ]
 
 
-def one_leaseholder_an_epoch(settled: Iterable[Settled]) -> list[str]:
-    holds: dict[tuple, Any] = {}
+def one_leaseholder_per_epoch(recovered_tails: Iterable[RecoveredTail]) -> list[str]:
+    leaseholders: dict[tuple, Any] = {}
     return [
-        f"{holds[s.log, s.epoch]} and {s.node} hold {s.log} under epoch {s.epoch}"
-        for s in settled
-        if holds.setdefault((s.log, s.epoch), s.node) != s.node
+        f"{leaseholders[s.log, s.epoch]} and {s.node} hold {s.log} under epoch {s.epoch}"
+        for s in recovered_tails
+        if leaseholders.setdefault((s.log, s.epoch), s.node) != s.node
     ]
 
 
-def one_tail_an_epoch(tails: Iterable[Tail]) -> list[str]:
+def one_tail_per_epoch(tails: Iterable[Tail]) -> list[str]:
     """Copies under one tail epoch are prefixes of one log."""
     longest: dict[tuple, Tail] = {}
     out = []
@@ -204,12 +206,14 @@
     return out
 
 
-def acknowledged_in_later_tails(acknowledged: Iterable[Acknowledged], settled: Iterable[Settled]) -> list[str]:
+def acknowledged_in_later_tails(
+    acknowledged: Iterable[Acknowledged], recovered_tails: Iterable[RecoveredTail]
+) -> list[str]:
     """Nothing acknowledged is missing from the tail of a later epoch, whenever it was acknowledged.
 
     So a leaseholder whose epoch has passed can't acknowledge anything that its follower did not find.
     """
-    later = list(settled)
+    later = list(recovered_tails)
     return [
         f"{s.node} found {s.log} under epoch {s.epoch} without what epoch {a.epoch} acknowledged at {len(a.data)}"
         for a in acknowledged
@@ -218,23 +222,25 @@
     ]
 
 
-def copies_are_kept(acknowledged: Iterable[Acknowledged], copies: Iterable[Copies]) -> list[str]:
-    now = list(copies)
+def enough_replicas_keep_acknowledged(
+    acknowledged: Iterable[Acknowledged], log_replicas: Iterable[LogReplicas]
+) -> list[str]:
+    all_log_replicas = list(log_replicas)
     return [
-        f"{sum(h[: len(a.data)] == a.data for h in c.held)} of {c.needed} copies of {c.log} have what epoch {a.epoch}"
-        f" acknowledged at {len(a.data)}"
+        f"{sum(h[: len(a.data)] == a.data for h in c.replicas)} of {c.needed} replicas of {c.log} have what"
+        f" epoch {a.epoch} acknowledged at {len(a.data)}"
         for a in acknowledged
-        for c in now
-        if c.log == a.log and sum(h[: len(a.data)] == a.data for h in c.held) < c.needed
+        for c in all_log_replicas
+        if c.log == a.log and sum(h[: len(a.data)] == a.data for h in c.replicas) < c.needed
     ]
 
 
-def no_old_state_admits(changes: Iterable[Change], admitted: Iterable[Admitted], bound: float) -> list[str]:
+def no_stale_admission(changes: Iterable[Change], admitted: Iterable[Admitted], bound: float) -> list[str]:
     """A change that was acknowledged longer ago than the bound is in force wherever work is admitted."""
-    known = list(changes)
+    all_changes = list(changes)
     return [
         f"{a.gateway} admits with {a.sequence}, though {c.sequence} was acknowledged {a.at - c.at:.3f} before"
         for a in admitted
-        for c in known
+        for c in all_changes
         if a.at - c.at > bound and a.sequence < c.sequence
     ]
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -20,11 +20,11 @@
     Admitted,
     Applied,
     Change,
+    CommitQuorum,
     Committed,
-    Copies,
-    Counted,
     Elected,
-    Settled,
+    LogReplicas,
+    RecoveredTail,
     Tail,
     Vote,
 )
@@ -40,17 +40,17 @@
         self.votes: list[Vote] = []
         self.elected: list[Elected] = []
         self.committed: dict[tuple, Committed] = {}
-        self.counted: list[Counted] = []
+        self.commit_quorums: list[CommitQuorum] = []
         self.applied: dict[tuple, Applied] = {}
         self.tails: list[Tail] = []
-        self.settled: list[Settled] = []
+        self.recovered_tails: list[RecoveredTail] = []
         self.acknowledged: list[Acknowledged] = []
         self.changes: list[Change] = []
         self.admitted: list[Admitted] = []
-        self._synced: dict[tuple[str, int], int] = {}
-        self._held: dict[tuple[str, str], bytes] = {}
-        self._moved: dict[int, int] = {}
-        self._copies_lost: list[str] = []
+        self._synced_indexes: dict[tuple[str, int], int] = {}
+        self._replica_data: dict[tuple[str, str], bytes] = {}
+        self._group_sequences: dict[int, int] = {}
+        self._missing_replicas: list[str] = []
 
     @contextlib.contextmanager
     def recording(self):
@@ -70,119 +70,123 @@
                 stack.enter_context(mock.patch.object(owner, name, around(getattr(owner, name))))
             yield self
 
-    def found(self, bound: float) -> list[str]:
+    def violations(self, bound: float) -> list[str]:
         """What any property finds wrong with the run."""
         committed = list(self.committed.values())
         return [
-            *properties.one_vote_a_term(self.votes),
-            *properties.one_leader_a_term(self.elected),
+            *properties.one_vote_per_term(self.votes),
+            *properties.one_leader_per_term(self.elected),
             *properties.committed_entries_agree(committed),
             *properties.leaders_are_complete(self.elected, committed),
-            *properties.only_voters_are_counted(self.counted),
-            *properties.one_state_a_sequence(self.applied.values()),
-            *properties.one_leaseholder_an_epoch(self.settled),
-            *properties.one_tail_an_epoch(self.tails),
-            *properties.acknowledged_in_later_tails(self.acknowledged, self.settled),
-            *properties.no_old_state_admits(self.changes, self.admitted, bound),
-            *self._copies_lost,
+            *properties.only_voters_are_counted(self.commit_quorums),
+            *properties.one_state_per_sequence(self.applied.values()),
+            *properties.one_leaseholder_per_epoch(self.recovered_tails),
+            *properties.one_tail_per_epoch(self.tails),
+            *properties.acknowledged_in_later_tails(self.acknowledged, self.recovered_tails),
+            *properties.no_stale_admission(self.changes, self.admitted, bound),
+            *self._missing_replicas,
         ]
 
-    def _around_vote(self, plain):
-        async def vote(elections, node, ask):
-            r = await plain(elections, node, ask)
-            if r.granted and not ask.pre_vote:
-                self.votes.append(Vote(ask.term, elections._ctx.node, ask.candidate))
+    def _around_vote(self, original):
+        async def vote(elections, node, request):
+            r = await original(elections, node, request)
+            if r.granted and not request.pre_vote:
+                self.votes.append(Vote(request.term, elections._ctx.node, request.candidate))
             return r
 
         return vote
 
-    def _around_poll(self, plain):
+    def _around_poll(self, original):
         def poll(elections, term, *, pre_vote, full_restart):
             if not pre_vote:
                 self.votes.append(Vote(term, elections._ctx.node, elections._ctx.node))
-            return plain(elections, term, pre_vote=pre_vote, full_restart=full_restart)
+            return original(elections, term, pre_vote=pre_vote, full_restart=full_restart)
 
         return poll
 
-    def _around_lead(self, plain):
+    def _around_lead(self, original):
         def lead(consensus):
             durable_log = consensus._durable_log
             entries = tuple(_entry(e) for e in durable_log.entries)
             self.elected.append(Elected(consensus.term, consensus._ctx.node, durable_log.snapshot.index, entries))
-            plain(consensus)
+            original(consensus)
 
         return lead
 
-    def _around_append(self, plain):
-        async def append(receiver, node, ask):
-            r = await plain(receiver, node, ask)
+    def _around_append(self, original):
+        async def append(receiver, node, request):
+            r = await original(receiver, node, request)
             if r.success:
-                key = receiver._ctx.node, ask.term
-                self._synced[key] = max(self._synced.get(key, 0), r.last_index)
+                key = receiver._ctx.node, request.term
+                self._synced_indexes[key] = max(self._synced_indexes.get(key, 0), r.last_index)
             return r
 
         return append
 
-    def _around_advance(self, plain):
+    def _around_advance(self, original):
         def advance(replication):
             before = replication._consensus.commit_index
-            plain(replication)
+            original(replication)
             if replication._consensus.commit_index > before:
-                self._count(replication)
+                self._record_quorum(replication)
 
         return advance
 
-    def _count(self, replication):
+    def _record_quorum(self, replication):
         consensus = replication._consensus
         term, index = consensus.term, consensus.commit_index
-        holders = {node for (node, synced_in), last in self._synced.items() if synced_in == term and last >= index}
+        holders = {
+            node
+            for (node, synced_in_term), last in self._synced_indexes.items()
+            if synced_in_term == term and last >= index
+        }
         if replication.synced_index >= index:
             holders.add(replication._ctx.node)
-        self.counted.append(Counted(index, term, consensus.voters(), frozenset(holders)))
+        self.commit_quorums.append(CommitQuorum(index, term, consensus.voters(), frozenset(holders)))
 
-    def _around_apply(self, plain):
+    def _around_apply(self, original):
         def apply(consensus):
             for e in consensus._durable_log.entries:
                 if consensus.cluster_state.sequence < e.index <= consensus.commit_index:
                     c = Committed(e.index, _entry(e), consensus.term)
                     self.committed.setdefault((c.index, c.entry), c)
-            plain(consensus)
+            original(consensus)
             body = consensus.cluster_state.data().SerializeToString(deterministic=True)
             a = Applied(consensus.cluster_state.sequence, consensus._ctx.node, blake2b(body).digest())
             self.applied.setdefault((a.sequence, a.state), a)
 
         return apply
 
-    def _around_recover_tail(self, plain):
+    def _around_recover_tail(self, original):
         async def recover_tail(leaseholder, granted):
-            await plain(leaseholder, granted)
-            found = bytes(leaseholder.data)
-            self.settled.append(Settled(leaseholder.log, leaseholder.epoch, leaseholder._ctx.node, found))
-            self.acknowledged.append(Acknowledged(leaseholder.log, leaseholder.epoch, found))
+            await original(leaseholder, granted)
+            tail = bytes(leaseholder.data)
+            self.recovered_tails.append(RecoveredTail(leaseholder.log, leaseholder.epoch, leaseholder._ctx.node, tail))
+            self.acknowledged.append(Acknowledged(leaseholder.log, leaseholder.epoch, tail))
 
         return recover_tail
 
-    def _around_log_append(self, plain):
+    def _around_log_append(self, original):
         async def append(leaseholder, records, *args, **kwargs):
-            start = await plain(leaseholder, records, *args, **kwargs)
+            start = await original(leaseholder, records, *args, **kwargs)
             end = start + sum(len(encode_frame(r)) for r in records)
             self.acknowledged.append(Acknowledged(leaseholder.log, leaseholder.epoch, bytes(leaseholder.data[:end])))
             return start
 
         return append
 
-    def _around_record_synced(self, plain):
+    def _around_record_synced(self, original):
         def record_synced(store, log, tail_epoch, length, final):
-            plain(store, log, tail_epoch, length, final)
+            original(store, log, tail_epoch, length, final)
             replica = store.logs.get(log)
             if replica is not None and (replica.tail_epoch, replica.length) == (tail_epoch, length):
-                tail = Tail(log, tail_epoch, self._owner(store), _synced_bytes(store, log))
+                tail = Tail(log, tail_epoch, self._node_of(store), _synced_bytes(store, log))
                 self.tails.append(tail)
-                self._held[tail.node, log] = tail.data
+                self._replica_data[tail.node, log] = tail.data
 
         return record_synced
 
-    def _owner(self, store) -> str:
+    def _node_of(self, store) -> str:
         return next((a.node for a in self.simulation.role("storage") if a.part and a.part.log_store is store), "ended")
 
     def sample(self):
@@ -193,19 +197,21 @@
                 self.admitted.append(Admitted(now, a.node, a.ctx.cluster.cluster_state.table_sequence))
         leader = self.simulation.leader()
         for g in leader.part.consensus.cluster_state.placement_groups.values() if leader else ():
-            if not g.joining and self._moved.setdefault(g.number, g.sequence) < g.sequence:
-                self._moved[g.number] = g.sequence
-                self._look_at_copies(g)
+            if not g.joining and self._group_sequences.setdefault(g.number, g.sequence) < g.sequence:
+                self._group_sequences[g.number] = g.sequence
+                self._check_moved_group(g)
 
-    def _look_at_copies(self, group):
+    def _check_moved_group(self, group):
         """A move has ended: a majority of those that keep the logs now has all that was acknowledged before."""
-        mine = [
+        acknowledged = [
             a for a in self.acknowledged if placement_group_of(a.log, self.simulation.placement_groups) == group.number
         ]
         needed = len(group.storage_nodes) // 2 + 1
-        for log in {a.log for a in mine}:
-            held = Copies(log, needed, tuple(self._held.get((n, log), b"") for n in group.storage_nodes))
-            self._copies_lost += properties.copies_are_kept(mine, [held])
+        for log in {a.log for a in acknowledged}:
+            replicas = LogReplicas(
+                log, needed, tuple(self._replica_data.get((n, log), b"") for n in group.storage_nodes)
+            )
+            self._missing_replicas += properties.enough_replicas_keep_acknowledged(acknowledged, [replicas])
 
 
 def _synced_bytes(store: LogStore, log: str) -> bytes:
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -17,20 +17,20 @@
 FAULTS = 12
 
 
-class EmptyingFaults(RandomFaults):
+class WipingFaults(RandomFaults):
     """Also empties disks: one at once, and the next only when the members have taken the lost one's places."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self._emptied: set[str] = set()
+        self._wiped: set[str] = set()
 
     def inject_one(self):
-        if self._simulation.rng.random() < 0.4 and self._whole():
-            self._empty_one()
+        if self._simulation.rng.random() < 0.4 and self._is_redundant():
+            self._wipe_one()
         else:
             super().inject_one()
 
-    def _whole(self) -> bool:
+    def _is_redundant(self) -> bool:
         leader = self._simulation.leader()
         if leader is None:
             return False
@@ -38,9 +38,9 @@
         groups = state.placement_groups.values()
         held = {n for g in groups for n in g.storage_nodes} | set(state.voters)
         settled = leader.part.consensus.voters() == state.voters and not any(g.joining for g in groups)
-        return settled and len(state.voters) == 3 and not held & self._emptied
+        return settled and len(state.voters) == 3 and not held & self._wiped
 
-    def _empty_one(self):
+    def _wipe_one(self):
         simulation, rng = self._simulation, self._simulation.rng
         state = simulation.leader().part.consensus.cluster_state
         held = {n for g in state.placement_groups.values() for n in g.storage_nodes} | set(state.voters)
@@ -48,24 +48,24 @@
             [a for a in simulation.simulated_nodes.values() if a.node in held and a.alive and not a.frozen]
         )
         self.injected.append(f"{simulation.clock.seconds():.3f} emptied {simulated_node.name}")
-        self._emptied.add(simulated_node.node)
+        self._wiped.add(simulated_node.node)
         simulated_node.kill(power=True)
         simulated_node.wipe()
         simulation.clock.callLater(rng.choice((0.02, 0.1, 0.5, 1.5)), self._start, simulated_node)
 
 
-class _Work:
+class _Workload:
     """Operators that change the table and gateways that race for logs, recorded."""
 
     def __init__(self, recorder: Recorder):
         self.recorder, self.simulation = recorder, recorder.simulation
         self.timers = self.simulation.timers()
-        self.over = False
+        self.stopped = False
         self._n = 0
 
     async def operate(self, who: int):
         rng = self.simulation.rng
-        while not self.over:
+        while not self.stopped:
             await self.timers.sleep(ms(100 + rng.randrange(400)))
             controllers = self.simulation.role("controller", alive=True)
             if controllers:
@@ -84,16 +84,16 @@
 
     async def write(self, name: str, log: str):
         n = 0
-        while not self.over:
+        while not self.stopped:
             simulated_node = self.simulation.simulated_nodes[name]
             await self.timers.sleep(ms(100 + self.simulation.rng.randrange(500)))
             if simulated_node.alive:
                 n = await self._hold(simulated_node.ctx, log, n)
 
     async def _hold(self, ctx, log: str, n: int) -> int:
-        gone = self.simulation.rng.choice((None, None, ""))
+        previous_holder = self.simulation.rng.choice((None, None, ""))
         try:
-            h = await ctx.replicated_log.acquire(log, gone)
+            h = await ctx.replicated_log.acquire(log, previous_holder)
             for _ in range(ctx.rng.randrange(1, 10)):
                 n += 1
                 await h.append([f"{ctx.node}/{n}".encode() + b"." * ctx.rng.randrange(60)])
@@ -119,20 +119,20 @@
 def _play(simulation: Simulation, recorder: Recorder, faults: int) -> list[str]:
     simulation.start()
     simulation.ready()
-    work = _Work(recorder)
-    plain_run = simulation.run
+    work = _Workload(recorder)
+    original_run = simulation.run
 
     def run(seconds, step=0.005):
         for _ in range(max(1, int(seconds / 0.05))):
-            plain_run(0.05, step)
+            original_run(0.05, step)
             recorder.sample()
 
     simulation.run = run
-    random_faults = EmptyingFaults(simulation)
+    random_faults = WipingFaults(simulation)
     writers = [work.write(a.name, log) for a in simulation.role("gateway") for log in LOGS]
     random_faults.run_with_faults([work.operate(0), work.operate(1), *writers], faults=faults, between=1.2)
     simulation.run(4)
-    work.over = True
+    work.stopped = True
     simulation.run(3)
     simulation.ready()
     for a in simulation.role("gateway"):
@@ -140,7 +140,7 @@
     last = simulation.role("gateway")[0].ctx
 
     for log in LOGS:
-        simulation.do(settled_anew(last, log), 30, f"{log} is settled")
+        simulation.do(acquire_lease(last, log), 30, f"{log} is settled")
     return random_faults.injected
 
 
@@ -149,9 +149,9 @@
         acknowledged = changes = 0
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                recorder, told = run_recorded(seed)
-                self.assertEqual(recorder.found(IN_EFFECT_WITHIN_S), [], f"seed {seed}: {told}")
-                for observed in (recorder.votes, recorder.elected, recorder.counted, recorder.applied):
+                recorder, injected = run_recorded(seed)
+                self.assertEqual(recorder.violations(IN_EFFECT_WITHIN_S), [], f"seed {seed}: {injected}")
+                for observed in (recorder.votes, recorder.elected, recorder.commit_quorums, recorder.applied):
                     self.assertTrue(observed, "the recorder no longer sees the consensus")
                 acknowledged += len(recorder.acknowledged)
                 changes += len(recorder.changes)
@@ -159,7 +159,7 @@
         self.assertGreater(changes, 5 * len(SEEDS))
 
 
-async def settled_anew(ctx, log: str):
+async def acquire_lease(ctx, log: str):
     """The log's lease, taken by this node as soon as it can be had."""
     while True:
         try:
--- a/tests/test_stale_leaseholder.py
+++ b/tests/test_stale_leaseholder.py
@@ -25,7 +25,7 @@
         try:
             with recorder.recording():
                 self.run_scenario(simulation)
-            return recorder.found(IN_EFFECT_WITHIN_S)
+            return recorder.violations(IN_EFFECT_WITHIN_S)
         finally:
             simulation.end()
 
--- a/tests/test_wiped_nodes.py
+++ b/tests/test_wiped_nodes.py
@@ -7,7 +7,7 @@
 from testbed.simulator.simulation import Simulation
 
 from .model.recorder import Recorder
-from .test_model_conformance import IN_EFFECT_WITHIN_S, settled_anew
+from .test_model_conformance import IN_EFFECT_WITHIN_S, acquire_lease
 
 
 class WipedNodes(unittest.TestCase):
@@ -41,7 +41,7 @@
             )
         simulation.heal()
         simulation.run(6)
-        self.assertEqual(recorder.found(IN_EFFECT_WITHIN_S), [])
+        self.assertEqual(recorder.violations(IN_EFFECT_WITHIN_S), [])
 
     def test_a_wiped_storage_node_does_not_count_as_the_replica_it_was(self):
         simulation, recorder = self.start_recorded_simulation(4, controllers=3, storage_nodes=3, gateways=2)
@@ -61,6 +61,6 @@
             simulation.do(second.ctx.replicated_log.acquire("results/x", ""), 10)
         simulation.heal()
         simulation.run(8)
-        simulation.do(settled_anew(second.ctx, "results/x"), 30)
-        self.assertEqual(recorder.found(IN_EFFECT_WITHIN_S), [])
-        self.assertTrue([state for state in recorder.settled if state.node == second.node])
+        simulation.do(acquire_lease(second.ctx, "results/x"), 30)
+        self.assertEqual(recorder.violations(IN_EFFECT_WITHIN_S), [])
+        self.assertTrue([state for state in recorder.recovered_tails if state.node == second.node])
