--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -57,7 +57,7 @@
         """While this is open, the simulated nodes tell what they do."""
         with contextlib.ExitStack() as stack:
             for owner, name, around in (
-                (Elections, "_respond_to_vote_request", self._around_vote),
+                (Elections, "_handle_vote_request", self._around_vote),
                 (Elections, "_poll_voters", self._around_poll),
                 (ConsensusState, "_become_leader", self._around_lead),
                 (LogReceiver, "append", self._around_append),
