--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every test and closes with a plain count."""
+"""Runs the test files that match a pattern and prints the number of passed, failed and skipped tests last."""
 
 import gc
 import sys
@@ -19,7 +19,7 @@
 
 
 class _FinishedTest:
-    """Stands for a test that has ended, in the list of errors."""
+    """Represents an already finished test in the list of errors."""
 
     def __init__(self, name: str):
         self._name = name
@@ -34,7 +34,7 @@
 
 
 class _Result(unittest.TextTestResult):
-    """Also fails a test that leaves an error in a Deferred which nobody handled."""
+    """Also fails a test that leaves an unhandled error in a Deferred."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -65,7 +65,7 @@
             self._unhandled.append(event["log_failure"])
 
     def _flush(self):
-        """The test that ran last is collected now, so that what it left shows up and is its own."""
+        """Collects garbage, so that unhandled errors are reported now and attributed to the test that ran last."""
         gc.collect()
         left, self._unhandled = self._unhandled, []
         for f in left:
@@ -81,7 +81,7 @@
 
 
 def _read_known_red(path: Path) -> dict[str, str]:
-    """The tests that fail for a known fault: `test id: cause, issue`, one a line."""
+    """Returns the tests that fail because of a known fault, from lines of the form `test id: cause, issue`."""
     lines = path.read_text().splitlines() if path.exists() else []
     return {line.partition(": ")[0].strip(): line.strip() for line in lines if line.strip()}
 
--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -1,17 +1,17 @@
-"""Records what callers, operators and engines see of whole fleets on virtual time, and all traffic between the nodes.
+"""Records what clients, operators and engines see of simulated clusters, and all messages between the nodes.
 
-A record is text, the same for the same scenario and seed in every process. It has two parts. The first, `seen`, holds
-statuses, codes, results and sequences with the virtual time (in ms) and the name of the node that was asked. The
-second, `network`, has a line for each message between nodes: virtual time, sender, receiver, method, and length and
-digest of the payload; a response stands with the sender of its request, at the time it arrived there. Of errors only
-the code is recorded, since their text may name classes. Ids that are random in production come from the simulation's
-seed.
+A record is text that is identical in every process for the same scenario and seed. It has two parts. The first,
+`seen`, holds statuses, codes, results and sequences with the virtual time (in s, to the ms) and the name of the node
+that received the request. The second, `network`, has a line for each message between nodes: virtual time, sender,
+receiver, method, and the length and digest of the payload. The line for a response names the sender of the request
+first, with the time at which the response arrived there. Only the code of an error is recorded, since its text may
+name classes. Ids that are random in production are drawn from the simulation's seed.
 
-A scenario is played without garbage collection, which would close abandoned coroutines at moments that depend on how
-many objects the code allocates; and the gateway's set of calls under way, which is walked in the order of memory
-addresses, is replaced by one that keeps its order. No bytes are left out but the texts of errors. Records do not
-depend on PYTHONHASHSEED in the seeds that were tried. All else is recorded, so a record also changes where equal
-behaviour draws random numbers in another order.
+Scenarios run without garbage collection, which would close abandoned coroutines at times that depend on how many
+objects the code allocates. The gateway's set of calls in progress, which is iterated in the order of memory addresses,
+is replaced by one that keeps insertion order. Everything else is recorded, so a record also changes when code with
+the same behaviour draws random numbers in another order. Records did not depend on PYTHONHASHSEED for the seeds that
+were tried.
 
 Usage:
   behaviour_record SCENARIO SEED [--diff=FILE]
@@ -19,10 +19,10 @@
   behaviour_record --check=FILE [--seeds=A:B] [--scenario=NAME]
 
 Options:
-  --write=FILE     add the digests of the records to a file
-  --check=FILE     compare the digests with those of a file
-  --diff=FILE      print the first line that differs from a record that was printed earlier
-  --seeds=A:B      first and last seed [default: 1:2]
+  --write=FILE     add the digests of the records to this file
+  --check=FILE     compare the digests of the records with those in this file
+  --diff=FILE      print the first line that differs from a record printed earlier
+  --seeds=A:B      first and last seed, inclusive [default: 1:2]
   --scenario=NAME  only this scenario
 """
 
@@ -63,7 +63,7 @@
 
 
 def play(scenario: str, seed: int) -> BehaviourRecord:
-    """Plays one scenario with one seed."""
+    """Runs one scenario with one seed."""
     gc_was_enabled = gc.isenabled()
     gc.collect()
     gc.disable()
@@ -76,13 +76,13 @@
 
 
 def read_digests(path) -> dict[str, dict[str, dict[str, str]]]:
-    """Returns the digests that a file holds, by scenario and seed; none where there is no file yet."""
+    """Returns the digests in a file, by scenario and seed, or none if the file does not exist."""
     path = Path(path)
     return json.loads(path.read_text()) if path.exists() else {}
 
 
 def mismatches(expected, scenario: str, seed: int) -> list[str]:
-    """Plays a scenario and names the parts that differ from what is expected."""
+    """Runs a scenario and returns a message for each part that differs from the expected digests."""
     digests = play(scenario, seed).digests()
     return [
         f"{scenario} {seed}: {part} differs; see `python -m tests.behaviour_record {scenario} {seed}`"
@@ -115,7 +115,7 @@
 
 
 def _print_difference(path: str, lines: list[str]) -> int:
-    """Prints the first line that differs, after the equal ones before it."""
+    """Prints the first line that differs, preceded by up to CONTEXT_LINES equal lines."""
     earlier = Path(path).read_text().splitlines()
     for n, (old, new) in enumerate(zip_longest(earlier, lines)):
         if old != new:
--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -1,4 +1,7 @@
-"""The scenes of the behaviour record: each plays one seed and returns what was seen and the traffic between nodes."""
+"""The scenarios of the behaviour record.
+
+Each runs one seed and returns what clients, operators and engines saw, and the messages between nodes.
+"""
 
 import json
 from contextlib import contextmanager
@@ -46,7 +49,7 @@
 
 
 def _canonical(value):
-    """A value in one spelling: sorted keys, times in whole ms, long bytes and texts by their digest."""
+    """Returns a value in canonical form: sorted keys, floats with three decimals, and digests of long texts."""
     if isinstance(value, float):
         return f"{value:.3f}"
     if isinstance(value, Enum):
@@ -71,7 +74,7 @@
 
 
 class _Lines:
-    """Lines with the virtual time at which they were noted."""
+    """Lines of text, each with the virtual time to which it belongs."""
 
     def __init__(self, seconds):
         self._seconds = seconds
@@ -84,7 +87,7 @@
 
 @contextmanager
 def _running(simulation):
-    """The notes of a scenario and of its network; the fleet is ready, and ended in the end."""
+    """Starts the cluster, yields the lines of the scenario and of its network, and ends the cluster afterwards."""
     seen, network = _Lines(simulation.clock.seconds), _Lines(simulation.clock.seconds)
     with mock.patch.object(Simulation, "deliver_call", _recorded_deliver_call(network)):
         try:
@@ -96,7 +99,7 @@
 
 
 def _recorded_deliver_call(network):
-    """The simulation's one way for messages, with a note for each request and for what came back to its sender."""
+    """Wraps the method that carries all messages; records each request and the response or error at its sender."""
     original_deliver_call = Simulation.deliver_call
 
     def deliver_call(simulation, sender, address, method, body, node=""):
@@ -148,7 +151,7 @@
 
 
 def _note_control_paths(simulation, client, seen):
-    """What each controller answers to every path that is only read and names nothing."""
+    """Records each controller's responses to GET requests for all paths without parameters."""
     for controller in simulation.role("controller"):
         for method, path, _ in client.control_format.control_paths:
             if method == "GET" and "<" not in path:
@@ -156,7 +159,7 @@
 
 
 def _status_and_content(response) -> tuple:
-    """The status and the body; of an error's body its code alone."""
+    """Returns the status and the body, or only the code of an error's body."""
     status, body = response
     if isinstance(body, dict) and "error" in body:
         error = body["error"]
@@ -165,7 +168,7 @@
 
 
 class _RecordedAppends(dict):
-    """Notes each acknowledged append, by its offset."""
+    """Records each acknowledged append with its offset."""
 
     def __init__(self, seen):
         super().__init__()
@@ -188,7 +191,7 @@
 
 
 def logs(seed):
-    """Gateways that race for one replicated log while storage nodes and gateways fail."""
+    """Gateways that compete for one replicated log while storage nodes and gateways fail."""
     simulation = Simulation(seed, controllers=3, storage_nodes=3 + seed % 2, gateways=3, placement_groups=2)
     simulation.bytes_per_s = SLOW_LINK_BYTES_PER_S if seed % 3 == 0 else None
     with _running(simulation) as (seen, network):
@@ -218,7 +221,7 @@
 
 
 def gateway_batches(seed):
-    """SimulatedClients' lots, live requests, and engines that come and go, while everything fails."""
+    """Batches and live requests of simulated clients, with engines that come and go, while all roles fail."""
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
     simulation.add_engines(SimulatedGateway, SimulatedEngine, 3)
     with _running(simulation) as (seen, network):
@@ -249,7 +252,7 @@
 
 
 class _RecordedBatchClients(batch_builders.BatchClients):
-    """Notes each answer, and which gateway gave it."""
+    """Records each response and the gateway that sent it."""
 
     def __init__(self, simulation, seen):
         super().__init__(simulation)
@@ -265,7 +268,7 @@
 
 
 def _error_code(status, body):
-    """The body, or of an error's body its code alone."""
+    """Returns the body, or only the code of an error's body."""
     if status < 400:
         return body
     try:
@@ -275,7 +278,7 @@
 
 
 def batches(seed):
-    """Batches of the routes interface that are handed in, read and ended at any gateway, while everything fails."""
+    """Batches submitted, read and cancelled by the routes interface at any gateway, while all roles fail."""
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
     simulation.routes = {"bulk": batch_builders.route()}
     simulation.runs, simulation.finished, simulation.break_probability = [], [], 0.05
@@ -308,7 +311,7 @@
 
 
 class _RecordedOperators(Operators):
-    """Notes each copy of a call and its answer, and which controller gave it."""
+    """Records each attempt of a call with its response and the controller that received it."""
 
     def __init__(self, simulation, seen, **args):
         super().__init__(simulation, **args)
@@ -328,7 +331,7 @@
 
 
 def operator_requests(seed):
-    """Operators' orders that are lost, held up, sent again and raced, while controllers or everything fails."""
+    """Operators' requests that are lost, delayed, retried and concurrent, while controllers or all roles fail."""
     simulation = DelayingSimulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
     with _running(simulation) as (seen, network):
         operators = _RecordedOperators(simulation, seen)
@@ -355,7 +358,7 @@
 
 
 def everything(seed):
-    """Lots, live requests, orders and edits at once, while nodes of every role, links, disks and engines fail."""
+    """Batches, live requests and operators' edits at once, while nodes of all roles, links, disks and engines fail."""
     simulation = DelayingSimulation(
         seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=4, named=bool(seed % 2)
     )
@@ -400,7 +403,7 @@
 
 
 class _InsertionOrderedSet(dict):
-    """Stands for the set of calls under way, which is walked in the order of their memory addresses."""
+    """Replaces the set of calls in progress, whose iteration order depends on memory addresses."""
 
     def add(self, member):
         self[member] = True
@@ -410,7 +413,7 @@
 
 
 class _RouterScenario:
-    """Callers and engines of one gateway that act at random: answers, breaks, refusals, hangups."""
+    """Clients and engines of one gateway that act at random: responses, errors, broken connections, disconnects."""
 
     STEPS = 500
     ENGINES = ("e1", "e2", "e3", "e4")
@@ -449,7 +452,7 @@
         self._advance_ms(self.rng.choice((5, 20, 20, 100, 400, 1500)))
 
     def _advance_ms(self, span_ms: int):
-        """Time passes in short steps; engines tell of themselves at the end of each."""
+        """Advances the time in steps of at most 100 ms; engines announce themselves after each."""
         for start in range(0, span_ms, 100):
             self.harness.advance_ms(min(100, span_ms - start))
             self._announce()
@@ -516,7 +519,7 @@
 
 
 def router(seed):
-    """Live requests by routes through one gateway, whose callers and engines act at random; without other nodes."""
+    """Live requests by routes through a single gateway whose clients and engines act at random, without other nodes."""
     with mock.patch("pipitlink.router.call_relay.set", _InsertionOrderedSet, create=True):
         return _RouterScenario(seed).play(), []
 
--- a/tests/control_client.py
+++ b/tests/control_client.py
@@ -1,4 +1,4 @@
-"""Calls to a controller's control interface in the simulation, without sockets."""
+"""A client of the controllers' control interface in the simulation, without sockets."""
 
 import importlib.util
 import io
@@ -68,7 +68,7 @@
 
 
 class _PendingResponse(list):
-    """Holds (status, body) once a call is answered; its caller may hang up before."""
+    """Empty until the call has a response, then holds (status, body). The client may disconnect before that."""
 
     def __init__(self, request):
         super().__init__()
@@ -80,14 +80,14 @@
 
 
 class ControlClient:
-    """Sends requests to a controller by the paths of a control format, as its HTTP server would."""
+    """Dispatches requests to a controller by the paths of a control format, as the controller's HTTP server does."""
 
     def __init__(self, simulation, control_format=None):
         self.simulation = simulation
         self.control_format = control_format or ControlFormat()
 
     def start_call(self, controller, method: str, path: str, body=None, headers=None) -> list:
-        """Starts a call; the list holds (status, body) once it is answered."""
+        """Starts a call and returns a list that will hold (status, body) once there is a response."""
         raw = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         request = _Request(method, raw, headers or {})
         action, kwargs = self._find(method, path)
@@ -101,11 +101,11 @@
             parts, given = pattern.split("/"), path.split("/")
             if m == method and len(parts) == len(given) and all(p == g or p[:1] == "<" for p, g in zip(parts, given)):
                 return action, {p[1:-1]: g for p, g in zip(parts, given) if p[:1] == "<"}
-        raise AssertionError(f"{method} {path} is not among the paths")
+        raise AssertionError(f"{method} {path} matches no path of the control format")
 
     def call(self, controller, *args, limit: float = 8, **kwargs):
         response = self.start_call(controller, *args, **kwargs)
-        self.simulation.until(lambda: response, limit, "the call is answered")
+        self.simulation.until(lambda: response, limit, "the call has a response")
         return response[0]
 
     def put(self, controller, config, base: int):
--- a/tests/model/__init__.py
+++ b/tests/model/__init__.py
@@ -1,1 +1,1 @@
-"""The model of agreement, leases, copies and proofs, and the properties that model and code have in common."""
+"""Models of consensus, log leases, replicas and state proofs, and the properties shared by the models and the code."""
--- a/tests/model/consensus.py
+++ b/tests/model/consensus.py
@@ -1,10 +1,11 @@
-"""The controllers' agreement: terms, ballots, the log with its snapshot, changes of the voters, crashes, emptied disks.
-
-A message is never lost for good here: what a leader ever sent in its term may reach anybody at any later time, in any
-order and any number of times, since a leader's log only grows within its term. That covers loss, delay and repeats.
-Votes and synced entries are answered only from disk, so each such step is one; a leader's own entry is sent before
-it is synced, as in the code, and a crash loses it. A pre-vote only forbids elections, so none is left out without it;
-its waiting spans are in `proofs`.
+"""A model of the controllers' consensus: terms, votes, log and snapshot, voter changes, crashes and wiped disks.
+
+Whatever a leader sent in its term may reach any member at any later time, in any order and any number of times, which
+covers loss, delay and duplication. A log only grows within its leader's term, so the model keeps just the longest log
+that was sent in each term. Members respond to vote requests and entries only after they have synced them, so that
+syncing and responding are one step. A leader sends its own entry before it syncs it, as in the code, and a crash loses
+an unsynced entry. Pre-votes are left out: they only prevent elections, so the model covers more elections than the
+code allows. Their time-outs are in `proofs`.
 """
 
 from collections.abc import Iterator
@@ -23,7 +24,7 @@
 
 
 class Member(NamedTuple):
-    """A controller: `snapshot` entries of its log are no longer there to be sent one by one."""
+    """A controller. The first `snapshot` entries of its log are compacted and can only be sent as a snapshot."""
 
     node: int
     term: int = 0
@@ -36,7 +37,7 @@
 
 
 class Sent(NamedTuple):
-    """The most that the leader of a term has ever sent."""
+    """The longest log and highest commit and snapshot index that the leader of a term has sent."""
 
     term: int
     log: tuple
@@ -59,7 +60,7 @@
 
 @attrs.frozen
 class Consensus:
-    """The model at a size, and the guards that a mutation takes out."""
+    """The model, with its size and the guards that a mutation disables."""
 
     members: int = 3
     standbys: int = 0
@@ -95,7 +96,7 @@
         ]
 
     def voters(self, member: Member) -> tuple[int, ...]:
-        """The newest voters in the log count, committed or not."""
+        """Returns the voters of the newest voter change in the member's log, committed or not."""
         for _, content in reversed(member.log):
             if content:
                 return content
@@ -132,7 +133,7 @@
         )
 
     def _win_election_at_once(self, state: State, index: int, member: Member):
-        """Stands, is voted for by just a majority, and wins, in one step: fewer states, for longer runs."""
+        """Runs a whole election with a minimal majority in one step, which saves states for longer runs."""
         term, voters = member.term + 1, self.voters(member)
         if term > self.terms or member.node not in voters or (not state.votes and index):
             return
@@ -241,7 +242,10 @@
                 )
 
     def _log_after(self, member: Member, sent: Sent, end: int) -> tuple[tuple | None, int]:
-        """The follower's log after it took what was sent up to `end`, or None where that does not follow on its own."""
+        """Returns the follower's log and snapshot index after it received the entries up to `end`.
+
+        The log is None if entries before the leader's snapshot index are missing, which can't be sent one by one.
+        """
         log, snapshot = member.log, member.snapshot
         base = (
             _common_prefix_length(log, sent.log[:end])
@@ -259,7 +263,7 @@
         return (*log[:base], *sent.log[base:end]), snapshot
 
     def _match(self, matched: frozenset, term: int, index: int, node: int, end: int) -> frozenset:
-        """Who answered, where it stands, and up to where it has the leader's log on its disk."""
+        """Records up to which index a follower, by position and identity, has reported the leader's log as synced."""
         best = max((n for t, _, w, n in matched if (t, w) == (term, node)), default=0)
         return matched - {(term, index, node, best)} | {(term, index, node, end)} if end > best else matched
 
@@ -287,7 +291,7 @@
         )
 
     def _wrong_quorums(self, state: State, member: Member, voters: tuple, commit_index: int) -> tuple:
-        """Kept only where it is wrong: who truly answered that it has the entry, by its own identity."""
+        """Returns the commit with the identities that hold the entry if they violate the property, else nothing."""
         holders = {who for t, _, who, n in state.matched if t == member.term and n >= commit_index}
         holders |= {member.node} if member.synced >= commit_index else set()
         found = CommitQuorum(commit_index, member.term, voters, frozenset(holders))
@@ -334,12 +338,12 @@
 
 
 def _common_prefix_length(one: tuple, other: tuple) -> int:
-    """Up to where two logs stand the same."""
+    """Returns the number of leading entries that two logs have in common."""
     return next((n for n, (a, b) in enumerate(zip(one, other, strict=False)) if a != b), min(len(one), len(other)))
 
 
 def _committed(before: frozenset, known: set) -> frozenset:
-    """Each entry with the first term in which it was known to be committed."""
+    """Returns each entry with the first term in which it was known to be committed."""
     first = {(c.index, c.entry): c for c in known}
     for c in before:
         k = c.index, c.entry
--- a/tests/model/explorer.py
+++ b/tests/model/explorer.py
@@ -1,4 +1,4 @@
-"""Explores a model: every state at a small size, or long random walks at a larger one."""
+"""Explores a model: all reachable states at a small size, or long random walks at a larger size."""
 
 from collections import deque
 from collections.abc import Hashable, Iterable
@@ -13,7 +13,7 @@
 
 
 class Model(Protocol):
-    """States are hashable values; a step has a name for the trace."""
+    """A state machine with hashable states. Each step has a name, which is used in the trace."""
 
     def start(self) -> Hashable: ...
 
@@ -24,7 +24,10 @@
 
 @attrs.frozen
 class Exploration:
-    """What a run of the explorer saw: the number of states, and the first violation with the steps that led there."""
+    """The result of an exploration: the number of states, and the first violations with the steps that led to them.
+
+    `complete` says that all reachable states were explored and none has violations.
+    """
 
     states: int
     complete: bool
@@ -33,9 +36,9 @@
 
 
 def explore(model: Model, max_states: int = 2_000_000, first_steps: tuple[str, ...] = ()) -> Exploration:
-    """Breadth first, so a violation comes with a shortest trace. `whole` says that no state was left out.
+    """Explores breadth first, so that a violation comes with a shortest trace.
 
-    `begin` names the first steps, where a run is too long to be found from the start.
+    Exploration starts after `first_steps`, for violations that are too many steps away from the initial state.
     """
     start = model.start()
     for name in first_steps:
@@ -66,7 +69,7 @@
 
 
 def walk(model: Model, seed: int, walks: int, depth: int, rare: tuple[str, ...] = ()) -> Exploration:
-    """Random walks. Steps are first drawn by kind, so that a kind with many variants doesn't crowd out the others."""
+    """Takes random walks. A step's kind is drawn first, so that kinds with many variants don't dominate the others."""
     rng = Random(seed)
     seen: set[int] = set()
     for _ in range(walks):
--- a/tests/model/leases.py
+++ b/tests/model/leases.py
@@ -1,9 +1,9 @@
-"""Leases and replicas of one log in a placement group over a move: epochs, tails, quorums of both sets, wiped disks.
+"""A model of one log in a placement group that is moved: leases, epochs, tails, quorums of both sets, wiped disks.
 
-Leases have no time here: anybody may request one at any moment, since epochs alone must keep the log consistent. A
-write and its response are one step, and what a storage node reported to a leaseholder stays true of the past: the
-leaseholder counts it at any later time. A transfer is two steps, since the source may change between the list and the
-read. What a storage node granted or wrote is on its disk before it responds.
+Leases have no duration here: any node may request one at any time, since epochs alone must keep the log consistent. A
+write and its response are one step. A leaseholder may count a storage node's report at any later time. A transfer is
+two steps, since the source may change between the list and the read. A storage node responds only after what it
+granted or wrote is on its disk.
 """
 
 from collections.abc import Collection, Iterator
@@ -54,7 +54,7 @@
 
 
 class Leaseholder(NamedTuple):
-    """A leaseholder from its first request on; its phase is HELD once its tail is durable under its epoch."""
+    """A gateway that requests or holds the lease; its phase is HELD once its tail is durable under its epoch."""
 
     phase: str = IDLE
     sequence: int = 0
@@ -75,7 +75,7 @@
 
 
 class Transfer(NamedTuple):
-    """The transfer to the joining node: what it listed at its source, and whether it has reported to be complete."""
+    """The transfer to the joining node: what the source listed, and whether the node has reported completion."""
 
     source: int = -1
     listed: Reported = NOTHING_REPORTED
@@ -84,7 +84,7 @@
 
 
 class State(NamedTuple):
-    """All replicas and leaseholders, the newest placement, and what the properties need of the past."""
+    """All replicas and leaseholders, the newest placement, and the history that the properties need."""
 
     replicas: tuple[Replica, ...]
     leaseholders: tuple[Leaseholder, ...]
@@ -112,9 +112,9 @@
 
 @attrs.frozen
 class Leases:
-    """The model at a size, and the guards that a mutation takes out.
+    """The model, with its size and the guards that a mutation disables.
 
-    With `starts_held`, the first leaseholder already holds the empty log under epoch 1, by the first majority.
+    With `starts_held`, the first leaseholder already holds the empty log under epoch 1, granted by the first majority.
     """
 
     replicas: int = 3
@@ -138,7 +138,7 @@
     needs_majority: bool = True
 
     def group(self, sequence: int) -> PlacementGroup:
-        """Before, during and after the replacement of the last node by one that joins."""
+        """Returns the group before (0), during (1) or after (2) the replacement of its last node by a joining one."""
         joining = str(self.replicas)
         names = tuple(str(n) for n in range(self.replicas))
         if sequence == 0:
@@ -208,7 +208,7 @@
             yield f"grant {node} to {index}", after.with_leaseholder(index, informed)
 
     def _is_representative(self, state: State, node: int) -> bool:
-        """False where a lower node could be put in this one's place: its steps stand for both."""
+        """Whether no lower node is interchangeable with this one; the steps of the lowest cover the others."""
         staying = self.replicas - 1 if self.moves else self.replicas
         if node >= staying or state.transfer.source >= 0:
             return True
@@ -219,7 +219,7 @@
         )
 
     def _reachable(self, state: State, leaseholder: Leaseholder) -> list[int]:
-        """The nodes of the placement group, as the leaseholder knows it, that take a call which rests on it."""
+        """Returns the nodes in the placement group known to the leaseholder that accept calls based on that group."""
         return [
             node
             for node in map(int, self.group(leaseholder.sequence).all_nodes)
@@ -256,7 +256,7 @@
         yield f"settle {index}", out
 
     def _write(self, state: State, index: int, leaseholder: Leaseholder):
-        """A write that found the replica as its writer expects it; a late or repeated one finds another end."""
+        """Writes to a replica that is in the state the writer expects; a late or repeated write finds another end."""
         if leaseholder.phase not in (RECOVERING, HELD):
             return
         for node in self._reachable(state, leaseholder):
@@ -277,7 +277,7 @@
                 yield f"write {node} by {index}", after
 
     def _ranges(self, leaseholder: Leaseholder, reported: Reported) -> list[tuple[int, int]]:
-        """The writes that may arrive, by start and end: only the one that was meant, where positions are checked."""
+        """Returns the start and end of each write that is accepted: only the intended one if positions are checked."""
         start = _first_difference(leaseholder, reported)
         if self.write_checks_position:
             return [(start, len(leaseholder.data))]
@@ -321,7 +321,7 @@
             yield f"follow {node}", state.with_replica(node, replica._replace(sequence=state.sequence))
 
     def _wipe(self, state: State, node: int, replica: Replica):
-        """A disk is lost: nobody answers for that identity any more. Only as many are lost at once as is tolerated."""
+        """Loses a disk: no node has its identity afterwards. At most `wipes` disks are lost, as many as tolerated."""
         tolerated = state.wiped < self.wipes and node < self.replicas and self._is_representative(state, node)
         if tolerated and not replica.lost and replica != Replica(sequence=replica.sequence):
             wiped = Replica(lost=True) if self.wiped_node_has_new_identity else Replica(sequence=replica.sequence)
@@ -341,7 +341,7 @@
             yield "end", state._replace(sequence=2, moved=(moved,) if violations else ())
 
     def _list(self, state: State):
-        """Any majority of the old set that has heard of the move may be the one that responds."""
+        """Any majority of the old nodes among those that know of the move may respond."""
         if state.transfer.source >= 0:
             return
         informed = [n for n in range(self.replicas) if state.replicas[n].sequence >= 1 and not state.replicas[n].lost]
--- a/tests/model/proofs.py
+++ b/tests/model/proofs.py
@@ -1,9 +1,12 @@
-"""The gateways' proof of the newest cluster state in abstract time: led, witnessed, lapsed, and when a change is told.
+"""A model in abstract time of how a gateway proves that its cluster state is current.
 
-Two controllers may lead one after the other, one gateway asks them, three or four storage nodes witness. Time goes by
-in ticks, and every span keeps its order among the others: what a voter waits before it hears another leader is longer
-than what a leader counts on, and what a gateway admits by is shorter than what a leader remembers. Answers may be
-as late as they like. A voter counts from when it heard, which is at or after the time that its leader counts from.
+It covers leases granted by leaders, proofs by witnesses, their expiry, and when a change may be acknowledged.
+
+Two controllers may lead one after the other. One gateway polls them, and three or four storage nodes are witnesses.
+Time passes in ticks, and the spans are ordered as in the code: a voter waits at least as long before it accepts
+another leader as a leader relies on its last contact to a majority, and the gateway's lease is shorter than the lease
+that the leader remembers. Responses may be delayed without limit. A voter's span starts when it received the leader's
+message, which is at or after the time from which its leader counts.
 """
 
 from collections.abc import Iterator
@@ -20,7 +23,10 @@
 
 
 class Leader(NamedTuple):
-    """Ages in ticks: since a majority was heard, since its election, since the gateway asked it with `reported`."""
+    """Ages in ticks: since contact to a majority, since the election and since the gateway's last request.
+
+    `gateway_had_change` says whether the gateway had the change when it sent that request.
+    """
 
     quorum_age: int = NEVER
     election_age: int = NEVER
@@ -30,7 +36,10 @@
 
 
 class Gateway(NamedTuple):
-    """`new` says whether it has the change; an answer under way carries what it will prove, and how old it is."""
+    """Ages in ticks of the gateway's lease, of its proof by witnesses and of its current poll of them.
+
+    A response in transit carries whether its leader has the change, and its age.
+    """
 
     has_change: bool = False
     lease_age: int = NEVER
@@ -40,7 +49,7 @@
 
 
 class Witness(NamedTuple):
-    """Whether it has the change, and what it showed to the question that the gateway asks: nothing, old or new."""
+    """Whether a storage node has the change, and what it reported in the current poll: nothing, old or new."""
 
     has_change: bool = False
     reported: str = ""
@@ -56,7 +65,7 @@
 
 @attrs.frozen
 class Proofs:
-    """The model's spans in ticks, and the guards that a mutation takes out. One of both proofs may be left out."""
+    """The model, with its spans in ticks and the guards that a mutation disables. Either proof may be left out."""
 
     witnesses: int = 3
     by_leaders: bool = True
@@ -137,7 +146,7 @@
         )
 
     def _step_leaders(self, state: State):
-        """The first leader hears its majority, until that majority has waited it out and elects the second."""
+        """The first leader keeps contact to its majority until their stickiness ends and they elect the second."""
         if state.second.election_age == NEVER:
             if state.first.quorum_age:
                 yield "hear first", state._replace(first=state.first._replace(quorum_age=0))
@@ -148,14 +157,14 @@
             yield "hear second", state._replace(second=state.second._replace(quorum_age=0))
 
     def _commit(self, state: State, name: str):
-        """A majority has the change; only who leads the newest term can get that."""
+        """Commits the change at a majority, which only the leader of the newest term can do."""
         leader = getattr(state, name)
         newest = "first" if state.second.election_age == NEVER else "second"
         if name == newest and not leader.has_change and leader.quorum_age == 0:
             yield f"agree {name}", state._replace(**{name: leader._replace(has_change=True)})
 
     def _ask(self, state: State, name: str):
-        """The gateway's question is on record at once; the answer is given while the leader is sure that it leads."""
+        """The leader records the gateway's request and responds, as long as it may assume that it leads."""
         leader, gateway = getattr(state, name), state.gateway
         sure = leader.quorum_age < self.leadership_span or (
             not self.leader_needs_recent_quorum and leader.quorum_age != NEVER
@@ -169,7 +178,7 @@
         )
 
     def _receive(self, state: State):
-        """The answer arrives, or is lost. What it proves counts from the question."""
+        """The response arrives or is lost. The lease starts when the request was sent."""
         gateway = state.gateway
         if not gateway.response:
             return
@@ -188,7 +197,7 @@
         yield "answer_lost", state._replace(gateway=gateway._replace(response=()))
 
     def _acknowledge(self, state: State, name: str):
-        """The leader acknowledges the change."""
+        """The leader acknowledges the change, once no gateway may admit work without it."""
         leader = getattr(state, name)
         if not leader.has_change or state.acknowledged_age != NEVER:
             return
@@ -202,7 +211,7 @@
             yield f"tell {name}", state._replace(acknowledged_age=0)
 
     def _follow(self, state: State):
-        """Storage nodes follow a leader that has the change."""
+        """Storage nodes receive the change from a leader that has it."""
         if state.first.has_change or state.second.has_change:
             for witness in {witness for witness in state.witnesses if not witness.has_change}:
                 yield (
@@ -211,7 +220,7 @@
                 )
 
     def _witness(self, state: State):
-        """A gateway asks the storage nodes and collects what they show, each at its own time."""
+        """The gateway polls the storage nodes, which report at different times."""
         gateway = state.gateway
         if gateway.poll_age == NEVER:
             yield "ask_witnesses", state._replace(gateway=gateway._replace(poll_age=0))
@@ -232,7 +241,7 @@
 
 
 def _replaced(witnesses: tuple[Witness, ...], old: Witness, new: Witness) -> tuple[Witness, ...]:
-    """Sorted, since it doesn't matter which storage node is which."""
+    """Returns the witnesses sorted, since storage nodes are interchangeable."""
     rest = list(witnesses)
     rest[rest.index(old)] = new
     return tuple(sorted(rest))
--- a/tests/model/properties.py
+++ b/tests/model/properties.py
@@ -1,6 +1,6 @@
-"""What must hold, over records that the model's states and the recorded runs of the real code both give.
+"""The properties that must hold, checked on records both of the models' states and of runs of the real code.
 
-Each property takes records and returns what it found wrong, a line for each; an empty list says that it holds.
+Each property takes records and returns one message for each violation.
 """
 
 from collections.abc import Iterable
@@ -33,7 +33,7 @@
 
 
 class Vote(NamedTuple):
-    """A vote that a candidate was given, the candidate's own among them."""
+    """A vote for a candidate, including the candidate's vote for itself."""
 
     term: int
     voter: Any
@@ -41,7 +41,7 @@
 
 
 class Elected(NamedTuple):
-    """A leader at the moment of its election: the entries that it then had above `start`, by (term, content)."""
+    """A leader when it was elected, with its log entries after index `start` as (term, content)."""
 
     term: int
     node: Any
@@ -50,7 +50,7 @@
 
 
 class Committed(NamedTuple):
-    """An entry that a node holds for committed while it is in the term `known_in`."""
+    """An entry that a node in the term `known_in_term` considers committed."""
 
     index: int
     entry: tuple
@@ -58,7 +58,7 @@
 
 
 class CommitQuorum(NamedTuple):
-    """A leader's commit: the voters that its log then names, and the nodes that hold the entry on disk in truth."""
+    """A leader's commit: the voters according to its log, and the nodes that really have the entry on disk."""
 
     index: int
     term: int
@@ -67,7 +67,7 @@
 
 
 class Applied(NamedTuple):
-    """What a controller's cluster state is once it has applied the log up to a sequence."""
+    """A controller's cluster state after it has applied the log up to a sequence."""
 
     sequence: int
     node: Any
@@ -75,7 +75,7 @@
 
 
 class Tail(NamedTuple):
-    """What a storage node has synced of a log under a tail epoch."""
+    """The data of a log that a storage node has synced under a tail epoch."""
 
     log: Any
     epoch: int
@@ -84,7 +84,7 @@
 
 
 class RecoveredTail(NamedTuple):
-    """A leaseholder that has made the tail it found durable under its epoch, and that tail."""
+    """The tail that a leaseholder recovered and made durable under its epoch."""
 
     log: Any
     epoch: int
@@ -93,7 +93,7 @@
 
 
 class Acknowledged(NamedTuple):
-    """An append that its caller was told to be durable, with all of the log up to its end."""
+    """An append that was acknowledged as durable, with the log's data up to its end."""
 
     log: Any
     epoch: int
@@ -101,7 +101,7 @@
 
 
 class LogReplicas(NamedTuple):
-    """All copies of a log in its placement group at a moment, and how many of them must hold what is acknowledged."""
+    """The data of all replicas of a log at one time, and how many of them must have what was acknowledged."""
 
     log: Any
     needed: int
@@ -109,14 +109,14 @@
 
 
 class Change(NamedTuple):
-    """A change of the cluster state that was acknowledged."""
+    """An acknowledged change of the cluster state."""
 
     at: float
     sequence: int
 
 
 class Admitted(NamedTuple):
-    """A gateway that admits work with the cluster state it has."""
+    """A gateway that admits work, and the sequence of its cluster state at that time."""
 
     at: float
     gateway: Any
@@ -151,7 +151,7 @@
 
 
 def leaders_are_complete(elected: Iterable[Elected], committed: Iterable[Committed]) -> list[str]:
-    """A leader has all that was committed in earlier terms."""
+    """A leader has all entries that were committed in earlier terms."""
     newest: dict[int, Committed] = {}
     for c in committed:
         if c.index not in newest or c.known_in_term < newest[c.index].known_in_term:
@@ -167,7 +167,7 @@
 
 
 def only_voters_are_counted(quorums: Iterable[CommitQuorum]) -> list[str]:
-    """A commit rests on a majority of the voters themselves, not on others that answer at their places."""
+    """A commit needs a majority of the voters themselves; other nodes at their addresses don't count."""
     return [
         f"entry {c.index} was committed in term {c.term} with {sorted(map(str, c.holders))} of {c.voters}"
         for c in quorums
@@ -194,7 +194,7 @@
 
 
 def one_tail_per_epoch(tails: Iterable[Tail]) -> list[str]:
-    """Copies under one tail epoch are prefixes of one log."""
+    """Replicas with the same tail epoch are prefixes of one log."""
     longest: dict[tuple, Tail] = {}
     out = []
     for t in tails:
@@ -209,9 +209,9 @@
 def acknowledged_in_later_tails(
     acknowledged: Iterable[Acknowledged], recovered_tails: Iterable[RecoveredTail]
 ) -> list[str]:
-    """Nothing acknowledged is missing from the tail of a later epoch, whenever it was acknowledged.
+    """Everything acknowledged is in the tails recovered under later epochs, no matter when it was acknowledged.
 
-    So a leaseholder whose epoch has passed can't acknowledge anything that its follower did not find.
+    So a leaseholder whose epoch has been superseded can't acknowledge anything that its successor did not recover.
     """
     later = list(recovered_tails)
     return [
@@ -236,7 +236,7 @@
 
 
 def no_stale_admission(changes: Iterable[Change], admitted: Iterable[Admitted], bound: float) -> list[str]:
-    """A change that was acknowledged longer ago than the bound is in force wherever work is admitted."""
+    """A gateway that admits work has every change that was acknowledged longer than `bound` seconds ago."""
     all_changes = list(changes)
     return [
         f"{a.gateway} admits with {a.sequence}, though {c.sequence} was acknowledged {a.at - c.at:.3f} before"
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -1,4 +1,4 @@
-"""Records what simulated runs of the real code do, in the words of the properties."""
+"""Records simulated runs of the real code as the records that the properties check."""
 
 import contextlib
 from hashlib import blake2b
@@ -33,7 +33,7 @@
 
 
 class Recorder:
-    """One simulated run's votes, leaders, commits, tails, leases, acknowledgements and admissions."""
+    """The votes, leaders, commits, tails, leases, acknowledgements and admissions of one simulated run."""
 
     def __init__(self, simulation: Simulation):
         self.simulation = simulation
@@ -54,7 +54,7 @@
 
     @contextlib.contextmanager
     def recording(self):
-        """While this is open, the simulated nodes tell what they do."""
+        """Records what the simulated nodes do while the context is open."""
         with contextlib.ExitStack() as stack:
             for owner, name, around in (
                 (Elections, "_handle_vote_request", self._around_vote),
@@ -71,7 +71,7 @@
             yield self
 
     def violations(self, bound: float) -> list[str]:
-        """What any property finds wrong with the run."""
+        """Returns the violations of all properties."""
         committed = list(self.committed.values())
         return [
             *properties.one_vote_per_term(self.votes),
@@ -190,7 +190,7 @@
         return next((a.node for a in self.simulation.role("storage") if a.part and a.part.log_store is store), "ended")
 
     def sample(self):
-        """The gateways that admit now, and the copies in each placement group whose move has ended since."""
+        """Records the gateways that admit work now, and checks the placement groups whose move has ended."""
         now = self.simulation.clock.seconds()
         for a in self.simulation.role("gateway", alive=True):
             if a.ctx.cluster.ready():
@@ -202,7 +202,7 @@
                 self._check_moved_group(g)
 
     def _check_moved_group(self, group):
-        """A move has ended: a majority of those that keep the logs now has all that was acknowledged before."""
+        """Checks after a move that a majority of the new storage nodes has everything that was acknowledged before."""
         acknowledged = [
             a for a in self.acknowledged if placement_group_of(a.log, self.simulation.placement_groups) == group.number
         ]
--- a/tests/operator_simulation.py
+++ b/tests/operator_simulation.py
@@ -1,4 +1,4 @@
-"""Operators in a simulation whose orders are lost, held up, answered late or never, and sent again; all is recorded."""
+"""Simulated operators whose requests and responses are lost, delayed and retried, with a recorded history."""
 
 from math import inf
 
@@ -20,7 +20,7 @@
 
 
 class DelayingSimulation(Simulation):
-    """Edits that controllers pass on wait in a cut connection and arrive once it is healed."""
+    """Also holds edits that controllers forward over a cut link, and delivers them once the link is healed."""
 
     def deliver_call(self, sender, address, method, body, node=""):
         receiver = next((a for a in self.simulated_nodes.values() if a.address == address), None)
@@ -47,7 +47,7 @@
 
 @attrs.define
 class _RequestOutcome:
-    """What became of an order: when its copies were sent, and its clear answer, if there was one."""
+    """The outcome of a request: when its attempts were sent, and its conclusive response if there was one."""
 
     sent_at: list[float] = attrs.Factory(list)
     response: Response = Response.UNKNOWN
@@ -56,7 +56,11 @@
 
 @attrs.define
 class _Attempt:
-    """One copy of an order on its way: the controller's life that it reached, and whether its caller has left."""
+    """One attempt of a request.
+
+    `controller_ctx` is the context that the controller had when the attempt arrived, and differs after a restart.
+    `abandoned` says that the client has timed out.
+    """
 
     controller_ctx: object = None
     response: list | None = None
@@ -65,7 +69,7 @@
 
 
 class Operators:
-    """Several operators who change one fleet at once, each as a caller with a second of patience."""
+    """Operators that change one cluster concurrently, each as a client with a timeout of one second."""
 
     def __init__(
         self,
@@ -96,7 +100,7 @@
         return sum(isinstance(r, ConfigWrite | ZoneWrite) and r.response is Response.CONFIRMED for r in self.records)
 
     async def call(self, controller, *args):
-        """One copy of a call: (status, body), or None where no clear answer came in time."""
+        """Makes one attempt; returns (status, body), or None if no conclusive response arrived in time."""
         simulation, rng = self.simulation, self.simulation.rng
         attempt = _Attempt()
         lost_response = rng.random() < self.lost_response_probability
@@ -138,7 +142,7 @@
             controller.clock.callLater(0, attempt.response.disconnect)
 
     async def send(self, *args) -> _RequestOutcome:
-        """An order sent until it has a clear answer."""
+        """Retries a request until it has a conclusive response or has used up its attempts."""
         outcome, pause = _RequestOutcome(), 50
         await self.timers.sleep(ms(5))
         for _ in range(self.max_attempts):
@@ -152,7 +156,7 @@
         return outcome
 
     async def change(self, content, base, version, valid=True, replaced=None) -> Response:
-        """A change of the configuration to one route that is named like its content; a patch where it replaces one."""
+        """Changes the configuration to one route named `content`, by a PATCH if it replaces a route, else by a PUT."""
         route = route_of(content, "p" if valid else "unknown")
         args = ("PUT", CONFIG, config_of(version, route))
         if replaced:
@@ -174,7 +178,7 @@
             self.records.append(ZoneWrite(zone, empty, sent, outcome.ended, response))
 
     async def read(self, controller=None):
-        """The version and content that were read back, or None."""
+        """Reads the configuration; returns its version and content, or None."""
         began = self.simulation.clock.seconds()
         controller = controller or self.simulation.rng.choice(self.simulation.role("controller"))
         outcome = await self.call(controller, "GET", CONFIG)
@@ -217,7 +221,7 @@
                 await self.change(name, base, version, replaced=replaced)
 
     async def _change_ahead(self, name: str, base: int):
-        """A change on a version that may not be in force yet; sent again once where that was refused."""
+        """Sends a change based on a version that may not be in effect yet; retries once if that is refused."""
         if await self.change(name, base, base + 2) is Response.OTHER_VERSION:
             await self.timers.sleep(ms(300))
             await self.change(name, base, base + 2)
@@ -227,7 +231,7 @@
         return f"c{self._number}"
 
     def _sample_gateways(self):
-        """What gateways that may admit work serve by: in force at some time within the last two seconds."""
+        """Records the state that each admitting gateway uses; it must have been current in the last two seconds."""
         now = self.simulation.clock.seconds()
         for a in self.simulation.role("gateway", alive=True):
             if not a.ctx.cluster.ready():
@@ -239,7 +243,7 @@
                 self._note_view(a, ZoneRead(zone, zone in state.empty_zones, now - IN_EFFECT_WITHIN_S, now, a.node))
 
     def _note_view(self, gateway, view):
-        """One record for each second of an unchanged view; a version that goes back is a fault of its own."""
+        """Records an unchanged view at most once a second. A configuration version that decreases is a violation."""
         key = (gateway.node, getattr(view, "zone", ""))
         last = self._views.get(key)
         same = last is not None and attrs.evolve(last, sent=view.sent, ended=view.ended) == view
--- a/tests/parallel_runner.py
+++ b/tests/parallel_runner.py
@@ -1,4 +1,4 @@
-"""Runs test files side by side, each in an interpreter of its own, and closes with one count over all of them."""
+"""Runs test files in parallel, each in its own interpreter, and prints the total of their counts last."""
 
 import os
 import re
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class FileResult:
-    """What one file's run said and came to; one that closed without a count has failed."""
+    """The output and counts of one test file; a run whose last line is no count has failed."""
 
     name: str
     output: str
@@ -45,7 +45,7 @@
 
 
 def run_files(names: list[str], out, run_file=_run_file) -> int:
-    """Runs all files, prints what each said in the order given, and returns 1 if any of them failed."""
+    """Runs all files, prints their outputs in the order given, and returns 1 if any file failed or none was given."""
     results = []
     with ThreadPoolExecutor(min(MAX_PARALLEL_FILES, os.cpu_count() or 1)) as pool:
         for result in pool.map(run_file, names):
--- a/tests/test_behaviour_record.py
+++ b/tests/test_behaviour_record.py
@@ -1,4 +1,4 @@
-"""The fleet behaves as recorded: see tests/behaviour_record.py."""
+"""Compares the cluster's behaviour with the recorded behaviour: see tests/behaviour_record.py."""
 
 import unittest
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 
 class Behaviour(unittest.TestCase):
-    def test_each_scenario_is_played_as_recorded(self):
+    def test_each_scenario_matches_its_record(self):
         expected = read_digests(EXPECTED)
         self.assertEqual(sorted(expected), sorted(SCENARIOS))
         for scenario, seeds in expected.items():
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""The paths that the pages and docstrings of the repository name in backticks."""
+"""Checks that the paths in backticks in pages, docstrings and comments exist."""
 
 import re
 import unittest
@@ -17,7 +17,7 @@
 
 
 class NamedPath(NamedTuple):
-    """A path in backticks, and the line that names it."""
+    """A path in backticks, and the page and line that contain it."""
 
     page: str
     line: int
@@ -28,7 +28,7 @@
 
 
 def named_paths(page: str, text: str, pattern: re.Pattern[str]) -> Iterator[NamedPath]:
-    """The words in backticks that match a pattern."""
+    """Yields the texts in backticks that match a pattern."""
     for number, line in enumerate(text.splitlines(), 1):
         for word in IN_BACKTICKS.findall(line):
             if pattern.fullmatch(word):
@@ -36,12 +36,12 @@
 
 
 def is_present(path: str) -> bool:
-    """Whether a path exists below the root, or below the package as in `router/call.py`."""
+    """Whether a path exists relative to the root, or to the package as in `router/call.py`."""
     return (ROOT / path).is_file() or (PACKAGE / path).is_file()
 
 
 def names_a_file(name: str) -> bool:
-    """Whether a file of this name exists in the package or among the tests."""
+    """Whether a file of this name exists in the package, the tests or the platform's plugins."""
     return any(next(folder.rglob(name), None) for folder in (PACKAGE, ROOT / "tests", ROOT / "platform"))
 
 
@@ -79,14 +79,14 @@
 
 
 class Reading(unittest.TestCase):
-    """What the test itself sees in a page."""
+    """The functions of this test that read pages."""
 
-    def test_only_paths_in_backticks_are_read(self):
+    def test_only_paths_in_backticks_are_checked(self):
         text = "see `router/call.py`, router/other.py\n`call.py` and `batch/<id>` or `GET /v1/a.py`"
         self.assertEqual([n.path for n in named_paths("p", text, SOURCE_PATH)], ["router/call.py"])
         self.assertEqual([(n.line, n.path) for n in named_paths("p", text, MODULE_NAME)], [(2, "call.py")])
 
-    def test_a_path_that_is_gone_is_found_and_told_with_its_line(self):
+    def test_a_missing_path_is_reported_with_its_line(self):
         self.assertFalse(is_present("router/never_there.py"))
         self.assertFalse(names_a_file("never_there.py"))
         self.assertEqual(
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,4 +1,4 @@
-"""The table of log events in the operators' page against the events that the sources log."""
+"""Compares the table of log events in the operators' page with the events that the sources log."""
 
 import ast
 import re
@@ -15,15 +15,15 @@
 REPORTERS = {"run_in_background": 1, "error_reporter": 0}
 """Methods that take the name of background work, and the position of that argument."""
 DEFINITION = ROOT / "pipitlink" / "context.py"
-"""Defines the reporters, so that the event is a parameter there."""
+"""Defines the reporters; not checked, since the event is a parameter there."""
 NAMED_BY_RPC_METHOD = {"method", "frame.method"}
-"""Expressions that name background work by its RPC method, which the page says in one row."""
+"""Expressions that name background work by its RPC method, which the page explains in one row."""
 EVENT_ROW = re.compile(r"^\| `(\w+)` \| (\w+) \| ([^|]*) \| [^|]+ \| [^|]+ \|$", re.M)
 BACKGROUND_ROW = re.compile(r"^\| background work, [^|]*\| warning \| `error`, `text` \| ([^|]+) \| [^|]+ \|$", re.M)
 
 
 class LoggedEvent(NamedTuple):
-    """An event as one call logs it."""
+    """An event as logged by one call."""
 
     name: str
     level: str
@@ -31,21 +31,21 @@
 
 
 class UnreadableEvent(Exception):
-    """A call names its event by something other than a literal."""
+    """A call whose event is not a string literal."""
 
 
 def source_files() -> list[Path]:
-    """The sources whose events the page lists."""
+    """Returns the sources whose events the page lists."""
     return sorted(path for folder in SOURCES for path in folder.rglob("*.py") if path != DEFINITION)
 
 
 def called_name(call: ast.Call) -> str:
-    """The last part of the name of what is called."""
+    """Returns the last part of the called function's name."""
     return call.func.attr if isinstance(call.func, ast.Attribute) else getattr(call.func, "id", "")
 
 
 def is_logger(expression: ast.expr) -> bool:
-    """Whether an expression is a logger, by its name."""
+    """Whether an expression is named like a logger."""
     return ast.unparse(expression).split(".")[-1] in ("logger", "_logger")
 
 
@@ -54,7 +54,7 @@
 
 
 def logged_events(tree: ast.AST) -> Iterator[LoggedEvent]:
-    """The events that a module logs by its logger."""
+    """Yields the events that a module logs with its logger."""
     for call in calls_in(tree):
         if not (isinstance(call.func, ast.Attribute) and call.func.attr in LEVELS and is_logger(call.func.value)):
             continue
@@ -68,7 +68,7 @@
 
 
 def reporter_aliases(tree: ast.AST) -> set[str]:
-    """The local names that a module gives to `error_reporter`."""
+    """Returns the local names that a module assigns to `error_reporter`."""
     aliases = set()
     for assignment in (node for node in ast.walk(tree) if isinstance(node, ast.Assign)):
         target, value = assignment.targets[0], assignment.value
@@ -80,14 +80,17 @@
 
 
 def argument_at(call: ast.Call, position: int, name: str = "event") -> ast.expr:
-    """An argument that may be given by position or by name."""
+    """Returns an argument that may be passed by position or by name."""
     if position < len(call.args):
         return call.args[position]
     return next(keyword.value for keyword in call.keywords if keyword.arg == name)
 
 
 def forwarding_methods(tree: ast.AST) -> Iterator[tuple[str, int, str]]:
-    """The methods that pass a parameter on as the name: their name, the parameter's position and name."""
+    """Yields the methods that forward a parameter as the name of background work.
+
+    For each: the method's name, and the position and name of the parameter.
+    """
     for method in (node for node in ast.walk(tree) if isinstance(node, ast.FunctionDef)):
         parameters = [argument.arg for argument in method.args.args if argument.arg != "self"]
         for call in calls_in(method):
@@ -98,7 +101,7 @@
 
 
 def background_names(tree: ast.AST) -> Iterator[str]:
-    """The names under which a module's background work is logged where it fails."""
+    """Yields the names under which failures of a module's background work are logged."""
     forwarding = {name: (position, parameter) for name, position, parameter in forwarding_methods(tree)}
     forwarded = {parameter for _, parameter in forwarding.values()}
     reporters = {name: (position, "event") for name, position in REPORTERS.items()}
@@ -125,7 +128,7 @@
             logged.setdefault((event.name, event.level), set()).update(event.fields)
         rows = EVENT_ROW.findall(self.page)
         listed = {(name, level): set(re.findall(r"`(\w+)`", fields)) for name, level, fields in rows}
-        self.assertEqual(len(rows), len(listed), "an event stands twice in docs/operating.md")
+        self.assertEqual(len(rows), len(listed), "docs/operating.md lists an event twice")
         self.assertEqual(sorted(set(logged) - set(listed)), [], "logged, but not in docs/operating.md")
         self.assertEqual(sorted(set(listed) - set(logged)), [], "in docs/operating.md, but not logged")
         self.assertEqual(listed, logged, "fields in docs/operating.md and fields as logged differ")
@@ -134,13 +137,13 @@
         logged = {name for tree in self.trees for name in background_names(tree)}
         (row,) = BACKGROUND_ROW.findall(self.page)
         listed = re.findall(r"`(\w+)`", row)
-        self.assertEqual(len(listed), len(set(listed)), "a name stands twice in docs/operating.md")
-        self.assertEqual(sorted(logged - set(listed)), [], "named in the code, but not in docs/operating.md")
+        self.assertEqual(len(listed), len(set(listed)), "docs/operating.md lists a name twice")
+        self.assertEqual(sorted(logged - set(listed)), [], "used in the code, but not in docs/operating.md")
         self.assertEqual(sorted(set(listed) - logged), [], "in docs/operating.md, but not in the code")
 
 
 class Reading(unittest.TestCase):
-    """What the test itself sees in sources."""
+    """The functions of this test that read sources."""
 
     def test_an_event_is_read_with_its_level_and_fields(self):
         tree = ast.parse("self._ctx.logger.failure('lost', error, log=log)\nlogger.info('met', peer=1)")
@@ -152,13 +155,13 @@
             },
         )
 
-    def test_an_event_that_is_computed_is_refused(self):
+    def test_an_event_that_is_not_a_literal_raises_an_error(self):
         with self.assertRaises(UnreadableEvent):
             list(logged_events(ast.parse("logger.info(f'{name}_lost')")))
         with self.assertRaises(UnreadableEvent):
             list(background_names(ast.parse("ctx.run_in_background(work, names[0])")))
 
-    def test_names_of_background_work_are_read_through_aliases_and_forwarding_methods(self):
+    def test_names_of_background_work_are_found_through_aliases_and_forwarding_methods(self):
         source = """
 class Part:
     def open(self):
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,7 @@
-"""The model explored: whole at a small size, at random at a larger one; and each guard taken out must be found."""
+"""Explores the models exhaustively at small sizes and by random walks at larger ones.
+
+Each guard is also disabled once, which must be detected as a violation.
+"""
 
 import unittest
 
@@ -13,7 +16,7 @@
     "votes and appends": Consensus(terms=2, entries=2, atomic_elections=True),
     "a crash, vote by vote": Consensus(terms=2, entries=1, crashes=1),
     "a crash over three terms": Consensus(terms=3, entries=1, crashes=1, atomic_elections=True),
-    "an emptied disk": Consensus(terms=2, entries=1, wipes=1, atomic_elections=True),
+    "a wiped disk": Consensus(terms=2, entries=1, wipes=1, atomic_elections=True),
     "a snapshot": Consensus(terms=2, entries=2, compacts=True, atomic_elections=True),
     "two leaseholders": Leases(appends=1),
     "a wiped replica": Leases(appends=1, wipes=1, starts_held=True),
@@ -24,7 +27,7 @@
 }
 
 RANDOM_WALKS = {
-    "agreement": (Consensus(members=5, terms=5, entries=5, crashes=2, wipes=2, compacts=True), 400, 90),
+    "consensus": (Consensus(members=5, terms=5, entries=5, crashes=2, wipes=2, compacts=True), 400, 90),
     "voters": (Consensus(standbys=2, terms=4, entries=5, changes=3, crashes=1, atomic_elections=True), 300, 80),
     "leases": (Leases(leaseholders=3, epochs=4, appends=4, moves=True, wipes=1), 300, 80),
     "leases, five replicas": (Leases(replicas=5, leaseholders=3, epochs=4, appends=4, moves=True, wipes=2), 200, 90),
@@ -85,7 +88,7 @@
 
 
 class Models(unittest.TestCase):
-    def test_nothing_is_wrong_in_any_state_at_the_small_size(self):
+    def test_no_reachable_state_at_a_small_size_has_violations(self):
         for name, model in EXHAUSTIVE.items():
             with self.subTest(name):
                 exploration = explore(model)
@@ -93,7 +96,7 @@
                 self.assertTrue(exploration.complete)
                 self.assertGreater(exploration.states, 1000)
 
-    def test_nothing_is_wrong_on_random_walks_at_a_larger_size(self):
+    def test_no_random_walk_at_a_larger_size_has_violations(self):
         for name, (model, walks, depth) in RANDOM_WALKS.items():
             with self.subTest(name):
                 exploration = walk(model, 16, walks, depth, RARE_STEPS)
@@ -104,26 +107,26 @@
 class Mutations(unittest.TestCase):
     def assert_found(self, name: str, exploration: Exploration):
         with self.subTest(name):
-            self.assertTrue(exploration.violations, f"{exploration.states} states and nothing found")
+            self.assertTrue(exploration.violations, f"{exploration.states} states explored without a violation")
 
-    def test_a_guard_of_the_agreement_taken_out_is_found(self):
+    def test_a_disabled_guard_of_the_consensus_is_detected(self):
         for guard, size in CONSENSUS_GUARDS.items():
             self.assert_found(guard, explore(Consensus(**size, **{guard: False}), 100_000))
 
-    def test_a_guard_of_voter_changes_and_snapshots_taken_out_is_found(self):
+    def test_a_disabled_guard_of_voter_changes_or_snapshots_is_detected(self):
         for guard, (size, first_steps) in LOG_CHANGE_GUARDS.items():
             self.assert_found(
                 guard, explore(Consensus(**size, atomic_elections=True, **{guard: False}), 100_000, first_steps)
             )
 
-    def test_a_guard_of_leases_and_copies_taken_out_is_found(self):
+    def test_a_disabled_guard_of_leases_or_replicas_is_detected(self):
         for guard, size in LEASE_GUARDS.items():
             self.assert_found(guard, explore(Leases(**size, **{guard: False}), 100_000))
         for guard, size in LEASE_GUARDS_BY_WALKS.items():
             model = Leases(**size, epochs=3, appends=3, starts_held=True, **{guard: False})
             self.assert_found(guard, walk(model, 1, 4000, 60, RARE_STEPS))
 
-    def test_a_guard_of_the_proofs_taken_out_is_found(self):
+    def test_a_disabled_guard_of_the_proofs_is_detected(self):
         for guard in LEADER_PROOF_GUARDS:
             self.assert_found(guard, explore(Proofs(by_witnesses=False, **{guard: False}), 100_000))
         for guard in WITNESS_PROOF_GUARDS:
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -1,4 +1,4 @@
-"""The model's properties over recorded runs of the real code: agreement, logs and proofs under trouble."""
+"""Checks the models' properties on recorded runs of the real code, while faults are injected."""
 
 import unittest
 
@@ -18,19 +18,19 @@
 
 
 class WipingFaults(RandomFaults):
-    """Also empties disks: one at once, and the next only when the members have taken the lost one's places."""
+    """Also wipes disks: one at a time, and the next only after other nodes have replaced the wiped one everywhere."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
         self._wiped: set[str] = set()
 
     def inject_one(self):
-        if self._simulation.rng.random() < 0.4 and self._is_redundant():
+        if self._simulation.rng.random() < 0.4 and self._is_fully_replicated():
             self._wipe_one()
         else:
             super().inject_one()
 
-    def _is_redundant(self) -> bool:
+    def _is_fully_replicated(self) -> bool:
         leader = self._simulation.leader()
         if leader is None:
             return False
@@ -47,7 +47,7 @@
         simulated_node = rng.choice(
             [a for a in simulation.simulated_nodes.values() if a.node in held and a.alive and not a.frozen]
         )
-        self.injected.append(f"{simulation.clock.seconds():.3f} emptied {simulated_node.name}")
+        self.injected.append(f"{simulation.clock.seconds():.3f} wiped {simulated_node.name}")
         self._wiped.add(simulated_node.node)
         simulated_node.kill(power=True)
         simulated_node.wipe()
@@ -55,7 +55,7 @@
 
 
 class _Workload:
-    """Operators that change the table and gateways that race for logs, recorded."""
+    """Operators that edit the table and gateways that compete for the leases of logs."""
 
     def __init__(self, recorder: Recorder):
         self.recorder, self.simulation = recorder, recorder.simulation
@@ -106,7 +106,7 @@
 
 
 def run_recorded(seed: int, faults: int = FAULTS) -> tuple[Recorder, list[str]]:
-    """One seed of trouble with the nodes recorded; at its end each log is settled once more."""
+    """Runs one seed with faults and records it; at the end one gateway acquires each log once more."""
     simulation = Simulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
     recorder = Recorder(simulation)
     try:
@@ -140,19 +140,19 @@
     last = simulation.role("gateway")[0].ctx
 
     for log in LOGS:
-        simulation.do(acquire_lease(last, log), 30, f"{log} is settled")
+        simulation.do(acquire_lease(last, log), 30, f"{log} is acquired")
     return random_faults.injected
 
 
 class Conformance(unittest.TestCase):
-    def test_recorded_runs_meet_the_models_properties(self):
+    def test_recorded_runs_satisfy_the_models_properties(self):
         acknowledged = changes = 0
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 recorder, injected = run_recorded(seed)
                 self.assertEqual(recorder.violations(IN_EFFECT_WITHIN_S), [], f"seed {seed}: {injected}")
                 for observed in (recorder.votes, recorder.elected, recorder.commit_quorums, recorder.applied):
-                    self.assertTrue(observed, "the recorder no longer sees the consensus")
+                    self.assertTrue(observed, "the recorder has recorded nothing of the consensus")
                 acknowledged += len(recorder.acknowledged)
                 changes += len(recorder.changes)
         self.assertGreater(acknowledged, 20 * len(SEEDS))
@@ -160,7 +160,7 @@
 
 
 async def acquire_lease(ctx, log: str):
-    """The log's lease, taken by this node as soon as it can be had."""
+    """Acquires the log's lease for this node, retrying until it is granted."""
     while True:
         try:
             return await ctx.replicated_log.acquire(log, "")
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -1,4 +1,4 @@
-"""The runner itself, on suites of its own."""
+"""The test runner, on small suites written for it, and repeated timers."""
 
 import io
 import os
@@ -58,7 +58,7 @@
             )
         return r.returncode, r.stdout
 
-    def test_what_passes_passes(self):
+    def test_a_passing_suite_passes(self):
         rc, out = self.run_these("Fine")
         self.assertEqual((rc, out.splitlines()[-1]), (0, "1 passed, 0 failed, 0 skipped"))
 
@@ -68,7 +68,7 @@
             self.assertEqual((rc, out.splitlines()[-1]), (1, "1 passed, 1 failed, 0 skipped"))
             self.assertIn("cases.Leaves.test_leaves left an unhandled error: left behind", out)
 
-    def test_a_known_red_test_is_told_and_does_not_fail_the_run(self):
+    def test_a_known_red_test_is_reported_and_does_not_fail_the_run(self):
         line = "cases.Bad.test_bad: a cause, issue 1"
         rc, out = self.run_these("Bad", "Fine", red=line + "\n")
         self.assertEqual((rc, out.splitlines()[-1]), (0, "1 passed, 1 failed, 0 skipped"))
@@ -99,7 +99,7 @@
         self.assertEqual((code, lines[-1]), (1, "3 passed, 1 failed, 1 skipped"))
         self.assertEqual(run()[0], 1)
 
-    def test_a_known_red_test_that_passes_is_to_be_taken_off(self):
+    def test_a_known_red_test_that_passes_is_reported_for_removal_from_the_list(self):
         rc, out = self.run_these("Fine", red="cases.Fine.test_fine: a cause, issue 1")
         self.assertEqual(rc, 0)
         self.assertIn("passes now: take it off the list", out)
@@ -118,7 +118,7 @@
     def ran_now(self):
         self.ran.append(round(self.clock.seconds() * 100) * 10)
 
-    def test_a_repeat_ends_in_its_pause_and_in_its_work(self):
+    def test_stopping_the_timers_ends_idle_repeats_and_cancels_running_work(self):
         hung = defer.Deferred()
         self.timers.call_repeatedly(ms(10), self.ran_now, self.faults.append)
         self.timers.call_repeatedly(ms(10), lambda: hung, self.faults.append)
@@ -129,7 +129,7 @@
         self.assertTrue(hung.called)
         self.assertEqual(self.clock.getDelayedCalls(), [])
 
-    def test_a_fault_or_a_cancelled_wait_is_told_and_the_repeat_goes_on(self):
+    def test_an_error_or_cancelled_wait_is_reported_and_the_repeat_continues(self):
         async def work():
             self.ran_now()
             if len(self.ran) == 1:
@@ -142,7 +142,7 @@
         self.assertEqual(self.ran, [0, 10, 20, 30])
         self.assertEqual([type(e) for e in self.faults], [ValueError, defer.CancelledError])
 
-    def test_timers_without_work_are_left_out_and_the_phase_is_kept(self):
+    def test_idle_ticks_are_skipped_and_the_phase_is_kept(self):
         due = [None]
         r = self.timers.call_repeatedly(ms(10), self.ran_now, self.faults.append, idle_time=lambda: due[0])
         self.advance(33)
@@ -159,7 +159,7 @@
         self.advance(5)
         self.assertEqual(self.ran, [0, 40, 80, 110, 120])
 
-    def test_a_stage_that_ends_amid_its_work_leaves_nothing_that_runs_on(self):
+    def test_ending_a_simulation_with_work_in_progress_leaves_nothing_running(self):
         for seed in range(3):
             s = Simulation(seed, controllers=1, storage_nodes=3, gateways=1)
             s.start()
--- a/tests/test_simulated_disk_lost.py
+++ b/tests/test_simulated_disk_lost.py
@@ -1,5 +1,6 @@
-"""A storage node's disk is lost while all machines are down: its placement groups are made whole first, and leases
-outlast that.
+"""A storage node loses its disk while all machines are down.
+
+Its placement groups must get a replacement for it soon after the restart, and no lease may expire because of that work.
 """
 
 import unittest
@@ -12,7 +13,7 @@
 
 
 class DiskLost(unittest.TestCase):
-    def test_the_lost_storage_nodes_place_is_filled_first_and_no_lease_runs_out_over_it(self):
+    def test_the_lost_storage_node_is_replaced_first_and_no_lease_expires_meanwhile(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 simulation = start_simulation(seed, named=True)
@@ -46,9 +47,11 @@
                         )
                     ),
                     6,
-                    "no placement group counts on the lost storage node",
+                    "no placement group contains the lost storage node",
+                )
+                simulation.until(
+                    lambda: all(clients.read_if_complete(n) for n in names), 40, "all batches are complete"
                 )
-                simulation.until(lambda: all(clients.read_if_complete(n) for n in names), 40, "all is listed")
                 ran_out = [x for x in simulation.sink.lines if "lease_lost" in x and "ran out" in x]
                 self.assertEqual(ran_out, [])
                 self.assertEqual(clients.violations, [])
