--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -38,7 +38,7 @@
 
 from .behaviour_scenarios import SCENARIOS
 
-__all__ = ["SCENARIOS", "BehaviourRecord", "play", "read_digests", "mismatches"]
+__all__ = ["SCENARIOS", "BehaviourRecord", "run_scenario", "read_digests", "mismatches"]
 
 PARTS = ("seen", "network")
 CONTEXT_LINES = 5
@@ -62,7 +62,7 @@
     return sha256("\n".join(lines).encode()).hexdigest()
 
 
-def play(scenario: str, seed: int) -> BehaviourRecord:
+def run_scenario(scenario: str, seed: int) -> BehaviourRecord:
     """Runs one scenario with one seed."""
     gc_was_enabled = gc.isenabled()
     gc.collect()
@@ -83,7 +83,7 @@
 
 def mismatches(expected, scenario: str, seed: int) -> list[str]:
     """Runs a scenario and returns a message for each part that differs from the expected digests."""
-    digests = play(scenario, seed).digests()
+    digests = run_scenario(scenario, seed).digests()
     return [
         f"{scenario} {seed}: {part} differs; see `python -m tests.behaviour_record {scenario} {seed}`"
         for part in PARTS
@@ -95,7 +95,7 @@
     digests = read_digests(path)
     for scenario in scenarios:
         for seed in seeds:
-            digests.setdefault(scenario, {})[str(seed)] = play(scenario, seed).digests()
+            digests.setdefault(scenario, {})[str(seed)] = run_scenario(scenario, seed).digests()
             Path(path).write_text(json.dumps(digests, indent=1, sort_keys=True) + "\n")
 
 
@@ -129,7 +129,7 @@
 def main() -> int:
     arguments = docopt(__doc__)
     if arguments["SCENARIO"]:
-        lines = play(arguments["SCENARIO"], int(arguments["SEED"])).lines()
+        lines = run_scenario(arguments["SCENARIO"], int(arguments["SEED"])).lines()
         if arguments["--diff"]:
             return _print_difference(arguments["--diff"], lines)
         print("\n".join(lines))
--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -73,7 +73,7 @@
     return sha256(data.encode() if isinstance(data, str) else data).hexdigest()[:16]
 
 
-class _Lines:
+class _TimedLines:
     """Lines of text, each with the virtual time to which it belongs."""
 
     def __init__(self, seconds):
@@ -88,7 +88,7 @@
 @contextmanager
 def _running(simulation):
     """Starts the cluster, yields the lines of the scenario and of its network, and ends the cluster afterwards."""
-    seen, network = _Lines(simulation.clock.seconds), _Lines(simulation.clock.seconds)
+    seen, network = _TimedLines(simulation.clock.seconds), _TimedLines(simulation.clock.seconds)
     with mock.patch.object(Simulation, "deliver_call", _recorded_deliver_call(network)):
         try:
             simulation.start()
@@ -421,13 +421,13 @@
     def __init__(self, seed):
         self.rng = Random(seed)
         self.harness = RouterHarness(ROUTES, seed=seed, gateways=2)
-        self.seen = _Lines(self.harness.clock.seconds)
+        self.seen = _TimedLines(self.harness.clock.seconds)
         self.channels: list = []
         self.exchanges: list = []
         self.states = dict.fromkeys(self.ENGINES, "ready")
         self._announce()
 
-    def play(self) -> list[str]:
+    def run(self) -> list[str]:
         actions = (self._send_request, self._respond, self._advance, self._change_engine, self._disconnect)
         for _ in range(self.STEPS):
             self.rng.choices(actions, (4, 12, 4, 0.4, 0.4))[0]()
@@ -482,8 +482,8 @@
         if connection.transport.closed:
             self.exchanges.remove(exchange)
             return
-        roll = self.rng.random()
-        if roll < 0.1:
+        draw = self.rng.random()
+        if draw < 0.1:
             self.exchanges.remove(exchange)
             self.seen.note("engine breaks", name, call_id)
             connection.transport.close()
@@ -521,7 +521,7 @@
 def router(seed):
     """Live requests by routes through a single gateway whose clients and engines act at random, without other nodes."""
     with mock.patch("pipitlink.router.call_relay.set", _InsertionOrderedSet, create=True):
-        return _RouterScenario(seed).play(), []
+        return _RouterScenario(seed).run(), []
 
 
 SCENARIOS = {
--- a/tests/model/consensus.py
+++ b/tests/model/consensus.py
@@ -230,7 +230,7 @@
                 vote = member.vote if member.term == sent.term else NO_VOTE
                 commit = max(member.commit, min(sent.commit, end))
                 after = Member(member.node, sent.term, vote, "follower", log, len(log), commit, snapshot)
-                matched = self._match(state.matched, sent.term, index, member.node, end)
+                matched = self._record_match(state.matched, sent.term, index, member.node, end)
                 if after == member and matched == state.matched:
                     continue
                 known = {Committed(n, e, sent.term) for n, e in enumerate(log[:commit], 1)}
@@ -262,7 +262,7 @@
             return log, snapshot
         return (*log[:base], *sent.log[base:end]), snapshot
 
-    def _match(self, matched: frozenset, term: int, index: int, node: int, end: int) -> frozenset:
+    def _record_match(self, matched: frozenset, term: int, index: int, node: int, end: int) -> frozenset:
         """Records up to which index a follower, by position and identity, has reported the leader's log as synced."""
         best = max((n for t, _, w, n in matched if (t, w) == (term, node)), default=0)
         return matched - {(term, index, node, best)} | {(term, index, node, end)} if end > best else matched
--- a/tests/test_behaviour_record.py
+++ b/tests/test_behaviour_record.py
@@ -3,7 +3,7 @@
 import unittest
 from pathlib import Path
 
-from .behaviour_record import SCENARIOS, mismatches, play, read_digests
+from .behaviour_record import SCENARIOS, mismatches, read_digests, run_scenario
 
 EXPECTED = Path(__file__).parent / "data" / "behaviour_record.json"
 
@@ -19,4 +19,4 @@
                     self.assertEqual(mismatches(expected, scenario, int(seed)), [])
 
     def test_another_seed_gives_another_record(self):
-        self.assertNotEqual(play("router", 1).digests(), play("router", 2).digests())
+        self.assertNotEqual(run_scenario("router", 1).digests(), run_scenario("router", 2).digests())
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -41,7 +41,7 @@
 
 
 def names_a_file(name: str) -> bool:
-    """Whether a file of this name exists in the package, the tests or the platform's plugins."""
+    """Whether a file of this name exists in the package, the tests or the platform folder."""
     return any(next(folder.rglob(name), None) for folder in (PACKAGE, ROOT / "tests", ROOT / "platform"))
 
 
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -111,12 +111,12 @@
     recorder = Recorder(simulation)
     try:
         with recorder.recording():
-            return recorder, _play(simulation, recorder, faults)
+            return recorder, _run(simulation, recorder, faults)
     finally:
         simulation.end()
 
 
-def _play(simulation: Simulation, recorder: Recorder, faults: int) -> list[str]:
+def _run(simulation: Simulation, recorder: Recorder, faults: int) -> list[str]:
     simulation.start()
     simulation.ready()
     work = _Workload(recorder)
