--- a/tests/test_platform_control.py
+++ b/tests/test_platform_control.py
@@ -248,7 +248,7 @@
         self.controller = self.simulation.role("controller")[1]
 
     def test_an_operator_edits_the_configuration_and_empties_and_fills_a_zone(self):
-        ask, controller = self.client.ask, self.controller
+        call, controller = self.client.call, self.controller
         self.assertEqual(self.client.get(controller)[1], {"version": 0, "routes": [], "backends": [], "limits": {}})
         self.assertEqual(self.client.put(controller, CONFIG, 5)[0], 412)
         self.assertEqual(self.client.put(controller, CONFIG, 0)[0], 200)
@@ -257,18 +257,18 @@
         self.assertEqual(self.client.patch(controller, {"version": 9, "remove": {"routes": ["r-bulk"]}}, 7)[0], 200)
         self.assertEqual(self.client.get(controller)[1], {**CONFIG, "version": 9, "routes": ROUTES[:1]})
         for method, empty in (("POST", True), ("POST", True), ("DELETE", False)):
-            self.assertEqual(ask(controller, method, "/evacuations/zone-a")[0], 200)
+            self.assertEqual(call(controller, method, "/evacuations/zone-a")[0], 200)
             self.assertEqual(
                 {gateway.ctx.cluster.zone_empty("zone-a") for gateway in self.simulation.role("gateway")}, {empty}
             )
 
     def test_a_storage_node_is_retired(self):
-        ask, controller, storage_node = self.client.ask, self.controller, self.simulation.role("storage")[0].node
-        self.assertEqual(ask(controller, "POST", "/retire/nowhere", {"within_s": 10})[0], 404)
-        self.assertEqual(ask(controller, "GET", f"/retire/{storage_node}"), (200, {"state": "serving"}))
-        self.assertEqual(ask(controller, "POST", f"/retire/{storage_node}", {"within_s": 10})[0], 200)
+        call, controller, storage_node = self.client.call, self.controller, self.simulation.role("storage")[0].node
+        self.assertEqual(call(controller, "POST", "/retire/nowhere", {"within_s": 10})[0], 404)
+        self.assertEqual(call(controller, "GET", f"/retire/{storage_node}"), (200, {"state": "serving"}))
+        self.assertEqual(call(controller, "POST", f"/retire/{storage_node}", {"within_s": 10})[0], 200)
         self.simulation.until(
-            lambda: ask(controller, "GET", f"/retire/{storage_node}") == (200, {"state": "complete"}),
+            lambda: call(controller, "GET", f"/retire/{storage_node}") == (200, {"state": "complete"}),
             60,
             "the storage node is retired",
         )
