--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -114,7 +114,7 @@
 
     def merge(self, update: EngineUpdate) -> None:
         """Applies an update of one engine from the control plane; outdated updates are ignored."""
-        now = self.check_clock()
+        now = self.check_for_suspension()
         updated_at = now - ms(update.age_ms)
         engine = self._engines.get(update.engine)
         if engine is None:
@@ -182,7 +182,7 @@
             if now - gone_at > GONE_RETENTION:
                 del self._gone_at[name]
 
-    def check_clock(self) -> timedelta:
+    def check_for_suspension(self) -> timedelta:
         """Returns the time, and detects whether this process was suspended since the last check."""
         now = self._ctx.timers.now()
         if now - self._clock_checked_at > SUSPENSION_THRESHOLD:
@@ -192,7 +192,7 @@
 
     def status(self, engine: Engine) -> str:
         """Returns the status of an engine: an EngineStatus, or another state that the control plane announces."""
-        now = self.check_clock()
+        now = self.check_for_suspension()
         if engine.update.state != EngineStatus.READY:
             return engine.update.state
         if now - engine.updated_at > SILENCE_TIMEOUT:
--- a/pipitlink/router/load_exchange.py
+++ b/pipitlink/router/load_exchange.py
@@ -71,7 +71,7 @@
                 engine.peer_loads.pop(member.node, None)
 
     def _report(self) -> None:
-        now = self._engines.check_clock()
+        now = self._engines.check_for_suspension()
         self._engines.remove_silent(now)
         own = {
             engine.name: EngineLoad(engine.running, engine.batch_items)
