--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -73,7 +73,7 @@
         self._capacity_waiters: list[defer.Deferred[None]] = []
         self._gone_listeners: list[Callable[[Engine], None]] = []
         self._gone_at: dict[str, timedelta] = {}
-        self._clock_checked_at = ctx.timers.now()
+        self._checked_at = ctx.timers.now()
         self._resumed_at = ZERO
 
     def open(self) -> None:
@@ -185,9 +185,9 @@
     def check_for_suspension(self) -> timedelta:
         """Returns the time, and detects whether this process was suspended since the last check."""
         now = self._ctx.timers.now()
-        if now - self._clock_checked_at > SUSPENSION_THRESHOLD:
+        if now - self._checked_at > SUSPENSION_THRESHOLD:
             self._resumed_at = now
-        self._clock_checked_at = now
+        self._checked_at = now
         return now
 
     def status(self, engine: Engine) -> str:
