--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -172,7 +172,7 @@
         for listener in self._gone_listeners:
             listener(engine)
 
-    def remove_silent(self, now: timedelta) -> None:
+    def remove_silent_engines(self, now: timedelta) -> None:
         """Removes engines that are no longer announced; they are added again when they are announced again."""
         for engine in self.unordered():
             if now - engine.updated_at > REMOVAL_TIMEOUT and not engine.running:
--- a/pipitlink/router/load_exchange.py
+++ b/pipitlink/router/load_exchange.py
@@ -72,7 +72,7 @@
 
     def _report(self) -> None:
         now = self._engines.check_for_suspension()
-        self._engines.remove_silent(now)
+        self._engines.remove_silent_engines(now)
         own = {
             engine.name: EngineLoad(engine.running, engine.batch_items)
             for engine in self._engines.unordered()
