--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -18,7 +18,7 @@
 ENGINE_RETENTION = secs(60)
 FAILURE_BACKOFF = secs(1)
 SUSPENSION_THRESHOLD = secs(1.5)
-STALE_MESSAGE_SPAN = ms(500)
+RESUME_GRACE = ms(500)
 PUSH_TIMEOUT = ms(500)
 MAX_GOSSIPED_ENGINES = 1024
 
@@ -136,7 +136,7 @@
     def _just_resumed(self) -> bool:
         """Returns whether a message may have been queued during a suspension, so that the ages in it are too low."""
         now = self.check_for_suspension()
-        return self._resumed_at > ZERO and now - self._resumed_at < STALE_MESSAGE_SPAN
+        return self._resumed_at > ZERO and now - self._resumed_at < RESUME_GRACE
 
     def _add_incarnation(self, update: EngineUpdate, renewed_at: timedelta, previous: Engine | None) -> None:
         stored = EngineUpdate()
