--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -22,7 +22,7 @@
 
 REPORT_INTERVAL = ms(200)
 REPORT_TIMEOUT = ms(400)
-PEER_LOAD_SPAN = secs(2)
+PEER_LOAD_VALIDITY = secs(2)
 REPORT_LINGER_SPAN = secs(6)
 SLOW_START_SPAN = secs(8)
 SLOW_START_MIN_FRACTION = 0.1
@@ -97,7 +97,7 @@
         """Returns how many requests run on the engine: this gateway's, and others' by their recent reports."""
         now = self._ctx.timers.now()
         return engine.local_requests + sum(
-            load.running for load in engine.peer_loads.values() if now - load.reported_at < PEER_LOAD_SPAN
+            load.running for load in engine.peer_loads.values() if now - load.reported_at < PEER_LOAD_VALIDITY
         )
 
     def free_slots(self, engine: Engine, reserve: float = 0.0) -> int:
