--- a/pipitlink/router/batch_followers.py
+++ b/pipitlink/router/batch_followers.py
@@ -20,7 +20,7 @@
 UNUSED_FOLLOWER_TTL = secs(30)
 DROP_INTERVAL = secs(5)
 READ_TIMEOUT = ms(1200)
-TAIL_MAX_LAG = secs(1)
+MAX_TAIL_LAG = secs(1)
 # Lengths that the storage nodes confirmed more recently than this are not requested again.
 RECONFIRM_AFTER = ms(400)
 # An owned batch is checked at least this often, since its lease may be lost.
@@ -87,7 +87,7 @@
             raise NotFound("there is no such batch", code="no_such_batch", field="id")
         follower = self.followers.get(batch_id)
         if follower is None:
-            tail = self._ctx.cache.tail(batch_log(batch_id), TAIL_MAX_LAG)
+            tail = self._ctx.cache.tail(batch_log(batch_id), MAX_TAIL_LAG)
             follower = self.followers[batch_id] = BatchFollower(tail, self._ctx.timers.now())
         follower.last_used = self._ctx.timers.now()
         if not follower.has_ended():
