--- a/pipitlink/router/batch_followers.py
+++ b/pipitlink/router/batch_followers.py
@@ -17,7 +17,7 @@
 
 HEAD_ONLY = "head_alone"
 # A follower that has not been used for this long is dropped.
-UNUSED_FOLLOWER_TTL = secs(30)
+UNUSED_FOLLOWER_RETENTION = secs(30)
 DROP_INTERVAL = secs(5)
 READ_TIMEOUT = ms(1200)
 MAX_TAIL_LAG = secs(1)
@@ -47,7 +47,7 @@
     def _drop_unused(self) -> None:
         now = self._ctx.timers.now()
         for batch_id, follower in list(self.followers.items()):
-            if now - follower.last_used > UNUSED_FOLLOWER_TTL:
+            if now - follower.last_used > UNUSED_FOLLOWER_RETENTION:
                 self.drop(batch_id, follower)
 
     def drop(self, batch_id: str, follower: BatchFollower) -> None:
