--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -19,7 +19,7 @@
 
 UNUSED_READER_RETENTION = secs(30)
 EXPIRY_INTERVAL = secs(5)
-FRESH_SPAN = ms(400)
+RECONFIRM_AFTER = ms(400)
 MAX_STALENESS = secs(1)
 MAX_TAIL_LAG = secs(1)
 MAX_CACHED_SPECS = 256
@@ -97,7 +97,7 @@
             results = self._results[batch_id] = BatchResults(tail, now)
         results.used_at = now
         lengths = results.tail.lengths
-        if lengths.confirmed_at is None or now - lengths.confirmed_at > FRESH_SPAN:
+        if lengths.confirmed_at is None or now - lengths.confirmed_at > RECONFIRM_AFTER:
             await self._ctx.cache.poller.confirm_durable([results.tail.path])
         if lengths.confirmed_at is None or self._ctx.timers.now() - lengths.confirmed_at > MAX_STALENESS:
             raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
