--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -14,7 +14,7 @@
 
 __all__ = ["EngineRegistry"]
 
-ENGINE_TIMEOUT = secs(3)
+SILENCE_TIMEOUT = secs(3)
 ENGINE_RETENTION = secs(60)
 FAILURE_BACKOFF = secs(1)
 SUSPENSION_THRESHOLD = secs(1.5)
@@ -81,7 +81,7 @@
         now = self.check_for_suspension()
         if engine.update.state == EngineStatus.DRAINING:
             return EngineStatus.DRAINING
-        if now - engine.renewed_at > ENGINE_TIMEOUT:
+        if now - engine.renewed_at > SILENCE_TIMEOUT:
             return EngineStatus.GONE
         if engine.renewed_at < self._resumed_at or self._failed_recently(engine, now):
             return EngineStatus.SUSPECT
@@ -159,7 +159,7 @@
 
     def _renew(self, engine: Engine, update: EngineUpdate, renewed_at: timedelta) -> None:
         now = self._ctx.timers.now()
-        if now - engine.renewed_at > ENGINE_TIMEOUT and now - renewed_at < ENGINE_TIMEOUT:
+        if now - engine.renewed_at > SILENCE_TIMEOUT and now - renewed_at < SILENCE_TIMEOUT:
             engine.ready_since = now
         engine.renewed_at = max(engine.renewed_at, renewed_at)
         if update.state == EngineStatus.DRAINING and engine.update.state != EngineStatus.DRAINING:
