--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -15,7 +15,7 @@
 __all__ = ["EngineRegistry", "EngineSlot"]
 
 SILENCE_TIMEOUT = secs(3.6)
-REMOVAL_TIMEOUT = secs(30)
+ENGINE_RETENTION = secs(30)
 GONE_RETENTION = secs(60)
 # If two checks of the clock are further apart than this, the process or its machine is assumed to have been suspended.
 SUSPENSION_THRESHOLD = secs(1.5)
@@ -175,7 +175,7 @@
     def remove_silent_engines(self, now: timedelta) -> None:
         """Removes engines that are no longer announced; they are added again when they are announced again."""
         for engine in self.unordered():
-            if now - engine.updated_at > REMOVAL_TIMEOUT and not engine.running:
+            if now - engine.updated_at > ENGINE_RETENTION and not engine.running:
                 self.remove(engine)
                 del self._gone_at[engine.name]
         for name, gone_at in list(self._gone_at.items()):
