--- a/pipitlink/cluster/currency.py
+++ b/pipitlink/cluster/currency.py
@@ -9,10 +9,10 @@
 from ..state_machines import StateMachineMixin
 from ..timers import secs
 
-__all__ = ["FOLLOWER_LEASE_SPAN", "LEASE_SPAN", "Currency", "CurrencyState"]
+__all__ = ["FOLLOWER_LEASE_SPAN", "LEADER_LEASE_DURATION", "Currency", "CurrencyState"]
 
 # The gateway lets its lease on the cluster state expire earlier than the leader does.
-LEASE_SPAN = secs(1.5)
+LEADER_LEASE_DURATION = secs(1.5)
 FOLLOWER_LEASE_SPAN = secs(1.2)
 WITNESS_PROOF_SPAN = secs(1)
 
--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -8,7 +8,7 @@
 import attrs
 from twisted.internet import defer
 
-from ..cluster.currency import LEASE_SPAN
+from ..cluster.currency import LEADER_LEASE_DURATION
 from ..cluster.follower import MAX_FOLLOW_WAIT, MIN_FOLLOW_WAIT
 from ..cluster.state_transfer import StateTransfer
 from ..context import Context
@@ -129,7 +129,7 @@
         """
         self._require_recent_quorum()
         requested_at = self._ctx.timers.now()
-        self._followers[request.node] = Follower(request.role, request.sequence, requested_at + LEASE_SPAN)
+        self._followers[request.node] = Follower(request.role, request.sequence, requested_at + LEADER_LEASE_DURATION)
         self._waiting_edits.wake()
         if request.sequence >= self._consensus.cluster_state.sequence and not request.no_wait:
             await self._wait_for_newer_state(request)
@@ -194,7 +194,7 @@
         now = self._ctx.timers.now()
         follower = self._followers.get(node)
         if follower is not None:
-            follower.leased_until = max(follower.leased_until, now + LEASE_SPAN)
+            follower.leased_until = max(follower.leased_until, now + LEADER_LEASE_DURATION)
         return to_ms(now - requested_at)
 
     def _wake_all(self) -> None:
@@ -210,7 +210,7 @@
         of them are enough here, provided that more than half have the last change of the set of witnesses.
         """
         now = self._ctx.timers.now()
-        if now < self._replication.elected_at + LEASE_SPAN:
+        if now < self._replication.elected_at + LEADER_LEASE_DURATION:
             return False
         if any(self._is_behind(follower, sequence, now) for follower in self._followers.values()):
             return False
@@ -234,7 +234,7 @@
 
     def operator_edit_timeout(self) -> timedelta:
         """Returns the timeout of an operator's edit: 900 ms, or longer while leases of a former leader may be live."""
-        lease_end = self._replication.elected_at + LEASE_SPAN
+        lease_end = self._replication.elected_at + LEADER_LEASE_DURATION
         return max(OPERATOR_EDIT_TIMEOUT, lease_end + LEASE_MARGIN - self._ctx.timers.now())
 
     async def edit(self, command: Command, timeout: timedelta = EDIT_TIMEOUT) -> Outcome:
