--- a/pipitlink/cluster/currency.py
+++ b/pipitlink/cluster/currency.py
@@ -9,11 +9,11 @@
 from ..state_machines import StateMachineMixin
 from ..timers import secs
 
-__all__ = ["FOLLOWER_LEASE_SPAN", "LEADER_LEASE_DURATION", "Currency", "CurrencyState"]
+__all__ = ["FOLLOWER_LEASE_DURATION", "LEADER_LEASE_DURATION", "Currency", "CurrencyState"]
 
 # The gateway lets its lease on the cluster state expire earlier than the leader does.
 LEADER_LEASE_DURATION = secs(1.5)
-FOLLOWER_LEASE_SPAN = secs(1.2)
+FOLLOWER_LEASE_DURATION = secs(1.2)
 WITNESS_PROOF_SPAN = secs(1)
 
 
@@ -54,7 +54,7 @@
 
     def has_live_lease(self) -> bool:
         """Whether the lease is live: a leader recently confirmed that this node has every committed command."""
-        return self._is_within(self.leased_at, FOLLOWER_LEASE_SPAN)
+        return self._is_within(self.leased_at, FOLLOWER_LEASE_DURATION)
 
     def was_proven_within(self, span: timedelta) -> bool:
         """Whether there was a proof of either kind within the last `span`."""
--- a/tests/test_simulated_follow.py
+++ b/tests/test_simulated_follow.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from pipitlink.cluster import ClusterFollower, ClusterState
-from pipitlink.cluster.currency import FOLLOWER_LEASE_SPAN
+from pipitlink.cluster.currency import FOLLOWER_LEASE_DURATION
 from pipitlink.cluster.follower import MAX_FOLLOW_WAIT, MIN_FOLLOW_WAIT
 from pipitlink.cluster.state_transfer import StateTransfer
 from pipitlink.timers import spawn
@@ -102,7 +102,7 @@
             self.assertLess(cluster.sequence, leader.part.consensus.cluster_state.sequence)
             self.assertFalse(cluster.ready() and cluster.state == "led", "it lacks an acknowledged edit")
             self.assertGreater(
-                led_steps * 0.01, FOLLOWER_LEASE_SPAN.total_seconds() - 0.1, "its lease starts at the response"
+                led_steps * 0.01, FOLLOWER_LEASE_DURATION.total_seconds() - 0.1, "its lease starts at the response"
             )
 
     def test_a_leader_that_steps_down_releases_the_requests_that_it_holds(self):
