--- a/pipitlink/cluster/currency.py
+++ b/pipitlink/cluster/currency.py
@@ -14,7 +14,7 @@
 # The gateway lets its lease on the cluster state expire earlier than the leader does.
 LEADER_LEASE_DURATION = secs(1.5)
 FOLLOWER_LEASE_DURATION = secs(1.2)
-WITNESS_PROOF_SPAN = secs(1)
+WITNESS_PROOF_VALIDITY = secs(1)
 
 
 class CurrencyState(StrEnum):
@@ -63,7 +63,7 @@
     def _current_state(self) -> CurrencyState:
         if self.has_live_lease():
             return CurrencyState.LED
-        if self._is_within(self.witnessed_at, WITNESS_PROOF_SPAN):
+        if self._is_within(self.witnessed_at, WITNESS_PROOF_VALIDITY):
             return CurrencyState.WITNESSED
         return CurrencyState.LAPSED
 
