--- a/pipitlink/cluster/witnesses.py
+++ b/pipitlink/cluster/witnesses.py
@@ -17,7 +17,7 @@
 POLL_INTERVAL = ms(300)
 POLL_TIMEOUT = ms(500)
 # Witnesses are polled once the lease renewal is overdue by this time.
-LEASE_OVERDUE_SPAN = ms(300)
+LEASE_OVERDUE_AFTER = ms(300)
 
 
 class Witnesses:
@@ -65,7 +65,7 @@
         leased_at = self._follower.currency.leased_at
         if leased_at is None:
             return True
-        return self._ctx.timers.now() - leased_at >= self._follower.max_follow_wait() + LEASE_OVERDUE_SPAN
+        return self._ctx.timers.now() - leased_at >= self._follower.max_follow_wait() + LEASE_OVERDUE_AFTER
 
     async def _fetch_newer_state(self, sequences: dict[str, int]) -> None:
         """Applies the state of the witness with the highest sequence if it is newer than this node's."""
