--- a/pipitlink/controller/storage_nodes.py
+++ b/pipitlink/controller/storage_nodes.py
@@ -17,7 +17,7 @@
 """How long a storage node without a replacement must be gone before its replicas are placed elsewhere."""
 SUCCESSOR_MAX_AGE = secs(15)
 """Only a storage node discovered within this time is considered the successor of another one."""
-SIMULTANEOUS_DISCOVERY_SPAN = secs(2)
+SIMULTANEOUS_DISCOVERY_WINDOW = secs(2)
 """Nodes discovered within this time of each other count as discovered together, as at the start of this process."""
 
 
@@ -82,7 +82,7 @@
         known_for = self._ctx.membership.known_for(node)
         if known_for is None:
             return False
-        limit = min(known_for - SIMULTANEOUS_DISCOVERY_SPAN, SUCCESSOR_MAX_AGE)
+        limit = min(known_for - SIMULTANEOUS_DISCOVERY_WINDOW, SUCCESSOR_MAX_AGE)
         return any(
             self._was_discovered_within(member.node, limit)
             and self._consensus.cluster_state.storage_nodes.get(member.node) == StorageStatus.SERVING
