--- a/pipitlink/controller/storage_retirement.py
+++ b/pipitlink/controller/storage_retirement.py
@@ -13,7 +13,7 @@
 
 __all__ = ["StorageRetirement"]
 
-RECENT_LOSS_SPAN = secs(15)
+RECENT_LOSS_WINDOW = secs(15)
 """A storage node lost within this time may come back."""
 
 
@@ -79,7 +79,7 @@
         """Returns how many storage nodes were removed from the cluster state recently and may come back."""
         return sum(
             member.node not in cluster_state.storage_nodes
-            and self._ctx.membership.time_in_status(member.node) < RECENT_LOSS_SPAN
+            and self._ctx.membership.time_in_status(member.node) < RECENT_LOSS_WINDOW
             and not self._storage_nodes.is_replaced(member.node)
             for member in self._ctx.membership.members("storage", statuses=("gone",))
         )
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -22,7 +22,7 @@
 
 SETTLE_SPAN = ms(600)
 REPORT_DELAY_SPAN = secs(1)
-RECENT_LOSS_SPAN = secs(60)
+RECENT_LOSS_WINDOW = secs(60)
 SUSPENSION_THRESHOLD = secs(1)
 CALL_TIMEOUT = ms(400)
 PERMIT_POLL_INTERVAL = ms(60)
@@ -201,6 +201,6 @@
         missing = 0
         for member in membership.members("gateway", statuses=("suspect", "gone"), include_self=False):
             replaced = (member.host, member.port) in alive_addresses
-            if not replaced and membership.time_in_status(member.node) < RECENT_LOSS_SPAN:
+            if not replaced and membership.time_in_status(member.node) < RECENT_LOSS_WINDOW:
                 missing += 1
         return missing
