--- a/pipitlink/membership/member_table.py
+++ b/pipitlink/membership/member_table.py
@@ -16,7 +16,7 @@
 
 MemberListener = Callable[[Member], object]
 
-RECENT_CHANGE_SPAN = secs(3)
+RECENT_CHANGE_WINDOW = secs(3)
 DIGEST_BYTES = 8
 
 
@@ -82,15 +82,15 @@
         return self._digest
 
     def recently_changed(self) -> list[Peer]:
-        """Returns the peers that changed within RECENT_CHANGE_SPAN, for which gossip repeats a change."""
+        """Returns the peers that changed within RECENT_CHANGE_WINDOW, for which gossip repeats a change."""
         now = self._timers.now()
-        if now - self._changed_at >= RECENT_CHANGE_SPAN:
+        if now - self._changed_at >= RECENT_CHANGE_WINDOW:
             return []
-        return [peer for peer in self.peers.values() if now - peer.changed_at < RECENT_CHANGE_SPAN]
+        return [peer for peer in self.peers.values() if now - peer.changed_at < RECENT_CHANGE_WINDOW]
 
     def local_changed_recently(self) -> bool:
-        """Returns whether this node's own record changed within RECENT_CHANGE_SPAN."""
-        return self._timers.now() - self._local_changed_at < RECENT_CHANGE_SPAN
+        """Returns whether this node's own record changed within RECENT_CHANGE_WINDOW."""
+        return self._timers.now() - self._local_changed_at < RECENT_CHANGE_WINDOW
 
     def set_local_status(self, status: MemberStatus) -> None:
         """Changes this node's status in its own record."""
