--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -20,7 +20,7 @@
 
 __all__ = ["RateLimits"]
 
-SETTLE_SPAN = ms(600)
+SETTLING_TIME = ms(600)
 REPORT_DELAY_SPAN = secs(1)
 RECENT_LOSS_WINDOW = secs(60)
 SUSPENSION_THRESHOLD = secs(1)
@@ -192,7 +192,7 @@
         return (
             self._ctx.cluster.ready()
             and len(alive) >= missing
-            and self._ctx.timers.now() - self._gateways_changed_at >= SETTLE_SPAN
+            and self._ctx.timers.now() - self._gateways_changed_at >= SETTLING_TIME
         )
 
     def _missing_gateways(self, alive_addresses: set[Address]) -> int:
