--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -21,7 +21,7 @@
 __all__ = ["RateLimits"]
 
 SETTLING_TIME = ms(600)
-REPORT_DELAY_SPAN = secs(1)
+MAX_REPORT_DELAY = secs(1)
 RECENT_LOSS_WINDOW = secs(60)
 SUSPENSION_THRESHOLD = secs(1)
 CALL_TIMEOUT = ms(400)
@@ -107,7 +107,7 @@
                 if (
                     granted.gateway == loads.gateway
                     and permit_id not in reported
-                    and now - granted.granted_at > REPORT_DELAY_SPAN
+                    and now - granted.granted_at > MAX_REPORT_DELAY
                 ):
                     del row.permits[permit_id]
 
