--- a/pipitlink/gateway/row_limits.py
+++ b/pipitlink/gateway/row_limits.py
@@ -12,7 +12,7 @@
 __all__ = ["GrantedPermit", "RowLimits"]
 
 PERMIT_LEASE = secs(5)
-MAX_REFILL_SPAN = secs(1)
+MAX_REFILL_TIME = secs(1)
 
 
 @attrs.frozen
@@ -41,7 +41,7 @@
         """
         if gateways_changed_at != self.gateways_changed_at:
             self.tokens = 0.0
-            self.refilled_at = max(gateways_changed_at, now - MAX_REFILL_SPAN)
+            self.refilled_at = max(gateways_changed_at, now - MAX_REFILL_TIME)
             self.gateways_changed_at = gateways_changed_at
         refill = rate * (now - self.refilled_at).total_seconds()
         self.tokens = min(max(1.0, rate), self.tokens + refill)
