--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -26,7 +26,7 @@
 SLOT_WAIT = ms(500)
 SLOT_POLL_INTERVAL = ms(100)
 MAX_WAITING = 128
-STARTUP_SPAN = secs(4)
+STARTUP_TIME = secs(4)
 UNANNOUNCED_RETRY_AFTER_S = 2
 LOAD_BOUND = 1.25
 RANK_VALUES = 2**64
@@ -142,7 +142,7 @@
 
         A gateway that just started may not know all engines yet, and an engine for a row of the table may return.
         """
-        starting = self._ctx.timers.now() - self._serving.started_at < STARTUP_SPAN
+        starting = self._ctx.timers.now() - self._serving.started_at < STARTUP_TIME
         return starting or self._ctx.cluster.row(request.model, request.pool) is not None
 
     async def _wait_for_free_slot(self, left: timedelta) -> None:
