--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -24,7 +24,7 @@
 REPORT_TIMEOUT = ms(400)
 PEER_LOAD_VALIDITY = secs(2)
 REPORT_LINGER_SPAN = secs(6)
-SLOW_START_SPAN = secs(8)
+SLOW_START_DURATION = secs(8)
 SLOW_START_MIN_FRACTION = 0.1
 ROTATION_MS = 100
 PROMPT_REPORT_DELAY = ms(5)
@@ -89,7 +89,7 @@
 
     def capacity(self, engine: Engine) -> int:
         """Returns how many requests may run on the engine now, which grows with its age in slow start."""
-        age = (self._ctx.timers.now() - engine.ready_since) / SLOW_START_SPAN
+        age = (self._ctx.timers.now() - engine.ready_since) / SLOW_START_DURATION
         fraction = min(1.0, SLOW_START_MIN_FRACTION + (1 - SLOW_START_MIN_FRACTION) * age)
         return max(1, int(engine.update.capacity * fraction))
 
@@ -171,7 +171,7 @@
             call.addErrback(lambda _: None)
 
     def _in_slow_start(self, engine: Engine) -> bool:
-        return self._ctx.timers.now() - engine.ready_since < SLOW_START_SPAN
+        return self._ctx.timers.now() - engine.ready_since < SLOW_START_DURATION
 
     def _quota(self, engine: Engine) -> CapacityQuota:
         """Returns this gateway's current quota of the engine.
@@ -191,7 +191,7 @@
         return {
             member.node
             for member in membership.members("gateway", statuses=("suspect", "gone"))
-            if membership.time_in_status(member.node) < SLOW_START_SPAN
+            if membership.time_in_status(member.node) < SLOW_START_DURATION
         }
 
     def _release(self, name: str, batch_item: bool) -> None:
