--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -23,7 +23,7 @@
 REPORT_INTERVAL = ms(200)
 REPORT_TIMEOUT = ms(400)
 PEER_LOAD_VALIDITY = secs(2)
-REPORT_LINGER_SPAN = secs(6)
+REPORT_LINGER_TIME = secs(6)
 SLOW_START_DURATION = secs(8)
 SLOW_START_MIN_FRACTION = 0.1
 ROTATION_MS = 100
@@ -150,7 +150,7 @@
             carrier.fill_loads(loads)
         if loads.permits or loads.lots or any(running.values()):
             self._active_at = now
-        if now - self._active_at < REPORT_LINGER_SPAN:
+        if now - self._active_at < REPORT_LINGER_TIME:
             self._send(loads)
         self.wake_waiters()
 
