--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -18,7 +18,7 @@
 __all__ = ["BatchResults", "ResultReader"]
 
 UNUSED_READER_RETENTION = secs(30)
-EXPIRY_INTERVAL = secs(5)
+DROP_INTERVAL = secs(5)
 RECONFIRM_AFTER = ms(400)
 MAX_STALENESS = secs(1)
 MAX_TAIL_LAG = secs(1)
@@ -62,7 +62,7 @@
 
     def start(self) -> None:
         """Starts to remove results that are no longer requested."""
-        self._ctx.timers.call_repeatedly(EXPIRY_INTERVAL, self._drop_unused, self._ctx.error_reporter("expire_readers"))
+        self._ctx.timers.call_repeatedly(DROP_INTERVAL, self._drop_unused, self._ctx.error_reporter("expire_readers"))
 
     async def find_batch(self, batch_id: str) -> Lot:
         """Returns a batch by its id.
