--- a/pipitlink/gateway/engine.py
+++ b/pipitlink/gateway/engine.py
@@ -38,7 +38,7 @@
     """
 
     update: EngineUpdate
-    renewed_at: timedelta
+    updated_at: timedelta
     ready_since: timedelta
     live_requests: int = 0
     batch_items: int = 0
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -67,23 +67,23 @@
     def merge(self, update: EngineUpdate) -> None:
         """Merges an announcement that an engine made `update.age_ms` ago, if it is newer than what is known."""
         now = self._ctx.timers.now()
-        renewed_at = now - ms(update.age_ms)
-        if now - renewed_at > ENGINE_RETENTION or not update.engine:
+        updated_at = now - ms(update.age_ms)
+        if now - updated_at > ENGINE_RETENTION or not update.engine:
             return
         engine = self._engines.get(update.engine)
         if engine is None or update.incarnation > engine.update.incarnation:
-            self._add_incarnation(update, renewed_at, engine)
+            self._add_incarnation(update, updated_at, engine)
         elif update.incarnation == engine.update.incarnation:
-            self._renew(engine, update, renewed_at)
+            self._renew(engine, update, updated_at)
 
     def status(self, engine: Engine) -> EngineStatus:
         """Returns the engine's status as known at this gateway."""
         now = self.check_for_suspension()
         if engine.update.state == EngineStatus.DRAINING:
             return EngineStatus.DRAINING
-        if now - engine.renewed_at > SILENCE_TIMEOUT:
+        if now - engine.updated_at > SILENCE_TIMEOUT:
             return EngineStatus.GONE
-        if engine.renewed_at < self._resumed_at or self._failed_recently(engine, now):
+        if engine.updated_at < self._resumed_at or self._failed_recently(engine, now):
             return EngineStatus.SUSPECT
         return EngineStatus.READY
 
@@ -105,7 +105,7 @@
     def remove_silent_engines(self, now: timedelta) -> None:
         """Removes engines without a recent announcement that run no requests of this gateway."""
         for name, engine in list(self._engines.items()):
-            if now - engine.renewed_at > ENGINE_RETENTION and not engine.local_requests:
+            if now - engine.updated_at > ENGINE_RETENTION and not engine.local_requests:
                 del self._engines[name]
 
     def _push(self, engines: EngineList) -> None:
@@ -125,7 +125,7 @@
         for engine in self._engines.values():
             update = gossip.engines.add()
             update.CopyFrom(engine.update)
-            update.age_ms = to_ms(now - engine.renewed_at)
+            update.age_ms = to_ms(now - engine.updated_at)
 
     def merge_gossip(self, gossip: Gossip) -> None:
         """Merges the engines of received gossip."""
@@ -138,10 +138,10 @@
         now = self.check_for_suspension()
         return self._resumed_at > ZERO and now - self._resumed_at < RESUME_GRACE
 
-    def _add_incarnation(self, update: EngineUpdate, renewed_at: timedelta, previous: Engine | None) -> None:
+    def _add_incarnation(self, update: EngineUpdate, updated_at: timedelta, previous: Engine | None) -> None:
         stored = EngineUpdate()
         stored.CopyFrom(update)
-        engine = Engine(stored, renewed_at, self._ctx.timers.now())
+        engine = Engine(stored, updated_at, self._ctx.timers.now())
         if previous is not None:
             engine.live_requests = previous.live_requests
             engine.batch_items = previous.batch_items
@@ -157,11 +157,11 @@
         for listener in self._new_engine_listeners:
             listener()
 
-    def _renew(self, engine: Engine, update: EngineUpdate, renewed_at: timedelta) -> None:
+    def _renew(self, engine: Engine, update: EngineUpdate, updated_at: timedelta) -> None:
         now = self._ctx.timers.now()
-        if now - engine.renewed_at > SILENCE_TIMEOUT and now - renewed_at < SILENCE_TIMEOUT:
+        if now - engine.updated_at > SILENCE_TIMEOUT and now - updated_at < SILENCE_TIMEOUT:
             engine.ready_since = now
-        engine.renewed_at = max(engine.renewed_at, renewed_at)
+        engine.updated_at = max(engine.updated_at, updated_at)
         if update.state == EngineStatus.DRAINING and engine.update.state != EngineStatus.DRAINING:
             engine.update.state = update.state
             self._ctx.logger.info(
