--- a/pipitlink/cache/poller.py
+++ b/pipitlink/cache/poller.py
@@ -121,12 +121,12 @@
 
     async def confirm_durable(self, paths: list[str]) -> None:
         """Requests the durable lengths of logs from the storage nodes themselves."""
-        asked_at = self._ctx.timers.now()
+        requested_at = self._ctx.timers.now()
         states = await self._ctx.replicated_log.states(paths)
         self._update(_LengthUpdate(path, state.committed, 0, state.final) for path, state in states.items())
         for path in states:
             if path in self._known:
-                self._known[path].confirmed_at = asked_at
+                self._known[path].confirmed_at = requested_at
 
     async def wait_for_growth(self, timeout: timedelta) -> None:
         """Waits until any polled log grows, or until the timeout."""
