--- a/pipitlink/gateway/admission.py
+++ b/pipitlink/gateway/admission.py
@@ -53,8 +53,8 @@
 
     async def _wait_until_current(self) -> None:
         """Waits a short time for a node that was suspended to confirm its cluster state again."""
-        give_up_at = self._ctx.timers.now() + CURRENT_WAIT
+        deadline = self._ctx.timers.now() + CURRENT_WAIT
         while not self._serving.is_current():
-            if self._ctx.timers.now() >= give_up_at:
+            if self._ctx.timers.now() >= deadline:
                 raise ServiceUnavailable("this gateway cannot confirm its cluster state", code="not_current")
             await self._ctx.timers.sleep(CURRENT_POLL_INTERVAL)
--- a/pipitlink/gateway/batch_api.py
+++ b/pipitlink/gateway/batch_api.py
@@ -89,8 +89,8 @@
         Raises ServiceUnavailable if the owner cannot be reached in time.
         """
         self._open_batches.add(batch_id, await self._reader.find_batch(batch_id))
-        give_up_at = self._ctx.timers.now() + CANCEL_TIMEOUT
-        while self._ctx.timers.now() < give_up_at:
+        deadline = self._ctx.timers.now() + CANCEL_TIMEOUT
+        while self._ctx.timers.now() < deadline:
             status = await self._cancel_at_owner(batch_id)
             if status in (CancelStatus.CANCELLED, CancelStatus.CLOSED):
                 return status.value
--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -91,13 +91,13 @@
         ).engine
 
     async def _wait_for_engine(self, request: RequestRecord) -> Engine:
-        give_up_at = min(request.deadline, self._ctx.timers.now() + SLOT_WAIT)
+        deadline = min(request.deadline, self._ctx.timers.now() + SLOT_WAIT)
         while True:
             engine = self.select(request)
             if engine is not None:
                 return engine
             self._check_candidates(request)
-            left = give_up_at - self._ctx.timers.now()
+            left = deadline - self._ctx.timers.now()
             if left <= ZERO or self._waiting >= MAX_WAITING:
                 raise ServiceUnavailable("no engine has a free slot", retry_after=self._retry_after.seconds())
             await self._wait_for_free_slot(left)
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -209,8 +209,8 @@
         if self._port is not None:
             await self._port.stopListening()
         timers = self._ctx.timers
-        give_up_at = timers.now() + DRAIN_TIMEOUT
-        while self.table.has_unsettled() and timers.now() < give_up_at:
+        deadline = timers.now() + DRAIN_TIMEOUT
+        while self.table.has_unsettled() and timers.now() < deadline:
             await timers.sleep(DRAIN_POLL_INTERVAL)
         self.batch_ownership.give_up_all()
         replicated_log = self._ctx.replicated_log
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -115,13 +115,13 @@
         return self._rows.setdefault(row, RowLimits())
 
     async def _wait_for_permit(self, request: RequestRecord, row: Row, permit_id: str) -> None:
-        give_up_at = min(request.deadline, self._ctx.timers.now() + MAX_PERMIT_WAIT)
+        deadline = min(request.deadline, self._ctx.timers.now() + MAX_PERMIT_WAIT)
         while True:
             self._slots.keep_reporting()
             response = await self._call_coordinator(PermitRequest(row=row.name, id=permit_id))
             if response.granted:
                 return
-            if self._ctx.timers.now() + PERMIT_POLL_INTERVAL >= give_up_at:
+            if self._ctx.timers.now() + PERMIT_POLL_INTERVAL >= deadline:
                 raise ServiceUnavailable(
                     f"row {row.name} allows {row.concurrency} concurrent requests",
                     code="concurrency_limited",
