--- a/pipitlink/router/batch_api.py
+++ b/pipitlink/router/batch_api.py
@@ -15,7 +15,7 @@
 class Submission(NamedTuple):
     """A batch as a client submits it.
 
-    `deadline`, and `began_at`, the time at which the head of the request had been received, are on the timers' clock.
+    `deadline`, and `started_at`, the time at which the head of the request had been received, are on the timers' clock.
     """
 
     route: Route
@@ -24,7 +24,7 @@
     batch_id: str
     body: bytes
     deadline: timedelta
-    began_at: timedelta
+    started_at: timedelta
 
 
 class BatchApi(Protocol):
--- a/pipitlink/router/batch_intake.py
+++ b/pipitlink/router/batch_intake.py
@@ -74,7 +74,7 @@
     async def submit(self, submission: Submission) -> HttpResponse:
         """Accepts a batch, or responds for the batch that was accepted under its id earlier."""
         dialect = self._ctx.dialect
-        timings = PhaseTimings(self._ctx.timers, submission.began_at)
+        timings = PhaseTimings(self._ctx.timers, submission.started_at)
         timings.end_phase(IntakePhase.RECEIVE)
         try:
             batch = self._parse(submission)
--- a/pipitlink/router/http_frontend.py
+++ b/pipitlink/router/http_frontend.py
@@ -133,7 +133,7 @@
         call_id = request.header(self._ctx.dialect.request_id) or b""
         body = request.take_body()
         if route.kind == RouteKind.BATCH:
-            submission = Submission(route, host, path, call_id.decode("latin-1"), body, deadline, request.began_at)
+            submission = Submission(route, host, path, call_id.decode("latin-1"), body, deadline, request.started_at)
             request.respond(await self._batch_api.submit(submission))
             return
         request.call = self._make_call(request, route, call_id, body, deadline)
@@ -196,7 +196,7 @@
             prompt_parts=parse_prompt_parts(request.header(dialect.prompt_parts)),
             token_count=sum(int(count) for count in token_counts if count.strip().isdigit()),
             last_event=int(last_event) if last_event.isdigit() else 0,
-            timings=PhaseTimings(self._ctx.timers, request.began_at),
+            timings=PhaseTimings(self._ctx.timers, request.started_at),
         )
 
     async def drain(self, accept_time: timedelta, deadline: timedelta) -> None:
--- a/pipitlink/router/inbound_request.py
+++ b/pipitlink/router/inbound_request.py
@@ -74,12 +74,12 @@
     content: BytesIO
     call: Call | None = None
     is_too_long = False
-    began_at: timedelta
+    started_at: timedelta
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802 - twisted's interface
         """Receives the length of the body, if the client states it."""
         self.content = BytesIO()
-        self.began_at = self.channel.frontend.now()
+        self.started_at = self.channel.frontend.now()
         if length is not None and length > self.channel.frontend.max_body_bytes():
             self.is_too_long = True
 
