--- a/pipitlink/router/engine.py
+++ b/pipitlink/router/engine.py
@@ -84,7 +84,7 @@
 
     update: EngineUpdate
     updated_at: timedelta
-    warming_until: timedelta
+    slow_start_until: timedelta
     prefix_cache: PrefixCache
     running: int = 0
     batch_items: int = 0
--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -158,7 +158,7 @@
             return
         engine.updated_at = max(engine.updated_at, updated_at)
         if update.sequence > engine.update.sequence:
-            engine.warming_until = updated_at + ms(update.slow_start_ms)
+            engine.slow_start_until = updated_at + ms(update.slow_start_ms)
             engine.update.sequence = update.sequence
 
     def remove(self, engine: Engine) -> None:
--- a/pipitlink/router/slow_start.py
+++ b/pipitlink/router/slow_start.py
@@ -43,7 +43,7 @@
     def is_warming_up(self, engine: Engine) -> bool:
         """Returns whether an engine is warming up."""
         now = self._ctx.timers.now()
-        if engine.warming_until > now:
+        if engine.slow_start_until > now:
             return True
         restored_at = self._restored_zones.get(engine.update.zone)
         pool = self._ctx.cluster.cluster_state.routes.pools.get(engine.update.pool)
