--- a/pipitlink/router/batch_capacity.py
+++ b/pipitlink/router/batch_capacity.py
@@ -47,7 +47,7 @@
             for engine in self._selector.ready_engines(weighted_pool.pool)
         ]
         for engine in engines:
-            if self._slow_start.is_warming_up(engine):
+            if self._slow_start.in_slow_start(engine):
                 slots += self._slow_start.admits(engine)
                 continue
             total_slots += engine.slots
--- a/pipitlink/router/slow_start.py
+++ b/pipitlink/router/slow_start.py
@@ -40,7 +40,7 @@
             self._restored_zones[zone] = now
         self._empty_zones = empty_zones
 
-    def is_warming_up(self, engine: Engine) -> bool:
+    def in_slow_start(self, engine: Engine) -> bool:
         """Returns whether an engine is warming up."""
         now = self._ctx.timers.now()
         if engine.slow_start_until > now:
@@ -52,7 +52,7 @@
     def admits(self, engine: Engine) -> bool:
         """Returns whether an engine may get one more request now; the EngineSlot of the request takes the token."""
         pool = self._ctx.cluster.cluster_state.routes.pools.get(engine.update.pool)
-        if pool is None or not pool.slow_start_rate or not self.is_warming_up(engine):
+        if pool is None or not pool.slow_start_rate or not self.in_slow_start(engine):
             return True
         gateways = self._gateways_of(engine)
         if self._ctx.node not in gateways:
