--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -39,7 +39,7 @@
 
     def start(self) -> None:
         """Registers the handler of pushes, and adds the engines to the gossip of the membership."""
-        self._ctx.rpc.register_handler("engines.tell", EngineList, self._handle_update)
+        self._ctx.rpc.register_handler("engines.tell", EngineList, self._handle_updates)
         self._ctx.membership.add_gossip_extension(self)
 
     def add_new_engine_listener(self, listener: Callable[[], None]) -> None:
@@ -114,7 +114,7 @@
             call = spawn(self._ctx.rpc.call(address, "engines.tell", engines, Empty, PUSH_TIMEOUT))
             call.addErrback(lambda _: None)
 
-    async def _handle_update(self, _: str, engines: EngineList) -> None:
+    async def _handle_updates(self, _: str, engines: EngineList) -> None:
         if not self._just_resumed():
             for update in engines.engines:
                 self.merge(update)
