--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -78,7 +78,7 @@
 
     def open(self) -> None:
         """Starts to receive engine updates."""
-        self._ctx.rpc.register_handler("engines.tell", EngineList, self._on_updates)
+        self._ctx.rpc.register_handler("engines.tell", EngineList, self._handle_updates)
 
     def add_gone_listener(self, listener: Callable[[Engine], None]) -> None:
         """Registers a function that is called with each engine that is removed."""
@@ -108,7 +108,7 @@
         """Returns the number of gateways, including this one."""
         return len(self._ctx.membership.members("gateway"))
 
-    async def _on_updates(self, _node: str, message: EngineList) -> None:
+    async def _handle_updates(self, _node: str, message: EngineList) -> None:
         for update in message.engines:
             self.merge(update)
 
