--- a/pipitlink/router/load_exchange.py
+++ b/pipitlink/router/load_exchange.py
@@ -50,7 +50,7 @@
 
     def open(self) -> None:
         """Starts to send and receive reports."""
-        self._ctx.rpc.register_handler("engines.loads", Loads, self.on_peer_loads)
+        self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
         self._ctx.rpc.register_handler("engines.totals", LoadTotals, self._on_totals)
         self._ctx.membership.add_listener(self._on_member_changed)
         self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self._report, self._ctx.error_reporter("report_loads"))
@@ -95,7 +95,7 @@
                 receivers = [max(controllers, key=lambda member: rank("loads", member.node))]
         return [(member.host, member.port) for member in receivers]
 
-    async def on_peer_loads(self, _node: str, report: Loads) -> None:
+    async def handle_loads(self, _node: str, report: Loads) -> None:
         """Applies the report of another gateway."""
         for contributor in self._contributors:
             contributor.apply_report(report)
--- a/tests/test_batch_capacity.py
+++ b/tests/test_batch_capacity.py
@@ -35,7 +35,7 @@
 
     def report_peer_loads(self, running, batch):
         loads = [Load(engine=name, running=running, batch=batch) for name in ("e1", "e2")]
-        spawn(self.harness.node.loads.on_peer_loads("g1", Loads(gateway="g1", loads=loads)))
+        spawn(self.harness.node.loads.handle_loads("g1", Loads(gateway="g1", loads=loads)))
 
     def test_all_gateways_together_use_at_most_the_slots_left_by_live_requests(self):
         self.report_peer_loads(running=7, batch=0)
--- a/tests/test_engine_spread.py
+++ b/tests/test_engine_spread.py
@@ -23,7 +23,7 @@
             for name in running:
                 harness.announce_engine(name, capacity=SLOTS)
             loads = [Load(engine=name, running=count) for name, count in running.items()]
-            spawn(harness.node.loads.on_peer_loads("g1", Loads(gateway="g1", loads=loads)))
+            spawn(harness.node.loads.handle_loads("g1", Loads(gateway="g1", loads=loads)))
             harness.send_request(call_id=f"c{seed}")
             chosen[harness.take_engine_request()[0]] += 1
         return chosen
--- a/tests/test_router_live.py
+++ b/tests/test_router_live.py
@@ -232,7 +232,7 @@
         engine = harness.announce_engine("e1")
         for gateway in ("g1", "g2"):
             report = Loads(gateway=gateway, loads=[Load(engine="e1", running=2)])
-            spawn(harness.node.loads.on_peer_loads(gateway, report))
+            spawn(harness.node.loads.handle_loads(gateway, report))
         self.assertEqual(engine.load(harness.ctx.timers.now()).running, 4)
         harness.remove_gateway("g1")
         self.assertEqual(set(engine.peer_loads), {"g2"})
