--- a/pipitlink/router/load_exchange.py
+++ b/pipitlink/router/load_exchange.py
@@ -51,7 +51,7 @@
     def open(self) -> None:
         """Starts to send and receive reports."""
         self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
-        self._ctx.rpc.register_handler("engines.totals", LoadTotals, self._on_totals)
+        self._ctx.rpc.register_handler("engines.totals", LoadTotals, self._handle_totals)
         self._ctx.membership.add_listener(self._on_member_changed)
         self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self._report, self._ctx.error_reporter("report_loads"))
 
@@ -103,7 +103,7 @@
             report.gateway, {load.engine: EngineLoad(load.running, load.batch) for load in report.loads}
         )
 
-    async def _on_totals(self, _node: str, totals: LoadTotals) -> None:
+    async def _handle_totals(self, _node: str, totals: LoadTotals) -> None:
         """Applies the totals of a controller, less the last report of this gateway, which they include."""
         for report in totals.lots:
             if report.gateway != self._ctx.node:
