--- a/pipitlink/router/batch_canceller.py
+++ b/pipitlink/router/batch_canceller.py
@@ -38,7 +38,7 @@
 
     def open(self) -> None:
         """Starts cancelling batches on behalf of other gateways."""
-        self._ctx.rpc.register_handler("batches.end", EndRequest, self._on_request)
+        self._ctx.rpc.register_handler("batches.end", EndRequest, self._handle_cancel)
 
     async def cancel(self, batch_id: str) -> HttpResponse:
         """Cancels a batch, and responds once the end of its log is durable."""
@@ -91,7 +91,7 @@
             return CancelResult.UNCERTAIN
         return str(response.state)
 
-    async def _on_request(self, _node: str, request: EndRequest) -> EndResponse:
+    async def _handle_cancel(self, _node: str, request: EndRequest) -> EndResponse:
         if not is_valid_batch_id(request.lot):
             return EndResponse(state=CancelResult.INVALID_ID.value)
         result = await self._cancel_here(request.lot)
