--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -51,7 +51,7 @@
 
     def open(self) -> None:
         """Starts to respond to requests of other gateways."""
-        self._ctx.rpc.register_handler("quota.take", QuotaRequest, self._on_request)
+        self._ctx.rpc.register_handler("quota.take", QuotaRequest, self._handle_request)
 
     def coordinator_of(self, route: str) -> str:
         """Returns the gateway that counts the waiting tokens of a route."""
@@ -106,7 +106,7 @@
         except (WireError, RemoteError):
             return QuotaResponse(uncertain=True)
 
-    async def _on_request(self, node: str, request: QuotaRequest) -> QuotaResponse:
+    async def _handle_request(self, node: str, request: QuotaRequest) -> QuotaResponse:
         return self._grant(node, request)
 
     def _grant(self, gateway: str, request: QuotaRequest) -> QuotaResponse:
