--- a/pipitlink/router/batch_follower.py
+++ b/pipitlink/router/batch_follower.py
@@ -20,12 +20,12 @@
 class BatchFollower:
     """A batch that another gateway owns, or that has no owner any more, read in order from its log.
 
-    Bodies of items are only read on request. `last_used` is the time of the last request for the batch.
+    Bodies of items are only read on request. `used_at` is the time of the last request for the batch.
     """
 
-    def __init__(self, tail: Tail, last_used: timedelta) -> None:
+    def __init__(self, tail: Tail, used_at: timedelta) -> None:
         self.tail = tail
-        self.last_used = last_used
+        self.used_at = used_at
         self.progress = BatchProgress()
         self.is_closed = False
         self._batch_extent: tuple[int, int] | None = None
--- a/pipitlink/router/batch_followers.py
+++ b/pipitlink/router/batch_followers.py
@@ -47,7 +47,7 @@
     def _drop_unused(self) -> None:
         now = self._ctx.timers.now()
         for batch_id, follower in list(self.followers.items()):
-            if now - follower.last_used > UNUSED_FOLLOWER_RETENTION:
+            if now - follower.used_at > UNUSED_FOLLOWER_RETENTION:
                 self.drop(batch_id, follower)
 
     def drop(self, batch_id: str, follower: BatchFollower) -> None:
@@ -89,7 +89,7 @@
         if follower is None:
             tail = self._ctx.cache.tail(batch_log(batch_id), MAX_TAIL_LAG)
             follower = self.followers[batch_id] = BatchFollower(tail, self._ctx.timers.now())
-        follower.last_used = self._ctx.timers.now()
+        follower.used_at = self._ctx.timers.now()
         if not follower.has_ended():
             try:
                 with follower.in_use():
