--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -18,7 +18,7 @@
 from .engine import Engine, PeerLoad
 from .engine_registry import EngineRegistry
 
-__all__ = ["CapacityQuota", "EngineSlots", "LoadsCarrier"]
+__all__ = ["CapacityQuota", "EngineSlots", "LoadReportContributor"]
 
 REPORT_INTERVAL = ms(200)
 REPORT_TIMEOUT = ms(400)
@@ -31,7 +31,7 @@
 RANK_BYTES = 8
 
 
-class LoadsCarrier(Protocol):
+class LoadReportContributor(Protocol):
     """A component that adds its own data to the load reports between gateways."""
 
     def fill_loads(self, loads: Loads) -> None:
@@ -68,7 +68,7 @@
         self._registry = registry
         self._waiters: list[defer.Deferred[None]] = []
         self._reported: dict[str, int] = {}
-        self._carriers: list[LoadsCarrier] = []
+        self._carriers: list[LoadReportContributor] = []
         self._report_scheduled = False
         self._active_at = ctx.timers.now()
         registry.add_new_engine_listener(self.wake_waiters)
@@ -78,7 +78,7 @@
         self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
         self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self.report_loads, self._ctx.error_reporter("report_loads"))
 
-    def add_loads_carrier(self, carrier: LoadsCarrier) -> None:
+    def add_loads_carrier(self, carrier: LoadReportContributor) -> None:
         """Adds a component that fills and reads the reports too."""
         self._carriers.append(carrier)
 
