--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -34,7 +34,7 @@
 class LoadReportContributor(Protocol):
     """A component that adds its own data to the load reports between gateways."""
 
-    def fill_loads(self, loads: Loads) -> None:
+    def add_to_report(self, loads: Loads) -> None:
         """Adds its data to this gateway's report."""
 
     def absorb_loads(self, loads: Loads) -> None:
@@ -147,7 +147,7 @@
         self._reported = running
         loads = Loads(gateway=self._ctx.node, loads=[Load(engine=name, running=n) for name, n in running.items()])
         for carrier in self._carriers:
-            carrier.fill_loads(loads)
+            carrier.add_to_report(loads)
         if loads.permits or loads.lots or any(running.values()):
             self._active_at = now
         if now - self._active_at < REPORT_LINGER_TIME:
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -88,7 +88,7 @@
         self._permits[permit_id] = row.name
         request.release_permit = partial(self._release_permit, permit_id)
 
-    def fill_loads(self, loads: Loads) -> None:
+    def add_to_report(self, loads: Loads) -> None:
         """Adds the permits that this gateway holds to its load report."""
         self._detect_gateway_changes()
         loads.permits.extend(Permit(row=row, id=permit_id) for permit_id, row in self._permits.items())
