--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -37,7 +37,7 @@
     def add_to_report(self, loads: Loads) -> None:
         """Adds its data to this gateway's report."""
 
-    def absorb_loads(self, loads: Loads) -> None:
+    def apply_report(self, loads: Loads) -> None:
         """Reads its data from another gateway's report."""
 
 
@@ -157,7 +157,7 @@
     async def handle_loads(self, _: str, loads: Loads) -> None:
         """Records the report of another gateway."""
         for carrier in self._carriers:
-            carrier.absorb_loads(loads)
+            carrier.apply_report(loads)
         now = self._ctx.timers.now()
         for load in loads.loads:
             engine = self._registry.get(load.engine)
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -93,7 +93,7 @@
         self._detect_gateway_changes()
         loads.permits.extend(Permit(row=row, id=permit_id) for permit_id, row in self._permits.items())
 
-    def absorb_loads(self, loads: Loads) -> None:
+    def apply_report(self, loads: Loads) -> None:
         """Records the permits that another gateway reports; permits missing from the report were released.
 
         A permit that was granted a short time ago may be missing because the report was sent before the grant.
