--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -78,7 +78,7 @@
         self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
         self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self.report_loads, self._ctx.error_reporter("report_loads"))
 
-    def add_loads_carrier(self, carrier: LoadReportContributor) -> None:
+    def add_contributor(self, carrier: LoadReportContributor) -> None:
         """Adds a component that fills and reads the reports too."""
         self._carriers.append(carrier)
 
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -53,7 +53,7 @@
     def start(self) -> None:
         """Registers the RPC handler of the coordinator, and adds the permits to the load reports."""
         self._ctx.rpc.register_handler("limits.take", PermitRequest, self._handle_permit_request)
-        self._slots.add_loads_carrier(self)
+        self._slots.add_contributor(self)
 
     def coordinator(self, row: str) -> str:
         """Returns the node that grants the permits of a row, as known at this gateway."""
