--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -68,7 +68,7 @@
         self._registry = registry
         self._waiters: list[defer.Deferred[None]] = []
         self._reported: dict[str, int] = {}
-        self._carriers: list[LoadReportContributor] = []
+        self._contributors: list[LoadReportContributor] = []
         self._report_scheduled = False
         self._active_at = ctx.timers.now()
         registry.add_new_engine_listener(self.wake_waiters)
@@ -78,9 +78,9 @@
         self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
         self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self.report_loads, self._ctx.error_reporter("report_loads"))
 
-    def add_contributor(self, carrier: LoadReportContributor) -> None:
+    def add_contributor(self, contributor: LoadReportContributor) -> None:
         """Adds a component that fills and reads the reports too."""
-        self._carriers.append(carrier)
+        self._contributors.append(contributor)
 
     def record_rejection(self, engine: Engine) -> None:
         """Makes an engine that rejects requests far below its capacity suspect, and restarts its slow start."""
@@ -146,8 +146,8 @@
         running = {engine.name: engine.local_requests for engine in self._registry.unordered()}
         self._reported = running
         loads = Loads(gateway=self._ctx.node, loads=[Load(engine=name, running=n) for name, n in running.items()])
-        for carrier in self._carriers:
-            carrier.add_to_report(loads)
+        for contributor in self._contributors:
+            contributor.add_to_report(loads)
         if loads.permits or loads.lots or any(running.values()):
             self._active_at = now
         if now - self._active_at < REPORT_LINGER_TIME:
@@ -156,8 +156,8 @@
 
     async def handle_loads(self, _: str, loads: Loads) -> None:
         """Records the report of another gateway."""
-        for carrier in self._carriers:
-            carrier.apply_report(loads)
+        for contributor in self._contributors:
+            contributor.apply_report(loads)
         now = self._ctx.timers.now()
         for load in loads.loads:
             engine = self._registry.get(load.engine)
