--- a/pipitlink/gateway/batch_api.py
+++ b/pipitlink/gateway/batch_api.py
@@ -13,7 +13,7 @@
 from ..wire.lots_pb2 import EndRequest, EndResponse, Lot, Result
 from .batch_ids import result_log
 from .batch_intake import BatchIntake
-from .batch_ownership import BatchOwnership, CancelStatus
+from .batch_ownership import BatchOwnership, CancelResult
 from .open_batches import OpenBatches
 from .query_parameters import non_negative_number
 from .request_bodies import BatchBody, read_json
@@ -92,31 +92,31 @@
         deadline = self._ctx.timers.now() + CANCEL_TIMEOUT
         while self._ctx.timers.now() < deadline:
             status = await self._cancel_at_owner(batch_id)
-            if status in (CancelStatus.CANCELLED, CancelStatus.CLOSED):
+            if status in (CancelResult.CANCELLED, CancelResult.CLOSED):
                 return status.value
             await self._ctx.timers.sleep(CANCEL_RETRY_INTERVAL)
         raise ServiceUnavailable("the owner of the batch could not be reached", code="no_owner", outcome="unknown")
 
-    async def _cancel_at_owner(self, batch_id: str) -> CancelStatus:
+    async def _cancel_at_owner(self, batch_id: str) -> CancelResult:
         """Cancels a batch at the holder of its result log's lease; if there is none, this gateway acquires it."""
         log = result_log(batch_id)
         state = (await self._ctx.replicated_log.states([log])).get(log)
         if state is not None and state.final:
-            return CancelStatus.CLOSED
+            return CancelResult.CLOSED
         owner = state.leaseholder if state is not None else ""
         member = self._ctx.membership.find(owner) if owner else None
         if not owner or owner == self._ctx.node:
             return await self._ownership.cancel_local_batch(batch_id)
         if member is None:
-            return CancelStatus.OWNER_UNREACHABLE
+            return CancelResult.OWNER_UNREACHABLE
         address = (member.host, member.port)
         try:
             request = EndRequest(lot=batch_id)
             response = await self._ctx.rpc.call(address, "lots.end", request, EndResponse, CALL_TIMEOUT)
-            return CancelStatus(response.state)
+            return CancelResult(response.state)
         except (WireError, RemoteError) as error:
             self._ctx.logger.debug("owner_unreachable", lot=batch_id, text=error)
-            return CancelStatus.OWNER_UNREACHABLE
+            return CancelResult.OWNER_UNREACHABLE
 
 
 def results_page(batch_id: str, spec: Lot, results: BatchResults, start: int) -> dict[str, Any]:
--- a/pipitlink/gateway/batch_ownership.py
+++ b/pipitlink/gateway/batch_ownership.py
@@ -15,7 +15,7 @@
 from .owner_selection import acquire_log, choose_owner
 from .serving_state import ServingState
 
-__all__ = ["ACQUIRE_BACKOFF", "CancelStatus", "BatchOwnership"]
+__all__ = ["ACQUIRE_BACKOFF", "CancelResult", "BatchOwnership"]
 
 CHECK_INTERVAL = ms(200)
 ACQUIRE_BACKOFF = ms(700)
@@ -23,7 +23,7 @@
 RELEASE_DELAY = secs(1)
 
 
-class CancelStatus(StrEnum):
+class CancelResult(StrEnum):
     """The result of a request to cancel a batch. The first two values are visible to clients."""
 
     CANCELLED = "ended"
@@ -81,15 +81,15 @@
         self._ctx.logger.info("lot_completed", lot=batch.id)
         await self._close(batch)
 
-    async def cancel_local_batch(self, batch_id: str) -> CancelStatus:
+    async def cancel_local_batch(self, batch_id: str) -> CancelResult:
         """Cancels a batch as its owner: first durably in its result log, then its running items."""
         batch = self._open_batches.get(batch_id)
         if batch is None:
-            return CancelStatus.CLOSED if self._open_batches.is_closed(batch_id) else CancelStatus.UNKNOWN
+            return CancelResult.CLOSED if self._open_batches.is_closed(batch_id) else CancelResult.UNKNOWN
         if batch.leaseholder is None:
             await self._acquire(batch)
         if batch.leaseholder is None:
-            return CancelStatus.CLOSED if self._open_batches.is_closed(batch_id) else CancelStatus.NOT_OWNED
+            return CancelResult.CLOSED if self._open_batches.is_closed(batch_id) else CancelResult.NOT_OWNED
         leaseholder = batch.leaseholder
         try:
             await self._end_log(leaseholder, "ended")
@@ -98,7 +98,7 @@
                 _cancel_items(batch)
         self._ctx.logger.info("lot_cancelled", lot=batch_id)
         spawn(self._close(batch)).addErrback(lambda _: None)
-        return CancelStatus.CANCELLED
+        return CancelResult.CANCELLED
 
     async def _handle_cancel(self, _: str, request: EndRequest) -> EndResponse:
         status = await self.cancel_local_batch(request.lot)
--- a/tests/guard_scenarios.py
+++ b/tests/guard_scenarios.py
@@ -8,7 +8,7 @@
 from pipitlink.controller.log_replication import LogReplication
 from pipitlink.errors import PipitlinkError
 from pipitlink.gateway.batch_ids import result_log
-from pipitlink.gateway.batch_ownership import BatchOwnership, CancelStatus
+from pipitlink.gateway.batch_ownership import BatchOwnership, CancelResult
 from pipitlink.gateway.engine_registry import EngineRegistry
 from pipitlink.gateway.engine_slots import EngineSlots
 from pipitlink.gateway.item_dispatcher import ItemDispatcher
@@ -292,11 +292,11 @@
 async def _cancel_but_keep_running(self, batch_id):
     batch = self._open_batches.get(batch_id)
     if batch is None or batch.leaseholder is None:
-        return CancelStatus.CLOSED if self._open_batches.is_closed(batch_id) else CancelStatus.NOT_OWNED
+        return CancelResult.CLOSED if self._open_batches.is_closed(batch_id) else CancelResult.NOT_OWNED
     leaseholder = batch.leaseholder
     await self._end_log(leaseholder, "ended")
     batch.pending, self.kept_batch = [], batch
-    return CancelStatus.CANCELLED
+    return CancelResult.CANCELLED
 
 
 GUARDS = {
