--- a/pipitlink/gateway/batch_ownership.py
+++ b/pipitlink/gateway/batch_ownership.py
@@ -56,7 +56,7 @@
         )
         self._open_batches.add_timer(timer)
 
-    def give_up_all(self) -> None:
+    def release_all(self) -> None:
         """Cancels all running items and gives up all batches, for a graceful shutdown."""
         for batch in self._open_batches.all():
             self._give_up(batch)
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -212,7 +212,7 @@
         deadline = timers.now() + DRAIN_TIMEOUT
         while self.table.has_unsettled() and timers.now() < deadline:
             await timers.sleep(DRAIN_POLL_INTERVAL)
-        self.batch_ownership.give_up_all()
+        self.batch_ownership.release_all()
         replicated_log = self._ctx.replicated_log
         await replicated_log.release(list(replicated_log.leaseholders.values()))
         await self._ctx.membership.leave()
