--- a/pipitlink/gateway/batch_ownership.py
+++ b/pipitlink/gateway/batch_ownership.py
@@ -59,7 +59,7 @@
     def release_all(self) -> None:
         """Cancels all running items and gives up all batches, for a graceful shutdown."""
         for batch in self._open_batches.all():
-            self._give_up(batch)
+            self._release(batch)
 
     async def record_result(self, batch: OpenBatch, result: Result) -> None:
         """Appends an item's result if this gateway still owns the batch and the item has no result yet."""
@@ -127,7 +127,7 @@
         if batch.leaseholder is None:
             return
         if batch.leaseholder.lost:
-            self._give_up(batch)
+            self._release(batch)
         elif batch.leaseholder.final or batch.is_finished():
             self._ctx.run_in_background(self.finish_if_done(batch), "finish_lot")
 
@@ -174,9 +174,9 @@
         for batch in self._open_batches.all():
             if batch.leaseholder is not None and not batch.running and not batch.leaseholder.lost:
                 self._ctx.run_in_background(self._ctx.replicated_log.release([batch.leaseholder]), "hand_over")
-                self._give_up(batch)
+                self._release(batch)
 
-    def _give_up(self, batch: OpenBatch) -> None:
+    def _release(self, batch: OpenBatch) -> None:
         for work in batch.running.values():
             work.cancel()
         batch.leaseholder = None
