--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -147,7 +147,7 @@
 
     async def _wait_for_free_slot(self, left: timedelta) -> None:
         waiter: defer.Deferred[None] = defer.Deferred()
-        self._slots.add_waiter(waiter)
+        self._slots.wait_for_capacity(waiter)
         self._waiting += 1
         try:
             await self._ctx.timers.wait_at_most(waiter, min(left, SLOT_POLL_INTERVAL))
--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -123,7 +123,7 @@
             self._ctx.timers.call_later(PROMPT_REPORT_DELAY, self.report_loads)
         return partial(self._release, engine.name, batch_item)
 
-    def add_waiter(self, waiter: defer.Deferred[None]) -> None:
+    def wait_for_capacity(self, waiter: defer.Deferred[None]) -> None:
         """Adds a Deferred to fire as soon as some engine may have more free slots."""
         self._waiters.append(waiter)
 
