--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -71,7 +71,7 @@
         self._contributors: list[LoadReportContributor] = []
         self._report_scheduled = False
         self._active_at = ctx.timers.now()
-        registry.add_new_engine_listener(self.wake_waiters)
+        registry.add_new_engine_listener(self.notify_capacity)
 
     def start(self) -> None:
         """Registers the handler of reports, and starts to send reports."""
@@ -127,7 +127,7 @@
         """Adds a Deferred to fire as soon as some engine may have more free slots."""
         self._waiters.append(waiter)
 
-    def wake_waiters(self) -> None:
+    def notify_capacity(self) -> None:
         """Fires all Deferreds that wait for a free slot."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
@@ -152,7 +152,7 @@
             self._active_at = now
         if now - self._active_at < REPORT_LINGER_TIME:
             self._send(loads)
-        self.wake_waiters()
+        self.notify_capacity()
 
     async def handle_loads(self, _: str, loads: Loads) -> None:
         """Records the report of another gateway."""
@@ -198,7 +198,7 @@
         engine = self._registry.get(name)
         if engine is not None:
             engine.change_local_requests(-1, batch_item=batch_item)
-        self.wake_waiters()
+        self.notify_capacity()
 
 
 def _quota_rank(engine: str, gateway: str) -> bytes:
