--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -26,7 +26,7 @@
 MAX_FOLLOW_WAIT = ms(600)
 NODES_PER_FOLLOW_WAIT = 24
 FOLLOW_TIMEOUT = ms(450)
-RETRY_PAUSE = ms(100)
+RETRY_INTERVAL = ms(100)
 CATCH_UP_POLL_INTERVAL = ms(20)
 # While the followed controller does not respond, every third attempt goes through a peer.
 ATTEMPTS_PER_PEER_ATTEMPT = 3
@@ -186,7 +186,7 @@
 
     async def _pause(self) -> None:
         self._retry_pause = defer.Deferred()
-        await self._ctx.timers.with_timeout(RETRY_PAUSE, self._retry_pause).addErrback(lambda _: None)
+        await self._ctx.timers.with_timeout(RETRY_INTERVAL, self._retry_pause).addErrback(lambda _: None)
 
     async def _follow_once(self, failures: int) -> None:
         source = self._choose_source(failures)
