--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -59,7 +59,7 @@
         self._caught_up = False
         self._listeners: list[Callable[[], object]] = []
         self._receiver = StateReceiver()
-        self._retry_pause: defer.Deferred[None] | None = None
+        self._retry_delay: defer.Deferred[None] | None = None
 
     def open(self) -> None:
         """Starts to follow the cluster state and to serve peers. The membership must be open."""
@@ -153,8 +153,8 @@
 
     def merge_gossip(self, gossip: Gossip) -> None:
         """Retries at once if a peer has a newer cluster state."""
-        if gossip.cluster_sequence > self.sequence and self._retry_pause is not None:
-            pause, self._retry_pause = self._retry_pause, None
+        if gossip.cluster_sequence > self.sequence and self._retry_delay is not None:
+            pause, self._retry_delay = self._retry_delay, None
             pause.callback(None)
 
     def _install_state(self, response: FollowResponse) -> None:
@@ -185,8 +185,8 @@
                 await self._pause()
 
     async def _pause(self) -> None:
-        self._retry_pause = defer.Deferred()
-        await self._ctx.timers.with_timeout(RETRY_INTERVAL, self._retry_pause).addErrback(lambda _: None)
+        self._retry_delay = defer.Deferred()
+        await self._ctx.timers.with_timeout(RETRY_INTERVAL, self._retry_delay).addErrback(lambda _: None)
 
     async def _follow_once(self, failures: int) -> None:
         source = self._choose_source(failures)
