--- a/pipitlink/gateway/engine.py
+++ b/pipitlink/gateway/engine.py
@@ -55,9 +55,9 @@
         """The number of requests that this gateway runs on it."""
         return self.live_requests + self.batch_items
 
-    def change_local_requests(self, change: int, *, batch_item: bool) -> None:
+    def change_local_requests(self, change: int, *, is_batch_item: bool) -> None:
         """Changes this gateway's count of live requests or of batch items, which never falls below zero."""
-        if batch_item:
+        if is_batch_item:
             self.batch_items = max(0, self.batch_items + change)
         else:
             self.live_requests = max(0, self.live_requests + change)
--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -66,7 +66,7 @@
         await self._rate_limits.acquire_permit(request)
         engine = await self._wait_for_engine(request)
         request.engine = engine
-        release_slot = self._slots.acquire(engine, batch_item=request.is_batch_item)
+        release_slot = self._slots.acquire(engine, is_batch_item=request.is_batch_item)
         request.release_slot = partial(self._release_slot, release_slot)
         request.attempts += 1
         request.trigger("choose_engine")
--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -115,13 +115,13 @@
         guaranteed = 0 if self._in_slow_start(engine) else quota.of(capacity) - engine.local_requests
         return max(0, min(free, max(guaranteed, part_of_free)))
 
-    def acquire(self, engine: Engine, *, batch_item: bool) -> Callable[[], None]:
+    def acquire(self, engine: Engine, *, is_batch_item: bool) -> Callable[[], None]:
         """Acquires a slot of the engine; returns the function that releases it, to be called once."""
-        engine.change_local_requests(1, batch_item=batch_item)
+        engine.change_local_requests(1, is_batch_item=is_batch_item)
         if self._in_slow_start(engine) and not self._report_scheduled:
             self._report_scheduled = True
             self._ctx.timers.call_later(PROMPT_REPORT_DELAY, self.report_loads)
-        return partial(self._release, engine.name, batch_item)
+        return partial(self._release, engine.name, is_batch_item)
 
     def wait_for_capacity(self, waiter: defer.Deferred[None]) -> None:
         """Adds a Deferred to fire as soon as some engine may have more free slots."""
@@ -194,10 +194,10 @@
             if membership.time_in_status(member.node) < SLOW_START_DURATION
         }
 
-    def _release(self, name: str, batch_item: bool) -> None:
+    def _release(self, name: str, is_batch_item: bool) -> None:
         engine = self._registry.get(name)
         if engine is not None:
-            engine.change_local_requests(-1, batch_item=batch_item)
+            engine.change_local_requests(-1, is_batch_item=is_batch_item)
         self.notify_capacity()
 
 
--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -129,6 +129,6 @@
     def fill_slots(self, request):
         n = 0
         while (engine := self.selector.select(request)) is not None:
-            self.slots.acquire(engine, batch_item=request.is_batch_item)
+            self.slots.acquire(engine, is_batch_item=request.is_batch_item)
             n += 1
         return n
--- a/tests/test_gateway_components.py
+++ b/tests/test_gateway_components.py
@@ -115,7 +115,7 @@
         for _ in range(9):
             engine = gateway.selector.select(gateway.make_request("tour"))
             picked.append(engine.name)
-            gateway.slots.acquire(engine, batch_item=False)
+            gateway.slots.acquire(engine, is_batch_item=False)
         self.assertEqual(picked[0], first)
         self.assertGreater(len(set(picked)), 1)
 
@@ -183,7 +183,7 @@
                 gateway.announce_engine("cold", capacity=8)
                 engine = next(engine for engine in gateway.engines.all() if engine.name == "cold")
                 if gateway.slots.free_slots(engine) > 0:
-                    gateway.slots.acquire(engine, batch_item=False)
+                    gateway.slots.acquire(engine, is_batch_item=False)
             ramp = max(1, int(8 * min(1.0, 0.1 + 0.9 * (group.clock.seconds() - announced_at) / 8)))
             excess.append(
                 sum(
@@ -284,7 +284,7 @@
 
     async def _run_item(self, batch, index, item, overdue):
         self._gateway.started.append("late" if overdue else batch.id)
-        self._gateway.slots.acquire(self._gateway.engines.all()[0], batch_item=True)
+        self._gateway.slots.acquire(self._gateway.engines.all()[0], is_batch_item=True)
         await defer.Deferred()
 
 
