--- a/pipitlink/gateway/batch_api.py
+++ b/pipitlink/gateway/batch_api.py
@@ -92,7 +92,7 @@
         deadline = self._ctx.timers.now() + CANCEL_TIMEOUT
         while self._ctx.timers.now() < deadline:
             status = await self._cancel_at_owner(batch_id)
-            if status in (CancelResult.CANCELLED, CancelResult.CLOSED):
+            if status in (CancelResult.CANCELLED, CancelResult.ALREADY_ENDED):
                 return status.value
             await self._ctx.timers.sleep(CANCEL_RETRY_INTERVAL)
         raise ServiceUnavailable("the owner of the batch could not be reached", code="no_owner", outcome="unknown")
@@ -102,7 +102,7 @@
         log = result_log(batch_id)
         state = (await self._ctx.replicated_log.states([log])).get(log)
         if state is not None and state.final:
-            return CancelResult.CLOSED
+            return CancelResult.ALREADY_ENDED
         owner = state.leaseholder if state is not None else ""
         member = self._ctx.membership.find(owner) if owner else None
         if not owner or owner == self._ctx.node:
--- a/pipitlink/gateway/batch_ownership.py
+++ b/pipitlink/gateway/batch_ownership.py
@@ -27,7 +27,7 @@
     """The result of a request to cancel a batch. The first two values are visible to clients."""
 
     CANCELLED = "ended"
-    CLOSED = "closed"
+    ALREADY_ENDED = "closed"
     UNKNOWN = "unknown"
     NOT_OWNED = "not_owned"
     OWNER_UNREACHABLE = "lost"
@@ -85,11 +85,11 @@
         """Cancels a batch as its owner: first durably in its result log, then its running items."""
         batch = self._open_batches.get(batch_id)
         if batch is None:
-            return CancelResult.CLOSED if self._open_batches.is_closed(batch_id) else CancelResult.UNKNOWN
+            return CancelResult.ALREADY_ENDED if self._open_batches.is_closed(batch_id) else CancelResult.UNKNOWN
         if batch.leaseholder is None:
             await self._acquire(batch)
         if batch.leaseholder is None:
-            return CancelResult.CLOSED if self._open_batches.is_closed(batch_id) else CancelResult.NOT_OWNED
+            return CancelResult.ALREADY_ENDED if self._open_batches.is_closed(batch_id) else CancelResult.NOT_OWNED
         leaseholder = batch.leaseholder
         try:
             await self._end_log(leaseholder, "ended")
--- a/tests/guard_scenarios.py
+++ b/tests/guard_scenarios.py
@@ -292,7 +292,7 @@
 async def _cancel_but_keep_running(self, batch_id):
     batch = self._open_batches.get(batch_id)
     if batch is None or batch.leaseholder is None:
-        return CancelResult.CLOSED if self._open_batches.is_closed(batch_id) else CancelResult.NOT_OWNED
+        return CancelResult.ALREADY_ENDED if self._open_batches.is_closed(batch_id) else CancelResult.NOT_OWNED
     leaseholder = batch.leaseholder
     await self._end_log(leaseholder, "ended")
     batch.pending, self.kept_batch = [], batch
