--- a/pipitlink/gateway/batch_log_follower.py
+++ b/pipitlink/gateway/batch_log_follower.py
@@ -41,7 +41,7 @@
         self._own_log = own_log
         self._followed: dict[str, _FollowedLog] = {}
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Starts to list the batch logs periodically, and to end those that are no longer used."""
         timers = self._ctx.timers
         timers.call_repeatedly(LIST_INTERVAL, self._list_logs, self._ctx.error_reporter("list_logs"))
--- a/pipitlink/gateway/batch_ownership.py
+++ b/pipitlink/gateway/batch_ownership.py
@@ -45,7 +45,7 @@
         self._serving = serving
         self._open_batches = open_batches
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Registers the handler of cancellations, and starts to look for batches to acquire or to close."""
         self._ctx.rpc.register_handler("lots.end", EndRequest, self._handle_cancel)
         timer = self._ctx.timers.call_repeatedly(
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -37,7 +37,7 @@
         self._checked_at = ctx.timers.now()
         self._resumed_at = ZERO
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Registers the handler of pushes, and adds the engines to the gossip of the membership."""
         self._ctx.rpc.register_handler("engines.tell", EngineList, self._handle_updates)
         self._ctx.membership.add_gossip_extension(self)
--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -73,7 +73,7 @@
         self._active_at = ctx.timers.now()
         registry.add_new_engine_listener(self.notify_capacity)
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Registers the handler of reports, and starts to send reports."""
         self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
         self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self.report_loads, self._ctx.error_reporter("report_loads"))
--- a/pipitlink/gateway/idempotency_keys.py
+++ b/pipitlink/gateway/idempotency_keys.py
@@ -95,7 +95,7 @@
         self._shard_logs: dict[str, _ShardLog] = {}
         self._locks = [defer.DeferredLock() for _ in range(SHARDS)]
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Registers the RPC handler of the owner."""
         self._ctx.rpc.register_handler("lots.keyed", KeyedLotRequest, self._handle_store)
 
--- a/pipitlink/gateway/item_dispatcher.py
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -70,7 +70,7 @@
         self._table = table
         self._pipeline = pipeline
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Starts to dispatch items periodically."""
         timer = self._ctx.timers.call_repeatedly(
             DISPATCH_INTERVAL,
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -116,15 +116,15 @@
 
     def open(self) -> None:
         """Registers RPC handlers and starts timers; each component starts after those that it depends on."""
-        self.engines.start()
-        self.slots.start()
-        self.rate_limits.start()
-        self.runs.start()
-        self.idempotency_keys.start()
-        self.batch_log_follower.start()
-        self.results.start()
-        self.batch_ownership.start()
-        self.item_dispatcher.start()
+        self.engines.open()
+        self.slots.open()
+        self.rate_limits.open()
+        self.runs.open()
+        self.idempotency_keys.open()
+        self.batch_log_follower.open()
+        self.results.open()
+        self.batch_ownership.open()
+        self.item_dispatcher.open()
 
     async def listen(self, host: str, port: int) -> int:
         """Listens for clients; returns the bound port."""
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -50,7 +50,7 @@
         self._known_gateways: frozenset[str] = frozenset()
         self._gateways_changed_at = self._checked_at = ctx.timers.now()
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Registers the RPC handler of the coordinator, and adds the permits to the load reports."""
         self._ctx.rpc.register_handler("limits.take", PermitRequest, self._handle_permit_request)
         self._slots.add_contributor(self)
--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -60,7 +60,7 @@
         self._results: dict[str, BatchResults] = {}
         self._spec_cache: dict[str, Lot] = {}
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Starts to remove results that are no longer requested."""
         self._ctx.timers.call_repeatedly(DROP_INTERVAL, self._drop_unused, self._ctx.error_reporter("expire_readers"))
 
--- a/pipitlink/gateway/run_registry.py
+++ b/pipitlink/gateway/run_registry.py
@@ -26,7 +26,7 @@
         self._ctx = ctx
         self._table = table
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Registers the RPC handler for reads by other gateways."""
         self._ctx.rpc.register_handler("runs.read", RunRequest, self._handle_read)
 
--- a/tests/gateway_builders.py
+++ b/tests/gateway_builders.py
@@ -91,7 +91,7 @@
         self.retry_after = RetryAfterEstimator(self.timers)
         self.serving = ServingState(self)
         self.rate_limits = RateLimits(self, self.slots, self.candidates, self.retry_after)
-        self.rate_limits.start()
+        self.rate_limits.open()
         self.selector = EngineSelector(
             self, self.serving, self.slots, self.candidates, self.rate_limits, self.retry_after
         )
