--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -100,7 +100,7 @@
             left = deadline - self._ctx.timers.now()
             if left <= ZERO or self._waiting >= MAX_WAITING:
                 raise ServiceUnavailable("no engine has a free slot", retry_after=self._retry_after.seconds())
-            await self._wait_for_free_slot(left)
+            await self._wait_for_capacity(left)
 
     def _check_candidates(self, request: RequestRecord) -> None:
         """Raises ApiError if waiting for a free slot cannot succeed."""
@@ -145,7 +145,7 @@
         starting = self._ctx.timers.now() - self._serving.started_at < STARTUP_TIME
         return starting or self._ctx.cluster.row(request.model, request.pool) is not None
 
-    async def _wait_for_free_slot(self, left: timedelta) -> None:
+    async def _wait_for_capacity(self, left: timedelta) -> None:
         waiter: defer.Deferred[None] = defer.Deferred()
         self._slots.wait_for_capacity(waiter)
         self._waiting += 1
