--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -79,7 +79,7 @@
             for candidate in self._candidates.find_ready(request.model, request.pool)
             if candidate.engine.name not in request.excluded_engines
         ]
-        free = [candidate for candidate in ready if self._has_free_slot(request, candidate.engine)]
+        free = [candidate for candidate in ready if self._has_capacity(request, candidate.engine)]
         if not free:
             return None
         loads = {candidate.engine.name: self._load(candidate.engine) for candidate in ready}
@@ -117,7 +117,7 @@
         if all(candidate.engine.name in request.excluded_engines for candidate in candidates):
             raise request.last_rejection or ServiceUnavailable("no other engine is left to try")
 
-    def _has_free_slot(self, request: RequestRecord, engine: Engine) -> bool:
+    def _has_capacity(self, request: RequestRecord, engine: Engine) -> bool:
         reserve = self._candidates.batch_reserve(request.model, engine) if request.is_batch_item else 0.0
         return self._slots.free_slots(engine, reserve) > 0
 
