--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -24,7 +24,7 @@
 __all__ = ["EngineSelector"]
 
 SLOT_WAIT = ms(500)
-SLOT_POLL_INTERVAL = ms(100)
+RECHECK_INTERVAL = ms(100)
 MAX_WAITING = 128
 STARTUP_TIME = secs(4)
 UNANNOUNCED_RETRY_AFTER_S = 2
@@ -150,7 +150,7 @@
         self._slots.wait_for_capacity(waiter)
         self._waiting += 1
         try:
-            await self._ctx.timers.wait_at_most(waiter, min(left, SLOT_POLL_INTERVAL))
+            await self._ctx.timers.wait_at_most(waiter, min(left, RECHECK_INTERVAL))
         finally:
             self._waiting -= 1
 
