--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -17,7 +17,7 @@
 
 __all__ = ["BatchResults", "ResultReader"]
 
-UNUSED_READER_RETENTION = secs(30)
+UNUSED_RESULTS_RETENTION = secs(30)
 DROP_INTERVAL = secs(5)
 RECONFIRM_AFTER = ms(400)
 MAX_STALENESS = secs(1)
@@ -141,7 +141,7 @@
     def _drop_unused(self) -> None:
         now = self._ctx.timers.now()
         for batch_id, results in list(self._results.items()):
-            if now - results.used_at > UNUSED_READER_RETENTION:
+            if now - results.used_at > UNUSED_RESULTS_RETENTION:
                 results.tail.close()
                 del self._results[batch_id]
 
