--- a/pipitlink/router/batch_canceller.py
+++ b/pipitlink/router/batch_canceller.py
@@ -17,7 +17,7 @@
 
 TIMEOUT = secs(8)
 RETRY_INTERVAL = ms(150)
-REQUEST_TIMEOUT = secs(3)
+CALL_TIMEOUT = secs(3)
 
 
 class CancelResult(StrEnum):
@@ -85,7 +85,7 @@
         address = (member.host, member.port)
         request = EndRequest(lot=batch_id)
         try:
-            response = await self._ctx.rpc.call(address, "batches.end", request, EndResponse, REQUEST_TIMEOUT)
+            response = await self._ctx.rpc.call(address, "batches.end", request, EndResponse, CALL_TIMEOUT)
         except (WireError, RemoteError) as error:
             self._ctx.logger.debug("batch_owner_unreachable", batch=batch_id, text=error)
             return CancelResult.UNCERTAIN
--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -19,7 +19,7 @@
 __all__ = ["QuotaCoordinator"]
 
 GRANT_VALIDITY = secs(5)
-REQUEST_TIMEOUT = ms(400)
+CALL_TIMEOUT = ms(400)
 RETRY_INTERVAL = ms(50)
 OVER_QUOTA_WAIT_MS = 1000
 UNCERTAIN_RETRY_AFTER_S = 0.2
@@ -102,7 +102,7 @@
             return QuotaResponse(uncertain=True)
         address = (member.host, member.port)
         try:
-            return await self._ctx.rpc.call(address, "quota.take", request, QuotaResponse, REQUEST_TIMEOUT)
+            return await self._ctx.rpc.call(address, "quota.take", request, QuotaResponse, CALL_TIMEOUT)
         except (WireError, RemoteError):
             return QuotaResponse(uncertain=True)
 
