--- a/pipitlink/gateway/batch_api.py
+++ b/pipitlink/gateway/batch_api.py
@@ -91,9 +91,9 @@
         self._open_batches.add(batch_id, await self._reader.find_batch(batch_id))
         deadline = self._ctx.timers.now() + CANCEL_TIMEOUT
         while self._ctx.timers.now() < deadline:
-            status = await self._cancel_at_owner(batch_id)
-            if status in (CancelResult.CANCELLED, CancelResult.ALREADY_ENDED):
-                return status.value
+            result = await self._cancel_at_owner(batch_id)
+            if result in (CancelResult.CANCELLED, CancelResult.ALREADY_ENDED):
+                return result.value
             await self._ctx.timers.sleep(CANCEL_RETRY_INTERVAL)
         raise ServiceUnavailable("the owner of the batch could not be reached", code="no_owner", outcome="unknown")
 
--- a/pipitlink/gateway/batch_ownership.py
+++ b/pipitlink/gateway/batch_ownership.py
@@ -101,8 +101,8 @@
         return CancelResult.CANCELLED
 
     async def _handle_cancel(self, _: str, request: EndRequest) -> EndResponse:
-        status = await self.cancel_local_batch(request.lot)
-        return EndResponse(state=status.value)
+        result = await self.cancel_local_batch(request.lot)
+        return EndResponse(state=result.value)
 
     def _check_batches(self) -> None:
         """Gives up batches whose lease is lost, closes finished ones, and acquires those assigned to this gateway."""
