--- a/pipitlink/controller/edit_fencing.py
+++ b/pipitlink/controller/edit_fencing.py
@@ -19,11 +19,11 @@
 DISCONNECT_CHECK_DELAY = ms(20)
 """An edit waits this long, so that a disconnect that arrives together with it cancels it."""
 PAUSE_CHECK_INTERVAL = ms(200)
-PAUSE_THRESHOLD = ms(500)
+SUSPENSION_THRESHOLD = ms(500)
 """A process that did not run for longer than this was paused, and may read edits that were queued in a socket."""
 SOCKET_DRAIN_TIME = ms(500)
 """How long after a pause queued edits may still be read from a socket."""
-SUBMISSION_TIMEOUT = CLIENT_TIMEOUT - PAUSE_THRESHOLD - ms(100)
+SUBMISSION_TIMEOUT = CLIENT_TIMEOUT - SUSPENSION_THRESHOLD - ms(100)
 
 
 class EditFencing:
@@ -49,7 +49,7 @@
     def _check_for_pause(self) -> None:
         now = self._ctx.timers.now()
         paused = now - self._last_ran_at
-        if paused > PAUSE_THRESHOLD:
+        if paused > SUSPENSION_THRESHOLD:
             self._resumed_at = now
             self._ctx.logger.info("process_resumed", paused_s=paused.total_seconds())
         self._last_ran_at = now
