--- a/pipitlink/controller/edit_fencing.py
+++ b/pipitlink/controller/edit_fencing.py
@@ -18,7 +18,7 @@
 """Clients wait at least this long before they retry an unanswered edit at another controller."""
 DISCONNECT_CHECK_DELAY = ms(20)
 """An edit waits this long, so that a disconnect that arrives together with it cancels it."""
-PAUSE_CHECK_INTERVAL = ms(200)
+SUSPENSION_CHECK_INTERVAL = ms(200)
 SUSPENSION_THRESHOLD = ms(500)
 """A process that did not run for longer than this was paused, and may read edits that were queued in a socket."""
 SOCKET_DRAIN_TIME = ms(500)
@@ -43,7 +43,7 @@
         """Starts the timer that detects pauses of the process."""
         self._last_ran_at = self._ctx.timers.now()
         self._ctx.timers.call_repeatedly(
-            PAUSE_CHECK_INTERVAL, self._check_for_pause, self._ctx.error_reporter("run_check")
+            SUSPENSION_CHECK_INTERVAL, self._check_for_pause, self._ctx.error_reporter("run_check")
         )
 
     def _check_for_pause(self) -> None:
