--- a/pipitlink/controller/edit_fencing.py
+++ b/pipitlink/controller/edit_fencing.py
@@ -43,10 +43,10 @@
         """Starts the timer that detects pauses of the process."""
         self._last_ran_at = self._ctx.timers.now()
         self._ctx.timers.call_repeatedly(
-            SUSPENSION_CHECK_INTERVAL, self._check_for_pause, self._ctx.error_reporter("run_check")
+            SUSPENSION_CHECK_INTERVAL, self._check_for_suspension, self._ctx.error_reporter("run_check")
         )
 
-    def _check_for_pause(self) -> None:
+    def _check_for_suspension(self) -> None:
         now = self._ctx.timers.now()
         paused = now - self._last_ran_at
         if paused > SUSPENSION_THRESHOLD:
@@ -56,7 +56,7 @@
 
     def _has_just_resumed(self) -> bool:
         """Returns whether an edit read now may have been queued in a socket while the process was paused."""
-        self._check_for_pause()
+        self._check_for_suspension()
         return self._resumed_at is not None and self._ctx.timers.now() - self._resumed_at < SOCKET_DRAIN_TIME
 
     def check_timely(self, arrived_at: timedelta) -> None:
