--- a/pipitlink/router/batch_adopter.py
+++ b/pipitlink/router/batch_adopter.py
@@ -26,7 +26,7 @@
 # of them look for the same orphans.
 GATEWAYS_PER_INTERVAL = 16
 # The set of gateways counts as settled once it has not changed for this long.
-SETTLED_AFTER = secs(10)
+SETTLING_TIME = secs(10)
 # The delay between the attempts of successive gateways, in rank order, to adopt the same batch.
 ADOPTION_STAGGER = secs(1.5)
 MAX_CONCURRENT_ADOPTIONS = 16
@@ -70,7 +70,7 @@
         """
         has_batches = bool(self._table.batches or self._waiting.reported or self._waiting.uncounted)
         is_quiet = not (has_batches or self._orphaned_at)
-        is_settled = self._ctx.timers.now() - self._gateway_watch.changed_at > SETTLED_AFTER
+        is_settled = self._ctx.timers.now() - self._gateway_watch.changed_at > SETTLING_TIME
         if is_quiet and is_settled:
             return MAX_LIST_INTERVAL
         intervals = len(self._gateway_watch.gateways) / GATEWAYS_PER_INTERVAL
