--- a/pipitlink/controller/engine_announcements.py
+++ b/pipitlink/controller/engine_announcements.py
@@ -102,9 +102,9 @@
         another controller. The remaining gateways are called until they acknowledge.
         """
         propagation = self._current_propagation(engine)
-        end = self._ctx.timers.now() + ACKNOWLEDGE_TIMEOUT
+        deadline = self._ctx.timers.now() + ACKNOWLEDGE_TIMEOUT
         while self._notifier.reaches_majority():
-            remaining = end - self._ctx.timers.now()
+            remaining = deadline - self._ctx.timers.now()
             if self._is_complete(propagation) or remaining <= ms(0):
                 break
             await self._ctx.timers.wait_at_most(propagation.wait(), remaining)
