--- a/pipitlink/cache/cache.py
+++ b/pipitlink/cache/cache.py
@@ -89,7 +89,7 @@
         self.poller.open()
 
     def ring(self) -> Ring:
-        """Returns the placement of replicas among the gateways that are alive now."""
+        """Returns the placement of replicas among the live gateways."""
         gateways = self._ctx.membership.members("gateway", statuses=("alive",))
         nodes = {member.node: member.zone for member in gateways}
         if nodes != self._ring.nodes:
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -97,7 +97,7 @@
         self._listeners.append(listener)
 
     def ready(self) -> bool:
-        """Whether new work may be admitted; checked at each use, since proofs expire while a process is paused."""
+        """Whether new work may be admitted; checked at each use, since proofs expire while a process is suspended."""
         if self.sequence == 0 or not self.cluster_state.placement_groups:
             return False
         return self.currency.refresh(self.sequence)
--- a/pipitlink/controller/edit_fencing.py
+++ b/pipitlink/controller/edit_fencing.py
@@ -15,21 +15,21 @@
 __all__ = ["CLIENT_TIMEOUT", "DISCONNECT_CHECK_DELAY", "EditFencing"]
 
 CLIENT_TIMEOUT = ms(1000)
-"""Clients wait at least this long before they retry an unanswered edit at another controller."""
+"""Clients wait at least this long before they retry an edit without a response at another controller."""
 DISCONNECT_CHECK_DELAY = ms(20)
 """An edit waits this long, so that a disconnect that arrives together with it cancels it."""
 SUSPENSION_CHECK_INTERVAL = ms(200)
 SUSPENSION_THRESHOLD = ms(500)
-"""A process that did not run for longer than this was paused, and may read edits that were queued in a socket."""
+"""A process that did not run for longer than this was suspended, and may read edits that were queued in a socket."""
 SOCKET_DRAIN_TIME = ms(500)
-"""How long after a pause queued edits may still be read from a socket."""
+"""How long after a suspension queued edits may still be read from a socket."""
 SUBMISSION_TIMEOUT = CLIENT_TIMEOUT - SUSPENSION_THRESHOLD - ms(100)
 
 
 class EditFencing:
     """Fences operators' edits, so that a delayed copy of an edit cannot undo a later edit.
 
-    It tracks when this process last ran, and when it last resumed after a pause.
+    It tracks when this process last ran, and when it last resumed after a suspension.
     """
 
     def __init__(self, ctx: Context, consensus: ConsensusView, submission: EditSubmission) -> None:
@@ -40,7 +40,7 @@
         self._resumed_at: timedelta | None = None
 
     def open(self) -> None:
-        """Starts the timer that detects pauses of the process."""
+        """Starts the timer that detects suspensions of the process."""
         self._last_ran_at = self._ctx.timers.now()
         self._ctx.timers.call_repeatedly(
             SUSPENSION_CHECK_INTERVAL, self._check_for_suspension, self._ctx.error_reporter("run_check")
@@ -55,7 +55,7 @@
         self._last_ran_at = now
 
     def _has_just_resumed(self) -> bool:
-        """Returns whether an edit read now may have been queued in a socket while the process was paused."""
+        """Returns whether an edit read now may have been queued in a socket while the process was suspended."""
         self._check_for_suspension()
         return self._resumed_at is not None and self._ctx.timers.now() - self._resumed_at < SOCKET_DRAIN_TIME
 
--- a/pipitlink/gateway/batch_api.py
+++ b/pipitlink/gateway/batch_api.py
@@ -98,7 +98,7 @@
         raise ServiceUnavailable("the owner of the batch could not be reached", code="no_owner", outcome="unknown")
 
     async def _cancel_at_owner(self, batch_id: str) -> CancelResult:
-        """Cancels a batch at the holder of its result log's lease; if there is none, this gateway acquires it."""
+        """Cancels a batch at the leaseholder of its result log; without one, acquires the lease here."""
         log = result_log(batch_id)
         state = (await self._ctx.replicated_log.states([log])).get(log)
         if state is not None and state.final:
--- a/pipitlink/gateway/batch_ownership.py
+++ b/pipitlink/gateway/batch_ownership.py
@@ -36,7 +36,7 @@
 class BatchOwnership:
     """Acquires the batches assigned to this gateway by rendezvous hashing, records results, closes finished batches.
 
-    The owner of a batch is the holder of its result log's lease. Of an OpenBatch, this class maintains all fields
+    The owner of a batch is the leaseholder of its result log. Of an OpenBatch, this class maintains all fields
     except `id` and `spec`.
     """
 
@@ -57,7 +57,7 @@
         self._open_batches.add_timer(timer)
 
     def release_all(self) -> None:
-        """Cancels all running items and gives up all batches, for a graceful shutdown."""
+        """Cancels all running items and releases all batches, for a graceful shutdown."""
         for batch in self._open_batches.all():
             self._release(batch)
 
@@ -105,7 +105,7 @@
         return EndResponse(state=result.value)
 
     def _check_batches(self) -> None:
-        """Gives up batches whose lease is lost, closes finished ones, and acquires those assigned to this gateway."""
+        """Releases batches whose lease is lost, closes finished ones, and acquires those assigned to this gateway."""
         if not self._serving.is_current():
             return
         if self._ctx.cluster.zone_empty(self._ctx.settings.zone):
--- a/pipitlink/gateway/checked_connection.py
+++ b/pipitlink/gateway/checked_connection.py
@@ -57,7 +57,7 @@
     """Opens connections, and checks that a request may still be sent in the same step that writes its first byte.
 
     Each request has its own connection: engine responses carry no ids, so on a shared connection a late or duplicate
-    response could not be told from the next one.
+    response could not be distinguished from the next one.
     """
 
     retryAutomatically = False  # noqa: N815 - twisted's interface
--- a/pipitlink/gateway/engine_candidates.py
+++ b/pipitlink/gateway/engine_candidates.py
@@ -32,7 +32,7 @@
         self._registry = registry
 
     def find(self, model: str, pool: str = "") -> list[Candidate]:
-        """Returns the engines of a pool or, without a pool, those that serve a model, ordered by name."""
+        """Returns the engines of a pool or, without a pool, those that serve a model, sorted by name."""
         candidates = []
         for engine in self._registry.all():
             if not _serves(engine, model, pool):
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -47,7 +47,7 @@
         self._new_engine_listeners.append(listener)
 
     def all(self) -> list[Engine]:
-        """Returns the known engines, ordered by name."""
+        """Returns the known engines, sorted by name."""
         return sorted(self._engines.values(), key=lambda engine: engine.name)
 
     def unordered(self) -> list[Engine]:
@@ -55,7 +55,7 @@
         return list(self._engines.values())
 
     def get(self, name: str) -> Engine | None:
-        """Returns the engine with a name, None if it is not known."""
+        """Returns an engine by its name, or None if it is unknown."""
         return self._engines.get(name)
 
     def announce(self, update: EngineUpdate) -> None:
--- a/pipitlink/membership/failure_detector.py
+++ b/pipitlink/membership/failure_detector.py
@@ -41,7 +41,7 @@
         self._ticks = 0
 
     def open(self) -> None:
-        """Starts to answer indirect probes."""
+        """Starts to respond to indirect probes."""
         self._ctx.rpc.register_handler("membership.probe_for", IndirectProbeRequest, self._probe_for_peer)
 
     def start(self) -> None:
@@ -61,7 +61,7 @@
             check.addErrback(lambda failure: self._ctx.logger.failure("probe_error", failure.value))
 
     def _expire_peers(self) -> None:
-        """Marks suspects as gone after the suspicion timeout, and forgets members that have long been gone."""
+        """Marks suspects as gone after the suspicion timeout, and removes members that have long been gone."""
         now = self._ctx.timers.now()
         for peer in list(self._table.peers.values()):
             time_in_status = now - peer.status_since
--- a/pipitlink/membership/member_table.py
+++ b/pipitlink/membership/member_table.py
@@ -43,7 +43,7 @@
         self._listeners.append(listener)
 
     def members(self, role: str | None, statuses: tuple[str, ...], include_self: bool) -> list[Member]:
-        """Returns the members with one of the statuses, of one role or (None) of any, ordered by node id."""
+        """Returns the members with one of the statuses, of one role or (None) of any, sorted by node id."""
         selection = _Selection(role, statuses, include_self)
         selected = self._selected.get(selection)
         if selected is None:
--- a/pipitlink/membership/membership.py
+++ b/pipitlink/membership/membership.py
@@ -73,11 +73,11 @@
     def members(
         self, role: str | None = None, statuses: tuple[str, ...] = LIVE, include_self: bool = True
     ) -> list[Member]:
-        """Returns the members with one of the statuses, of one role or (None) of any, ordered by node id."""
+        """Returns the members with one of the statuses, of one role or (None) of any, sorted by node id."""
         return self.table.members(role, statuses, include_self)
 
     def all_members(self) -> list[Member]:
-        """Returns all known members, including this node and gone members, ordered by node id."""
+        """Returns all known members, including this node and gone members, sorted by node id."""
         return self.table.members(None, EVERY_STATUS, True)
 
     def find(self, node: str) -> Member | None:
--- a/pipitlink/process.py
+++ b/pipitlink/process.py
@@ -1,4 +1,4 @@
-"""Builds one node from its settings and runs it until it is told to stop."""
+"""Builds one node from its settings and runs it until it is stopped."""
 
 from __future__ import annotations
 
@@ -288,7 +288,7 @@
     reload_settings: SettingsReader | None = None,
     listening_socket: socket.socket | None = None,
 ) -> int:
-    """Runs one node until it is told to stop, and returns the exit code.
+    """Runs one node until it is stopped, and returns the exit code.
 
     `reload_settings`, if given, is called on SIGHUP and at an interval to read the settings again. If SIGHUP was
     blocked while the program was loading, it is unblocked here, so that a pending one is handled. `listening_socket` is
--- a/pipitlink/replicated_log/log_reader.py
+++ b/pipitlink/replicated_log/log_reader.py
@@ -18,7 +18,7 @@
 
 
 class LogReader:
-    """Reads ranges of logs from whichever replica answers first."""
+    """Reads ranges of logs from whichever replica responds first."""
 
     def __init__(self, ctx: Context, client: StorageClient) -> None:
         self._ctx = ctx
--- a/pipitlink/replicated_log/replica_progress.py
+++ b/pipitlink/replicated_log/replica_progress.py
@@ -45,11 +45,11 @@
         self._states[storage_node] = state
 
     def discard(self, storage_node: str) -> None:
-        """Forgets the state of one replica."""
+        """Discards the state of one replica."""
         self._states.pop(storage_node, None)
 
     def clear(self) -> None:
-        """Forgets the states of all replicas."""
+        """Discards the states of all replicas."""
         self._states.clear()
 
     def max_committed(self) -> int:
--- a/pipitlink/router/backlog_counter.py
+++ b/pipitlink/router/backlog_counter.py
@@ -22,7 +22,7 @@
 
 
 class BacklogCounter:
-    """Counts batches that no owner reports, and tells whether the count of waiting tokens is reliable."""
+    """Counts batches that no owner reports, and determines whether the count of waiting tokens is reliable."""
 
     def __init__(
         self,
--- a/pipitlink/router/batch_adopter.py
+++ b/pipitlink/router/batch_adopter.py
@@ -27,7 +27,7 @@
 GATEWAYS_PER_INTERVAL = 16
 # The set of gateways counts as settled once it has not changed for this long.
 SETTLING_TIME = secs(10)
-# The delay between the attempts of successive gateways, in rank order, to adopt the same batch.
+# The delay between the attempts of successive gateways, by rank, to adopt the same batch.
 ADOPTION_STAGGER = secs(1.5)
 MAX_CONCURRENT_ADOPTIONS = 16
 
@@ -35,9 +35,9 @@
 class BatchAdopter:
     """Lists the open batches periodically, and acquires the leases of those without an owner.
 
-    It does not wait for the old owner's lease to expire. A frozen owner may therefore run an item at the same time as
-    the new one, which is allowed: items may run more than once, and the old owner's outputs are rejected because they
-    carry a lower epoch.
+    It does not wait for the old owner's lease to expire. A suspended owner may therefore run an item at the same time
+    as the new one, which is allowed: items may run more than once, and the old owner's outputs are rejected because
+    they carry a lower epoch.
 
     `adopting` has the batches whose leases are being acquired.
     """
--- a/pipitlink/router/batch_table.py
+++ b/pipitlink/router/batch_table.py
@@ -37,7 +37,7 @@
 
 
 class BatchTable:
-    """The batches that this gateway owns. Each batch has its own log, and the holder of the log's lease owns the batch.
+    """The batches that this gateway owns. Each batch has its own log, whose leaseholder owns the batch.
 
     `is_closing` is set when the gateway shuts down; no new work is started after that.
     """
--- a/pipitlink/router/call.py
+++ b/pipitlink/router/call.py
@@ -74,7 +74,7 @@
         """Receives the status and the headers; called once, before any data."""
 
     def data(self, data: bytes) -> None:
-        """Receives a piece of the body."""
+        """Receives a part of the body."""
 
 
 def parse_prompt_parts(value: bytes | None) -> list[PromptPart]:
--- a/pipitlink/router/call_relay.py
+++ b/pipitlink/router/call_relay.py
@@ -89,7 +89,7 @@
     async def relay(self, call: Call) -> None:
         """Runs a call; returns once its sink has the complete response.
 
-        Raises ApiError, whose `outcome` tells what is known about the execution.
+        Raises ApiError, whose `outcome` states what is known about the execution.
         """
         self.calls.add(call)
         try:
--- a/pipitlink/router/gateway_watch.py
+++ b/pipitlink/router/gateway_watch.py
@@ -15,9 +15,9 @@
 
 
 class GatewayWatch:
-    """The gateways that are alive, the time of their last change, and since when this gateway owns its keys.
+    """The live gateways, the time of their last change, and since when this gateway owns its keys.
 
-    Each key is assigned to one of the gateways that are alive, by rendezvous hashing.
+    Each key is assigned to one of the live gateways, by rendezvous hashing.
 
     A suspension of this process counts as a change, and so does a suspicion that it has refuted, since the other
     gateways may have considered it gone in the meantime.
@@ -56,7 +56,7 @@
             del self._owned_since[key]
 
     def owner_of(self, key: str) -> str:
-        """Returns the gateway that owns a key: one of those alive, by rendezvous hashing."""
+        """Returns the gateway that owns a key: the live gateway with the highest rank by rendezvous hashing."""
         alive = {member.node for member in self._ctx.membership.members("gateway", statuses=("alive",))}
         alive.add(self._ctx.node)
         return max(alive, key=lambda gateway: rank(key, gateway))
--- a/pipitlink/router/inbound_request.py
+++ b/pipitlink/router/inbound_request.py
@@ -136,7 +136,7 @@
         self.registerProducer(_ClientBackpressure(self.call), True)
 
     def data(self, data: bytes) -> None:
-        """Writes a piece of the body of an engine's response."""
+        """Writes a part of the body of an engine's response."""
         if not self.is_finished:
             self.write(data)
 
--- a/pipitlink/router/slow_start.py
+++ b/pipitlink/router/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: limits the request rate of engines that are warming up."""
+"""Limits the request rate of engines in slow start."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class SlowStart:
-    """Admits requests to engines that are warming up, with a token bucket per engine.
+    """Admits requests to engines in slow start, with a token bucket per engine.
 
-    An engine warms up for a time after its start and after its zone was put back into service. Its rate is divided
-    among at most MAX_GATEWAYS gateways; nodes that know the same gateways choose the same ones.
+    An engine is in slow start for a time after its start and after its zone was put back into service. Its rate is
+    divided among at most MAX_GATEWAYS gateways; nodes that know the same gateways choose the same ones.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -41,7 +41,7 @@
         self._empty_zones = empty_zones
 
     def in_slow_start(self, engine: Engine) -> bool:
-        """Returns whether an engine is warming up."""
+        """Returns whether an engine is in slow start."""
         now = self._ctx.timers.now()
         if engine.slow_start_until > now:
             return True
@@ -65,7 +65,7 @@
         return engine.slow_start_tokens >= 1.0
 
     def _gateways_of(self, engine: Engine) -> frozenset[str]:
-        """Returns the gateways that may send requests to an engine while it warms up."""
+        """Returns the gateways that may send requests to an engine in slow start."""
         candidates = tuple(member.node for member in self._ctx.membership.members("gateway"))
         if engine.slow_start_candidates != candidates:
             ranked = sorted(candidates, key=lambda node: rank(engine.name, node), reverse=True)
--- a/pipitlink/router/waiting_tokens.py
+++ b/pipitlink/router/waiting_tokens.py
@@ -178,7 +178,7 @@
     def drop_expired_grants(self) -> None:
         """Drops the grants that are no longer valid.
 
-        A gateway that is alive has reported the batches that it accepted. The batch of a gateway that is gone may be
+        A live gateway has reported the batches that it accepted. The batch of a gateway that is gone may be
         durable without having been reported, so its grant stays until all open batches were listed after its expiry.
         """
         now = self._ctx.timers.now()
