--- a/pipitlink/membership/failure_detector.py
+++ b/pipitlink/membership/failure_detector.py
@@ -69,7 +69,7 @@
                 peer.transition("confirm_gone", now)
                 self._table.peer_changed(peer)
             elif peer.state == MemberStatus.GONE and time_in_status > GONE_RETENTION:
-                self._table.forget(peer.member.node)
+                self._table.remove(peer.member.node)
 
     def _next_peer(self) -> Peer | None:
         """Returns the next peer of the current round, or None if there is none; each round is in a new random order."""
--- a/pipitlink/membership/member_table.py
+++ b/pipitlink/membership/member_table.py
@@ -109,7 +109,7 @@
         for listener in self._listeners:
             listener(peer.member)
 
-    def forget(self, node: str) -> None:
+    def remove(self, node: str) -> None:
         """Removes a peer; the listeners are not called."""
         del self.peers[node]
         self._invalidate()
