--- a/pipitlink/replicated_log/log_states.py
+++ b/pipitlink/replicated_log/log_states.py
@@ -73,7 +73,7 @@
                 logs_by_node.setdefault(node, []).append(log)
         query = _StatesQuery(self._ctx, self._client, logs, len(logs_by_node))
         for node, node_logs in logs_by_node.items():
-            self._ctx.run_in_background(query.ask(node, node_logs), "read_states")
+            self._ctx.run_in_background(query.request_states(node, node_logs), "read_states")
         if logs_by_node:
             await query.complete
         return query.merged()
@@ -119,7 +119,7 @@
         self._pending = node_count
         self.complete: defer.Deferred[None] = defer.Deferred()
 
-    async def ask(self, node: str, logs: list[str]) -> None:
+    async def request_states(self, node: str, logs: list[str]) -> None:
         """Requests the states of logs from one storage node; if the call fails, its states are missing."""
         request = StatesRequest(logs=logs)
         responses = await self._client.call_each([node], "replicated_log.states", request, StatesResponse)
