--- a/pipitlink/controller/bootstrap.py
+++ b/pipitlink/controller/bootstrap.py
@@ -47,7 +47,7 @@
         founders = self._ctx.settings.founders
         if not self._consensus.is_newcomer or not founders:
             return
-        responses = [await self._ask(_address(founder)) for founder in founders]
+        responses = [await self._request_bootstrap(_address(founder)) for founder in founders]
         received = [response for response in responses if response is not None]
         for response in received:
             if self._ctx.node in response.voters:
@@ -58,7 +58,7 @@
         if decides and all_empty:
             await self._install_voters(tuple(sorted(response.node for response in received)))
 
-    async def _ask(self, address: Address) -> BootstrapResponse | None:
+    async def _request_bootstrap(self, address: Address) -> BootstrapResponse | None:
         try:
             response: BootstrapResponse = await self._ctx.rpc.call(
                 address, "controller.empty", Empty(), BootstrapResponse, CALL_TIMEOUT
