--- a/pipitlink/controller/vote_poll.py
+++ b/pipitlink/controller/vote_poll.py
@@ -40,14 +40,14 @@
         """Returns whether a majority granted its vote and, for the proof of a full restart, all voters just started."""
         for voter in self._voters:
             if voter != self._ctx.node:
-                self._ctx.run_in_background(self._ask(voter), "vote_request")
+                self._ctx.run_in_background(self._request_vote(voter), "vote_request")
         if self._outstanding:
             await self._result_known
         if self._proves_full_restart and not self._just_started.issuperset(self._voters):
             return False
         return self._consensus.is_majority(self._granted)
 
-    async def _ask(self, voter: str) -> None:
+    async def _request_vote(self, voter: str) -> None:
         try:
             response = await self._calls.call(voter, "controller.vote", self._request, VoteResponse, CALL_TIMEOUT)
             await self._take_response(voter, response)
