--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -87,8 +87,8 @@
 
     async def wait_until_caught_up(self, timeout: timedelta) -> bool:
         """Waits until the node is caught up or the timeout expires; returns `caught_up`."""
-        end = self._ctx.timers.now() + timeout
-        while not self.caught_up and self._ctx.timers.now() < end:
+        deadline = self._ctx.timers.now() + timeout
+        while not self.caught_up and self._ctx.timers.now() < deadline:
             await self._ctx.timers.sleep(CATCH_UP_POLL_INTERVAL)
         return self.caught_up
 
--- a/pipitlink/controller/gateway_notifier.py
+++ b/pipitlink/controller/gateway_notifier.py
@@ -89,13 +89,13 @@
 
     async def _push_with_retries(self, gateway: str, engines: list[str], propagation: Propagation) -> None:
         """Calls a gateway until it acknowledges; after a timeout the change is left to the batches of renewals."""
-        end = self._ctx.timers.now() + RETRY_TIMEOUT
+        deadline = self._ctx.timers.now() + RETRY_TIMEOUT
         try:
             while self._ctx.membership.status(gateway) in REACHABLE:
                 if await self._push(gateway, engines):
                     propagation.acknowledge(gateway)
                     return
-                if self._ctx.timers.now() + RETRY_INTERVAL > end:
+                if self._ctx.timers.now() + RETRY_INTERVAL > deadline:
                     self._add_pending(gateway, engines)
                     return
                 await self._ctx.timers.sleep(RETRY_INTERVAL)
