--- a/tests/test_edit_guards.py
+++ b/tests/test_edit_guards.py
@@ -16,7 +16,7 @@
 
 ZONE = "zone-b"
 PATH = f"/v1/zones/{ZONE}/empty"
-ANSWERS = {200: Response.CONFIRMED, 412: Response.OTHER_VERSION, 400: Response.REFUSED, 409: Response.REFUSED}
+RESPONSES = {200: Response.CONFIRMED, 412: Response.OTHER_VERSION, 400: Response.REFUSED, 409: Response.REFUSED}
 
 
 class Scenario:
@@ -38,13 +38,13 @@
         started_at = self.simulation.clock.seconds()
         body = config_of(version, route_of(content))
         args = ("PUT", "/v1/config", body, {"If-Match": str(base), **headers})
-        response = ANSWERS[self.caller.ask(self.other, *args)[0]]
+        response = RESPONSES[self.caller.ask(self.other, *args)[0]]
         self.records.append(ConfigWrite(content, base, version, started_at, self.simulation.clock.seconds(), response))
 
     def zone(self, empty: bool):
         self.simulation.run(0.01)
         started_at = self.simulation.clock.seconds()
-        response = ANSWERS[self.caller.ask(self.other, "PUT" if empty else "DELETE", PATH)[0]]
+        response = RESPONSES[self.caller.ask(self.other, "PUT" if empty else "DELETE", PATH)[0]]
         self.records.append(ZoneWrite(ZONE, empty, started_at, self.simulation.clock.seconds(), response))
 
     def record_gateways(self):
