--- a/tests/test_batch_end_logged_once.py
+++ b/tests/test_batch_end_logged_once.py
@@ -31,9 +31,9 @@
 
 class _Context(SimpleNamespace):
     def __init__(self):
-        self.told: list[str] = []
+        self.events: list[str] = []
         timers = SimpleNamespace(sleep=lambda span: defer.Deferred())
-        super().__init__(timers=timers, logger=SimpleNamespace(info=lambda event, **_: self.told.append(event)))
+        super().__init__(timers=timers, logger=SimpleNamespace(info=lambda event, **_: self.events.append(event)))
 
 
 class BatchEnd(unittest.TestCase):
@@ -45,7 +45,7 @@
             spawn(ownership.finish_if_done(batch))
         for durable in leaseholder.durable:
             durable.callback(None)
-        self.assertEqual(ctx.told, ["lot_completed"])
+        self.assertEqual(ctx.events, ["lot_completed"])
 
 
 if __name__ == "__main__":
