--- a/tests/behaviour_record.py
+++ b/tests/behaviour_record.py
@@ -1,4 +1,4 @@
-"""Records what callers, operators and engines see of whole fleets on virtual time, and all traffic between the nodes.
+"""Records what clients, operators and engines see of whole clusters on virtual time, and all traffic between the nodes.
 
 A record is text, the same for the same scenario and seed in every process. It has two parts. The first, `seen`, holds
 statuses, codes, results and sequences with the virtual time (in ms) and the name of the node that was asked. The
--- a/tests/test_behaviour_record.py
+++ b/tests/test_behaviour_record.py
@@ -1,4 +1,4 @@
-"""The fleet behaves as recorded: see tests/behaviour_record.py."""
+"""The cluster behaves as recorded: see tests/behaviour_record.py."""
 
 import unittest
 from pathlib import Path
