--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -47,7 +47,7 @@
 __all__ = ["GatewayNode"]
 
 DRAIN_TIMEOUT = secs(6)
-DRAIN_POLL_INTERVAL = ms(50)
+DRAIN_CHECK_INTERVAL = ms(50)
 OK = 200
 UNAVAILABLE = 503
 CACHE_COUNTS = ("relaxed", "consistent", "durable", "durable_reads", "hedged", "unheard")
@@ -211,7 +211,7 @@
         timers = self._ctx.timers
         deadline = timers.now() + DRAIN_TIMEOUT
         while self.table.has_unsettled() and timers.now() < deadline:
-            await timers.sleep(DRAIN_POLL_INTERVAL)
+            await timers.sleep(DRAIN_CHECK_INTERVAL)
         self.batch_ownership.release_all()
         replicated_log = self._ctx.replicated_log
         await replicated_log.release(list(replicated_log.leaseholders.values()))
