--- a/pipitlink/controller/engine_announcements.py
+++ b/pipitlink/controller/engine_announcements.py
@@ -32,7 +32,7 @@
 
     def open(self) -> None:
         """Starts to watch the membership for gateways, and the timer of renewals."""
-        self._ctx.membership.add_listener(self._member_changed)
+        self._ctx.membership.add_listener(self._on_member_changed)
         self._ctx.timers.call_repeatedly(RENEWAL_INTERVAL, self._renew, self._ctx.error_reporter("engine_renewals"))
 
     async def announce(self, update: EngineUpdate) -> None:
@@ -130,7 +130,7 @@
         self.registry.remove_expired()
         self._notifier.send_renewals()
 
-    def _member_changed(self, member: Member) -> None:
+    def _on_member_changed(self, member: Member) -> None:
         """Sends all known announcements to a gateway that has joined or returned."""
         if member.role != "gateway" or not self.registry.engines:
             return
