--- a/pipitlink/web.py
+++ b/pipitlink/web.py
@@ -169,7 +169,7 @@
     _ErrorResponse((NotLeader,), status=503, outcome="not_run", retry_after=1),
     _ErrorResponse(_UNKNOWN_OUTCOME, status=503, outcome="unknown", retry_after=1),
 )
-_STORAGE_FULL_RETRY_S = 30
+_STORAGE_FULL_RETRY_AFTER_S = 30
 
 
 def _to_api_error(error: BaseException) -> ApiError:
@@ -178,7 +178,9 @@
         return error
     if isinstance(error, StorageFull):
         outcome = "unknown" if error.sent else "not_run"
-        return ApiError(str(error), code=error.code, status=507, outcome=outcome, retry_after=_STORAGE_FULL_RETRY_S)
+        return ApiError(
+            str(error), code=error.code, status=507, outcome=outcome, retry_after=_STORAGE_FULL_RETRY_AFTER_S
+        )
     for response in _ERROR_RESPONSES:
         if isinstance(error, response.classes):
             return ApiError(
