--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -49,7 +49,7 @@
 DRAIN_TIMEOUT = secs(6)
 DRAIN_CHECK_INTERVAL = ms(50)
 OK = 200
-UNAVAILABLE = 503
+SERVICE_UNAVAILABLE = 503
 CACHE_COUNTS = ("relaxed", "consistent", "durable", "durable_reads", "hedged", "unheard")
 
 
@@ -154,7 +154,7 @@
         """Responds whether this gateway accepts requests."""
         ready = self.serving.is_current()
         content = {"ready": ready, "cluster": self._ctx.cluster.sequence}
-        body: bytes = send_json(request, content, OK if ready else UNAVAILABLE)
+        body: bytes = send_json(request, content, OK if ready else SERVICE_UNAVAILABLE)
         return body
 
     def show_live(self, request: Request) -> bytes:
