--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -115,7 +115,7 @@
             call.addErrback(lambda _: None)
 
     async def _handle_updates(self, _: str, engines: EngineList) -> None:
-        if not self._just_resumed():
+        if not self._has_just_resumed():
             for update in engines.engines:
                 self.merge(update)
 
@@ -129,11 +129,11 @@
 
     def merge_gossip(self, gossip: Gossip) -> None:
         """Merges the engines of received gossip."""
-        if not self._just_resumed():
+        if not self._has_just_resumed():
             for update in gossip.engines[:MAX_GOSSIPED_ENGINES]:
                 self.merge(update)
 
-    def _just_resumed(self) -> bool:
+    def _has_just_resumed(self) -> bool:
         """Returns whether a message may have been queued during a suspension, so that the ages in it are too low."""
         now = self.check_for_suspension()
         return self._resumed_at > ZERO and now - self._resumed_at < RESUME_GRACE
