--- a/pipitlink/controller/edit_fencing.py
+++ b/pipitlink/controller/edit_fencing.py
@@ -21,7 +21,7 @@
 SUSPENSION_CHECK_INTERVAL = ms(200)
 SUSPENSION_THRESHOLD = ms(500)
 """A process that did not run for longer than this was suspended, and may read edits that were queued in a socket."""
-SOCKET_DRAIN_TIME = ms(500)
+RESUME_GRACE = ms(500)
 """How long after a suspension queued edits may still be read from a socket."""
 SUBMISSION_TIMEOUT = CLIENT_TIMEOUT - SUSPENSION_THRESHOLD - ms(100)
 
@@ -57,7 +57,7 @@
     def _has_just_resumed(self) -> bool:
         """Returns whether an edit read now may have been queued in a socket while the process was suspended."""
         self._check_for_suspension()
-        return self._resumed_at is not None and self._ctx.timers.now() - self._resumed_at < SOCKET_DRAIN_TIME
+        return self._resumed_at is not None and self._ctx.timers.now() - self._resumed_at < RESUME_GRACE
 
     def check_timely(self, arrived_at: timedelta) -> None:
         """Raises ServiceUnavailable if the client may have retried the edit at another controller by now."""
