--- a/pipitlink/cluster/currency.py
+++ b/pipitlink/cluster/currency.py
@@ -9,12 +9,12 @@
 from ..state_machines import StateMachineMixin
 from ..timers import secs
 
-__all__ = ["FOLLOWER_LEASE_SPAN", "LEASE_SPAN", "Currency", "CurrencyState"]
+__all__ = ["FOLLOWER_LEASE_DURATION", "LEADER_LEASE_DURATION", "Currency", "CurrencyState"]
 
 # The gateway lets its lease on the cluster state expire earlier than the leader does.
-LEASE_SPAN = secs(1.5)
-FOLLOWER_LEASE_SPAN = secs(1.2)
-WITNESS_PROOF_SPAN = secs(1)
+LEADER_LEASE_DURATION = secs(1.5)
+FOLLOWER_LEASE_DURATION = secs(1.2)
+WITNESS_PROOF_VALIDITY = secs(1)
 
 
 class CurrencyState(StrEnum):
@@ -54,7 +54,7 @@
 
     def has_live_lease(self) -> bool:
         """Whether the lease is live: a leader recently confirmed that this node has every committed command."""
-        return self._is_within(self.leased_at, FOLLOWER_LEASE_SPAN)
+        return self._is_within(self.leased_at, FOLLOWER_LEASE_DURATION)
 
     def was_proven_within(self, span: timedelta) -> bool:
         """Whether there was a proof of either kind within the last `span`."""
@@ -63,7 +63,7 @@
     def _current_state(self) -> CurrencyState:
         if self.has_live_lease():
             return CurrencyState.LED
-        if self._is_within(self.witnessed_at, WITNESS_PROOF_SPAN):
+        if self._is_within(self.witnessed_at, WITNESS_PROOF_VALIDITY):
             return CurrencyState.WITNESSED
         return CurrencyState.LAPSED
 
--- a/pipitlink/cluster/follower.py
+++ b/pipitlink/cluster/follower.py
@@ -26,7 +26,7 @@
 MAX_FOLLOW_WAIT = ms(600)
 NODES_PER_FOLLOW_WAIT = 24
 FOLLOW_TIMEOUT = ms(450)
-RETRY_PAUSE = ms(100)
+RETRY_INTERVAL = ms(100)
 CATCH_UP_POLL_INTERVAL = ms(20)
 # While the followed controller does not respond, every third attempt goes through a peer.
 ATTEMPTS_PER_PEER_ATTEMPT = 3
@@ -59,7 +59,7 @@
         self._caught_up = False
         self._listeners: list[Callable[[], object]] = []
         self._receiver = StateReceiver()
-        self._retry_pause: defer.Deferred[None] | None = None
+        self._retry_delay: defer.Deferred[None] | None = None
 
     def open(self) -> None:
         """Starts to follow the cluster state and to serve peers. The membership must be open."""
@@ -87,8 +87,8 @@
 
     async def wait_until_caught_up(self, timeout: timedelta) -> bool:
         """Waits until the node is caught up or the timeout expires; returns `caught_up`."""
-        end = self._ctx.timers.now() + timeout
-        while not self.caught_up and self._ctx.timers.now() < end:
+        deadline = self._ctx.timers.now() + timeout
+        while not self.caught_up and self._ctx.timers.now() < deadline:
             await self._ctx.timers.sleep(CATCH_UP_POLL_INTERVAL)
         return self.caught_up
 
@@ -97,7 +97,7 @@
         self._listeners.append(listener)
 
     def ready(self) -> bool:
-        """Whether new work may be admitted; checked at each use, since proofs expire while a process is paused."""
+        """Whether new work may be admitted; checked at each use, since proofs expire while a process is suspended."""
         if self.sequence == 0 or not self.cluster_state.placement_groups:
             return False
         return self.currency.refresh(self.sequence)
@@ -153,8 +153,8 @@
 
     def merge_gossip(self, gossip: Gossip) -> None:
         """Retries at once if a peer has a newer cluster state."""
-        if gossip.cluster_sequence > self.sequence and self._retry_pause is not None:
-            pause, self._retry_pause = self._retry_pause, None
+        if gossip.cluster_sequence > self.sequence and self._retry_delay is not None:
+            pause, self._retry_delay = self._retry_delay, None
             pause.callback(None)
 
     def _install_state(self, response: FollowResponse) -> None:
@@ -185,8 +185,8 @@
                 await self._pause()
 
     async def _pause(self) -> None:
-        self._retry_pause = defer.Deferred()
-        await self._ctx.timers.with_timeout(RETRY_PAUSE, self._retry_pause).addErrback(lambda _: None)
+        self._retry_delay = defer.Deferred()
+        await self._ctx.timers.with_timeout(RETRY_INTERVAL, self._retry_delay).addErrback(lambda _: None)
 
     async def _follow_once(self, failures: int) -> None:
         source = self._choose_source(failures)
--- a/pipitlink/gateway/batch_ownership.py
+++ b/pipitlink/gateway/batch_ownership.py
@@ -15,7 +15,7 @@
 from .owner_selection import acquire_log, choose_owner
 from .serving_state import ServingState
 
-__all__ = ["ACQUIRE_BACKOFF", "CancelStatus", "BatchOwnership"]
+__all__ = ["ACQUIRE_BACKOFF", "CancelResult", "BatchOwnership"]
 
 CHECK_INTERVAL = ms(200)
 ACQUIRE_BACKOFF = ms(700)
@@ -23,11 +23,11 @@
 RELEASE_DELAY = secs(1)
 
 
-class CancelStatus(StrEnum):
+class CancelResult(StrEnum):
     """The result of a request to cancel a batch. The first two values are visible to clients."""
 
     CANCELLED = "ended"
-    CLOSED = "closed"
+    ALREADY_ENDED = "closed"
     UNKNOWN = "unknown"
     NOT_OWNED = "not_owned"
     OWNER_UNREACHABLE = "lost"
@@ -36,7 +36,7 @@
 class BatchOwnership:
     """Acquires the batches assigned to this gateway by rendezvous hashing, records results, closes finished batches.
 
-    The owner of a batch is the holder of its result log's lease. Of an OpenBatch, this class maintains all fields
+    The owner of a batch is the leaseholder of its result log. Of an OpenBatch, this class maintains all fields
     except `id` and `spec`.
     """
 
@@ -45,7 +45,7 @@
         self._serving = serving
         self._open_batches = open_batches
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Registers the handler of cancellations, and starts to look for batches to acquire or to close."""
         self._ctx.rpc.register_handler("lots.end", EndRequest, self._handle_cancel)
         timer = self._ctx.timers.call_repeatedly(
@@ -56,10 +56,10 @@
         )
         self._open_batches.add_timer(timer)
 
-    def give_up_all(self) -> None:
-        """Cancels all running items and gives up all batches, for a graceful shutdown."""
+    def release_all(self) -> None:
+        """Cancels all running items and releases all batches, for a graceful shutdown."""
         for batch in self._open_batches.all():
-            self._give_up(batch)
+            self._release(batch)
 
     async def record_result(self, batch: OpenBatch, result: Result) -> None:
         """Appends an item's result if this gateway still owns the batch and the item has no result yet."""
@@ -81,15 +81,15 @@
         self._ctx.logger.info("lot_completed", lot=batch.id)
         await self._close(batch)
 
-    async def cancel_local_batch(self, batch_id: str) -> CancelStatus:
+    async def cancel_local_batch(self, batch_id: str) -> CancelResult:
         """Cancels a batch as its owner: first durably in its result log, then its running items."""
         batch = self._open_batches.get(batch_id)
         if batch is None:
-            return CancelStatus.CLOSED if self._open_batches.is_closed(batch_id) else CancelStatus.UNKNOWN
+            return CancelResult.ALREADY_ENDED if self._open_batches.is_closed(batch_id) else CancelResult.UNKNOWN
         if batch.leaseholder is None:
             await self._acquire(batch)
         if batch.leaseholder is None:
-            return CancelStatus.CLOSED if self._open_batches.is_closed(batch_id) else CancelStatus.NOT_OWNED
+            return CancelResult.ALREADY_ENDED if self._open_batches.is_closed(batch_id) else CancelResult.NOT_OWNED
         leaseholder = batch.leaseholder
         try:
             await self._end_log(leaseholder, "ended")
@@ -98,14 +98,14 @@
                 _cancel_items(batch)
         self._ctx.logger.info("lot_cancelled", lot=batch_id)
         spawn(self._close(batch)).addErrback(lambda _: None)
-        return CancelStatus.CANCELLED
+        return CancelResult.CANCELLED
 
     async def _handle_cancel(self, _: str, request: EndRequest) -> EndResponse:
-        status = await self.cancel_local_batch(request.lot)
-        return EndResponse(state=status.value)
+        result = await self.cancel_local_batch(request.lot)
+        return EndResponse(state=result.value)
 
     def _check_batches(self) -> None:
-        """Gives up batches whose lease is lost, closes finished ones, and acquires those assigned to this gateway."""
+        """Releases batches whose lease is lost, closes finished ones, and acquires those assigned to this gateway."""
         if not self._serving.is_current():
             return
         if self._ctx.cluster.zone_empty(self._ctx.settings.zone):
@@ -127,7 +127,7 @@
         if batch.leaseholder is None:
             return
         if batch.leaseholder.lost:
-            self._give_up(batch)
+            self._release(batch)
         elif batch.leaseholder.final or batch.is_finished():
             self._ctx.run_in_background(self.finish_if_done(batch), "finish_lot")
 
@@ -174,9 +174,9 @@
         for batch in self._open_batches.all():
             if batch.leaseholder is not None and not batch.running and not batch.leaseholder.lost:
                 self._ctx.run_in_background(self._ctx.replicated_log.release([batch.leaseholder]), "hand_over")
-                self._give_up(batch)
+                self._release(batch)
 
-    def _give_up(self, batch: OpenBatch) -> None:
+    def _release(self, batch: OpenBatch) -> None:
         for work in batch.running.values():
             work.cancel()
         batch.leaseholder = None
--- a/pipitlink/gateway/engine_registry.py
+++ b/pipitlink/gateway/engine_registry.py
@@ -14,11 +14,11 @@
 
 __all__ = ["EngineRegistry"]
 
-ENGINE_TIMEOUT = secs(3)
+SILENCE_TIMEOUT = secs(3)
 ENGINE_RETENTION = secs(60)
 FAILURE_BACKOFF = secs(1)
 SUSPENSION_THRESHOLD = secs(1.5)
-STALE_MESSAGE_SPAN = ms(500)
+RESUME_GRACE = ms(500)
 PUSH_TIMEOUT = ms(500)
 MAX_GOSSIPED_ENGINES = 1024
 
@@ -37,9 +37,9 @@
         self._checked_at = ctx.timers.now()
         self._resumed_at = ZERO
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Registers the handler of pushes, and adds the engines to the gossip of the membership."""
-        self._ctx.rpc.register_handler("engines.tell", EngineList, self._handle_update)
+        self._ctx.rpc.register_handler("engines.tell", EngineList, self._handle_updates)
         self._ctx.membership.add_gossip_extension(self)
 
     def add_new_engine_listener(self, listener: Callable[[], None]) -> None:
@@ -47,7 +47,7 @@
         self._new_engine_listeners.append(listener)
 
     def all(self) -> list[Engine]:
-        """Returns the known engines, ordered by name."""
+        """Returns the known engines, sorted by name."""
         return sorted(self._engines.values(), key=lambda engine: engine.name)
 
     def unordered(self) -> list[Engine]:
@@ -55,7 +55,7 @@
         return list(self._engines.values())
 
     def get(self, name: str) -> Engine | None:
-        """Returns the engine with a name, None if it is not known."""
+        """Returns an engine by its name, or None if it is unknown."""
         return self._engines.get(name)
 
     def announce(self, update: EngineUpdate) -> None:
@@ -67,23 +67,23 @@
     def merge(self, update: EngineUpdate) -> None:
         """Merges an announcement that an engine made `update.age_ms` ago, if it is newer than what is known."""
         now = self._ctx.timers.now()
-        renewed_at = now - ms(update.age_ms)
-        if now - renewed_at > ENGINE_RETENTION or not update.engine:
+        updated_at = now - ms(update.age_ms)
+        if now - updated_at > ENGINE_RETENTION or not update.engine:
             return
         engine = self._engines.get(update.engine)
         if engine is None or update.incarnation > engine.update.incarnation:
-            self._add_incarnation(update, renewed_at, engine)
+            self._add_incarnation(update, updated_at, engine)
         elif update.incarnation == engine.update.incarnation:
-            self._renew(engine, update, renewed_at)
+            self._renew(engine, update, updated_at)
 
     def status(self, engine: Engine) -> EngineStatus:
         """Returns the engine's status as known at this gateway."""
         now = self.check_for_suspension()
         if engine.update.state == EngineStatus.DRAINING:
             return EngineStatus.DRAINING
-        if now - engine.renewed_at > ENGINE_TIMEOUT:
+        if now - engine.updated_at > SILENCE_TIMEOUT:
             return EngineStatus.GONE
-        if engine.renewed_at < self._resumed_at or self._failed_recently(engine, now):
+        if engine.updated_at < self._resumed_at or self._failed_recently(engine, now):
             return EngineStatus.SUSPECT
         return EngineStatus.READY
 
@@ -105,7 +105,7 @@
     def remove_silent_engines(self, now: timedelta) -> None:
         """Removes engines without a recent announcement that run no requests of this gateway."""
         for name, engine in list(self._engines.items()):
-            if now - engine.renewed_at > ENGINE_RETENTION and not engine.local_requests:
+            if now - engine.updated_at > ENGINE_RETENTION and not engine.local_requests:
                 del self._engines[name]
 
     def _push(self, engines: EngineList) -> None:
@@ -114,8 +114,8 @@
             call = spawn(self._ctx.rpc.call(address, "engines.tell", engines, Empty, PUSH_TIMEOUT))
             call.addErrback(lambda _: None)
 
-    async def _handle_update(self, _: str, engines: EngineList) -> None:
-        if not self._just_resumed():
+    async def _handle_updates(self, _: str, engines: EngineList) -> None:
+        if not self._has_just_resumed():
             for update in engines.engines:
                 self.merge(update)
 
@@ -125,23 +125,23 @@
         for engine in self._engines.values():
             update = gossip.engines.add()
             update.CopyFrom(engine.update)
-            update.age_ms = to_ms(now - engine.renewed_at)
+            update.age_ms = to_ms(now - engine.updated_at)
 
     def merge_gossip(self, gossip: Gossip) -> None:
         """Merges the engines of received gossip."""
-        if not self._just_resumed():
+        if not self._has_just_resumed():
             for update in gossip.engines[:MAX_GOSSIPED_ENGINES]:
                 self.merge(update)
 
-    def _just_resumed(self) -> bool:
+    def _has_just_resumed(self) -> bool:
         """Returns whether a message may have been queued during a suspension, so that the ages in it are too low."""
         now = self.check_for_suspension()
-        return self._resumed_at > ZERO and now - self._resumed_at < STALE_MESSAGE_SPAN
+        return self._resumed_at > ZERO and now - self._resumed_at < RESUME_GRACE
 
-    def _add_incarnation(self, update: EngineUpdate, renewed_at: timedelta, previous: Engine | None) -> None:
+    def _add_incarnation(self, update: EngineUpdate, updated_at: timedelta, previous: Engine | None) -> None:
         stored = EngineUpdate()
         stored.CopyFrom(update)
-        engine = Engine(stored, renewed_at, self._ctx.timers.now())
+        engine = Engine(stored, updated_at, self._ctx.timers.now())
         if previous is not None:
             engine.live_requests = previous.live_requests
             engine.batch_items = previous.batch_items
@@ -157,11 +157,11 @@
         for listener in self._new_engine_listeners:
             listener()
 
-    def _renew(self, engine: Engine, update: EngineUpdate, renewed_at: timedelta) -> None:
+    def _renew(self, engine: Engine, update: EngineUpdate, updated_at: timedelta) -> None:
         now = self._ctx.timers.now()
-        if now - engine.renewed_at > ENGINE_TIMEOUT and now - renewed_at < ENGINE_TIMEOUT:
+        if now - engine.updated_at > SILENCE_TIMEOUT and now - updated_at < SILENCE_TIMEOUT:
             engine.ready_since = now
-        engine.renewed_at = max(engine.renewed_at, renewed_at)
+        engine.updated_at = max(engine.updated_at, updated_at)
         if update.state == EngineStatus.DRAINING and engine.update.state != EngineStatus.DRAINING:
             engine.update.state = update.state
             self._ctx.logger.info(
--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -24,9 +24,9 @@
 __all__ = ["EngineSelector"]
 
 SLOT_WAIT = ms(500)
-SLOT_POLL_INTERVAL = ms(100)
+RECHECK_INTERVAL = ms(100)
 MAX_WAITING = 128
-STARTUP_SPAN = secs(4)
+STARTUP_TIME = secs(4)
 UNANNOUNCED_RETRY_AFTER_S = 2
 LOAD_BOUND = 1.25
 RANK_VALUES = 2**64
@@ -66,7 +66,7 @@
         await self._rate_limits.acquire_permit(request)
         engine = await self._wait_for_engine(request)
         request.engine = engine
-        release_slot = self._slots.acquire(engine, batch_item=request.is_batch_item)
+        release_slot = self._slots.acquire(engine, is_batch_item=request.is_batch_item)
         request.release_slot = partial(self._release_slot, release_slot)
         request.attempts += 1
         request.trigger("choose_engine")
@@ -79,7 +79,7 @@
             for candidate in self._candidates.find_ready(request.model, request.pool)
             if candidate.engine.name not in request.excluded_engines
         ]
-        free = [candidate for candidate in ready if self._has_free_slot(request, candidate.engine)]
+        free = [candidate for candidate in ready if self._has_capacity(request, candidate.engine)]
         if not free:
             return None
         loads = {candidate.engine.name: self._load(candidate.engine) for candidate in ready}
@@ -91,16 +91,16 @@
         ).engine
 
     async def _wait_for_engine(self, request: RequestRecord) -> Engine:
-        give_up_at = min(request.deadline, self._ctx.timers.now() + SLOT_WAIT)
+        deadline = min(request.deadline, self._ctx.timers.now() + SLOT_WAIT)
         while True:
             engine = self.select(request)
             if engine is not None:
                 return engine
             self._check_candidates(request)
-            left = give_up_at - self._ctx.timers.now()
+            left = deadline - self._ctx.timers.now()
             if left <= ZERO or self._waiting >= MAX_WAITING:
                 raise ServiceUnavailable("no engine has a free slot", retry_after=self._retry_after.seconds())
-            await self._wait_for_free_slot(left)
+            await self._wait_for_capacity(left)
 
     def _check_candidates(self, request: RequestRecord) -> None:
         """Raises ApiError if waiting for a free slot cannot succeed."""
@@ -117,7 +117,7 @@
         if all(candidate.engine.name in request.excluded_engines for candidate in candidates):
             raise request.last_rejection or ServiceUnavailable("no other engine is left to try")
 
-    def _has_free_slot(self, request: RequestRecord, engine: Engine) -> bool:
+    def _has_capacity(self, request: RequestRecord, engine: Engine) -> bool:
         reserve = self._candidates.batch_reserve(request.model, engine) if request.is_batch_item else 0.0
         return self._slots.free_slots(engine, reserve) > 0
 
@@ -142,15 +142,15 @@
 
         A gateway that just started may not know all engines yet, and an engine for a row of the table may return.
         """
-        starting = self._ctx.timers.now() - self._serving.started_at < STARTUP_SPAN
+        starting = self._ctx.timers.now() - self._serving.started_at < STARTUP_TIME
         return starting or self._ctx.cluster.row(request.model, request.pool) is not None
 
-    async def _wait_for_free_slot(self, left: timedelta) -> None:
+    async def _wait_for_capacity(self, left: timedelta) -> None:
         waiter: defer.Deferred[None] = defer.Deferred()
-        self._slots.add_waiter(waiter)
+        self._slots.wait_for_capacity(waiter)
         self._waiting += 1
         try:
-            await self._ctx.timers.wait_at_most(waiter, min(left, SLOT_POLL_INTERVAL))
+            await self._ctx.timers.wait_at_most(waiter, min(left, RECHECK_INTERVAL))
         finally:
             self._waiting -= 1
 
--- a/pipitlink/gateway/engine_slots.py
+++ b/pipitlink/gateway/engine_slots.py
@@ -18,26 +18,26 @@
 from .engine import Engine, PeerLoad
 from .engine_registry import EngineRegistry
 
-__all__ = ["CapacityQuota", "EngineSlots", "LoadsCarrier"]
+__all__ = ["CapacityQuota", "EngineSlots", "LoadReportContributor"]
 
 REPORT_INTERVAL = ms(200)
 REPORT_TIMEOUT = ms(400)
-PEER_LOAD_SPAN = secs(2)
-REPORT_LINGER_SPAN = secs(6)
-SLOW_START_SPAN = secs(8)
+PEER_LOAD_VALIDITY = secs(2)
+REPORT_LINGER_TIME = secs(6)
+SLOW_START_DURATION = secs(8)
 SLOW_START_MIN_FRACTION = 0.1
 ROTATION_MS = 100
 PROMPT_REPORT_DELAY = ms(5)
 RANK_BYTES = 8
 
 
-class LoadsCarrier(Protocol):
+class LoadReportContributor(Protocol):
     """A component that adds its own data to the load reports between gateways."""
 
-    def fill_loads(self, loads: Loads) -> None:
+    def add_to_report(self, loads: Loads) -> None:
         """Adds its data to this gateway's report."""
 
-    def absorb_loads(self, loads: Loads) -> None:
+    def apply_report(self, loads: Loads) -> None:
         """Reads its data from another gateway's report."""
 
 
@@ -68,19 +68,19 @@
         self._registry = registry
         self._waiters: list[defer.Deferred[None]] = []
         self._reported: dict[str, int] = {}
-        self._carriers: list[LoadsCarrier] = []
+        self._contributors: list[LoadReportContributor] = []
         self._report_scheduled = False
         self._active_at = ctx.timers.now()
-        registry.add_new_engine_listener(self.wake_waiters)
+        registry.add_new_engine_listener(self.notify_capacity)
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Registers the handler of reports, and starts to send reports."""
         self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
         self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self.report_loads, self._ctx.error_reporter("report_loads"))
 
-    def add_loads_carrier(self, carrier: LoadsCarrier) -> None:
+    def add_contributor(self, contributor: LoadReportContributor) -> None:
         """Adds a component that fills and reads the reports too."""
-        self._carriers.append(carrier)
+        self._contributors.append(contributor)
 
     def record_rejection(self, engine: Engine) -> None:
         """Makes an engine that rejects requests far below its capacity suspect, and restarts its slow start."""
@@ -89,7 +89,7 @@
 
     def capacity(self, engine: Engine) -> int:
         """Returns how many requests may run on the engine now, which grows with its age in slow start."""
-        age = (self._ctx.timers.now() - engine.ready_since) / SLOW_START_SPAN
+        age = (self._ctx.timers.now() - engine.ready_since) / SLOW_START_DURATION
         fraction = min(1.0, SLOW_START_MIN_FRACTION + (1 - SLOW_START_MIN_FRACTION) * age)
         return max(1, int(engine.update.capacity * fraction))
 
@@ -97,7 +97,7 @@
         """Returns how many requests run on the engine: this gateway's, and others' by their recent reports."""
         now = self._ctx.timers.now()
         return engine.local_requests + sum(
-            load.running for load in engine.peer_loads.values() if now - load.reported_at < PEER_LOAD_SPAN
+            load.running for load in engine.peer_loads.values() if now - load.reported_at < PEER_LOAD_VALIDITY
         )
 
     def free_slots(self, engine: Engine, reserve: float = 0.0) -> int:
@@ -115,19 +115,19 @@
         guaranteed = 0 if self._in_slow_start(engine) else quota.of(capacity) - engine.local_requests
         return max(0, min(free, max(guaranteed, part_of_free)))
 
-    def acquire(self, engine: Engine, *, batch_item: bool) -> Callable[[], None]:
+    def acquire(self, engine: Engine, *, is_batch_item: bool) -> Callable[[], None]:
         """Acquires a slot of the engine; returns the function that releases it, to be called once."""
-        engine.change_local_requests(1, batch_item=batch_item)
+        engine.change_local_requests(1, is_batch_item=is_batch_item)
         if self._in_slow_start(engine) and not self._report_scheduled:
             self._report_scheduled = True
             self._ctx.timers.call_later(PROMPT_REPORT_DELAY, self.report_loads)
-        return partial(self._release, engine.name, batch_item)
+        return partial(self._release, engine.name, is_batch_item)
 
-    def add_waiter(self, waiter: defer.Deferred[None]) -> None:
+    def wait_for_capacity(self, waiter: defer.Deferred[None]) -> None:
         """Adds a Deferred to fire as soon as some engine may have more free slots."""
         self._waiters.append(waiter)
 
-    def wake_waiters(self) -> None:
+    def notify_capacity(self) -> None:
         """Fires all Deferreds that wait for a free slot."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
@@ -146,18 +146,18 @@
         running = {engine.name: engine.local_requests for engine in self._registry.unordered()}
         self._reported = running
         loads = Loads(gateway=self._ctx.node, loads=[Load(engine=name, running=n) for name, n in running.items()])
-        for carrier in self._carriers:
-            carrier.fill_loads(loads)
+        for contributor in self._contributors:
+            contributor.add_to_report(loads)
         if loads.permits or loads.lots or any(running.values()):
             self._active_at = now
-        if now - self._active_at < REPORT_LINGER_SPAN:
+        if now - self._active_at < REPORT_LINGER_TIME:
             self._send(loads)
-        self.wake_waiters()
+        self.notify_capacity()
 
     async def handle_loads(self, _: str, loads: Loads) -> None:
         """Records the report of another gateway."""
-        for carrier in self._carriers:
-            carrier.absorb_loads(loads)
+        for contributor in self._contributors:
+            contributor.apply_report(loads)
         now = self._ctx.timers.now()
         for load in loads.loads:
             engine = self._registry.get(load.engine)
@@ -171,7 +171,7 @@
             call.addErrback(lambda _: None)
 
     def _in_slow_start(self, engine: Engine) -> bool:
-        return self._ctx.timers.now() - engine.ready_since < SLOW_START_SPAN
+        return self._ctx.timers.now() - engine.ready_since < SLOW_START_DURATION
 
     def _quota(self, engine: Engine) -> CapacityQuota:
         """Returns this gateway's current quota of the engine.
@@ -191,14 +191,14 @@
         return {
             member.node
             for member in membership.members("gateway", statuses=("suspect", "gone"))
-            if membership.time_in_status(member.node) < SLOW_START_SPAN
+            if membership.time_in_status(member.node) < SLOW_START_DURATION
         }
 
-    def _release(self, name: str, batch_item: bool) -> None:
+    def _release(self, name: str, is_batch_item: bool) -> None:
         engine = self._registry.get(name)
         if engine is not None:
-            engine.change_local_requests(-1, batch_item=batch_item)
-        self.wake_waiters()
+            engine.change_local_requests(-1, is_batch_item=is_batch_item)
+        self.notify_capacity()
 
 
 def _quota_rank(engine: str, gateway: str) -> bytes:
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -47,9 +47,9 @@
 __all__ = ["GatewayNode"]
 
 DRAIN_TIMEOUT = secs(6)
-DRAIN_POLL_INTERVAL = ms(50)
+DRAIN_CHECK_INTERVAL = ms(50)
 OK = 200
-UNAVAILABLE = 503
+SERVICE_UNAVAILABLE = 503
 CACHE_COUNTS = ("relaxed", "consistent", "durable", "durable_reads", "hedged", "unheard")
 
 
@@ -116,15 +116,15 @@
 
     def open(self) -> None:
         """Registers RPC handlers and starts timers; each component starts after those that it depends on."""
-        self.engines.start()
-        self.slots.start()
-        self.rate_limits.start()
-        self.runs.start()
-        self.idempotency_keys.start()
-        self.batch_log_follower.start()
-        self.results.start()
-        self.batch_ownership.start()
-        self.item_dispatcher.start()
+        self.engines.open()
+        self.slots.open()
+        self.rate_limits.open()
+        self.runs.open()
+        self.idempotency_keys.open()
+        self.batch_log_follower.open()
+        self.results.open()
+        self.batch_ownership.open()
+        self.item_dispatcher.open()
 
     async def listen(self, host: str, port: int) -> int:
         """Listens for clients; returns the bound port."""
@@ -154,7 +154,7 @@
         """Responds whether this gateway accepts requests."""
         ready = self.serving.is_current()
         content = {"ready": ready, "cluster": self._ctx.cluster.sequence}
-        body: bytes = send_json(request, content, OK if ready else UNAVAILABLE)
+        body: bytes = send_json(request, content, OK if ready else SERVICE_UNAVAILABLE)
         return body
 
     def show_live(self, request: Request) -> bytes:
@@ -209,10 +209,10 @@
         if self._port is not None:
             await self._port.stopListening()
         timers = self._ctx.timers
-        give_up_at = timers.now() + DRAIN_TIMEOUT
-        while self.table.has_unsettled() and timers.now() < give_up_at:
-            await timers.sleep(DRAIN_POLL_INTERVAL)
-        self.batch_ownership.give_up_all()
+        deadline = timers.now() + DRAIN_TIMEOUT
+        while self.table.has_unsettled() and timers.now() < deadline:
+            await timers.sleep(DRAIN_CHECK_INTERVAL)
+        self.batch_ownership.release_all()
         replicated_log = self._ctx.replicated_log
         await replicated_log.release(list(replicated_log.leaseholders.values()))
         await self._ctx.membership.leave()
--- a/pipitlink/gateway/rate_limits.py
+++ b/pipitlink/gateway/rate_limits.py
@@ -20,9 +20,9 @@
 
 __all__ = ["RateLimits"]
 
-SETTLE_SPAN = ms(600)
-REPORT_DELAY_SPAN = secs(1)
-RECENT_LOSS_SPAN = secs(60)
+SETTLING_TIME = ms(600)
+MAX_REPORT_DELAY = secs(1)
+RECENT_LOSS_WINDOW = secs(60)
 SUSPENSION_THRESHOLD = secs(1)
 CALL_TIMEOUT = ms(400)
 PERMIT_POLL_INTERVAL = ms(60)
@@ -50,10 +50,10 @@
         self._known_gateways: frozenset[str] = frozenset()
         self._gateways_changed_at = self._checked_at = ctx.timers.now()
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Registers the RPC handler of the coordinator, and adds the permits to the load reports."""
         self._ctx.rpc.register_handler("limits.take", PermitRequest, self._handle_permit_request)
-        self._slots.add_loads_carrier(self)
+        self._slots.add_contributor(self)
 
     def coordinator(self, row: str) -> str:
         """Returns the node that grants the permits of a row, as known at this gateway."""
@@ -88,12 +88,12 @@
         self._permits[permit_id] = row.name
         request.release_permit = partial(self._release_permit, permit_id)
 
-    def fill_loads(self, loads: Loads) -> None:
+    def add_to_report(self, loads: Loads) -> None:
         """Adds the permits that this gateway holds to its load report."""
         self._detect_gateway_changes()
         loads.permits.extend(Permit(row=row, id=permit_id) for permit_id, row in self._permits.items())
 
-    def absorb_loads(self, loads: Loads) -> None:
+    def apply_report(self, loads: Loads) -> None:
         """Records the permits that another gateway reports; permits missing from the report were released.
 
         A permit that was granted a short time ago may be missing because the report was sent before the grant.
@@ -107,7 +107,7 @@
                 if (
                     granted.gateway == loads.gateway
                     and permit_id not in reported
-                    and now - granted.granted_at > REPORT_DELAY_SPAN
+                    and now - granted.granted_at > MAX_REPORT_DELAY
                 ):
                     del row.permits[permit_id]
 
@@ -115,13 +115,13 @@
         return self._rows.setdefault(row, RowLimits())
 
     async def _wait_for_permit(self, request: RequestRecord, row: Row, permit_id: str) -> None:
-        give_up_at = min(request.deadline, self._ctx.timers.now() + MAX_PERMIT_WAIT)
+        deadline = min(request.deadline, self._ctx.timers.now() + MAX_PERMIT_WAIT)
         while True:
             self._slots.keep_reporting()
             response = await self._call_coordinator(PermitRequest(row=row.name, id=permit_id))
             if response.granted:
                 return
-            if self._ctx.timers.now() + PERMIT_POLL_INTERVAL >= give_up_at:
+            if self._ctx.timers.now() + PERMIT_POLL_INTERVAL >= deadline:
                 raise ServiceUnavailable(
                     f"row {row.name} allows {row.concurrency} concurrent requests",
                     code="concurrency_limited",
@@ -192,7 +192,7 @@
         return (
             self._ctx.cluster.ready()
             and len(alive) >= missing
-            and self._ctx.timers.now() - self._gateways_changed_at >= SETTLE_SPAN
+            and self._ctx.timers.now() - self._gateways_changed_at >= SETTLING_TIME
         )
 
     def _missing_gateways(self, alive_addresses: set[Address]) -> int:
@@ -201,6 +201,6 @@
         missing = 0
         for member in membership.members("gateway", statuses=("suspect", "gone"), include_self=False):
             replaced = (member.host, member.port) in alive_addresses
-            if not replaced and membership.time_in_status(member.node) < RECENT_LOSS_SPAN:
+            if not replaced and membership.time_in_status(member.node) < RECENT_LOSS_WINDOW:
                 missing += 1
         return missing
--- a/pipitlink/gateway/result_reader.py
+++ b/pipitlink/gateway/result_reader.py
@@ -17,9 +17,9 @@
 
 __all__ = ["BatchResults", "ResultReader"]
 
-UNUSED_READER_RETENTION = secs(30)
-EXPIRY_INTERVAL = secs(5)
-FRESH_SPAN = ms(400)
+UNUSED_RESULTS_RETENTION = secs(30)
+DROP_INTERVAL = secs(5)
+RECONFIRM_AFTER = ms(400)
 MAX_STALENESS = secs(1)
 MAX_TAIL_LAG = secs(1)
 MAX_CACHED_SPECS = 256
@@ -60,9 +60,9 @@
         self._results: dict[str, BatchResults] = {}
         self._spec_cache: dict[str, Lot] = {}
 
-    def start(self) -> None:
+    def open(self) -> None:
         """Starts to remove results that are no longer requested."""
-        self._ctx.timers.call_repeatedly(EXPIRY_INTERVAL, self._drop_unused, self._ctx.error_reporter("expire_readers"))
+        self._ctx.timers.call_repeatedly(DROP_INTERVAL, self._drop_unused, self._ctx.error_reporter("expire_readers"))
 
     async def find_batch(self, batch_id: str) -> Lot:
         """Returns a batch by its id.
@@ -97,7 +97,7 @@
             results = self._results[batch_id] = BatchResults(tail, now)
         results.used_at = now
         lengths = results.tail.lengths
-        if lengths.confirmed_at is None or now - lengths.confirmed_at > FRESH_SPAN:
+        if lengths.confirmed_at is None or now - lengths.confirmed_at > RECONFIRM_AFTER:
             await self._ctx.cache.poller.confirm_durable([results.tail.path])
         if lengths.confirmed_at is None or self._ctx.timers.now() - lengths.confirmed_at > MAX_STALENESS:
             raise ServiceUnavailable("the store cannot be read now", code="no_majority", outcome="unknown")
@@ -141,7 +141,7 @@
     def _drop_unused(self) -> None:
         now = self._ctx.timers.now()
         for batch_id, results in list(self._results.items()):
-            if now - results.used_at > UNUSED_READER_RETENTION:
+            if now - results.used_at > UNUSED_RESULTS_RETENTION:
                 results.tail.close()
                 del self._results[batch_id]
 
--- a/pipitlink/membership/member_table.py
+++ b/pipitlink/membership/member_table.py
@@ -16,7 +16,7 @@
 
 MemberListener = Callable[[Member], object]
 
-RECENT_CHANGE_SPAN = secs(3)
+RECENT_CHANGE_WINDOW = secs(3)
 DIGEST_BYTES = 8
 
 
@@ -43,7 +43,7 @@
         self._listeners.append(listener)
 
     def members(self, role: str | None, statuses: tuple[str, ...], include_self: bool) -> list[Member]:
-        """Returns the members with one of the statuses, of one role or (None) of any, ordered by node id."""
+        """Returns the members with one of the statuses, of one role or (None) of any, sorted by node id."""
         selection = _Selection(role, statuses, include_self)
         selected = self._selected.get(selection)
         if selected is None:
@@ -82,15 +82,15 @@
         return self._digest
 
     def recently_changed(self) -> list[Peer]:
-        """Returns the peers that changed within RECENT_CHANGE_SPAN, for which gossip repeats a change."""
+        """Returns the peers that changed within RECENT_CHANGE_WINDOW, for which gossip repeats a change."""
         now = self._timers.now()
-        if now - self._changed_at >= RECENT_CHANGE_SPAN:
+        if now - self._changed_at >= RECENT_CHANGE_WINDOW:
             return []
-        return [peer for peer in self.peers.values() if now - peer.changed_at < RECENT_CHANGE_SPAN]
+        return [peer for peer in self.peers.values() if now - peer.changed_at < RECENT_CHANGE_WINDOW]
 
     def local_changed_recently(self) -> bool:
-        """Returns whether this node's own record changed within RECENT_CHANGE_SPAN."""
-        return self._timers.now() - self._local_changed_at < RECENT_CHANGE_SPAN
+        """Returns whether this node's own record changed within RECENT_CHANGE_WINDOW."""
+        return self._timers.now() - self._local_changed_at < RECENT_CHANGE_WINDOW
 
     def set_local_status(self, status: MemberStatus) -> None:
         """Changes this node's status in its own record."""
@@ -109,7 +109,7 @@
         for listener in self._listeners:
             listener(peer.member)
 
-    def forget(self, node: str) -> None:
+    def remove(self, node: str) -> None:
         """Removes a peer; the listeners are not called."""
         del self.peers[node]
         self._invalidate()
--- a/pipitlink/router/batch_canceller.py
+++ b/pipitlink/router/batch_canceller.py
@@ -17,7 +17,7 @@
 
 TIMEOUT = secs(8)
 RETRY_INTERVAL = ms(150)
-REQUEST_TIMEOUT = secs(3)
+CALL_TIMEOUT = secs(3)
 
 
 class CancelResult(StrEnum):
@@ -38,7 +38,7 @@
 
     def open(self) -> None:
         """Starts cancelling batches on behalf of other gateways."""
-        self._ctx.rpc.register_handler("batches.end", EndRequest, self._on_request)
+        self._ctx.rpc.register_handler("batches.end", EndRequest, self._handle_cancel)
 
     async def cancel(self, batch_id: str) -> HttpResponse:
         """Cancels a batch, and responds once the end of its log is durable."""
@@ -85,13 +85,13 @@
         address = (member.host, member.port)
         request = EndRequest(lot=batch_id)
         try:
-            response = await self._ctx.rpc.call(address, "batches.end", request, EndResponse, REQUEST_TIMEOUT)
+            response = await self._ctx.rpc.call(address, "batches.end", request, EndResponse, CALL_TIMEOUT)
         except (WireError, RemoteError) as error:
             self._ctx.logger.debug("batch_owner_unreachable", batch=batch_id, text=error)
             return CancelResult.UNCERTAIN
         return str(response.state)
 
-    async def _on_request(self, _node: str, request: EndRequest) -> EndResponse:
+    async def _handle_cancel(self, _node: str, request: EndRequest) -> EndResponse:
         if not is_valid_batch_id(request.lot):
             return EndResponse(state=CancelResult.INVALID_ID.value)
         result = await self._cancel_here(request.lot)
--- a/pipitlink/router/engine_registry.py
+++ b/pipitlink/router/engine_registry.py
@@ -15,7 +15,7 @@
 __all__ = ["EngineRegistry", "EngineSlot"]
 
 SILENCE_TIMEOUT = secs(3.6)
-REMOVAL_TIMEOUT = secs(30)
+ENGINE_RETENTION = secs(30)
 GONE_RETENTION = secs(60)
 # If two checks of the clock are further apart than this, the process or its machine is assumed to have been suspended.
 SUSPENSION_THRESHOLD = secs(1.5)
@@ -73,12 +73,12 @@
         self._capacity_waiters: list[defer.Deferred[None]] = []
         self._gone_listeners: list[Callable[[Engine], None]] = []
         self._gone_at: dict[str, timedelta] = {}
-        self._clock_checked_at = ctx.timers.now()
+        self._checked_at = ctx.timers.now()
         self._resumed_at = ZERO
 
     def open(self) -> None:
         """Starts to receive engine updates."""
-        self._ctx.rpc.register_handler("engines.tell", EngineList, self._on_updates)
+        self._ctx.rpc.register_handler("engines.tell", EngineList, self._handle_updates)
 
     def add_gone_listener(self, listener: Callable[[Engine], None]) -> None:
         """Registers a function that is called with each engine that is removed."""
@@ -108,13 +108,13 @@
         """Returns the number of gateways, including this one."""
         return len(self._ctx.membership.members("gateway"))
 
-    async def _on_updates(self, _node: str, message: EngineList) -> None:
+    async def _handle_updates(self, _node: str, message: EngineList) -> None:
         for update in message.engines:
             self.merge(update)
 
     def merge(self, update: EngineUpdate) -> None:
         """Applies an update of one engine from the control plane; outdated updates are ignored."""
-        now = self.check_clock()
+        now = self.check_for_suspension()
         updated_at = now - ms(update.age_ms)
         engine = self._engines.get(update.engine)
         if engine is None:
@@ -158,7 +158,7 @@
             return
         engine.updated_at = max(engine.updated_at, updated_at)
         if update.sequence > engine.update.sequence:
-            engine.warming_until = updated_at + ms(update.slow_start_ms)
+            engine.slow_start_until = updated_at + ms(update.slow_start_ms)
             engine.update.sequence = update.sequence
 
     def remove(self, engine: Engine) -> None:
@@ -172,27 +172,27 @@
         for listener in self._gone_listeners:
             listener(engine)
 
-    def remove_silent(self, now: timedelta) -> None:
+    def remove_silent_engines(self, now: timedelta) -> None:
         """Removes engines that are no longer announced; they are added again when they are announced again."""
         for engine in self.unordered():
-            if now - engine.updated_at > REMOVAL_TIMEOUT and not engine.running:
+            if now - engine.updated_at > ENGINE_RETENTION and not engine.running:
                 self.remove(engine)
                 del self._gone_at[engine.name]
         for name, gone_at in list(self._gone_at.items()):
             if now - gone_at > GONE_RETENTION:
                 del self._gone_at[name]
 
-    def check_clock(self) -> timedelta:
+    def check_for_suspension(self) -> timedelta:
         """Returns the time, and detects whether this process was suspended since the last check."""
         now = self._ctx.timers.now()
-        if now - self._clock_checked_at > SUSPENSION_THRESHOLD:
+        if now - self._checked_at > SUSPENSION_THRESHOLD:
             self._resumed_at = now
-        self._clock_checked_at = now
+        self._checked_at = now
         return now
 
     def status(self, engine: Engine) -> str:
         """Returns the status of an engine: an EngineStatus, or another state that the control plane announces."""
-        now = self.check_clock()
+        now = self.check_for_suspension()
         if engine.update.state != EngineStatus.READY:
             return engine.update.state
         if now - engine.updated_at > SILENCE_TIMEOUT:
--- a/pipitlink/router/load_exchange.py
+++ b/pipitlink/router/load_exchange.py
@@ -50,8 +50,8 @@
 
     def open(self) -> None:
         """Starts to send and receive reports."""
-        self._ctx.rpc.register_handler("engines.loads", Loads, self.on_peer_loads)
-        self._ctx.rpc.register_handler("engines.totals", LoadTotals, self._on_totals)
+        self._ctx.rpc.register_handler("engines.loads", Loads, self.handle_loads)
+        self._ctx.rpc.register_handler("engines.totals", LoadTotals, self._handle_totals)
         self._ctx.membership.add_listener(self._on_member_changed)
         self._ctx.timers.call_repeatedly(REPORT_INTERVAL, self._report, self._ctx.error_reporter("report_loads"))
 
@@ -71,8 +71,8 @@
                 engine.peer_loads.pop(member.node, None)
 
     def _report(self) -> None:
-        now = self._engines.check_clock()
-        self._engines.remove_silent(now)
+        now = self._engines.check_for_suspension()
+        self._engines.remove_silent_engines(now)
         own = {
             engine.name: EngineLoad(engine.running, engine.batch_items)
             for engine in self._engines.unordered()
@@ -95,7 +95,7 @@
                 receivers = [max(controllers, key=lambda member: rank("loads", member.node))]
         return [(member.host, member.port) for member in receivers]
 
-    async def on_peer_loads(self, _node: str, report: Loads) -> None:
+    async def handle_loads(self, _node: str, report: Loads) -> None:
         """Applies the report of another gateway."""
         for contributor in self._contributors:
             contributor.apply_report(report)
@@ -103,7 +103,7 @@
             report.gateway, {load.engine: EngineLoad(load.running, load.batch) for load in report.loads}
         )
 
-    async def _on_totals(self, _node: str, totals: LoadTotals) -> None:
+    async def _handle_totals(self, _node: str, totals: LoadTotals) -> None:
         """Applies the totals of a controller, less the last report of this gateway, which they include."""
         for report in totals.lots:
             if report.gateway != self._ctx.node:
--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -19,7 +19,7 @@
 __all__ = ["QuotaCoordinator"]
 
 GRANT_VALIDITY = secs(5)
-REQUEST_TIMEOUT = ms(400)
+CALL_TIMEOUT = ms(400)
 RETRY_INTERVAL = ms(50)
 OVER_QUOTA_WAIT_MS = 1000
 UNCERTAIN_RETRY_AFTER_S = 0.2
@@ -51,7 +51,7 @@
 
     def open(self) -> None:
         """Starts to respond to requests of other gateways."""
-        self._ctx.rpc.register_handler("quota.take", QuotaRequest, self._on_request)
+        self._ctx.rpc.register_handler("quota.take", QuotaRequest, self._handle_request)
 
     def coordinator_of(self, route: str) -> str:
         """Returns the gateway that counts the waiting tokens of a route."""
@@ -102,11 +102,11 @@
             return QuotaResponse(uncertain=True)
         address = (member.host, member.port)
         try:
-            return await self._ctx.rpc.call(address, "quota.take", request, QuotaResponse, REQUEST_TIMEOUT)
+            return await self._ctx.rpc.call(address, "quota.take", request, QuotaResponse, CALL_TIMEOUT)
         except (WireError, RemoteError):
             return QuotaResponse(uncertain=True)
 
-    async def _on_request(self, node: str, request: QuotaRequest) -> QuotaResponse:
+    async def _handle_request(self, node: str, request: QuotaRequest) -> QuotaResponse:
         return self._grant(node, request)
 
     def _grant(self, gateway: str, request: QuotaRequest) -> QuotaResponse:
--- a/pipitlink/router/slow_start.py
+++ b/pipitlink/router/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: limits the request rate of engines that are warming up."""
+"""Limits the request rate of engines in slow start."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class SlowStart:
-    """Admits requests to engines that are warming up, with a token bucket per engine.
+    """Admits requests to engines in slow start, with a token bucket per engine.
 
-    An engine warms up for a time after its start and after its zone was put back into service. Its rate is divided
-    among at most MAX_GATEWAYS gateways; nodes that know the same gateways choose the same ones.
+    An engine is in slow start for a time after its start and after its zone was put back into service. Its rate is
+    divided among at most MAX_GATEWAYS gateways; nodes that know the same gateways choose the same ones.
     """
 
     def __init__(self, ctx: Context) -> None:
@@ -40,10 +40,10 @@
             self._restored_zones[zone] = now
         self._empty_zones = empty_zones
 
-    def is_warming_up(self, engine: Engine) -> bool:
-        """Returns whether an engine is warming up."""
+    def in_slow_start(self, engine: Engine) -> bool:
+        """Returns whether an engine is in slow start."""
         now = self._ctx.timers.now()
-        if engine.warming_until > now:
+        if engine.slow_start_until > now:
             return True
         restored_at = self._restored_zones.get(engine.update.zone)
         pool = self._ctx.cluster.cluster_state.routes.pools.get(engine.update.pool)
@@ -52,7 +52,7 @@
     def admits(self, engine: Engine) -> bool:
         """Returns whether an engine may get one more request now; the EngineSlot of the request takes the token."""
         pool = self._ctx.cluster.cluster_state.routes.pools.get(engine.update.pool)
-        if pool is None or not pool.slow_start_rate or not self.is_warming_up(engine):
+        if pool is None or not pool.slow_start_rate or not self.in_slow_start(engine):
             return True
         gateways = self._gateways_of(engine)
         if self._ctx.node not in gateways:
@@ -65,7 +65,7 @@
         return engine.slow_start_tokens >= 1.0
 
     def _gateways_of(self, engine: Engine) -> frozenset[str]:
-        """Returns the gateways that may send requests to an engine while it warms up."""
+        """Returns the gateways that may send requests to an engine in slow start."""
         candidates = tuple(member.node for member in self._ctx.membership.members("gateway"))
         if engine.slow_start_candidates != candidates:
             ranked = sorted(candidates, key=lambda node: rank(engine.name, node), reverse=True)
