--- a/pipitlink/dialect/json_fields.py
+++ b/pipitlink/dialect/json_fields.py
@@ -50,9 +50,10 @@
 
 @attrs.frozen
 class JsonField:
-    """A field of a JSON object, and the message field that it is stored in.
+    """A field of a JSON object, and the message field (`attribute`) that its value is stored in.
 
-    `key` is its name in the object, a dotted path where it is in a nested object. Numbers are multiplied by `scale`.
+    `key` is its name in the object, or a dotted path if it is in a nested object. A number that is read from the object
+    is multiplied by `scale` before it is stored in the message, unless its kind is SIGNED.
     """
 
     key: str
@@ -67,7 +68,7 @@
 ) -> tuple[JsonField, ...]:
     """Returns the fields in the same order with their keys renamed; `keys` maps current keys to new ones.
 
-    Fields whose new key is in `in_seconds` are read in seconds instead of milliseconds.
+    Fields whose new key is in `in_seconds` have values in seconds, which are stored in milliseconds.
     """
     fields = tuple(fields)
     assert set(keys) <= {field.key for field in fields}, "a key to rename is not a key of any field"
--- a/pipitlink/router/batch_capacity.py
+++ b/pipitlink/router/batch_capacity.py
@@ -34,11 +34,12 @@
         self._slow_start = slow_start
 
     def available(self, route: Route, backlog: RouteBacklog) -> int:
-        """Returns how many batch items on this route this gateway may start now.
+        """Returns how many batch items on this route this gateway may start now; 0 or less if none.
 
-        All gateways together may use the slots that live requests leave free. Each gateway gets a fraction of them in
-        proportion to its waiting tokens. It therefore does not need to know what the others have started since their
-        last reports, and with many batches open no gateway has to wait for slots that others hold.
+        The slots that live requests leave free are divided among the gateways in proportion to their waiting tokens. A
+        gateway therefore need not know what the others have started since their last reports, and cannot take up the
+        slots of the others when it has many batches. It may fill its own part, at least MIN_OWN_SLOTS, but the number
+        of its items that wait for the first event from their engine is limited too.
         """
         slots = total_slots = running = 0
         engines = [
--- a/pipitlink/router/engine_selector.py
+++ b/pipitlink/router/engine_selector.py
@@ -43,7 +43,8 @@
 # Calls that share a prefix of at least this many tokens prefer the same engine (prefix affinity).
 MIN_AFFINITY_TOKENS = 256
 LONG_PROMPT_TOKENS = 3000
-# Long prompts go to this fraction of a pool's engines, as long as the pool had one within LONG_PROMPT_WINDOW.
+# For LONG_PROMPT_WINDOW after a long prompt to a pool with at least MIN_ENGINES_TO_SEPARATE engines, long prompts and
+# batch items prefer this fraction of its engines, and other calls prefer the rest.
 LONG_PROMPT_FRACTION = 0.67
 LONG_PROMPT_WINDOW = secs(10)
 MIN_ENGINES_TO_SEPARATE = 4
@@ -51,7 +52,7 @@
 NEAR_LONG_PROMPTS_COST_MS = 20.0
 BATCH_ITEM_ELSEWHERE_COST_MS = 8.0
 DEFAULT_MAX_CONNECTIONS = 1000
-# The remaining connections of an engine are reserved for gateways that join.
+# All gateways together may use this fraction of an engine's connections; the rest is reserved for gateways that join.
 CONNECTION_FRACTION = 0.9
 MIN_RETRY_AFTER_S = 0.05
 RETRY_AFTER_JITTER_S = 0.15
@@ -142,7 +143,7 @@
             self._waiting -= 1
 
     def retry_after(self) -> float:
-        """Returns the number of seconds after which to retry, with jitter so that clients do not retry at once."""
+        """Returns the number of seconds after which to retry, with jitter so that clients do not retry in step."""
         return round(MIN_RETRY_AFTER_S + RETRY_AFTER_JITTER_S * self._ctx.rng.random(), 3)
 
     def _choose_pool(self, call: Call) -> str:
@@ -260,7 +261,9 @@
         return cost
 
     def _long_prompt_engines(self, pool: str, is_long: bool, candidates: Sequence[Engine]) -> set[str]:
-        """Returns the engines to which long prompts go; none if the pool is small or had no long prompts recently.
+        """Returns the engines that long prompts and batch items prefer.
+
+        Returns an empty set if the pool is small or this gateway had no long prompt for it recently.
 
         A long prefill delays the decoding of all other requests on its engine, so short requests with a latency target
         are kept on other engines. All gateways that know the same engines choose the same ones.
--- a/pipitlink/router/quota.py
+++ b/pipitlink/router/quota.py
@@ -29,8 +29,8 @@
 class QuotaCoordinator:
     """Admits batches within the quota of their route, which one gateway, its coordinator, tracks for all gateways.
 
-    Every gateway is the coordinator of some routes. A coordinator counts the tokens that it has granted itself
-    until the owner of the batch reports them.
+    Each gateway is the coordinator of some routes. A coordinator counts the tokens of each grant that it issues to a
+    gateway, until the owner of the batch reports them.
     """
 
     def __init__(
--- a/pipitlink/router/waiting_tokens.py
+++ b/pipitlink/router/waiting_tokens.py
@@ -44,7 +44,7 @@
 
 
 class TokenGrant(NamedTuple):
-    """Tokens of a route that this gateway, as its coordinator, has granted to a gateway for a batch."""
+    """Tokens of a route that this gateway, as the route's coordinator, has granted to a gateway for a batch."""
 
     route: str
     tokens: int
@@ -145,15 +145,18 @@
                 reported.gateway, reported.reported_at = "", now
 
     def count(self, batch_id: str, route: str, tokens: int) -> None:
-        """Counts a batch that no gateway reports."""
+        """Records the unfinished tokens of a batch that no gateway reports."""
         self.reported[batch_id] = ReportedBatch(route, tokens, "", self._ctx.timers.now())
         del self.uncounted[batch_id]
 
     def apply_listing(self, batch_ids: set[str], started_at: timedelta, is_complete: bool) -> None:
-        """Applies a listing of the open batches.
+        """Updates `uncounted` and `reported` from a listing of the open batches.
 
-        Finds the batches that no gateway has reported and, where the listing is complete, drops those that have ended.
-        A batch that has a valid grant and is not reported yet is counted by its grant.
+        `uncounted` becomes the listed batches that have no entry in `reported`, are not owned by this gateway and have
+        no grant that was still valid when the listing started; a granted batch is counted by its grant.
+
+        Batches that are missing from a complete listing are removed from `reported` if no gateway reports waiting
+        tokens for them any more, unless their entry changed less than LISTING_DELAY before the listing started.
         """
         now = self._ctx.timers.now()
         granted = {batch_id for batch_id, grant in self.grants.items() if grant.valid_until > started_at}
