--- a/pipitlink/gateway/engine_selector.py
+++ b/pipitlink/gateway/engine_selector.py
@@ -125,9 +125,10 @@
         return self._slots.running(engine) / max(1, self._slots.capacity(engine))
 
     def _select_by_prefix(self, prefix_key: str, free: list[Candidate], loads: dict[str, float]) -> Engine:
-        """Returns the engine with the highest score for the key whose load is within a bound.
+        """Returns, of the free engines within a load bound, the one with the highest affinity score for the key.
 
-        The bound is relative to the mean load of all ready engines. If all are above it, the highest score decides.
+        The bound is LOAD_BOUND times the mean load of all ready engines, plus one request. If all free engines are
+        above it, returns the one with the highest score.
         """
         bound = LOAD_BOUND * sum(loads.values()) / len(loads)
         free.sort(key=lambda candidate: -_affinity_score(prefix_key, candidate))
--- a/pipitlink/gateway/item_dispatcher.py
+++ b/pipitlink/gateway/item_dispatcher.py
@@ -81,7 +81,7 @@
         self._open_batches.add_timer(timer)
 
     def dispatch(self) -> defer.Deferred[None]:
-        """Starts items while there are free slots; the Deferred fires once no more can be started."""
+        """Starts all items that can be started now; the Deferred fires once no more can be started."""
         return spawn(self._dispatch_in_turns())
 
     async def _dispatch_in_turns(self) -> None:
@@ -89,7 +89,11 @@
             await self._ctx.timers.yield_to_reactor()
 
     def _start_items(self) -> int:
-        """Starts items while there are free slots, at most MAX_STARTS_PER_TURN; returns how many were started."""
+        """Starts up to MAX_STARTS_PER_TURN items and returns how many.
+
+        An item needs a free slot of an engine, unless its batch has passed its time limit: such an item is not run, and
+        only its result is recorded.
+        """
         if not self._serving.is_current() or self._ctx.cluster.zone_empty(self._ctx.settings.zone):
             return 0
         dispatch_round = self._begin_round()
--- a/pipitlink/gateway/request_table.py
+++ b/pipitlink/gateway/request_table.py
@@ -35,7 +35,7 @@
             request.on_first_chunk = lambda: self.first_chunk_latency.add(self._ctx.timers.now() - arrived_at)
 
     def find_run(self, run_id: str) -> RequestRecord:
-        """Returns the live request with an id. Raises NotFound if this gateway does not have it, or no longer."""
+        """Returns the live request of a run. Raises NotFound if this gateway never had it or has removed it."""
         request = self.requests.get(run_id)
         if request is None or request.kind != RequestKind.LIVE:
             raise NotFound(
