--- a/pipitlink/cluster/currency.py
+++ b/pipitlink/cluster/currency.py
@@ -18,7 +18,11 @@
 
 
 class CurrencyState(StrEnum):
-    """What proves that a cluster state is current. The values are shown to operators."""
+    """Whether a node's cluster state is proven to be current, and by what. The values are shown to operators.
+
+    NEW: not checked yet. LED: by a lease from the leader that is still valid. WITNESSED: by a majority of the witnesses
+    (storage nodes) within the last WITNESS_PROOF_SPAN. LAPSED: by nothing, as there is no recent enough proof.
+    """
 
     NEW = "new"
     LED = "led"
--- a/pipitlink/controller/placement_planner.py
+++ b/pipitlink/controller/placement_planner.py
@@ -170,7 +170,10 @@
         return self._rebalance_load(load, serving)
 
     def _rebalance_zones(self, load: Counter[str], serving: list[str]) -> list[PlacementGroupRow]:
-        """Moves a replica of a placement group from its most crowded zone to one with fewer replicas."""
+        """Returns a change that moves a replica of a placement group to a less crowded zone, or an empty list.
+
+        The replica comes from the zone with the most replicas of the placement group; the other has at least two fewer.
+        """
         for group in self._consensus.cluster_state.placement_groups.values():
             zones = self._zone_counts(group.storage_nodes)
             crowded = self._most_crowded(group, load)
@@ -180,7 +183,11 @@
         return []
 
     def _rebalance_load(self, load: Counter[str], serving: list[str]) -> list[PlacementGroupRow]:
-        """Moves a replica to the storage node with the fewest, if that does not make the spread over zones worse."""
+        """Returns a change that moves a replica to the least loaded storage node, or an empty list.
+
+        The replica comes from a storage node with at least two more replicas, and its placement group stays spread at
+        least as evenly over zones.
+        """
         least_loaded = min(serving, key=lambda node: (load[node], node))
         for node in sorted(serving, key=lambda node: -load[node]):
             if load[node] - load[least_loaded] < 2:
--- a/tests/partition_scenario.py
+++ b/tests/partition_scenario.py
@@ -119,7 +119,7 @@
                 self.change(leader)
 
     def slow_calls(self) -> list[str]:
-        """Returns the calls held for over a second, and those not rejected at once after the cut was detected."""
+        """Returns the calls that got no response within MAX_RESPONSE_S, or not at once though the cut was detected."""
         slow = [str(c) for c in self.calls if c.duration_s is None or c.duration_s > MAX_RESPONSE_S]
         late = [
             str(c)
@@ -129,7 +129,10 @@
         return slow + late
 
     def unexpected_responses(self) -> list[str]:
-        """Returns the edits and announcements that were confirmed, and the stale reads."""
+        """Returns the reads that were stale, and the edits and announcements that were not rejected with status 503.
+
+        An engine's announcement that it is ready may be accepted until the cut is detected.
+        """
         out = []
         for c in self.calls:
             status, body = c.pending[0] if c.pending else (None, None)
@@ -151,7 +154,10 @@
         return self.now() - healed
 
     def change_on_newest(self, simulated_node) -> int:
-        """Changes the current version: a rejected edit may have been committed before the cut was detected."""
+        """Makes a change based on the leader's current version.
+
+        `self.version` may be older, since a rejected edit may still have been committed before the cut was detected.
+        """
         leader = self.simulation.leader()
         if leader is not None:
             self.version = leader.part.consensus.cluster_state.routes.version
--- a/tests/test_currency_interleavings.py
+++ b/tests/test_currency_interleavings.py
@@ -113,7 +113,10 @@
             self.gateway.currency.leased_at = self.asked_at
 
     def elect(self):
-        """Voters reject another leader for 600 ms after they heard theirs."""
+        """Adds a second leader if the schedule changes the leader and at least 600 ms have passed.
+
+        Voters elect no other leader until 600 ms after the last message from their current one.
+        """
         if self.change_leader and self.ctx.now >= 1000.6:
             now = self.ctx.timers.now()
             self.leaders.append(_Leader(self.ctx, now, now + timedelta(days=1)))
