--- a/pipitlink/errors.py
+++ b/pipitlink/errors.py
@@ -66,7 +66,7 @@
 
 
 class SettingsError(PipitlinkError):
-    """Invalid settings, with one line for each. Raised when settings are read or a data folder is opened."""
+    """Settings are invalid, with a line for each problem. Raised when reading settings or opening a data folder."""
 
     code = "bad_settings"
 
@@ -158,7 +158,7 @@
 
 
 class LeaseNotHeld(ReplicatedLogError):
-    """This process does not or no longer hold the log's lease. `leaseholder` is the node that does, if known."""
+    """This process never held the log's lease or has lost it. `leaseholder` is the node that holds it, if known."""
 
     code = "not_held"
 
@@ -177,7 +177,7 @@
     """An error response to an HTTP client, raised by gateways and by HTTP handlers of controllers.
 
     `outcome` is a value of ExecutionOutcome; `retry_after` is in seconds, 0 for none; `field` names the invalid field.
-    Omitted arguments default to the attributes of the class.
+    If `code`, `status` or `outcome` is omitted, the class attribute of that name is used.
     """
 
     code = "gateway"
--- a/pipitlink/segments.py
+++ b/pipitlink/segments.py
@@ -181,7 +181,10 @@
         return [write.completion for write in writes]
 
     def read_bytes(self, position: Position, length: int) -> bytes:
-        """Returns the first `length` bytes of the payload at a position. Raises CorruptData if there are fewer."""
+        """Returns the first `length` bytes of the payload at a position; the payload must not be shorter than that.
+
+        Does not check the checksum. Raises CorruptData if the file ends too early.
+        """
         number, offset = position
         data = os.pread(self._fds[number], length, offset + FRAME_HEADER_BYTES)
         if len(data) != length:
--- a/tests/loss_simulation.py
+++ b/tests/loss_simulation.py
@@ -1,4 +1,4 @@
-"""A simulated cluster with many logs, injected losses of several kinds, and checks of replicas and voters."""
+"""A simulated cluster with many logs, whose machines fail in several ways, and checks of replicas and voters."""
 
 from pipitlink.disk import decode_frames
 from pipitlink.errors import PipitlinkError
@@ -132,7 +132,7 @@
         return self._stale_replica(groups, alive)
 
     def _stale_replica(self, groups, alive) -> str:
-        """Returns a log of which a replica lacks bytes that are on a majority, or ""."""
+        """Returns a message about a log of which a replica lacks bytes that are on a majority, or ""."""
         for group in groups.values():
             stores = [alive[node].part.log_store for node in group.storage_nodes]
             for name in {n for store in stores for n in store.logs}:
@@ -161,7 +161,7 @@
         return f"voters {behind} are behind" if behind else ""
 
     def inject_loss(self, simulated_node, kind: str):
-        """Injects a loss; returns once the machine is back or its successor has started."""
+        """Makes a machine fail in one of the LOSS_KINDS; returns once it is back or its successor has started."""
         others = [name for name in self.simulated_nodes if name != simulated_node.name]
         if kind in ("wiped", "wiped_late", "killed", "power"):
             simulated_node.kill(power=kind != "killed")
--- a/tests/stored_state.py
+++ b/tests/stored_state.py
@@ -74,7 +74,7 @@
 
 
 def read_storage_node(folder: Path) -> dict:
-    """Returns epochs, lengths, final flag and a digest of the bytes of each log of a storage node."""
+    """Returns a storage node's id and number of segment files, and the state and a digest of the bytes of each log."""
     store = LogStore(folder / "logs", Disk(), BUDGET_BYTES, RESERVE_BYTES)
     store.recover()
     logs = {}
@@ -96,5 +96,5 @@
 
 
 def read_peers(folder: Path) -> list[list]:
-    """Returns the last known peers of a node, with their addresses."""
+    """Returns the last known addresses of a node's live peers, each as host and port."""
     return json.loads((folder / "colleagues.json").read_text())
