--- a/tests/behaviour_scenarios.py
+++ b/tests/behaviour_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the behaviour record.
+"""The scenarios that `behaviour_record` records to find unintended changes of behaviour.
 
 Each runs one seed and returns what clients, operators and engines saw, and the messages between nodes.
 """
@@ -132,7 +132,7 @@
 
 
 def controllers(seed):
-    """Edits of the table of models and their outcomes while controllers fail."""
+    """Edits of the table of models and their outcomes; random faults hit controllers, or nodes of every role."""
     simulation = Simulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
     with _running(simulation) as (seen, network):
         operators, client = TableOperators(simulation), ControlClient(simulation)
@@ -168,7 +168,7 @@
 
 
 class _RecordedAppends(dict):
-    """Records each acknowledged append with its offset."""
+    """Maps offsets to acknowledged appends; records each one that is added."""
 
     def __init__(self, seen):
         super().__init__()
@@ -191,7 +191,7 @@
 
 
 def logs(seed):
-    """Gateways that compete for one replicated log while storage nodes and gateways fail."""
+    """Gateways that compete for one replicated log; random faults hit storage nodes and gateways."""
     simulation = Simulation(seed, controllers=3, storage_nodes=3 + seed % 2, gateways=3, placement_groups=2)
     simulation.bytes_per_s = SLOW_LINK_BYTES_PER_S if seed % 3 == 0 else None
     with _running(simulation) as (seen, network):
@@ -221,7 +221,7 @@
 
 
 def gateway_batches(seed):
-    """Batches and live requests of simulated clients, with engines that come and go, while all roles fail."""
+    """Batches and live requests by model, with engines that come and go; random faults hit nodes of every role."""
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
     simulation.add_engines(SimulatedGateway, SimulatedEngine, 3)
     with _running(simulation) as (seen, network):
@@ -278,7 +278,10 @@
 
 
 def batches(seed):
-    """Batches submitted, read and cancelled by the routes interface at any gateway, while all roles fail."""
+    """Batches whose items are requests by route, submitted, read and cancelled at any gateway.
+
+    Random faults hit nodes of every role.
+    """
     simulation = Simulation(seed, controllers=3, storage_nodes=4, gateways=4, placement_groups=2)
     simulation.routes = {"bulk": batch_builders.route()}
     simulation.runs, simulation.finished, simulation.break_probability = [], [], 0.05
@@ -331,7 +334,10 @@
 
 
 def operator_requests(seed):
-    """Operators' requests that are lost, delayed, retried and concurrent, while controllers or all roles fail."""
+    """Concurrent requests of operators that are lost, delayed and retried.
+
+    Random faults hit controllers, or nodes of every role.
+    """
     simulation = DelayingSimulation(seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=2)
     with _running(simulation) as (seen, network):
         operators = _RecordedOperators(simulation, seen)
@@ -358,7 +364,7 @@
 
 
 def everything(seed):
-    """Batches, live requests and operators' edits at once, while nodes of all roles, links, disks and engines fail."""
+    """Batches, live requests and operators' edits at once; random faults hit nodes, links, disks and engines."""
     simulation = DelayingSimulation(
         seed, controllers=4, storage_nodes=4, gateways=3, placement_groups=4, named=bool(seed % 2)
     )
@@ -403,7 +409,7 @@
 
 
 class _InsertionOrderedSet(dict):
-    """Replaces the set of calls in progress, whose iteration order depends on memory addresses."""
+    """Replaces the gateway's set of calls in progress, whose iteration order would depend on memory addresses."""
 
     def add(self, member):
         self[member] = True
@@ -413,7 +419,7 @@
 
 
 class _RouterScenario:
-    """Clients and engines of one gateway that act at random: responses, errors, broken connections, disconnects."""
+    """A gateway whose clients and engines act at random: requests, responses, errors and broken connections."""
 
     STEPS = 500
     ENGINES = ("e1", "e2", "e3", "e4")
@@ -519,7 +525,7 @@
 
 
 def router(seed):
-    """Live requests by routes through a single gateway whose clients and engines act at random, without other nodes."""
+    """Live requests by route through a single gateway, without other nodes; clients and engines act at random."""
     with mock.patch("pipitlink.router.call_relay.set", _InsertionOrderedSet, create=True):
         return _RouterScenario(seed).run(), []
 
--- a/tests/control_client.py
+++ b/tests/control_client.py
@@ -68,7 +68,7 @@
 
 
 class _PendingResponse(list):
-    """Empty until the call has a response, then holds (status, body). The client may disconnect before that."""
+    """Empty until the call has a response, then holds its status and body; until then, `disconnect` breaks the call."""
 
     def __init__(self, request):
         super().__init__()
@@ -80,7 +80,10 @@
 
 
 class ControlClient:
-    """Dispatches requests to a controller by the paths of a control format, as the controller's HTTP server does."""
+    """Calls a simulated controller's control API without HTTP.
+
+    Like the controller's HTTP server, it finds the API method for an HTTP method and path in a ControlFormat.
+    """
 
     def __init__(self, simulation, control_format=None):
         self.simulation = simulation
