--- a/tests/model/leases.py
+++ b/tests/model/leases.py
@@ -1,9 +1,10 @@
-"""A model of one log in a placement group that is moved: leases, epochs, tails, quorums of both sets, wiped disks.
+"""A model of one replicated log while its placement group replaces a storage node.
 
-Leases have no duration here: any node may request one at any time, since epochs alone must keep the log consistent. A
-write and its response are one step. A leaseholder may count a storage node's report at any later time. A transfer is
-two steps, since the source may change between the list and the read. A storage node responds only after what it
-granted or wrote is on its disk.
+It covers leases, epochs, log tails, quorums in the old and the new set of nodes, and wiped disks. Leases have no
+duration here: any gateway may request one at any time, since epochs alone must keep the log consistent. A write and its
+response are one step. A leaseholder may learn the state of a replica that it wrote at any later time. A transfer to the
+joining node is two steps, since the source may change between the list of tails and the read of its data. A storage
+node responds only after what it granted or wrote is on its disk.
 """
 
 from collections.abc import Collection, Iterator
@@ -28,7 +29,11 @@
 
 
 class Replica(NamedTuple):
-    """A storage node's replica; `leased_epoch` is the highest epoch that it granted as a lease itself."""
+    """A storage node's replica of the log.
+
+    `epoch` is the highest epoch that the node has seen; `leased_epoch` is the highest for which it granted a lease.
+    `tail_epoch` is the epoch under which its data was written.
+    """
 
     sequence: int = 0
     epoch: int = 0
@@ -43,7 +48,7 @@
 
 
 class Reported(NamedTuple):
-    """The state of a replica that a storage node reported."""
+    """The state of a replica, as reported by its storage node."""
 
     tail_epoch: int
     length: int
@@ -54,7 +59,10 @@
 
 
 class Leaseholder(NamedTuple):
-    """A gateway that requests or holds the lease; its phase is HELD once its tail is durable under its epoch."""
+    """A gateway as requester or holder of the lease.
+
+    Its phase is HELD once the tail that it recovered is durable under its own epoch.
+    """
 
     phase: str = IDLE
     sequence: int = 0
@@ -75,7 +83,7 @@
 
 
 class Transfer(NamedTuple):
-    """The transfer to the joining node: what the source listed, and whether the node has reported completion."""
+    """The transfer to the joining node: the source, its state when it was listed, and whether all was copied."""
 
     source: int = -1
     listed: Reported = NOTHING_REPORTED
@@ -112,9 +120,9 @@
 
 @attrs.frozen
 class Leases:
-    """The model, with its size and the guards that a mutation disables.
+    """The model: its size, and the safeguards of the protocol, which mutation tests disable.
 
-    With `starts_held`, the first leaseholder already holds the empty log under epoch 1, granted by the first majority.
+    With `starts_held`, the first gateway already holds the lease of the empty log, with epoch 1, granted by a majority.
     """
 
     replicas: int = 3
@@ -208,7 +216,7 @@
             yield f"grant {node} to {index}", after.with_leaseholder(index, informed)
 
     def _is_representative(self, state: State, node: int) -> bool:
-        """Whether no lower node is interchangeable with this one; the steps of the lowest cover the others."""
+        """Whether no lower node is in the same state; of such interchangeable nodes, only the lowest takes steps."""
         staying = self.replicas - 1 if self.moves else self.replicas
         if node >= staying or state.transfer.source >= 0:
             return True
@@ -219,7 +227,10 @@
         )
 
     def _reachable(self, state: State, leaseholder: Leaseholder) -> list[int]:
-        """Returns the nodes in the placement group known to the leaseholder that accept calls based on that group."""
+        """Returns the nodes that accept calls from the leaseholder, given the placement group it knows.
+
+        Nodes that know a newer placement reject them. Of interchangeable nodes, only the lowest is returned.
+        """
         return [
             node
             for node in map(int, self.group(leaseholder.sequence).all_nodes)
@@ -256,7 +267,11 @@
         yield f"settle {index}", out
 
     def _write(self, state: State, index: int, leaseholder: Leaseholder):
-        """Writes to a replica that is in the state the writer expects; a late or repeated write finds another end."""
+        """The leaseholder writes to a replica, or learns the state of one that already holds data of its epoch.
+
+        A write assumes the replica's present state. Late and repeated writes assume an earlier one, so that replicas
+        reject them; they are modelled only if `write_checks_position` is off.
+        """
         if leaseholder.phase not in (RECOVERING, HELD):
             return
         for node in self._reachable(state, leaseholder):
@@ -277,7 +292,10 @@
                 yield f"write {node} by {index}", after
 
     def _ranges(self, leaseholder: Leaseholder, reported: Reported) -> list[tuple[int, int]]:
-        """Returns the start and end of each write that is accepted: only the intended one if positions are checked."""
+        """Returns the start and end of each write that the replica accepts.
+
+        If positions are checked, that is only the write from the first difference to the end of the leaseholder's log.
+        """
         start = _first_difference(leaseholder, reported)
         if self.write_checks_position:
             return [(start, len(leaseholder.data))]
@@ -321,7 +339,11 @@
             yield f"follow {node}", state.with_replica(node, replica._replace(sequence=state.sequence))
 
     def _wipe(self, state: State, node: int, replica: Replica):
-        """Loses a disk: no node has its identity afterwards. At most `wipes` disks are lost, as many as tolerated."""
+        """A node loses its disk; allowed at most `wipes` times.
+
+        A node without a disk restarts under a new identity, so its replica is lost for good. Without
+        `wiped_node_has_new_identity` it returns under its old identity with an empty replica.
+        """
         tolerated = state.wiped < self.wipes and node < self.replicas and self._is_representative(state, node)
         if tolerated and not replica.lost and replica != Replica(sequence=replica.sequence):
             wiped = Replica(lost=True) if self.wiped_node_has_new_identity else Replica(sequence=replica.sequence)
@@ -341,7 +363,7 @@
             yield "end", state._replace(sequence=2, moved=(moved,) if violations else ())
 
     def _list(self, state: State):
-        """Any majority of the old nodes among those that know of the move may respond."""
+        """The joining node picks the newest tail of a majority of the old nodes; those must know of the move."""
         if state.transfer.source >= 0:
             return
         informed = [n for n in range(self.replicas) if state.replicas[n].sequence >= 1 and not state.replicas[n].lost]
--- a/tests/model/properties.py
+++ b/tests/model/properties.py
@@ -50,7 +50,7 @@
 
 
 class Committed(NamedTuple):
-    """An entry that a node in the term `known_in_term` considers committed."""
+    """A log entry that a node considered committed while it was in the term `known_in_term`."""
 
     index: int
     entry: tuple
@@ -58,7 +58,7 @@
 
 
 class CommitQuorum(NamedTuple):
-    """A leader's commit: the voters according to its log, and the nodes that really have the entry on disk."""
+    """A leader's commit: the voters according to its log, and the IDs of all nodes that have the entry on disk."""
 
     index: int
     term: int
@@ -101,7 +101,7 @@
 
 
 class LogReplicas(NamedTuple):
-    """The data of all replicas of a log at one time, and how many of them must have what was acknowledged."""
+    """The data of all replicas of a log at one time, and how many of them must hold the acknowledged appends."""
 
     log: Any
     needed: int
@@ -116,7 +116,7 @@
 
 
 class Admitted(NamedTuple):
-    """A gateway that admits work, and the sequence of its cluster state at that time."""
+    """An observation of a gateway that admits work, with the sequence of the cluster state it has applied."""
 
     at: float
     gateway: Any
@@ -167,7 +167,7 @@
 
 
 def only_voters_are_counted(quorums: Iterable[CommitQuorum]) -> list[str]:
-    """A commit needs a majority of the voters themselves; other nodes at their addresses don't count."""
+    """A commit needs a majority of the voters by node ID; another node at a voter's address doesn't count."""
     return [
         f"entry {c.index} was committed in term {c.term} with {sorted(map(str, c.holders))} of {c.voters}"
         for c in quorums
@@ -194,7 +194,7 @@
 
 
 def one_tail_per_epoch(tails: Iterable[Tail]) -> list[str]:
-    """Replicas with the same tail epoch are prefixes of one log."""
+    """Of two replicas of a log with the same tail epoch, one is a prefix of the other."""
     longest: dict[tuple, Tail] = {}
     out = []
     for t in tails:
@@ -209,7 +209,7 @@
 def acknowledged_in_later_tails(
     acknowledged: Iterable[Acknowledged], recovered_tails: Iterable[RecoveredTail]
 ) -> list[str]:
-    """Everything acknowledged is in the tails recovered under later epochs, no matter when it was acknowledged.
+    """Each acknowledged append is in every tail recovered under a later epoch, even if that was recovered before.
 
     So a leaseholder whose epoch has been superseded can't acknowledge anything that its successor did not recover.
     """
