--- a/testbed/benchmarks/capacity.py
+++ b/testbed/benchmarks/capacity.py
@@ -1,4 +1,7 @@
-"""Measures the cost of a node as the cluster grows: series of points with three windows each, and a fit per series."""
+"""Measures how the cost of a node grows with the cluster.
+
+Each series has several points with three time windows each, and a curve fitted to them.
+"""
 
 import json
 import statistics
@@ -19,7 +22,10 @@
 
 @attrs.frozen
 class Series:
-    """A series of points over x; `parameters` and `pace` (the factor by which clocks are slowed) are functions of x."""
+    """Measurements of a cluster at several values `xs` of one quantity, such as its number of gateways.
+
+    `parameters` of the cluster and `pace`, the factor by which its clocks are slowed, are functions of that value.
+    """
 
     unit: str
     xs: tuple
--- a/testbed/checks/checker.py
+++ b/testbed/checks/checker.py
@@ -81,7 +81,7 @@
 
 
 def _check_responses(events, downtimes, violations):
-    """Checks that `not_run` responses are sent promptly, with a Retry-After header where a retry can help."""
+    """Checks that errors with outcome `not_run` are sent promptly, with Retry-After where a retry can help."""
     for e in events:
         if e["event"] not in ("told", "fetched", "lot", "edit") or e.get("resumed"):
             continue
--- a/testbed/checks/cluster_checks.py
+++ b/testbed/checks/cluster_checks.py
@@ -98,7 +98,7 @@
 
 
 def _check_limits(model, rate, max_runs, notes, downtimes, violations):
-    """Checks that the engines together never exceed the rate and concurrency of a row."""
+    """Checks that all engines together never exceed a model's limits of rate and concurrent runs."""
     starts = [n["at"] for n in notes if n["event"] == "run" and n.get("model") == model]
     if rate:
         for span in (1.0, 4.0, 10.0):
--- a/testbed/checks/downtime.py
+++ b/testbed/checks/downtime.py
@@ -27,7 +27,7 @@
     def exceeds_tolerance(self, start, end) -> bool:
         """Whether a fault was active that the cluster doesn't tolerate without an interruption of service.
 
-        This is the final fault of a run, for which 12 s are allowed.
+        Such are the final fault of a run, for which 12 s are allowed, and full disks of two storage nodes at once.
         """
         return any(not h["bearable"] for h in self._overlapping(start, end))
 
--- a/testbed/checks/linearizability.py
+++ b/testbed/checks/linearizability.py
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class ConfigWrite:
-    """A write of the configuration; `content` identifies all of it, and is the same in each retry."""
+    """A write of the whole configuration, which `content` identifies; it is the same in each retry."""
 
     content: str
     base: int
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class ZoneWrite:
-    """One attempt of a write that empties or fills a zone."""
+    """One attempt to set the flag `empty` of a zone, which drains the zone, or to clear it."""
 
     zone: str
     empty: bool
@@ -84,7 +84,7 @@
 
 @attrs.frozen
 class ZoneRead:
-    """The state of a zone that was read back, or served by a gateway, at some time between `sent` and `ended`."""
+    """A zone's flag `empty` as read back, or as served by a gateway, at some time between `sent` and `ended`."""
 
     zone: str
     empty: bool
@@ -98,7 +98,7 @@
 
 
 def check_history(records: list) -> list[str]:
-    """Returns each register whose records are not linearizable, with the record at which the search got stuck."""
+    """Returns a message for each register whose records are not linearizable, and the record that no order explains."""
     out = _conflicting_confirmations([r for r in records if isinstance(r, ConfigWrite)])
     out += _check_register("the configuration", [r for r in records if isinstance(r, ConfigWrite | ConfigRead)], ())
     for zone in sorted({r.zone for r in records if isinstance(r, ZoneWrite | ZoneRead)}):
@@ -186,7 +186,7 @@
                 yield i, r
 
     def _apply_read_only(self, done: int, state):
-        """Applies read-only operations that are possible now and end the window of no unanswered operation.
+        """Applies the read-only operations that are possible now and before which no unanswered write could still come.
 
         Postponing such an operation can't make the search succeed.
         """
@@ -205,7 +205,7 @@
         return _is_read(r) or r.response in (Response.OTHER_VERSION, Response.REFUSED)
 
     def _next_branches(self, done: int, state) -> list:
-        """Returns the next branches, the most promising last: answered operations first, by the time they ended."""
+        """Returns the next branches; the search takes the last first: answered operations by the time they ended."""
         branches = [
             (r.response is Response.UNKNOWN, r.ended, done | 1 << i, after)
             for i, r in self._available(done)
--- a/testbed/faults/fault_plugin.py
+++ b/testbed/faults/fault_plugin.py
@@ -2,7 +2,7 @@
 
 The file holds `{"cuts": [[FROM, TO], ...], "delays": {ADDRESS: seconds}, "full": [ADDRESS]}`, where an address is the
 IP:PORT of a node. Calls over a cut link are dropped without an error, and a full disk refuses appends. The synced
-length of each file is reported beside the data folder, so that a harness can drop the rest.
+length of each file is reported beside the data folder, so that the test harness can simulate a power loss.
 """
 
 import json
--- a/testbed/faults/final_fault.py
+++ b/testbed/faults/final_fault.py
@@ -1,4 +1,4 @@
-"""The final fault of a run, of a kind drawn from the seed, and the check that service recovers from it."""
+"""The final fault of a soak run, which may interrupt service, and the check that service recovers from it."""
 
 import threading
 import time
@@ -13,7 +13,10 @@
 
 
 class FinalFault:
-    """Mixin that injects a final fault; service must recover within 12 s, and no acknowledged data may be lost."""
+    """Mixin that injects a final fault of several nodes at once, or of a whole zone; its kind is drawn from the seed.
+
+    Service must recover within 12 s, and no acknowledged data may be lost.
+    """
 
     def _run_final_fault(self):
         rng = Random(f"{self.seed}/closing")
@@ -44,7 +47,7 @@
         return not self.clients.unresolved_edits()
 
     def _inject_final_fault(self, kind, names, rng):
-        """Injects the fault and returns the function that heals it."""
+        """Injects a fault of the given kind and returns a function that ends it."""
         self.log(f"final fault: {kind} of {','.join(names)}")
         self.clients.excluded_gateways |= {n for n in names if n.startswith("gateway")}
         if kind == "split":
@@ -68,7 +71,7 @@
         return heal
 
     def _wait_for_service(self, names, began) -> float:
-        """Waits until each kind of request succeeds at every remaining node; returns the seconds since `began`."""
+        """Waits until each kind of request succeeds at the nodes not in `names`; returns the seconds since `began`."""
         gateways = [g for g in self.cluster.nodes("gateway") if g not in names]
         controllers = [o for o in self.cluster.nodes("controller") if o not in names]
         checks = [lambda g=g: self._is_streaming(g) for g in gateways] + [
--- a/testbed/faults/overload.py
+++ b/testbed/faults/overload.py
@@ -9,7 +9,7 @@
 
 
 class OverloadFaults:
-    """Mixin like `ComponentFailures`, for the behaviour of clients, engines and operators."""
+    """Mixin like `ComponentFailures`, for faults of engines and for what clients and operators do to the cluster."""
 
     def _switch_mode(self, name, mode, span):
         def inject():
@@ -37,14 +37,14 @@
         return self._switch_mode(self._random_engine(rng), "hang", 2 + 2 * rng.random())
 
     def plan_engine_silent(self, rng):
-        """An engine stops announcing itself for longer than allowed and recovers by itself."""
+        """An engine sends no announcements for longer than gateways wait for them, and then resumes by itself."""
         return self._switch_mode(self._random_engine(rng), "silent", 5 + 2 * rng.random())
 
     def plan_engine_broken(self, rng):
         return self._switch_mode(self._random_engine(rng), rng.choice(("mixed", "error", "unclosed")), 2)
 
     def plan_engine_vanish(self, rng):
-        """The machine of an engine fails without closing its connections."""
+        """An engine becomes unresponsive without closing its connections, as if its machine had failed."""
         name = self._random_engine(rng)
 
         def inject():
@@ -59,7 +59,7 @@
         return [name], inject
 
     def plan_engine_moved(self, rng):
-        """An engine crashes and comes back under the same name at another address."""
+        """An engine is killed and restarts under the same name at another port."""
         name = self._random_engine(rng)
 
         def inject():
--- a/testbed/simulator/simulation.py
+++ b/testbed/simulator/simulation.py
@@ -309,7 +309,7 @@
         ]
 
     def add_engines(self, gateway_class: Any, engine_class: Any, n: int = 2) -> None:
-        """Adds engines, and runs complete gateways instead of only their logs and caches."""
+        """Adds `n` engines, and makes gateways complete, which otherwise have only their logs and caches."""
         self.gateway_class, self.engines = gateway_class, {}
         for i in range(n):
             self.engines[f"engine{i}"] = engine_class(self, f"engine{i}", _zone_of(i))
--- a/testbed/standins/clients.py
+++ b/testbed/standins/clients.py
@@ -88,7 +88,7 @@
             t.join(5)
 
     def pick_gateway(self, exclude: str = "") -> str:
-        """Picks a gateway that the platform would send a client to, which excludes gateways that it took down."""
+        """Picks a random gateway as a load balancer would: none that is known to be down, unless all are."""
         up = [g for g in self.cluster.nodes("gateway") if g not in self.excluded_gateways and g != exclude]
         with self._lock:
             return self.rng.choice(up or self.cluster.nodes("gateway"))
