--- a/tests/model/consensus.py
+++ b/tests/model/consensus.py
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class Consensus:
-    """The model, with its size and the guards that a mutation disables."""
+    """The model: its size, and the safeguards of the protocol, which mutation tests disable."""
 
     members: int = 3
     standbys: int = 0
@@ -263,7 +263,7 @@
         return (*log[:base], *sent.log[base:end]), snapshot
 
     def _record_match(self, matched: frozenset, term: int, index: int, node: int, end: int) -> frozenset:
-        """Records up to which index a follower, by position and identity, has reported the leader's log as synced."""
+        """Records up to which end a follower, by its position and node ID, reported the leader's log as synced."""
         best = max((n for t, _, w, n in matched if (t, w) == (term, node)), default=0)
         return matched - {(term, index, node, best)} | {(term, index, node, end)} if end > best else matched
 
@@ -291,7 +291,7 @@
         )
 
     def _wrong_quorums(self, state: State, member: Member, voters: tuple, commit_index: int) -> tuple:
-        """Returns the commit with the identities that hold the entry if they violate the property, else nothing."""
+        """Returns the commit if no majority of the voters has its entry on disk, which is a violation; else nothing."""
         holders = {who for t, _, who, n in state.matched if t == member.term and n >= commit_index}
         holders |= {member.node} if member.synced >= commit_index else set()
         found = CommitQuorum(commit_index, member.term, voters, frozenset(holders))
--- a/tests/model/explorer.py
+++ b/tests/model/explorer.py
@@ -69,7 +69,11 @@
 
 
 def walk(model: Model, seed: int, walks: int, depth: int, rare: tuple[str, ...] = ()) -> Exploration:
-    """Takes random walks. A step's kind is drawn first, so that kinds with many variants don't dominate the others."""
+    """Takes random walks of at most `depth` steps, until a violation is found.
+
+    The kind of each step, the first word of its name, is drawn first, so that kinds with many variants don't dominate
+    the others; kinds in `rare` are drawn less often.
+    """
     rng = Random(seed)
     seen: set[int] = set()
     for _ in range(walks):
--- a/tests/model/proofs.py
+++ b/tests/model/proofs.py
@@ -23,7 +23,7 @@
 
 
 class Leader(NamedTuple):
-    """Ages in ticks: since contact to a majority, since the election and since the gateway's last request.
+    """A controller as leader: ticks since its contact to a majority, its election and the gateway's last request.
 
     `gateway_had_change` says whether the gateway had the change when it sent that request.
     """
@@ -36,7 +36,7 @@
 
 
 class Gateway(NamedTuple):
-    """Ages in ticks of the gateway's lease, of its proof by witnesses and of its current poll of them.
+    """The gateway, with the ages in ticks of its lease, its proof by witnesses and its current poll of them.
 
     A response in transit carries whether its leader has the change, and its age.
     """
@@ -49,7 +49,7 @@
 
 
 class Witness(NamedTuple):
-    """Whether a storage node has the change, and what it reported in the current poll: nothing, old or new."""
+    """A storage node: whether it has the change, and the state it reported in the current poll, if any: old or new."""
 
     has_change: bool = False
     reported: str = ""
@@ -65,7 +65,10 @@
 
 @attrs.frozen
 class Proofs:
-    """The model, with its spans in ticks and the guards that a mutation disables. Either proof may be left out."""
+    """The model: its spans in ticks, and the safeguards of the protocol, which mutation tests disable.
+
+    Gateways prove that their state is current by leases from leaders, by witnesses, or both.
+    """
 
     witnesses: int = 3
     by_leaders: bool = True
@@ -146,7 +149,7 @@
         )
 
     def _step_leaders(self, state: State):
-        """The first leader keeps contact to its majority until their stickiness ends and they elect the second."""
+        """The first leader may renew contact to its majority, which elects the second once its stickiness has ended."""
         if state.second.election_age == NEVER:
             if state.first.quorum_age:
                 yield "hear first", state._replace(first=state.first._replace(quorum_age=0))
--- a/tests/model/recorder.py
+++ b/tests/model/recorder.py
@@ -1,4 +1,4 @@
-"""Records simulated runs of the real code as the records that the properties check."""
+"""Records what the real code does in a simulation, in the form that the properties check."""
 
 import contextlib
 from hashlib import blake2b
@@ -190,7 +190,7 @@
         return next((a.node for a in self.simulation.role("storage") if a.part and a.part.log_store is store), "ended")
 
     def sample(self):
-        """Records the gateways that admit work now, and checks the placement groups whose move has ended."""
+        """Records which gateways admit work now, and checks placement groups whose move ended since the last sample."""
         now = self.simulation.clock.seconds()
         for a in self.simulation.role("gateway", alive=True):
             if a.ctx.cluster.ready():
@@ -202,7 +202,7 @@
                 self._check_moved_group(g)
 
     def _check_moved_group(self, group):
-        """Checks after a move that a majority of the new storage nodes has everything that was acknowledged before."""
+        """Checks that a majority of a moved group's storage nodes has everything that has been acknowledged."""
         acknowledged = [
             a for a in self.acknowledged if placement_group_of(a.log, self.simulation.placement_groups) == group.number
         ]
