--- a/pipitlink/controller/control_api.py
+++ b/pipitlink/controller/control_api.py
@@ -66,7 +66,10 @@
 
 
 class ControlApi:
-    """HTTP handlers for configurations, zones, retirements and announcements of engines, in one dialect."""
+    """HTTP handlers that edit the configuration, empty zones, retire storage nodes and announce engines.
+
+    The dialect defines their paths and the JSON formats of their bodies.
+    """
 
     def __init__(self, ctx: Context, services: ControllerServices, dialect: ControlFormat) -> None:
         self._ctx = ctx
--- a/pipitlink/controller/edit_fencing.py
+++ b/pipitlink/controller/edit_fencing.py
@@ -79,9 +79,12 @@
     async def submit(self, command: Command) -> Outcome:
         """Submits an edit that has just arrived, and returns its outcome.
 
-        The fencing token is the newest sequence known here when the edit arrived. If the token was outdated, the edit
-        is proposed again with the newest token while its client waits. A client that disconnects cancels this. If the
-        client may have retried at another controller, ServiceUnavailable is raised and the edit has not taken effect.
+        The fencing token is the sequence of the cluster state here when the edit arrived. The edit is rejected as
+        FENCED if the part of the cluster state that it changes was changed after that sequence. It is then submitted
+        again with the newer sequence, as long as its client still waits: a disconnect cancels this method.
+
+        Raises ServiceUnavailable, without effect, if so much time has passed since the arrival (see `check_timely`)
+        that the client may have retried the edit at another controller.
         """
         command.fencing_token = self._consensus.cluster_state.sequence
         arrived_at = await self.admit()
--- a/pipitlink/controller/propagation.py
+++ b/pipitlink/controller/propagation.py
@@ -20,7 +20,7 @@
         self._waiters: list[defer.Deferred[Any]] = []
 
     def wait(self) -> defer.Deferred[Any]:
-        """Returns a Deferred that fires when the calls to another gateway have ended."""
+        """Returns a Deferred that fires the next time that the calls to one of the gateways have ended."""
         waiter: defer.Deferred[Any] = defer.Deferred()
         self._waiters.append(waiter)
         return waiter
--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -240,10 +240,12 @@
     async def edit(self, command: Command, timeout: timedelta = EDIT_TIMEOUT) -> Outcome:
         """Proposes an edit and returns its outcome once it is committed and in effect everywhere.
 
-        Raises NotLeader, without running the edit, if there was no recent contact with a majority. Raises Unconfirmed
-        or DeadlineExceeded if the contact is lost later, in which case the outcome is unknown. Raises StorageFull
-        before anything is written. A proposal continues if its client disconnects, so that the leader's own disk still
-        counts towards the majority.
+        Raises NotLeader, without running the edit, if there was no recent contact with a majority, and StorageFull,
+        also without running it, if the disk has no room for it. Later, raises Unconfirmed if the contact or the
+        leadership is lost, or DeadlineExceeded after `timeout`; the edit may still be committed in both cases.
+
+        Cancelling this, as when the client disconnects, does not cancel the proposal: its entry is already in the log,
+        and the leader must finish syncing it to count its own disk towards the majority.
         """
         if self._consensus.is_leader and not self._replication.has_contact():
             raise NotLeader("there was no recent contact with a majority of the controllers")
--- a/pipitlink/controller/voter_changes.py
+++ b/pipitlink/controller/voter_changes.py
@@ -93,12 +93,12 @@
         return lost
 
     def _remove_voter(self, voters: Voters, live: list[str], leaving: str) -> Voters | None:
-        """Returns the voters without one, or None if the live voters would not be a majority of them."""
+        """Returns the voters without `leaving`, or None if no majority of these remaining voters is live."""
         remaining = tuple(voter for voter in voters if voter != leaving)
         return remaining if 2 * sum(voter in live for voter in remaining) > len(remaining) else None
 
     def _add_voter(self, voters: Voters, live: list[str], joining: str) -> Voters | None:
-        """Returns the voters with one more, or None if the live voters would not be a majority of them."""
+        """Returns the voters with `joining`, which is live, or None if no majority of this larger set is live."""
         return tuple(sorted((*voters, joining))) if 2 * (len(live) + 1) > len(voters) + 1 else None
 
     def _standbys(self, voters: Voters, live: list[str]) -> list[str]:
--- a/pipitlink/dialect/batches.py
+++ b/pipitlink/dialect/batches.py
@@ -115,7 +115,10 @@
     def parse_batch_request(
         self, method: bytes, path: str, query: Mapping[str, str], get_header: GetHeader
     ) -> BatchRequest | None:
-        """Returns the batch request in an HTTP request, or None where it is not one. Raises BadRequest."""
+        """Parses a request to read a batch's outputs, to read one of its items or to cancel it.
+
+        Returns None for any other HTTP request. Raises BadRequest if a parameter is malformed.
+        """
         parts = path.split("/")
         if parts[:3] != ["", "v1", "batches"] or len(parts) < 4 or not parts[3]:
             return None
--- a/pipitlink/gateway/engine_candidates.py
+++ b/pipitlink/gateway/engine_candidates.py
@@ -15,9 +15,10 @@
 
 
 class Candidate(NamedTuple):
-    """An engine that may serve a request, and the weight of its row.
+    """An engine that may serve a request, and its weight from the row for the model and the engine's pool.
 
-    It is a tuple, which is cheap to create: each choice of an engine creates many.
+    The rows are those of the table in the cluster state; without a row, the weight is DEFAULT_WEIGHT. This is a named
+    tuple since tuples are cheap to create, and each choice of an engine creates many.
     """
 
     engine: Engine
--- a/pipitlink/gateway/engine_relay.py
+++ b/pipitlink/gateway/engine_relay.py
@@ -44,7 +44,7 @@
         self.timed_out = False
 
     def start(self, exchange: defer.Deferred[None]) -> None:
-        """Starts to watch an exchange."""
+        """Starts the idle checks of an exchange: the Deferred of one request to an engine, cancelled on a timeout."""
         self._exchange = exchange
         self._next_check = self._ctx.timers.call_later(IDLE_CHECK_INTERVAL, self._check)
 
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -54,7 +54,9 @@
 
 
 class GatewayNode:
-    """A gateway of the models interface: live requests, fetches and batches on the same engines.
+    """A gateway whose clients name a model, unlike the gateways in `router`, whose clients name a route.
+
+    It serves live requests, fetches (GET requests passed through to an engine) and batches on the same engines.
 
     - `engines` and `slots` track the engines and this gateway's quota of their capacity.
     - `pipeline` runs the steps of each request in `table`: admission, choice of an engine, relay.
--- a/pipitlink/gateway/run_stream.py
+++ b/pipitlink/gateway/run_stream.py
@@ -84,10 +84,11 @@
         self._producer = _BackpressureProducer(request)
 
     async def write(self) -> bytes:
-        """Writes the run's chunks in order and an event for its end; returns the rest of the response's body.
+        """Streams the run's chunks to the client in order, followed by an event for the run's end; then returns b"".
 
-        If the run failed before its first chunk, the body is a JSON error. A client that does not read for
-        STALLED_CLIENT_TIMEOUT is disconnected.
+        If the run failed before its first chunk, nothing is streamed and a JSON error is returned as the response's
+        body. If it failed later, the connection is closed after an event with the error. A client that does not read
+        for STALLED_CLIENT_TIMEOUT is disconnected.
         """
         try:
             return await self._write()
--- a/pipitlink/node_interfaces.py
+++ b/pipitlink/node_interfaces.py
@@ -67,4 +67,4 @@
     """A node with metrics other than plain gauges."""
 
     def metric_families(self) -> Iterable[Metric]:
-        """Returns metric families with their full names."""
+        """Returns metric families whose names include the prefix `pipitlink_`, which `metrics` leaves out."""
--- a/pipitlink/repeating_call.py
+++ b/pipitlink/repeating_call.py
@@ -25,7 +25,7 @@
 
     Errors are passed to `report_error` and do not stop the repetition. `idle_time`, if given, is called after each run
     and returns for how long no run is needed, or None if none is needed until `wake` is called. Runs in that time are
-    skipped; the next one still starts at a multiple of the interval.
+    skipped: the next one starts a whole number of intervals after the end of the last run.
     """
 
     def __init__(
--- a/pipitlink/router/batch_capacity.py
+++ b/pipitlink/router/batch_capacity.py
@@ -36,10 +36,11 @@
     def available(self, route: Route, backlog: RouteBacklog) -> int:
         """Returns how many batch items on this route this gateway may start now; 0 or less if none.
 
-        The slots that live requests leave free are divided among the gateways in proportion to their waiting tokens. A
-        gateway therefore need not know what the others have started since their last reports, and cannot take up the
-        slots of the others when it has many batches. It may fill its own part, at least MIN_OWN_SLOTS, but the number
-        of its items that wait for the first event from their engine is limited too.
+        The slots that live requests leave free are divided among the gateways in proportion to the unfinished tokens
+        of their batches; an engine in slow start counts as one slot while it admits a request. Each gateway fills only
+        its share (but at least MIN_OWN_SLOTS), so it need not know what the others have started since their last
+        reports, and cannot use up their shares. The number of its items that wait for the first event from their engine
+        is limited in the same proportion (but at least MIN_STARTING_ITEMS).
         """
         slots = total_slots = running = 0
         engines = [
--- a/pipitlink/router/waiting_tokens.py
+++ b/pipitlink/router/waiting_tokens.py
@@ -179,10 +179,11 @@
         return self._ctx.membership.status(gateway) in ("gone", "unknown")
 
     def drop_expired_grants(self) -> None:
-        """Drops the grants that are no longer valid.
+        """Drops expired grants, but keeps those of gateways that are not live until a listing has found their batches.
 
-        A live gateway has reported the batches that it accepted. The batch of a gateway that is gone may be
-        durable without having been reported, so its grant stays until all open batches were listed after its expiry.
+        A live gateway has reported the batches that it accepted, so its expired grants are not needed any more. Any
+        other gateway (suspect, gone or unknown) may have stored a batch without reporting it. Its grant still counts
+        until a complete listing of the open batches that started after the grant expired.
         """
         now = self._ctx.timers.now()
         for batch_id, grant in list(self.grants.items()):
--- a/pipitlink/segments.py
+++ b/pipitlink/segments.py
@@ -40,8 +40,8 @@
 class Segments:
     """A sequence of append-only files of checksummed frames.
 
-    Writers queue entries with `append`; `flush` writes and syncs all queued entries and runs on a separate thread. The
-    other methods are called on the reactor's thread.
+    Writers queue entries with `append`; `flush` writes and syncs all queued entries and runs on a separate thread.
+    `read_bytes` may also be called on other threads. The other methods are called on the reactor's thread.
     """
 
     def __init__(
--- a/pipitlink/storage/lease_grants.py
+++ b/pipitlink/storage/lease_grants.py
@@ -53,7 +53,10 @@
         self._ctx.rpc.register_handler("replicated_log.renew", RenewRequest, self._renew)
 
     def joined_placement_group(self, number: int) -> None:
-        """Starts the period without new leases for a placement group that this node has joined, as after a start."""
+        """Refuses new leases on the logs of a placement group, which this node has just joined, for LEASE_DURATION.
+
+        By then, any lease on them that this node does not know of has expired.
+        """
         self._joined_group_no_grants_until[number] = self._ctx.timers.now() + LEASE_DURATION
 
     def _valid_grant(self, log: str) -> _Grant | None:
--- a/tests/test_simulated_controllers.py
+++ b/tests/test_simulated_controllers.py
@@ -62,7 +62,7 @@
                 pass
 
     def check_gateways(self):
-        """Every gateway that would admit work now must have all edits acknowledged more than two seconds ago."""
+        """Checks that no gateway admits work while it lacks an edit that was acknowledged more than two seconds ago."""
         now = self.simulation.clock.seconds()
         min_sequence = max((seq for at, seq, _ in self.acked if now - at > IN_EFFECT_S), default=0)
         for a in self.simulation.role("gateway", alive=True):
--- a/tests/test_simulated_second_loss.py
+++ b/tests/test_simulated_second_loss.py
@@ -52,7 +52,10 @@
 
 
 def _is_retired(simulation, simulated_node) -> bool:
-    """Requests the retirement, again if it cannot start yet (status 503), and returns whether it has ended."""
+    """Requests the retirement of a storage node once, and returns whether the node is retired now.
+
+    Also returns False if there is no leader or the retirement cannot start yet (status 503): call it repeatedly.
+    """
     leader = simulation.leader()
     if leader is None:
         return False
--- a/tests/test_voter_change_contact.py
+++ b/tests/test_voter_change_contact.py
@@ -5,7 +5,10 @@
 from testbed.simulator.simulation import Simulation
 
 SECOND_LOSSES_S = (1.9, 2.0, 2.1, 2.2)
-"""Times from the cut of one voter to the disk loss of another: at least 0.9 s before the first counts as lost."""
+"""Delays between cutting off one voter and wiping the disk of another.
+
+At each of them, at least 0.9 s remain until the leader counts the voter that was cut off as lost.
+"""
 
 RESTART_S = 0.3
 HEAL_S = 2.0
