--- a/pipitlink/cluster/currency.py
+++ b/pipitlink/cluster/currency.py
@@ -21,7 +21,8 @@
     """Whether a node's cluster state is proven to be current, and by what. The values are shown to operators.
 
     NEW: not checked yet. LED: by a lease from the leader that is still valid. WITNESSED: by a majority of the witnesses
-    (storage nodes) within the last WITNESS_PROOF_SPAN. LAPSED: by nothing, as there is no recent enough proof.
+    (storage nodes) within the last WITNESS_PROOF_VALIDITY. LAPSED: not proven, since both proofs have expired or are
+    missing.
     """
 
     NEW = "new"
--- a/pipitlink/controller/durable_log.py
+++ b/pipitlink/controller/durable_log.py
@@ -136,7 +136,7 @@
         return commit_index - len(_prefix_within(newest[::-1], RETAINED_BYTES))
 
     def save_hard_state(self, term: int, voted_for: str) -> defer.Deferred[None]:
-        """Writes the term and the vote in it, empty for none; fires once they are synced."""
+        """Writes the term and the vote cast in it, or "" if none was cast. Fires once they are synced."""
         self.hard_state = HardState(term=term, voted_for=voted_for)
         return self._write(ControllerRecord(hard_state=self.hard_state))
 
@@ -148,7 +148,10 @@
         return self._write(ControllerRecord(entry=entry))
 
     def _write_marker(self) -> None:
-        """Writes the snapshot's marker, which must precede entries on disk so that no other branch can claim them."""
+        """Writes a marker of the snapshot, which must precede the entries that continue from it on disk.
+
+        Without it, a replay could append them to a conflicting branch of the log.
+        """
         self._marker_missing = False
         marker = Snapshot(index=self.snapshot.index, term=self.snapshot.term, cluster_state=ClusterStateData())
         self._write(ControllerRecord(snapshot=marker)).addErrback(ignore_failure)
--- a/pipitlink/controller/elections.py
+++ b/pipitlink/controller/elections.py
@@ -100,7 +100,11 @@
         return max(self._replication.quorum_contact_at(), self._replication.elected_at)
 
     def _time_to_next_check(self) -> timedelta:
-        """Time until the next check. A leader checks often, since its quorum contact changes with the voters."""
+        """Time until the next check.
+
+        A leader checks at least every MAX_LEADER_CHECK_INTERVAL: a change of the voters can move the time of its last
+        contact with a majority back.
+        """
         now = self._ctx.timers.now()
         if self._consensus.is_follower and not self._just_started():
             return self._contact.election_timer_reset_at + self.election_timeout - now
--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -183,13 +183,14 @@
         return continued.chunk_after(received)
 
     def _is_usable(self, transfer: StateTransfer) -> bool:
-        """Whether the log still has all commands after this state."""
+        """Whether a follower that has received this state can continue with the commands in the log."""
         return transfer.term == self._consensus.term and transfer.sequence >= self._durable_log.snapshot.index
 
     def _renew_lease(self, node: str, requested_at: timedelta) -> int:
-        """Renews the lease from the time of the response: on both sides it starts after the time the request was held.
+        """Renews a follower's lease from now, and returns for how many milliseconds its request was held.
 
-        Returns that time in whole milliseconds, rounded down, so that the lease never ends later at the node than here.
+        The follower starts its lease that long after it sent the request. The time is rounded down, so that the lease
+        never ends later there than here.
         """
         now = self._ctx.timers.now()
         follower = self._followers.get(node)
@@ -206,8 +207,9 @@
         """Returns whether no live gateway uses a cluster state older than `sequence`.
 
         Every gateway with a live lease must have it, all leases of an earlier leader must have expired, and enough
-        storage nodes must have it. A gateway needs more than half of the witnesses to prove its cluster state, so half
-        of them are enough here, provided that more than half have the last change of the set of witnesses.
+        storage nodes (witnesses) must have it. Without a lease, a gateway must poll more than half of the witnesses to
+        prove that its cluster state is current. Once half of them have the sequence, any such poll finds it, so half
+        are enough here, provided that more than half have applied the last change of the set of witnesses.
         """
         now = self._ctx.timers.now()
         if now < self._replication.elected_at + LEADER_LEASE_DURATION:
--- a/pipitlink/controller/storage_nodes.py
+++ b/pipitlink/controller/storage_nodes.py
@@ -97,7 +97,7 @@
         return self._ctx.timers.now() - self._leader_log.elected_at
 
     def _is_name_retired(self, name: str) -> bool:
-        """Returns whether a storage node of this name is retiring or retired, which applies to its machine."""
+        """Returns whether a storage node of this name is retiring or retired: no other node of the name is admitted."""
         cluster_state = self._consensus.cluster_state
         return bool(name) and any(
             cluster_state.storage_nodes[node] != StorageStatus.SERVING
--- a/pipitlink/controller/vote_poll.py
+++ b/pipitlink/controller/vote_poll.py
@@ -19,9 +19,9 @@
 class VotePoll:
     """Sends a vote request to all voters at once, and collects the votes until the result is known.
 
-    After a full restart a candidate need not wait for a former leader's time to run out: every voter has just started,
-    or another node responds at its address, so none of them leads. The pre-vote proves this: every voter must confirm
-    that it started recently and knows the same set of voters.
+    After a full restart a candidate need not wait until a former leader would have stepped down, if the pre-vote proves
+    that no voter leads: each one must confirm that it started recently and knows the same set of voters, or another
+    node must respond at its address.
     """
 
     def __init__(self, ctx: Context, consensus: ConsensusState, calls: ControllerCalls, request: VoteRequest) -> None:
--- a/pipitlink/controller/witness_changes.py
+++ b/pipitlink/controller/witness_changes.py
@@ -70,7 +70,10 @@
             await self._release_storage_node()
 
     async def _confirm_change(self) -> None:
-        """Records that the last change of the witnesses is in effect; until then, half of them are not enough."""
+        """Records in the cluster state, once the last change of the witnesses is in effect, that it is.
+
+        Until then, an edit is in effect only at more than half of the witnesses; afterwards, half of them are enough.
+        """
         changed_at = self._consensus.cluster_state.witnesses_changed_at
         if not self._is_confirmed() and self._delivery.is_in_effect(changed_at):
             await self._leader_log.propose(Command(witness_change=changed_at))
--- a/pipitlink/router/waiting_tokens.py
+++ b/pipitlink/router/waiting_tokens.py
@@ -179,7 +179,7 @@
         return self._ctx.membership.status(gateway) in ("gone", "unknown")
 
     def drop_expired_grants(self) -> None:
-        """Drops expired grants, but keeps those of gateways that are not live until a listing has found their batches.
+        """Drops expired grants, but keeps those of gateways that are not live until the open batches were listed.
 
         A live gateway has reported the batches that it accepted, so its expired grants are not needed any more. Any
         other gateway (suspect, gone or unknown) may have stored a batch without reporting it. Its grant still counts
