--- a/pipitlink/controller/engine_announcements.py
+++ b/pipitlink/controller/engine_announcements.py
@@ -89,17 +89,18 @@
             )
 
     def _send_change(self, engine: AnnouncedEngine, announced_elsewhere: bool) -> None:
-        """Sends a change. A renewal is enough if the gateways know the engine from another controller."""
+        """Sends a change to all gateways; as a renewal if they know the engine from its announcement elsewhere."""
         if announced_elsewhere:
             self._notifier.add_renewal(engine.update.engine)
         else:
             self._notifier.propagate(engine)
 
     async def _wait_acknowledged(self, engine: AnnouncedEngine) -> None:
-        """Waits, up to a timeout, for all live gateways to acknowledge the change; a majority of all gateways must.
+        """Waits, up to a timeout, until all live gateways have acknowledged the change.
 
-        Otherwise this controller may be partitioned from gateways that still send requests, and the engine has to try
-        another controller. The remaining gateways are called until they acknowledge.
+        Raises ServiceUnavailable if no majority of all gateways has: this controller may be partitioned from gateways
+        that still send requests, and the engine has to try another one. The remaining gateways are still called until
+        they acknowledge.
         """
         propagation = self._current_propagation(engine)
         deadline = self._ctx.timers.now() + ACKNOWLEDGE_TIMEOUT
--- a/pipitlink/controller/leadership.py
+++ b/pipitlink/controller/leadership.py
@@ -9,7 +9,7 @@
 __all__ = ["may_change_placement"]
 
 SETTLING_TIME = secs(1)
-"""A new leader waits this long, until it knows which nodes are alive."""
+"""A new leader learns within this time which nodes are alive, and changes no placement before."""
 
 
 def may_change_placement(ctx: Context, consensus: ConsensusView, leader_log: LeaderLog) -> bool:
--- a/pipitlink/controller/log_replay.py
+++ b/pipitlink/controller/log_replay.py
@@ -9,9 +9,10 @@
 
 
 class LogReplay:
-    """Replays records in order. An entry replaces all entries at its index and after it.
+    """Replays records in order. An entry replaces all entries at its index and after it, unless it is already known.
 
-    A snapshot marker records that the log continues from a snapshot: entries of a conflicting branch are dropped.
+    A snapshot marker records that the log continues from a snapshot. If the entry at the snapshot's index has another
+    term, it is on a conflicting branch of the log, and it and all entries after it are dropped.
     """
 
     def __init__(self) -> None:
@@ -31,7 +32,11 @@
             self._add_marker(record.snapshot)
 
     def _add_entry(self, entry: ControllerEntry) -> None:
-        """Adds an entry. If it is already known, it was rewritten after a marker, and the entries after it stay."""
+        """Adds an entry, unless it is already known.
+
+        The entries that are retained when a snapshot is used are written again after its marker. Such a copy must not
+        remove the entries after it.
+        """
         known = self._entries.get(entry.index)
         if known is not None and known.term == entry.term:
             return
--- a/pipitlink/controller/log_replication.py
+++ b/pipitlink/controller/log_replication.py
@@ -30,7 +30,10 @@
 
 @attrs.frozen
 class SenderKey:
-    """Identifies a sender of entries, with its term, so that a hanging call of an earlier term cannot block it."""
+    """Identifies the sender of entries to one node in one term.
+
+    Each term has its own senders, so that a call of an earlier term that does not return cannot block them.
+    """
 
     node: str
     term: int
@@ -38,7 +41,10 @@
 
 @attrs.frozen
 class _Proposal:
-    """A proposed entry whose outcome is awaited. Errors are passed as values, since it may no longer be awaited."""
+    """A proposed entry whose outcome is awaited.
+
+    `result` fires with an error as a value, since a failure that nobody awaits any more would be reported as unhandled.
+    """
 
     term: int
     result: defer.Deferred[Outcome | Unconfirmed]
