--- a/pipitlink/gateway/engine_relay.py
+++ b/pipitlink/gateway/engine_relay.py
@@ -28,7 +28,7 @@
 
 
 class _IdleTimeout:
-    """Cancels an exchange in which nothing is received for too long.
+    """Cancels an exchange (one request to an engine and its response) if nothing is received for too long.
 
     It does so only after two idle checks in a row, so that a process that was suspended first reads the data that
     arrived during the suspension.
@@ -44,7 +44,7 @@
         self.timed_out = False
 
     def start(self, exchange: defer.Deferred[None]) -> None:
-        """Starts the idle checks of an exchange: the Deferred of one request to an engine, cancelled on a timeout."""
+        """Starts the idle checks. `exchange` fires at the end of the exchange, and is cancelled on a timeout."""
         self._exchange = exchange
         self._next_check = self._ctx.timers.call_later(IDLE_CHECK_INTERVAL, self._check)
 
--- a/pipitlink/gateway/node.py
+++ b/pipitlink/gateway/node.py
@@ -1,4 +1,4 @@
-"""The gateway node of the models interface, composed of its components."""
+"""The gateway node for requests by model, composed of its components."""
 
 from __future__ import annotations
 
@@ -201,7 +201,7 @@
         return gauges
 
     def metric_families(self) -> Iterable[HistogramMetricFamily]:
-        """Returns the metrics other than gauges, with their full names."""
+        """Returns the metrics other than gauges, with the prefix `pipitlink_` in their names."""
         name = "pipitlink_first_piece_seconds"
         return [self.table.first_chunk_latency.family(name, "From a live request's arrival to its first piece")]
 
--- a/pipitlink/storage/lease_grants.py
+++ b/pipitlink/storage/lease_grants.py
@@ -31,8 +31,9 @@
 class LeaseGrants:
     """The leases granted by this storage node, each under a new highest epoch that is synced before the response.
 
-    A storage node that has just started, or just joined a placement group, may not know of a valid lease. It refuses
-    new leases until any such lease would have expired.
+    A storage node that has just started, or just joined a placement group, may not know of a valid lease. Until
+    any such lease would have expired, it refuses new leases on logs that had one before, unless the request sets
+    `take_over`.
     """
 
     def __init__(
@@ -53,9 +54,9 @@
         self._ctx.rpc.register_handler("replicated_log.renew", RenewRequest, self._renew)
 
     def joined_placement_group(self, number: int) -> None:
-        """Refuses new leases on the logs of a placement group, which this node has just joined, for LEASE_DURATION.
+        """Starts to refuse new leases on the logs of a placement group that this node has just joined.
 
-        By then, any lease on them that this node does not know of has expired.
+        Ends after LEASE_DURATION: by then, any lease on them that this node does not know of has expired.
         """
         self._joined_group_no_grants_until[number] = self._ctx.timers.now() + LEASE_DURATION
 
--- a/tests/test_simulated_controllers.py
+++ b/tests/test_simulated_controllers.py
@@ -285,7 +285,7 @@
         self.assertIsInstance(raised.exception, Unconfirmed)
 
     def test_a_leader_counts_only_what_its_own_disk_has_synced_in_this_term(self):
-        """Its synced index from an earlier term may be beyond the end of a log that was truncated since."""
+        """A leader's synced index of an earlier term may be beyond the end of its log, which was truncated since."""
         for a in self.simulation.role("controller"):
             a.part.log_replication.synced_index = 10**6
         self.simulation.leader().part.consensus.step_down()
