--- a/pipitlink/controller/state_delivery.py
+++ b/pipitlink/controller/state_delivery.py
@@ -242,8 +242,8 @@
     async def edit(self, command: Command, timeout: timedelta = EDIT_TIMEOUT) -> Outcome:
         """Proposes an edit and returns its outcome once it is committed and in effect everywhere.
 
-        Raises NotLeader, without running the edit, if there was no recent contact with a majority, and StorageFull,
-        also without running it, if the disk has no room for it. Later, raises Unconfirmed if the contact or the
+        Without running the edit, raises NotLeader if this controller does not lead or had no recent contact with a
+        majority, and StorageFull if the disk has no room for the edit. Later, raises Unconfirmed if the contact or the
         leadership is lost, or DeadlineExceeded after `timeout`; the edit may still be committed in both cases.
 
         Cancelling this, as when the client disconnects, does not cancel the proposal: its entry is already in the log,
