--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""testbed: stand-ins, whole fleets on loopback and the faults to try on them.
+"""testbed: stand-ins, clusters on loopback, fault injection and measurements.
 
 Usage:
   testbed backend --name NAME --gateways LIST [--pool POOL] [--models LIST] [--zone ZONE] [--capacity N]
@@ -15,33 +15,33 @@
   testbed -h | --help
 
 Options:
-  --name NAME       The stand-in's name.
-  --gateways LIST     Gateways to announce to, IP:PORT, with commas.
+  --name NAME       The name of the stand-in engine.
+  --gateways LIST     Gateways to announce to, as IP:PORT, separated by commas.
   --pool POOL       Its pool. [default: models]
-  --models LIST     Models it serves. [default: ]
+  --models LIST     Models it serves, separated by commas. [default: ]
   --zone ZONE       Its zone. [default: zone-a]
-  --capacity N      How many requests it takes at once. [default: 8]
+  --capacity N      Maximum number of concurrent requests. [default: 8]
   --port N          Its port. [default: 0]
   --step S          Seconds between pieces. [default: 0.01]
-  --notes FILE      Where it notes its runs.
+  --notes FILE      File in which it records its runs.
   --profile NAME    periplous, maizes or small. [default: small]
-  --seed N          The schedule's seed. [default: 1]
-  --minutes M       How long faults are brought about. [default: 2]
-  --keep PATH       Keeps data and logs in this folder, or a capacity run's points in this file.
-  --faults LIST     Only these faults, with commas.
-  --together N      How many faults last at once. [default: 2]
-  --rounds N        How many pairs of windows are measured, or how often each fault comes. [default: 5]
-  --promise LIST    leaving, edit, reading, result, ended, zone, back, repair; with commas, or all.
-  --window S        Seconds in a window. [default: 6]
-  --within M        Minutes after which no new point is begun. [default: 20]
-  --cores N         Cores that hollow fleets may keep busy. [default: 3]
-  --series LIST     Series of points, with commas. [default: all]
-  --inner           Times single steps of a gateway's own code at full size instead.
-  --from LIST       Files of points that were kept, with commas: shows these and measures none.
-  --picture FILE    Draws them there; needs the extra `capacity`.
-  --log FILE        What the nodes logged on the day of the report.
-  --worths LIST     The worth of one request of each kind, KIND=WORTH with commas; else 1.
-  --level LEVEL     The fleet's log level. [default: info]
+  --seed N          Seed of the schedule of faults and of the load. [default: 1]
+  --minutes M       Minutes during which faults are injected. [default: 2]
+  --keep PATH       Keeps data and logs in this folder, or the points of a capacity run in this file.
+  --faults LIST     Injects only these faults, separated by commas.
+  --together N      Maximum number of concurrent faults. [default: 2]
+  --rounds N        Number of pairs of windows to measure, or of injections of each fault. [default: 5]
+  --promise LIST    leaving, edit, reading, result, ended, zone, back, repair; separated by commas, or all.
+  --window S        Length of a window in seconds. [default: 6]
+  --within M        Minutes after which no new point is started. [default: 20]
+  --cores N         Maximum number of cores that clusters of lightweight nodes may use. [default: 3]
+  --series LIST     Series of points, separated by commas. [default: all]
+  --inner           Instead times single steps of gateway code at full size.
+  --from LIST       Shows the points kept in these files, separated by commas, without measuring.
+  --picture FILE    Draws the results into this file; needs the extra `capacity`.
+  --log FILE        The log of the nodes on the day of the report.
+  --worths LIST     The worth of one request by kind, as KIND=WORTH separated by commas; 1 for other kinds.
+  --level LEVEL     Log level of the cluster. [default: info]
 """
 
 from docopt import docopt
@@ -103,7 +103,7 @@
 
 
 def _capacity(arguments) -> int:
-    """Slopes by hollow fleets; the whole of them takes about a quarter of an hour."""
+    """Measures the cost per node with lightweight nodes; all series take about a quarter of an hour."""
     import json
     from pathlib import Path
 
--- a/testbed/benchmarks/batch_impact.py
+++ b/testbed/benchmarks/batch_impact.py
@@ -1,4 +1,4 @@
-"""Measures a healthy cluster: windows with and without batch jobs beside live traffic, by turns."""
+"""Measures live traffic on a healthy cluster, in alternating windows with and without batches."""
 
 import json
 import re
@@ -70,7 +70,7 @@
             threading.Thread(target=self._watch_results, args=(e["lot"],), daemon=True).start()
 
     def _watch_results(self, batch):
-        """Notes when each item is first visible at a gateway that need not own the lot."""
+        """Records when each item is first visible at a gateway, which may not be the leaseholder of the batch."""
         start, gateway = 0, self.clients.pick_gateway()
         until = time.monotonic() + 60
         while time.monotonic() < until:
@@ -93,7 +93,7 @@
             )
 
     def _edit(self, n) -> dict:
-        """From the request to its response, and to the moment when every gateway is seen to have it."""
+        """Measures the seconds from an edit request to its response, and until every gateway has the edit."""
         controller = self.cluster.nodes("controller")[n % len(self.cluster.nodes("controller"))]
         base = self.cluster.call(controller, "GET", "/v1/table")[1]["sequence"]
         began = time.monotonic()
--- a/testbed/benchmarks/deployment_profiles.py
+++ b/testbed/benchmarks/deployment_profiles.py
@@ -1,4 +1,4 @@
-"""The sizes of the deployments that benchmarks run, and the summary of measured values."""
+"""The sizes of the deployments used in benchmarks, and a summary of measured values."""
 
 import statistics
 
--- a/testbed/faults/component_failures.py
+++ b/testbed/faults/component_failures.py
@@ -10,10 +10,14 @@
 
 
 class ComponentFailures:
-    """Mixin: each `plan_` draws a fault from its own random numbers; the soak runs it once the fleet can bear it."""
+    """Mixin whose `plan_` methods draw faults from the given random numbers.
+
+    Each returns the affected nodes and a function that injects and heals the fault. The soak calls the function once
+    the cluster can tolerate the fault beside those that are active.
+    """
 
     def _stop_and_restart(self, what, names, span, power=None, wiped=False, settle=3.0):
-        """Kills nodes together, by losing power where `power` is a rng, and starts them again."""
+        """Kills nodes together and restarts them; with a rng as `power`, their disks lose unsynced data."""
 
         def do():
             gateways = {n for n in names if n.startswith("gateway")}
@@ -41,7 +45,7 @@
             if n.startswith("gateway"):
                 wait_for(lambda: self.cluster.call(n, "GET", "/v1/ready")[0] == 200, 30, f"{n} is ready again")
             elif n.startswith(("storage", "controller")):
-                wait_for(lambda: self.cluster.call(n, "GET", "/v1/live")[0] == 200, 30, f"{n} lives again")
+                wait_for(lambda: self.cluster.call(n, "GET", "/v1/live")[0] == 200, 30, f"{n} is up again")
         if any(n.startswith(("storage", "controller")) for n in names):
             time.sleep(REPAIR_SECONDS)
 
@@ -64,7 +68,7 @@
         return self._stop_and_restart("power", [self.leader()], 2 * c.random(), power=c)
 
     def plan_power_storage_node(self, c):
-        """The busiest storage node loses power right after an acknowledgement."""
+        """The storage node with the most data loses power right after a batch was acknowledged."""
         names, do = self._stop_and_restart("power", [self.busiest()], 2 * c.random(), power=c)
 
         def at_once():
@@ -121,7 +125,7 @@
         names = sorted(set(names))
 
         def do():
-            self.log(f"{','.join(names)} are replaced one by one")
+            self.log(f"restart {','.join(names)} one by one")
             for name in names:
                 with self.clients.record_fault("roll", [name]):
                     self.clients.excluded_gateways.add(name)
@@ -143,11 +147,11 @@
         return [name, "core"], do
 
     def plan_replace_seeds(self, c):
-        """The three machines of the seeds are swapped for empty ones at new addresses; the others keep old seeds."""
+        """The three seed nodes are replaced by empty ones at new addresses; the other nodes keep the old seeds."""
         old_nodes = [next(n for n in self.cluster.nodes(r)) for r in ("controller", "storage", "gateway")]
 
         def do():
-            self.log(f"{','.join(old_nodes)} are replaced by empty machines at new addresses")
+            self.log(f"replace {','.join(old_nodes)} by empty nodes at new addresses")
             lost = self.storage_node_id(old_nodes[1])
             seeds = [self.cluster.address(self.cluster.nodes(r)[1]) for r in ("controller", "storage", "gateway")]
             with self.clients.record_fault("replaced", old_nodes, settle=4):
@@ -167,26 +171,24 @@
         return [*old_nodes, "core"], do
 
     def plan_retire_storage_node(self, c):
-        """A storage node is added and another retired; while its placement groups move, a third one is killed for a
-        while.
-        """
+        """A storage node is added and another is retired; a third one is down for a while as placement groups move."""
         old, other = c.sample(self.cluster.nodes("storage"), 2)
 
         def do():
             self._added_nodes += 1
             new = f"storage{100 + self._added_nodes}"
-            self.log(f"{new} is added, {old} is retired and {other} is killed meanwhile")
+            self.log(f"add {new} and retire {old}, and kill {other} meanwhile")
             self.cluster.add_node("storage", new, self.cluster.zones[old]).start()
             wait_for(
                 lambda: any(d["place"] == self.cluster.address(new) for d in self.storage_nodes().values()),
                 30,
-                "it is admitted",
+                f"{new} is admitted",
             )
             gone = self.storage_node_id(old)
             wait_for(
                 lambda: self.cluster.call(self.leader(), "POST", f"/v1/storage_nodes/{gone}/retire", {})[0] == 200,
                 30,
-                "retirement is taken",
+                f"the retirement of {old} is accepted",
             )
             self._stop_and_restart("kill", [other], 1 + 2 * c.random())[1]()
             wait_for(lambda: self.storage_nodes().get(gone, {}).get("status") == "retired", 120, f"{old} is retired")
@@ -198,12 +200,12 @@
         return [old, other, "core"], do
 
     def plan_disk_full(self, c):
-        """One storage node's disk refuses; then two storage nodes' do, which may refuse lots but loses nothing."""
+        """The disk of one storage node is full, then the disks of two: batches may be refused, but nothing is lost."""
         names = c.sample(self.cluster.nodes("storage"), 2)
 
         def do():
             for full, bearable in ((names[:1], True), (names, False)):
-                self.log(f"the disks of {','.join(full)} are full")
+                self.log(f"fill the disks of {','.join(full)}")
                 with self.clients.record_fault("disk full", full, bearable=bearable, settle=4):
                     self.cluster.inject(full=[self.cluster.address(n) for n in full])
                     time.sleep(3)
@@ -237,7 +239,7 @@
         )
 
     def plan_zone_cut(self, c):
-        """A zone's machines hear no other zone; the platform moves its clients."""
+        """A zone is partitioned from the others; its clients move to gateways in other zones."""
         inside = self.nodes_in_zone(c.choice(ZONES), False)
         names, cut = self._cut("zone cut", inside, [n for n in self.nodes() if n not in inside], 2 + 4 * c.random())
         gateways = {n for n in inside if n.startswith("gateway")}
@@ -255,12 +257,12 @@
         return self._cut("one-way cut", [one], [n for n in self.nodes() if n != one], 2 + 3 * c.random(), True)
 
     def plan_slow_links(self, c):
-        """Calls from and to a zone's nodes take long."""
+        """Calls from and to the nodes of a zone are delayed."""
         inside = self.nodes_in_zone(c.choice(ZONES), False)
         span, delay = 3 + 3 * c.random(), 0.05 + 0.1 * c.random()
 
         def do():
-            self.log(f"links of {','.join(inside)} take {delay * 1000:.0f} ms more for {span:.1f} s")
+            self.log(f"delay calls of {','.join(inside)} by {delay * 1000:.0f} ms for {span:.1f} s")
             with self.clients.record_fault("slow links", inside):
                 self.cluster.inject(delays={self.cluster.address(n): delay for n in inside})
                 time.sleep(span)
@@ -280,5 +282,5 @@
             )
 
         began = time.monotonic()
-        wait_for(placed, 120, "the placement groups are placed again")
+        wait_for(placed, 120, "all placement groups are placed again")
         self.log(f"placement groups placed again after {time.monotonic() - began:.1f} s")
--- a/testbed/faults/disks.py
+++ b/testbed/faults/disks.py
@@ -1,4 +1,4 @@
-"""Disks that lose what was not synced, in a simulation and under real processes."""
+"""Disks that lose unsynced data, in simulations and for real processes."""
 
 import os
 import shutil
@@ -13,9 +13,10 @@
 
 
 class PowerLossDisk(Disk):
-    """Knows what was synced; `lose_power` drops the rest, and may leave a torn part of it.
+    """Tracks what was synced; `lose_power` truncates each file to its synced length plus a random part of the rest.
 
-    With `names` each file that was made, renamed or removed without a sync of its folder is kept or lost by itself.
+    With `names` set, each creation, rename or removal of a file since the last sync of its folder is also kept or
+    lost at random, independently of the others.
     """
 
     def __init__(self, rng: Random, names: bool = False) -> None:
@@ -36,7 +37,7 @@
         self._remember_folder(fd)
 
     def _forget_removed_files(self) -> None:
-        """The file system may give the number of a removed file to one that is not written through this disk."""
+        """Drops removed files, whose inode numbers may be reused for files that this disk doesn't write."""
         known = list(self._synced)
         folders = [folder for folder in tuple(self._known_folders) if folder.exists()]
         present = {entry.inode() for folder in folders for entry in os.scandir(folder)}
@@ -61,7 +62,7 @@
         self.save_names(folder)
 
     def save_names(self, folder: Path) -> None:
-        """Keeps links to all that the folder names now, to restore it after a power loss; only with `names`."""
+        """Records the entries of a folder as hard links, to restore them after a power loss; only with `names`."""
         if self._shadows is None:
             return
         self._drop_shadow(Path(folder))
@@ -81,7 +82,7 @@
             os.link(path, goal)
 
     def lose_power(self) -> None:
-        """Drops what was not synced, or a random part of it."""
+        """Drops all unsynced data, or a random part of it."""
         for folder, durable in sorted(self._durable.items()):
             self._restore_names(folder, durable)
         folders = [folder for folder in (*self._known_folders, *self._durable) if folder.exists()]
@@ -121,7 +122,7 @@
 
 
 class ReportingDisk(Disk):
-    """Reports beside the data folder what was synced, so that the harness can drop the rest."""
+    """Writes the synced length of each file to a report beside the data folder, so that a harness can drop the rest."""
 
     def __init__(self, plugin: "_FullDisks", data: str) -> None:
         self._plugin = plugin
--- a/testbed/faults/fault_plugin.py
+++ b/testbed/faults/fault_plugin.py
@@ -1,8 +1,8 @@
-"""Fault plugin for real processes, which reads the faults from a file.
+"""Fault plugin for real processes; it reads the active faults from a file.
 
-The file holds `{"cuts": [[FROM, TO], ...], "delays": {ADDRESS: seconds}, "full": [ADDRESS]}` with addresses IP:PORT of
-nodes. A call over a cut is dropped without an error, and a full disk refuses to append. What was synced is reported
-beside the data folder, so that a harness can drop the rest.
+The file holds `{"cuts": [[FROM, TO], ...], "delays": {ADDRESS: seconds}, "full": [ADDRESS]}`, where an address is the
+IP:PORT of a node. Calls over a cut link are dropped without an error, and a full disk refuses appends. The synced
+length of each file is reported beside the data folder, so that a harness can drop the rest.
 """
 
 import json
--- a/testbed/faults/final_fault.py
+++ b/testbed/faults/final_fault.py
@@ -1,4 +1,4 @@
-"""The last fault of a run, of a kind drawn by its seed, and the check that all is served again."""
+"""The final fault of a run, of a kind drawn from the seed, and the check that service recovers from it."""
 
 import threading
 import time
@@ -13,7 +13,7 @@
 
 
 class FinalFault:
-    """Mixin: one last fault, then service back within 12 s and nothing acknowledged lost."""
+    """Mixin that injects a final fault; service must recover within 12 s, and no acknowledged data may be lost."""
 
     def _run_final_fault(self):
         c = Random(f"{self.seed}/closing")
@@ -25,9 +25,9 @@
             heal = self._inject_final_fault(kind, names, c)
             began = time.monotonic()
             took = self._wait_for_service(names, began)
-            self.log(f"service back after {took:.1f} s")
+            self.log(f"service recovered after {took:.1f} s")
             if took > RECOVERY_LIMIT_SECONDS:
-                self.clients.note("late", text=f"service was back after {took:.1f} s")
+                self.clients.note("late", text=f"service recovered only after {took:.1f} s")
             heal()
             self._wait_until_ready([n for n in names if n in self.nodes()])
         self.clients.excluded_gateways.clear()
@@ -35,7 +35,7 @@
         wait_for(self._all_edits_resolved, 60, "every edit's outcome is known")
         batches = {e["lot"] for e in self.clients.recorded_events() if e["event"] == "lot" and e["lot"]}
         self.clients.stopped.clear()
-        wait_for(lambda: all(self._is_done(batch) for batch in batches), 240, "every lot is done or ended")
+        wait_for(lambda: all(self._is_done(batch) for batch in batches), 240, "every batch is done or ended")
         for n in self.cluster.nodes("controller"):
             self.clients.read_table(n)
 
@@ -44,8 +44,8 @@
         return not self.clients.unresolved_edits()
 
     def _inject_final_fault(self, kind, names, c):
-        """Returns what heals it."""
-        self.log(f"closing fault: {kind} of {','.join(names)}")
+        """Injects the fault and returns the function that heals it."""
+        self.log(f"final fault: {kind} of {','.join(names)}")
         self.clients.excluded_gateways |= {n for n in names if n.startswith("gateway")}
         if kind == "split":
             rest = [n for n in self.nodes() if n not in names]
@@ -68,7 +68,7 @@
         return heal
 
     def _wait_for_service(self, names, began) -> float:
-        """Until each kind of service works at every node that is left."""
+        """Waits until each kind of request succeeds at every remaining node; returns the seconds since `began`."""
         gateways = [g for g in self.cluster.nodes("gateway") if g not in names]
         controllers = [o for o in self.cluster.nodes("controller") if o not in names]
         checks = [lambda g=g: self._is_streaming(g) for g in gateways] + [
@@ -112,7 +112,7 @@
         return False
 
     def _is_accepting_edits(self, controllers) -> bool:
-        """An edit is acknowledged, and every controller that is left reads it back."""
+        """Whether an edit is acknowledged and every remaining controller reads it back."""
         row = {"model": f"closing-{time.monotonic()}"}
         e = self.clients.edit("closing", row, row["model"], controllers[0])
         if e.get("status") != 200:
--- a/testbed/faults/overload.py
+++ b/testbed/faults/overload.py
@@ -1,4 +1,4 @@
-"""Load peaks, batch jobs, engines and operators that put a cluster under stress, with the nodes affected."""
+"""Faults of engines, load peaks, and operations that stress a cluster, each with the nodes that it affects."""
 
 import threading
 import time
@@ -9,7 +9,7 @@
 
 
 class OverloadFaults:
-    """Mixin: like `ComponentFailures`, for what callers, back ends and operators do."""
+    """Mixin like `ComponentFailures`, for the behaviour of clients, engines and operators."""
 
     def _switch_mode(self, name, mode, span):
         def do():
@@ -37,19 +37,19 @@
         return self._switch_mode(self._random_engine(c), "hang", 2 + 2 * c.random())
 
     def plan_engine_silent(self, c):
-        """It says nothing for longer than it may and comes back by itself."""
+        """An engine stops announcing itself for longer than allowed and recovers by itself."""
         return self._switch_mode(self._random_engine(c), "silent", 5 + 2 * c.random())
 
     def plan_engine_broken(self, c):
         return self._switch_mode(self._random_engine(c), c.choice(("mixed", "error", "unclosed")), 2)
 
     def plan_engine_vanish(self, c):
-        """Its machine is gone without a word: nothing ends its streams."""
+        """The machine of an engine fails without closing its connections."""
         name = self._random_engine(c)
 
         def do():
             span = 3 + 3 * c.random()
-            self.log(f"{name} vanishes for {span:.1f} s")
+            self.log(f"{name} is unresponsive for {span:.1f} s")
             with self.clients.record_fault("vanished", [name]):
                 self.cluster.programs[name].freeze()
                 time.sleep(span)
@@ -59,13 +59,13 @@
         return [name], do
 
     def plan_engine_moved(self, c):
-        """It crashes and comes back at another address under its name."""
+        """An engine crashes and comes back under the same name at another address."""
         name = self._random_engine(c)
 
         def do():
             p = self.cluster.programs[name]
             (port,) = free_ports(1)
-            self.log(f"{name} comes back at port {port}")
+            self.log(f"restart {name} at port {port}")
             with self.clients.record_fault("moved", [name]):
                 p.kill()
                 p.ports = (port,)
@@ -79,7 +79,7 @@
         name = c.choice(self.cluster.engines + self.cluster.cards)
 
         def do():
-            self.log(f"{name} is leaving, then replaced")
+            self.log(f"{name} announces that it leaves, and is restarted")
             with self.clients.record_fault("leaving", [name]):
                 self.cluster.call(name, "POST", "/mode/leaving")
                 time.sleep(4)
@@ -104,7 +104,7 @@
 
     def plan_lots_crowd(self, c):
         def do():
-            self.log("many lots at once")
+            self.log("submit many batches at once")
             with self.clients.record_fault("lots", []):
                 for n in range(6):
                     self.submit_batch(f"crowd-{n}-{time.monotonic()}", 25, 600_000)
@@ -112,12 +112,12 @@
         return ["lots"], do
 
     def plan_crowd(self, c):
-        """Far more live requests at once than the engines have room for: each gets an answer or an honest no."""
+        """Sends far more concurrent live requests than the engines can run: each is served or refused."""
 
         def do():
             n = 3 * self.cluster.capacity * len(self.cluster.engines)
             mark = f"crowd-{time.monotonic()}"
-            self.log(f"a crowd of {n}")
+            self.log(f"send {n} live requests at once")
             began = time.monotonic()
             with self.clients.record_fault("crowd", []):
                 crowd = [threading.Thread(target=self.clients.generate, args=(f"{mark}-{i}",)) for i in range(n)]
@@ -131,18 +131,18 @@
             shed = sorted(e["at"] - e["asked"] for e in live_requests if e["fault"])
             backs = sorted({int(e["retry"]) for e in live_requests if str(e["retry"] or "").isdigit()})
             self.log(
-                f"the crowd: {sum(bool(e['end']) for e in live_requests)} whole, {len(shed)} shed, the last after "
-                f"{shed[-1] if shed else 0:.2f} s, told to come back after {backs} s, "
-                f"all told after {time.monotonic() - began:.2f} s"
+                f"load peak: {sum(bool(e['end']) for e in live_requests)} complete, {len(shed)} shed, the last after "
+                f"{shed[-1] if shed else 0:.2f} s, Retry-After {backs} s, "
+                f"all responses after {time.monotonic() - began:.2f} s"
             )
 
         return ["crowd"], do
 
     def plan_backlog(self, c):
-        """Lots pause while many more come in, and then go on together."""
+        """Batches are paused while more are submitted, and then all resume together."""
 
         def do():
-            self.log("lots pause, and a backlog builds up")
+            self.log("pause batches while a backlog builds up")
             row = {"model": "pipit-small", "weight": 1, "lot_share": 0.01}
             with self.clients.record_fault("backlog", []):
                 self.clients.edit("pause", row, f"pause-{time.monotonic()}", self.leader())
@@ -155,14 +155,14 @@
                         in (200, 404)
                     ),
                     30,
-                    "lots go on",
+                    "batches resume",
                 )
 
         return ["lots", "table"], do
 
     def plan_end_lot(self, c):
         def do():
-            self.log("a lot is ended")
+            self.log("cancel a batch")
             e = self.clients.submit_batch(f"ending-{time.monotonic()}", 200, 3_600_000, watch=False)
             if e["lot"]:
                 self.remember(e["lot"])
@@ -173,7 +173,7 @@
 
     def plan_two_editors(self, c):
         def do():
-            self.log("two operators edit at once, a row against the whole cluster state")
+            self.log("two operators edit at once: one a row, the other the whole table")
             controllers = self.cluster.nodes("controller")
             args = [
                 (f"row-{c.randrange(4)}", {"model": f"m-{time.monotonic()}", "weight": 2}, None),
@@ -194,7 +194,7 @@
         return ["editors"], do
 
     def plan_table_grows(self, c):
-        """Thousands of routes come into the table under traffic, and go again."""
+        """Adds thousands of routes to the table under load, and removes them again."""
         many = 2000 + c.randrange(2000)
 
         def routes(rows):
@@ -216,7 +216,7 @@
                             == 200
                         ),
                         30,
-                        f"the table did {what}",
+                        f"the edit to {what} the table is accepted",
                     )
                     time.sleep(3)
 
--- a/testbed/processes/__init__.py
+++ b/testbed/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Clusters of real processes on the loopback interface, complete or with several light nodes to a process."""
+"""Clusters of processes on the loopback interface: complete nodes, or several lightweight nodes per process."""
--- a/testbed/processes/host_processes.py
+++ b/testbed/processes/host_processes.py
@@ -1,4 +1,4 @@
-"""Clusters of lightweight nodes, whose host processes take commands on their standard input."""
+"""Clusters of lightweight nodes, in host processes that are controlled over their standard input."""
 
 import json
 import os
@@ -23,7 +23,7 @@
 
 
 class MachineOverloaded(Exception):
-    """The fleet takes more of the machine than it may: it is to be run at a slower pace."""
+    """The cluster overloads this machine and must be run at a slower pace."""
 
 
 class _HostProcess:
@@ -37,7 +37,7 @@
     def send_command(self, do: str, **what) -> dict:
         self._process.stdin.write(json.dumps({"do": do, **what}).encode() + b"\n")
         self._process.stdin.flush()
-        out = json.loads(self._process.stdout.readline() or '{"fault": "the host ended"}')
+        out = json.loads(self._process.stdout.readline() or '{"fault": "the host process has ended"}')
         if "fault" in out:
             raise RuntimeError(f"{self.role} host: {do}: {out['fault']}")
         return out
@@ -57,7 +57,10 @@
 
 
 class LightweightCluster:
-    """Controllers and storage nodes each alone in a process; gateways several to one, or whole ones each alone."""
+    """A cluster in which each controller, storage node and complete gateway has a process of its own.
+
+    Lightweight gateways share processes.
+    """
 
     def __init__(self, gateways: int, kind: str, pace: float, controllers=3, storage_nodes=3):
         self.gateways, self.kind, self.pace = gateways, kind, pace
@@ -101,7 +104,7 @@
         )
 
     def _start_control(self, control: list[_HostProcess], members: list[str]):
-        """Controllers and storage nodes found the fleet at full pace, before there are gateways."""
+        """Bootstraps the cluster of controllers and storage nodes at full pace, before gateways are started."""
         for h in control:
             h.send_command("open", members=members)
         self._until(lambda: all(h.send_command("look")["ready"] for h in control), READY_LIMIT_SECONDS)
@@ -117,15 +120,15 @@
             time.sleep(0.2)
 
     def wait_for_rows(self, rows: int):
-        """Waits until every node has at least so many rows."""
+        """Waits until every node has at least `rows` rows."""
         self._until(lambda: all(h.send_command("look")["rows"] >= rows for h in self.hosts), READY_LIMIT_SECONDS)
 
     def wait_for_held_logs(self, held: int):
-        """Waits until so many logs are held."""
+        """Waits until `held` leases of logs are held."""
         self._until(lambda: sum(h.send_command("count")["held"] for h in self.hosts) >= held, 2 * READY_LIMIT_SECONDS)
 
     def wait_for_burst(self):
-        """Waits until what was to be written at once is durable."""
+        """Waits until the burst of results is durable."""
         self._until(lambda: not any(h.send_command("count")["bursting"] for h in self.hosts), 2 * READY_LIMIT_SECONDS)
 
     def start_load(self, engines: int = 0, tails: int = 0, held: int = 0, **more):
@@ -149,7 +152,7 @@
                 h.send_command("load", rows=more.get("rows", 0), changes=more.get("changes", 0))
 
     def sample(self) -> list[dict]:
-        """What each host has used and counted so far."""
+        """Returns the resource usage and the counters of each host."""
         return self._all(
             lambda h: {
                 "role": h.role,
@@ -163,12 +166,12 @@
         )
 
     def measure_usage(self, model_seconds: float) -> tuple[float, float]:
-        """Cores in use by all hosts together, and the share of their timers that came in time at the worst of them."""
+        """Returns the cores that all hosts use together, and the lowest fraction of timers that a host ran in time."""
         w = self.measure_window(model_seconds)
         return w["cores"], w["kept"]
 
     def measure_window(self, model_seconds: float) -> dict:
-        """One window's figures for each role: per node, and a second of the nodes' own time."""
+        """Measures for a while; returns figures by role, per node and per second of the nodes' own clock."""
         before = self.sample()
         time.sleep(model_seconds * self.pace)
         after = self.sample()
--- a/testbed/processes/lightweight_nodes.py
+++ b/testbed/processes/lightweight_nodes.py
@@ -1,4 +1,4 @@
-"""Lightweight nodes: the product's own parts without client traffic, several to a process, on a slowed clock."""
+"""Lightweight nodes: the real components of nodes without client traffic, several per process, on a slowed clock."""
 
 import json
 from collections import Counter
@@ -35,11 +35,11 @@
 
 
 class LightweightGateway(GatewayNode):
-    """A whole gateway but for its HTTP side: every beat, call and answer between peers is the gateway's own."""
+    """A gateway without its HTTP servers: all heartbeats, calls and responses between peers are those of a real one."""
 
 
 class _PeerOnly:
-    """A node that is only a peer: membership and cluster state, nothing of a gateway's work."""
+    """A node with only membership and cluster state, and none of the functions of a gateway."""
 
     def __init__(self, ctx):
         self._ctx = ctx
@@ -49,7 +49,7 @@
 
 
 class CountedRpcEndpoint(RpcEndpoint):
-    """Counts calls and responses by method, with the bytes of their frames."""
+    """Counts calls and responses by method, with the sizes of their frames."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -102,7 +102,7 @@
 
 
 class _SlowedReactor:
-    """The reactor, with its calls and the limits of its connects `pace` times later."""
+    """The reactor with all delays and connect timeouts multiplied by `pace`."""
 
     def __init__(self, host):
         self._host = host
@@ -118,7 +118,7 @@
 
 
 def open_parts(ctx, kind: str, me: Member, disk: Disk):
-    """The parts of one hollow node, opened as its process would, but for its HTTP sides; returns the role's own."""
+    """Opens the components of a lightweight node as its process would, without HTTP; returns that of its role."""
     ctx.membership, ctx.cluster, ctx.replicated_log = Membership(ctx), ClusterFollower(ctx), ReplicatedLog(ctx)
     if ctx.role == "gateway":
         ctx.cache = Cache(ctx)
@@ -144,7 +144,7 @@
 
 
 class _LightweightNode:
-    """One node of a host's process."""
+    """A lightweight node in a host process."""
 
     def __init__(self, host, role: str, n: int, spec: dict):
         self.role, self.kind = role, spec["kind"]
@@ -193,7 +193,7 @@
 
 
 class _CompleteNode:
-    """A real node in a process of its own: what `pipitlink gateway` opens, with its calls counted."""
+    """A complete node in a process of its own, as `pipitlink gateway` starts it, with its calls counted."""
 
     def __init__(self, host, role: str, n: int, spec: dict):
         self.role = role
@@ -221,7 +221,10 @@
 
 
 class _Host(LineOnlyReceiver):
-    """A process of hollow nodes that does what it is told on its input, a JSON object to a line, and ends with it."""
+    """A process of lightweight nodes that executes commands from its input, one JSON object per line.
+
+    It ends when its input is closed.
+    """
 
     delimiter = b"\n"
     MAX_LENGTH = 16 * 1024 * 1024
@@ -240,7 +243,7 @@
         return nodes + (self._boot() - real) / self.pace
 
     def _tick(self):
-        """Timers that came: where fewer do than should, the machine holds this host up and its rates are too low."""
+        """Counts timer ticks: if there are fewer than expected, the machine is overloaded and rates are too low."""
         self._ticks += 1
 
     def lineReceived(self, line):
@@ -271,7 +274,7 @@
             n.follow()
 
     async def do_meet(self, members: list[str]):
-        """Tells each node, by the product's own call, who is in the fleet."""
+        """Sends the list of all members to each node, by the usual membership call."""
         everyone = [Member.FromString(bytes.fromhex(m)) for m in members]
         for n in self.nodes:
             for at in range(0, len(everyone), MEMBERS_PER_MESSAGE):
--- a/testbed/processes/process_cluster.py
+++ b/testbed/processes/process_cluster.py
@@ -22,7 +22,7 @@
 
 
 def free_ports(n: int) -> list[int]:
-    """Ports that nobody uses, below those that outgoing connections are given."""
+    """Returns unused ports below the ephemeral range, from which outgoing connections take theirs."""
     out: list[int] = []
     at = 12_000 + os.getpid() * 97 % 18_000
     while len(out) < n:
@@ -40,7 +40,7 @@
 
 
 def wait_for(check, limit: float, what: str):
-    """Waits on a condition, up to a limit."""
+    """Waits until a condition holds and returns its value; fails after `limit` seconds."""
     until = time.monotonic() + limit
     while True:
         got = check()
@@ -180,12 +180,12 @@
         return [n for n in self._ports if n.rstrip("0123456789") == role]
 
     def remove(self, name: str):
-        """A machine that was replaced: killed, and no longer counted among the nodes."""
+        """Kills a node and removes it from the cluster."""
         self.programs[name].kill()
         self._ports.pop(name, None)
 
     def cut_power(self, name: str, rng):
-        """Cuts a node's power: what it had not synced is gone, but for a torn part of it."""
+        """Kills a node and truncates its unsynced data at a random point; returns the number of bytes lost."""
         self.programs[name].kill()
         synced_file = self.folder / f"{name}.synced"
         synced: dict[str, int] = {}
@@ -202,7 +202,7 @@
         return lost
 
     def wipe(self, name: str):
-        """A node's disk is lost: it will find an empty folder."""
+        """Moves the data folder of a stopped node away, so that the node restarts with an empty one."""
         self._wiped_count += 1
         (self.folder / name).rename(self.folder / f"{name}-lost-{self._wiped_count}")
 
@@ -225,7 +225,7 @@
             shutil.rmtree(self.folder, ignore_errors=True)
 
     def call(self, name: str, method: str, path: str, body=None, headers=None, limit: float = 10):
-        """(status, JSON or bytes, headers); status 0 where nothing answered."""
+        """Returns (status, JSON or bytes, headers) of an HTTP call; status 0 if there was no complete response."""
         ports = self.programs[name].ports
         port = ports[0] if len(ports) == 1 else ports[1] if name.startswith("gateway") else ports[2]
         c = http.client.HTTPConnection("127.0.0.1", port, timeout=limit)
@@ -246,7 +246,7 @@
         return f"127.0.0.1:{self.programs[name].ports[0]}"
 
     def cut(self, some, others, one_way: bool = False):
-        """Cuts the peers' calls between two sets of nodes, until the next cut or `heal`."""
+        """Drops the calls between two sets of nodes, until the next cut or `heal`."""
         pairs = [[self.address(a), self.address(b)] for a in some for b in others]
         if not one_way:
             pairs += [[b, a] for a, b in pairs]
@@ -256,7 +256,7 @@
         self.inject(cuts=[])
 
     def inject(self, **more):
-        """What the nodes' plug does from now on: cuts, delays by place, full disks."""
+        """Sets the faults that the plugins of the nodes inject: cuts, delays by address, full disks."""
         with self._lock:
             self._injected.update(more)
             new = self.folder / "cuts.new"
--- a/testbed/processes/synthetic_load.py
+++ b/testbed/processes/synthetic_load.py
@@ -1,4 +1,4 @@
-"""Load for lightweight nodes: engines that announce themselves, edits, and logs that are read and written."""
+"""Synthetic load for lightweight nodes: engine announcements, edits, and reads and writes of logs."""
 
 from pipitlink.errors import PipitlinkError
 from pipitlink.gateway.owner_selection import acquire_log
@@ -22,7 +22,7 @@
 
 
 class SyntheticLoad:
-    """The load on one host's nodes, told beforehand and the same until the host ends."""
+    """A constant load on the nodes of one host."""
 
     def __init__(self, host):
         self._host = host
@@ -56,7 +56,7 @@
                 spawn(self._edit_on(n, rows, changes))
 
     def _announce(self, n, name: str, times: int):
-        """An engine renews its announcement each second, at any gateway."""
+        """Announces an engine at a gateway each second."""
         n.part.engines.announce(
             EngineUpdate(
                 engine=name,
@@ -72,7 +72,7 @@
         n.ctx.timers.call_later(HEARTBEAT_INTERVAL, self._announce, n, name, times + 1)
 
     async def _write(self, n, log: str, rate: float):
-        """Holds a log, shadowed into the caches, and lists results in it; what could not be had is asked for again."""
+        """Acquires a log, retrying until that succeeds, and appends results to it, which are also cached."""
         try:
             h = None
             while h is None:
@@ -91,7 +91,7 @@
             self._count_failure(e)
 
     async def _burst(self, n, size: int):
-        """One lot's results, as fast as they get durable."""
+        """Appends the results of a single batch, each group as soon as the previous one is durable."""
         try:
             h = await acquire_log(n.ctx, "results/lot")
             for at in range(0, size, RESULTS_PER_APPEND):
@@ -104,7 +104,7 @@
         self._failed += 1
 
     async def _edit_on(self, n, rows: int, changes: float):
-        """Where this controller leads: first the rows, then edits of one row each, at a steady rate."""
+        """While this controller leads: first adds all rows, then edits one row at a time at a constant rate."""
         timers, done, due = n.ctx.timers, 0, None
         while True:
             await timers.sleep(secs(0.05))
