--- a/testbed/faults/disks.py
+++ b/testbed/faults/disks.py
@@ -1,4 +1,4 @@
-"""Disks that lose unsynced data, in simulations and for real processes."""
+"""Disks for power loss faults, which lose unsynced data, in simulations and in real processes."""
 
 import os
 import shutil
@@ -37,7 +37,7 @@
         self._remember_folder(fd)
 
     def _forget_removed_files(self) -> None:
-        """Drops removed files, whose inode numbers may be reused for files that this disk doesn't write."""
+        """Forgets removed files, since their inode numbers may be reused for files that this disk doesn't write."""
         known = list(self._synced)
         folders = [folder for folder in tuple(self._known_folders) if folder.exists()]
         present = {entry.inode() for folder in folders for entry in os.scandir(folder)}
@@ -62,7 +62,10 @@
         self.save_names(folder)
 
     def save_names(self, folder: Path) -> None:
-        """Records the entries of a folder as hard links, to restore them after a power loss; only with `names`."""
+        """Keeps hard links to a folder's entries as its durable state, to which `lose_power` may roll them back.
+
+        Does nothing unless the disk was made with `names=True`.
+        """
         if self._shadows is None:
             return
         self._drop_shadow(Path(folder))
@@ -82,7 +85,7 @@
             os.link(path, goal)
 
     def lose_power(self) -> None:
-        """Drops all unsynced data, or a random part of it."""
+        """Drops a random part of each file's unsynced data; with `names`, also rolls back random unsynced names."""
         for folder, durable in sorted(self._durable.items()):
             self._restore_names(folder, durable)
         folders = [folder for folder in (*self._known_folders, *self._durable) if folder.exists()]
@@ -122,7 +125,10 @@
 
 
 class ReportingDisk(Disk):
-    """Writes the synced length of each file to a report beside the data folder, so that a harness can drop the rest."""
+    """Reports the synced length of each file, in a file beside the data folder.
+
+    To simulate a power loss, the test harness kills the process and drops a random part of the unsynced data.
+    """
 
     def __init__(self, plugin: "_FullDisks", data: str) -> None:
         self._plugin = plugin
