--- a/testbed/benchmarks/day_losses.py
+++ b/testbed/benchmarks/day_losses.py
@@ -1,6 +1,6 @@
 """Shows which requests of a replayed day of traffic lost worth, from the benchmark's report and the nodes' logs.
 
-Each request has a worth, which the benchmark credits in full, in part or not at all, by how it was served.
+Worth is the weight of a request in the benchmark's score; it is lost by refusals, failures and late responses.
 
 The report is the JSON file of `fleetbench run --report`; the log holds the lines of all nodes, with or without a
 prefix added by the benchmark. The rows of the table of losses by kind add up to the total worth lost.
